--- a/src/irisstand/shortlist/parts.py
+++ b/src/irisstand/balancing/parts.py
@@ -10,7 +10,7 @@
 import typing
 
 from irisstand import clocks
-from irisstand.shortlist import draws
+from irisstand.balancing import draws
 
 # Of a bound over all: the rest is for lists that differ and for requests that do not travel equally long.
 PRUDENCE = 0.85
@@ -35,7 +35,7 @@
 
 
 def ceiling_part(own: str, members: list[Member], held: float) -> float:
-    """This node's part of a service's rate: sites count alike, as consumers live beside all of them.
+    """This node's part of a service's rate: sites count alike, as clients live beside all of them.
 
     `held` is the part of it that a site's holders fetch, if the site has any; its edges have the rest.
 
--- a/src/irisstand/shortlist/slots.py
+++ b/src/irisstand/balancing/slots.py
@@ -1,6 +1,6 @@
 """Slots recorded in the ledger: which shield machine holds which part of the objects, moved step by step."""
 
-from irisstand.shortlist import draws
+from irisstand.balancing import draws
 
 ROWS = 16
 PER_ROW = draws.SLOTS // ROWS
--- a/src/irisstand/commands.py
+++ b/src/irisstand/commands.py
@@ -10,12 +10,12 @@
 import click
 
 import irisstand
-from irisstand import errors, rehearsing
-from irisstand.vetting import checker, formats
+from irisstand import errors, simulation_commands as rehearsing
+from irisstand.validation import checker, formats
 
 
 def call(core: str, method: str, path: str, content: typing.Any = None) -> typing.Any:
-    """Ask an agency over HTTP; an error answer goes to standard error and sets the exit code."""
+    """Ask a control plane node over HTTP; an error answer goes to standard error and sets the exit code."""
     body = None if content is None else json.dumps(content).encode()
     request = urllib.request.Request(
         f"http://{core}{path}", body, {"Content-Type": "application/json"}, method=method
@@ -25,7 +25,7 @@
             return json.load(response)
     except urllib.error.HTTPError as error:
         click.echo(error.read().decode(errors="replace"), err=True)
-        # Scripts must be able to tell what was rejected from what nobody knows the outcome of.
+        # Scripts must be able to tell what was refused from what nobody knows the outcome of.
         sys.exit({409: 3, 422: 4, 404: 5}.get(error.code, 6 if error.code >= 500 else 1))
     except OSError as error:
         click.echo(f"irisstand: {core}: {error}; name an agency that runs, with --core", err=True)
--- a/src/irisstand/agency/amending.py
+++ b/src/irisstand/controlplane/amending.py
@@ -4,9 +4,9 @@
 import typing
 
 from irisstand import errors
-from irisstand.agency import overlay as overlays
-from irisstand.ledger import tables, versions
-from irisstand.vetting import versioned
+from irisstand.controlplane import overlay as overlays
+from irisstand.state import tables, versioned_items
+from irisstand.validation import versioned
 
 
 def plan_amend(overlay: overlays.Overlay, payload: typing.Any) -> dict[str, typing.Any]:
@@ -51,7 +51,7 @@
         name: [item.value["item"] for item in copy.under(f"{kind}/") if item.value["item"] is not None]
         for kind, name in versioned.LISTS.items()
     }
-    limits = copy.value(versions.LIMITS)
+    limits = copy.value(versioned_items.LIMITS)
     if limits is not None:
         found["limits"] = limits["item"]
     return found
--- /dev/null
+++ b/src/irisstand/controlplane/assembly.py
@@ -0,0 +1,52 @@
+"""Putting a control plane node together from what it is handed; the simulator uses this as the program does."""
+
+import random
+
+from irisstand import node_context, clocks
+from irisstand import node_settings
+from irisstand.controlplane import core as cores
+from irisstand.controlplane import duties, bootstrap as founding, placement, majority_check, retention, staffing, submitting, platform_watch as watch
+from irisstand.controlplane import proposer as proposers
+from irisstand.state import disk as disks
+from irisstand.state import items
+from irisstand.transport import network
+
+# Seconds for which a lost holder leaves its duty undone, about. Short where a rule of seconds hangs on it.
+PLATFORM_LEASE, STAFFING_LEASE = 1.4, 2.0
+
+
+class ControlNode:
+    def __init__(
+        self, settings: node_settings.Settings, clock: clocks.Clock, randomness: random.Random, net: network.Network,
+        disk: disks.Disk, ask_platform: watch.Ask | None,
+    ) -> None:  # fmt: skip
+        self.context = node_context.NodeContext(settings, "agency", clock, randomness, net)
+        self.core = cores.Core(self.context, disk)
+        self.proposers = {table: proposers.Proposer(self.core, table) for table in items.TABLES}
+        self.submitter = submitting.Submitter(self.core, self.proposers)
+        self.founding = founding.Bootstrap(self.core, self.submitter)
+        self.duties: list[duties.Duty] = []
+        if ask_platform is not None:
+            watcher = watch.Watch(self.context, ask_platform)
+            self.duties.append(duties.Duty(self.submitter, "platform-watch", watcher.work, PLATFORM_LEASE))
+        placer, staffer = placement.Placement(self.context), staffing.Staffing(self.context)
+        self.duties.append(duties.Duty(self.submitter, "placement", placer.work))
+        self.duties.append(duties.Duty(self.submitter, "staffing", staffer.work, STAFFING_LEASE))
+        keeper = retention.Retention(self.context)
+        self.duties.append(duties.Duty(self.submitter, "retention", keeper.work))
+        wanted = settings.duties.split(",")
+        self.duties = [duty for duty in self.duties if duty.name in wanted]
+
+    async def open(self) -> None:
+        # The disk is read before any port opens: no peer may hear a voter that does not know its word.
+        await self.core.open()
+        await self.context.open()
+        for table in items.TABLES:
+            self.context.start(self.proposers[table].run(), f"taker of {table}")
+            self.context.start(majority_check.MajorityCheck(self.core, self.proposers[table]).run(), f"pulse of {table}")
+        self.context.start(self.founding.run(), "founding")
+        for duty in self.duties:
+            self.context.start(duty.run(), f"duty {duty.name}")
+
+    async def close(self) -> None:
+        await self.context.close()
--- a/src/irisstand/agency/founding.py
+++ b/src/irisstand/controlplane/bootstrap.py
@@ -3,20 +3,20 @@
 import asyncio
 
 from irisstand import errors, ring
-from irisstand.agency import core as cores
-from irisstand.agency import fleetview, orders, submitting
-from irisstand.ledger import items, quorum, serials
+from irisstand.controlplane import core as cores
+from irisstand.controlplane import fleet_view, orders, submitting
+from irisstand.state import items, quorum, versions
 
-FIRST = serials.Serial(1, "founding")
+FIRST = versions.Version(1, "founding")
 
 
-class Founding:
+class Bootstrap:
     def __init__(self, core: cores.Core, submitter: submitting.Submitter) -> None:
-        self.core, self.board, self.submitter = core, core.board, submitter
+        self.core, self.context, self.submitter = core, core.context, submitter
         self.missing_since: dict[str, float] = {}
-        self.view = fleetview.FleetView(self.board)
-        self.board.postroom.handlers["core-state"] = self.on_core_state
-        self.board.postroom.handlers["hold"] = self.on_hold
+        self.view = fleet_view.FleetView(self.context)
+        self.context.transport.handlers["core-state"] = self.on_core_state
+        self.context.transport.handlers["hold"] = self.on_hold
 
     async def on_core_state(self, _: str, body: list) -> tuple:
         return (tuple(self.core.own_voter()), self.is_empty())
@@ -24,15 +24,15 @@
     async def on_hold(self, _: str, body: list) -> tuple:
         """A voter to be: all tables are current and on its disk before it says who it is."""
         for table in items.TABLES:
-            if not self.board.is_current(self.board.copies[table]):
+            if not self.context.is_current(self.context.copies[table]):
                 raise errors.NotFounded("this node has not learnt the tables yet")
             await self.core.owners[table].order("keep")
         return tuple(self.core.own_voter())
 
     def is_empty(self) -> bool:
-        records = self.core.vault.records
+        records = self.core.store.records
         return all(
-            records[table].tip == serials.NONE and self.board.copies[table].tip == serials.NONE
+            records[table].applied == versions.NONE and self.context.copies[table].applied == versions.NONE
             for table in items.TABLES
         )
 
@@ -40,41 +40,41 @@
         while True:
             try:
                 if self.is_empty():
-                    await self.try_founding()
+                    await self.try_bootstrap()
                 else:
                     await self.try_enrolling()
             except (errors.IrisError, ValueError, TypeError) as error:
                 ring.note("founding", error=str(error))
             await asyncio.sleep(0.5)
 
-    async def try_founding(self) -> None:
+    async def try_bootstrap(self) -> None:
         """Only when every founding core is there and empty; the lowest name writes for all."""
-        boot = self.board.boot
-        if not boot.may_found:
+        settings = self.context.settings
+        if not settings.may_found:
             await self.learn()
             return
         states = [(self.core.own_voter(), True)]
         for address, name in self.founders():
             try:
-                voter, empty = await self.board.postroom.ask(address, name, "core-state", (), 1.0)
+                voter, empty = await self.context.transport.ask(address, name, "core-state", (), 1.0)
             except errors.IrisError:
                 # One that cannot be asked may know a founded core.
                 await self.learn()
                 return
             states.append((quorum.Voter(*voter), empty))
-        # One founded colleague, or one that cannot be asked, means learning and not founding.
+        # One founded peer, or one that cannot be asked, means learning and not founding.
         if not all(empty for _, empty in states):
             await self.learn()
             return
         voters = sorted(voter for voter, _ in states)
-        is_complete = len(voters) == boot.founding
-        if boot.found_by_seeds:
+        is_complete = len(voters) == settings.founding
+        if settings.found_by_seeds:
             # Everybody was given the same seeds, and they are up: they found, and vote the others in.
-            is_complete = (boot.host, boot.port) in boot.seeds and len(voters) == len(boot.seeds)
-        if not is_complete or voters[0].name != boot.name:
+            is_complete = (settings.host, settings.port) in settings.seeds and len(voters) == len(settings.seeds)
+        if not is_complete or voters[0].name != settings.name:
             return
         rows = ((items.VOTERS, [tuple(voter) for voter in voters], False),)
-        batch = items.encode_batch(items.Batch(FIRST, serials.NONE, rows))
+        batch = items.encode_batch(items.Batch(FIRST, versions.NONE, rows))
         body = tuple((table, batch) for table in items.TABLES)
         for voter in voters:
             await self.core.ask_voter(voter, "found", body)
@@ -83,15 +83,15 @@
     def founders(self) -> list[tuple]:
         """Address and name of the other cores that have to be empty for a founding; a seed's name is not
         known."""
-        boot = self.board.boot
-        if boot.found_by_seeds:
-            return [(seed, "") for seed in boot.seeds if seed != (boot.host, boot.port)]
-        return [(u.card.address, u.identity.name) for u in self.board.colleagues("agency")]
+        settings = self.context.settings
+        if settings.found_by_seeds:
+            return [(seed, "") for seed in settings.seeds if seed != (settings.host, settings.port)]
+        return [(u.card.address, u.identity.name) for u in self.context.peers("agency")]
 
     async def learn(self) -> None:
-        for address, name in self.core.courier.sources():
+        for address, name in self.core.replicator.sources():
             try:
-                await self.core.courier.pull(address, name)
+                await self.core.replicator.pull(address, name)
             except (errors.Unreached, errors.Unanswered):
                 continue
             # Another empty node has answered, too, and taught nothing.
@@ -101,13 +101,13 @@
     async def try_enrolling(self) -> None:
         """A node with a new disk first holds the tables durably, and only then asks to be voted in."""
         for table in items.TABLES:
-            copy = self.board.copies[table]
-            if copy.tip == serials.NONE:
+            copy = self.context.copies[table]
+            if copy.applied == versions.NONE:
                 await self.learn()
-            if self.core.votes(table) or not self.board.is_current(copy):
+            if self.core.votes(table) or not self.context.is_current(copy):
                 continue
             leaves = await self.replaceable(table)
-            room = self.board.boot.voters if self.board.boot.found_by_seeds else 0
+            room = self.context.settings.voters if self.context.settings.found_by_seeds else 0
             # A spare core node: it knows everything, and waits until a voter is gone.
             if not leaves and len(self.core.voters(table)) >= room:
                 continue
@@ -118,12 +118,12 @@
 
     async def replaceable(self, table: str) -> str:
         """The voter whose place this node may take: its own older self, or one that is long gone."""
-        now = self.board.clock.now()
+        now = self.context.clock.now()
         voters = self.core.voters(table)
-        if any(voter.name == self.board.boot.name for voter in voters):
-            return self.board.boot.name
-        present = {update.identity.name for update in self.board.colleagues("agency")}
-        if self.board.boot.found_by_seeds:
+        if any(voter.name == self.context.settings.name for voter in voters):
+            return self.context.settings.name
+        present = {update.identity.name for update in self.context.peers("agency")}
+        if self.context.settings.found_by_seeds:
             # SWIM keeps a dead member for seconds; the next loss may come before that.
             heard = await asyncio.gather(*(self.view.stands(voter, table) for voter in voters))
             present = {voter.name for voter, stands in zip(voters, heard, strict=True) if stands}
@@ -133,6 +133,6 @@
         # A machine that is restarted is not to lose its vote over it.
         for voter in voters:
             since = self.missing_since.setdefault(voter.name, now) if voter.name not in present else now
-            if now - since >= self.board.boot.replace_after:
+            if now - since >= self.context.settings.replace_after:
                 return voter.name
         return ""
--- a/src/irisstand/agency/duties.py
+++ b/src/irisstand/controlplane/duties.py
@@ -5,9 +5,9 @@
 import typing
 
 from irisstand import errors, ring
-from irisstand.agency import orders, submitting
+from irisstand.controlplane import orders, submitting
 
-TERM = 4.0
+LEASE_LENGTH = 4.0
 # Candidates wait longer than the holder works, by what two steady clocks may drift apart in a term.
 MARGIN = 0.1
 # And then a random part of this, or all who see the vacancy would meet.
@@ -20,84 +20,84 @@
 
     def __init__(
         self, submitter: submitting.Submitter, name: str,
-        work: collections.abc.Callable[["Duty"], collections.abc.Awaitable[None]], length: float = TERM,
+        work: collections.abc.Callable[["Duty"], collections.abc.Awaitable[None]], length: float = LEASE_LENGTH,
     ) -> None:  # fmt: skip
         self.length = length
-        self.submitter, self.board, self.name, self.work = submitter, submitter.board, name, work
+        self.submitter, self.context, self.name, self.work = submitter, submitter.context, name, work
         self.holder = ""
-        self.term = ""
+        self.lease = ""
         self.held_until = 0.0
         self.seen = ""
         self.seen_at = 0.0
 
     def holds(self) -> bool:
-        return bool(self.term) and self.board.clock.now() < self.held_until
+        return bool(self.lease) and self.context.clock.now() < self.held_until
 
     async def run(self) -> None:
-        identity = self.board.detector.identity
+        identity = self.context.detector.identity
         self.holder = f"{identity.name}~{identity.life}"
         while True:
             try:
-                if self.board.leaving and self.term:
+                if self.context.leaving and self.lease:
                     await self.give_up()
                 elif self.holds():
-                    if self.held_until - self.board.clock.now() < self.length / 2:
-                        await self.take(self.term)
+                    if self.held_until - self.context.clock.now() < self.length / 2:
+                        await self.take(self.lease)
                     if self.holds():
                         await self.work(self)
                 else:
                     await self.watch()
             except (errors.IrisError, ValueError, TypeError) as error:
-                self.board.counters.add("duty_failed", duty=self.name)
+                self.context.counters.add("duty_failed", duty=self.name)
                 ring.note("duty", duty=self.name, error=repr(error))
             await asyncio.sleep(0.2)
 
     async def watch(self) -> None:
-        """Vacant is a term whose serial has stood still for longer than a holder may work on it."""
-        self.term = ""
-        copy, now = self.board.ledger, self.board.clock.now()
-        # What was seen before this copy went stale still counts: the same serial now means that nobody has
+        """Vacant is a term whose version has stood still for longer than a holder may work on it."""
+        self.lease = ""
+        copy, now = self.context.ledger, self.context.clock.now()
+        # What was seen before this copy went stale still counts: the same version now means that nobody has
         # renewed the term in between.
-        if not self.board.is_current(copy) or self.board.leaving:
+        if not self.context.is_current(copy) or self.context.leaving:
             return
-        serial = str(copy.serial(f"term/{self.name}"))
-        if serial != self.seen:
-            self.seen, self.seen_at = serial, now
+        version = str(copy.version(f"term/{self.name}"))
+        if version != self.seen:
+            self.seen, self.seen_at = version, now
         row = copy.value(f"term/{self.name}")
         # Given up in order, it is vacant at once.
         if row is None or not row["holder"] or now - self.seen_at > self.length * (1 + MARGIN):
             # All candidates see the vacancy at once; a random wait keeps their ballots from colliding.
-            await asyncio.sleep(self.board.randomness.uniform(0, STAGGER * self.length))
-            if str(copy.serial(f"term/{self.name}")) == serial:
-                await self.take(serial)
+            await asyncio.sleep(self.context.randomness.uniform(0, STAGGER * self.length))
+            if str(copy.version(f"term/{self.name}")) == version:
+                await self.take(version)
 
     async def give_up(self) -> None:
         """A planned end: the duty is laid down first, and only then is it said."""
-        term, self.term = self.term, ""
-        await self.submitter.submit(orders.Order("term", "", (self.name, "", term)))
+        lease, self.lease = self.lease, ""
+        await self.submitter.submit(orders.Order("term", "", (self.name, "", lease)))
 
     async def take(self, expected: str) -> None:
         for _ in range(TAKES):
             # Counted from before the order goes out, so this node stops before any other may start.
-            started = self.board.clock.now()
+            started = self.context.clock.now()
             order = orders.Order("term", "", (self.name, self.holder, expected))
             try:
                 result = await self.submitter.submit(order)
-            except errors.StaleSerial:
+            except errors.StaleVersion:
                 # Taken all the same, where the voter that took the order could not say so any more.
-                row = self.board.ledger.value(f"term/{self.name}")
-                serial = str(self.board.ledger.serial(f"term/{self.name}"))
-                if serial == expected or row is None or row["holder"] != self.holder:
-                    self.term = ""
+                row = self.context.ledger.value(f"term/{self.name}")
+                version = str(self.context.ledger.version(f"term/{self.name}"))
+                if version == expected or row is None or row["holder"] != self.holder:
+                    self.lease = ""
                     return
-                result = {"serial": serial}
-            self.term, self.held_until = result["serial"], started + self.length
-            self.board.counters.add("terms_taken", duty=self.name)
+                result = {"serial": version}
+            self.lease, self.held_until = result["serial"], started + self.length
+            self.context.counters.add("terms_taken", duty=self.name)
             if self.holds():
                 return
             # Decided so late that it is over already: nobody would work until all others had waited it out.
-            expected = self.term
+            expected = self.lease
 
     async def write(self, rows: list[tuple[str, typing.Any]]) -> None:
         """Rows that count only if this term is still the one in force when they are decided."""
-        await self.submitter.submit(orders.Order("fenced", "", (self.name, self.term, rows)))
+        await self.submitter.submit(orders.Order("fenced", "", (self.name, self.lease, rows)))
--- a/src/irisstand/agency/evacuation.py
+++ b/src/irisstand/controlplane/evacuation.py
@@ -2,21 +2,21 @@
 
 import typing
 
-from irisstand import blackboard, errors
-from irisstand.agency import fleetview
-from irisstand.ledger import items, quorum
+from irisstand import node_context, errors
+from irisstand.controlplane import fleet_view
+from irisstand.state import items, quorum
 
 
 class Evacuation:
-    def __init__(self, board: blackboard.Board) -> None:
-        self.board = board
-        self.view = fleetview.FleetView(board)
+    def __init__(self, context: node_context.NodeContext) -> None:
+        self.context = context
+        self.view = fleet_view.FleetView(context)
 
     async def check(self, site: str, insist: bool) -> list[str]:
         """Notes for the operator; CannotCarry with figures if the other sites are too small for the load."""
         figures: dict[str, typing.Any] = {}
         short = []
-        for role in fleetview.DEFAULT_LIMITS:
+        for role in fleet_view.DEFAULT_LIMITS:
             rates, _ = await self.view.gauges(role)
             # Resting machines count: they are woken for this.
             left = [machine for machine in self.view.machines(role) if machine.site != site]
@@ -35,10 +35,10 @@
 
     def core_notes(self, site: str) -> list[str]:
         """An evacuation moves work, not voters; but whoever evacuates may be about to switch off."""
-        voters = quorum.decode(self.board.ledger.value(items.VOTERS))
-        up = {update.identity.name for update in self.board.colleagues("agency") if not update.state}
-        up.add(self.board.boot.name)
-        gone = {item.key.split("/", 1)[1] for item in self.board.ledger.under("evacuated/")} | {site}
+        voters = quorum.decode(self.context.ledger.value(items.VOTERS))
+        up = {update.identity.name for update in self.context.peers("agency") if not update.state}
+        up.add(self.context.settings.name)
+        gone = {item.key.split("/", 1)[1] for item in self.context.ledger.under("evacuated/")} | {site}
         left = sum(voter.name in up and voter.site not in gone for voter in voters)
         if 2 * left > len(voters):
             return []
--- a/src/irisstand/agency/fleetview.py
+++ b/src/irisstand/controlplane/fleet_view.py
@@ -3,9 +3,9 @@
 import asyncio
 import collections.abc
 
-from irisstand import blackboard, errors
-from irisstand.ledger import items, quorum
-from irisstand.shortlist import draws, rota, slots
+from irisstand import node_context, errors
+from irisstand.state import items, quorum
+from irisstand.balancing import draws, rota, slots
 
 # Who does not answer within this time is not counted on.
 HEARING = 0.5
@@ -13,27 +13,27 @@
 
 
 class FleetView:
-    def __init__(self, board: blackboard.Board) -> None:
-        self.board = board
+    def __init__(self, context: node_context.NodeContext) -> None:
+        self.context = context
 
     def is_evacuated(self, site: str) -> bool:
-        return self.board.is_evacuated(site)
+        return self.context.is_evacuated(site)
 
     def is_resting(self, machine: str) -> bool:
-        return self.board.is_resting(machine)
+        return self.context.is_resting(machine)
 
     def is_out(self, machine: str) -> bool:
         """Out of work by a recorded decision."""
-        sites = {update.card.machine: update.card.site for update in self.board.colleagues("shield")}
+        sites = {update.card.machine: update.card.site for update in self.context.peers("shield")}
         return self.is_resting(machine) or (machine in sites and self.is_evacuated(sites[machine]))
 
     def row(self, kind: str, name: str) -> dict:
-        return self.board.blueprint.value(f"{kind}/{name}") or {}
+        return self.context.configuration.value(f"{kind}/{name}") or {}
 
     def shield_weights(self) -> dict[str, float]:
         """Shield machines that may be given work, with their weights."""
         found = {}
-        for update in self.board.colleagues("shield"):
+        for update in self.context.peers("shield"):
             machine, site = update.card.machine, update.card.site
             weight = self.row("shield", machine).get("weight", 1) * self.row("site", site).get("weight", 1)
             if weight > 0 and not self.is_resting(machine) and not self.is_evacuated(site):
@@ -43,17 +43,17 @@
     def slot_owners(self) -> list[str]:
         owners: list[str] = []
         for number in range(0, draws.SLOTS, slots.PER_ROW):
-            row = self.board.ledger.value(slots.row_key(number))
+            row = self.context.ledger.value(slots.row_key(number))
             owners += row["owners"] if row else [""] * slots.PER_ROW
         return owners
 
     def shares(self) -> dict[str, dict[str, list[int]]]:
-        return {item.key.removeprefix("share/"): item.value for item in self.board.ledger.under("share/")}
+        return {item.key.removeprefix("share/"): item.value for item in self.context.ledger.under("share/")}
 
     def machines(self, role: str, heard: collections.abc.Container[str] | None = None) -> list[rota.Machine]:
         """Machines of a role that are up and not evacuated, resting or not; only those heard, if given."""
         found = []
-        for update in self.board.colleagues(role):
+        for update in self.context.peers(role):
             machine = update.card.machine
             if update.state or self.is_evacuated(update.card.site):
                 continue
@@ -70,27 +70,27 @@
         return all(await asyncio.gather(*(self.voters_carry(table) for table in items.TABLES)))
 
     async def voters_carry(self, table: str) -> bool:
-        voters = quorum.decode(self.board.copies[table].value(items.VOTERS))
+        voters = quorum.decode(self.context.copies[table].value(items.VOTERS))
         heard = await asyncio.gather(*(self.stands(voter, table) for voter in voters))
         up = {voter.name for voter, stands in zip(voters, heard, strict=True) if stands}
         return bool(voters) and rota.core_carries(quorum.places(voters), up)
 
     async def stands(self, voter: quorum.Voter, table: str) -> bool:
         try:
-            reply = await self.board.postroom.ask(
+            reply = await self.context.transport.ask(
                 (voter.host, voter.port), voter.name, "stand", (table,), HEARING
             )
-            return reply[0] == voter.vault
+            return reply[0] == voter.disk_id
         except errors.IrisError:
             return False
 
     async def gauges(self, role: str) -> tuple[dict[str, float], bool]:
         """Requests a second by machine, and whether every member of the role answered."""
-        members = self.board.colleagues(role)
+        members = self.context.peers(role)
 
         async def ask(update: object) -> float | None:
             try:
-                return await self.board.postroom.ask(
+                return await self.context.transport.ask(
                     update.card.address, update.identity.name, "gauge", (), HEARING
                 )
             except errors.IrisError:
--- a/src/irisstand/agency/operators.py
+++ b/src/irisstand/controlplane/operators.py
@@ -7,23 +7,23 @@
 import sanic.request
 import sanic.response
 
-from irisstand import blackboard, errors, web
-from irisstand import boot as booting
-from irisstand.agency import amending, changes, evacuation, orders, submitting, voters
-from irisstand.rollcall import updates
-from irisstand.vetting import schema
+from irisstand import node_context, errors, web
+from irisstand import node_settings
+from irisstand.controlplane import amending, changes, evacuation, orders, submitting, voters
+from irisstand.membership import updates
+from irisstand.validation import schema
 
 CHANGE = re.compile(r"^[A-Za-z0-9._:-]{1,100}$")
 
 
 class Operators:
     def __init__(
-        self, board: blackboard.Board, submitter: submitting.Submitter, server: web.Web
+        self, context: node_context.NodeContext, submitter: submitting.Submitter, server: web.Web
     ) -> None:
-        self.board, self.submitter, self.web = board, submitter, server
-        self.evacuation = evacuation.Evacuation(board)
-        self.changes = changes.Changes(board)
-        self.voters = voters.Voters(board, submitter)
+        self.context, self.submitter, self.web = context, submitter, server
+        self.evacuation = evacuation.Evacuation(context)
+        self.changes = changes.Changes(context)
+        self.voters = voters.Voters(context, submitter)
         add = server.app.add_route
         add(self.get_rows, "/rows", methods=["GET"])
         add(self.get_items, "/items", methods=["GET"])
@@ -40,25 +40,25 @@
 
     # -- reading -------------------------------------------------------------------------------------
     def check_current(self) -> None:
-        for copy in self.board.copies.values():
-            if not self.board.is_current(copy):
-                raise errors.StaleBlueprint(f"the {copy.name} table is not known to be current here")
+        for copy in self.context.copies.values():
+            if not self.context.is_current(copy):
+                raise errors.StaleConfiguration(f"the {copy.name} table is not known to be current here")
 
     async def get_rows(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        """Every row in force with its serial; a table that may be old is not shown as the table."""
+        """Every row in force with its version; a table that may be old is not shown as the table."""
         self.check_current()
-        copy = self.board.blueprint
+        copy = self.context.configuration
         rows = []
         for kind in schema.REGISTRY:
             for item in copy.under(kind + "/"):
                 name = item.key.removeprefix(kind + "/")
-                rows.append({"kind": kind, "name": name, "serial": str(item.serial), "value": item.value})
-        return web.as_json({"tip": str(copy.tip), "rows": rows})
+                rows.append({"kind": kind, "name": name, "serial": str(item.version), "value": item.value})
+        return web.as_json({"tip": str(copy.applied), "rows": rows})
 
     async def get_items(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         """All versioned items that stand, laid out as an amendment that would put them."""
         self.check_current()
-        return web.as_json(amending.listing(self.board.blueprint))
+        return web.as_json(amending.listing(self.context.configuration))
 
     async def post_amendment(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         """Items with their senders' own versions: each alone is its own id, so a call may come again."""
@@ -86,16 +86,16 @@
 
     async def get_ledger(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         self.check_current()
-        copy = self.board.ledger
+        copy = self.context.ledger
         rows = [
-            {"key": item.key, "serial": str(item.serial), "value": item.value}
+            {"key": item.key, "serial": str(item.version), "value": item.value}
             for item in copy.under("")
             if not item.key.startswith("~change/")
         ]
-        return web.as_json({"tip": str(copy.tip), "rows": rows})
+        return web.as_json({"tip": str(copy.applied), "rows": rows})
 
     async def get_members(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        detector = self.board.detector
+        detector = self.context.detector
         everybody = [detector.own_update(), *detector.roster.everything()]
         return web.as_json({"members": [self.member(update) for update in everybody]})
 
@@ -120,13 +120,13 @@
         """The sender's id for the change, or a new one, which the result names."""
         given = content.get("change")
         if given is None:
-            return f"{self.board.boot.name}.{self.board.randomness.getrandbits(64):016x}"
+            return f"{self.context.settings.name}.{self.context.randomness.getrandbits(64):016x}"
         if not isinstance(given, str) or not CHANGE.match(given):
             raise errors.BadRequest("change is not an id", "use up to 100 letters, digits and ._:-")
         return given
 
     async def submit(self, kind: str, change: str, payload: typing.Any) -> sanic.response.HTTPResponse:
-        if self.board.draining:
+        if self.context.draining:
             raise errors.Draining("this node is shutting down")
         try:
             result = await self.submitter.answer(orders.Order(kind, change, payload))
@@ -187,14 +187,14 @@
     async def put_evacuation(
         self, request: sanic.request.Request, site: str
     ) -> sanic.response.HTTPResponse:
-        known = {update.card.site for update in self.board.detector.roster.members.values()}
-        known |= {self.board.boot.site}
-        known |= {item.key.split("/", 1)[1] for item in self.board.blueprint.under("site/")}
-        known |= set(booting.pairs(self.board.boot.region_by_site))
+        known = {update.card.site for update in self.context.detector.roster.members.values()}
+        known |= {self.context.settings.site}
+        known |= {item.key.split("/", 1)[1] for item in self.context.configuration.under("site/")}
+        known |= set(node_settings.pairs(self.context.settings.region_by_site))
         if site not in known:
             raise errors.Unknown(f"no site {site!r}", f"use one of {', '.join(sorted(known))}")
         # Where only origins are emptied, the machines carry on, and an order again is the same order.
-        only_origins = self.board.boot.evacuates == "origins"
+        only_origins = self.context.settings.evacuates == "origins"
         change = "" if only_origins else self.change_id({})
         if request.method == "DELETE":
             return await self.submit("return", change, site)
@@ -210,18 +210,18 @@
     async def get_machines(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         """Why each machine rests or does not, and the hours that rest has saved."""
         self.check_current()
-        ledger = self.board.ledger
+        ledger = self.context.ledger
         why = (ledger.value("staffing") or {"why": {}})["why"]
         machines = {}
-        for update in [self.board.detector.own_update(), *self.board.detector.roster.members.values()]:
+        for update in [self.context.detector.own_update(), *self.context.detector.roster.members.values()]:
             entry = machines.setdefault(
                 update.card.machine, {"site": update.card.site, "nodes": [], "why": ""}
             )
             entry["nodes"].append(f"{update.identity.name} {update.state.name.lower()}")
         for name, entry in machines.items():
-            entry["rests"] = self.board.is_resting(name)
+            entry["rests"] = self.context.is_resting(name)
             entry["why"] = why.get(name, "")
-            entry["evacuated"] = self.board.is_evacuated(entry["site"])
+            entry["evacuated"] = self.context.is_evacuated(entry["site"])
             saved = ledger.value(f"saved/{name}") or {"seconds": 0}
             entry["hours_saved"] = round(saved["seconds"] / 3600, 2)
         total = sum(item.value["seconds"] for item in ledger.under("saved/")) / 3600
--- a/src/irisstand/agency/orders.py
+++ b/src/irisstand/controlplane/orders.py
@@ -1,13 +1,13 @@
-"""Orders that may be decided: each plans rows on top of a table as it would stand, or rejects whole."""
+"""Orders that may be decided: each plans rows on top of a table as it would stand, or refuses whole."""
 
 import collections.abc
 import typing
 
 from irisstand import errors
-from irisstand.agency import amending, tabletime
-from irisstand.agency import overlay as overlays
-from irisstand.ledger import items, quorum, serials
-from irisstand.vetting import rules, schema
+from irisstand.controlplane import amending, table_time
+from irisstand.controlplane import overlay as overlays
+from irisstand.state import items, quorum, versions
+from irisstand.validation import rules, schema
 
 # Remembered at the most: beyond that, new ones wait until the oldest have stood for long enough.
 CLAIMS_LIMIT = 50_000
@@ -18,7 +18,7 @@
 
 
 def plan_change(overlay: Overlay, payload: typing.Any) -> Planned:
-    """Operators' rows: schema, then the rules on the whole table, then each row's expected serial."""
+    """Operators' rows: schema, then the rules on the whole table, then each row's expected version."""
     faults = []
     standing: rules.Rows = {}
     for kind in schema.REGISTRY:
@@ -44,17 +44,17 @@
         raise errors.BadChange(faults)
     conflicts = []
     for row in payload:
-        serial = overlay.serial(f"{row['kind']}/{row['name']}")
-        if row.get("expected") is not None and row["expected"] != str(serial):
+        version = overlay.version(f"{row['kind']}/{row['name']}")
+        if row.get("expected") is not None and row["expected"] != str(version):
             conflict = {"kind": row["kind"], "name": row["name"], "expected": row["expected"]}
-            conflicts.append({**conflict, "in_force": str(serial)})
+            conflicts.append({**conflict, "in_force": str(version)})
     if conflicts:
-        raise errors.StaleSerial(conflicts)
+        raise errors.StaleVersion(conflicts)
     return {f"{row['kind']}/{row['name']}": row.get("value") for row in payload}
 
 
 def plan_purge(overlay: Overlay, payload: typing.Any) -> Planned:
-    """One row for each path or tag: purged again, it takes the new serial, which is what counts."""
+    """One row for each path or tag: purged again, it takes the new version, which is what counts."""
     return {f"purge/{kind}/{name}": {"purge": kind} for kind, name in payload}
 
 
@@ -75,15 +75,15 @@
     newcomer, replaced = quorum.Voter(*payload[0]), payload[1]
     room = payload[2] if len(payload) > 2 else 0
     voters = quorum.decode(overlay.value(items.VOTERS))
-    if any(voter.vault == newcomer.vault for voter in voters):
+    if any(voter.disk_id == newcomer.disk_id for voter in voters):
         return {}
     known = [voter.name for voter in voters]
     leaves = newcomer.name if newcomer.name in known else replaced
     grows = not leaves and len(voters) < room
     if leaves not in known and not grows:
-        raise errors.StaleSerial([{"voter": leaves, "in_force": str(overlay.serial(items.VOTERS))}])
+        raise errors.StaleVersion([{"voter": leaves, "in_force": str(overlay.version(items.VOTERS))}])
     following = [voter for voter in voters if voter.name != leaves] + [newcomer]
-    # Rejected whole: a set that one lost site could rob of its majority, where the present one could not.
+    # Refused whole: a set that one lost site could rob of its majority, where the present one could not.
     if quorum.outlives_any_site(voters) and not quorum.outlives_any_site(following):
         message = f"with {newcomer.name} for {leaves}, the loss of one site would end the majority"
         raise errors.BadChange([{"row": None, "field": "voters", "message": message}])
@@ -103,20 +103,20 @@
     return {items.VOTERS: [tuple(voter) for voter in following]}
 
 
-def plan_term(overlay: Overlay, payload: typing.Any) -> Planned:
-    """Take or keep a duty: only from the serial that the candidate saw, so two cannot both win it."""
+def plan_lease(overlay: Overlay, payload: typing.Any) -> Planned:
+    """Take or keep a duty: only from the version that the candidate saw, so two cannot both win it."""
     duty, holder, expected = payload
     key = f"term/{duty}"
-    if str(overlay.serial(key)) != expected:
-        raise errors.StaleSerial([{"duty": duty, "in_force": str(overlay.serial(key))}])
+    if str(overlay.version(key)) != expected:
+        raise errors.StaleVersion([{"duty": duty, "in_force": str(overlay.version(key))}])
     return {key: {"holder": holder}}
 
 
 def plan_fenced(overlay: Overlay, payload: typing.Any) -> Planned:
     """Rows written by a duty's holder: they count only while its own term is the one in force."""
-    duty, term, rows = payload
-    if str(overlay.serial(f"term/{duty}")) != term:
-        raise errors.StaleSerial([{"duty": duty, "in_force": str(overlay.serial(f"term/{duty}"))}])
+    duty, lease, rows = payload
+    if str(overlay.version(f"term/{duty}")) != lease:
+        raise errors.StaleVersion([{"duty": duty, "in_force": str(overlay.version(f"term/{duty}"))}])
     return {key: value for key, value in rows if overlay.value(key) != value}
 
 
@@ -127,7 +127,7 @@
     if known is not None and known["by"] != attempt:
         raise errors.Claimed(known)
     if known is None:
-        tabletime.check_room(overlay, "claim", CLAIMS_LIMIT)
+        table_time.check_room(overlay, "claim", CLAIMS_LIMIT)
     return {f"claim/{key}": {"by": attempt, "print": fingerprint, "state": "claimed"}}
 
 
@@ -142,24 +142,24 @@
 
 # Plug-in point: kind of order -> the table it writes and how it is planned.
 REGISTRY: dict[str, tuple[str, collections.abc.Callable[[Overlay, typing.Any], Planned]]] = {
-    "change": (items.BLUEPRINT, plan_change),
-    "amend": (items.BLUEPRINT, amending.plan_amend),
+    "change": (items.CONFIGURATION, plan_change),
+    "amend": (items.CONFIGURATION, amending.plan_amend),
     "purge": (items.LEDGER, plan_purge),
     "evacuate": (items.LEDGER, plan_evacuate),
     "return": (items.LEDGER, plan_return),
-    "enrol-blueprint": (items.BLUEPRINT, plan_enrol),
+    "enrol-blueprint": (items.CONFIGURATION, plan_enrol),
     "enrol-ledger": (items.LEDGER, plan_enrol),
     "enrol-claims": (items.CLAIMS, plan_enrol),
-    "retire-blueprint": (items.BLUEPRINT, plan_retire),
+    "retire-blueprint": (items.CONFIGURATION, plan_retire),
     "retire-ledger": (items.LEDGER, plan_retire),
     "retire-claims": (items.CLAIMS, plan_retire),
     "claim": (items.CLAIMS, plan_claim),
     "settle": (items.CLAIMS, plan_settle),
-    "term": (items.LEDGER, plan_term),
+    "term": (items.LEDGER, plan_lease),
     "fenced": (items.LEDGER, plan_fenced),
-    "tick-blueprint": (items.BLUEPRINT, tabletime.plan_tick),
-    "tick-ledger": (items.LEDGER, tabletime.plan_tick),
-    "tick-claims": (items.CLAIMS, tabletime.plan_tick),
+    "tick-blueprint": (items.CONFIGURATION, table_time.plan_tick),
+    "tick-ledger": (items.LEDGER, table_time.plan_tick),
+    "tick-claims": (items.CLAIMS, table_time.plan_tick),
 }
 
 
@@ -169,18 +169,18 @@
     return REGISTRY[kind][0]
 
 
-def plan(overlay: Overlay, order: Order) -> tuple[serials.Serial, list[str]]:
-    """Add the order's rows to the overlay; returns the serial and the keys that its result names."""
+def plan(overlay: Overlay, order: Order) -> tuple[versions.Version, list[str]]:
+    """Add the order's rows to the overlay; returns the version and the keys that its result names."""
     record = f"~change/{order.change}"
     known = overlay.value(record) if order.change else None
     if known is not None:
-        return (overlay.serial(record), known["rows"])
+        return (overlay.version(record), known["rows"])
     if order.change:
-        tabletime.check_room(overlay, "~change", CHANGES_LIMIT)
+        table_time.check_room(overlay, "~change", CHANGES_LIMIT)
     planned = REGISTRY[order.kind][1](overlay, order.payload)
     keys = [key for key in planned if not key.startswith(items.RESERVED)]
     for key, value in planned.items():
         overlay.put(key, value)
     if order.change:
         overlay.put(record, {"rows": keys})
-    return (overlay.new_serial, keys)
+    return (overlay.new_version, keys)
--- a/src/irisstand/agency/overlay.py
+++ b/src/irisstand/controlplane/overlay.py
@@ -2,7 +2,7 @@
 
 import typing
 
-from irisstand.ledger import items, serials, tables
+from irisstand.state import items, versions, tables
 
 
 class Order(typing.NamedTuple):
@@ -14,18 +14,18 @@
 
 
 class Overlay:
-    def __init__(self, copy: tables.Copy, serial: serials.Serial) -> None:
-        self.copy, self.new_serial = copy, serial
+    def __init__(self, copy: tables.Copy, version: versions.Version) -> None:
+        self.copy, self.new_version = copy, version
         self.rows: dict[str, tuple[typing.Any, bool]] = {}
         self.size = 0
 
     def value(self, key: str) -> typing.Any:
         return self.rows[key][0] if key in self.rows else self.copy.value(key)
 
-    def serial(self, key: str) -> serials.Serial:
+    def version(self, key: str) -> versions.Version:
         if key in self.rows:
-            return serials.NONE if self.rows[key][1] else self.new_serial
-        return self.copy.serial(key)
+            return versions.NONE if self.rows[key][1] else self.new_version
+        return self.copy.version(key)
 
     def under(self, prefix: str) -> dict[str, typing.Any]:
         found = {item.key: item.value for item in self.copy.under(prefix)}
@@ -43,4 +43,4 @@
 
     def batch(self) -> items.Batch:
         rows = tuple((key, value, forget) for key, (value, forget) in self.rows.items())
-        return items.Batch(self.new_serial, self.copy.tip, rows)
+        return items.Batch(self.new_version, self.copy.applied, rows)
--- a/src/irisstand/agency/placement.py
+++ b/src/irisstand/controlplane/placement.py
@@ -1,8 +1,8 @@
 """The placement duty: slots to shield machines, and shares of the ceilings, both recorded in the ledger."""
 
-from irisstand import blackboard
-from irisstand.agency import duties, fleetview
-from irisstand.shortlist import ceilings, draws, shares, slots
+from irisstand import node_context
+from irisstand.controlplane import duties, fleet_view
+from irisstand.balancing import ceilings, draws, shares, slots
 
 # Slots moved of the machine's own will in one step; those of a lost machine move at once.
 STEP = 8
@@ -14,16 +14,16 @@
 
 
 class Placement:
-    def __init__(self, board: blackboard.Board) -> None:
-        self.board = board
-        self.view = fleetview.FleetView(board)
+    def __init__(self, context: node_context.NodeContext) -> None:
+        self.context = context
+        self.view = fleet_view.FleetView(context)
         self.worked_at = -1e9
-        self.term_began = ""
+        self.lease_began = ""
         self.missing_since: dict[str, float] = {}
         self.frozen_until: dict[str, float] = {}
 
     async def work(self, duty: duties.Duty) -> None:
-        now = self.board.clock.now()
+        now = self.context.clock.now()
         if now - self.worked_at < PAUSE:
             return
         first = now - self.worked_at > 10 * PAUSE
@@ -35,7 +35,7 @@
         rows = [*self.slot_rows(weights, now), *self.share_rows(weights, now)]
         if rows and duty.holds():
             await duty.write(rows)
-            self.board.counters.add("placement_rows", len(rows))
+            self.context.counters.add("placement_rows", len(rows))
 
     def slot_rows(self, weights: dict[str, float], now: float) -> list:
         current = self.view.slot_owners()
@@ -51,7 +51,7 @@
         planned, moved = slots.plan(current, weights, given_up, STEP)
         if not moved:
             return []
-        self.board.counters.add("slots_moved", moved)
+        self.context.counters.add("slots_moved", moved)
         rows = []
         for number in range(0, draws.SLOTS, slots.PER_ROW):
             part = planned[number : number + slots.PER_ROW]
@@ -62,14 +62,14 @@
     # -- shares --------------------------------------------------------------------------------------
     def ceilings(self) -> dict[str, tuple[int, int]]:
         found = {}
-        for item in self.board.blueprint.under("service/"):
+        for item in self.context.configuration.under("service/"):
             ceiling = item.value["ceiling"]
             found[item.key.removeprefix("service/")] = (ceiling["rate"], ceiling["inflight"])
         return found
 
     def freeze(self, services: object, now: float) -> None:
         for service in services:
-            row = self.board.blueprint.value(f"service/{service}") or {"deadline": 60}
+            row = self.context.configuration.value(f"service/{service}") or {"deadline": 60}
             # Requests that the last holder began run until their deadline, and an origin may work on at those
             # that were abandoned for as long again.
             self.frozen_until[service] = now + FRESHNESS + ceilings.works_for(row["deadline"])
--- a/src/irisstand/agency/watch.py
+++ b/src/irisstand/controlplane/platform_watch.py
@@ -7,9 +7,9 @@
 import json
 import typing
 
-from irisstand import blackboard, errors, ring
-from irisstand.agency import duties
-from irisstand.vetting import validating
+from irisstand import node_context, errors, ring
+from irisstand.controlplane import duties
+from irisstand.validation import validating
 
 ORIGIN = {
     "type": "object",
@@ -85,25 +85,25 @@
 
 
 class Watch:
-    def __init__(self, board: blackboard.Board, ask: Ask) -> None:
-        self.board, self.ask = board, ask
+    def __init__(self, context: node_context.NodeContext, ask: Ask) -> None:
+        self.context, self.ask = context, ask
         self.asked_at = -1e9
         self.failures = 0
         self.held, self.older = 0, 0
 
     async def work(self, duty: duties.Duty) -> None:
-        now = self.board.clock.now()
-        if now - self.asked_at < self.board.boot.platform_interval:
+        now = self.context.clock.now()
+        if now - self.asked_at < self.context.settings.platform_interval:
             return
         self.asked_at = now
         try:
             rows = self.judge(await self.ask())
             self.failures = 0
-            self.board.counters.add("platform_asked")
+            self.context.counters.add("platform_asked")
         except (errors.IrisError, OSError, ValueError, TimeoutError) as error:
             # The last good roster stays in force: a dead platform says nothing about its origins.
             self.failures += 1
-            self.board.counters.add("platform_failed")
+            self.context.counters.add("platform_failed")
             ring.note("platform", error=repr(error))
             rows = self.state_rows("silent", repr(error)[:200]) if self.failures >= SILENT_AFTER else []
         if rows and duty.holds():
@@ -121,7 +121,7 @@
         self.older = self.older + 1 if is_older else 0
         # Nothing but older ones for long: it counts anew, as after a loss of its own.
         if is_older and self.older <= OLDER_ANSWERS:
-            self.board.counters.add("platform_old_answers")
+            self.context.counters.add("platform_old_answers")
             return self.state_rows("lagging", f"revision {revision} after {known}")
         origins = self.origins(answer)
         shrunk = self.shrunk(origins)
@@ -138,7 +138,7 @@
         return rows + self.state_rows("well", "", revision, bool(rows))
 
     def state(self) -> dict[str, typing.Any]:
-        return self.board.ledger.value("platform") or {}
+        return self.context.ledger.value("platform") or {}
 
     def state_rows(
         self, state: str, why: str, revision: int | None = None, changed: bool = False
@@ -161,7 +161,7 @@
         }  # fmt: skip
         if "slots" in origin:
             found["slots"] = origin["slots"]
-        known = self.board.ledger.value(f"origin/{origin['id']}")
+        known = self.context.ledger.value(f"origin/{origin['id']}")
         # What is left of a warm-up ticks down with each answer: the row keeps what was left at first.
         if known is not None and known["state"] == found["state"] == "cold":
             found["warmup"] = max(found["warmup"], known["warmup"])
@@ -171,7 +171,7 @@
         """Services that would lose most of their origins at once, or all of them to an empty list."""
         before = collections.Counter(
             item.value["service"]
-            for item in self.board.ledger.under("origin/")
+            for item in self.context.ledger.under("origin/")
             if item.value["state"] != "leaving"
         )
         after = collections.Counter(value["service"] for value in origins.values())
@@ -182,7 +182,7 @@
         )
 
     def changes(self, origins: dict[str, typing.Any], held: set[str]) -> list[tuple[str, typing.Any]]:
-        copy = self.board.ledger
+        copy = self.context.ledger
         rows = [(key, value) for key, value in origins.items() if copy.value(key) != value]
         gone = [
             item.key
--- a/src/irisstand/agency/taker.py
+++ b/src/irisstand/controlplane/proposer.py
@@ -1,12 +1,12 @@
-"""The taker: queues orders for one table and has the voters decide them by ballot, batch by batch."""
+"""The proposer: queues orders for one table and has the voters decide them by ballot, batch by batch."""
 
 import asyncio
 import typing
 
 from irisstand import errors, ring
-from irisstand.agency import core as cores
-from irisstand.agency import orders
-from irisstand.ledger import items, quorum, serials
+from irisstand.controlplane import core as cores
+from irisstand.controlplane import orders
+from irisstand.state import items, quorum, versions
 
 PATIENCE = 4.0
 BATCH_LIMIT = 64
@@ -24,18 +24,18 @@
     """This ballot did not decide; another has to be held."""
 
 
-class Taker:
+class Proposer:
     def __init__(self, core: cores.Core, table: str) -> None:
-        self.core, self.table, self.board = core, table, core.board
-        self.copy = core.board.copies[table]
+        self.core, self.table, self.context = core, table, core.context
+        self.copy = core.context.copies[table]
         self.queue: asyncio.Queue[Waiting] = asyncio.Queue()
-        self.highest = serials.NONE
+        self.highest = versions.NONE
         self.holding = asyncio.Lock()
 
     async def decide(self, order: orders.Order, patience: float = PATIENCE) -> dict:
         """The order's result once it is confirmed, or the typed error that says what is known."""
         future = asyncio.get_running_loop().create_future()
-        self.queue.put_nowait(Waiting(order, future, self.board.clock.now() + patience, []))
+        self.queue.put_nowait(Waiting(order, future, self.context.clock.now() + patience, []))
         return await future
 
     async def run(self) -> None:
@@ -52,28 +52,28 @@
             try:
                 await self.hold_ballot(waiting)
             except Lost as reason:
-                self.board.counters.add("ballots_lost", table=self.table)
+                self.context.counters.add("ballots_lost", table=self.table)
                 ring.note("ballot-lost", table=self.table, reason=str(reason))
-                # Random and growing, or two takers would meet again at the same moment.
-                await asyncio.sleep(self.board.randomness.uniform(0.01, 0.03) * min(attempts, 8))
+                # Random and growing, or two proposers would meet again at the same moment.
+                await asyncio.sleep(self.context.randomness.uniform(0.01, 0.03) * min(attempts, 8))
             except errors.IrisError as error:
                 ring.note("ballot-failed", table=self.table, error=str(error))
                 if isinstance(error, errors.DiskFull):
-                    self.reject_unproposed(waiting, error)
+                    self.refuse_unproposed(waiting, error)
                 await asyncio.sleep(0.05)
             self.give_up(waiting)
 
     def give_up(self, waiting: list[Waiting]) -> None:
-        now = self.board.clock.now()
+        now = self.context.clock.now()
         for entry in waiting:
             if not entry.future.done() and now >= entry.give_up_at:
-                # Once any voter was sent the batch nobody may call it rejected.
+                # Once any voter was sent the batch nobody may call it refused.
                 if entry.proposed:
                     entry.future.set_exception(errors.ChangeUnknown("the voters have not settled it in time"))
                 else:
                     entry.future.set_exception(errors.NoMajority("no majority of the voters answered"))
 
-    def reject_unproposed(self, waiting: list[Waiting], error: errors.IrisError) -> None:
+    def refuse_unproposed(self, waiting: list[Waiting], error: errors.IrisError) -> None:
         """A full disk will not empty within the order's patience: say so at once."""
         for entry in waiting:
             if not entry.future.done() and not entry.proposed:
@@ -92,7 +92,7 @@
                 raise Lost("this node has no vote yet")
             ballot = self.draw()
             pending = await self.prepare(voters, ballot)
-            self.board.counters.add("ballots_held", table=self.table)
+            self.context.counters.add("ballots_held", table=self.table)
             if pending is not None:
                 # A yes may already have been given for it, so it is finished before anything new.
                 await self.propose(voters, ballot, pending)
@@ -101,95 +101,95 @@
                 return
             overlay = orders.Overlay(self.copy, ballot)
             planned, undecided = self.plan(overlay, waiting)
-            # A batch without rows moves the tip, which settles that an earlier proposal never counts.
+            # A batch without rows moves the applied version, which settles that an earlier proposal never counts.
             if overlay.rows or undecided:
                 for entry, (_, keys) in planned:
-                    entry.proposed.append((self.copy.tip, ballot, keys))
+                    entry.proposed.append((self.copy.applied, ballot, keys))
                 await self.propose(voters, ballot, overlay.batch())
-            for entry, (serial, keys) in planned:
+            for entry, (version, keys) in planned:
                 if not entry.future.done():
-                    entry.future.set_result({"serial": str(serial), "rows": keys})
+                    entry.future.set_result({"serial": str(version), "rows": keys})
 
-    def draw(self) -> serials.Serial:
-        record = self.core.vault.records[self.table]
-        seen = max(self.highest, record.promised, self.copy.tip)
-        # The vault's id is in the name: a wiped disk must not draw its predecessor's numbers again.
-        self.highest = seen.after(f"{self.board.boot.name}~{self.core.vault.identity}")
+    def draw(self) -> versions.Version:
+        record = self.core.store.records[self.table]
+        seen = max(self.highest, record.promised, self.copy.applied)
+        # The durable store's id is in the name: a wiped disk must not draw its predecessor's numbers again.
+        self.highest = seen.after(f"{self.context.settings.name}~{self.core.store.identity}")
         return self.highest
 
     def plan(self, overlay: orders.Overlay, waiting: list[Waiting]) -> tuple[list[tuple], bool]:
-        """What can be proposed, and whether a rejection has to wait for this base to be decided."""
+        """What can be proposed, and whether a refusal has to wait for this base to be decided."""
         planned, undecided = [], False
         for entry in waiting:
             # What is too much for one frame is left for the next ballot.
             if entry.future.done() or overlay.size > BATCH_BYTES:
                 continue
-            # Another taker may have finished an earlier proposal of it: then it is done, not stale.
-            for _, serial, keys in entry.proposed:
-                if any(self.copy.serial(key) == serial for key in keys):
-                    entry.future.set_result({"serial": str(serial), "rows": keys})
+            # Another proposer may have finished an earlier proposal of it: then it is done, not stale.
+            for _, version, keys in entry.proposed:
+                if any(self.copy.version(key) == version for key in keys):
+                    entry.future.set_result({"serial": str(version), "rows": keys})
             if entry.future.done():
                 continue
             try:
                 planned.append((entry, orders.plan(overlay, entry.order)))
             except errors.IrisError as error:
                 # Proposed on this very base, it may lie accepted with a voter that did not answer, and
-                # another taker may yet finish it: only a decision on the base makes a rejection true.
-                if any(base == self.copy.tip for base, _, _ in entry.proposed):
+                # another proposer may yet finish it: only a decision on the base makes a refusal true.
+                if any(base == self.copy.applied for base, _, _ in entry.proposed):
                     undecided = True
                 else:
                     entry.future.set_exception(error)
         return planned, undecided
 
-    async def prepare(self, voters: list[quorum.Voter], ballot: serials.Serial) -> items.Batch | None:
-        """Promises from a majority; brings the copy to the newest tip and returns what is pending on it."""
-        own = next(voter for voter in voters if voter.vault == self.core.vault.identity)
+    async def prepare(self, voters: list[quorum.Voter], ballot: versions.Version) -> items.Batch | None:
+        """Promises from a majority; brings the copy to the newest applied version and returns what is pending on it."""
+        own = next(voter for voter in voters if voter.disk_id == self.core.store.identity)
         body = (self.table, tuple(ballot))
         # Its own promise is synced first: after a crash this number must not be drawn again.
-        first = await self.core.ask_voter(own, "promise", (*body, own.vault))
+        first = await self.core.ask_voter(own, "promise", (*body, own.disk_id))
         if first[0] != "promised":
             raise Lost("promised higher itself")
         replies = await self.core.gather(
             [voter for voter in voters if voter is not own],
             "promise",
-            lambda voter: (*body, voter.vault),
-            lambda replies: quorum.is_majority(voters, self.won(replies, "promised") | {own.vault}),
+            lambda voter: (*body, voter.disk_id),
+            lambda replies: quorum.is_majority(voters, self.won(replies, "promised") | {own.disk_id}),
         )
-        replies[own.vault] = first
+        replies[own.disk_id] = first
         self.note_higher(replies)
         if not quorum.is_majority(voters, self.won(replies, "promised")):
             raise Lost("no majority promised")
-        promised = {vault: reply for vault, reply in replies.items() if reply[0] == "promised"}
-        tip, holder = max((serials.decode(reply[1]), vault) for vault, reply in promised.items())
-        if self.copy.tip < tip:
-            name = next(voter.name for voter in voters if voter.vault == holder)
+        promised = {disk_id: reply for disk_id, reply in replies.items() if reply[0] == "promised"}
+        applied, holder = max((versions.decode(reply[1]), disk_id) for disk_id, reply in promised.items())
+        if self.copy.applied < applied:
+            name = next(voter.name for voter in voters if voter.disk_id == holder)
             await self.core.catch_up(self.table, name)
-        if self.copy.tip < tip or self.core.voters(self.table) != voters:
+        if self.copy.applied < applied or self.core.voters(self.table) != voters:
             raise Lost("was behind the voters")
-        # The tip may have moved past this ballot's number while the promises came in. A batch numbered below
-        # its own base would be taken for an older table by everybody who compares tips.
-        if ballot <= self.copy.tip:
+        # The applied version may have moved past this ballot's number while the promises came in. A batch numbered below
+        # its own base would be taken for an older table by everybody who compares applied versions.
+        if ballot <= self.copy.applied:
             raise Lost("the tip overtook the ballot")
         pending = []
         for reply in promised.values():
             if reply[3] is not None:
                 batch = items.decode_batch(reply[3])
-                if batch.base == self.copy.tip:
-                    pending.append((serials.decode(reply[2]), batch))
+                if batch.base == self.copy.applied:
+                    pending.append((versions.decode(reply[2]), batch))
         return max(pending, key=lambda entry: entry[0])[1] if pending else None
 
-    async def propose(self, voters: list[quorum.Voter], ballot: serials.Serial, batch: items.Batch) -> None:
+    async def propose(self, voters: list[quorum.Voter], ballot: versions.Version, batch: items.Batch) -> None:
         body = (self.table, tuple(ballot), items.encode_batch(batch))
         sets = [voters]
         for key, value, _ in batch.rows:
             # A new voter set must hold the change too, or it could lose what the old one confirmed.
             if key == items.VOTERS:
                 sets.append(quorum.decode(value))
-        everyone = list({voter.vault: voter for members in sets for voter in members}.values())
+        everyone = list({voter.disk_id: voter for members in sets for voter in members}.values())
         replies = await self.core.gather(
             everyone,
             "accept",
-            lambda voter: (*body, voter.vault),
+            lambda voter: (*body, voter.disk_id),
             lambda replies: all(
                 quorum.is_durable(members, self.won(replies, "accepted")) for members in sets
             ),
@@ -197,16 +197,16 @@
         self.note_higher(replies)
         if not all(quorum.is_durable(members, self.won(replies, "accepted")) for members in sets):
             raise Lost("no durable majority accepted")
-        if self.copy.tip == batch.base:
+        if self.copy.applied == batch.base:
             self.copy.apply(batch)
-        self.board.counters.add("batches_confirmed", table=self.table)
+        self.context.counters.add("batches_confirmed", table=self.table)
         commit = (self.table, items.encode_batch(batch))
         await self.core.gather(everyone, "commit", lambda voter: commit, lambda replies: True)
 
     def won(self, replies: dict, word: str) -> set[str]:
-        return {vault for vault, reply in replies.items() if reply[0] == word}
+        return {disk_id for disk_id, reply in replies.items() if reply[0] == word}
 
     def note_higher(self, replies: dict) -> None:
         for reply in replies.values():
             if reply[0] in ("lost", "moved"):
-                self.highest = max(self.highest, serials.decode(reply[1]))
+                self.highest = max(self.highest, versions.decode(reply[1]))
--- a/src/irisstand/agency/staffing.py
+++ b/src/irisstand/controlplane/staffing.py
@@ -2,10 +2,10 @@
 
 import asyncio
 
-from irisstand import blackboard
-from irisstand.agency import duties, fleetview
-from irisstand.rollcall import updates
-from irisstand.shortlist import rota
+from irisstand import node_context
+from irisstand.controlplane import duties, fleet_view
+from irisstand.membership import updates
+from irisstand.balancing import rota
 
 PAUSE = 1.0
 # Seconds of quiet before the next machine is put to rest; waking never waits.
@@ -14,21 +14,21 @@
 
 
 class Staffing:
-    def __init__(self, board: blackboard.Board, rest_pause: float = REST_PAUSE) -> None:
-        self.board, self.rest_pause = board, rest_pause
-        self.view = fleetview.FleetView(board)
+    def __init__(self, context: node_context.NodeContext, rest_pause: float = REST_PAUSE) -> None:
+        self.context, self.rest_pause = context, rest_pause
+        self.view = fleet_view.FleetView(context)
         self.worked_at = -1e9
-        self.changed_at = board.clock.now()
+        self.changed_at = context.clock.now()
         self.resting_since: dict[str, float] = {}
         self.alarmed = False
-        board.detector.listeners.append(self.hear)
+        context.detector.listeners.append(self.hear)
 
     def hear(self, update: updates.Update) -> None:
         """Whoever is suspected may be lost, and enough must be awake for the loss after that."""
         self.alarmed = self.alarmed or update.state is not updates.State.ALIVE
 
     async def work(self, duty: duties.Duty) -> None:
-        now = self.board.clock.now()
+        now = self.context.clock.now()
         if now - self.worked_at < PAUSE and not self.alarmed:
             return
         self.alarmed = False
@@ -38,7 +38,7 @@
         self.worked_at = now
         rows: list = []
         reasons: dict[str, str] = {}
-        roles = list(fleetview.DEFAULT_LIMITS)
+        roles = list(fleet_view.DEFAULT_LIMITS)
         # All at once: the term is short, and whoever does not answer is waited for only once.
         core_carries, *heard = await asyncio.gather(
             self.view.core_carries(), *(self.view.gauges(role) for role in roles)
@@ -48,7 +48,7 @@
             rows += role_rows
             reasons.update(role_reasons)
         rows += self.saved_rows(now)
-        if self.board.ledger.value("staffing") != {"why": reasons}:
+        if self.context.ledger.value("staffing") != {"why": reasons}:
             rows.append(("staffing", {"why": reasons}))
         if rows and duty.holds():
             await duty.write(rows)
@@ -69,7 +69,7 @@
         rows = [(f"rest/{name}", {"role": role}) for name in sorted(rest - resting)]
         rows += [(f"rest/{name}", None) for name in sorted(resting - rest)]
         # What is gone from the fleet, or evacuated, rests no more: it has to earn its rest again.
-        for item in self.board.ledger.under("rest/"):
+        for item in self.context.ledger.under("rest/"):
             name = item.key.removeprefix("rest/")
             if item.value.get("role") == role and name not in names:
                 rows.append((item.key, None))
@@ -79,13 +79,13 @@
 
     def saved_rows(self, now: float) -> list:
         """Seconds at rest, added up in the ledger, as no clock is common to two holders."""
-        resting = {item.key.removeprefix("rest/") for item in self.board.ledger.under("rest/")}
+        resting = {item.key.removeprefix("rest/") for item in self.context.ledger.under("rest/")}
         rows = []
         for name in sorted(resting | set(self.resting_since)):
             since = self.resting_since.setdefault(name, now)
             woken = name not in resting
             if woken or now - since >= SAVED_PAUSE:
-                before = (self.board.ledger.value(f"saved/{name}") or {"seconds": 0})["seconds"]
+                before = (self.context.ledger.value(f"saved/{name}") or {"seconds": 0})["seconds"]
                 rows.append((f"saved/{name}", {"seconds": round(before + now - since)}))
                 self.resting_since[name] = now
             if woken:
--- a/src/irisstand/agency/submitting.py
+++ b/src/irisstand/controlplane/submitting.py
@@ -1,13 +1,13 @@
-"""Where an order goes: to this node's own taker if it votes, else to a voter's."""
+"""Where an order goes: to this node's own proposer if it votes, else to a voter's."""
 
 import asyncio
 import typing
 
 from irisstand import errors
-from irisstand.agency import core as cores
-from irisstand.agency import orders
-from irisstand.agency import taker as takers
-from irisstand.ledger import quorum
+from irisstand.controlplane import core as cores
+from irisstand.controlplane import orders
+from irisstand.controlplane import proposer as proposers
+from irisstand.state import quorum
 
 FORWARD_PATIENCE = 1.5
 ONLY_PATIENCE = 5.0
@@ -15,28 +15,28 @@
 REPEATABLE = ("amend", "purge", "evacuate", "return")
 # The last winner may have met the very loss that an order is about. One that does not even say where it
 # stands, which it does from memory, is waited for no longer, and the order is taken here. Only one order can
-# take a term from a serial, and its holder finds its own in the ledger.
+# take a term from a version, and its holder finds its own in the ledger.
 DOUBT, STANDS_PATIENCE = 0.35, 0.3
 TAKEN_HERE = (*REPEATABLE, "term")
 
 
 class Submitter:
-    def __init__(self, core: cores.Core, taken: dict[str, takers.Taker]) -> None:
-        self.core, self.board, self.takers = core, core.board, taken
-        self.board.postroom.handlers["order"] = self.on_order
+    def __init__(self, core: cores.Core, taken: dict[str, proposers.Proposer]) -> None:
+        self.core, self.context, self.proposers = core, core.context, taken
+        self.context.transport.handlers["order"] = self.on_order
 
     async def on_order(self, _: str, body: list) -> tuple:
-        """A colleague's order; typed rejections keep their details on the way back."""
+        """A peer's order; typed refusals keep their details on the way back."""
         order = orders.Order(*body)
         table = orders.table_of(order.kind)
         if not self.core.votes(table):
             raise errors.NotFounded("this node has no vote either")
         try:
-            with self.board.working():
-                return ("done", await self.takers[table].decide(order))
+            with self.context.working():
+                return ("done", await self.proposers[table].decide(order))
         except errors.BadChange as error:
             return ("bad-change", error.faults)
-        except errors.StaleSerial as error:
+        except errors.StaleVersion as error:
             return ("stale-serial", error.conflicts)
         except errors.Claimed as error:
             return ("claimed", error.claim)
@@ -45,9 +45,9 @@
 
     async def answer(self, order: orders.Order) -> dict:
         """The result for an operator, who gets an answer also when this node has to go before it is known."""
-        with self.board.working():
+        with self.context.working():
             task = asyncio.get_running_loop().create_task(self.submit(order))
-            await asyncio.wait([task, self.board.closing], return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait([task, self.context.closing], return_when=asyncio.FIRST_COMPLETED)
             if not task.done():
                 task.cancel()
                 raise errors.ChangeUnknown("this node is shutting down, and it is not settled yet")
@@ -56,16 +56,16 @@
     async def submit(self, order: orders.Order) -> dict:
         """Decided by the voter that won last, if it can be reached, else by whoever can.
 
-        Any voter could take it: safety needs no preference. But takers that meet lose ballots to one
+        Any voter could take it: safety needs no preference. But proposers that meet lose ballots to one
         another, so orders gather where the last batch was decided.
         """
         table = orders.table_of(order.kind)
         # Without the voters for longer than the bound, this node will not find them within any patience.
-        if not self.board.is_current(self.board.copies[table]):
+        if not self.context.is_current(self.context.copies[table]):
             raise errors.NoMajority("this node has lost the majority of the voters")
         own = self.core.votes(table)
         for voter in self.in_order(table):
-            if voter.vault == self.core.vault.identity:
+            if voter.disk_id == self.core.store.identity:
                 break
             try:
                 patience = FORWARD_PATIENCE if own else ONLY_PATIENCE
@@ -83,20 +83,20 @@
             return unwrap(reply)
         if not own:
             raise errors.NoMajority("no voter can be reached from here")
-        return await self.takers[table].decide(order)
+        return await self.proposers[table].decide(order)
 
     async def ask_voter(
         self, voter: quorum.Voter, order: orders.Order, patience: float, is_watched: bool
     ) -> typing.Any:
-        address, postroom = (voter.host, voter.port), self.board.postroom
+        address, transport = (voter.host, voter.port), self.context.transport
         asking = asyncio.get_running_loop().create_task(
-            postroom.ask(address, voter.name, "order", tuple(order), patience)
+            transport.ask(address, voter.name, "order", tuple(order), patience)
         )
         try:
             while is_watched and not (await asyncio.wait([asking], timeout=DOUBT))[0]:
                 table = orders.table_of(order.kind)
                 try:
-                    await postroom.ask(address, voter.name, "stand", (table,), STANDS_PATIENCE)
+                    await transport.ask(address, voter.name, "stand", (table,), STANDS_PATIENCE)
                 except errors.IrisError:
                     raise errors.Unanswered(f"{voter.name} does not say where it stands") from None
             return await asking
@@ -105,23 +105,23 @@
 
     def in_order(self, table: str) -> list[quorum.Voter]:
         """The last winner first, unless it is suspected; then this node itself; then the others."""
-        last = self.board.copies[table].tip.node.partition("~")[0]
-        well = {update.identity.name for update in self.board.colleagues("agency") if not update.state}
+        last = self.context.copies[table].applied.node.partition("~")[0]
+        well = {update.identity.name for update in self.context.peers("agency") if not update.state}
 
         def rank(voter: quorum.Voter) -> tuple:
             is_last = voter.name == last and voter.name in well
-            return (not is_last, voter.vault != self.core.vault.identity, voter.name not in well, voter.name)
+            return (not is_last, voter.disk_id != self.core.store.identity, voter.name not in well, voter.name)
 
         return sorted(self.core.voters(table), key=rank)
 
 
 def unwrap(reply: typing.Any) -> dict:
-    """The result of an order that a colleague took, or the typed error it met."""
+    """The result of an order that a peer took, or the typed error it met."""
     word, content = reply
     if word == "bad-change":
         raise errors.BadChange(content)
     if word == "stale-serial":
-        raise errors.StaleSerial(content)
+        raise errors.StaleVersion(content)
     if word == "claimed":
         raise errors.Claimed(content)
     if word == "unknown":
--- a/src/irisstand/agency/tabletime.py
+++ b/src/irisstand/controlplane/table_time.py
@@ -1,7 +1,7 @@
 """Each table's own time, and what has stood in it for long enough to be forgotten.
 
 Table time is a row that a holder of a duty raises by what went by on its monotonic clock since it saw the
-row's last serial. It never runs faster than real time, whoever raises it, and stands still while nobody does.
+row's last version. It never runs faster than real time, whoever raises it, and stands still while nobody does.
 So what is to be kept for an hour of it is kept for an hour at the least, through changes of holder and total
 loss.
 """
@@ -9,8 +9,8 @@
 import typing
 
 from irisstand import errors
-from irisstand.agency import overlay as overlays
-from irisstand.ledger import items, serials, tables
+from irisstand.controlplane import overlay as overlays
+from irisstand.state import items, versions, tables
 
 # A step longer than this is a holder that slept; counting less is always safe.
 STEP_LIMIT = 60.0
@@ -53,30 +53,30 @@
         row = row or {"seconds": 0.0, "marks": []}
         self.seconds, self.marks = float(row["seconds"]), list(row["marks"])
 
-    def older_than(self, keep: float) -> serials.Serial:
-        """Rows up to this serial have stood for at least `keep` seconds."""
+    def older_than(self, keep: float) -> versions.Version:
+        """Rows up to this version have stood for at least `keep` seconds."""
         found = [mark for mark in self.marks if mark[0] <= self.seconds - keep]
-        return serials.Serial(found[-1][1], found[-1][2]) if found else serials.NONE
+        return versions.Version(found[-1][1], found[-1][2]) if found else versions.NONE
 
-    def stood(self, serial: serials.Serial) -> float:
-        """Seconds for which a row of this serial has stood, at the least."""
-        after = [mark[0] for mark in self.marks if (mark[1], mark[2]) >= tuple(serial)]
+    def stood(self, version: versions.Version) -> float:
+        """Seconds for which a row of this version has stood, at the least."""
+        after = [mark[0] for mark in self.marks if (mark[1], mark[2]) >= tuple(version)]
         return self.seconds - after[0] if after else 0.0
 
-    def left(self, serial: serials.Serial, keep: float) -> float:
-        """Seconds until a row of this serial will have stood for `keep`, about."""
-        return max(1.0, keep - self.stood(serial))
+    def left(self, version: versions.Version, keep: float) -> float:
+        """Seconds until a row of this version will have stood for `keep`, about."""
+        return max(1.0, keep - self.stood(version))
 
 
 def plan_tick(overlay: overlays.Overlay, payload: typing.Any) -> dict[str, typing.Any]:
-    """Raise the table's time from the serial that the holder saw, and forget what is old enough."""
+    """Raise the table's time from the version that the holder saw, and forget what is old enough."""
     expected, elapsed, rules, tombstones = payload
-    if str(overlay.serial(items.TIME)) != expected:
-        raise errors.StaleSerial([{"time": expected, "in_force": str(overlay.serial(items.TIME))}])
+    if str(overlay.version(items.TIME)) != expected:
+        raise errors.StaleVersion([{"time": expected, "in_force": str(overlay.version(items.TIME))}])
     time = Time(overlay.value(items.TIME))
     time.seconds += min(max(0.0, float(elapsed)), STEP_LIMIT)
-    # All that stands at this moment is marked by the tip that it stands under.
-    time.marks = thin([*time.marks, [time.seconds, *overlay.copy.tip]], time.seconds)
+    # All that stands at this moment is marked by the applied version that it stands under.
+    time.marks = thin([*time.marks, [time.seconds, *overlay.copy.applied]], time.seconds)
     forget(overlay, time, [Rule(*rule) for rule in rules], float(tombstones))
     kept = [list(rule) for rule in rules]
     return {items.TIME: {"seconds": time.seconds, "marks": time.marks, "rules": kept}}
@@ -87,17 +87,17 @@
     over = {rule.prefix: overlay.copy.counts[rule.prefix] - rule.number for rule in rules}
     dead = time.older_than(tombstones)
     newest = max([dead, *(cut for pair in cuts.values() for cut in pair)])
-    purged = serials.NONE
+    purged = versions.NONE
     gone = 0
     # From the oldest on, so that what is left over for the next step is the newest.
-    for serial, key in overlay.copy.by_serial:
-        if serial > newest or gone >= FORGET_LIMIT:
+    for version, key in overlay.copy.by_version:
+        if version > newest or gone >= FORGET_LIMIT:
             break
         prefix = tables.prefix_of(key)
-        old, oldest = cuts.get(prefix, (serials.NONE, serials.NONE))
-        # Copies are carried by tips and whole, so a copy that lacks a tombstone cannot bring its row back.
-        is_dead = serial <= dead and overlay.copy.items[key].value is None
-        if not is_dead and serial > old and not (serial <= oldest and over.get(prefix, 0) > 0):
+        old, oldest = cuts.get(prefix, (versions.NONE, versions.NONE))
+        # Copies are carried by applied versions and whole, so a copy that lacks a tombstone cannot bring its row back.
+        is_dead = version <= dead and overlay.copy.items[key].value is None
+        if not is_dead and version > old and not (version <= oldest and over.get(prefix, 0) > 0):
             continue
         # Changed in this very batch, it is no longer old.
         if key in overlay.rows:
@@ -106,8 +106,8 @@
         over[prefix] = over.get(prefix, 0) - 1
         gone += 1
         if prefix == "purge":
-            purged = max(purged, serial)
-    before = serials.decode(overlay.value(items.PURGED) or serials.NONE)
+            purged = max(purged, version)
+    before = versions.decode(overlay.value(items.PURGED) or versions.NONE)
     if purged > before:
         overlay.put(items.PURGED, tuple(purged))
 
@@ -118,6 +118,6 @@
         return
     row = overlay.value(items.TIME) or {"seconds": 0.0, "marks": [], "rules": []}
     keep = next((rule[2] for rule in row["rules"] if rule[0] == prefix), STEP_LIMIT)
-    oldest = next(s for s, key in overlay.copy.by_serial if key.startswith(prefix + "/"))
+    oldest = next(s for s, key in overlay.copy.by_version if key.startswith(prefix + "/"))
     wait = Time(row).left(oldest, keep)
     raise errors.TableFull(f"{limit} of {prefix} are remembered", retry_after=min(600.0, wait))
--- a/src/irisstand/agency/voters.py
+++ b/src/irisstand/controlplane/voters.py
@@ -3,21 +3,21 @@
 import asyncio
 import typing
 
-from irisstand import blackboard, errors
-from irisstand.agency import fleetview, orders, submitting
-from irisstand.ledger import items, quorum
-from irisstand.shortlist import rota
+from irisstand import node_context, errors
+from irisstand.controlplane import fleet_view, orders, submitting
+from irisstand.state import items, quorum
+from irisstand.balancing import rota
 
 PATIENCE = 5.0
 
 
 class Voters:
-    def __init__(self, board: blackboard.Board, submitter: submitting.Submitter) -> None:
-        self.board, self.submitter = board, submitter
-        self.view = fleetview.FleetView(board)
+    def __init__(self, context: node_context.NodeContext, submitter: submitting.Submitter) -> None:
+        self.context, self.submitter = context, submitter
+        self.view = fleet_view.FleetView(context)
 
     def of(self, table: str) -> list[quorum.Voter]:
-        return quorum.decode(self.board.copies[table].value(items.VOTERS))
+        return quorum.decode(self.context.copies[table].value(items.VOTERS))
 
     async def show(self) -> dict[str, typing.Any]:
         """Each table's voters, which of them answer now, and who could take a place."""
@@ -25,11 +25,11 @@
         for table in items.TABLES:
             up = await self.up(self.of(table), table)
             found[table] = [
-                {"name": v.name, "vault": v.vault, "site": v.site, "machine": v.machine, "up": v.name in up}
+                {"name": v.name, "vault": v.disk_id, "site": v.site, "machine": v.machine, "up": v.name in up}
                 for v in self.of(table)
             ]
         known = {voter.name for table in items.TABLES for voter in self.of(table)}
-        spares = [u.identity.name for u in self.board.colleagues("agency") if u.identity.name not in known]
+        spares = [u.identity.name for u in self.context.peers("agency") if u.identity.name not in known]
         return {"voters": found, "spares": sorted(spares)}
 
     async def up(self, voters: list[quorum.Voter], table: str) -> set[str]:
@@ -37,9 +37,9 @@
         return {voter.name for voter, stands in zip(voters, heard, strict=True) if stands}
 
     async def check(self, table: str, following: list[quorum.Voter]) -> None:
-        """Rejected before anything is written, unless what is up bears a loss as well as it did before."""
+        """Refused before anything is written, unless what is up bears a loss as well as it did before."""
         present = self.of(table)
-        up = await self.up(list({v.vault: v for v in [*present, *following]}.values()), table)
+        up = await self.up(list({v.disk_id: v for v in [*present, *following]}.values()), table)
 
         majority = 2 * sum(voter.name in up for voter in following) > len(following)
         carried = rota.core_carries(quorum.places(present), up)
@@ -57,7 +57,7 @@
 
     async def retire(self, name: str) -> dict[str, typing.Any]:
         known = {voter.name for table in items.TABLES for voter in self.of(table)}
-        names = {update.identity.name for update in self.board.colleagues("agency")} | {self.board.boot.name}
+        names = {update.identity.name for update in self.context.peers("agency")} | {self.context.settings.name}
         if name not in known | names:
             raise errors.Unknown(f"no core node {name!r}", f"use one of {', '.join(sorted(known | names))}")
         # All tables are judged before the first is written.
@@ -71,12 +71,12 @@
 
     async def replace(self, old: str, new: str) -> dict[str, typing.Any]:
         """The spare first holds all tables durably; ordered again after a fault, the rest is done."""
-        spare = next((u for u in self.board.colleagues("agency") if u.identity.name == new), None)
+        spare = next((u for u in self.context.peers("agency") if u.identity.name == new), None)
         if spare is None:
-            names = sorted(update.identity.name for update in self.board.colleagues("agency"))
+            names = sorted(update.identity.name for update in self.context.peers("agency"))
             remedy = f"start it first; up are: {', '.join(names) or 'none'}"
             raise errors.Unknown(f"no core node {new!r} is up", remedy)
-        reply = await self.board.postroom.ask(spare.card.address, new, "hold", (), PATIENCE)
+        reply = await self.context.transport.ask(spare.card.address, new, "hold", (), PATIENCE)
         newcomer = quorum.Voter(*reply)
         for table in items.TABLES:
             known = [voter.name for voter in self.of(table)]
--- /dev/null
+++ b/src/irisstand/dataplane/assembly.py
@@ -0,0 +1,45 @@
+"""Putting a data plane node together from what it is handed; the simulator uses this as the program does."""
+
+import importlib
+import random
+import typing
+
+from irisstand import node_context, clocks
+from irisstand import node_settings
+from irisstand.state import replicator
+from irisstand.dataplane import views
+from irisstand.transport import network
+
+# Plug-in point: a role is an entry here, the module whose `part` makes it. It is imported when its role is
+# played: a node that was killed is back sooner without the libraries of the others.
+REGISTRY = {
+    "edge": "irisstand.dataplane.edge",
+    "shield": "irisstand.dataplane.shield",
+    "store": "irisstand.dataplane.store",
+    "direct": "irisstand.dataplane.direct",
+    "holder": "irisstand.dataplane.direct",
+}
+
+
+class DataNode:
+    """`connect` opens what the role needs towards origins; None for the real one of the role."""
+
+    def __init__(
+        self, settings: node_settings.Settings, clock: clocks.Clock, randomness: random.Random, net: network.Network,
+        connect: typing.Any = None,
+    ) -> None:  # fmt: skip
+        self.context = node_context.NodeContext(settings, settings.role, clock, randomness, net)
+        self.view = views.Views(self.context)
+        self.replicator = replicator.Replicator(self.context)
+        self.part: typing.Any = importlib.import_module(REGISTRY[settings.role]).part(
+            self.context, self.view, connect
+        )
+
+    async def open(self) -> None:
+        await self.context.open()
+        self.context.start(self.replicator.run(), "courier")
+        if hasattr(self.part, "run"):
+            self.context.start(self.part.run(), f"part of a {self.context.role}")
+
+    async def close(self) -> None:
+        await self.context.close()
--- a/src/irisstand/noticeboard/cache.py
+++ b/src/irisstand/dataplane/cache.py
@@ -5,16 +5,16 @@
 import collections.abc
 import typing
 
-from irisstand.noticeboard import objects
+from irisstand.dataplane import objects
 
 OVERHEAD = 300
 
 
 class Cache:
     """
-    >>> from irisstand.ledger import serials
+    >>> from irisstand.state import versions
     >>> cache = Cache(1000)
-    >>> thing = objects.Object(200, (), b"x" * 400, serials.NONE, 0.0, 0.0, 9.0, ())
+    >>> thing = objects.Object(200, (), b"x" * 400, versions.NONE, 0.0, 0.0, 9.0, ())
     >>> cache.put("a", thing); cache.put("b", thing); cache.get("a") is None
     True
     """
--- a/src/irisstand/noticeboard/claims.py
+++ b/src/irisstand/dataplane/claims.py
@@ -7,9 +7,9 @@
 import collections.abc
 import hashlib
 
-from irisstand import blackboard, errors
-from irisstand.agency import submitting
-from irisstand.noticeboard import views
+from irisstand import node_context, errors
+from irisstand.controlplane import submitting
+from irisstand.dataplane import views
 
 PATIENCE = 1.5
 # A larger result is not kept with the claim: the second asker learns only that the first one ran.
@@ -19,8 +19,8 @@
 
 
 class Claims:
-    def __init__(self, board: blackboard.Board) -> None:
-        self.board = board
+    def __init__(self, context: node_context.NodeContext) -> None:
+        self.context = context
 
     async def once(self, granted: views.Granted, request: tuple, work: Work) -> tuple:
         method, target, headers, body, request_id = request
@@ -31,7 +31,7 @@
         key = hashlib.sha256(f"{granted.service}\0{given}".encode()).hexdigest()[:32]
         # A claim is this very attempt's. Under the request's id alone, a shield that gives the claim back
         # late would take it from the next shield, which was asked in its place and has run the write.
-        attempt = f"{request_id}@{self.board.boot.name}.{self.board.randomness.getrandbits(32):08x}"
+        attempt = f"{request_id}@{self.context.settings.name}.{self.context.randomness.getrandbits(32):08x}"
         fingerprint = hashlib.sha256(f"{method} {target}\0".encode() + body).hexdigest()[:16]
         try:
             await self.claim(key, attempt, fingerprint)
@@ -44,10 +44,10 @@
             raise
         except errors.IrisError:
             # Certainly not run, so the key is given back, and before anybody hears of it: the edge may ask
-            # the next shield, and the consumer may come again.
+            # the next shield, and the client may come again.
             await self.settle(key, attempt, None, tries=2)
             raise
-        self.board.start(self.settle(key, attempt, self.kept(result)), "settle a claim")
+        self.context.start(self.settle(key, attempt, self.kept(result)), "settle a claim")
         return result
 
     def kept(self, result: tuple) -> list:
@@ -63,7 +63,7 @@
         status, headers, body = claim["result"]
         if body is None:
             raise errors.OutcomeUnknown("the request with this key has run; its answer was too large to keep")
-        self.board.counters.add("keyed_replays")
+        self.context.counters.add("keyed_replays")
         return (status, tuple((name, value) for name, value in headers), body)
 
     async def claim(self, key: str, attempt: str, fingerprint: str) -> None:
@@ -74,7 +74,7 @@
             except errors.ChangeUnknown:
                 # Asked again as the same attempt, which brings the one true result.
                 continue
-        self.board.start(self.settle(key, attempt, None), "release a claim")
+        self.context.start(self.settle(key, attempt, None), "release a claim")
         raise errors.NoClaim("the core did not confirm the claim in time")
 
     async def settle(self, key: str, attempt: str, result: list | None, tries: int = 5) -> None:
@@ -84,15 +84,15 @@
                 return
             except errors.IrisError:
                 await asyncio.sleep(0.2 + 0.4 * number)
-        self.board.counters.add("claims_left_open")
+        self.context.counters.add("claims_left_open")
 
     async def order(self, kind: str, payload: tuple) -> dict:
-        """Any agency takes it; this machine's own first, as its answer has the shortest way."""
-        agencies = self.board.colleagues("agency")
-        agencies.sort(key=lambda update: (update.state, update.card.machine != self.board.boot.machine))
-        for update in agencies[:3]:
+        """Any control plane node takes it; this machine's own first, as its answer has the shortest way."""
+        control_nodes = self.context.peers("agency")
+        control_nodes.sort(key=lambda update: (update.state, update.card.machine != self.context.settings.machine))
+        for update in control_nodes[:3]:
             try:
-                reply = await self.board.postroom.ask(
+                reply = await self.context.transport.ask(
                     update.card.address, update.identity.name, "order", (kind, "", payload), PATIENCE
                 )
                 return submitting.unwrap(reply)
--- a/src/irisstand/noticeboard/conversing.py
+++ b/src/irisstand/dataplane/conversing.py
@@ -4,10 +4,10 @@
 import collections.abc
 import typing
 
-from irisstand import blackboard, errors
-from irisstand.noticeboard import decisions, exchange, routes, targets, trying, views
-from irisstand.noticeboard import target as targeting
-from irisstand.shortlist import budget as budgets
+from irisstand import node_context, errors
+from irisstand.dataplane import decisions, exchange, routes, targets, trying, views
+from irisstand.dataplane import target as targeting
+from irisstand.balancing import budget as budgets
 
 # Of a route's target, what a request may wait for a place under a ceiling before it is refused.
 WAITS = 0.4
@@ -39,27 +39,27 @@
 
 class Conversing:
     def __init__(
-        self, board: blackboard.Board, view: views.Views, table: routes.Routes, origins: targets.Targets
+        self, context: node_context.NodeContext, view: views.Views, table: routes.Routes, origins: targets.Targets
     ) -> None:
-        self.board, self.view, self.table, self.targets = board, view, table, origins
+        self.context, self.view, self.table, self.targets = context, view, table, origins
         self.words = origins.words
         self.budgets: dict[str, budgets.Budget] = {}
         self.attempts: set[asyncio.Task] = set()
 
     def budget(self, service: str) -> budgets.Budget:
         """This edge's part of the second tries that the service may get from all."""
-        boot = self.board.boot
+        settings = self.context.settings
         if service not in self.budgets:
-            self.budgets[service] = budgets.Budget(self.board.clock, USED * boot.second_share, 0)
+            self.budgets[service] = budgets.Budget(self.context.clock, USED * settings.second_share, 0)
         found = self.budgets[service]
-        found.allowance = USED * boot.second_allowance / len(self.targets.edges())
+        found.allowance = USED * settings.second_allowance / len(self.targets.edges())
         return found
 
     async def converse(
         self, route: routes.Route, service: str, request: Request, headers: Headers,
         remaining: float,
     ) -> exchange.Answer:  # fmt: skip
-        decision = trying.for_route(self.board.clock, route, remaining, self.budget(service))
+        decision = trying.for_route(self.context.clock, route, remaining, self.budget(service))
         running: set[asyncio.Task] = set()
         tried: set[str] = set()
         action = decision.ask(("started",))
@@ -67,7 +67,7 @@
             if action[0] == "answer":
                 return action[1]
             if action[0] == "reject":
-                self.board.counters.add("rejected", code=action[1].code)
+                self.context.counters.add("rejected", code=action[1].code)
                 raise action[1]
             if action[0] == "send":
                 happened = self.send(route, service, request, headers, decision, tried, running)
@@ -92,7 +92,7 @@
             # Time may have gone by since the route was read: what it allowed then may be withdrawn by now.
             self.view.check_current()
             if upstream is None or not self.table.still_allows(route, service):
-                raise errors.StaleBlueprint("the route changed while the request waited", retry_after=0.05)
+                raise errors.StaleConfiguration("the route changed while the request waited", retry_after=0.05)
             target = self.targets.draw(route, upstream, tried)
             patience = min(WAITS * route.target, decision.remaining() / 4)
             wait = self.targets.enter(upstream, patience)
@@ -101,7 +101,7 @@
         tried.add(target.instance)
         if target.is_cold():
             target.sent_cold.note()
-        # An object is asked for a second time as this node's own reading of it, under no consumer's id: an
+        # An object is asked for a second time as this node's own reading of it, under no client's id: an
         # origin that failed under an id would fail under it again.
         anonymous = decision.sent > 0 and route.is_cacheable and request.method == "GET"
         task = asyncio.get_running_loop().create_task(
@@ -137,7 +137,7 @@
         except (OSError, TimeoutError, ValueError, errors.IrisError) as error:
             touched = line is not None and line.touched
             known = error if isinstance(error, errors.IrisError) else decisions.kind_of(error)
-            self.board.counters.add("origin_failures", service=target.origin.service, touched=str(touched))
+            self.context.counters.add("origin_failures", service=target.origin.service, touched=str(touched))
             return ("failed", known, target.instance, touched, touched)
         finally:
             target.finish(number, answered)
@@ -153,7 +153,7 @@
             error = errors.NoOrigin(f"{instance} is not at its address any more", retry_after=0.2)
             return ("failed", error, instance, False, True)
         if words.not_run in answer.headers and answer.status in (*PROMISES, 400):
-            target.full_until = self.board.clock.now() + 0.05
+            target.full_until = self.context.clock.now() + 0.05
             error = errors.OverCeiling(f"{instance} did not run the request", retry_after=0.15)
             return ("failed", error, instance, False, True)
         if answer.status in PROMISES:
--- a/src/irisstand/noticeboard/decisions.py
+++ b/src/irisstand/dataplane/decisions.py
@@ -1,13 +1,13 @@
 """Decision objects: asked what to do now, given what has happened, they answer with a tuple.
 
-Every rule on retries, rejections, deadlines and caches is here; the executors only obey.
+Every rule on retries, refusals, deadlines and caches is here; the executors only obey.
 """
 
 
 from irisstand import clocks, errors
-from irisstand.ledger import serials
-from irisstand.noticeboard import objects, views
-from irisstand.shortlist import budget as budgets
+from irisstand.state import versions
+from irisstand.dataplane import objects, views
+from irisstand.balancing import budget as budgets
 
 Action = tuple
 # A shield says these only when no byte of the request has gone towards an origin.
@@ -19,10 +19,10 @@
                         "warming-up")  # fmt: skip
 
 
-def is_usable(thing: objects.Object, path: str, view: views.Views, floor: serials.Serial, now: float) -> bool:
+def is_usable(thing: objects.Object, path: str, view: views.Views, floor: versions.Version, now: float) -> bool:
     """Not outlived, and fetched after the newest purge that anybody on the way knows of."""
     purged = max(floor, view.purged_at(path, thing.tags))
-    return thing.age_now(now) < thing.life and thing.tip >= purged
+    return thing.age_now(now) < thing.life and thing.applied >= purged
 
 
 # How far past its life an answer may be that was fetched for this very request; the bound is about 2 s.
@@ -32,11 +32,11 @@
 def is_fit(thing: objects.Object, path: str, view: views.Views, now: float) -> bool:
     """Whether a fetched answer may be given out now: purges and life go on while it is under way."""
     outlived = thing.life > 0 and thing.age_now(now) > thing.life + OUTLIVED
-    return thing.tip >= view.purged_at(path, thing.tags) and not outlived
+    return thing.applied >= view.purged_at(path, thing.tags) and not outlived
 
 
 class Giving:
-    """Whether a read's answer is given out, fetched again, or rejected; one deadline over all fetches."""
+    """Whether a read's answer is given out, fetched again, or refused; one deadline over all fetches."""
 
     def __init__(
         self, clock: clocks.Clock, view: views.Views, granted: views.Granted, path: str
@@ -57,7 +57,7 @@
                 return ("reject", error)
         if now > self.deadline - 0.05:
             return ("reject", error)
-        floor = serials.NONE
+        floor = versions.NONE
         if happened[0] == "object":
             floor = self.view.purged_at(self.path, happened[1].tags)
         return ("fetch", floor)
--- a/src/irisstand/noticeboard/direct.py
+++ b/src/irisstand/dataplane/direct.py
@@ -2,42 +2,32 @@
 
 import typing
 
-from irisstand import blackboard
-from irisstand.noticeboard import (
-    conversing,
-    exchange,
-    holders,
-    objects,
-    ranges,
-    reading,
-    routes,
-    targets,
-    views,
-)
-from irisstand.noticeboard import vocabulary as vocabularies
+from irisstand import node_context
+from irisstand.dataplane import conversing, exchange, holders, objects, ranges, reading, routes, targets, views
+from irisstand.dataplane import vocabulary as vocabularies
 
 Request = conversing.Request
 
 
 class Direct:
-    def __init__(self, board: blackboard.Board, view: views.Views, connect: exchange.Connect) -> None:
-        self.board, self.view = board, view
-        self.words = vocabularies.REGISTRY[board.boot.vocabulary]
-        self.table = routes.Routes(board)
-        self.targets = targets.Targets(board, view, self.table, self.words, connect)
-        self.origins = conversing.Conversing(board, view, self.table, self.targets)
-        self.holders = holders.Holders(board, self.table, self.targets)
-        self.reading = reading.Reading(board, view, self.origins, self.holders.ask)
+    def __init__(self, context: node_context.NodeContext, view: views.Views, connect: exchange.Connect) -> None:
+        self.context, self.view = context, view
+        self.words = vocabularies.REGISTRY[context.settings.vocabulary]
+        self.table = routes.Routes(context)
+        self.targets = targets.Targets(context, view, self.table, self.words, connect)
+        self.origins = conversing.Conversing(context, view, self.table, self.targets)
+        self.holders = holders.Holders(context, self.table, self.targets)
+        self.reading = reading.Reading(context, view, self.origins, self.holders.ask)
         self.holders.answer(self.reading)
 
     async def run(self) -> None:
         await self.targets.run()
 
     async def handle(self, request: Request) -> exchange.Answer:
-        """The answer for the consumer, or a typed error. A request is decided by one version of its route."""
+        """The answer for the client, or a typed error. A request is decided by one version of its route."""
         self.view.check_current()
         route = self.table.match(request.host, request.path)
-        self.board.counters.add("requests", route=route.name)
+        self.context.counters.add("requests", route=route.name)
         given = request.headers.get(self.words.remaining, "")
         remaining = min(route.timeout, int(given) / 1000) if given.isdigit() else route.timeout
         if route.is_cacheable and request.method == "GET":
@@ -46,7 +36,7 @@
             return self.give(request, await self.reading.read(asked))
         service = routes.pick_service(route, request.headers.get(self.words.request_id, request.path))
         headers = [(name, value) for name, value in request.headers.items() if name not in conversing.HOP]
-        with self.board.working():
+        with self.context.working():
             return await self.origins.converse(route, service, request, headers, remaining)
 
     def give(self, request: Request, thing: objects.Object) -> exchange.Answer:
@@ -59,9 +49,9 @@
         return ranges.apply(whole, request.headers) if thing.status == 200 else whole
 
 
-def connector(boot: typing.Any) -> exchange.Connect:
-    return exchange.connector(vocabularies.REGISTRY[boot.vocabulary].request_id)
+def connector(settings: typing.Any) -> exchange.Connect:
+    return exchange.connector(vocabularies.REGISTRY[settings.vocabulary].request_id)
 
 
-def part(board: blackboard.Board, view: views.Views, connect: typing.Any) -> Direct:
-    return Direct(board, view, connect or connector(board.boot))
+def part(context: node_context.NodeContext, view: views.Views, connect: typing.Any) -> Direct:
+    return Direct(context, view, connect or connector(context.settings))
--- a/src/irisstand/noticeboard/doubts.py
+++ b/src/irisstand/dataplane/doubts.py
@@ -1,9 +1,9 @@
-"""Doubts about colleagues that are being asked: told as soon as SWIM suspects them."""
+"""Doubts about peers that are being asked: told as soon as SWIM suspects them."""
 
 import asyncio
 
-from irisstand.rollcall import detector as detecting
-from irisstand.rollcall import updates
+from irisstand.membership import detector as detecting
+from irisstand.membership import updates
 
 
 class Doubts:
--- a/src/irisstand/noticeboard/edge.py
+++ b/src/irisstand/dataplane/edge.py
@@ -1,14 +1,14 @@
-"""The edge: what consumers talk to. Reads go through its cache, writes straight to a shield."""
+"""The edge: what clients talk to. Reads go through its cache, writes straight to a shield."""
 
 import asyncio
 import functools
 import typing
 
-from irisstand import blackboard, errors
-from irisstand.ledger import serials
-from irisstand.noticeboard import cache, decisions, doubts, objects, views
-from irisstand.shortlist import budget as budgets
-from irisstand.shortlist import heat
+from irisstand import node_context, errors
+from irisstand.state import versions
+from irisstand.dataplane import cache, decisions, doubts, objects, views
+from irisstand.balancing import budget as budgets
+from irisstand.balancing import heat
 
 READS = ("GET", "HEAD")
 # Whoever sends these gets an answer that may be meant for them alone.
@@ -36,38 +36,38 @@
 
 
 class Edge:
-    def __init__(self, board: blackboard.Board, view: views.Views) -> None:
-        self.board, self.view = board, view
-        self.cache = cache.Cache(board.boot.cache_bytes)
+    def __init__(self, context: node_context.NodeContext, view: views.Views) -> None:
+        self.context, self.view = context, view
+        self.cache = cache.Cache(context.settings.cache_bytes)
         self.collapse = cache.Collapse()
-        self.heat = heat.Heat(board.clock)
-        self.budget = budgets.Budget(board.clock, 0.07, 1)
-        self.doubts = doubts.Doubts(board.detector)
+        self.heat = heat.Heat(context.clock)
+        self.budget = budgets.Budget(context.clock, 0.07, 1)
+        self.doubts = doubts.Doubts(context.detector)
 
     async def handle(self, request: Request) -> Result:
-        """The result for the consumer, or a typed error to be shown as JSON."""
+        """The result for the client, or a typed error to be shown as JSON."""
         # A draining edge takes no new connection, but what comes on a kept one is answered as ever.
         self.view.check_current()
-        if self.view.is_evacuated(self.board.boot.site):
-            raise errors.SiteEvacuated(f"site {self.board.boot.site} takes no new work")
-        self.board.gauge.note()
+        if self.view.is_evacuated(self.context.settings.site):
+            raise errors.SiteEvacuated(f"site {self.context.settings.site} takes no new work")
+        self.context.gauge.note()
         granted = self.view.grant(request.method, request.path, request.query)
-        self.board.counters.add("requests", method=request.method)
+        self.context.counters.add("requests", method=request.method)
         try:
-            with self.board.working():
+            with self.context.working():
                 if request.method in READS:
                     return await self.read(granted, request)
                 return await self.write(granted, request)
         except errors.IrisError as error:
-            self.board.counters.add("rejected", code=error.code)
+            self.context.counters.add("rejected", code=error.code)
             raise
 
     # -- reads ---------------------------------------------------------------------------------------
     async def read(self, granted: views.Granted, request: Request) -> Result:
         shared = not any(name in request.headers for name in CREDENTIALS)
-        giving = decisions.Giving(self.board.clock, self.view, granted, request.path)
+        giving = decisions.Giving(self.context.clock, self.view, granted, request.path)
         floor = self.view.purged_at(request.path, ())
-        # Only headers that the blueprint names may change a shared answer, so only they are sent on.
+        # Only headers that the configuration names may change a shared answer, so only they are sent on.
         varied = {name.lower() for name in granted.vary}
         sent = {
             name: value
@@ -78,12 +78,12 @@
         if shared:
             found = self.cache.get(key)
             if found is not None:
-                if decisions.is_usable(found, request.path, self.view, floor, self.board.clock.now()):
-                    self.board.counters.add("cache", at="edge", result="hit")
+                if decisions.is_usable(found, request.path, self.view, floor, self.context.clock.now()):
+                    self.context.counters.add("cache", at="edge", result="hit")
                     return self.result(request, found)
                 floor = max(floor, self.view.purged_at(request.path, found.tags))
                 self.cache.drop(key)
-            self.board.counters.add("cache", at="edge", result="miss")
+            self.context.counters.add("cache", at="edge", result="miss")
         while True:
             fetch = functools.partial(self.fetch, granted, request, sent, floor, shared, giving.deadline)
             try:
@@ -96,7 +96,7 @@
                 raise action[1]
             if action[0] == "answer":
                 break
-            self.board.counters.add("fetched_again")
+            self.context.counters.add("fetched_again")
             floor = max(floor, action[1])
         if shared and thing.life > 0:
             # Under the service that answered: the shield may have heard of a change before this node.
@@ -110,15 +110,15 @@
         # This node may have been paused or cut off while the answer was on its way.
         self.view.check_current()
         self.view.grant(request.method, request.path, request.query)
-        return Result(thing.status, thing.headers, thing.body, thing.age_now(self.board.clock.now()))
+        return Result(thing.status, thing.headers, thing.body, thing.age_now(self.context.clock.now()))
 
     async def fetch(
-        self, granted: views.Granted, request: Request, headers: dict[str, str], floor: serials.Serial,
+        self, granted: views.Granted, request: Request, headers: dict[str, str], floor: versions.Version,
         shared: bool, deadline: float,
     ) -> tuple[str, objects.Object]:  # fmt: skip
         self.budget.note_first()
         shields = self.spread(granted.service, f"{request.path}?{request.query}")
-        decision = decisions.EdgeRead(self.board.clock, granted, shields, self.budget, deadline)
+        decision = decisions.EdgeRead(self.context.clock, granted, shields, self.budget, deadline)
         # One id for all tries, so that an origin's record shows second tries for what they are.
         request_id = self.request_id()
         happened: tuple = ("started",)
@@ -131,9 +131,9 @@
             _, shield, remaining = action
             body = (
                 request_id, "GET", request.path, request.query, tuple(headers.items()), tuple(floor),
-                remaining, shared, tuple(self.board.blueprint.tip),
+                remaining, shared, tuple(self.context.configuration.applied),
             )  # fmt: skip
-            asked_at = self.board.clock.now()
+            asked_at = self.context.clock.now()
             happened = await self.ask_watched(decision, shield, body, remaining)
             if happened[0] == "result":
                 service, parts = happened[1]
@@ -162,8 +162,8 @@
         second = shields[1]
         if second.state or not self.view.has_share(second.card.machine, service):
             return shields
-        self.board.counters.add("hot_fetches")
-        if self.board.randomness.random() < 0.5:
+        self.context.counters.add("hot_fetches")
+        if self.context.randomness.random() < 0.5:
             shields[0], shields[1] = shields[1], shields[0]
         return shields
 
@@ -172,7 +172,7 @@
         request_id = self.request_id()
         key = request.headers.get("idempotency-key", request_id)
         shields = self.view.shields(granted.service, key)
-        decision = decisions.EdgeWrite(self.board.clock, granted, shields)
+        decision = decisions.EdgeWrite(self.context.clock, granted, shields)
         kept = tuple((name, value) for name, value in request.headers.items() if name not in DROPPED)
         happened: tuple = ("started",)
         while True:
@@ -185,7 +185,7 @@
             _, shield, remaining = action
             body = (
                 request_id, request.method, request.path, request.query, kept, request.body, remaining,
-                tuple(self.board.blueprint.tip),
+                tuple(self.context.configuration.applied),
             )  # fmt: skip
             happened = await self.ask(shield, "write", body, remaining)
             if happened[0] == "result":
@@ -194,17 +194,17 @@
     # -- towards shields -----------------------------------------------------------------------------
     async def ask(self, shield: typing.Any, kind: str, body: tuple, remaining: float) -> tuple:
         try:
-            reply = await self.board.postroom.ask(
+            reply = await self.context.transport.ask(
                 shield.card.address, shield.identity.name, kind, body, remaining
             )
             return ("result", reply)
         except errors.IrisError as error:
-            self.board.counters.add("shield_failures", code=error.code)
+            self.context.counters.add("shield_failures", code=error.code)
             return ("failed", error)
 
     def request_id(self) -> str:
-        return f"{self.board.boot.name}-{self.board.randomness.getrandbits(64):016x}"
+        return f"{self.context.settings.name}-{self.context.randomness.getrandbits(64):016x}"
 
 
-def part(board: blackboard.Board, view: views.Views, connect: typing.Any) -> Edge:
-    return Edge(board, view)
+def part(context: node_context.NodeContext, view: views.Views, connect: typing.Any) -> Edge:
+    return Edge(context, view)
--- a/src/irisstand/noticeboard/frontage.py
+++ b/src/irisstand/dataplane/front_listener.py
@@ -1,29 +1,29 @@
-"""The consumers' listener of an edge that reaches origins by itself: sanic's requests to ours, and back."""
+"""The clients' listener of an edge that reaches origins by itself: sanic's requests to ours, and back."""
 
 import asyncio
 
 import sanic.request
 import sanic.response
 
-from irisstand import blackboard, errors, ring
-from irisstand import boot as booting
-from irisstand.noticeboard import direct
+from irisstand import node_context, errors, ring
+from irisstand import node_settings
+from irisstand.dataplane import direct
 
 METHODS = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"]
 # Sanic writes these itself.
 OWN = frozenset(("connection", "keep-alive", "content-length", "transfer-encoding", "content-type"))
 
 
-class Frontage:
-    def __init__(self, board: blackboard.Board, part: direct.Direct, address: booting.Address) -> None:
-        self.board, self.part, self.address = board, part, address
-        name = "irisstand_front_" + "".join(c if c.isalnum() else "_" for c in board.boot.name)
+class FrontListener:
+    def __init__(self, context: node_context.NodeContext, part: direct.Direct, address: node_settings.Address) -> None:
+        self.context, self.part, self.address = context, part, address
+        name = "irisstand_front_" + "".join(c if c.isalnum() else "_" for c in context.settings.name)
         self.app = sanic.Sanic(name, configure_logging=False)
         self.app.config.update(
             {"MOTD": False, "ACCESS_LOG": False, "RESPONSE_TIMEOUT": 120, "TOUCHUP": False}
         )
         self.follow()
-        board.blueprint.watchers.append(self.follow)
+        context.configuration.watchers.append(self.follow)
         self.app.error_handler.add(Exception, self.on_error)
         self.app.add_route(self.serve, "/", methods=METHODS, name="root")
         self.app.add_route(self.serve, "/<rest:path>", methods=METHODS, name="rest")
@@ -41,10 +41,10 @@
         )  # fmt: skip
 
     async def open_when_current(self) -> None:
-        """A node just started would only turn consumers away: it listens once it can answer them."""
-        while not all(map(self.board.is_current, self.board.copies.values())):
+        """A node just started would only turn clients away: it listens once it can answer them."""
+        while not all(map(self.context.is_current, self.context.copies.values())):
             await asyncio.sleep(0.02)
-        if self.board.leaving:
+        if self.context.leaving:
             return
         try:
             self.server = await self.app.create_server(
@@ -59,7 +59,7 @@
     async def stop_listening(self) -> None:
         if self.server is not None:
             self.server.close()
-            self.board.held = self.release
+            self.context.held = self.release
 
     def release(self) -> bool:
         """Close connections on which nothing is read or asked; True while any is left.
@@ -82,12 +82,12 @@
         asked = direct.Request(
             request.method, request.raw_url, headers.pop("host", ""), headers, request.body or b""
         )
-        # A consumer that goes away does not take back what an origin is at work on.
+        # A client that goes away does not take back what an origin is at work on.
         task = asyncio.get_running_loop().create_task(self.answer(asked))
-        with self.board.working():
+        with self.context.working():
             response = await asyncio.shield(task)
         # A kept connection would bring more work to a node that is leaving.
-        if self.board.leaving or self.board.draining:
+        if self.context.leaving or self.context.draining:
             request.stream.keep_alive = False
         return response
 
@@ -98,7 +98,7 @@
             return self.as_fault(error)
         except Exception as error:
             ring.note("crash", error=repr(error))
-            self.board.counters.add("requests_crashed")
+            self.context.counters.add("requests_crashed")
             return self.as_fault(errors.OutcomeUnknown("an error of this node's own"))
         kept = {name: value for name, value in headers.items() if name not in OWN}
         content_type = headers.get("content-type", "application/octet-stream")
--- a/src/irisstand/noticeboard/holders.py
+++ b/src/irisstand/dataplane/holders.py
@@ -6,35 +6,35 @@
 
 import asyncio
 
-from irisstand import blackboard, errors
-from irisstand.ledger import serials
-from irisstand.noticeboard import conversing, objects, reading, routes, targets
-from irisstand.rollcall import updates
-from irisstand.shortlist import draws
+from irisstand import node_context, errors
+from irisstand.state import versions
+from irisstand.dataplane import conversing, objects, reading, routes, targets
+from irisstand.membership import updates
+from irisstand.balancing import draws
 
 # Of the time that is left, what a holder gets, and the most in seconds: an origin may be asked after it.
 PART, LONGEST = 0.4, 0.6
 # Seconds for which a holder that did not answer is left alone.
 AVOIDED = 2.0
-# Seconds that a holder waits for the version of the blueprint by which an edge has judged.
+# Seconds that a holder waits for the version of the configuration by which an edge has judged.
 CATCH_UP = 0.3
 
 class Holders:
     def __init__(
-        self, board: blackboard.Board, table: routes.Routes, origins: targets.Targets
+        self, context: node_context.NodeContext, table: routes.Routes, origins: targets.Targets
     ) -> None:
-        self.board, self.table, self.origins = board, table, origins
+        self.context, self.table, self.origins = context, table, origins
         self.avoided = origins.avoided
         self.reading: reading.Reading | None = None
 
     # -- asking --------------------------------------------------------------------------------------
     def pick(self, route: routes.Route, service: str, key: str) -> updates.Update | None:
         """The member that holds the object, or None where this node should fetch it by itself."""
-        board = self.board
+        context = self.context
         if not self.origins.uses_holders():
             return None
-        if board.role != "holder":
-            near = [update for update in self.usable() if update.card.site == board.boot.site]
+        if context.role != "holder":
+            near = [update for update in self.usable() if update.card.site == context.settings.site]
             return self.draw(key, near) if self.origins.may_hold(route) else None
         # A holder fetches by itself while the service has room: that is the shorter way. Where its rate is
         # scarce, each object is fetched by one holder of all, and the others have it from there.
@@ -43,16 +43,16 @@
         everywhere = not route.regions
         home = [update for update in self.usable() if everywhere or update.card.region in route.regions]
         names = [(update.identity.name, 1.0) for update in home]
-        if everywhere or board.boot.region in route.regions:
-            names.append((board.boot.name, 1.0))
+        if everywhere or context.settings.region in route.regions:
+            names.append((context.settings.name, 1.0))
         order = draws.order(key, names)
         return next((u for u in home if u.identity.name == order[0]), None) if order else None
 
     def usable(self) -> list[updates.Update]:
-        now = self.board.clock.now()
+        now = self.context.clock.now()
         return [
             update
-            for update in self.board.colleagues("holder")
+            for update in self.context.peers("holder")
             if not update.state and now >= self.avoided.get(update.identity.name, 0.0)
         ]
 
@@ -62,7 +62,7 @@
         return named[names[0]] if names else None
 
     async def ask(
-        self, asked: reading.Asked, floor: serials.Serial, remaining: float, known: objects.Object | None
+        self, asked: reading.Asked, floor: versions.Version, remaining: float, known: objects.Object | None
     ) -> objects.Object | None:
         # Whoever was asked by another holder is the last in the row.
         holder = None if asked.is_last else self.pick(asked.route, asked.service, asked.key)
@@ -70,56 +70,56 @@
             return None
         request = asked.request
         known_tag = reading.tag_of(known) or ""
-        asked_at = self.board.clock.now()
+        asked_at = self.context.clock.now()
         patience = min(LONGEST, PART * remaining)
         body = (
             asked.route.name, asked.service, request.host, request.target, tuple(request.headers.items()),
-            patience, tuple(floor), known_tag, tuple(self.board.blueprint.tip),
-            self.board.role == "holder",
+            patience, tuple(floor), known_tag, tuple(self.context.configuration.applied),
+            self.context.role == "holder",
         )  # fmt: skip
         try:
-            told, parts = await self.board.postroom.ask(
+            told, parts = await self.context.transport.ask(
                 holder.card.address, holder.identity.name, "object", body, patience
             )
         except errors.IrisError as error:
-            self.board.counters.add("holder_failures", code=error.code)
+            self.context.counters.add("holder_failures", code=error.code)
             if error.code in ("unreached", "unanswered", "draining"):
-                self.avoided[holder.identity.name] = self.board.clock.now() + AVOIDED
+                self.avoided[holder.identity.name] = self.context.clock.now() + AVOIDED
             # What the holder met at an origin this node may still avoid, within what is left of its time.
             return None
         if told == "same" and known is not None:
-            tip, age, life = parts
-            return known._replace(tip=serials.decode(tip), age=age, at=asked_at, life=life)
+            applied, age, life = parts
+            return known._replace(applied=versions.decode(applied), age=age, at=asked_at, life=life)
         return objects.decode(parts, asked_at)
 
     # -- answering -----------------------------------------------------------------------------------
     def answer(self, own: reading.Reading) -> None:
         """Answer edges out of this reading."""
         self.reading = own
-        self.board.postroom.handlers["object"] = self.on_object
+        self.context.transport.handlers["object"] = self.on_object
 
     async def on_object(self, _: str, body: list) -> tuple:
-        name, service, host, target, headers, remaining, floor, known_tag, tip, is_last = body
-        if self.board.draining:
+        name, service, host, target, headers, remaining, floor, known_tag, applied, is_last = body
+        if self.context.draining:
             raise errors.Draining("this holder is shutting down")
         request = conversing.Request("GET", bytes(target), str(host), dict(headers), b"")
-        await self.catch_up(serials.decode(tip))
+        await self.catch_up(versions.decode(applied))
         route = self.table.match(request.host, request.path)
         # Judged by another version than the edge's, its request could go where that one does not allow.
         if route.name != name or not self.table.still_allows(route, service):
-            raise errors.StaleBlueprint("the route is another one here")
+            raise errors.StaleConfiguration("the route is another one here")
         asked = reading.Asked(route, str(service), request, float(remaining), bool(is_last))
-        thing = await self.reading.read(asked, serials.decode(floor))
-        now = self.board.clock.now()
+        thing = await self.reading.read(asked, versions.decode(floor))
+        now = self.context.clock.now()
         if known_tag and thing.life > 0 and reading.tag_of(thing) == known_tag:
-            return ("same", (tuple(thing.tip), thing.age_now(now), thing.life))
+            return ("same", (tuple(thing.applied), thing.age_now(now), thing.life))
         return ("object", objects.encode(thing, now))
 
-    async def catch_up(self, tip: serials.Serial) -> None:
-        started = self.board.clock.now()
-        while self.board.blueprint.tip < tip:
-            if self.board.clock.now() - started > CATCH_UP:
-                raise errors.StaleBlueprint("this holder is behind the edge")
+    async def catch_up(self, applied: versions.Version) -> None:
+        started = self.context.clock.now()
+        while self.context.configuration.applied < applied:
+            if self.context.clock.now() - started > CATCH_UP:
+                raise errors.StaleConfiguration("this holder is behind the edge")
             await asyncio.sleep(0.01)
-        if not all(map(self.board.is_current, self.board.copies.values())):
-            raise errors.StaleBlueprint("this holder's tables are not known to be current")
+        if not all(map(self.context.is_current, self.context.copies.values())):
+            raise errors.StaleConfiguration("this holder's tables are not known to be current")
--- a/src/irisstand/noticeboard/lines.py
+++ b/src/irisstand/dataplane/lines.py
@@ -1,4 +1,4 @@
-"""Lines to origins: one connection each, vouched for by a probe, and never silently reopened."""
+"""Lines to origins: one connection each, confirmed for by a probe, and never silently reopened."""
 
 import asyncio
 import collections.abc
@@ -49,7 +49,7 @@
 
     async def on_create(self, *_: typing.Any) -> None:
         # aiohttp reopens a dead connection and sends again by itself. Whoever answers there now was not
-        # vouched for, and the request may have run already: so the line ends instead.
+        # confirmed for, and the request may have run already: so the line ends instead.
         if self.opened:
             self.alive = False
             raise Reopened("the connection was gone")
@@ -101,7 +101,7 @@
     return HttpLine(host, port)
 
 
-async def vouch(line: Line, probe: str, service: str, instance: str, patience: float) -> None:
+async def confirm_current(line: Line, probe: str, service: str, instance: str, patience: float) -> None:
     """The first exchange on a connection: it must name the service and the instance that are meant."""
     try:
         status, _, body = await line.send("GET", probe, {}, b"", patience)
--- a/src/irisstand/noticeboard/objects.py
+++ b/src/irisstand/dataplane/objects.py
@@ -5,16 +5,16 @@
 import typing
 
 from irisstand import errors
-from irisstand.ledger import serials
+from irisstand.state import versions
 
 
 class Object(typing.NamedTuple):
-    """`tip` is the ledger tip known when the fetch began; `age` is how old it was at the moment `at`."""
+    """`applied version` is the ledger applied version known when the fetch began; `age` is how old it was at the moment `at`."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    tip: serials.Serial
+    applied: versions.Version
     age: float
     at: float
     life: float
@@ -26,15 +26,15 @@
 
 def encode(thing: Object, now: float) -> tuple:
     return (
-        thing.status, thing.headers, thing.body, tuple(thing.tip), thing.age_now(now), thing.life, thing.tags,
+        thing.status, thing.headers, thing.body, tuple(thing.applied), thing.age_now(now), thing.life, thing.tags,
     )  # fmt: skip
 
 
 def decode(parts: typing.Any, asked_at: float) -> Object:
     """The age is added up hop by hop, each hop counted from when its question was sent."""
-    status, headers, body, tip, age, life, tags = parts
+    status, headers, body, applied, age, life, tags = parts
     pairs = tuple((name, value) for name, value in headers)
-    return Object(status, pairs, body, serials.decode(tip), age, asked_at, life, tuple(tags))
+    return Object(status, pairs, body, versions.decode(applied), age, asked_at, life, tuple(tags))
 
 
 def digest_header(body: bytes) -> str:
@@ -61,15 +61,15 @@
 
 
 def from_origin(
-    status: int, headers: dict[str, str], body: bytes, tip: serials.Serial, asked_at: float, life: float
+    status: int, headers: dict[str, str], body: bytes, applied: versions.Version, asked_at: float, life: float
 ) -> Object:
     tags = tuple(tag.strip() for tag in headers.get("cache-tag", "").split(",") if tag.strip())
     kept = tuple((name, headers[name]) for name in PASSED_ON if name in headers)
-    return Object(status, kept, body, tip, 0.0, asked_at, allowed_life(status, headers, life), tags)
+    return Object(status, kept, body, applied, 0.0, asked_at, allowed_life(status, headers, life), tags)
 
 
 def allowed_life(status: int, headers: dict[str, str], life: float) -> float:
-    """The blueprint's life, shortened by what the origin says; 0 for what is not to be shared.
+    """The configuration's life, shortened by what the origin says; 0 for what is not to be shared.
 
     >>> allowed_life(200, {"cache-control": "max-age=5"}, 30)
     5.0
--- a/src/irisstand/noticeboard/origins.py
+++ b/src/irisstand/dataplane/origins.py
@@ -1,4 +1,4 @@
-"""Origins as this shield sees them: pools of vouched lines, probes, and the draw among them."""
+"""Origins as this shield sees them: pools of confirmed lines, probes, and the draw among them."""
 
 import asyncio
 import contextlib
@@ -6,9 +6,9 @@
 
 import aiohttp
 
-from irisstand import blackboard, errors, ring
-from irisstand.noticeboard import lines, views
-from irisstand.shortlist import warming
+from irisstand import node_context, errors, ring
+from irisstand.dataplane import lines, views
+from irisstand.balancing import warming
 
 LINES_LIMIT = 16
 PROBE_EVERY = 1.0
@@ -23,19 +23,19 @@
 class Pool:
     """The lines to one origin. Its health comes from probes and from requests, never from membership."""
 
-    def __init__(self, board: blackboard.Board, origin: views.Origin, open_line: lines.Open) -> None:
-        self.board, self.origin, self.open_line = board, origin, open_line
+    def __init__(self, context: node_context.NodeContext, origin: views.Origin, open_line: lines.Open) -> None:
+        self.context, self.origin, self.open_line = context, origin, open_line
         self.idle: list[lines.Line] = []
         self.busy = 0
         self.healthy = False
         # Since when it warms up: from the first sight of a cold one, and from every return.
-        self.first_seen = board.clock.now()
+        self.first_seen = context.clock.now()
         self.has_returned, self.was_seen = False, False
-        self.bucket = warming.Bucket(board.clock)
+        self.bucket = warming.Bucket(context.clock)
         self.probe = "/health"
         self.closing = False
         self.evacuated = False
-        self.returned_at = board.clock.now() - RETURN_RAMP
+        self.returned_at = context.clock.now() - RETURN_RAMP
 
     @property
     def instance(self) -> str:
@@ -43,7 +43,7 @@
 
     def warmth(self) -> float:
         """From a twentieth to one: over the warm-up of a cold origin, and after its site's evacuation."""
-        now = self.board.clock.now()
+        now = self.context.clock.now()
         found = warming.warmth(now - self.returned_at, RETURN_RAMP)
         # The platform lags: an origin that went away and came back is cold whatever it still says.
         if self.origin.state == "cold" or self.has_returned:
@@ -53,7 +53,7 @@
     def note_evacuation(self, evacuated: bool) -> None:
         # Idle for as long as the evacuation lasted, an origin has lost its caches as if it were new.
         if self.evacuated and not evacuated:
-            self.returned_at = self.board.clock.now()
+            self.returned_at = self.context.clock.now()
         self.evacuated = evacuated
 
     def has_room(self, even: float, part: float) -> bool:
@@ -61,7 +61,7 @@
         return warm >= 1.0 or self.bucket.has_room(warming.allowed_rate(even, warm, part))
 
     async def take(self, patience: float) -> lines.Line:
-        """A vouched line for one request; opening one touches nothing but the probe."""
+        """A confirmed line for one request; opening one touches nothing but the probe."""
         while self.idle:
             line = self.idle.pop()
             if line.alive:
@@ -78,9 +78,9 @@
 
     async def connect(self, patience: float) -> lines.Line:
         line = await self.open_line(self.origin.host, self.origin.port)
-        self.board.counters.add("origin_connections", service=self.origin.service)
+        self.context.counters.add("origin_connections", service=self.origin.service)
         try:
-            await lines.vouch(line, self.probe, self.origin.service, self.instance, patience)
+            await lines.confirm_current(line, self.probe, self.origin.service, self.instance, patience)
         except BaseException:
             await line.close()
             raise
@@ -100,7 +100,7 @@
                 try:
                     line = await self.take(PROBE_PATIENCE)
                     try:
-                        await lines.vouch(
+                        await lines.confirm_current(
                             line, self.probe, self.origin.service, self.instance, PROBE_PATIENCE
                         )
                     finally:
@@ -122,7 +122,7 @@
             ring.note("origin-health", origin=self.instance, healthy=healthy, why=why)
             # An origin that comes back after being away is as cold as a new one.
             if healthy:
-                self.first_seen, self.has_returned = self.board.clock.now(), self.was_seen
+                self.first_seen, self.has_returned = self.context.clock.now(), self.was_seen
                 self.was_seen = True
         self.healthy = healthy
 
@@ -130,11 +130,11 @@
 class Origins:
     """Follows the roster in the ledger, and draws."""
 
-    def __init__(self, board: blackboard.Board, view: views.Views, open_line: lines.Open) -> None:
-        self.board, self.view, self.open_line = board, view, open_line
+    def __init__(self, context: node_context.NodeContext, view: views.Views, open_line: lines.Open) -> None:
+        self.context, self.view, self.open_line = context, view, open_line
         self.pools: dict[views.Origin, Pool] = {}
         self.tasks: dict[views.Origin, asyncio.Task] = {}
-        board.ledger.watchers.append(self.follow)
+        context.ledger.watchers.append(self.follow)
 
     def follow(self) -> None:
         """A changed address or service is another origin, and gets nothing of the old one's lines."""
@@ -146,9 +146,9 @@
             if place in self.pools:
                 self.pools[place].origin = origin
             else:
-                pool = Pool(self.board, origin, self.open_line)
+                pool = Pool(self.context, origin, self.open_line)
                 self.pools[place] = pool
-                self.tasks[place] = self.board.start(pool.keep(), f"keeper of {origin.key}")
+                self.tasks[place] = self.context.start(pool.keep(), f"keeper of {origin.key}")
             self.pools[place].note_evacuation(self.view.is_evacuated(origin.site))
 
     def place(self, origin: views.Origin) -> views.Origin:
@@ -175,13 +175,13 @@
         # All that are left are warming up: more than they may get is refused, not poured over them.
         if not open_ones:
             raise errors.WarmingUp(f"the origins of {granted.service} are warming up")
-        regions = self.board.regions()
+        regions = self.context.regions()
         near = {
-            pool.origin: NEARNESS if regions.get(pool.origin.site) == self.board.boot.region else 1.0
+            pool.origin: NEARNESS if regions.get(pool.origin.site) == self.context.settings.region else 1.0
             for pool in open_ones
         }
         weights = [pool.warmth() * near[pool.origin] for pool in open_ones]
-        first, second = self.board.randomness.choices(open_ones, weights, k=2)
+        first, second = self.context.randomness.choices(open_ones, weights, k=2)
         # The busier one gives way all the same, so nearness never floods a region's origins.
         drawn = min(first, second, key=lambda pool: (pool.busy + 1) / pool.warmth() / near[pool.origin])
         if drawn.warmth() < 1.0:
--- a/src/irisstand/noticeboard/reading.py
+++ b/src/irisstand/dataplane/reading.py
@@ -1,12 +1,12 @@
-"""Objects for an edge's consumers: from its own cache, from the node that holds them, or from an origin."""
+"""Objects for an edge's clients: from its own cache, from the node that holds them, or from an origin."""
 
 import asyncio
 import typing
 
-from irisstand import blackboard, errors
-from irisstand.ledger import serials
-from irisstand.noticeboard import cache, conversing, decisions, objects, routes, views
-from irisstand.noticeboard import vocabulary as vocabularies
+from irisstand import node_context, errors
+from irisstand.state import versions
+from irisstand.dataplane import cache, conversing, decisions, objects, routes, views
+from irisstand.dataplane import vocabulary as vocabularies
 
 # What must not reach an origin when the whole object is wanted for all.
 CONDITIONS = frozenset(("range", "if-range", "if-none-match", "if-modified-since", "if-match",
@@ -40,26 +40,26 @@
     """`ask_holder` is asked before an origin: the object, or None where nobody else holds it or answers."""
 
     def __init__(
-        self, board: blackboard.Board, view: views.Views, origins: conversing.Conversing,
+        self, context: node_context.NodeContext, view: views.Views, origins: conversing.Conversing,
         ask_holder: typing.Any,
     ) -> None:  # fmt: skip
-        self.board, self.view, self.origins, self.ask_holder = board, view, origins, ask_holder
+        self.context, self.view, self.origins, self.ask_holder = context, view, origins, ask_holder
         self.words = origins.words
-        self.cache = cache.Cache(board.boot.cache_bytes)
+        self.cache = cache.Cache(context.settings.cache_bytes)
         self.collapse = cache.Collapse()
 
-    async def read(self, asked: Asked, floor: serials.Serial = serials.NONE) -> objects.Object:
+    async def read(self, asked: Asked, floor: versions.Version = versions.NONE) -> objects.Object:
         """The whole object, good to be given out now; a purge up to `floor` is known to whoever asks."""
-        deadline = self.board.clock.now() + asked.remaining
+        deadline = self.context.clock.now() + asked.remaining
         floor = max(floor, self.view.purged_at(asked.place, ()))
         found = self.cached(asked)
         if found is not None:
-            if decisions.is_usable(found, asked.place, self.view, floor, self.board.clock.now()):
-                self.board.counters.add("cache", at=self.board.role, result="hit")
+            if decisions.is_usable(found, asked.place, self.view, floor, self.context.clock.now()):
+                self.context.counters.add("cache", at=self.context.role, result="hit")
                 return found
-        self.board.counters.add("cache", at=self.board.role, result="miss")
+        self.context.counters.add("cache", at=self.context.role, result="miss")
         while True:
-            left = deadline - self.board.clock.now()
+            left = deadline - self.context.clock.now()
             obtain = self.collapse.share(
                 (asked.key, floor, asked.is_last),
                 lambda left=left, floor=floor: self.obtain(asked, floor, left),
@@ -69,14 +69,14 @@
                     thing = await obtain
             except TimeoutError:
                 raise errors.DeadlinePassed("no origin gave a whole answer in time") from None
-            is_good = thing.tip >= floor and decisions.is_fit(
-                thing, asked.place, self.view, self.board.clock.now()
+            is_good = thing.applied >= floor and decisions.is_fit(
+                thing, asked.place, self.view, self.context.clock.now()
             )
             if thing.life <= 0 or is_good:
                 return thing
             # Struck by a purge while it was under way: fetched again, within the one deadline.
             floor = max(floor, self.view.purged_at(asked.place, thing.tags))
-            if deadline - self.board.clock.now() < TOO_LATE:
+            if deadline - self.context.clock.now() < TOO_LATE:
                 raise errors.DeadlinePassed("no answer was still good by the time that it came")
 
     def cached(self, asked: Asked) -> objects.Object | None:
@@ -84,20 +84,20 @@
         # The row's own life, should it have been shortened since.
         return None if found is None else found._replace(life=min(found.life, asked.route.cache_life))
 
-    async def obtain(self, asked: Asked, floor: serials.Serial, remaining: float) -> objects.Object:
-        started = self.board.clock.now()
+    async def obtain(self, asked: Asked, floor: versions.Version, remaining: float) -> objects.Object:
+        started = self.context.clock.now()
         known = self.cache.get(asked.key)
-        with self.board.working():
+        with self.context.working():
             thing = await self.ask_holder(asked, floor, remaining, known)
             if thing is None:
-                left = remaining - (self.board.clock.now() - started)
+                left = remaining - (self.context.clock.now() - started)
                 thing = await self.fetch(asked, floor, left, known)
         if thing.life > 0:
             self.cache.put(asked.key, thing)
         return thing
 
     async def fetch(
-        self, asked: Asked, floor: serials.Serial, remaining: float, known: objects.Object | None
+        self, asked: Asked, floor: versions.Version, remaining: float, known: objects.Object | None
     ) -> objects.Object:
         given = asked.request.headers.items()
         headers = [(n, v) for n, v in given if n not in conversing.HOP and n not in CONDITIONS]
@@ -107,17 +107,17 @@
         if known_tag:
             headers.append(("if-none-match", known_tag))
         # Fetched from now on, so at least as new as everything that this node, or who asks it, has heard of.
-        tip, asked_at = max(self.board.ledger.tip, floor), self.board.clock.now()
+        applied, asked_at = max(self.context.ledger.applied, floor), self.context.clock.now()
         answer = await self.origins.converse(asked.route, asked.service, asked.request, headers, remaining)
         life = asked.route.cache_life
         if answer.status == 304 and known is not None and known_tag:
-            self.board.counters.add("cache", at=self.board.role, result="revalidated")
-            return known._replace(tip=tip, age=0.0, at=asked_at, life=life)
+            self.context.counters.add("cache", at=self.context.role, result="revalidated")
+            return known._replace(applied=applied, age=0.0, at=asked_at, life=life)
         kept = tuple((n, v) for n, v in answer.headers.items() if n != self.words.request_id)
         tags = vocabularies.split_tags(self.words, answer.headers.get(self.words.tags, ""))
         if answer.status != 200 or "set-cookie" in answer.headers:
             life = 0.0
-        return objects.Object(answer.status, kept, answer.body, tip, 0.0, asked_at, life, tags)
+        return objects.Object(answer.status, kept, answer.body, applied, 0.0, asked_at, life, tags)
 
 
 def tag_of(thing: objects.Object | None) -> str | None:
--- a/src/irisstand/noticeboard/routes.py
+++ b/src/irisstand/dataplane/routes.py
@@ -2,9 +2,9 @@
 
 import typing
 
-from irisstand import blackboard, errors
-from irisstand.ledger import serials, versions
-from irisstand.shortlist import draws
+from irisstand import node_context, errors
+from irisstand.state import versions, versioned_items
+from irisstand.balancing import draws
 
 ATTEMPTS = 2
 
@@ -44,7 +44,7 @@
 
 
 class Limits(typing.NamedTuple):
-    """What a consumer may send, in bytes, and how long it may take, in seconds."""
+    """What a client may send, in bytes, and how long it may take, in seconds."""
 
     header_bytes: int = 16384
     body_bytes: int = 64 * 1024 * 1024
@@ -53,11 +53,11 @@
 
 
 class Routes:
-    """Compiled from the blueprint once for each of its tips."""
+    """Compiled from the configuration once for each of its applied versions."""
 
-    def __init__(self, board: blackboard.Board) -> None:
-        self.board = board
-        self.tip = serials.NONE
+    def __init__(self, context: node_context.NodeContext) -> None:
+        self.context = context
+        self.applied = versions.NONE
         self.hosts: dict[str, list[Route]] = {}
         self.upstreams: dict[str, Upstream] = {}
         self.limits = Limits()
@@ -66,10 +66,10 @@
         self.held: dict[str, list[Route]] = {}
 
     def refresh(self) -> None:
-        copy = self.board.blueprint
-        if copy.tip == self.tip:
+        copy = self.context.configuration
+        if copy.applied == self.applied:
             return
-        self.tip = copy.tip
+        self.applied = copy.applied
         self.hosts, self.upstreams = {}, {}
         for item in copy.under("route/"):
             if item.value["item"] is not None:
@@ -86,7 +86,7 @@
             if item.value["item"] is not None:
                 upstream = as_upstream(item.value["item"])
                 self.upstreams[upstream.name] = upstream
-        stored = copy.value(versions.LIMITS)
+        stored = copy.value(versioned_items.LIMITS)
         fields = (stored or {}).get("item") or {}
         self.limits = Limits(**{name: fields[name] for name in Limits._fields if name in fields})
 
@@ -117,7 +117,7 @@
     return Route(
         item["name"], item["prefix"], item["kind"], float(item["timeout"]), float(target),
         item.get("priority") or 0, item.get("attempts") or ATTEMPTS, float(item.get("cache_life") or 0),
-        tuple(item.get("regions") or ()), tuple(versions.splits(item)),
+        tuple(item.get("regions") or ()), tuple(versioned_items.splits(item)),
     )  # fmt: skip
 
 
--- a/src/irisstand/noticeboard/shield.py
+++ b/src/irisstand/dataplane/shield.py
@@ -3,56 +3,56 @@
 import asyncio
 import typing
 
-from irisstand import blackboard, errors
-from irisstand.ledger import serials
-from irisstand.noticeboard import cache, claims, decisions, lines, objects, origins, views
-from irisstand.shortlist import budget as budgets
-from irisstand.shortlist import ceilings, draws
+from irisstand import node_context, errors
+from irisstand.state import versions
+from irisstand.dataplane import cache, claims, decisions, lines, objects, origins, views
+from irisstand.balancing import budget as budgets
+from irisstand.balancing import ceilings, draws
 
 # At each of the shields that a request comes to; three of them are well inside any patience.
 QUEUE_LIMIT = 0.25
 STORE_PATIENCE = 0.15
 CATCH_UP_LIMIT = 1.0
-NOT_THE_ORIGINS = (errors.OverCeiling, errors.StaleBlueprint, errors.NoShare, lines.Reopened)
+NOT_THE_ORIGINS = (errors.OverCeiling, errors.StaleConfiguration, errors.NoShare, lines.Reopened)
 
 
 class Shield:
-    def __init__(self, board: blackboard.Board, view: views.Views, open_line: lines.Open) -> None:
-        self.board, self.view = board, view
-        self.cache = cache.Cache(board.boot.cache_bytes)
+    def __init__(self, context: node_context.NodeContext, view: views.Views, open_line: lines.Open) -> None:
+        self.context, self.view = context, view
+        self.cache = cache.Cache(context.settings.cache_bytes)
         self.collapse = cache.Collapse()
-        self.origins = origins.Origins(board, view, open_line)
+        self.origins = origins.Origins(context, view, open_line)
         # With the edges' share this stays under the fifth of the traffic that is allowed fleet-wide.
-        self.budget = budgets.Budget(board.clock, 0.10, 1)
-        self.claims = claims.Claims(board)
+        self.budget = budgets.Budget(context.clock, 0.10, 1)
+        self.claims = claims.Claims(context)
         self.shares: dict[str, ceilings.Share] = {}
-        self.opened_at = board.clock.now()
-        board.postroom.handlers.update({"read": self.on_read, "write": self.on_write})
+        self.opened_at = context.clock.now()
+        context.transport.handlers.update({"read": self.on_read, "write": self.on_write})
 
     # -- reads ---------------------------------------------------------------------------------------
     async def on_read(self, _: str, body: list) -> tuple:
-        request_id, method, path, query, headers, floor, remaining, shared, tip = body
-        remaining = await self.check_open(serials.decode(tip), float(remaining))
+        request_id, method, path, query, headers, floor, remaining, shared, applied = body
+        remaining = await self.check_open(versions.decode(applied), float(remaining))
         granted = self.view.grant(method, path, query)
-        with self.board.working():
-            work = (str(request_id), path, query, dict(headers), serials.decode(floor))
+        with self.context.working():
+            work = (str(request_id), path, query, dict(headers), versions.decode(floor))
             thing = await self.read(granted, work, min(remaining, granted.deadline), bool(shared))
-            return (granted.service, objects.encode(thing, self.board.clock.now()))
+            return (granted.service, objects.encode(thing, self.context.clock.now()))
 
-    async def check_open(self, tip: serials.Serial, remaining: float) -> float:
-        """Fit to work on a request that an edge judged by a blueprint at `tip`; what is left of its time."""
-        started = self.board.clock.now()
-        if self.board.draining:
+    async def check_open(self, applied: versions.Version, remaining: float) -> float:
+        """Fit to work on a request that an edge judged by a configuration at `applied version`; what is left of its time."""
+        started = self.context.clock.now()
+        if self.context.draining:
             raise errors.Draining("this shield is shutting down")
         # The edge may have heard of a change first. Judged by the older rows, its request would go where the
         # newer ones do not allow; so this waits for the table rather than answer from the past.
-        self.board.gauge.note()
-        while self.board.blueprint.tip < tip:
-            if self.board.clock.now() - started > min(CATCH_UP_LIMIT, remaining / 2):
-                raise errors.StaleBlueprint("this shield is behind the edge")
+        self.context.gauge.note()
+        while self.context.configuration.applied < applied:
+            if self.context.clock.now() - started > min(CATCH_UP_LIMIT, remaining / 2):
+                raise errors.StaleConfiguration("this shield is behind the edge")
             await asyncio.sleep(0.01)
         self.view.check_current()
-        return remaining - (self.board.clock.now() - started)
+        return remaining - (self.context.clock.now() - started)
 
     async def read(
         self, granted: views.Granted, work: tuple, remaining: float, shared: bool
@@ -65,11 +65,11 @@
         floor = max(floor, self.view.purged_at(path, ()))
         found = self.cache.get(key)
         if found is not None:
-            if decisions.is_usable(found, path, self.view, floor, self.board.clock.now()):
-                self.board.counters.add("cache", at="shield", result="hit")
+            if decisions.is_usable(found, path, self.view, floor, self.context.clock.now()):
+                self.context.counters.add("cache", at="shield", result="hit")
                 return found
             self.cache.drop(key)
-        self.board.counters.add("cache", at="shield", result="miss")
+        self.context.counters.add("cache", at="shield", result="miss")
         work = (request_id, path, query, headers, floor)
         return await self.collapse.share(
             (key, floor), lambda: self.look_and_fetch(key, granted, work, remaining)
@@ -80,53 +80,53 @@
     ) -> objects.Object:
         floor = work[4]
         store = self.store_for(key)
-        started = self.board.clock.now()
+        started = self.context.clock.now()
         if store is not None:
             found = await self.look(store, key, work[1], floor)
             if found is not None:
                 self.cache.put(key, found)
                 return found
-        remaining -= self.board.clock.now() - started
+        remaining -= self.context.clock.now() - started
         thing = await self.fetch(granted, work, remaining)
         if thing.life > 0:
             self.cache.put(key, thing)
             if store is not None:
-                self.board.start(self.keep(store, key, thing), "keep in store")
+                self.context.start(self.keep(store, key, thing), "keep in store")
         return thing
 
     def store_for(self, key: str) -> typing.Any:
-        stores = self.board.colleagues("store")
+        stores = self.context.peers("store")
         found = {update.identity.name: update for update in stores if not update.state}
         names = draws.order(key, [(name, 1.0) for name in found])
         return found[names[0]] if names else None
 
     async def look(
-        self, store: typing.Any, key: str, path: str, floor: serials.Serial
+        self, store: typing.Any, key: str, path: str, floor: versions.Version
     ) -> objects.Object | None:
-        asked_at = self.board.clock.now()
+        asked_at = self.context.clock.now()
         try:
-            parts = await self.board.postroom.ask(
+            parts = await self.context.transport.ask(
                 store.card.address, store.identity.name, "look", (key, path, tuple(floor)), STORE_PATIENCE
             )
             if parts:
                 thing = objects.decode(parts, asked_at)
-                if decisions.is_usable(thing, path, self.view, floor, self.board.clock.now()):
+                if decisions.is_usable(thing, path, self.view, floor, self.context.clock.now()):
                     return thing
         except errors.IrisError:
             # A store is a convenience: without it the read goes to an origin.
-            self.board.counters.add("store_failed")
+            self.context.counters.add("store_failed")
         return None
 
     async def keep(self, store: typing.Any, key: str, thing: objects.Object) -> None:
-        body = (key, objects.encode(thing, self.board.clock.now()))
+        body = (key, objects.encode(thing, self.context.clock.now()))
         try:
-            await self.board.postroom.ask(store.card.address, store.identity.name, "keep", body, 1.0)
+            await self.context.transport.ask(store.card.address, store.identity.name, "keep", body, 1.0)
         except errors.IrisError:
-            self.board.counters.add("store_failed")
+            self.context.counters.add("store_failed")
 
     async def fetch(self, granted: views.Granted, work: tuple, remaining: float) -> objects.Object:
         request_id, path, query, headers, floor = work
-        decision = decisions.ShieldRead(self.board.clock, granted, remaining, self.budget)
+        decision = decisions.ShieldRead(self.context.clock, granted, remaining, self.budget)
         happened: tuple = ("started",)
         while True:
             action = decision.ask(happened)
@@ -135,24 +135,24 @@
             if action[0] == "reject":
                 raise action[1]
             # Fetched from now on, so at least as new as everything this node or the edge has heard of.
-            tip = max(self.board.ledger.tip, floor)
-            asked_at = self.board.clock.now()
+            applied = max(self.context.ledger.applied, floor)
+            asked_at = self.context.clock.now()
             request = ("GET", f"{path}?{query}" if query else path, headers, b"", request_id)
             outcome = await self.try_origin(granted, request, decision, action[1])
             if outcome[0] == "answer":
                 _, (status, kept, body), origin = outcome
-                thing = objects.from_origin(status, kept, body, tip, asked_at, granted.life)
+                thing = objects.from_origin(status, kept, body, applied, asked_at, granted.life)
                 happened = ("object", thing, origin)
             else:
                 happened = outcome
 
     # -- writes --------------------------------------------------------------------------------------
     async def on_write(self, _: str, body: list) -> tuple:
-        request_id, method, path, query, headers, content, remaining, tip = body
-        remaining = await self.check_open(serials.decode(tip), float(remaining))
+        request_id, method, path, query, headers, content, remaining, applied = body
+        remaining = await self.check_open(versions.decode(applied), float(remaining))
         granted = self.view.grant(method, path, query)
-        with self.board.working():
-            decision = decisions.ShieldWrite(self.board.clock, granted, remaining)
+        with self.context.working():
+            decision = decisions.ShieldWrite(self.context.clock, granted, remaining)
             request = (method, f"{path}?{query}" if query else path, dict(headers), content, request_id)
             return await self.claims.once(granted, request, lambda: self.write(granted, decision, request))
 
@@ -164,7 +164,7 @@
             action = decision.ask(happened)
             if action[0] == "answer":
                 status, kept, answer = action[1]
-                thing = objects.from_origin(status, kept, answer, serials.NONE, 0.0, 0.0)
+                thing = objects.from_origin(status, kept, answer, versions.NONE, 0.0, 0.0)
                 return (status, thing.headers, answer)
             if action[0] == "reject":
                 raise action[1]
@@ -198,7 +198,7 @@
             sent = {**headers, "X-Request-Id": request_id}
             answer = await line.send(method, target, sent, body, max(0.01, decision.remaining()))
             objects.check_seal(answer[1], answer[2], request_id)
-            self.board.counters.add("origin_requests", service=granted.service, method=method)
+            self.context.counters.add("origin_requests", service=granted.service, method=method)
             return ("answer", answer, pool.instance)
         except (TimeoutError, asyncio.CancelledError) as error:
             # Nobody waits any more, but the origin may work on: its place is kept for as long as it could.
@@ -206,12 +206,12 @@
             works_until = entered_at + ceilings.works_for(granted.deadline) if touched else 0.0
             if isinstance(error, asyncio.CancelledError):
                 raise
-            self.board.counters.add("origin_failures", service=granted.service, touched=str(touched))
+            self.context.counters.add("origin_failures", service=granted.service, touched=str(touched))
             pool.mark(pool.healthy and touched, repr(error))
             return ("failed", decisions.kind_of(error), pool.instance, touched)
         except origins.FAILURES as error:
             touched = line is not None and line.touched
-            self.board.counters.add("origin_failures", service=granted.service, touched=str(touched))
+            self.context.counters.add("origin_failures", service=granted.service, touched=str(touched))
             # A kept line that the origin closed meanwhile says nothing of the origin: the prober will tell.
             if not isinstance(error, NOT_THE_ORIGINS):
                 # An unsealed answer is one request's; a broken line says that the origin is gone.
@@ -226,7 +226,7 @@
     def recheck(self, granted: views.Granted, method: str, target: str) -> None:
         path, _, query = target.partition("?")
         if self.view.grant(method, path, query).service != granted.service:
-            raise errors.StaleBlueprint("the blueprint changed while the request waited")
+            raise errors.StaleConfiguration("the blueprint changed while the request waited")
 
     async def enter(
         self, granted: views.Granted, decision: decisions.ShieldWork
@@ -234,17 +234,17 @@
         """A place under this shield's part of the ceiling, waited for briefly, then said no to at once."""
         rate, inflight = self.view.share(granted.service, granted.ceiling)
         if granted.service not in self.shares:
-            self.shares[granted.service] = ceilings.Share(self.board.clock, self.opened_at)
+            self.shares[granted.service] = ceilings.Share(self.context.clock, self.opened_at)
         share = self.shares[granted.service]
-        wait_until = self.board.clock.now() + min(QUEUE_LIMIT, decision.remaining() / 3)
+        wait_until = self.context.clock.now() + min(QUEUE_LIMIT, decision.remaining() / 3)
         if not rate or not inflight or share.is_opening(granted.deadline):
             raise errors.NoShare(f"no share of {granted.service} is held here")
         while not share.enter(rate, inflight):
-            if self.board.clock.now() >= wait_until:
+            if self.context.clock.now() >= wait_until:
                 raise errors.OverCeiling(f"{granted.service} is at its ceiling")
             await asyncio.sleep(0.01)
-        return share, self.board.clock.now()
+        return share, self.context.clock.now()
 
 
-def part(board: blackboard.Board, view: views.Views, connect: typing.Any) -> Shield:
-    return Shield(board, view, connect or lines.open_http)
+def part(context: node_context.NodeContext, view: views.Views, connect: typing.Any) -> Shield:
+    return Shield(context, view, connect or lines.open_http)
--- /dev/null
+++ b/src/irisstand/dataplane/store.py
@@ -0,0 +1,43 @@
+"""The store: the shared cache in memory that shields look into before they ask an origin."""
+
+import typing
+
+from irisstand import node_context
+from irisstand.state import versions
+from irisstand.dataplane import cache, decisions, objects, views
+
+
+class Store:
+    def __init__(self, context: node_context.NodeContext, view: views.Views) -> None:
+        self.context, self.view = context, view
+        self.cache = cache.Cache(context.settings.cache_bytes)
+        context.transport.handlers["look"] = self.on_look
+        context.transport.handlers["keep"] = self.on_keep
+
+    async def on_look(self, _: str, body: list) -> tuple:
+        key, path, floor = body
+        now = self.context.clock.now()
+        self.view.check_current()
+        found = self.cache.get(key)
+        if found is None:
+            self.context.counters.add("cache", at="store", result="miss")
+            return ()
+        if not decisions.is_usable(found, path, self.view, versions.decode(floor), now):
+            self.cache.drop(key)
+            self.context.counters.add("cache", at="store", result="outlived")
+            return ()
+        self.context.counters.add("cache", at="store", result="hit")
+        return objects.encode(found, now)
+
+    async def on_keep(self, _: str, body: list) -> tuple:
+        key, parts = body
+        thing = objects.decode(parts, self.context.clock.now())
+        known = self.cache.get(str(key))
+        # Two shields may have fetched it: what was fetched under the newer applied version stays.
+        if known is None or known.applied <= thing.applied:
+            self.cache.put(str(key), thing)
+        return ()
+
+
+def part(context: node_context.NodeContext, view: views.Views, connect: typing.Any) -> Store:
+    return Store(context, view)
--- a/src/irisstand/noticeboard/target.py
+++ b/src/irisstand/dataplane/target.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-from irisstand import blackboard, errors, ring
-from irisstand.noticeboard import exchange, views
-from irisstand.shortlist import parts
+from irisstand import node_context, errors, ring
+from irisstand.dataplane import exchange, views
+from irisstand.balancing import parts
 
 CONNECT_PATIENCE = 0.4
 # Seconds until an origin that could not be reached is probed, doubled with each failure.
@@ -20,8 +20,8 @@
 class Target:
     """One origin's instance: its health comes from requests, and from probes only while it gets none."""
 
-    def __init__(self, board: blackboard.Board, origin: views.Origin, connect: exchange.Connect) -> None:
-        self.board, self.origin, self.connect = board, origin, connect
+    def __init__(self, context: node_context.NodeContext, origin: views.Origin, connect: exchange.Connect) -> None:
+        self.context, self.origin, self.connect = context, origin, connect
         self.idle: list[exchange.Exchange] = []
         self.started: dict[int, float] = {}
         self.number = 0
@@ -30,7 +30,7 @@
         self.full_until = 0.0
         self.is_down, self.gone = False, False
         self.cold_until = 0.0
-        self.sent_cold = parts.Window(board.clock)
+        self.sent_cold = parts.Window(context.clock)
 
     @property
     def instance(self) -> str:
@@ -38,11 +38,11 @@
 
     def begin(self) -> int:
         self.number += 1
-        self.started[self.number] = self.board.clock.now()
+        self.started[self.number] = self.context.clock.now()
         return self.number
 
     def finish(self, number: int, answered: bool) -> None:
-        took = self.board.clock.now() - self.started.pop(number)
+        took = self.context.clock.now() - self.started.pop(number)
         if answered:
             self.usual += NEWEST * (took - self.usual)
             self.is_down, self.backoff = False, BACKOFF
@@ -50,10 +50,10 @@
     def is_doubtful(self) -> bool:
         oldest = min(self.started.values(), default=None)
         limit = max(DOUBT_LEAST, DOUBT * self.usual)
-        return oldest is not None and self.board.clock.now() - oldest > limit
+        return oldest is not None and self.context.clock.now() - oldest > limit
 
     def is_cold(self) -> bool:
-        return self.origin.state == "cold" or self.board.clock.now() < self.cold_until
+        return self.origin.state == "cold" or self.context.clock.now() < self.cold_until
 
     async def take(self, patience: float) -> exchange.Exchange:
         """A connection for one request. Its failure touches nothing, and marks the origin as down."""
@@ -68,7 +68,7 @@
         except (OSError, TimeoutError) as error:
             self.fail(repr(error))
             raise errors.Unreached(f"the origin {self.instance} takes no connection") from None
-        self.board.counters.add("origin_connections", service=self.origin.service)
+        self.context.counters.add("origin_connections", service=self.origin.service)
         return line
 
     def give_back(self, line: exchange.Exchange) -> None:
@@ -82,7 +82,7 @@
         if not self.is_down:
             ring.note("origin-down", origin=self.instance, why=why)
         self.is_down = True
-        self.down_until = self.board.clock.now() + self.backoff
+        self.down_until = self.context.clock.now() + self.backoff
         self.backoff = min(BACKOFF_LIMIT, 2 * self.backoff)
 
     def end(self) -> None:
--- a/src/irisstand/noticeboard/targets.py
+++ b/src/irisstand/dataplane/targets.py
@@ -4,14 +4,14 @@
 import asyncio
 import typing
 
-from irisstand import blackboard, errors
-from irisstand.noticeboard import exchange, routes, views, vocabulary
-from irisstand.noticeboard import target as targeting
-from irisstand.shortlist import parts
+from irisstand import node_context, errors
+from irisstand.dataplane import exchange, routes, views, vocabulary
+from irisstand.dataplane import target as targeting
+from irisstand.balancing import parts
 
 PROBE_PATIENCE = 0.6
 # Edges in a route's own regions that must be up before holders elsewhere take its objects: with fewer,
-# consumers of those regions may be served here, and then only the edge that they talk to may have the body.
+# clients of those regions may be served here, and then only the edge that they talk to may have the body.
 HOME_EDGES = 8
 # What a request waits for at an origin that far from here, in seconds a request at rest.
 OTHER_SITE, OTHER_REGION = 0.010, 0.060
@@ -24,13 +24,13 @@
     """Follows the roster in the ledger, draws by the route's rules, and probes what is down."""
 
     def __init__(
-        self, board: blackboard.Board, view: views.Views, table: routes.Routes, words: vocabulary.Vocabulary,
+        self, context: node_context.NodeContext, view: views.Views, table: routes.Routes, words: vocabulary.Vocabulary,
         connect: exchange.Connect,
     ) -> None:  # fmt: skip
-        self.board, self.view, self.table, self.words, self.connect = board, view, table, words, connect
+        self.context, self.view, self.table, self.words, self.connect = context, view, table, words, connect
         self.all: dict[str, targeting.Target] = {}
         self.evacuated: set[str] = set()
-        self.opened_at = board.clock.now()
+        self.opened_at = context.clock.now()
         self.members_at, self.known_members = -1e9, []
         # Holders that did not answer, and until when they are left alone.
         self.avoided: dict[str, float] = {}
@@ -39,7 +39,7 @@
         self.most_known: dict[tuple, int] = {}
         self.ceilings: dict[str, parts.Ceiling] = {}
         self.site_regions: dict[str, str] = {}
-        board.ledger.watchers.append(self.follow)
+        context.ledger.watchers.append(self.follow)
 
     def follow(self) -> None:
         listed = {origin.key: origin for origin in self.view.origins()}
@@ -53,14 +53,14 @@
                 continue
             if known is not None:
                 known.end()
-            self.all[key] = targeting.Target(self.board, origin, self.connect)
+            self.all[key] = targeting.Target(self.context, origin, self.connect)
         self.follow_evacuations()
 
     def follow_evacuations(self) -> None:
         """Origins of a site taken back may be cold before the platform's list says so."""
         prefix = "evacuated/"
-        copy = self.board.ledger
-        now = self.board.clock.now()
+        copy = self.context.ledger
+        now = self.context.clock.now()
         current = {item.key.removeprefix(prefix) for item in copy.under(prefix)}
         returned = self.evacuated - current
         # A node just started cannot tell how long ago a site was taken back.
@@ -69,7 +69,7 @@
             returned |= {key.removeprefix(prefix) for key in keys if copy.value(key) is None}
         for target in self.all.values():
             if target.origin.site in returned:
-                target.cold_until = now + self.board.boot.platform_lag + SETTLING
+                target.cold_until = now + self.context.settings.platform_lag + SETTLING
         self.evacuated = current
 
     def edges(self) -> list[str]:
@@ -78,13 +78,13 @@
 
     def members(self) -> list[parts.Member]:
         """All nodes that reach origins; the list is read again now and then."""
-        now, boot = self.board.clock.now(), self.board.boot
+        now, settings = self.context.clock.now(), self.context.settings
         if now - self.members_at > 0.5:
-            # A suspected holder fetches nothing for anybody; a suspected edge may still serve its consumers.
-            holders = [update for update in self.board.colleagues("holder") if not update.state]
-            found = [*self.board.colleagues("direct"), *holders]
+            # A suspected holder fetches nothing for anybody; a suspected edge may still serve its clients.
+            holders = [update for update in self.context.peers("holder") if not update.state]
+            found = [*self.context.peers("direct"), *holders]
             named = {u.identity.name: parts.Member(u.identity.name, u.card.role, u.card.site) for u in found}
-            named[boot.name] = parts.Member(boot.name, self.board.role, boot.site)
+            named[settings.name] = parts.Member(settings.name, self.context.role, settings.site)
             self.members_at = now
             if sorted(named.values()) != self.known_members:
                 self.known_members = sorted(named.values())
@@ -92,7 +92,7 @@
 
     def region_of(self, site: str) -> str:
         if site not in self.site_regions:
-            self.site_regions = self.board.regions()
+            self.site_regions = self.context.regions()
         return self.site_regions.get(site, "")
 
     # -- the draw ------------------------------------------------------------------------------------
@@ -101,7 +101,7 @@
     ) -> targeting.Target:
         """The origin that should answer soonest, of those the rules allow now; NoOrigin, WarmingUp or
         OverCeiling."""
-        now = self.board.clock.now()
+        now = self.context.clock.now()
         listed = [
             target
             for target in self.all.values()
@@ -131,14 +131,14 @@
         if self.most_members is not members:
             self.most_members, self.most_known = members, {}
         if key not in self.most_known:
-            own = self.board.boot.name
+            own = self.context.settings.name
             self.most_known[key] = parts.connections(own, members, target.instance, key[1], is_held)
         return self.most_known[key]
 
     def uses_holders(self) -> bool:
         """A few edges that fetch for themselves cost a service little, and need nobody else to be up."""
         edges = [member for member in self.members() if member.role != "holder"]
-        return len(edges) >= self.board.boot.holder_edges * len({member.site for member in edges})
+        return len(edges) >= self.context.settings.holder_edges * len({member.site for member in edges})
 
     def held_part(self, service: str) -> float:
         """What holders fetch of a service's objects at this site; a route may keep its objects from them."""
@@ -149,7 +149,7 @@
 
     def may_hold(self, route: routes.Route) -> bool:
         """Whether holders at this site may have the route's objects at all."""
-        own = self.region_of(self.board.boot.site) or self.board.boot.region
+        own = self.region_of(self.context.settings.site) or self.context.settings.region
         if not route.regions or own in route.regions:
             return True
         inside = sum(m.role != "holder" and self.region_of(m.site) in route.regions for m in self.members())
@@ -157,24 +157,24 @@
 
     def cost(self, target: targeting.Target) -> float:
         """Seconds until its answer, about: what waits there by this edge's doing, and the way to it."""
-        boot = self.board.boot
+        settings = self.context.settings
         site = target.origin.site
-        way = 0.0 if site == boot.site else OTHER_SITE
-        if self.region_of(site) != (self.region_of(boot.site) or boot.region):
+        way = 0.0 if site == settings.site else OTHER_SITE
+        if self.region_of(site) != (self.region_of(settings.site) or settings.region):
             way = OTHER_REGION
         slots = max(1, target.origin.slots)
         queued = max(0, len(target.started) + 1 - slots) / slots
         busy = len(target.started) / slots
         # A little luck, so that edges that know the same do not all choose the same.
-        return target.usual * (1 + queued + busy) * self.board.randomness.uniform(0.8, 1.25) + way
+        return target.usual * (1 + queued + busy) * self.context.randomness.uniform(0.8, 1.25) + way
 
     def may_send_cold(self, target: targeting.Target, upstream: routes.Upstream) -> bool:
-        now = self.board.clock.now()
+        now = self.context.clock.now()
         if now - self.opened_at < SETTLING:
             return False
-        boot = self.board.boot
-        allowed = upstream.cold_rate * boot.cold_factor + boot.cold_burst
-        places = parts.cold_places(boot.name, self.edges(), target.instance, allowed)
+        settings = self.context.settings
+        allowed = upstream.cold_rate * settings.cold_factor + settings.cold_burst
+        places = parts.cold_places(settings.name, self.edges(), target.instance, allowed)
         return target.sent_cold.count() < places
 
     def enter(self, upstream: routes.Upstream, patience: float) -> float:
@@ -184,11 +184,11 @@
         """
         if upstream.rate is None:
             return 0.0
-        ceiling = self.ceilings.setdefault(upstream.name, parts.Ceiling(self.board.clock))
+        ceiling = self.ceilings.setdefault(upstream.name, parts.Ceiling(self.context.clock))
         # A holder that did not answer this node fetches nothing for it.
-        now = self.board.clock.now()
+        now = self.context.clock.now()
         present = [member for member in self.members() if now >= self.avoided.get(member.name, 0.0)]
-        part = parts.ceiling_part(self.board.boot.name, present, self.held_part(upstream.name))
+        part = parts.ceiling_part(self.context.settings.name, present, self.held_part(upstream.name))
         wait = ceiling.take(upstream.rate * part, patience)
         if wait is None:
             raise errors.OverCeiling(f"{upstream.name} is at its ceiling", retry_after=0.2)
@@ -203,12 +203,12 @@
     async def run(self) -> None:
         """Origins that are down are asked for their health; all others are known by their traffic."""
         while True:
-            now = self.board.clock.now()
+            now = self.context.clock.now()
             for target in list(self.all.values()):
                 wanted = target.is_down and now >= target.down_until
                 if wanted and not self.view.is_evacuated(target.origin.site) and not target.gone:
                     target.down_until = now + PROBE_PATIENCE + targeting.BACKOFF_LIMIT
-                    self.board.start(self.probe(target), "probe")
+                    self.context.start(self.probe(target), "probe")
             await asyncio.sleep(0.1)
 
     async def probe(self, target: targeting.Target) -> None:
--- a/src/irisstand/noticeboard/trying.py
+++ b/src/irisstand/dataplane/trying.py
@@ -2,12 +2,12 @@
 
 Happenings: started | sent, instance, usual seconds | silent | answer, Answer, instance | failed, error,
 instance,
-touched, arrived | none, error. Actions: send | wait, seconds | answer, Answer | reject, error.
+touched, arrived | none, error. Actions: send | wait, seconds | answer, Answer | refuse, error.
 """
 
 from irisstand import clocks, errors
-from irisstand.noticeboard import routes
-from irisstand.shortlist import budget as budgets
+from irisstand.dataplane import routes
+from irisstand.balancing import budget as budgets
 
 Action = tuple
 # A second origin is asked beside a silent first one after so many times its usual time, and part of the
--- a/src/irisstand/noticeboard/views.py
+++ b/src/irisstand/dataplane/views.py
@@ -2,14 +2,14 @@
 
 import typing
 
-from irisstand import blackboard, errors
-from irisstand.ledger import items, serials
-from irisstand.rollcall import updates
-from irisstand.shortlist import draws, shares, slots
+from irisstand import node_context, errors
+from irisstand.state import items, versions
+from irisstand.membership import updates
+from irisstand.balancing import draws, shares, slots
 
 
 class Granted(typing.NamedTuple):
-    """A request that the blueprint allows, and on what conditions."""
+    """A request that the configuration allows, and on what conditions."""
 
     path: str
     service: str
@@ -32,22 +32,22 @@
 
 
 class Views:
-    def __init__(self, board: blackboard.Board) -> None:
-        self.board = board
+    def __init__(self, context: node_context.NodeContext) -> None:
+        self.context = context
         self.lengths: list[int] = []
-        self.lengths_tip = serials.NONE
+        self.lengths_applied = versions.NONE
 
     def check_current(self) -> None:
-        for copy in self.board.copies.values():
-            if not self.board.is_current(copy):
-                raise errors.StaleBlueprint(f"the {copy.name} table is not known to be current here")
+        for copy in self.context.copies.values():
+            if not self.context.is_current(copy):
+                raise errors.StaleConfiguration(f"the {copy.name} table is not known to be current here")
 
     def path_row(self, path: str) -> tuple[str, dict] | None:
         """The row with the longest name that the path begins with."""
-        copy = self.board.blueprint
-        if self.lengths_tip != copy.tip:
+        copy = self.context.configuration
+        if self.lengths_applied != copy.applied:
             names = {len(item.key) for item in copy.under("path/")}
-            self.lengths, self.lengths_tip = sorted(names, reverse=True), copy.tip
+            self.lengths, self.lengths_applied = sorted(names, reverse=True), copy.applied
         whole = "path/" + path
         for length in self.lengths:
             if length <= len(whole) and (value := copy.value(whole[:length])) is not None:
@@ -67,10 +67,10 @@
             if wanted in entry["methods"] or method in entry["methods"]
         ]
         if not any(weight > 0 for _, weight in candidates):
-            raise errors.MethodRejected(f"{method} is not granted on {name}")
+            raise errors.MethodRefused(f"{method} is not granted on {name}")
         # By the request alone, so that edge and shield, and all edges, draw the same service.
         service = draws.pick(f"{path}?{query}", candidates)
-        value = self.board.blueprint.value(f"service/{service}")
+        value = self.context.configuration.value(f"service/{service}")
         if value is None:
             raise errors.UnknownPath(f"service {service} has no row")
         ceiling = (value["ceiling"]["rate"], value["ceiling"]["inflight"])
@@ -79,17 +79,17 @@
             value.get("probe", "/health"),
         )  # fmt: skip
 
-    def purged_at(self, path: str, tags: tuple[str, ...]) -> serials.Serial:
+    def purged_at(self, path: str, tags: tuple[str, ...]) -> versions.Version:
         """The newest purge that strikes the path or one of the tags, or may have struck it."""
-        copy = self.board.ledger
+        copy = self.context.ledger
         keys = [f"purge/path/{path}", *(f"purge/tag/{tag}" for tag in tags)]
         # Purges as old as this may be forgotten, so what was fetched before them counts as struck by one:
         # a node that comes back from long ago may still hold what they were meant for.
-        forgotten = serials.decode(copy.value(items.PURGED) or serials.NONE)
-        return max(forgotten, *(copy.serial(key) for key in keys))
+        forgotten = versions.decode(copy.value(items.PURGED) or versions.NONE)
+        return max(forgotten, *(copy.version(key) for key in keys))
 
     def is_evacuated(self, site: str) -> bool:
-        return self.board.is_evacuated(site)
+        return self.context.is_evacuated(site)
 
     def origins(self) -> list[Origin]:
         return [
@@ -97,31 +97,31 @@
                 item.key, item.value["service"], item.value["host"], item.value["port"], item.value["site"],
                 item.value["state"], item.value["warmup"], item.value.get("slots", 0),
             )
-            for item in self.board.ledger.under("origin/")
+            for item in self.context.ledger.under("origin/")
         ]  # fmt: skip
 
     def is_resting(self, machine: str) -> bool:
-        return self.board.is_resting(machine)
+        return self.context.is_resting(machine)
 
     def share(self, service: str, ceiling: tuple[int, int]) -> tuple[int, int]:
         """This machine's recorded part of a service's ceiling; nothing recorded is nothing."""
-        row = self.board.ledger.value(f"share/{self.board.boot.machine}") or {}
+        row = self.context.ledger.value(f"share/{self.context.settings.machine}") or {}
         return shares.effective(row.get(service), ceiling)
 
     def slot_owner(self, slot: int) -> str:
-        row = self.board.ledger.value(slots.row_key(slot))
+        row = self.context.ledger.value(slots.row_key(slot))
         return row["owners"][slot % slots.PER_ROW] if row else ""
 
     def has_share(self, machine: str, service: str) -> bool:
-        return service in (self.board.ledger.value(f"share/{machine}") or {})
+        return service in (self.context.ledger.value(f"share/{machine}") or {})
 
     def shields(self, service: str, key: str) -> list:
         """Shields in the order in which they should be asked for this key of a service."""
-        found = {update.identity.name: update for update in self.board.colleagues("shield")}
+        found = {update.identity.name: update for update in self.context.peers("shield")}
         candidates = []
         for name, update in found.items():
-            row = self.board.blueprint.value(f"shield/{update.card.machine}") or {}
-            site = self.board.blueprint.value(f"site/{update.card.site}") or {}
+            row = self.context.configuration.value(f"shield/{update.card.machine}") or {}
+            site = self.context.configuration.value(f"site/{update.card.site}") or {}
             weight = row.get("weight", 1) * site.get("weight", 1)
             if not self.is_evacuated(update.card.site) and not self.is_resting(update.card.machine):
                 candidates.append((name, weight))
--- a/src/irisstand/noticeboard/vocabulary.py
+++ b/src/irisstand/dataplane/vocabulary.py
@@ -1,4 +1,4 @@
-"""The names of the headers that consumers, edges and origins use towards one another.
+"""The names of the headers that clients, edges and origins use towards one another.
 
 A deployment that speaks other names adds an entry to the registry; nothing else knows them.
 """
@@ -9,7 +9,7 @@
 class Vocabulary(typing.NamedTuple):
     """Header names in lower case; times are whole milliseconds, tags are separated by `separator`.
 
-    `request_id` names one try of a consumer, `remaining` how long it still waits, `seal` vouches for a
+    `request_id` names one try of a client, `remaining` how long it still waits, `seal` confirms for a
     whole answer, `expected` names the instance that is meant, `instance` the one that answers, `not_run`
     marks an answer to a request that did not run, `cold` tells how long an origin stays cold.
     """
--- a/src/irisstand/errors.py
+++ b/src/irisstand/errors.py
@@ -20,7 +20,7 @@
         return {"code": self.code, "message": str(self), "remedy": self.remedy}
 
 
-class BootFault(IrisError):
+class SettingsError(IrisError):
     code, status = "boot-fault", 500
     remedy = "correct the named settings and start again"
 
@@ -34,7 +34,7 @@
 
 
 class Unreached(IrisError):
-    """Certain: not one byte of the request has left. Another colleague may be asked."""
+    """Certain: not one byte of the request has left. Another peer may be asked."""
 
     code, status, remedy = "unreached", 503, "ask another colleague"
 
@@ -50,7 +50,7 @@
     remedy = "it may or may not have run: look at the origin before sending it again"
 
 
-class StaleBlueprint(IrisError):
+class StaleConfiguration(IrisError):
     code, status, remedy = "stale-blueprint", 503, "try another node; this one has lost the core"
 
 
@@ -58,7 +58,7 @@
     code, status, remedy = "unknown-path", 404, "ask for a path that the blueprint grants"
 
 
-class MethodRejected(IrisError):
+class MethodRefused(IrisError):
     code, status, remedy = "method-rejected", 405, "use a method that the path's grant entries name"
 
 
@@ -136,7 +136,7 @@
         return {**super().as_object(), "faults": self.faults}
 
 
-class StaleSerial(IrisError):
+class StaleVersion(IrisError):
     code, status = "stale-serial", 409
     remedy = "read the row again, and send the change with the serial in force"
 
@@ -213,7 +213,7 @@
 
 # After how many seconds it is worth asking again, where the raiser knows no better.
 COMES_BACK: dict[type[IrisError], float] = {
-    Unreached: 1, Unanswered: 1, OutcomeUnknown: 5, StaleBlueprint: 2, DeadlinePassed: 1, OverCeiling: 1,
+    Unreached: 1, Unanswered: 1, OutcomeUnknown: 5, StaleConfiguration: 2, DeadlinePassed: 1, OverCeiling: 1,
     WarmingUp: 1, NoShare: 2, NoOrigin: 2, OriginFailed: 1, NoShield: 2, Draining: 1, SiteEvacuated: 5,
     UnsealedResult: 1, WrongService: 2, NoMajority: 2, ChangeUnknown: 1, NoClaim: 1, TableFull: 60,
     NotFounded: 1, DiskFull: 10,
@@ -223,7 +223,7 @@
 REGISTRY: dict[str, type[IrisError]] = {
     kind.code: kind
     for kind in (
-        Unreached, Unanswered, OutcomeUnknown, StaleBlueprint, UnknownPath, MethodRejected, DeadlinePassed,
+        Unreached, Unanswered, OutcomeUnknown, StaleConfiguration, UnknownPath, MethodRefused, DeadlinePassed,
         OverCeiling, NoShare, NoOrigin, OriginFailed, NoShield, Draining, UnsealedResult, WrongService,
         NoMajority, NotFounded, DiskFull, Unknown, WarmingUp, BadRequest, KeyReused, NoClaim, SiteEvacuated,
         TableFull,
@@ -232,7 +232,7 @@
 
 
 def from_tuple(parts: tuple) -> IrisError:
-    """Rebuild an error that a colleague sent.
+    """Rebuild an error that a peer sent.
 
     >>> from_tuple(("no-origin", "none", "wait", 1.0)).status
     503
--- a/src/irisstand/rehearsal/weather.py
+++ b/src/irisstand/fleet/fault_injection.py
@@ -15,8 +15,8 @@
 import typing
 
 from irisstand import errors
-from irisstand.ledger import disk as disks
-from irisstand.postroom import network
+from irisstand.state import disk as disks
+from irisstand.transport import network
 
 VARIABLE = "IRISSTAND_WEATHER"
 ONE_WAY = 0.006
@@ -142,9 +142,9 @@
     time.time = lambda: wall_clock() + weather.content["jump"]
     program = sys.argv.pop(1)
     if program == "agency":
-        from irisstand.agency import program as programs
+        from irisstand.controlplane import program as programs
     else:
-        from irisstand.noticeboard import program as programs
+        from irisstand.dataplane import program as programs
     programs.main()
 
 
--- a/src/irisstand/rehearsal/judge.py
+++ b/src/irisstand/fleet/judge.py
@@ -3,11 +3,11 @@
 import collections
 import json
 
-from irisstand.noticeboard import objects
-from irisstand.rehearsal import origin as origins
+from irisstand.dataplane import objects
+from irisstand.standins import origin as origins
 
-# What a consumer may read as "it did not run and never will".
-NOT_REJECTIONS = ("outcome-unknown", "unanswered", "irisstand")
+# What a client may read as "it did not run and never will".
+NOT_REFUSALS = ("outcome-unknown", "unanswered", "irisstand")
 
 
 class Judge:
@@ -19,7 +19,7 @@
         self.results: collections.Counter[str] = collections.Counter()
         self.told: dict[str, str] = {}
         self.floors: dict[str, list[tuple[float, int]]] = collections.defaultdict(list)
-        # Cache lives by the first part of a path, as the blueprint has them all day.
+        # Cache lives by the first part of a path, as the configuration has them all day.
         self.lives: dict[str, float] = {}
 
     def check(self, rule: str, kept: bool, example: str = "") -> None:
@@ -60,11 +60,11 @@
         self.results[f"write {status}"] += 1
         if status == 200:
             self.told[number] = "done"
-        elif not code or code in NOT_REJECTIONS:
+        elif not code or code in NOT_REFUSALS:
             # Without a code of ours it is the origin's own answer, which says nothing about its record.
             self.told[number] = "unknown"
         elif self.told.get(number) != "unknown":
-            # Sent again under its key: a rejected repetition says nothing of the first that went unheard.
+            # Sent again under its key: a refused repetition says nothing of the first that went unheard.
             self.told[number] = "rejected"
 
     def purged(self, path: str, confirmed_at: float, version: int) -> None:
