--- a/src/irisstand/rehearsal/load.py
+++ b/src/irisstand/fleet/load.py
@@ -1,4 +1,4 @@
-"""Stand-in consumers and operators, in the brief's mix."""
+"""Stand-in clients and operators, in the brief's mix."""
 
 import asyncio
 import collections
@@ -8,11 +8,11 @@
 
 import aiohttp
 
-from irisstand.rehearsal import fleet as fleets
-from irisstand.rehearsal import judge as judges
+from irisstand.fleet import processes as fleets
+from irisstand.fleet import judge as judges
 
 
-def blueprint(shape: fleets.Shape) -> list[dict[str, typing.Any]]:
+def configuration(shape: fleets.Shape) -> list[dict[str, typing.Any]]:
     """The rows an operator of either deployment would send first."""
 
     def row(kind: str, name: str, value: dict) -> dict:
@@ -140,7 +140,7 @@
             self.judge.told[number] = "rejected" if refused else "unknown"
 
     async def order(self, method: str, path: str, content: typing.Any = None) -> tuple[int, dict]:
-        """An operator's call at the first agency that answers."""
+        """An operator's call at the first control plane node that answers."""
         names = [place.name for place in self.fleet.named("agency")]
         for name in self.randomness.sample(names, len(names)):
             status, answer = await self.ask_node(name, method, path, content)
--- a/src/irisstand/rehearsal/plans.py
+++ b/src/irisstand/fleet/plans.py
@@ -4,7 +4,7 @@
 import signal
 import typing
 
-from irisstand.rehearsal import plans_day
+from irisstand.fleet import plans_day
 
 
 async def calm(rehearsal: typing.Any, seconds: float, say: typing.Callable) -> None:
--- a/src/irisstand/rehearsal/fleet.py
+++ b/src/irisstand/fleet/processes.py
@@ -82,9 +82,9 @@
         self.places = {place.name: place for place in lay_out(shape)}
         self.lost = 0
         self.processes: dict[str, subprocess.Popen] = {}
-        agencies = [place for place in self.places.values() if place.program == "agency"]
-        self.seeds = [f"127.0.0.1:{place.port}" for place in agencies[:3]]
-        self.founding = len(agencies)
+        control_nodes = [place for place in self.places.values() if place.program == "agency"]
+        self.seeds = [f"127.0.0.1:{place.port}" for place in control_nodes[:3]]
+        self.founding = len(control_nodes)
         cards = {
             name: {"name": name, "site": place.site, "region": place.region}
             for name, place in self.places.items()
@@ -114,7 +114,7 @@
         path = self.folder / f"{name}.toml"
         # JSON strings, numbers and lists of strings are TOML as well.
         path.write_text("".join(f"{key} = {json.dumps(value)}\n" for key, value in settings.items()))
-        entry = ["-m", "irisstand.rehearsal.weather", place.program]
+        entry = ["-m", "irisstand.fleet.fault_injection", place.program]
         command = [sys.executable, *entry, "--settings", str(path)]
         environment = {**os.environ, "IRISSTAND_WEATHER": str(self.report), "IRISSTAND_WEATHER_NAME": name}
         with open(self.folder / f"{name}.log", "ab") as log:
--- a/src/irisstand/rehearsal/rehearse.py
+++ b/src/irisstand/fleet/rehearse.py
@@ -9,11 +9,11 @@
 import aiohttp
 
 from irisstand import errors
-from irisstand.rehearsal import fleet as fleets
-from irisstand.rehearsal import judge as judges
-from irisstand.rehearsal import load as loads
-from irisstand.rehearsal import origin as origins
-from irisstand.rehearsal import plans
+from irisstand.fleet import processes as fleets
+from irisstand.fleet import judge as judges
+from irisstand.fleet import load as loads
+from irisstand.standins import origin as origins
+from irisstand.fleet import plans
 
 Say = typing.Callable[[str], None]
 
@@ -75,9 +75,9 @@
         return 1 if sum(self.judge.broken.values()) else 0
 
     async def set_up(self, session: aiohttp.ClientSession) -> None:
-        agencies = [place.name for place in self.fleet.named("agency")]
-        await self.fleet.ready(session, agencies)
-        status, answer = await self.load.order("POST", "/changes", {"rows": loads.blueprint(self.shape)})
+        control_nodes = [place.name for place in self.fleet.named("agency")]
+        await self.fleet.ready(session, control_nodes)
+        status, answer = await self.load.order("POST", "/changes", {"rows": loads.configuration(self.shape)})
         if status != 200:
             raise errors.IrisError(f"the blueprint was not confirmed: {status} {answer}")
         self.confirmed = answer
@@ -117,7 +117,7 @@
         return False
 
     async def read_back(self, session: aiohttp.ClientSession) -> None:
-        wanted = {(row["kind"], row["name"]): row["value"] for row in loads.blueprint(self.shape)}
+        wanted = {(row["kind"], row["name"]): row["value"] for row in loads.configuration(self.shape)}
         for place in self.fleet.named("agency"):
             try:
                 async with session.get(self.fleet.url(place.name) + "/rows") as response:
--- a/src/irisstand/ledger/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Items, serials, tables, disk, digests and repair."""
--- a/src/irisstand/rollcall/buffer.py
+++ b/src/irisstand/membership/buffer.py
@@ -2,7 +2,7 @@
 
 import math
 
-from irisstand.rollcall import updates
+from irisstand.membership import updates
 
 
 def sending_limit(factor: float, members: int) -> int:
--- a/src/irisstand/rollcall/detector.py
+++ b/src/irisstand/membership/detector.py
@@ -6,8 +6,8 @@
 
 from irisstand import clocks, errors, ring
 from irisstand import counters as counting
-from irisstand.postroom import codec, network
-from irisstand.rollcall import buffer, roster, updates
+from irisstand.transport import codec, network
+from irisstand.membership import buffer, roster, updates
 
 OnChange = collections.abc.Callable[[updates.Update], None]
 
--- a/src/irisstand/rollcall/joining.py
+++ b/src/irisstand/membership/joining.py
@@ -3,9 +3,9 @@
 import asyncio
 
 from irisstand import errors
-from irisstand.postroom import colleagues, network
-from irisstand.rollcall import detector as detecting
-from irisstand.rollcall import updates
+from irisstand.transport import peers, network
+from irisstand.membership import detector as detecting
+from irisstand.membership import updates
 
 COMPARE_PERIODS = 10
 # Seconds between rounds of the seeds while nobody at all is known.
@@ -14,12 +14,12 @@
 
 class Joining:
     def __init__(
-        self, detector: detecting.Detector, postroom: colleagues.Postroom, seeds: list[network.Address]
+        self, detector: detecting.Detector, transport: peers.Transport, seeds: list[network.Address]
     ) -> None:
-        self.detector, self.postroom = detector, postroom
+        self.detector, self.transport = detector, transport
         self.seeds: list[network.Address] = []
         self.reseed(seeds)
-        postroom.handlers["roster"] = self.on_roster
+        transport.handlers["roster"] = self.on_roster
         self.joined = asyncio.Event()
 
     async def on_roster(self, _: str, body: list) -> tuple:
@@ -39,7 +39,7 @@
             given += detector.roster.everything()
         digest = "" if whole else detector.roster.digest(detector.own_update())
         body = (digest, tuple(updates.encode(u) for u in given))
-        reply = await self.postroom.ask(address, name, "roster", body, 2.0)
+        reply = await self.transport.ask(address, name, "roster", body, 2.0)
         for parts in reply:
             detector.learn(updates.decode(parts))
 
--- a/src/irisstand/rollcall/roster.py
+++ b/src/irisstand/membership/roster.py
@@ -3,7 +3,7 @@
 import hashlib
 import random
 
-from irisstand.rollcall import updates
+from irisstand.membership import updates
 
 FAILED_KEPT = 512
 
--- a/src/irisstand/blackboard.py
+++ b/src/irisstand/node_context.py
@@ -1,4 +1,4 @@
-"""The blackboard: what the controllers of one process read and write, and nothing else."""
+"""The node context: what the controllers of one process read and write, and nothing else."""
 
 import asyncio
 import collections.abc
@@ -6,39 +6,39 @@
 import random
 import typing
 
-from irisstand import boot as booting
+from irisstand import node_settings
 from irisstand import clocks, ring
 from irisstand import counters as counting
-from irisstand.ledger import items, tables
-from irisstand.postroom import colleagues, network
-from irisstand.rollcall import detector as detecting
-from irisstand.rollcall import joining, updates
+from irisstand.state import items, tables
+from irisstand.transport import peers, network
+from irisstand.membership import detector as detecting
+from irisstand.membership import joining, updates
 
 # Of the drain: for whatever cannot be finished, an answer that says so.
 LAST_MOMENT = 0.3
 
 
-class Board:
+class NodeContext:
     def __init__(
-        self, boot: booting.Boot, role: str, clock: clocks.Clock, randomness: random.Random,
+        self, settings: node_settings.Settings, role: str, clock: clocks.Clock, randomness: random.Random,
         net: network.Network,
     ) -> None:  # fmt: skip
-        self.boot, self.clock, self.randomness, self.net = boot, clock, randomness, net
+        self.settings, self.clock, self.randomness, self.net = settings, clock, randomness, net
         self.role = role
         self.counters = counting.Counters()
         held = items.TABLES if role == "agency" else items.CARRIED
         self.copies = {name: tables.Copy(name) for name in held}
         card = updates.Card(
-            role, boot.machine, boot.site, boot.region, boot.host, boot.port, boot.http_port
+            role, settings.machine, settings.site, settings.region, settings.host, settings.port, settings.http_port
         )  # fmt: skip
-        self.detector = detecting.Detector(boot.name, card, clock, randomness, self.counters)
+        self.detector = detecting.Detector(settings.name, card, clock, randomness, self.counters)
         self.gauge = counting.Gauge(clock)
-        self.postroom = colleagues.Postroom(net, self.counters, boot.name)
-        self.postroom.handlers["gauge"] = self.on_gauge
-        self.postroom.handlers["tips"] = self.on_tips
-        self.joining = joining.Joining(self.detector, self.postroom, boot.seeds)
+        self.transport = peers.Transport(net, self.counters, settings.name)
+        self.transport.handlers["gauge"] = self.on_gauge
+        self.transport.handlers["tips"] = self.on_applied_versions
+        self.joining = joining.Joining(self.detector, self.transport, settings.seeds)
         # Leaving: readiness is off, but work is still taken. Draining: no new work either.
-        # In the last round of questions not one colleague, of the core or not, knew a table to be fresh.
+        # In the last round of questions not one peer, of the core or not, knew a table to be fresh.
         self.core_is_out = False
         self.leaving = False
         self.draining = False
@@ -54,14 +54,14 @@
     async def on_gauge(self, _: str, body: list) -> float:
         return self.gauge.per_second()
 
-    async def on_tips(self, _: str, body: list) -> tuple:
-        """The tip of each table, and whether this node would answer by it at this moment."""
+    async def on_applied_versions(self, _: str, body: list) -> tuple:
+        """The applied version of each table, and whether this node would answer by it at this moment."""
         copies = self.copies.values()
-        return tuple((copy.name, tuple(copy.tip), self.is_current(copy)) for copy in copies)
+        return tuple((copy.name, tuple(copy.applied), self.is_current(copy)) for copy in copies)
 
     @property
-    def blueprint(self) -> tables.Copy:
-        return self.copies[items.BLUEPRINT]
+    def configuration(self) -> tables.Copy:
+        return self.copies[items.CONFIGURATION]
 
     @property
     def ledger(self) -> tables.Copy:
@@ -70,14 +70,14 @@
     def is_fresh(self, table: tables.Copy) -> bool:
         """Confirmed within the bound, by whatever way."""
         age = table.age(self.clock.now())
-        return age is not None and age <= self.boot.freshness_bound
+        return age is not None and age <= self.settings.freshness_bound
 
     def is_current(self, table: tables.Copy) -> bool:
         """Fresh; or, where the settings allow it, older while the whole core is out."""
         if self.is_fresh(table):
             return True
         age = table.age(self.clock.now())
-        longest = self.boot.freshness_bound + self.boot.outage_bound
+        longest = self.settings.freshness_bound + self.settings.outage_bound
         return self.core_is_out and age is not None and age <= longest
 
     def is_evacuated(self, site: str) -> bool:
@@ -90,9 +90,9 @@
         """Regions by site, as the members' cards tell them."""
         cards = [update.card for update in self.detector.roster.members.values()]
         told = {card.site: card.region for card in cards}
-        return {self.boot.site: self.boot.region, **told, **booting.pairs(self.boot.region_by_site)}
+        return {self.settings.site: self.settings.region, **told, **node_settings.pairs(self.settings.region_by_site)}
 
-    def colleagues(self, role: str) -> list[updates.Update]:
+    def peers(self, role: str) -> list[updates.Update]:
         """Members of a role not declared failed, this node left out; those not suspected come first."""
         found = [update for update in self.detector.roster.members.values() if update.card.role == role]
         return sorted(found, key=lambda update: (update.state, update.identity))
@@ -123,10 +123,10 @@
 
     async def open(self) -> None:
         """Ports first, then membership: a node that nobody can reach has no business being listed."""
-        address = (self.boot.host, self.boot.port)
+        address = (self.settings.host, self.settings.port)
         self.crashed = asyncio.get_running_loop().create_future()
         self.closing = asyncio.get_running_loop().create_future()
-        await self.postroom.open(address)
+        await self.transport.open(address)
         self.detector.port = await self.net.datagrams(address, self.detector.on_datagram)
         self.start(self.detector.run(), "detector")
         self.start(self.joining.run(), "joining")
@@ -134,7 +134,7 @@
     async def close(self) -> None:
         for task in list(self.tasks):
             task.cancel()
-        await self.postroom.close()
+        await self.transport.close()
         if self.detector.port is not None:
             self.detector.port.close()
         if self.crashed is not None and not self.crashed.done():
@@ -143,7 +143,7 @@
     async def drain(self) -> None:
         """No new work; what is under way gets its time; then goodbye."""
         self.draining = True
-        end = self.clock.now() + self.boot.drain
+        end = self.clock.now() + self.settings.drain
         while (self.held() or self.under_way) and self.clock.now() < end:
             if self.clock.now() >= end - LAST_MOMENT and not self.closing.done():
                 self.closing.set_result(None)
@@ -155,11 +155,11 @@
     def status(self) -> dict[str, typing.Any]:
         now = self.clock.now()
         copies = {
-            name: {"tip": str(copy.tip), "age": copy.age(now), "rows": len(copy.items)}
+            name: {"tip": str(copy.applied), "age": copy.age(now), "rows": len(copy.items)}
             for name, copy in self.copies.items()
         }
         return {
-            "name": self.boot.name, "role": self.role, "machine": self.boot.machine, "site": self.boot.site,
+            "name": self.settings.name, "role": self.role, "machine": self.settings.machine, "site": self.settings.site,
             "life": self.detector.identity.life, "draining": self.draining, "under_way": self.under_way,
             "tables": copies, "members": len(self.detector.roster.members) + 1,
         }  # fmt: skip
--- a/src/irisstand/boot.py
+++ b/src/irisstand/node_settings.py
@@ -1,4 +1,4 @@
-"""Boot: a process's own settings, from a file and flags that win over it, checked before a port opens."""
+"""Settings: a process's own settings, from a file and flags that win over it, checked before a port opens."""
 
 import collections.abc
 import ipaddress
@@ -11,7 +11,7 @@
 Address = tuple[str, int]
 
 
-class Boot(typing.NamedTuple):
+class Settings(typing.NamedTuple):
     name: str
     machine: str
     site: str
@@ -185,23 +185,23 @@
     ),
     "cold_factor": (number_between(0, 100), "how many times its rate a cold origin may get in a second"),
 }
-OPTIONAL = set(Boot._field_defaults)
+OPTIONAL = set(Settings._field_defaults)
 
 
 def read_file(path: str) -> dict[str, typing.Any]:
     try:
         return tomllib.loads(pathlib.Path(path).read_text())
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise errors.BootFault([f"settings file {path!r}: {error}; name a readable TOML file"]) from None
+        raise errors.SettingsError([f"settings file {path!r}: {error}; name a readable TOML file"]) from None
 
 
-def check(given: dict[str, typing.Any], program: str) -> Boot:
+def check(given: dict[str, typing.Any], program: str) -> Settings:
     """Every fault at once, each naming key, value and remedy.
 
     >>> check({"port": 0}, "agency")  # doctest: +ELLIPSIS
     Traceback (most recent call last):
     ...
-    irisstand.errors.BootFault: ...port: 0 does not do; give a number from 1 to 65535...
+    irisstand.errors.SettingsError: ...port: 0 does not do; give a number from 1 to 65535...
     """
     faults: list[str] = []
     checked: dict[str, typing.Any] = {}
@@ -215,7 +215,7 @@
             checked[key] = REGISTRY[key][0](value)
         except ValueError as error:
             faults.append(f"{key}: {value!r} does not do; {error}")
-    required = [key for key in Boot._fields if key not in OPTIONAL]
+    required = [key for key in Settings._fields if key not in OPTIONAL]
     required += ["data"] if program == "agency" else ["role"]
     for key in required:
         if key not in given:
@@ -232,8 +232,8 @@
     if program == "agency" and isinstance(given.get("data"), str) and "data" in checked:
         faults += check_folder(checked["data"])
     if faults:
-        raise errors.BootFault(faults)
-    return Boot(**checked)
+        raise errors.SettingsError(faults)
+    return Settings(**checked)
 
 
 def check_folder(folder: str) -> list[str]:
--- a/src/irisstand/postroom/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Frames, codec and connections between colleagues."""
--- a/src/irisstand/reloading.py
+++ b/src/irisstand/reloading.py
@@ -5,27 +5,27 @@
 import contextlib
 import sys
 
-from irisstand import blackboard, errors, ring
-from irisstand import boot as booting
+from irisstand import node_context, errors, ring
+from irisstand import node_settings
 
-# The file may change without a signal; seeds are needed only when all colleagues are gone.
+# The file may change without a signal; seeds are needed only when all peers are gone.
 LOOK_AGAIN = 10.0
 
 
-def take_up(board: blackboard.Board, boot: booting.Boot) -> list[str]:
+def take_up(context: node_context.NodeContext, settings: node_settings.Settings) -> list[str]:
     """Take up what can change; the names of settings that would need a new start."""
-    old = board.boot
-    changed = [name for name in booting.Boot._fields if getattr(old, name) != getattr(boot, name)]
+    old = context.settings
+    changed = [name for name in node_settings.Settings._fields if getattr(old, name) != getattr(settings, name)]
     if "seeds" in changed:
-        board.joining.reseed(boot.seeds)
-        board.boot = old._replace(seeds=boot.seeds)
-        ring.note("settings", seeds=[list(seed) for seed in boot.seeds])
+        context.joining.reseed(settings.seeds)
+        context.settings = old._replace(seeds=settings.seeds)
+        ring.note("settings", seeds=[list(seed) for seed in settings.seeds])
     # Whether it may found concerns only the next start.
     return [name for name in changed if name not in ("seeds", "may_found")]
 
 
 async def follow(
-    board: blackboard.Board, signalled: asyncio.Event, read_again: collections.abc.Callable[[], booting.Boot]
+    context: node_context.NodeContext, signalled: asyncio.Event, read_again: collections.abc.Callable[[], node_settings.Settings]
 ) -> None:
     """On each signal, and now and then without one. A file that does not do changes nothing, and is told
     of."""
@@ -37,8 +37,8 @@
         is_asked = signalled.is_set()
         signalled.clear()
         try:
-            left = [f"{name}: changed, which takes a new start" for name in take_up(board, read_again())]
-        except errors.BootFault as error:
+            left = [f"{name}: changed, which takes a new start" for name in take_up(context, read_again())]
+        except errors.SettingsError as error:
             left = error.faults
         # Said once for each change, and again to whoever asks by a signal.
         if left and (is_asked or left != told):
--- a/src/irisstand/running.py
+++ b/src/irisstand/running.py
@@ -1,4 +1,4 @@
-"""Running a program: flags and file to boot, one uvloop, signals, drain, exit codes."""
+"""Running a program: flags and file to settings, one uvloop, signals, drain, exit codes."""
 
 import asyncio
 import collections.abc
@@ -10,12 +10,12 @@
 import uvloop
 
 import irisstand
-from irisstand import blackboard, errors, reloading, ring
-from irisstand import boot as booting
+from irisstand import node_context, errors, reloading, ring
+from irisstand import node_settings
 
-Opened = tuple[blackboard.Board, collections.abc.Callable[[], collections.abc.Awaitable[None]]]
-Reread = collections.abc.Callable[[], booting.Boot]
-Assemble = collections.abc.Callable[[booting.Boot, ring.Ring], collections.abc.Awaitable[Opened]]
+Opened = tuple[node_context.NodeContext, collections.abc.Callable[[], collections.abc.Awaitable[None]]]
+Reread = collections.abc.Callable[[], node_settings.Settings]
+Assemble = collections.abc.Callable[[node_settings.Settings, ring.Ring], collections.abc.Awaitable[Opened]]
 
 
 def command(program: str, help_text: str, assemble: Assemble) -> click.Command:
@@ -25,20 +25,20 @@
         given = {key: value for key, value in flags.items() if value is not None}
         try:
             # Flags win over the file.
-            boot = booting.check({**(booting.read_file(settings) if settings else {}), **given}, program)
-        except errors.BootFault as error:
+            checked = node_settings.check({**(node_settings.read_file(settings) if settings else {}), **given}, program)
+        except errors.SettingsError as error:
             for fault in error.faults:
                 click.echo(f"irisstand-{program}: {fault}", err=True)
             sys.exit(2)
-        def read_again() -> booting.Boot:
-            return booting.check({**(booting.read_file(settings) if settings else {}), **given}, program)
+        def read_again() -> node_settings.Settings:
+            return node_settings.check({**(node_settings.read_file(settings) if settings else {}), **given}, program)
 
-        sys.exit(run(boot, assemble, read_again))
+        sys.exit(run(checked, assemble, read_again))
 
     parameters: list[click.Parameter] = [
         click.Option(["--settings"], metavar="FILE", help="a TOML file of settings; flags win over it")
     ]
-    for key, (_, about) in booting.REGISTRY.items():
+    for key, (_, about) in node_settings.REGISTRY.items():
         if program == "agency" and key == "role":
             continue
         parameters.append(click.Option(["--" + key.replace("_", "-")], metavar="VALUE", help=about))
@@ -46,11 +46,11 @@
     return click.version_option(irisstand.VERSION, prog_name=f"irisstand-{program}")(made)
 
 
-def run(boot: booting.Boot, assemble: Assemble, read_again: Reread | None = None) -> int:
+def run(settings: node_settings.Settings, assemble: Assemble, read_again: Reread | None = None) -> int:
     log_ring = ring.Ring()
     log_ring.attach()
     try:
-        return uvloop.run(serve(boot, assemble, log_ring, read_again))
+        return uvloop.run(serve(settings, assemble, log_ring, read_again))
     except Exception as error:
         ring.note("crash", error=repr(error))
         log_ring.write_out(f"crash: {error!r}")
@@ -58,7 +58,7 @@
 
 
 async def serve(
-    boot: booting.Boot, assemble: Assemble, log_ring: ring.Ring, read_again: Reread | None = None
+    settings: node_settings.Settings, assemble: Assemble, log_ring: ring.Ring, read_again: Reread | None = None
 ) -> int:
     stop, again = asyncio.Event(), asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -66,7 +66,7 @@
         loop.add_signal_handler(number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, again.set)
     try:
-        board, stop_listening = await assemble(boot, log_ring)
+        context, stop_listening = await assemble(settings, log_ring)
     except OSError as error:
         print(f"irisstand: {error}; free the port or name another", file=sys.stderr)
         return 2
@@ -74,22 +74,22 @@
         print(f"irisstand: {error.code}: {error}; {error.remedy}", file=sys.stderr)
         return 2
     if read_again is not None:
-        board.start(reloading.follow(board, again, read_again), "settings")
+        context.start(reloading.follow(context, again, read_again), "settings")
     waiting = loop.create_task(stop.wait())
-    await asyncio.wait([waiting, board.crashed], return_when=asyncio.FIRST_COMPLETED)
-    if board.crashed.done():
-        error = board.crashed.exception()
+    await asyncio.wait([waiting, context.crashed], return_when=asyncio.FIRST_COMPLETED)
+    if context.crashed.done():
+        error = context.crashed.exception()
         if isinstance(error, errors.PortTaken):
             print(f"irisstand: {error}; {error.remedy}", file=sys.stderr)
             return 2
         log_ring.write_out(f"crash: {error!r}")
         return 1
-    # Balancers and colleagues first learn that this node leaves; until then it serves as before. A listener
+    # Balancers and peers first learn that this node leaves; until then it serves as before. A listener
     # closed at once would reset connections that were made but not yet taken up.
-    board.leaving = True
-    await asyncio.sleep(board.boot.farewell)
+    context.leaving = True
+    await asyncio.sleep(context.settings.farewell)
     await stop_listening()
-    await board.drain()
-    await board.close()
+    await context.drain()
+    await context.close()
     log_ring.write_out("SIGTERM")
     return 0
--- a/src/irisstand/rehearsing.py
+++ b/src/irisstand/simulation_commands.py
@@ -15,8 +15,8 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--folder", default="", help="keep settings, data and logs here")
 def rehearse(shape: str, seconds: float, plan: str, seed: int, folder: str) -> None:
-    from irisstand.rehearsal import plans
-    from irisstand.rehearsal import rehearse as rehearsing
+    from irisstand.fleet import plans
+    from irisstand.fleet import rehearse as rehearsing
 
     if plan not in plans.REGISTRY:
         raise click.BadParameter(f"no such plan; use one of {', '.join(plans.REGISTRY)}")
@@ -27,7 +27,7 @@
 @click.option("--platform-port", type=click.IntRange(1, 65535), default=9000, show_default=True)
 @click.option("--site", default="north", show_default=True)
 def stand_ins(platform_port: int, site: str) -> None:
-    from irisstand.rehearsal import origin
+    from irisstand.standins import origin
 
     click.echo(f"content-1 and application-1 are listed by the platform at 127.0.0.1:{platform_port}")
     with contextlib.suppress(KeyboardInterrupt):
@@ -42,8 +42,8 @@
 @click.option("--log", is_flag=True, help="print each day's troubles")
 @click.option("--kind", default="busy", show_default=True, help="busy, kildespor, quiet, dark or planned")
 def simulate(first: int, days: int, seconds: float, workers: int, log: bool, kind: str) -> None:
-    from irisstand.rehearsal import day
-    from irisstand.rehearsal import simulate as simulating
+    from irisstand.simulator import day
+    from irisstand.simulator import simulate as simulating
 
     if kind not in day.KINDS:
         raise click.BadParameter(f"no such kind of day; use one of {', '.join(day.KINDS)}")
@@ -56,7 +56,7 @@
 @click.option("--seeds", type=click.IntRange(1), default=3, show_default=True)
 @click.option("--rows", type=click.IntRange(0), default=0, show_default=True, help="rows that lie there")
 def storm(clients: int, seconds: float, seeds: int, rows: int) -> None:
-    from irisstand.rehearsal import storm as storming
+    from irisstand.simulator import storm as storming
 
     for seed in range(1, seeds + 1):
         figures = storming.measure(seed, clients, seconds, rows)
@@ -68,7 +68,7 @@
 @click.option("--loss", type=click.FloatRange(0, 0.9), default=0.0, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
 def detection(kills: int, loss: float, seed: int) -> None:
-    from irisstand.rehearsal import detection as detecting
+    from irisstand.simulator import detection as detecting
 
     for line in detecting.measure(seed, kills, loss):
         click.echo(line)
@@ -76,7 +76,7 @@
 
 @click.command(help="Measure what members, rows, objects and messages weigh, for docs/CAPACITY.md.")
 def sizes() -> None:
-    from irisstand.rehearsal import sizes as sizing
+    from irisstand.simulator import sizes as sizing
 
     for what, unit, figure in sizing.measure():
         click.echo(f"{what:<50} {figure:>12.4g} {unit}")
--- a/src/irisstand/rehearsal/day.py
+++ b/src/irisstand/simulator/day.py
@@ -1,4 +1,4 @@
-"""A day in the simulator: consumers, operators and random trouble, and every rule checked all along."""
+"""A day in the simulator: clients, operators and random trouble, and every rule checked all along."""
 
 import asyncio
 import collections.abc
@@ -6,8 +6,9 @@
 import typing
 
 from irisstand import errors
-from irisstand.rehearsal import acting, doorstep, fleet, trouble, trouble_fleet, virtual, watching
-from irisstand.rehearsal import world as worlds
+from irisstand.simulator import simulated_actors as acting, origin_judge as doorstep, faults as trouble, fleet_faults as trouble_fleet, virtual_time as virtual, invariants as watching
+from irisstand.fleet import processes as fleet
+from irisstand.simulator import world as worlds
 
 SHAPE = fleet.Shape(
     3, 5, 2, (("north", "one"), ("south", "one"), ("east", "two"), ("west", "two")), 4, 4, 40, 3.0
@@ -21,7 +22,7 @@
 
 
 def rows(ceilings: Ceilings, shape: fleet.Shape, limit: int) -> list[dict[str, typing.Any]]:
-    """The first blueprint of a simulated day."""
+    """The first configuration of a simulated day."""
     made = []
     for name, (rate, inflight) in ceilings.items():
         value = {"deadline": shape.deadline, "ceiling": {"rate": rate, "inflight": inflight}}
@@ -110,7 +111,7 @@
         values = {f"{row['kind']}/{row['name']}": row["value"] for row in first}
         self.watching.confirmed_rows(values, result["serial"])
         await self.world.until_ready()
-        ledger = self.world.nodes["agency-1"].body.board.ledger
+        ledger = self.world.nodes["agency-1"].body.context.ledger
         await self.world.until(lambda: len(list(ledger.under("origin/"))) == len(self.stage.origins), 10)
         await asyncio.sleep(2)
 
@@ -154,8 +155,8 @@
                 self.start(self.watching.read_ungranted(edge))
             await asyncio.sleep(self.randomness.expovariate(self.world.shape.rate))
 
-    def some_agency(self) -> str:
-        return trouble_fleet.some_agency(self.trouble)
+    def some_control_node(self) -> str:
+        return trouble_fleet.some_control_node(self.trouble)
 
     async def purge(self) -> None:
         end = self.now() + self.seconds
@@ -167,15 +168,15 @@
         self.stage.records.versions[path] += 1
         version = self.stage.records.versions[path]
         try:
-            await self.stage.order(self.some_agency(), "purge", [("path", path)])
+            await self.stage.order(self.some_control_node(), "purge", [("path", path)])
             self.judge.purged(path, self.now(), version)
             self.judge.results["purge confirmed"] += 1
         except (errors.IrisError, TimeoutError):
             self.judge.results["purge not confirmed"] += 1
 
-    async def change_at(self, agency: str) -> None:
+    async def change_at(self, control_node: str) -> None:
         number = self.randomness.randrange(SWITCHES)
-        await self.watching.change(agency, number, switch(number, self.randomness.choice(SERVICES)))
+        await self.watching.change(control_node, number, switch(number, self.randomness.choice(SERVICES)))
 
     async def change(self) -> None:
         """Changes now and then from two places at once, and now and then an invalid one."""
@@ -185,9 +186,9 @@
             number = self.randomness.randrange(SWITCHES)
             for _ in range(self.randomness.choice((1, 1, 2))):
                 service = self.randomness.choice(SERVICES)
-                self.start(self.watching.change(self.some_agency(), number, switch(number, service)))
+                self.start(self.watching.change(self.some_control_node(), number, switch(number, service)))
             if self.randomness.random() < 0.2:
-                self.start(self.watching.invalid_change(self.some_agency(), switch(number, "nobody")))
+                self.start(self.watching.invalid_change(self.some_control_node(), switch(number, "nobody")))
 
 
 def simulate(seed: int, seconds: float, kind: str = "busy") -> Day:
--- a/src/irisstand/rehearsal/detection.py
+++ b/src/irisstand/simulator/detection.py
@@ -3,9 +3,10 @@
 import asyncio
 import math
 
-from irisstand.rehearsal import fleet, virtual
-from irisstand.rehearsal import world as worlds
-from irisstand.rollcall import detector, updates
+from irisstand.fleet import processes as fleet
+from irisstand.simulator import virtual_time as virtual
+from irisstand.simulator import world as worlds
+from irisstand.membership import detector, updates
 
 PERIOD = detector.Tuning.period
 
@@ -27,7 +28,7 @@
 
     def listen(self) -> None:
         for node in self.world.nodes.values():
-            listeners = node.body.board.detector.listeners
+            listeners = node.body.context.detector.listeners
             if self.heard not in listeners:
                 listeners.append(self.heard)
 
@@ -41,7 +42,7 @@
     def is_known(self) -> bool:
         others = [node for name, node in self.world.nodes.items() if name != self.victim]
         return all(
-            all(who.name != self.victim for who in node.body.board.detector.roster.members) for node in others
+            all(who.name != self.victim for who in node.body.context.detector.roster.members) for node in others
         )
 
     async def run(self, kills: int) -> list[str]:
@@ -73,9 +74,9 @@
         lines.append(f"spread of Confirm: {spread(spreads)}")
         expected = 1 / (1 - math.exp(-1))
         lines.append(f"the paper expects a first suspicion after {expected:.2f} periods, section 3.1")
-        boards = [node.body.board for node in world.nodes.values()]
-        lines.append(f"a suspicion ripens after {max(board.detector.limit() for board in boards)} periods")
-        lives = sum(board.counters.get("swim_lives") for board in boards)
+        contexts = [node.body.context for node in world.nodes.values()]
+        lines.append(f"a suspicion ripens after {max(context.detector.limit() for context in contexts)} periods")
+        lives = sum(context.counters.get("swim_lives") for context in contexts)
         lines.append(f"living members that were declared failed: {lives:.0f}")
         return lines
 
--- a/src/irisstand/rehearsal/trouble.py
+++ b/src/irisstand/simulator/faults.py
@@ -7,7 +7,7 @@
 import random
 import typing
 
-from irisstand.rehearsal import trouble_fleet, trouble_origins
+from irisstand.simulator import fleet_faults as trouble_fleet, origin_faults as trouble_origins
 
 
 class Trouble:
@@ -102,12 +102,12 @@
 
     async def wipe(self) -> None:
         """One disk at a time: the brief promises to outlive one disk machine, not a majority of them."""
-        agencies = self.world.role("agency")
-        if any(node.plan.name in self.busy for node in agencies):
+        control_nodes = self.world.role("agency")
+        if any(node.plan.name in self.busy for node in control_nodes):
             return
-        node = self.randomness.choice(agencies)
+        node = self.randomness.choice(control_nodes)
         # A disk whose successor has no vote yet still counts as lost.
-        if not all(self.is_voter(other) for other in agencies):
+        if not all(self.is_voter(other) for other in control_nodes):
             return
 
         def trouble() -> None:
@@ -117,7 +117,7 @@
         await self.with_node("wipe", node, trouble, 0.2, 4, lambda: self.revive(node))
 
     def is_voter(self, node: typing.Any) -> bool:
-        return all(node.body.core.votes(table) for table in node.body.board.copies)
+        return all(node.body.core.votes(table) for table in node.body.context.copies)
 
     async def freeze(self) -> None:
         node = self.pick()
@@ -161,10 +161,10 @@
 
     async def corrupt(self) -> None:
         """Damage found at a restart; like a wipe, of one disk at a time."""
-        agencies = self.world.role("agency")
-        if any(node.plan.name in self.busy or not self.is_voter(node) for node in agencies):
+        control_nodes = self.world.role("agency")
+        if any(node.plan.name in self.busy or not self.is_voter(node) for node in control_nodes):
             return
-        node = self.randomness.choice(agencies)
+        node = self.randomness.choice(control_nodes)
         part = self.randomness.choice((".voter.", ".item.", "vault"))
 
         def trouble() -> None:
--- a/src/irisstand/rehearsal/trouble_fleet.py
+++ b/src/irisstand/simulator/fleet_faults.py
@@ -6,7 +6,7 @@
 import typing
 
 from irisstand import errors
-from irisstand.rehearsal import world as worlds
+from irisstand.simulator import world as worlds
 
 BACK_WITHIN = 15.0
 
@@ -15,7 +15,7 @@
     return asyncio.get_running_loop().time()
 
 
-def some_agency(trouble: typing.Any) -> str:
+def some_control_node(trouble: typing.Any) -> str:
     names = [node.plan.name for node in trouble.world.role("agency") if node.is_up]
     return trouble.randomness.choice(names or [trouble.world.role("agency")[0].plan.name])
 
@@ -60,7 +60,7 @@
     entry = [float("inf"), float("inf")]
     stage.evacuations[site].append(entry)
     try:
-        await stage.order(some_agency(trouble), "evacuate", site)
+        await stage.order(some_control_node(trouble), "evacuate", site)
         entry[0] = now()
     except (errors.IrisError, TimeoutError):
         pass
@@ -68,7 +68,7 @@
     entry[1] = now()
     for _ in range(8):
         try:
-            await stage.order(some_agency(trouble), "return", site)
+            await stage.order(some_control_node(trouble), "return", site)
             return
         except (errors.IrisError, TimeoutError):
             await asyncio.sleep(1)
@@ -76,13 +76,13 @@
 
 async def gone_after_yes(trouble: typing.Any) -> None:
     """The node that has just confirmed a change loses its power, and often its disk, that very moment."""
-    agencies = trouble.world.role("agency")
+    control_nodes = trouble.world.role("agency")
     wipe = trouble.randomness.random() < 0.5
-    if any(node.plan.name in trouble.busy or not node.is_up for node in agencies) or trouble.change is None:
+    if any(node.plan.name in trouble.busy or not node.is_up for node in control_nodes) or trouble.change is None:
         return
-    if not all(trouble.is_voter(node) for node in agencies):
+    if not all(trouble.is_voter(node) for node in control_nodes):
         return
-    node = trouble.randomness.choice(agencies)
+    node = trouble.randomness.choice(control_nodes)
     trouble.busy.add(node.plan.name)
     trouble.note("gone-after-yes", f"{node.plan.name}{' wiped' if wipe else ''}")
     await trouble.change(node.plan.name)
@@ -98,16 +98,16 @@
 async def replace_core(trouble: typing.Any) -> None:
     """A core machine is gone for good, and an empty one comes up at another place."""
     world = trouble.world
-    agencies = world.role("agency")
-    if any(node.plan.name in trouble.busy or not node.is_up for node in agencies):
+    control_nodes = world.role("agency")
+    if any(node.plan.name in trouble.busy or not node.is_up for node in control_nodes):
         return
-    if not all(trouble.is_voter(node) for node in agencies):
+    if not all(trouble.is_voter(node) for node in control_nodes):
         return
-    old = trouble.randomness.choice(agencies)
+    old = trouble.randomness.choice(control_nodes)
     partner = next((n for n in world.role("shield") if n.plan.machine == old.plan.machine), None)
     gone = [node for node in (old, partner) if node is not None and node.plan.name not in trouble.busy]
     # Where the fewest others are, so that the loss of one site stays bearable.
-    counts = collections.Counter(node.plan.site for node in agencies if node is not old)
+    counts = collections.Counter(node.plan.site for node in control_nodes if node is not old)
     site, region = min(world.shape.sites, key=lambda entry: counts[entry[0]])
     trouble.note("core-replaced", f"{old.plan.name} by an empty one at {site}")
     for node in gone:
--- a/src/irisstand/rehearsal/watching.py
+++ b/src/irisstand/simulator/invariants.py
@@ -6,8 +6,8 @@
 import typing
 
 from irisstand import errors
-from irisstand.ledger import items, serials
-from irisstand.rehearsal import rests
+from irisstand.state import items, versions
+from irisstand.simulator import rest_judge as rests
 
 GRACE = 2.0
 
@@ -18,14 +18,14 @@
     value: typing.Any
     sent_at: float
     confirmed_at: float | None
-    serial: serials.Serial | None
+    version: versions.Version | None
 
 
 class Watching:
     def __init__(self, world: typing.Any) -> None:
         self.world, self.stage, self.judge = world, world.stage, world.stage.judge
         self.offers: dict[str, list[Offer]] = collections.defaultdict(list)
-        self.tips: dict[tuple[str, str], serials.Serial] = {}
+        self.applied_versions: dict[tuple[str, str], versions.Version] = {}
         self.number = 0
         self.rests = rests.Rests(world)
 
@@ -33,14 +33,14 @@
         return asyncio.get_running_loop().time()
 
     # -- rows ----------------------------------------------------------------------------------------
-    def confirmed_rows(self, values: dict[str, typing.Any], serial: str) -> None:
+    def confirmed_rows(self, values: dict[str, typing.Any], version: str) -> None:
         for name, value in values.items():
-            self.offers[name].append(Offer(value, self.now(), self.now(), serials.parse(serial)))
+            self.offers[name].append(Offer(value, self.now(), self.now(), versions.parse(version)))
 
-    async def change(self, agency: str, number: int, row: dict) -> None:
+    async def change(self, control_node: str, number: int, row: dict) -> None:
         name = f"path/{row['name']}"
-        node = self.world.nodes[agency]
-        expected = str(node.body.board.blueprint.serial(name))
+        node = self.world.nodes[control_node]
+        expected = str(node.body.context.configuration.version(name))
         sent_at = self.now()
         # From here on it may be in force, long before its sender hears of it.
         offer = Offer(row["value"], sent_at, None, None)
@@ -49,8 +49,8 @@
         change = f"switch-{self.number}"
         for attempt in range(3):
             try:
-                result = await self.stage.order(agency, "change", [{**row, "expected": expected}], change)
-            except errors.StaleSerial:
+                result = await self.stage.order(control_node, "change", [{**row, "expected": expected}], change)
+            except errors.StaleVersion:
                 self.judge.results["change: another came first"] += 1
                 self.offers[name].remove(offer)
                 return
@@ -62,26 +62,26 @@
                 return
             except (errors.IrisError, TimeoutError):
                 # Not known: the same id again must bring the one true result, from any node.
-                agency = self.another(agency)
+                control_node = self.another(control_node)
                 continue
             self.judge.results["change confirmed"] += 1
-            serial = serials.parse(result["serial"])
-            taken = any(other.serial == serial and other.value != row["value"] for other in self.offers[name])
-            self.judge.check("two racing changes never both win", not taken, f"{name} {serial}")
+            version = versions.parse(result["serial"])
+            taken = any(other.version == version and other.value != row["value"] for other in self.offers[name])
+            self.judge.check("two racing changes never both win", not taken, f"{name} {version}")
             place = self.offers[name].index(offer)
-            self.offers[name][place] = offer._replace(confirmed_at=self.now(), serial=serial)
+            self.offers[name][place] = offer._replace(confirmed_at=self.now(), version=version)
             return
         self.judge.results["change: outcome unknown"] += 1
 
-    def another(self, agency: str) -> str:
+    def another(self, control_node: str) -> str:
         names = [node.plan.name for node in self.world.role("agency") if node.is_up]
-        return next((name for name in names if name != agency), agency)
+        return next((name for name in names if name != control_node), control_node)
 
-    async def invalid_change(self, agency: str, row: dict) -> None:
+    async def invalid_change(self, control_node: str, row: dict) -> None:
         """A good row and a bad one: neither may ever be seen."""
         good = {"kind": "path", "name": "/never-in-force", "value": row["value"]}
         try:
-            await self.stage.order(agency, "change", [good, row])
+            await self.stage.order(control_node, "change", [good, row])
             self.judge.check("an invalid change is rejected whole", False, "it was confirmed")
         except errors.BadChange:
             self.judge.check("an invalid change is rejected whole", True)
@@ -92,10 +92,10 @@
         """Services that may answer: the last confirmed two seconds ago, and all that may be newer."""
         offers = self.offers[name]
         sure = [o for o in offers if o.confirmed_at is not None and o.confirmed_at <= asked_at - GRACE]
-        newest = max(sure, key=lambda offer: offer.serial)
+        newest = max(sure, key=lambda offer: offer.version)
         found = set()
         for offer in offers:
-            unsettled = offer.serial is None or offer.serial >= newest.serial
+            unsettled = offer.version is None or offer.version >= newest.version
             if unsettled and offer.sent_at <= answered_at:
                 found.add(offer.value["grants"][0]["service"])
         return found
@@ -128,12 +128,12 @@
         for name, node in self.world.nodes.items():
             if not node.is_up or node.body is None:
                 continue
-            for table, copy in node.body.board.copies.items():
-                if node.body.board.is_current(copy):
-                    before = self.tips.get((name, table), serials.NONE)
+            for table, copy in node.body.context.copies.items():
+                if node.body.context.is_current(copy):
+                    before = self.applied_versions.get((name, table), versions.NONE)
                     rule = "no node that serves slips back to an older table"
-                    self.judge.check(rule, copy.tip >= before, f"{name} {table}: {copy.tip} after {before}")
-                    self.tips[(name, table)] = max(before, copy.tip)
+                    self.judge.check(rule, copy.applied >= before, f"{name} {table}: {copy.applied} after {before}")
+                    self.applied_versions[(name, table)] = max(before, copy.applied)
             self.look_at_shares(name, node, used)
             for duty in getattr(node.body, "duties", []):
                 if duty.holds():
@@ -148,10 +148,10 @@
 
     def look_at_shares(self, name: str, node: typing.Any, used: dict[str, list[tuple]]) -> None:
         """What each shield would let through, if it were asked at this moment."""
-        board = node.body.board
-        if node.plan.role != "shield" or not all(map(board.is_current, board.copies.values())):
+        context = node.body.context
+        if node.plan.role != "shield" or not all(map(context.is_current, context.copies.values())):
             return
-        for item in node.body.board.blueprint.under("service/"):
+        for item in node.body.context.configuration.under("service/"):
             ceiling = item.value["ceiling"]
             service = item.key.removeprefix("service/")
             rate, _ = node.body.view.share(service, (ceiling["rate"], ceiling["inflight"]))
@@ -163,21 +163,21 @@
         self.judge.results["rows watched"] += len(self.offers)
 
     def close_tables(self) -> None:
-        boards = {name: node.body.board for name, node in self.world.nodes.items() if node.is_up}
-        for name, board in boards.items():
+        contexts = {name: node.body.context for name, node in self.world.nodes.items() if node.is_up}
+        for name, context in contexts.items():
             for key, offers in self.offers.items():
-                value, serial = board.blueprint.value(key), board.blueprint.serial(key)
-                sure = max((o for o in offers if o.serial is not None), key=lambda offer: offer.serial)
-                kept = (value == sure.value and serial == sure.serial) or (
-                    serial > sure.serial and any(o.serial is None and o.value == value for o in offers)
+                value, version = context.configuration.value(key), context.configuration.version(key)
+                sure = max((o for o in offers if o.version is not None), key=lambda offer: offer.version)
+                kept = (value == sure.value and version == sure.version) or (
+                    version > sure.version and any(o.version is None and o.value == value for o in offers)
                 )
                 rule = "the table read back is what was confirmed"
-                self.judge.check(rule, kept, f"{name} {key}: {serial} where {sure.serial} was confirmed")
+                self.judge.check(rule, kept, f"{name} {key}: {version} where {sure.version} was confirmed")
             rule = "an invalid change is rejected whole"
-            self.judge.check(rule, board.blueprint.value("path//never-in-force") is None, name)
+            self.judge.check(rule, context.configuration.value("path//never-in-force") is None, name)
         for table in items.TABLES:
-            # Terms are renewed all the time, so copies are compared with those at the same tip.
-            copies = [board.copies[table] for board in boards.values() if table in board.copies]
-            kinds = {(copy.tip, copy.root()) for copy in copies}
-            alike = len(kinds) == len({tip for tip, _ in kinds})
+            # Terms are renewed all the time, so copies are compared with those at the same applied version.
+            copies = [context.copies[table] for context in contexts.values() if table in context.copies]
+            kinds = {(copy.applied, copy.root()) for copy in copies}
+            alike = len(kinds) == len({applied for applied, _ in kinds})
             self.judge.check("all copies come out alike", alike, f"{table}: {kinds}")
--- a/src/irisstand/rehearsal/wires.py
+++ b/src/irisstand/simulator/memory_network.py
@@ -6,8 +6,8 @@
 import random
 import typing
 
-from irisstand.postroom import network
-from irisstand.rehearsal import virtual
+from irisstand.transport import network
+from irisstand.simulator import virtual_time as virtual
 
 RETRANSMIT = 0.2
 
--- a/src/irisstand/rehearsal/doorstep.py
+++ b/src/irisstand/simulator/origin_judge.py
@@ -3,7 +3,7 @@
 import bisect
 import typing
 
-from irisstand.shortlist import warming
+from irisstand.balancing import warming
 
 GRACE = 2.0
 EVACUATED_GRACE = 5.0
--- a/src/irisstand/rehearsal/rests.py
+++ b/src/irisstand/simulator/rest_judge.py
@@ -2,9 +2,9 @@
 
 import typing
 
-from irisstand.agency import fleetview
-from irisstand.ledger import items, quorum
-from irisstand.shortlist import rota
+from irisstand.controlplane import fleet_view
+from irisstand.state import items, quorum
+from irisstand.balancing import rota
 
 # A loss younger than this cannot be known yet to whoever records a rest: asking and deciding take that long.
 UNKNOWN = 1.5
@@ -22,8 +22,8 @@
         self.longest: dict[str, float] = {}
 
     def look(self, now: float) -> None:
-        boards = [node.body.board for node in self.world.nodes.values() if node.body is not None]
-        ledger = max((board.ledger for board in boards), key=lambda copy: copy.tip)
+        contexts = [node.body.context for node in self.world.nodes.values() if node.body is not None]
+        ledger = max((context.ledger for context in contexts), key=lambda copy: copy.applied)
         voters = quorum.decode(ledger.value(items.VOTERS))
         up = {n.plan.name for n in self.world.nodes.values() if n.is_up and self.reaches_core(n, voters)}
         # Whatever was there at the last look and is not now was lost since.
@@ -33,24 +33,24 @@
         # While nothing can be decided, nobody can be told to do anything else.
         if self.core_is_short(ledger) == "majority":
             self.world.stage.deaf.append((now - 0.05, now))
-        for role in fleetview.DEFAULT_LIMITS:
-            self.look_at(role, ledger, boards, now)
+        for role in fleet_view.DEFAULT_LIMITS:
+            self.look_at(role, ledger, contexts, now)
 
-    def look_at(self, role: str, ledger: typing.Any, boards: list, now: float) -> None:
-        blueprint = max((board.blueprint for board in boards), key=lambda copy: copy.tip)
+    def look_at(self, role: str, ledger: typing.Any, contexts: list, now: float) -> None:
+        configuration = max((context.configuration for context in contexts), key=lambda copy: copy.applied)
         nodes = [node for node in self.world.role(role) if node.plan.name in self.up]
         nodes = [n for n in nodes if ledger.value(f"evacuated/{n.plan.site}") is None]
         resting = {n.plan.machine for n in nodes if ledger.value(f"rest/{n.plan.machine}") is not None}
         awake = []
         for node in nodes:
             if node.plan.machine not in resting:
-                row = blueprint.value(f"shield/{node.plan.machine}") or {}
-                limit = row.get("limit", fleetview.DEFAULT_LIMITS[role])
+                row = configuration.value(f"shield/{node.plan.machine}") or {}
+                limit = row.get("limit", fleet_view.DEFAULT_LIMITS[role])
                 awake.append(rota.Machine(node.plan.machine, node.plan.site, limit, False))
-        load = sum(node.body.board.gauge.per_second() for node in nodes)
+        load = sum(node.body.context.gauge.per_second() for node in nodes)
         short = rota.carries(awake, load)
         # By the row itself: a machine that comes back may find an older rest of its own still recorded.
-        recorded = {(name, ledger.serial(f"rest/{name}")) for name in resting}
+        recorded = {(name, ledger.version(f"rest/{name}")) for name in resting}
         fresh = recorded - self.recorded
         self.recorded |= recorded
         if fresh and now - self.lost_at > UNKNOWN:
@@ -81,7 +81,7 @@
         up = [voter for voter in voters if voter.name in self.up]
         # A full or stalled disk answers questions, but decides nothing.
         able = [voter for voter in up if not self.is_stuck(voter.name)]
-        if not quorum.is_durable(voters, {voter.vault for voter in able}):
+        if not quorum.is_durable(voters, {voter.disk_id for voter in able}):
             return "majority"
         carried = rota.core_carries(quorum.places(voters), {voter.name for voter in up})
         return "" if carried else "core"
--- a/src/irisstand/rehearsal/simulate.py
+++ b/src/irisstand/simulator/simulate.py
@@ -6,7 +6,7 @@
 import traceback
 import typing
 
-from irisstand.rehearsal import day
+from irisstand.simulator import day
 
 Say = typing.Callable[[str], None]
 
--- a/src/irisstand/rehearsal/acting.py
+++ b/src/irisstand/simulator/simulated_actors.py
@@ -1,4 +1,4 @@
-"""Stand-ins inside the simulator: the platform, consumers and operators around the origins."""
+"""Stand-ins inside the simulator: the platform, clients and operators around the origins."""
 
 import asyncio
 import collections
@@ -6,12 +6,12 @@
 import typing
 
 from irisstand import errors
-from irisstand.agency import orders, watch
-from irisstand.noticeboard import edge as edges
-from irisstand.noticeboard import views
-from irisstand.rehearsal import judge as judges
-from irisstand.rehearsal import origin as origins
-from irisstand.rehearsal import simulated
+from irisstand.controlplane import orders, platform_watch as watch
+from irisstand.dataplane import edge as edges
+from irisstand.dataplane import views
+from irisstand.fleet import judge as judges
+from irisstand.standins import origin as origins
+from irisstand.simulator import simulated_origins as simulated
 
 
 class Stage:
@@ -78,7 +78,7 @@
         order = orders.Order(kind, change or f"change-{self.number}", payload)
         node = self.world.nodes[name]
         # As its operators' page says it, or the closed listener behind it.
-        if node.body.board.draining:
+        if node.body.context.draining:
             raise errors.Draining(f"{name} is shutting down")
         actor = node.actor
         actor.asks += 1
@@ -88,12 +88,12 @@
             actor.asks -= 1
 
 
-    # -- consumers -----------------------------------------------------------------------------------
+    # -- clients -----------------------------------------------------------------------------------
     async def ask(self, edge: str, method: str, path: str, body: bytes = b"", **headers: str) -> tuple:
-        """(status, code, result): what a consumer sees; status 0 if nothing came back."""
+        """(status, code, result): what a client sees; status 0 if nothing came back."""
         node = self.world.nodes[edge]
         # The listener of an edge that drains is closed.
-        if not node.is_up or node.body.board.draining:
+        if not node.is_up or node.body.context.draining:
             return 0, "no-answer", None
         given = {name.replace("_", "-"): value for name, value in headers.items()}
         request = edges.Request(method, path, "", given, body)
--- a/src/irisstand/rehearsal/simulated.py
+++ b/src/irisstand/simulator/simulated_origins.py
@@ -5,8 +5,8 @@
 import json
 import typing
 
-from irisstand.noticeboard import lines, objects
-from irisstand.rehearsal import origin as origins
+from irisstand.dataplane import lines, objects
+from irisstand.standins import origin as origins
 
 
 class SimulatedOrigin:
--- a/src/irisstand/rehearsal/sizes.py
+++ b/src/irisstand/simulator/sizes.py
@@ -7,11 +7,11 @@
 
 from irisstand import clocks
 from irisstand import counters as counting
-from irisstand.ledger import items, serials, tables
-from irisstand.noticeboard import cache, objects
-from irisstand.postroom import codec
-from irisstand.rollcall import detector, updates
-from irisstand.shortlist import parts
+from irisstand.state import items, versions, tables
+from irisstand.dataplane import cache, objects
+from irisstand.transport import codec
+from irisstand.membership import detector, updates
+from irisstand.balancing import parts
 
 
 def card(number: int) -> updates.Update:
@@ -39,7 +39,7 @@
 
 def row_bytes(prefix: str, value: typing.Any, rows: int) -> float:
     copy = tables.Copy(items.LEDGER)
-    made = serials.Serial(1, "core-1~ab")
+    made = versions.Version(1, "core-1~ab")
     return grown(lambda n: copy.put(items.Item(f"{prefix}/{n:08d}", made, value)), rows)
 
 
@@ -48,8 +48,8 @@
     head = (("etag", '"v1"'), ("content-type", "text/html"))
 
     def put(number: int) -> None:
-        tip = serials.Serial(number, "n")
-        kept.put(f"s h/{number}", objects.Object(200, head, bytes(body), tip, 0.0, 0.0, 20.0, ("t",)))
+        applied = versions.Version(number, "n")
+        kept.put(f"s h/{number}", objects.Object(200, head, bytes(body), applied, 0.0, 0.0, 20.0, ("t",)))
 
     return grown(put, count) - body
 
@@ -64,10 +64,10 @@
 
 def measure() -> list[tuple[str, str, float]]:
     """(what, unit, figure) for each size."""
-    tip = (123456, "core-region-1-zone-1-1~0123456789ab")
-    question = (("blueprint", tip, bytes(16)), ("ledger", tip, bytes(16)))
-    same = ((tip, 0.12, bytes(16), ("same",)),) * 2
-    purge = ("purge/path/host.example/objects/1234", tip, {"purge": "path"})
+    applied = (123456, "core-region-1-zone-1-1~0123456789ab")
+    question = (("blueprint", applied, bytes(16)), ("ledger", applied, bytes(16)))
+    same = ((applied, 0.12, bytes(16), ("same",)),) * 2
+    purge = ("purge/path/host.example/objects/1234", applied, {"purge": "path"})
     riding = tuple(updates.encode(card(number)) for number in range(6))
     ping = ("ping", 123456, ("edge-zone-1-1", "0" * 16), ("edge-zone-2-2", "0" * 16), riding)
     found: list[tuple[str, str, float]] = [
--- a/src/irisstand/rehearsal/storm.py
+++ b/src/irisstand/simulator/storm.py
@@ -4,13 +4,13 @@
 import typing
 
 from irisstand import errors
-from irisstand.rehearsal import day as days
-from irisstand.rehearsal import virtual
+from irisstand.simulator import day as days
+from irisstand.simulator import virtual_time as virtual
 
 
 class Figures(typing.NamedTuple):
     confirmed: int
-    rejected: int
+    refused: int
     not_confirmed: int
     middle: float
     slowest: float
@@ -28,11 +28,11 @@
         self.rows = rows
         self.clients, self.seconds = clients, seconds
         self.latencies: list[float] = []
-        self.rejected = 0
+        self.refused = 0
         self.not_confirmed = 0
 
     def counted(self, name: str) -> float:
-        return sum(node.body.board.counters.total(name) for node in self.day.world.role("agency"))
+        return sum(node.body.context.counters.total(name) for node in self.day.world.role("agency"))
 
     async def run(self) -> Figures:
         await self.day.open()
@@ -47,7 +47,7 @@
         sent = self.day.world.wires.bytes_sent.total() - bytes_before
         ordered = sorted(self.latencies)
         return Figures(
-            len(ordered), self.rejected, self.not_confirmed, ordered[len(ordered) // 2],
+            len(ordered), self.refused, self.not_confirmed, ordered[len(ordered) // 2],
             ordered[int(len(ordered) * 0.99)], *counts, sent / self.seconds / len(self.day.world.nodes),
         )  # fmt: skip
 
@@ -64,17 +64,17 @@
     async def client(self, number: int) -> None:
         loop = asyncio.get_running_loop()
         end = loop.time() + self.seconds
-        agency = f"agency-{number % 5 + 1}"
+        control_node = f"agency-{number % 5 + 1}"
         count = 0
         while loop.time() < end:
             count += 1
             kind, payload = self.order(number, count)
             started = loop.time()
             try:
-                await self.day.stage.order(agency, kind, payload)
+                await self.day.stage.order(control_node, kind, payload)
                 self.latencies.append(loop.time() - started)
-            except (errors.BadChange, errors.StaleSerial):
-                self.rejected += 1
+            except (errors.BadChange, errors.StaleVersion):
+                self.refused += 1
             except (errors.IrisError, TimeoutError):
                 self.not_confirmed += 1
 
--- a/src/irisstand/rehearsal/virtual.py
+++ b/src/irisstand/simulator/virtual_time.py
@@ -20,7 +20,7 @@
         self.name = name
         self.frozen = False
         self.dead = False
-        # What consumers and operators wait for from this very process.
+        # What clients and operators wait for from this very process.
         self.asks = 0
         self.parked: list[tuple] = []
         self.tasks: list[asyncio.Task] = []
--- a/src/irisstand/rehearsal/world.py
+++ b/src/irisstand/simulator/world.py
@@ -5,11 +5,12 @@
 import random
 import typing
 
-from irisstand import boot as booting
+from irisstand import node_settings
 from irisstand import clocks, errors
-from irisstand.agency import assembly as agencies
-from irisstand.noticeboard import assembly as noticeboards
-from irisstand.rehearsal import acting, fleet, shelf, simulated, virtual, wires
+from irisstand.controlplane import assembly as control_nodes
+from irisstand.dataplane import assembly as data_nodes
+from irisstand.simulator import simulated_actors as acting, memory_disk as shelf, simulated_origins as simulated, virtual_time as virtual, memory_network as wires
+from irisstand.fleet import processes as fleet
 
 
 class Plan(typing.NamedTuple):
@@ -31,9 +32,9 @@
         self.actor.dead = True
         self.body: typing.Any = None
         self.was_wiped = False
-    def boot(self) -> booting.Boot:
+    def settings(self) -> node_settings.Settings:
         plan = self.plan
-        return booting.Boot(
+        return node_settings.Settings(
             plan.name, plan.machine, plan.site, plan.region, plan.host, 7000, 8000, self.world.seeds,
             role=plan.role, data="memory", founding=self.world.founding,
             replace_after=self.world.replace_after, found_by_seeds=self.world.by_seeds,
@@ -49,13 +50,13 @@
         randomness = random.Random(world.randomness.getrandbits(64))
         network = wires.MemoryNetwork(world.wires, self.plan.host)
         if self.plan.role == "agency":
-            self.body = agencies.Agency(
-                self.boot(), clocks.LoopClock(), randomness, network, self.disk, world.ask_platform
+            self.body = control_nodes.ControlNode(
+                self.settings(), clocks.LoopClock(), randomness, network, self.disk, world.ask_platform
             )
         else:
             opener = simulated.line_opener(world, self.plan.host)
-            self.body = noticeboards.Noticeboard(
-                self.boot(), clocks.LoopClock(), randomness, network, opener
+            self.body = data_nodes.DataNode(
+                self.settings(), clocks.LoopClock(), randomness, network, opener
             )
         await self.actor.start(self.body.open())
 
@@ -75,10 +76,10 @@
 
     async def stop(self) -> None:
         """As SIGTERM does it."""
-        board = self.body.board
-        board.leaving = True
-        await self.actor.start(asyncio.sleep(board.boot.farewell))
-        await self.actor.start(board.drain())
+        context = self.body.context
+        context.leaving = True
+        await self.actor.start(asyncio.sleep(context.settings.farewell))
+        await self.actor.start(context.drain())
         # Whoever still waits for an answer now will never get it.
         rule = "a planned restart drops no answer under way"
         if self.is_up:
@@ -175,8 +176,8 @@
         for name, node in self.nodes.items():
             if node.is_up and not self.is_ready(node):
                 now = asyncio.get_running_loop().time()
-                copies = {table: (str(copy.tip), copy.age(now))
-                          for table, copy in node.body.board.copies.items()}  # fmt: skip
+                copies = {table: (str(copy.applied), copy.age(now))
+                          for table, copy in node.body.context.copies.items()}  # fmt: skip
                 records = getattr(getattr(node.body, "core", None), "vault", None)
                 found.append(f"{name} {copies} {records.records if records else ''}")
         return "\n".join(found)
@@ -192,8 +193,8 @@
         return loop.time() - start
 
     def is_ready(self, node: Node) -> bool:
-        board = node.body.board
-        return node.is_up and all(board.is_current(copy) for copy in board.copies.values())
+        context = node.body.context
+        return node.is_up and all(context.is_current(copy) for copy in context.copies.values())
 
     async def until_ready(self, patience: float = 20.0) -> float:
         """Until every node that is up is fit to serve."""
--- a/src/irisstand/rehearsal/origin.py
+++ b/src/irisstand/standins/origin.py
@@ -7,7 +7,7 @@
 
 import aiohttp.web
 
-from irisstand.noticeboard import objects
+from irisstand.dataplane import objects
 
 
 class StandInOrigin:
--- a/src/irisstand/rehearsal/upstream.py
+++ b/src/irisstand/standins/upstream.py
@@ -7,7 +7,7 @@
 
 import aiohttp.web
 
-from irisstand.noticeboard import vocabulary as vocabularies
+from irisstand.dataplane import vocabulary as vocabularies
 
 
 class Run(typing.NamedTuple):
--- /dev/null
+++ b/src/irisstand/state/__init__.py
@@ -0,0 +1,1 @@
+"""Items, versions, tables, disk, digests and repair."""
--- a/src/irisstand/ledger/vault.py
+++ b/src/irisstand/state/durable_store.py
@@ -1,4 +1,4 @@
-"""What a voter keeps on its disk: its vault id, its record for each table, one file for each item version."""
+"""What a voter keeps on its disk: its durable store id, its record for each table, one file for each item version."""
 
 import hashlib
 import random
@@ -7,20 +7,20 @@
 import ormsgpack
 
 from irisstand import ring
-from irisstand.ledger import disk as disks
-from irisstand.ledger import items, serials, tables
+from irisstand.state import disk as disks
+from irisstand.state import items, versions, tables
 
 
 class Record(typing.NamedTuple):
-    """A voter's word on one table. `root` proves the items found on disk to be those of `tip`.
+    """A voter's word on one table. `root` proves the items found on disk to be those of `applied version`.
 
     `gone` names item files that no longer count, should a crash have come before their removal.
     """
 
-    promised: serials.Serial
-    tip: serials.Serial
+    promised: versions.Version
+    applied: versions.Version
     root: bytes
-    accepted: serials.Serial
+    accepted: versions.Version
     pending: items.Batch | None
     gone: tuple[str, ...] = ()
 
@@ -28,17 +28,17 @@
 # What is out of date stays until there is this much of it, and then goes to the disk's spares all at once.
 GARBAGE_LIMIT = 32
 
-BLANK = Record(serials.NONE, serials.NONE, b"", serials.NONE, None)
+BLANK = Record(versions.NONE, versions.NONE, b"", versions.NONE, None)
 
 
 def item_file(table: str, item: items.Item) -> str:
-    """Named by key and serial, so that a new version never overwrites an old one."""
+    """Named by key and version, so that a new version never overwrites an old one."""
     key = hashlib.sha256(item.key.encode()).hexdigest()[:24]
-    node = hashlib.sha256(item.serial.node.encode()).hexdigest()[:8]
-    return f"{table}.item.{key}.{item.serial.counter:012d}.{node}"
+    node = hashlib.sha256(item.version.node.encode()).hexdigest()[:8]
+    return f"{table}.item.{key}.{item.version.counter:012d}.{node}"
 
 
-class Vault:
+class DurableStore:
     def __init__(self, disk: disks.Disk, randomness: random.Random) -> None:
         self.disk, self.randomness = disk, randomness
         self.identity = ""
@@ -73,21 +73,21 @@
         self.numbers[table] = 0
         names = sorted(name for name in files if name.startswith(f"{table}.voter."))
         if names:
-            promised, tip, root, accepted, pending, gone = ormsgpack.unpackb(files[names[-1]])
+            promised, applied, root, accepted, pending, gone = ormsgpack.unpackb(files[names[-1]])
             batch = None if pending is None else items.decode_batch(pending)
             self.numbers[table] = int(names[-1].rsplit(".", 1)[1])
-            numbers = [serials.decode(parts) for parts in (promised, tip, accepted)]
+            numbers = [versions.decode(parts) for parts in (promised, applied, accepted)]
             record = Record(numbers[0], numbers[1], root, numbers[2], batch, tuple(gone))
             self.records[table] = record
-            copy.tip = record.tip
+            copy.applied = record.applied
         gone_names = set(self.records.get(table, BLANK).gone)
         # Left over from the last run: the files that a newer record has replaced.
         self.garbage[table] = [*names[:-1], *(name for name in gone_names if name in files)]
         for name, content in files.items():
             if name.startswith(f"{table}.item.") and name not in gone_names:
                 item = items.decode(ormsgpack.unpackb(content))
-                # Versions newer than the tip belong to a commit that was cut short; it is done again.
-                if item.serial <= copy.tip:
+                # Versions newer than the applied version belong to a commit that was cut short; it is done again.
+                if item.version <= copy.applied:
                     copy.merge(item)
         roots = (copy.root(), tables.first_root(copy))
         self.sound[table] = not names or self.records[table].root in roots
@@ -96,7 +96,7 @@
         self.numbers[table] += 1
         number = self.numbers[table]
         pending = None if record.pending is None else items.encode_batch(record.pending)
-        numbers = (tuple(record.promised), tuple(record.tip), record.root, tuple(record.accepted))
+        numbers = (tuple(record.promised), tuple(record.applied), record.root, tuple(record.accepted))
         content = (*numbers, pending, record.gone)
         await self.disk.write([(f"{table}.voter.{number:012d}", ormsgpack.packb(content))])
         self.records[table] = record
@@ -112,14 +112,14 @@
         if not self.sound[table]:
             keys = set(kept.items) | set(live.items)
         else:
-            changed, forgotten = live.after(kept.tip)
+            changed, forgotten = live.after(kept.applied)
             keys = {item.key for item in changed} | set(forgotten) | self.unsaved[table]
         return {key: live.items.get(key) for key in keys}
 
     async def save_copy(self, table: str, live: tables.Copy, record: Record) -> None:
-        """Items first, then the record that vouches for them, and only then the old versions go."""
+        """Items first, then the record that confirms for them, and only then the old versions go."""
         # Taken all at once: the live copy moves on while the disk is waited for.
-        wanted, tip, root = self.behind(table, live), live.tip, live.root()
+        wanted, applied, root = self.behind(table, live), live.applied, live.root()
         old, sound = self.copies[table].items, self.sound[table]
         fresh = {
             key: item
@@ -135,14 +135,14 @@
         left = [name for name in self.garbage[table] if ".item." in name]
         left += [item_file(table, old[key]) for key in wanted if key in old and wanted[key] != old[key]]
         self.garbage[table] = [name for name in self.garbage[table] if ".item." not in name] + left
-        await self.save_record(table, record._replace(tip=tip, root=root, gone=tuple(left)))
+        await self.save_record(table, record._replace(applied=applied, root=root, gone=tuple(left)))
         kept = self.copies[table]
         for key, item in wanted.items():
             if item is None:
                 kept.remove(key)
             else:
                 kept.put(item)
-        kept.tip = tip
+        kept.applied = applied
         self.unsaved[table].clear()
         # A forgetting that the live copy no longer remembers shows here, and is mended by writing all anew.
         self.sound[table] = kept.root() == root
--- a/src/irisstand/ledger/owner.py
+++ b/src/irisstand/state/owner.py
@@ -5,7 +5,7 @@
 import typing
 
 from irisstand import errors, ring
-from irisstand.ledger import items, serials, tables, vault
+from irisstand.state import items, versions, tables, durable_store
 
 SLOW = 0.2
 
@@ -15,7 +15,7 @@
 class Owner:
     """Promises, acceptances and commits, each synced before its reply goes out."""
 
-    def __init__(self, store: vault.Vault, live: tables.Copy, catch_up: CatchUp) -> None:
+    def __init__(self, store: durable_store.DurableStore, live: tables.Copy, catch_up: CatchUp) -> None:
         self.store, self.live, self.catch_up = store, live, catch_up
         self.table = live.name
         self.queue: asyncio.Queue = asyncio.Queue()
@@ -53,45 +53,45 @@
                     future.set_exception(errors.DiskFull(f"the disk does not take writes: {error}"))
 
     @property
-    def record(self) -> vault.Record:
+    def record(self) -> durable_store.Record:
         return self.store.records[self.table]
 
     def check_vote(self) -> None:
         """A disk that was wiped or found damaged does not vote."""
-        if self.record.tip == serials.NONE or not self.store.sound[self.table]:
+        if self.record.applied == versions.NONE or not self.store.sound[self.table]:
             raise errors.NotFounded("this node has not learnt the table yet and has no vote")
 
-    async def promise(self, ballot: serials.Serial) -> tuple:
+    async def promise(self, ballot: versions.Version) -> tuple:
         self.check_vote()
         record = self.record
         if ballot <= record.promised:
             return ("lost", tuple(record.promised))
         await self.store.save_record(self.table, record._replace(promised=ballot))
         pending = None if record.pending is None else items.encode_batch(record.pending)
-        return ("promised", tuple(record.tip), tuple(record.accepted), pending)
+        return ("promised", tuple(record.applied), tuple(record.accepted), pending)
 
-    async def accept(self, ballot: serials.Serial, batch: items.Batch, sender: str) -> tuple:
-        # Serials only rise along the chain of batches, whatever a taker of another version may send.
-        if batch.serial <= batch.base:
+    async def accept(self, ballot: versions.Version, batch: items.Batch, sender: str) -> tuple:
+        # Versions only rise along the chain of batches, whatever a proposer of another version may send.
+        if batch.version <= batch.base:
             return ("moved", tuple(batch.base))
         # A voter behind the base learns the table first: it must never skip a decided batch.
-        if self.record.tip < batch.base or not self.store.sound[self.table]:
-            if self.live.tip < batch.base:
+        if self.record.applied < batch.base or not self.store.sound[self.table]:
+            if self.live.applied < batch.base:
                 await self.catch_up(self.table, sender)
             await self.keep()
         self.check_vote()
         record = self.record
         if record.promised > ballot:
             return ("lost", tuple(record.promised))
-        if record.tip != batch.base:
-            return ("moved", tuple(record.tip))
+        if record.applied != batch.base:
+            return ("moved", tuple(record.applied))
         changed = record._replace(promised=ballot, accepted=ballot, pending=batch)
         await self.store.save_record(self.table, changed)
         return ("accepted",)
 
     async def commit(self, batch: items.Batch) -> tuple:
         """The batch is decided: in force at once for readers, and on this disk as soon as it can be."""
-        if self.live.tip == batch.base:
+        if self.live.applied == batch.base:
             self.live.apply(batch)
         await self.keep()
         return ()
@@ -99,17 +99,17 @@
     async def keep(self) -> tuple:
         """Bring the disk up to the live copy, which only ever holds decided batches."""
         sound = self.store.sound[self.table]
-        if self.live.tip > self.record.tip or (not sound and self.live.tip >= self.record.tip):
+        if self.live.applied > self.record.applied or (not sound and self.live.applied >= self.record.applied):
             record = self.record
-            # A pending batch on an older tip is settled by the newer tip, whichever way it went.
-            if record.pending is not None and record.pending.base < self.live.tip:
-                record = record._replace(pending=None, accepted=serials.NONE)
+            # A pending batch on an older applied version is settled by the newer applied version, whichever way it went.
+            if record.pending is not None and record.pending.base < self.live.applied:
+                record = record._replace(pending=None, accepted=versions.NONE)
             await self.store.save_copy(self.table, self.live, record)
         return ()
 
     async def found(self, batch: items.Batch) -> tuple:
         """The first content of an empty table; a node that has any answers with what it has."""
-        if self.record.tip == serials.NONE and self.live.tip == serials.NONE:
+        if self.record.applied == versions.NONE and self.live.applied == versions.NONE:
             self.live.apply(batch)
             await self.keep()
-        return (tuple(self.record.tip),)
+        return (tuple(self.record.applied),)
--- a/src/irisstand/ledger/quorum.py
+++ b/src/irisstand/state/quorum.py
@@ -4,10 +4,10 @@
 
 
 class Voter(typing.NamedTuple):
-    """A core node as voters know it; `vault` is its disk's id, so a wiped disk is another voter."""
+    """A core node as voters know it; `durable store` is its disk's id, so a wiped disk is another voter."""
 
     name: str
-    vault: str
+    disk_id: str
     site: str
     host: str
     port: int
@@ -23,11 +23,11 @@
     return [(voter.name, voter.machine, voter.site) for voter in voters]
 
 
-def is_majority(voters: list[Voter], vaults: set[str]) -> bool:
-    return 2 * sum(voter.vault in vaults for voter in voters) > len(voters)
+def is_majority(voters: list[Voter], disk_ids: set[str]) -> bool:
+    return 2 * sum(voter.disk_id in disk_ids for voter in voters) > len(voters)
 
 
-def is_durable(voters: list[Voter], vaults: set[str]) -> bool:
+def is_durable(voters: list[Voter], disk_ids: set[str]) -> bool:
     """A majority which, where the layout has more than one site, does not lie in one alone.
 
     >>> a, b, c = (Voter(name, name, site, "", 0, name) for name, site in ("as", "bs", "ct"))
@@ -35,8 +35,8 @@
     (False, True)
     """
     sites = {voter.site for voter in voters}
-    holding = {voter.site for voter in voters if voter.vault in vaults}
-    return is_majority(voters, vaults) and (len(sites) == 1 or len(holding) > 1)
+    holding = {voter.site for voter in voters if voter.disk_id in disk_ids}
+    return is_majority(voters, disk_ids) and (len(sites) == 1 or len(holding) > 1)
 
 
 def outlives_any_site(voters: list[Voter]) -> bool:
--- a/src/irisstand/ledger/tables.py
+++ b/src/irisstand/state/tables.py
@@ -1,4 +1,4 @@
-"""A copy of one table: items by key, the tip, range digests, and how fresh it is known to be."""
+"""A copy of one table: items by key, the applied version, range digests, and how fresh it is known to be."""
 
 import collections
 import collections.abc
@@ -9,13 +9,13 @@
 import ormsgpack
 import sortedcontainers
 
-from irisstand.ledger import items, serials
+from irisstand.state import items, versions
 
 RANGES = 256
 WORD = 2**128
-# Forgotten keys that are remembered, so that a colleague not far behind can be told of them by name.
+# Forgotten keys that are remembered, so that a peer not far behind can be told of them by name.
 FORGOTTEN_KEPT = 2000
-# Above every key, so that a search from (serial, LAST) begins behind that serial.
+# Above every key, so that a search from (version, LAST) begins behind that version.
 LAST = chr(0x10FFFF)
 
 
@@ -34,14 +34,14 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.items: sortedcontainers.SortedDict = sortedcontainers.SortedDict()
-        self.by_serial: sortedcontainers.SortedList = sortedcontainers.SortedList()
+        self.by_version: sortedcontainers.SortedList = sortedcontainers.SortedList()
         self.hashes: dict[str, int] = {}
         self.sums = [0] * RANGES
         self.counts: collections.Counter[str] = collections.Counter()
-        self.forgotten: collections.deque[tuple[serials.Serial, str]] = collections.deque(
+        self.forgotten: collections.deque[tuple[versions.Version, str]] = collections.deque(
             maxlen=FORGOTTEN_KEPT
         )
-        self.tip = serials.NONE
+        self.applied = versions.NONE
         self.current_as_of: float | None = None
         self.watchers: list[collections.abc.Callable[[], None]] = []
 
@@ -50,9 +50,9 @@
         item = self.items.get(key)
         return None if item is None else item.value
 
-    def serial(self, key: str) -> serials.Serial:
+    def version(self, key: str) -> versions.Version:
         item = self.items.get(key)
-        return serials.NONE if item is None else item.serial
+        return versions.NONE if item is None else item.version
 
     def under(self, prefix: str) -> collections.abc.Iterator[items.Item]:
         """Living items whose keys begin with the prefix, in the order of their keys."""
@@ -65,15 +65,15 @@
     def age(self, now: float) -> float | None:
         return None if self.current_as_of is None else now - self.current_as_of
 
-    def vouch(self, moment: float) -> None:
+    def confirm_current(self, moment: float) -> None:
         """Known current as of `moment`, which is when the question was sent, not when it was answered."""
         if self.current_as_of is None or moment > self.current_as_of:
             self.current_as_of = moment
 
-    def after(self, tip: serials.Serial) -> tuple[list[items.Item], list[str]]:
-        """Items and forgettings above a tip, as far as they are known; the root tells if that was all."""
-        changed = [self.items[key] for _, key in self.by_serial.irange((tip, LAST))]
-        return changed, [key for serial, key in self.forgotten if serial > tip and key not in self.items]
+    def after(self, applied: versions.Version) -> tuple[list[items.Item], list[str]]:
+        """Items and forgettings above an applied version, as far as they are known; the root tells if that was all."""
+        changed = [self.items[key] for _, key in self.by_version.irange((applied, LAST))]
+        return changed, [key for version, key in self.forgotten if version > applied and key not in self.items]
 
     # -- digests -------------------------------------------------------------------------------------
     def digests(self) -> tuple[bytes, ...]:
@@ -87,10 +87,10 @@
 
     # -- changing ------------------------------------------------------------------------------------
     def put(self, item: items.Item, known_hash: int | None = None) -> None:
-        """Set one item whatever stood there; digests, counts and the order by serial follow."""
+        """Set one item whatever stood there; digests, counts and the order by version follow."""
         self.remove(item.key)
         self.items[item.key] = item
-        self.by_serial.add((item.serial, item.key))
+        self.by_version.add((item.version, item.key))
         self.hashes[item.key] = hash_of(item) if known_hash is None else known_hash
         number = range_of(item.key)
         self.sums[number] = (self.sums[number] + self.hashes[item.key]) % WORD
@@ -100,41 +100,41 @@
         item = self.items.pop(key, None)
         if item is None:
             return False
-        self.by_serial.remove((item.serial, key))
+        self.by_version.remove((item.version, key))
         number = range_of(key)
         self.sums[number] = (self.sums[number] - self.hashes.pop(key)) % WORD
         self.counts[prefix_of(key)] -= 1
         return True
 
     def merge(self, item: items.Item) -> bool:
-        """Item by item, the higher serial wins."""
+        """Item by item, the higher version wins."""
         known = self.items.get(item.key)
-        if known is not None and known.serial >= item.serial:
+        if known is not None and known.version >= item.version:
             return False
         self.put(item)
         return True
 
-    def forget(self, key: str, serial: serials.Serial) -> None:
+    def forget(self, key: str, version: versions.Version) -> None:
         if self.remove(key):
-            self.forgotten.append((serial, key))
+            self.forgotten.append((version, key))
 
     def apply(self, batch: items.Batch) -> None:
         for key, value, forget in batch.rows:
             if forget:
-                self.forget(key, batch.serial)
+                self.forget(key, batch.version)
             else:
-                self.merge(items.Item(key, batch.serial, value))
-        self.tip = batch.serial
+                self.merge(items.Item(key, batch.version, value))
+        self.applied = batch.version
         self.changed()
 
     def advance(
-        self, tip: serials.Serial, root: bytes, changed: list[items.Item], forgotten: list[str]
+        self, applied: versions.Version, root: bytes, changed: list[items.Item], forgotten: list[str]
     ) -> bool:
-        """Take what a colleague has above this copy's tip, if the outcome is its copy; or nothing.
+        """Take what a peer has above this copy's applied version, if the outcome is its copy; or nothing.
 
-        A forgetting that the colleague no longer remembers would leave a row here that is gone everywhere.
+        A forgetting that the peer no longer remembers would leave a row here that is gone everywhere.
         """
-        if tip < self.tip:
+        if applied < self.applied:
             return False
         sums = list(self.sums)
         for key in {item.key for item in changed} | set(forgotten):
@@ -147,15 +147,15 @@
         if root_of(sums) != root:
             return False
         for key in forgotten:
-            self.forget(key, tip)
+            self.forget(key, applied)
         for item, value in zip(changed, hashes, strict=True):
             self.put(item, value)
-        self.tip = tip
+        self.applied = applied
         self.changed()
         return True
 
     def install(self, ranges: dict[int, list[items.Item]]) -> None:
-        """Make whole ranges what a colleague has: what it lacks was forgotten, or is damage."""
+        """Make whole ranges what a peer has: what it lacks was forgotten, or is damage."""
         kept = {item.key for given in ranges.values() for item in given}
         for key in [key for key in self.items if range_of(key) in ranges and key not in kept]:
             self.remove(key)
@@ -166,16 +166,16 @@
 
     def adopt(self, other: "Copy") -> bool:
         """Take a whole mended copy at once, so that nobody ever reads one that is half mended."""
-        if other.tip < self.tip:
+        if other.applied < self.applied:
             return False
         self.take(other)
         self.changed()
         return True
 
     def take(self, other: "Copy") -> None:
-        self.items, self.by_serial, self.hashes = other.items, other.by_serial, other.hashes
+        self.items, self.by_version, self.hashes = other.items, other.by_version, other.hashes
         self.sums, self.counts, self.forgotten = other.sums, other.counts, other.forgotten
-        self.tip = other.tip
+        self.applied = other.applied
 
     def changed(self) -> None:
         for watcher in self.watchers:
@@ -183,10 +183,10 @@
 
     def clone(self) -> "Copy":
         twin = Copy(self.name)
-        twin.items, twin.by_serial = self.items.copy(), self.by_serial.copy()
+        twin.items, twin.by_version = self.items.copy(), self.by_version.copy()
         twin.hashes, twin.sums = dict(self.hashes), list(self.sums)
         twin.counts, twin.forgotten = self.counts.copy(), self.forgotten.copy()
-        twin.tip = self.tip
+        twin.applied = self.applied
         return twin
 
 
--- a/src/irisstand/ledger/serials.py
+++ b/src/irisstand/state/versions.py
@@ -1,14 +1,14 @@
-"""Serials: the version that each item carries, and the number of each ballot."""
+"""Versions: the version that each item carries, and the number of each ballot."""
 
 import typing
 
 
-class Serial(typing.NamedTuple):
+class Version(typing.NamedTuple):
     """Ordered by counter, then by the node that drew it, so that no two draws are equal.
 
-    >>> Serial(2, "a") < Serial(2, "b") < Serial(3, "a")
+    >>> Version(2, "a") < Version(2, "b") < Version(3, "a")
     True
-    >>> parse(str(Serial(7, "core-1~ab"))) == Serial(7, "core-1~ab")
+    >>> parse(str(Version(7, "core-1~ab"))) == Version(7, "core-1~ab")
     True
     """
 
@@ -18,22 +18,22 @@
     def __str__(self) -> str:
         return f"{self.counter}@{self.node}"
 
-    def after(self, node: str) -> "Serial":
-        return Serial(self.counter + 1, node)
+    def after(self, node: str) -> "Version":
+        return Version(self.counter + 1, node)
 
 
-NONE = Serial(0, "")
+NONE = Version(0, "")
 
 
-def parse(text: str) -> Serial:
+def parse(text: str) -> Version:
     counter, _, node = text.partition("@")
     if not counter.isdigit() or len(counter) > 18:
         raise ValueError(f"{text!r} is not a serial")
-    return Serial(int(counter), node)
+    return Version(int(counter), node)
 
 
-def decode(parts: typing.Any) -> Serial:
+def decode(parts: typing.Any) -> Version:
     counter, node = parts
     if type(counter) is not int or not 0 <= counter < 2**60 or not isinstance(node, str) or len(node) > 160:
         raise ValueError("not a serial")
-    return Serial(counter, node)
+    return Version(counter, node)
--- /dev/null
+++ b/src/irisstand/transport/__init__.py
@@ -0,0 +1,1 @@
+"""Frames, codec and connections between peers."""
--- a/src/irisstand/postroom/network.py
+++ b/src/irisstand/transport/network.py
@@ -6,7 +6,7 @@
 import typing
 
 from irisstand import errors
-from irisstand.postroom import codec
+from irisstand.transport import codec
 
 Address = tuple[str, int]
 
--- a/src/irisstand/postroom/colleagues.py
+++ b/src/irisstand/transport/peers.py
@@ -1,4 +1,4 @@
-"""Asking colleagues and answering them: one connection and one reading task for each pair."""
+"""Asking peers and answering them: one connection and one reading task for each pair."""
 
 import asyncio
 import collections.abc
@@ -6,7 +6,7 @@
 
 from irisstand import counters as counting
 from irisstand import errors, ring
-from irisstand.postroom import codec, network
+from irisstand.transport import codec, network
 
 Handler = collections.abc.Callable[[str, list], collections.abc.Awaitable[tuple]]
 ASKS_LIMIT = 2000
@@ -15,7 +15,7 @@
 
 
 class Link:
-    """An outgoing connection that has been vouched for by the colleague's own hello."""
+    """An outgoing connection that has been confirmed for by the peer's own hello."""
 
     def __init__(self, stream: network.Stream, name: str) -> None:
         self.stream, self.name = stream, name
@@ -51,8 +51,8 @@
         self.waiting.clear()
 
 
-class Postroom:
-    """All talk with colleagues. `handlers` is the registry: a message kind is added by an entry."""
+class Transport:
+    """All talk with peers. `handlers` is the registry: a message kind is added by an entry."""
 
     def __init__(self, net: network.Network, counters: counting.Counters, name: str) -> None:
         self.net, self.counters, self.name = net, counters, name
@@ -76,7 +76,7 @@
             task.cancel()
 
     async def dial(self, address: network.Address, name: str) -> Link:
-        """A live link to that very colleague; the address alone proves nothing."""
+        """A live link to that very peer; the address alone proves nothing."""
         lock = self.dialling.setdefault(address, asyncio.Lock())
         async with lock:
             link = self.links.get(address)
@@ -99,7 +99,7 @@
     async def ask(
         self, address: network.Address, name: str, kind: str, body: tuple, patience: float
     ) -> typing.Any:
-        """The colleague's result; Unreached if it certainly never left, Unanswered if it may have."""
+        """The peer's result; Unreached if it certainly never left, Unanswered if it may have."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + patience
         address = (address[0], address[1])
--- /dev/null
+++ b/src/irisstand/validation/__init__.py
@@ -0,0 +1,1 @@
+"""Checks of configurations: schema and cross-row rules."""
--- a/src/irisstand/vetting/checker.py
+++ b/src/irisstand/validation/checker.py
@@ -1,13 +1,13 @@
-"""The checker: a proposed blueprint against the schema, the rules, and the fleet as it is."""
+"""The checker: a proposed configuration against the schema, the rules, and the fleet as it is."""
 
 import collections.abc
 import typing
 
-from irisstand.vetting import rules, schema
+from irisstand.validation import rules, schema
 
 
 class Finding(typing.NamedTuple):
-    """`level` is fault (would be rejected) or warning (would be accepted, and hurt)."""
+    """`level` is fault (would be refused) or warning (would be accepted, and hurt)."""
 
     level: str
     kind: str
@@ -146,7 +146,7 @@
     """
     table, found = standing(rows, proposed)
     found += [Finding("fault", *fault) for fault in rules.faults(table)]
-    # A table that would be rejected says nothing reliable about how it would do.
+    # A table that would be refused says nothing reliable about how it would do.
     if not found:
         found = [finding for check in REGISTRY for finding in check(table, fleet)]
     return found
--- a/src/irisstand/vetting/formats.py
+++ b/src/irisstand/validation/formats.py
@@ -7,12 +7,12 @@
 import yaml
 
 from irisstand import errors
-from irisstand.vetting import schema
+from irisstand.validation import schema
 
 API_VERSION = "irisstand/v1"
 KINDS = {kind.capitalize(): kind for kind in schema.REGISTRY}
 FIELDS = ("apiVersion", "kind", "metadata", "spec")
-# resourceVersion is to an object what the expected serial is to a row.
+# resourceVersion is to an object what the expected version is to a row.
 METADATA = ("name", "resourceVersion", "labels", "annotations")
 SIZE_LIMIT = 1024 * 1024
 
--- a/src/irisstand/vetting/schema.py
+++ b/src/irisstand/validation/schema.py
@@ -3,7 +3,7 @@
 import functools
 import typing
 
-from irisstand.vetting import validating
+from irisstand.validation import validating
 
 NAME = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$"
 PATH = r"^/[!-~]{0,255}$"
--- a/src/irisstand/vetting/versioned.py
+++ b/src/irisstand/validation/versioned.py
@@ -1,6 +1,6 @@
 """Items whose versions the operator gives: routes, upstream services and limits, and the rules on them.
 
-An item is `kind/NAME` in the blueprint, with {"version": number, "item": value, or None once dropped}.
+An item is `kind/NAME` in the configuration, with {"version": number, "item": value, or None once dropped}.
 For each
 name the highest version stands; a lower or equal one changes nothing. Times are seconds, rates are per
 second.
@@ -9,8 +9,8 @@
 import functools
 import typing
 
-from irisstand.ledger import versions
-from irisstand.vetting import validating
+from irisstand.state import versioned_items
+from irisstand.validation import validating
 
 SECONDS = {"type": "number", "minimum": 0, "maximum": 86400}
 RATE = {"type": ["number", "null"], "exclusiveMinimum": 0}
@@ -109,7 +109,7 @@
     if limits is not None:
         check("limits", limits, fault)
         if not faults:
-            entries.append((versions.LIMITS, {"version": limits["version"], "item": limits}))
+            entries.append((versioned_items.LIMITS, {"version": limits["version"], "item": limits}))
     return unique(entries, fault), faults
 
 
@@ -156,7 +156,7 @@
         route = value["item"]
         if route is None or not key.startswith("route/"):
             continue
-        parts = versions.splits(route)
+        parts = versioned_items.splits(route)
         for service, _ in parts:
             known = standing.get(f"upstream/{service}")
             if known is None or known["item"] is None:
--- a/src/irisstand/vetting/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Checks of blueprints: schema and cross-row rules."""
--- a/src/irisstand/web.py
+++ b/src/irisstand/web.py
@@ -10,7 +10,7 @@
 import sanic.request
 import sanic.response
 
-from irisstand import blackboard, errors, ring
+from irisstand import node_context, errors, ring
 
 BODY_LIMIT = 4 * 1024 * 1024
 OPENING_LIMIT = 30.0
@@ -35,9 +35,9 @@
 class Web:
     """`ready` tells whether this node should be sent work."""
 
-    def __init__(self, board: blackboard.Board, log_ring: ring.Ring) -> None:
-        self.board, self.ring = board, log_ring
-        name = "irisstand_" + "".join(letter if letter.isalnum() else "_" for letter in board.boot.name)
+    def __init__(self, context: node_context.NodeContext, log_ring: ring.Ring) -> None:
+        self.context, self.ring = context, log_ring
+        name = "irisstand_" + "".join(letter if letter.isalnum() else "_" for letter in context.settings.name)
         self.app = sanic.Sanic(name, configure_logging=False)
         self.app.config.update(
             {
@@ -56,22 +56,22 @@
         self.app.on_response(self.on_response)
 
     async def open(self) -> None:
-        boot = self.board.boot
+        settings = self.context.settings
         self.server = await self.app.create_server(
-            host=boot.host, port=boot.http_port, return_asyncio_server=True, access_log=False
+            host=settings.host, port=settings.http_port, return_asyncio_server=True, access_log=False
         )
         await self.server.startup()
         await self.server.start_serving()
 
     async def open_when_current(self) -> None:
-        """An edge just started would only turn consumers away: it listens once it can answer them."""
-        clock, started = self.board.clock, self.board.clock.now()
-        while not all(map(self.board.is_current, self.board.copies.values())):
+        """An edge just started would only turn clients away: it listens once it can answer them."""
+        clock, started = self.context.clock, self.context.clock.now()
+        while not all(map(self.context.is_current, self.context.copies.values())):
             # A core that is away for long is no reason to be unreachable: people need to see why.
             if clock.now() - started > OPENING_LIMIT:
                 break
             await asyncio.sleep(0.02)
-        if not self.board.leaving:
+        if not self.context.leaving:
             try:
                 await self.open()
             except OSError as error:
@@ -86,7 +86,7 @@
         self, request: sanic.request.Request, response: sanic.response.BaseHTTPResponse
     ) -> None:
         # A kept connection would bring more work to a node that is leaving.
-        if self.board.leaving or self.board.draining:
+        if self.context.leaving or self.context.draining:
             response.headers["Connection"] = "close"
 
     def on_error(self, request: sanic.request.Request, error: Exception) -> sanic.response.HTTPResponse:
@@ -106,17 +106,17 @@
         return as_fault(errors.IrisError("an error of this node's own"))
 
     def is_ready(self) -> tuple[bool, str]:
-        if self.board.leaving or self.board.draining:
+        if self.context.leaving or self.context.draining:
             return False, "draining"
-        for copy in self.board.copies.values():
-            if not self.board.is_current(copy):
+        for copy in self.context.copies.values():
+            if not self.context.is_current(copy):
                 return False, f"the {copy.name} table is not known to be current"
-        boot = self.board.boot
-        # The core works on wherever it is; only consumers' work is kept away.
-        if self.board.role == "edge" and self.board.is_evacuated(boot.site):
-            return False, f"site {boot.site} is evacuated"
-        if self.board.role == "edge" and self.board.is_resting(boot.machine):
-            return False, f"machine {boot.machine} rests"
+        settings = self.context.settings
+        # The core works on wherever it is; only clients' work is kept away.
+        if self.context.role == "edge" and self.context.is_evacuated(settings.site):
+            return False, f"site {settings.site} is evacuated"
+        if self.context.role == "edge" and self.context.is_resting(settings.machine):
+            return False, f"machine {settings.machine} rests"
         return True, "ready"
 
     async def live(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
@@ -127,11 +127,11 @@
         return as_json({"ready": is_ready, "why": why}, 200 if is_ready else 503)
 
     async def status(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        return as_json(self.board.status())
+        return as_json(self.context.status())
 
     async def counters(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         return sanic.response.text(
-            self.board.counters.text(), content_type="text/plain; version=0.0.4; charset=utf-8"
+            self.context.counters.text(), content_type="text/plain; version=0.0.4; charset=utf-8"
         )
 
     async def write_ring(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
--- a/tests/deployed.py
+++ b/tests/deployed.py
@@ -11,8 +11,8 @@
 import aiohttp
 import aiohttp.web
 
-import irisstand.rehearsal.fleet as fleets
-import irisstand.rehearsal.upstream as upstreams
+import irisstand.fleet.processes as fleets
+import irisstand.standins.upstream as upstreams
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 sys.path.append(str(ROOT / "platform"))
@@ -145,7 +145,7 @@
         limits = {"header_bytes": 8192, "body_bytes": 100000, "header": 2, "idle": 5, "version": self.version}
         return {"put": {"routes": routes, "upstreams": services, "limits": limits}, "drop": {"routes": []}}
 
-    # -- consumers -----------------------------------------------------------------------------------
+    # -- clients -----------------------------------------------------------------------------------
     async def ask(self, path, method="GET", body=None, request_id="r1", **headers):
         url = f"http://127.0.7.4:{self.ports[2]}{path}"
         given = {"Host": HOST, "Attempt-Id": request_id, "Time-Remaining": "2500", **headers}
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -1,10 +1,10 @@
-"""Scenes for tests: a small fleet in the simulator, founded, with a blueprint in force and origins known."""
+"""Scenes for tests: a small fleet in the simulator, founded, with a configuration in force and origins known."""
 
 import asyncio
 
-import irisstand.rehearsal.day as days
-import irisstand.rehearsal.fleet as fleets
-import irisstand.rehearsal.virtual as virtual
+import irisstand.simulator.day as days
+import irisstand.fleet.processes as fleets
+import irisstand.simulator.virtual_time as virtual
 
 SHAPE = fleets.Shape(
     2, 5, 1, (("north", "one"), ("south", "one"), ("east", "two"), ("west", "two")), 2, 2, 20, 3.0
@@ -25,8 +25,8 @@
     return virtual.run(whole())
 
 
-def board(day, name):
-    return day.world.nodes[name].body.board
+def context(day, name):
+    return day.world.nodes[name].body.context
 
 
 def site_row(name="north", weight=1, **more):
@@ -35,4 +35,4 @@
 
 def members(day, name):
     """Living members by name, as `name` sees them."""
-    return {update.identity.name: update for update in board(day, name).detector.roster.members.values()}
+    return {update.identity.name: update for update in context(day, name).detector.roster.members.values()}
--- a/tests/scenes_direct.py
+++ b/tests/scenes_direct.py
@@ -4,18 +4,18 @@
 import collections
 import random
 
-import irisstand.blackboard as blackboard
-import irisstand.boot as boots
+import irisstand.node_context as node_context
+import irisstand.node_settings as settings_list
 import irisstand.clocks as clocks
-import irisstand.ledger.items as items
-import irisstand.ledger.serials as serials
-import irisstand.noticeboard.direct as direct
-import irisstand.noticeboard.exchange as exchange
-import irisstand.noticeboard.views as views
-import irisstand.rehearsal.virtual as virtual
-import irisstand.rollcall.updates as updates
-
-BOOT = boots.Boot(
+import irisstand.state.items as items
+import irisstand.state.versions as versions
+import irisstand.dataplane.direct as direct
+import irisstand.dataplane.exchange as exchange
+import irisstand.dataplane.views as views
+import irisstand.simulator.virtual_time as virtual
+import irisstand.membership.updates as updates
+
+SETTINGS = settings_list.Settings(
     "edge-1", "m1", "north", "one", "10.0.0.1", 7000, 8000, [], role="direct", front=("10.0.0.1", 80),
     region_by_site="north=one,south=one,east=two", second_share=0.2, second_allowance=10, platform_lag=0.8,
     holder_edges=1,
@@ -57,9 +57,9 @@
 
 
 class Scene:
-    def __init__(self, edges=1, boot=BOOT):
-        self.board = blackboard.Board(boot, boot.role, clocks.LoopClock(), random.Random(7), None)
-        self.board.closing = asyncio.get_running_loop().create_future()
+    def __init__(self, edges=1, settings=SETTINGS):
+        self.context = node_context.NodeContext(settings, settings.role, clocks.LoopClock(), random.Random(7), None)
+        self.context.closing = asyncio.get_running_loop().create_future()
         self.counter = 1
         self.sent = []
         self.refused = set()
@@ -67,29 +67,29 @@
         self.play = lambda key, headers, body: whole(headers.get("x-request-id", ""))
         for number in range(2, edges + 1):
             self.member(f"edge-{number}", "direct")
-        self.view = views.Views(self.board)
-        self.part = direct.Direct(self.board, self.view, self.connect)
+        self.view = views.Views(self.context)
+        self.part = direct.Direct(self.context, self.view, self.connect)
         for name, kind in KINDS.items():
             self.route(name, kind=kind)
-        self.put(items.BLUEPRINT, "upstream/s", {"version": 1, "item": UPSTREAM})
+        self.put(items.CONFIGURATION, "upstream/s", {"version": 1, "item": UPSTREAM})
         for key in "ab":
             self.origin(key)
-        self.vouch()
+        self.confirm_current()
 
     def member(self, name, role, site="north", region="one"):
         card = updates.Card(role, f"m-{name}", site, region, f"10.0.1.{len(name)}", 7000, 8000)
         update = updates.Update(updates.State.ALIVE, updates.Identity(name, "a"), 0, card)
-        self.board.detector.learn(update)
+        self.context.detector.learn(update)
 
-    def vouch(self, for_seconds=1e6):
-        for copy in self.board.copies.values():
-            copy.vouch(self.board.clock.now() + for_seconds)
+    def confirm_current(self, for_seconds=1e6):
+        for copy in self.context.copies.values():
+            copy.confirm_current(self.context.clock.now() + for_seconds)
 
     def put(self, table, key, value):
-        copy = self.board.copies[table]
+        copy = self.context.copies[table]
         self.counter += 1
-        copy.put(items.Item(key, serials.Serial(self.counter, "n"), value))
-        copy.tip = serials.Serial(self.counter, "n")
+        copy.put(items.Item(key, versions.Version(self.counter, "n"), value))
+        copy.applied = versions.Version(self.counter, "n")
         copy.changed()
 
     def route(self, name, **fields):
@@ -97,7 +97,7 @@
             "name": name, "version": 1, "host": "h", "prefix": f"/{name}/", "timeout": 2.0, "target": 0.2,
             "attempts": 2, "cache_life": 10.0, "service": "s", **fields,
         }  # fmt: skip
-        self.put(items.BLUEPRINT, f"route/{name}", {"version": self.counter, "item": item})
+        self.put(items.CONFIGURATION, f"route/{name}", {"version": self.counter, "item": item})
 
     def origin(self, key, site="north", state="ready", service="s", warmup=0, slots=2):
         row = {"service": service, "host": f"10.1.0.{ord(key)}", "port": 80, "site": site, "state": state,
--- a/tests/test_ballots.py
+++ b/tests/test_ballots.py
@@ -1,4 +1,4 @@
-"""Blueprint by ballot: whole or nothing, one winner, never lost after a yes."""
+"""Configuration by ballot: whole or nothing, one winner, never lost after a yes."""
 
 import asyncio
 import random
@@ -7,20 +7,20 @@
 import scenes
 
 import irisstand.errors as errors
-import irisstand.ledger.items as items
-import irisstand.ledger.owner
-import irisstand.ledger.quorum as quorum
-import irisstand.ledger.serials as serials
-import irisstand.ledger.tables as tables
-import irisstand.ledger.vault
-import irisstand.rehearsal.shelf
-import irisstand.rehearsal.virtual
+import irisstand.state.items as items
+import irisstand.state.owner
+import irisstand.state.quorum as quorum
+import irisstand.state.versions as versions
+import irisstand.state.tables as tables
+import irisstand.state.durable_store
+import irisstand.simulator.memory_disk
+import irisstand.simulator.virtual_time
 
 
-def test_two_changes_racing_from_the_same_serial_never_both_win():
+def test_two_changes_racing_from_the_same_version_never_both_win():
     async def scene(day):
         for round_number in range(12):
-            expected = str(scenes.board(day, "agency-1").blueprint.serial("site/north"))
+            expected = str(scenes.context(day, "agency-1").configuration.version("site/north"))
             rows = [[scenes.site_row(weight=weight, expected=expected)] for weight in (1, 2, 3)]
             orders = [
                 day.stage.order(f"agency-{number + 1}", "change", rows[number]) for number in range(3)
@@ -28,13 +28,13 @@
             results = await asyncio.gather(*orders, return_exceptions=True)
             won = [result for result in results if isinstance(result, dict)]
             assert len(won) == 1, results
-            assert all(isinstance(result, dict | errors.StaleSerial) for result in results)
+            assert all(isinstance(result, dict | errors.StaleVersion) for result in results)
             weight = results.index(won[0]) + 1
             await asyncio.sleep(1)
             for name in ("agency-4", "edge-1", "shield-3", "store-1"):
-                blueprint = scenes.board(day, name).blueprint
-                assert blueprint.value("site/north") == {"weight": weight}, round_number
-                assert str(blueprint.serial("site/north")) == won[0]["serial"]
+                configuration = scenes.context(day, name).configuration
+                assert configuration.value("site/north") == {"weight": weight}, round_number
+                assert str(configuration.version("site/north")) == won[0]["serial"]
 
     scenes.play(scene)
 
@@ -45,14 +45,14 @@
         await day.stage.order("agency-2", "change", [scenes.site_row(weight=6)], "other")
         again = await day.stage.order("agency-3", "change", [scenes.site_row(weight=5)], "mine")
         assert again == first
-        assert scenes.board(day, "agency-3").blueprint.value("site/north") == {"weight": 6}
+        assert scenes.context(day, "agency-3").configuration.value("site/north") == {"weight": 6}
 
     scenes.play(scene)
 
 
-def test_an_invalid_change_is_rejected_whole_with_every_fault():
+def test_an_invalid_change_is_refused_whole_with_every_fault():
     async def scene(day):
-        before = scenes.board(day, "agency-1").blueprint.tip
+        before = scenes.context(day, "agency-1").configuration.applied
         bad = [
             scenes.site_row(),
             scenes.site_row("south", weight=-1),
@@ -69,31 +69,31 @@
             await day.stage.order(
                 "agency-1", "change", [{"kind": "service", "name": "content", "value": None}]
             )
-        assert scenes.board(day, "agency-1").blueprint.tip == before
+        assert scenes.context(day, "agency-1").configuration.applied == before
 
     scenes.play(scene)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_taker_killed_at_any_moment_leaves_one_true_result(seed):
+def test_a_proposer_killed_at_any_moment_leaves_one_true_result(seed):
     """The id sent again brings the result; what was said yes to stays, whatever was killed right after."""
 
     async def scene(day):
         randomness = random.Random(seed)
         for number in range(6):
-            taker = f"agency-{randomness.randrange(5) + 1}"
-            other = next(f"agency-{n}" for n in range(1, 6) if f"agency-{n}" != taker)
+            proposer = f"agency-{randomness.randrange(5) + 1}"
+            other = next(f"agency-{n}" for n in range(1, 6) if f"agency-{n}" != proposer)
             rows = [scenes.site_row(weight=number + 1)]
-            task = asyncio.create_task(day.stage.order(taker, "change", rows, f"c{number}"))
+            task = asyncio.create_task(day.stage.order(proposer, "change", rows, f"c{number}"))
             await asyncio.sleep(randomness.uniform(0, 0.05))
-            day.world.nodes[taker].kill(reset=randomness.random() < 0.5)
+            day.world.nodes[proposer].kill(reset=randomness.random() < 0.5)
             told = task.result() if task.done() and not task.exception() else None
             again = await day.stage.order(other, "change", rows, f"c{number}")
             assert told is None or told["serial"] == again["serial"]
             task.cancel()
-            await day.world.nodes[taker].start()
+            await day.world.nodes[proposer].start()
             await day.world.until_ready()
-            assert scenes.board(day, taker).blueprint.value("site/north") == {"weight": number + 1}
+            assert scenes.context(day, proposer).configuration.value("site/north") == {"weight": number + 1}
 
     scenes.play(scene, seed)
 
@@ -108,8 +108,8 @@
         assert (await day.stage.ask("edge-2", "GET", "/vacancies/1"))[0] == 200
         day.world.wires.heal()
         await day.world.until_ready()
-        # Rejected means never: the row did not come into force with the healing either.
-        assert scenes.board(day, "agency-3").blueprint.value("site/north") is None
+        # Refused means never: the row did not come into force with the healing either.
+        assert scenes.context(day, "agency-3").configuration.value("site/north") is None
 
     scenes.play(scene)
 
@@ -118,23 +118,23 @@
     """Found by seed 4 of the simulator: such a batch made every node take the newer table for the older."""
 
     async def scene():
-        disk = irisstand.rehearsal.shelf.MemoryDisk(random.Random(1))
-        vault = irisstand.ledger.vault.Vault(disk, random.Random(1))
-        await vault.open()
+        disk = irisstand.simulator.memory_disk.MemoryDisk(random.Random(1))
+        disk_id = irisstand.state.durable_store.DurableStore(disk, random.Random(1))
+        await disk_id.open()
         live = tables.Copy(items.LEDGER)
-        owner = irisstand.ledger.owner.Owner(vault, live, None)
+        owner = irisstand.state.owner.Owner(disk_id, live, None)
         task = asyncio.create_task(owner.run())
-        voter = quorum.Voter("a", vault.identity, "s", "h", 1, "m")
-        base = serials.Serial(22, "b")
-        first = items.Batch(base, serials.NONE, ((items.VOTERS, [tuple(voter)], False),))
+        voter = quorum.Voter("a", disk_id.identity, "s", "h", 1, "m")
+        base = versions.Version(22, "b")
+        first = items.Batch(base, versions.NONE, ((items.VOTERS, [tuple(voter)], False),))
         await owner.order("found", first)
-        low = items.Batch(serials.Serial(21, "c"), base, (("row", 1, False),))
-        assert (await owner.order("accept", serials.Serial(30, "c"), low, "c"))[0] == "moved"
-        good = items.Batch(serials.Serial(23, "c"), base, (("row", 1, False),))
-        assert (await owner.order("accept", serials.Serial(30, "c"), good, "c"))[0] == "accepted"
+        low = items.Batch(versions.Version(21, "c"), base, (("row", 1, False),))
+        assert (await owner.order("accept", versions.Version(30, "c"), low, "c"))[0] == "moved"
+        good = items.Batch(versions.Version(23, "c"), base, (("row", 1, False),))
+        assert (await owner.order("accept", versions.Version(30, "c"), good, "c"))[0] == "accepted"
         # And once promised, lower ballots are refused.
-        assert (await owner.order("accept", serials.Serial(29, "c"), good, "c"))[0] == "lost"
-        assert (await owner.order("promise", serials.Serial(30, "c")))[0] == "lost"
+        assert (await owner.order("accept", versions.Version(29, "c"), good, "c"))[0] == "lost"
+        assert (await owner.order("promise", versions.Version(30, "c")))[0] == "lost"
         task.cancel()
 
-    irisstand.rehearsal.virtual.run(scene())
+    irisstand.simulator.virtual_time.run(scene())
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -5,16 +5,16 @@
 import pytest
 import scenes
 
-import irisstand.ledger.items as items
-import irisstand.ledger.serials as serials
-import irisstand.ledger.tables as tables
+import irisstand.state.items as items
+import irisstand.state.versions as versions
+import irisstand.state.tables as tables
 
 
 def filled(count, first=1):
     copy = tables.Copy("t")
     for number in range(first, first + count):
-        serial = serials.Serial(number, "n")
-        copy.apply(items.Batch(serial, copy.tip, ((f"k{number}", number, False),)))
+        version = versions.Version(number, "n")
+        copy.apply(items.Batch(version, copy.applied, ((f"k{number}", number, False),)))
     return copy
 
 
@@ -52,52 +52,52 @@
         node.wipe()
         await node.start()
         await day.world.until(lambda: all(node.body.core.votes(table) for table in items.TABLES), 60)
-        copies = [scenes.board(day, f"agency-{n}").copies[items.CLAIMS] for n in (1, 4)]
+        copies = [scenes.context(day, f"agency-{n}").copies[items.CLAIMS] for n in (1, 4)]
         assert len(copies[1].items) > 2750 and copies[1].counts == copies[0].counts
 
     scenes.play(scene)
 
 
-def test_rows_above_a_tip_are_taken_only_if_the_outcome_is_the_colleagues_copy():
+def test_rows_above_a_applied_are_taken_only_if_the_outcome_is_the_peers_copy():
     one, other = filled(20), filled(20)
-    # More is forgotten than is remembered, so that a colleague that is behind cannot be told all of it.
-    one.apply(items.Batch(serials.Serial(21, "n"), one.tip, (("k3", None, True), ("k4", 5, False))))
+    # More is forgotten than is remembered, so that a peer that is behind cannot be told all of it.
+    one.apply(items.Batch(versions.Version(21, "n"), one.applied, (("k3", None, True), ("k4", 5, False))))
     one.forgotten.clear()
-    changed, forgotten = one.after(other.tip)
+    changed, forgotten = one.after(other.applied)
     assert [item.key for item in changed] == ["k4"] and not forgotten
     before = other.root()
-    assert not other.advance(one.tip, one.root(), changed, forgotten)
-    assert other.root() == before and other.tip == serials.Serial(20, "n")
-    changed, _ = one.after(other.tip)
-    assert other.advance(one.tip, one.root(), changed, ["k3"]) and other.root() == one.root()
-    assert not other.advance(serials.Serial(5, "n"), one.root(), [], [])
+    assert not other.advance(one.applied, one.root(), changed, forgotten)
+    assert other.root() == before and other.applied == versions.Version(20, "n")
+    changed, _ = one.after(other.applied)
+    assert other.advance(one.applied, one.root(), changed, ["k3"]) and other.root() == one.root()
+    assert not other.advance(versions.Version(5, "n"), one.root(), [], [])
 
 
 def test_a_copy_damaged_in_memory_is_mended_range_by_range():
     async def scene(day):
-        copy = scenes.board(day, "store-1").blueprint
+        copy = scenes.context(day, "store-1").configuration
         good = copy.items["service/content"]
         copy.put(good._replace(value={"spoilt": True}))
         copy.remove("path/vacancies/")
         await day.world.until(lambda: copy.items["service/content"] == good, 3)
-        assert copy.root() == scenes.board(day, "agency-1").blueprint.root()
-        assert scenes.board(day, "store-1").counters.total("ranges_mended") <= 4
+        assert copy.root() == scenes.context(day, "agency-1").configuration.root()
+        assert scenes.context(day, "store-1").counters.total("ranges_mended") <= 4
 
     scenes.play(scene)
 
 
-def test_the_order_by_serial_the_counts_and_the_digests_follow_every_change():
+def test_the_order_by_version_the_counts_and_the_digests_follow_every_change():
     copy = filled(30)
     for number in range(0, 30, 3):
-        copy.forget(f"k{number}", serials.Serial(40 + number, "n"))
-    copy.put(items.Item("a/b", serials.Serial(90, "n"), None))
+        copy.forget(f"k{number}", versions.Version(40 + number, "n"))
+    copy.put(items.Item("a/b", versions.Version(90, "n"), None))
     fresh = tables.Copy("t")
     for item in copy.items.values():
         fresh.merge(item)
-    assert fresh.root() == copy.root() and list(fresh.by_serial) == list(copy.by_serial)
+    assert fresh.root() == copy.root() and list(fresh.by_version) == list(copy.by_version)
     assert copy.counts["a"] == 1 and sum(copy.counts.values()) == len(copy.items)
     twin = copy.clone()
-    twin.put(items.Item("z", serials.Serial(99, "n"), 1))
+    twin.put(items.Item("z", versions.Version(99, "n"), 1))
     assert twin.root() != copy.root() and "z" not in copy.items
 
 
@@ -107,16 +107,16 @@
 def test_a_malformed_reply_changes_nothing(answer):
     async def scene(day):
         node = day.world.nodes["store-1"]
-        before = {name: copy.root() for name, copy in node.body.board.copies.items()}
+        before = {name: copy.root() for name, copy in node.body.context.copies.items()}
 
         async def reply(*_):
             return answer
 
-        ask, node.body.board.postroom.ask = node.body.board.postroom.ask, reply
+        ask, node.body.context.transport.ask = node.body.context.transport.ask, reply
         await asyncio.sleep(1)
-        assert {name: copy.root() for name, copy in node.body.board.copies.items()} == before
-        assert not node.actor.dead and node.body.board.counters.total("sync_failed") > 0
-        node.body.board.postroom.ask = ask
+        assert {name: copy.root() for name, copy in node.body.context.copies.items()} == before
+        assert not node.actor.dead and node.body.context.counters.total("sync_failed") > 0
+        node.body.context.transport.ask = ask
         await day.world.until_ready()
 
     scenes.play(scene)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -5,7 +5,7 @@
 import scenes
 import test_doorstep
 
-import irisstand.rehearsal.trouble_origins as trouble_origins
+import irisstand.simulator.origin_faults as trouble_origins
 
 of, set_ceiling, ask_steadily = test_doorstep.of, test_doorstep.set_ceiling, test_doorstep.ask_steadily
 judge, restart = test_doorstep.judge, test_doorstep.restart
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-import irisstand.rehearsal.day as days
-import irisstand.rehearsal.virtual as virtual
+import irisstand.simulator.day as days
+import irisstand.simulator.virtual_time as virtual
 
 # Every kind of day has rules that it must have checked: one that was never checked has not been shown.
 BUSY = {
@@ -42,7 +42,7 @@
 BACK = "after a total loss service is back within 15 s"
 
 # Busy 1: a claim given back late. 4: a batch numbered below its base. 25: an edge cached under the service it
-# had expected. 11, 20: an agency did not wait for its orders. 19: a serial seen before a split was forgotten.
+# had expected. 11, 20: a control plane node did not wait for its orders. 19: a version seen before a split was forgotten.
 # Planned 10: orders dropped. 15: a replaced service was taken for a shrunk one, its leaving origin with it.
 # Quiet 4: a rest beside a core machine that had just died.
 # Kildespor 1002: more under way than the ceiling, by abandoned requests. 1028: a term decided after its end.
--- a/tests/test_deployed.py
+++ b/tests/test_deployed.py
@@ -11,7 +11,7 @@
 import deployed
 import pytest
 
-import irisstand.rehearsal.upstream as upstreams
+import irisstand.standins.upstream as upstreams
 
 
 def play(scene, folder):
@@ -112,7 +112,7 @@
     play(scene, tmp_path)
 
 
-def test_senseless_consumers_get_what_the_limits_say_and_the_node_goes_on(tmp_path):
+def test_senseless_clients_get_what_the_limits_say_and_the_node_goes_on(tmp_path):
     async def raw(fleet, sent):
         """The status line of what comes back on a connection of its own, or nothing."""
         reader, writer = await asyncio.open_connection("127.0.7.4", fleet.ports[2])
--- a/tests/test_direct.py
+++ b/tests/test_direct.py
@@ -1,4 +1,4 @@
-"""Edges that reach origins by themselves: what may be asked where, how often, and what consumers get."""
+"""Edges that reach origins by themselves: what may be asked where, how often, and what clients get."""
 
 import asyncio
 
@@ -7,8 +7,8 @@
 from scenes_direct import play, whole
 
 import irisstand.errors as errors
-import irisstand.ledger.items as items
-import irisstand.noticeboard.exchange as exchange
+import irisstand.state.items as items
+import irisstand.dataplane.exchange as exchange
 
 BROKEN = exchange.Broken("cut")
 FULL = whole("", b"", 503, x_not_run="1", content_digest=None)
@@ -70,7 +70,7 @@
 def test_a_write_under_way_when_the_route_is_withdrawn_is_not_sent_on_to_the_old_service():
     async def scene(stage):
         def origin(key, headers, body):
-            stage.put(items.BLUEPRINT, "route/writes", {"version": 9, "item": None})
+            stage.put(items.CONFIGURATION, "route/writes", {"version": 9, "item": None})
             return FULL
 
         stage.play = origin
@@ -117,8 +117,8 @@
             assert (await stage.ask(f"/reads/{number}", request_id=f"r{number}")).status == 500
         return len(stage.sent) - 200
 
-    boot = scenes_direct.BOOT
-    assert 0 < play(scene, edges=4) <= 200 * boot.second_share * 0.8 + boot.second_allowance * 0.8 / 4 + 1
+    settings = scenes_direct.SETTINGS
+    assert 0 < play(scene, edges=4) <= 200 * settings.second_share * 0.8 + settings.second_allowance * 0.8 / 4 + 1
 
 
 def test_an_origins_own_fault_is_passed_on_unchanged_when_the_second_has_none_better():
@@ -146,11 +146,11 @@
 
 def test_stale_tables_serve_nothing():
     async def scene(stage):
-        for copy in stage.board.copies.values():
-            copy.current_as_of = stage.board.clock.now() - 1.6
+        for copy in stage.context.copies.values():
+            copy.current_as_of = stage.context.clock.now() - 1.6
         await stage.ask("/reads/1")
 
-    error, stage = fails(scene, errors.StaleBlueprint)
+    error, stage = fails(scene, errors.StaleConfiguration)
     assert not stage.sent
 
 
@@ -242,7 +242,7 @@
         stage.route("objects", kind="cacheable", cache_life=2.0)
         await stage.ask("/objects/1", request_id="r2")
         sent = len(stage.sent)
-        stage.put(items.BLUEPRINT, "route/objects", {"version": 99, "item": None})
+        stage.put(items.CONFIGURATION, "route/objects", {"version": 99, "item": None})
         with pytest.raises(errors.UnknownPath):
             await stage.ask("/objects/1", request_id="r3")
         return sent
--- a/tests/test_disks.py
+++ b/tests/test_disks.py
@@ -6,10 +6,10 @@
 import scenes
 
 import irisstand.errors as errors
-import irisstand.ledger.items as items
-import irisstand.ledger.tables as tables
-import irisstand.rehearsal.virtual
-import irisstand.rehearsal.world
+import irisstand.state.items as items
+import irisstand.state.tables as tables
+import irisstand.simulator.virtual_time
+import irisstand.simulator.world
 
 
 def votes(day, name):
@@ -31,9 +31,9 @@
             await asyncio.sleep(0.1)
         assert took < 15
         for name in ("agency-5", "edge-2"):
-            blueprint = scenes.board(day, name).blueprint
-            assert blueprint.value("site/north") == {"weight": 7}
-            assert str(blueprint.serial("site/north")) == result["serial"]
+            configuration = scenes.context(day, name).configuration
+            assert configuration.value("site/north") == {"weight": 7}
+            assert str(configuration.version("site/north")) == result["serial"]
 
     scenes.play(scene)
 
@@ -43,19 +43,19 @@
     async def scene(day):
         result = await day.stage.order(victim, "change", [scenes.site_row(weight=3)])
         node = day.world.nodes[victim]
-        old = node.body.core.vault.identity
+        old = node.body.core.store.identity
         node.kill()
         node.wipe()
         await node.start()
         assert not votes(day, victim)
         # Asked under its old disk's name it has no vote, whatever its memory holds.
         with pytest.raises(errors.NotFounded):
-            await node.do(node.body.core.on_promise("x", [items.BLUEPRINT, (999, "x"), old]), 1)
+            await node.do(node.body.core.on_promise("x", [items.CONFIGURATION, (999, "x"), old]), 1)
         await day.world.until(lambda: votes(day, victim), 10)
-        assert node.body.core.vault.identity != old
+        assert node.body.core.store.identity != old
         for table in items.TABLES:
             assert len(day.world.nodes["agency-2"].body.core.voters(table)) == 5
-        assert str(scenes.board(day, victim).blueprint.serial("site/north")) == result["serial"]
+        assert str(scenes.context(day, victim).configuration.version("site/north")) == result["serial"]
         # Its vote counts again: with two others gone it makes up the majority.
         others = [name for name in ("agency-2", "agency-3", "agency-5") if name != victim][:2]
         for name in others:
@@ -65,7 +65,7 @@
     scenes.play(scene)
 
 
-def test_a_full_disk_rejects_with_the_remedy_and_the_others_go_on():
+def test_a_full_disk_refuses_with_the_remedy_and_the_others_go_on():
     async def scene(day):
         day.world.nodes["agency-1"].disk.full = True
         with pytest.raises(errors.DiskFull) as raised:
@@ -74,7 +74,7 @@
         await day.stage.order("agency-2", "change", [scenes.site_row(weight=3)])
         await asyncio.sleep(2)
         # It keeps serving what is in force, though it can keep none of it.
-        assert scenes.board(day, "agency-1").blueprint.value("site/north") == {"weight": 3}
+        assert scenes.context(day, "agency-1").configuration.value("site/north") == {"weight": 3}
         assert day.world.is_ready(day.world.nodes["agency-1"])
         day.world.nodes["agency-1"].disk.full = False
         await day.stage.order("agency-1", "change", [scenes.site_row(weight=4)])
@@ -91,7 +91,7 @@
             await asyncio.sleep(1)
             for name in ("agency-1", "agency-2", "edge-1"):
                 assert day.world.is_ready(day.world.nodes[name])
-                assert scenes.board(day, name).blueprint.value("site/north") == {"weight": weight}
+                assert scenes.context(day, name).configuration.value("site/north") == {"weight": weight}
 
     scenes.play(scene)
 
@@ -102,7 +102,7 @@
         await day.stage.order("agency-1", "change", [scenes.site_row(weight=2)])
         await asyncio.sleep(1)
         node = day.world.nodes["agency-3"]
-        before = node.body.core.vault.identity
+        before = node.body.core.store.identity
         node.kill()
         assert node.disk.corrupt(part)
         # Alone, it must not serve or vote from what it finds.
@@ -113,43 +113,43 @@
         assert not day.world.is_ready(node)
         if part == ".item.":
             with pytest.raises(errors.NotFounded):
-                await node.do(core.owners[items.BLUEPRINT].order("promise", (10**6, "x")), 1)
-            assert core.board.blueprint.value("site/north") is None
+                await node.do(core.owners[items.CONFIGURATION].order("promise", (10**6, "x")), 1)
+            assert core.context.configuration.value("site/north") is None
         else:
-            assert core.vault.identity != before
+            assert core.store.identity != before
         day.world.wires.heal()
         await day.world.until(lambda: votes(day, "agency-3") and day.world.is_ready(node), 15)
         await asyncio.sleep(1)
-        assert core.board.blueprint.value("site/north") == {"weight": 2}
-        assert all(core.vault.sound.values())
-        assert core.vault.copies[items.BLUEPRINT].root() == core.board.blueprint.root()
+        assert core.context.configuration.value("site/north") == {"weight": 2}
+        assert all(core.store.sound.values())
+        assert core.store.copies[items.CONFIGURATION].root() == core.context.configuration.root()
 
     scenes.play(scene)
 
 
 def test_empty_cores_found_only_all_together_and_never_beside_a_founded_one():
     async def scene():
-        world = irisstand.rehearsal.world.World(3, scenes.SHAPE)
-        agencies = world.role("agency")
-        for node in agencies[:4]:
+        world = irisstand.simulator.world.World(3, scenes.SHAPE)
+        control_nodes = world.role("agency")
+        for node in control_nodes[:4]:
             await node.start()
         await asyncio.sleep(8)
-        assert all(not node.body.core.voters(items.LEDGER) for node in agencies[:4])
-        await agencies[4].start()
-        await world.until(lambda: all(node.body.core.votes(items.LEDGER) for node in agencies), 10)
-        voters = agencies[0].body.core.voters(items.LEDGER)
-        for node in agencies[1:]:
+        assert all(not node.body.core.voters(items.LEDGER) for node in control_nodes[:4])
+        await control_nodes[4].start()
+        await world.until(lambda: all(node.body.core.votes(items.LEDGER) for node in control_nodes), 10)
+        voters = control_nodes[0].body.core.voters(items.LEDGER)
+        for node in control_nodes[1:]:
             node.kill()
             node.wipe()
-        for node in agencies[1:]:
+        for node in control_nodes[1:]:
             await node.start()
         await asyncio.sleep(10)
         # Four empty disks and one founded: nobody founds again, and nobody votes from an empty memory.
-        for node in agencies:
+        for node in control_nodes:
             assert node.body.core.voters(items.LEDGER) == voters
             assert not world.is_ready(node)
 
-    irisstand.rehearsal.virtual.run(scene())
+    irisstand.simulator.virtual_time.run(scene())
 
 
 def test_an_empty_core_machine_elsewhere_takes_the_place_of_one_that_is_gone_for_good():
@@ -158,7 +158,7 @@
         result = await day.stage.order("agency-1", "change", [scenes.site_row(weight=6)])
         world.nodes["agency-2"].kill()
         where = ("shield-machine-9", "south", "one", "10.0.0.99")
-        spare = world.add(irisstand.rehearsal.world.Plan("agency-9", "agency", *where))
+        spare = world.add(irisstand.simulator.world.Plan("agency-9", "agency", *where))
         await spare.start()
         # Not before the missing voter has been gone for long: it may only be restarting.
         await asyncio.sleep(30)
@@ -168,7 +168,7 @@
         for table in items.TABLES:
             names = {voter.name for voter in world.nodes["agency-1"].body.core.voters(table)}
             assert names == {"agency-1", "agency-3", "agency-4", "agency-5", "agency-9"}
-        assert str(scenes.board(day, "agency-9").blueprint.serial("site/north")) == result["serial"]
+        assert str(scenes.context(day, "agency-9").configuration.version("site/north")) == result["serial"]
         # The old one returns with its disk: it has no vote any more, and takes nobody's place.
         await world.nodes["agency-2"].start()
         await asyncio.sleep(10)
@@ -180,7 +180,7 @@
     scenes.play(scene)
 
 
-def test_a_voter_set_that_one_lost_site_would_rob_of_its_majority_is_rejected_whole():
+def test_a_voter_set_that_one_lost_site_would_rob_of_its_majority_is_refused_whole():
     async def scene(day):
         voters = day.world.nodes["agency-1"].body.core.voters(items.LEDGER)
         newcomer = ("agency-9", "vault", "north", "10.0.0.99", 7000, "m")
@@ -200,18 +200,18 @@
         await day.stage.order("agency-1", "change", [scenes.site_row(weight=7)])
         await asyncio.sleep(1)
         for node in day.world.role("agency"):
-            vault = node.body.core.vault
+            disk_id = node.body.core.store
             for table in items.TABLES:
-                record = vault.records[table]
-                old_root = tables.first_root(vault.copies[table])
+                record = disk_id.records[table]
+                old_root = tables.first_root(disk_id.copies[table])
                 assert old_root != record.root
-                await vault.save_record(table, record._replace(root=old_root))
+                await disk_id.save_record(table, record._replace(root=old_root))
             node.kill()
         for node in day.world.role("agency"):
             await node.start()
-            assert all(node.body.core.vault.sound.values())
+            assert all(node.body.core.store.sound.values())
         await day.world.until_ready()
-        assert scenes.board(day, "edge-1").blueprint.value("site/north") == {"weight": 7}
+        assert scenes.context(day, "edge-1").configuration.value("site/north") == {"weight": 7}
         await day.stage.order("agency-3", "change", [scenes.site_row(weight=8)])
 
     scenes.play(scene)
--- a/tests/test_doorstep.py
+++ b/tests/test_doorstep.py
@@ -7,10 +7,10 @@
 import scenes
 
 import irisstand.errors as errors
-import irisstand.noticeboard.decisions as decisions
-import irisstand.rehearsal.doorstep as doorstep
-import irisstand.rehearsal.trouble_origins as trouble_origins
-import irisstand.shortlist.budget as budgets
+import irisstand.dataplane.decisions as decisions
+import irisstand.simulator.origin_judge as doorstep
+import irisstand.simulator.origin_faults as trouble_origins
+import irisstand.balancing.budget as budgets
 
 
 def of(day, service):
@@ -121,11 +121,11 @@
         began = part.opened_at
         assert part.view.share("application", granted.ceiling)[0] > 0
         while day.watching.now() < began + granted.deadline:
-            decision = decisions.ShieldWrite(part.board.clock, granted, 3.0)
+            decision = decisions.ShieldWrite(part.context.clock, granted, 3.0)
             with pytest.raises(errors.NoShare):
                 await node.do(part.enter(granted, decision), 1)
             await asyncio.sleep(0.3)
-        decision = decisions.ShieldWrite(part.board.clock, granted, 3.0)
+        decision = decisions.ShieldWrite(part.context.clock, granted, 3.0)
         await node.do(part.enter(granted, decision), 1)
 
     scenes.play(scene)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-import irisstand.noticeboard.exchange as exchange
+import irisstand.dataplane.exchange as exchange
 
 ID = "x-request-id"
 
--- a/tests/test_final.py
+++ b/tests/test_final.py
@@ -17,7 +17,7 @@
 
 
 ARGUMENTS = {
-    errors.BootFault: (["x"],), errors.BadChange: ([],), errors.StaleSerial: ([],), errors.Claimed: ({},),
+    errors.SettingsError: (["x"],), errors.BadChange: ([],), errors.StaleVersion: ([],), errors.Claimed: ({},),
     errors.CannotCarry: ("x", {}),
 }  # fmt: skip
 
@@ -41,7 +41,7 @@
     return answer[1], asyncio.get_running_loop().time() - began
 
 
-def test_no_rejection_is_held_back_until_its_deadline():
+def test_no_refusal_is_held_back_until_its_deadline():
     """The deadline is three seconds; what cannot be helped is said at once, or after its queue."""
 
     async def scene(day):
@@ -79,7 +79,7 @@
     scenes.play(scene)
 
 
-def test_an_order_to_a_node_that_has_lost_the_voters_is_rejected_at_once():
+def test_an_order_to_a_node_that_has_lost_the_voters_is_refused_at_once():
     async def scene(day):
         day.world.cut_off(["agency-2"])
         await asyncio.sleep(2)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,15 +5,15 @@
 
 import scenes
 
-import irisstand.agency.fleetview as fleetview
+import irisstand.controlplane.fleet_view as fleet_view
 
 
 def owners(day, name="agency-1"):
-    return fleetview.FleetView(scenes.board(day, name)).slot_owners()
+    return fleet_view.FleetView(scenes.context(day, name)).slot_owners()
 
 
 def resting(day, name="agency-2"):
-    return {item.key.removeprefix("rest/") for item in scenes.board(day, name).ledger.under("rest/")}
+    return {item.key.removeprefix("rest/") for item in scenes.context(day, name).ledger.under("rest/")}
 
 
 async def settle(day, condition, patience=60):
@@ -94,7 +94,7 @@
         rule = "the shares of a ceiling add up to no more than it"
         assert day.judge.checked[rule] > 1000 and not day.judge.broken[rule], day.judge.examples
         # And nothing of the ceiling is left lying: the living hold all of it in the end.
-        shares = fleetview.FleetView(scenes.board(day, "agency-2")).shares()
+        shares = fleet_view.FleetView(scenes.context(day, "agency-2")).shares()
         assert sum(row["content"][0] for row in shares.values()) == 60
         assert sum(row["content"][1] for row in shares.values()) == 30
 
@@ -117,7 +117,7 @@
         await asyncio.sleep(2)
         counts = collections.Counter()
         before = {o.instance: len(o.started) for o in day.stage.origins}
-        shields = {n: scenes.board(day, n).gauge for n in day.world.nodes if n.startswith("shield")}
+        shields = {n: scenes.context(day, n).gauge for n in day.world.nodes if n.startswith("shield")}
         for gauge in shields.values():
             gauge.moments.clear()
         for number in range(60):
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -10,9 +10,9 @@
 
 import irisstand
 import irisstand.errors as errors
-import irisstand.ledger.items as items
-import irisstand.postroom.codec as codec
-import irisstand.rehearsal.wires as wires
+import irisstand.state.items as items
+import irisstand.transport.codec as codec
+import irisstand.simulator.memory_network as wires
 
 
 async def connect(day, name):
@@ -28,8 +28,8 @@
             b"x" * (codec.FRAME_LIMIT + 1),
         ]  # fmt: skip
         for name in ("agency-2", "edge-1"):
-            board = scenes.board(day, name)
-            before = board.counters.total("frames_dropped")
+            context = scenes.context(day, name)
+            before = context.counters.total("frames_dropped")
             for payload in bad:
                 stream = await connect(day, name)
                 stream.write(payload)
@@ -39,7 +39,7 @@
                             await stream.read()
                 except ConnectionResetError:
                     pass
-            assert board.counters.total("frames_dropped") - before == len(bad)
+            assert context.counters.total("frames_dropped") - before == len(bad)
         assert (await day.stage.ask("edge-1", "GET", "/vacancies/1"))[0] == 200
 
     scenes.play(scene)
@@ -52,22 +52,22 @@
         asked = 0
         for name in ("agency-3", "shield-1", "store-1", "edge-2"):
             node = day.world.nodes[name]
-            before = {table: copy.root() for table, copy in node.body.board.copies.items()}
-            tips = {table: copy.tip for table, copy in node.body.board.copies.items()}
-            kinds = [kind for kind in node.body.board.postroom.handlers if kind not in ("roster", "order")]
+            before = {table: copy.root() for table, copy in node.body.context.copies.items()}
+            applied_versions = {table: copy.applied for table, copy in node.body.context.copies.items()}
+            kinds = [kind for kind in node.body.context.transport.handlers if kind not in ("roster", "order")]
             for kind in [*kinds, "no-such-kind"]:
                 for _ in range(8):
                     body = tuple(value(randomness) for _ in range(randomness.randrange(10)))
                     source = day.world.nodes["edge-1"]
                     address = (node.plan.host, 7000)
-                    ask = source.body.board.postroom.ask(address, name, kind, body, 0.3)
+                    ask = source.body.context.transport.ask(address, name, kind, body, 0.3)
                     try:
                         await source.do(ask, 5)
                     except errors.IrisError:
                         asked += 1
-            assert not node.body.board.crashed.done()
-            for table, copy in node.body.board.copies.items():
-                if copy.tip == tips[table]:
+            assert not node.body.context.crashed.done()
+            for table, copy in node.body.context.copies.items():
+                if copy.applied == applied_versions[table]:
                     assert copy.root() == before[table]
         assert asked > 80
         await day.world.until_ready()
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -8,12 +8,12 @@
 import irisstand.clocks
 import irisstand.counters
 import irisstand.errors as errors
-import irisstand.ledger.items as items
-import irisstand.ledger.serials as serials
-import irisstand.ledger.tables as tables
-import irisstand.postroom.codec as codec
-import irisstand.rollcall.detector
-import irisstand.rollcall.updates as updates
+import irisstand.state.items as items
+import irisstand.state.versions as versions
+import irisstand.state.tables as tables
+import irisstand.transport.codec as codec
+import irisstand.membership.detector
+import irisstand.membership.updates as updates
 
 
 def value(randomness, depth=0):
@@ -33,7 +33,7 @@
 def detector():
     card = updates.Card("edge", "m", "s", "r", "127.0.0.1", 1, 2)
     counters = irisstand.counters.Counters()
-    return irisstand.rollcall.detector.Detector("a", card, StoppedClock(), random.Random(1), counters)
+    return irisstand.membership.detector.Detector("a", card, StoppedClock(), random.Random(1), counters)
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -105,7 +105,7 @@
     for _ in range(60):
         given = [
             items.Item(
-                f"k{randomness.randrange(6)}", serials.Serial(number, "n"), randomness.choice((None, number))
+                f"k{randomness.randrange(6)}", versions.Version(number, "n"), randomness.choice((None, number))
             )
             for number in range(1, randomness.randrange(2, 25))
         ]
--- a/tests/test_giving_out.py
+++ b/tests/test_giving_out.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("headers", [{}, {"authorization": "Bearer me"}])
-def test_purges_that_keep_striking_end_in_a_rejection_within_the_deadline(headers):
+def test_purges_that_keep_striking_end_in_a_refusal_within_the_deadline(headers):
     async def scene(day):
         path = "/vacancies/7"
         await slow_origins(day, 0.7)
--- a/tests/test_holders.py
+++ b/tests/test_holders.py
@@ -7,8 +7,8 @@
 from scenes_direct import whole
 
 import irisstand.errors as errors
-import irisstand.ledger.items as items
-import irisstand.rehearsal.virtual as virtual
+import irisstand.state.items as items
+import irisstand.simulator.virtual_time as virtual
 
 
 class Site:
@@ -20,16 +20,16 @@
             for number in range(1, count + 1):
                 name = f"{'edge' if role == 'direct' else 'holder'}-{number}"
                 site = places.get(name.replace("-", "_"), "north")
-                boot = scenes_direct.BOOT._replace(
+                settings = scenes_direct.SETTINGS._replace(
                     name=name, role=role, site=site, region="two" if site == "east" else "one"
                 )
-                self.nodes[name] = scenes_direct.Scene(boot=boot)
+                self.nodes[name] = scenes_direct.Scene(settings=settings)
         for name, node in self.nodes.items():
             for other in self.nodes.values():
                 if other is not node:
-                    boot = other.board.boot
-                    node.member(boot.name, boot.role, boot.site, boot.region)
-            node.board.postroom.ask = self.asker(name)
+                    settings = other.context.settings
+                    node.member(settings.name, settings.role, settings.site, settings.region)
+            node.context.transport.ask = self.asker(name)
 
     def asker(self, sender):
         async def ask(address, name, kind, body, patience):
@@ -37,7 +37,7 @@
             if name in self.silent:
                 await asyncio.sleep(patience)
                 raise errors.Unanswered(name)
-            reply = await self.nodes[name].board.postroom.handlers[kind](sender, list(body))
+            reply = await self.nodes[name].context.transport.handlers[kind](sender, list(body))
             self.replies.append(reply[0])
             return reply
 
@@ -97,17 +97,17 @@
         holder.play = lambda key, headers, body: whole(headers["x-request-id"], b"n%d" % len(holder.sent))
         first = (await site.nodes["edge-2"].ask("/objects/1")).body
         site.put(items.LEDGER, "purge/path/h/objects/1", {"purge": "path"}, "edge-1")
-        assert holder.board.ledger.tip < edge.board.ledger.tip
+        assert holder.context.ledger.applied < edge.context.ledger.applied
         return first, (await edge.ask("/objects/1")).body
 
     assert play(scene) == (b"n1", b"n2")
 
 
-def test_a_holder_that_is_behind_the_edges_blueprint_is_not_believed():
+def test_a_holder_that_is_behind_the_edges_configuration_is_not_believed():
     async def scene(site):
         # The edge's route goes to another service now; its holder still has the old one.
         edge = site.nodes["edge-1"]
-        edge.put(items.BLUEPRINT, "upstream/t", {"version": 1, "item": {"name": "t", "version": 1}})
+        edge.put(items.CONFIGURATION, "upstream/t", {"version": 1, "item": {"name": "t", "version": 1}})
         edge.origin("c", service="t")
         edge.route("objects", kind="cacheable", service="t")
         assert (await edge.ask("/objects/1")).status == 200
@@ -142,7 +142,7 @@
 def test_while_a_rate_is_scarce_one_holder_of_all_fetches_an_object_and_nobody_asks_in_a_ring():
     async def scene(site):
         for node in site.nodes.values():
-            node.put(items.BLUEPRINT, "upstream/s", {"version": 9, "item": {
+            node.put(items.CONFIGURATION, "upstream/s", {"version": 9, "item": {
                 "name": "s", "version": 9, "rate": 40.0, "connections": 50}})  # fmt: skip
             node.part.targets.is_scarce = lambda service: True
         for name in ("edge-1", "edge-2"):
@@ -157,7 +157,7 @@
 def test_a_few_edges_fetch_for_themselves():
     async def scene(site):
         for node in site.nodes.values():
-            node.board.boot = node.board.boot._replace(holder_edges=3)
+            node.context.settings = node.context.settings._replace(holder_edges=3)
         assert (await site.nodes["edge-1"].ask("/objects/1")).status == 200
         return site.sent()
 
@@ -166,7 +166,7 @@
 
 def test_a_draining_holder_takes_nothing_more():
     async def scene(site):
-        site.nodes["holder-1"].board.draining = True
+        site.nodes["holder-1"].context.draining = True
         assert (await site.nodes["edge-1"].ask("/objects/1")).status == 200
         return site.sent()
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -12,10 +12,10 @@
 import click.testing
 import pytest
 
-import irisstand.boot as boots
+import irisstand.node_settings as settings_list
 import irisstand.commands
 import irisstand.errors as errors
-import irisstand.rehearsal.fleet as fleets
+import irisstand.fleet.processes as fleets
 
 GOOD = {
     "name": "edge-1", "machine": "m", "site": "north", "region": "one", "host": "127.0.0.1", "port": 7000,
@@ -24,13 +24,13 @@
 
 
 def faults(**changed):
-    with pytest.raises(errors.BootFault) as raised:
-        boots.check({**GOOD, **changed}, "noticeboard")
+    with pytest.raises(errors.SettingsError) as raised:
+        settings_list.check({**GOOD, **changed}, "noticeboard")
     return raised.value.faults
 
 
 def test_every_fault_of_the_settings_is_named_with_key_value_and_remedy():
-    assert boots.check(GOOD, "noticeboard").seeds == [("127.0.0.1", 7001)]
+    assert settings_list.check(GOOD, "noticeboard").seeds == [("127.0.0.1", 7001)]
     found = faults(port="x", host="example.org", role="oven", colour="red", seeds="1.1.1.1:1,b,c,d")
     assert len(found) == 5
     for key, value in (("port", "'x'"), ("host", "example.org"), ("role", "oven"), ("colour", "red")):
@@ -43,13 +43,13 @@
 def test_bad_settings_exit_2_and_flags_win_over_the_file(tmp_path):
     settings = tmp_path / "edge.toml"
     settings.write_text('name = "edge-1"\nport = 99999\n')
-    command = [sys.executable, "-m", "irisstand.noticeboard.program", "--settings", str(settings)]
+    command = [sys.executable, "-m", "irisstand.dataplane.program", "--settings", str(settings)]
     done = subprocess.run([*command, "--port", "7000"], capture_output=True, text=True)
     assert done.returncode == 2
     assert "port: 99999" not in done.stderr and "machine: nothing is set" in done.stderr
     done = subprocess.run(command, capture_output=True, text=True)
     assert done.returncode == 2 and "port: 99999 does not do" in done.stderr
-    for program in ("irisstand.noticeboard.program", "irisstand.agency.program", "irisstand.commands"):
+    for program in ("irisstand.dataplane.program", "irisstand.controlplane.program", "irisstand.commands"):
         for flag in ("--help", "--version"):
             assert subprocess.run([sys.executable, "-m", program, flag], capture_output=True).returncode == 0
 
@@ -64,7 +64,7 @@
 
 @pytest.fixture(scope="module")
 def thin(tmp_path_factory):
-    """One agency, one shield and one edge as real processes."""
+    """One control plane node, one shield and one edge as real processes."""
     folder = tmp_path_factory.mktemp("thin")
     fleet = fleets.Fleet(fleets.SHAPES["thin"], folder, fleets.free_ports(1)[0])
     for name in ("agency-1", "shield-1", "edge-1"):
@@ -152,6 +152,6 @@
     place = thin.places["shield-1"]
     settings = [f"--{key.replace('_', '-')}={value}" for key, value in GOOD.items() if "port" not in key]
     ports = [f"--port={fleets.free_ports(1)[0]}", f"--http-port={place.http_port}"]
-    command = [sys.executable, "-m", "irisstand.noticeboard.program", *settings, *ports]
+    command = [sys.executable, "-m", "irisstand.dataplane.program", *settings, *ports]
     done = subprocess.run(command, capture_output=True, text=True, env=os.environ)
     assert done.returncode == 2 and "free the port" in done.stderr
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -36,7 +36,7 @@
         # Sent again under its id, to anybody, it brings the one true result.
         result = await day.stage.order("agency-4", "change", [scenes.site_row(weight=3)], "change-x")
         await asyncio.sleep(1)
-        assert scenes.board(day, "agency-4").blueprint.value("site/north") == {"weight": 3}
+        assert scenes.context(day, "agency-4").configuration.value("site/north") == {"weight": 3}
         assert result["rows"] == ["site/north"]
 
     scenes.play(scene)
@@ -84,7 +84,7 @@
     scenes.play(scene)
 
 
-def test_a_term_that_is_decided_too_late_is_taken_anew_at_once():
+def test_a_lease_that_is_decided_too_late_is_taken_anew_at_once():
     """Found on a day of kind kildespor, seed 1028: won after its own end, and left undone for its length."""
 
     async def scene(day):
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""Lines to origins over real sockets: vouched for, never reopened, whole and sealed."""
+"""Lines to origins over real sockets: confirmed for, never reopened, whole and sealed."""
 
 import asyncio
 
@@ -7,8 +7,8 @@
 import pytest
 
 import irisstand.errors as errors
-import irisstand.noticeboard.lines as lines
-import irisstand.noticeboard.objects as objects
+import irisstand.dataplane.lines as lines
+import irisstand.dataplane.objects as objects
 
 
 def test_a_line_is_never_reopened_and_says_whether_a_byte_may_have_left():
@@ -33,7 +33,7 @@
 
         async def opened():
             line = await lines.open_http("127.0.0.1", port)
-            await lines.vouch(line, "/health", "s", "i", 5)
+            await lines.confirm_current(line, "/health", "s", "i", 5)
             line.touched = False
             return line
 
@@ -58,7 +58,7 @@
         # Another service at the address gets the probe and nothing else.
         line = await lines.open_http("127.0.0.1", port)
         with pytest.raises(errors.WrongService):
-            await lines.vouch(line, "/health", "other", "i", 5)
+            await lines.confirm_current(line, "/health", "other", "i", 5)
         await line.close()
         await runner.cleanup()
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -4,8 +4,8 @@
 
 import scenes
 
-import irisstand.rollcall.detector as detector
-import irisstand.rollcall.updates as updates
+import irisstand.membership.detector as detector
+import irisstand.membership.updates as updates
 
 PERIOD = detector.Tuning.period
 
@@ -23,7 +23,7 @@
 def test_a_paused_process_is_suspected_then_refutes_it_and_is_never_declared_failed():
     async def scene(day):
         node = day.world.nodes["edge-1"]
-        life = node.body.board.detector.identity.life
+        life = node.body.context.detector.identity.life
         node.freeze()
         seen = set()
         await day.world.until(lambda: updates.State.SUSPECT in states(day, "edge-1").values(), 10)
@@ -33,7 +33,7 @@
             await asyncio.sleep(0.1)
         assert None not in seen
         assert set(states(day, "edge-1").values()) == {updates.State.ALIVE}
-        own = node.body.board.detector
+        own = node.body.context.detector
         assert own.incarnation >= 1 and own.identity.life == life
 
     scenes.play(scene)
@@ -42,16 +42,16 @@
 def test_a_dead_node_is_failed_everywhere_within_the_papers_bounds_and_returns_as_a_new_life():
     async def scene(day):
         node = day.world.nodes["store-1"]
-        life = node.body.board.detector.identity.life
+        life = node.body.context.detector.identity.life
         members = len(day.world.nodes)
         node.kill()
         took = await day.world.until(lambda: set(states(day, "store-1").values()) == {None}, 60)
-        limit = node.body.board.detector.limit()
+        limit = node.body.context.detector.limit()
         # 2n-1 periods until some node probes it, the suspicion's time-out, and the spread of the news.
         assert took <= (2 * members - 1 + 2 * limit) * PERIOD
         await node.start()
         await day.world.until(lambda: set(states(day, "store-1").values()) == {updates.State.ALIVE}, 20)
-        assert node.body.board.detector.identity.life != life
+        assert node.body.context.detector.identity.life != life
 
     scenes.play(scene)
 
@@ -59,19 +59,19 @@
 def test_a_node_falsely_declared_failed_comes_back_as_a_new_life():
     async def scene(day):
         node = day.world.nodes["edge-2"]
-        identity = node.body.board.detector.identity
+        identity = node.body.context.detector.identity
         day.world.cut_off(["edge-2"])
         await day.world.until(lambda: set(states(day, "edge-2").values()) == {None}, 60)
         # Cut off, it has kept the others on its list: it hears nobody, so it is the one that is ill.
         assert len(scenes.members(day, "edge-2")) == len(day.world.nodes) - 1
         day.world.wires.heal()
         await day.world.until(lambda: set(states(day, "edge-2").values()) == {updates.State.ALIVE}, 30)
-        assert node.body.board.detector.identity.name == identity.name
-        assert node.body.board.detector.identity.life != identity.life
+        assert node.body.context.detector.identity.name == identity.name
+        assert node.body.context.detector.identity.life != identity.life
         # And it has not taken anybody else down with it.
         for name in day.world.nodes:
             if name != "edge-2":
-                assert scenes.board(day, name).counters.get("swim_lives") == 0
+                assert scenes.context(day, name).counters.get("swim_lives") == 0
 
     scenes.play(scene)
 
@@ -103,10 +103,10 @@
             for name in day.world.nodes:
                 assert len(scenes.members(day, name)) == len(day.world.nodes) - 1
         suspected = sum(
-            scenes.board(day, name).counters.get("swim_updates", state="suspect") for name in day.world.nodes
+            scenes.context(day, name).counters.get("swim_updates", state="suspect") for name in day.world.nodes
         )
         confirmed = sum(
-            scenes.board(day, name).counters.get("swim_updates", state="confirm") for name in day.world.nodes
+            scenes.context(day, name).counters.get("swim_updates", state="confirm") for name in day.world.nodes
         )
         assert suspected > 0 and confirmed == 0
 
@@ -117,7 +117,7 @@
     async def scene(day):
         await day.world.nodes["edge-1"].stop()
         await day.world.until(lambda: set(states(day, "edge-1").values()) == {None}, 10 * PERIOD)
-        seen = scenes.board(day, "agency-1").detector.roster.failed.values()
+        seen = scenes.context(day, "agency-1").detector.roster.failed.values()
         assert [update.left for update in seen if update.identity.name == "edge-1"] == [True]
 
     scenes.play(scene)
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -7,12 +7,12 @@
 import pytest
 import scenes
 
-import irisstand.agency.changes as changes
-import irisstand.agency.voters as voters
+import irisstand.controlplane.changes as changes
+import irisstand.controlplane.voters as voters
 import irisstand.errors as errors
-import irisstand.ledger.items as items
-import irisstand.rehearsal.world as worlds
-import irisstand.vetting.formats as formats
+import irisstand.state.items as items
+import irisstand.simulator.world as worlds
+import irisstand.validation.formats as formats
 
 
 def test_a_change_is_shown_with_its_rows_what_superseded_them_and_who_has_it_in_force():
@@ -25,7 +25,7 @@
         await day.stage.order("agency-2", "change", [scenes.site_row("south", 5)], "third")
         await asyncio.sleep(1)
         node = day.world.nodes["agency-4"]
-        shower = changes.Changes(node.body.board)
+        shower = changes.Changes(node.body.context)
         first = await node.do(shower.show("first"), 3)
         second = await node.do(shower.show("second"), 3)
         third = await node.do(shower.show("third"), 3)
@@ -45,10 +45,10 @@
     async def scene(day):
         result = await day.stage.order("agency-1", "change", [scenes.site_row(weight=2)], "x")
         await asyncio.sleep(1)
-        copy = scenes.board(day, "store-1").blueprint
-        copy.tip = copy.tip._replace(counter=copy.tip.counter - 1)
+        copy = scenes.context(day, "store-1").configuration
+        copy.applied = copy.applied._replace(counter=copy.applied.counter - 1)
         node = day.world.nodes["agency-1"]
-        shown = await node.do(changes.Changes(node.body.board).show("x"), 3)
+        shown = await node.do(changes.Changes(node.body.context).show("x"), 3)
         assert shown["serial"] == result["serial"] and shown["nodes"]["store-1"] == "behind"
 
     scenes.play(scene)
@@ -67,7 +67,7 @@
 
 def keeper(day, name="agency-5"):
     node = day.world.nodes[name]
-    return node, voters.Voters(node.body.board, node.body.submitter)
+    return node, voters.Voters(node.body.context, node.body.submitter)
 
 
 def test_a_voter_is_replaced_by_hand_and_twice_is_the_same_as_once():
@@ -116,7 +116,7 @@
     scenes.play(scene)
 
 
-def test_an_order_that_would_leave_no_majority_up_is_rejected_whole_with_figures():
+def test_an_order_that_would_leave_no_majority_up_is_refused_whole_with_figures():
     async def scene(day):
         await spare(day, "agency-7", "south", "one")
         for name in ("agency-2", "agency-3"):
@@ -175,7 +175,7 @@
         (b"1: 2\n", "no word"), (b"\xff\xfe\x00", ""), (b"x: !!python/object:os.system {}\n", ""),
     ],
 )  # fmt: skip
-def test_faulty_objects_are_rejected_whole_and_the_fault_is_named(content, where):
+def test_faulty_objects_are_refused_whole_and_the_fault_is_named(content, where):
     with pytest.raises(errors.BadChange) as caught:
         formats.read("first.yaml", content)
     assert any(where in f"{fault['field']}: {fault['message']}" for fault in caught.value.faults), (
@@ -214,7 +214,7 @@
             for _ in range(200):
                 if part.view.share("application", granted.ceiling)[0]:
                     pool = part.origins.draw(granted, ())
-                    counts[sites[pool.origin.site] == part.board.boot.region] += 1
+                    counts[sites[pool.origin.site] == part.context.settings.region] += 1
         # Two draws, each three to one for the near: rather more than three quarters where both exist.
         assert counts[True] > 2.5 * counts[False], counts
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -5,15 +5,15 @@
 
 import scenes
 
-import irisstand.agency.watch as watch
+import irisstand.controlplane.platform_watch as watch
 
 
 def state(day, name="edge-1"):
-    return scenes.board(day, name).ledger.value("platform")
+    return scenes.context(day, name).ledger.value("platform")
 
 
 def listed(day):
-    return {item.key for item in scenes.board(day, "edge-1").ledger.under("origin/")}
+    return {item.key for item in scenes.context(day, "edge-1").ledger.under("origin/")}
 
 
 def says(day, revision=None, age=0.0, without=()):
@@ -82,7 +82,7 @@
         assert state(day)["state"] == "shrunk" and "content" in state(day)["why"]
         assert {f"origin/{name}" for name in content} <= listed(day)
         # What it says of the rest is in force meanwhile.
-        ledger = scenes.board(day, "edge-1").ledger
+        ledger = scenes.context(day, "edge-1").ledger
         assert ledger.value(f"origin/{other.instance}")["state"] == "leaving"
         await asyncio.sleep(6)
         assert not {f"origin/{name}" for name in content[:3]} & listed(day)
--- a/tests/test_protection.py
+++ b/tests/test_protection.py
@@ -7,36 +7,36 @@
 import scenes
 
 import irisstand.errors as errors
-import irisstand.ledger.items as items
-import irisstand.ledger.serials as serials
-import irisstand.shortlist.shares as shares
+import irisstand.state.items as items
+import irisstand.state.versions as versions
+import irisstand.balancing.shares as shares
 
 
 async def accept_by_majority(day):
-    """A taker had its batch accepted by three of five, so a yes may be out, and died before any commit."""
+    """A proposer had its batch accepted by three of five, so a yes may be out, and died before any commit."""
     core = day.world.nodes["agency-1"].body.core
-    tip = core.board.blueprint.tip
-    ballot = serials.Serial(tip.counter + 5, f"agency-1~{core.vault.identity}")
-    batch = items.Batch(ballot, tip, (("site/south", {"weight": 9}, False),))
+    applied = core.context.configuration.applied
+    ballot = versions.Version(applied.counter + 5, f"agency-1~{core.store.identity}")
+    batch = items.Batch(ballot, applied, (("site/south", {"weight": 9}, False),))
     day.world.nodes["agency-1"].kill()
     for name in ("agency-2", "agency-3", "agency-4"):
         node = day.world.nodes[name]
-        owner = node.body.core.owners[items.BLUEPRINT]
+        owner = node.body.core.owners[items.CONFIGURATION]
         assert (await node.do(owner.order("promise", ballot), 1))[0] == "promised"
         assert (await node.do(owner.order("accept", ballot, batch, "agency-1"), 1))[0] == "accepted"
     return batch
 
 
-def test_a_batch_that_a_majority_accepted_is_finished_by_the_next_taker():
+def test_a_batch_that_a_majority_accepted_is_finished_by_the_next_proposer():
     async def scene(day):
         batch = await accept_by_majority(day)
         await day.stage.order("agency-5", "change", [scenes.site_row(weight=2)])
         await asyncio.sleep(1)
         for name in ("agency-5", "edge-1"):
-            blueprint = scenes.board(day, name).blueprint
-            assert blueprint.value("site/south") == {"weight": 9}
-            assert blueprint.serial("site/south") == batch.serial
-            assert blueprint.value("site/north") == {"weight": 2}
+            configuration = scenes.context(day, name).configuration
+            assert configuration.value("site/south") == {"weight": 9}
+            assert configuration.version("site/south") == batch.version
+            assert configuration.value("site/north") == {"weight": 2}
 
     scenes.play(scene)
 
@@ -49,30 +49,30 @@
         await asyncio.sleep(2.5)
         # The yes may be out, and no node knows the row yet: none may answer from the table.
         for name in ("agency-5", "edge-1", "shield-2"):
-            board = scenes.board(day, name)
-            assert board.blueprint.value("site/south") is None
-            assert not board.is_current(board.blueprint)
+            context = scenes.context(day, name)
+            assert context.configuration.value("site/south") is None
+            assert not context.is_current(context.configuration)
         for node in day.world.role("agency"):
             node.disk.stalled = False
         await day.world.until_ready()
-        assert scenes.board(day, "edge-1").blueprint.value("site/south") == {"weight": 9}
+        assert scenes.context(day, "edge-1").configuration.value("site/south") == {"weight": 9}
 
     scenes.play(scene)
 
 
-def test_a_voter_takes_no_batch_that_stands_on_another_base_than_its_own_tip():
+def test_a_voter_takes_no_batch_that_stands_on_another_base_than_its_own_applied():
     async def scene(day):
         node = day.world.nodes["agency-2"]
-        owner = node.body.core.owners[items.BLUEPRINT]
+        owner = node.body.core.owners[items.CONFIGURATION]
         await day.stage.order("agency-1", "change", [scenes.site_row()])
         await asyncio.sleep(1)
-        tip = owner.record.tip
-        # A taker that has slept since an earlier tip and has only now been promised again.
-        earlier = tip._replace(counter=tip.counter - 1)
-        batch = items.Batch(serials.Serial(tip.counter + 9, "x"), earlier, (("site/north", {}, False),))
-        ballot = serials.Serial(tip.counter + 9, "x")
+        applied = owner.record.applied
+        # A proposer that has slept since an earlier applied version and has only now been promised again.
+        earlier = applied._replace(counter=applied.counter - 1)
+        batch = items.Batch(versions.Version(applied.counter + 9, "x"), earlier, (("site/north", {}, False),))
+        ballot = versions.Version(applied.counter + 9, "x")
         assert (await node.do(owner.order("accept", ballot, batch, "agency-1"), 1))[0] == "moved"
-        assert owner.record.pending is None and owner.record.tip == tip
+        assert owner.record.pending is None and owner.record.applied == applied
 
     scenes.play(scene)
 
@@ -80,17 +80,17 @@
 def test_a_disk_asked_for_under_its_predecessors_id_has_no_vote_though_it_has_learnt_everything():
     async def scene(day):
         node = day.world.nodes["agency-4"]
-        old = node.body.core.vault.identity
+        old = node.body.core.store.identity
         node.kill()
         node.wipe()
         await node.start()
-        await day.world.until(lambda: node.body.core.votes(items.BLUEPRINT), 20)
+        await day.world.until(lambda: node.body.core.votes(items.CONFIGURATION), 20)
         ballot = (10**6, "x")
         with pytest.raises(errors.NotFounded):
-            await node.do(node.body.core.on_promise("x", [items.BLUEPRINT, ballot, old]), 1)
-        batch = items.encode_batch(items.Batch(serials.Serial(10**6, "x"), serials.NONE, ()))
+            await node.do(node.body.core.on_promise("x", [items.CONFIGURATION, ballot, old]), 1)
+        batch = items.encode_batch(items.Batch(versions.Version(10**6, "x"), versions.NONE, ()))
         with pytest.raises(errors.NotFounded):
-            await node.do(node.body.core.on_accept("x", [items.BLUEPRINT, ballot, batch, old]), 1)
+            await node.do(node.body.core.on_accept("x", [items.CONFIGURATION, ballot, batch, old]), 1)
 
     scenes.play(scene)
 
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -6,11 +6,11 @@
 import pytest
 import scenes
 
-import irisstand.shortlist.rota as rota
+import irisstand.balancing.rota as rota
 
 
 def resting(day, name="agency-2"):
-    return {item.key.removeprefix("rest/") for item in scenes.board(day, name).ledger.under("rest/")}
+    return {item.key.removeprefix("rest/") for item in scenes.context(day, name).ledger.under("rest/")}
 
 
 async def settle(day, condition, patience=60):
@@ -23,7 +23,7 @@
         awake = [n for n in day.world.role("shield") if n.plan.machine not in resting(day)]
         # Two machines at two sites: either may go.
         assert len({node.plan.site for node in awake}) == 2
-        # A resting machine stays a member and its agency a voter.
+        # A resting machine stays a member and its control plane node a voter.
         assert len(scenes.members(day, "edge-1")) == len(day.world.nodes) - 1
         assert all(node.body.core.votes("ledger") for node in day.world.role("agency"))
         for number in range(10):
@@ -37,7 +37,7 @@
             day, lambda: len([n for n in resting(day) if n.startswith("shield") and n != lost]) <= 2, 30
         )
         assert took < 10
-        saved = scenes.board(day, "agency-2").ledger
+        saved = scenes.context(day, "agency-2").ledger
         await settle(day, lambda: any(True for _ in saved.under("saved/shield")), 90)
 
     scenes.play(scene)
@@ -53,7 +53,7 @@
         await day.stage.order("agency-1", "change", [pinned, *limits])
         await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) == 3, 90)
         assert "shield-machine-5" not in resting(day)
-        why = scenes.board(day, "agency-2").ledger.value("staffing")["why"]
+        why = scenes.context(day, "agency-2").ledger.value("staffing")["why"]
         assert why["shield-machine-5"] == "awake: pinned by operators"
         jobs = []
         for number in range(400):
--- a/tests/test_retention.py
+++ b/tests/test_retention.py
@@ -7,33 +7,33 @@
 import pytest
 import scenes
 
-import irisstand.agency.orders as orders
-import irisstand.agency.retention as retention
-import irisstand.agency.tabletime as tabletime
+import irisstand.controlplane.orders as orders
+import irisstand.controlplane.retention as retention
+import irisstand.controlplane.table_time as table_time
 import irisstand.errors as errors
-import irisstand.ledger.items as items
-import irisstand.ledger.serials as serials
-import irisstand.ledger.tables as tables
+import irisstand.state.items as items
+import irisstand.state.versions as versions
+import irisstand.state.tables as tables
 
-PURGE = tabletime.Rule("purge", 75.0, 0.0, 5000)
+PURGE = table_time.Rule("purge", 75.0, 0.0, 5000)
 
 
 class Table:
-    """One table decided step by step, as a taker would, with nobody else about."""
+    """One table decided step by step, as a proposer would, with nobody else about."""
 
     def __init__(self, name):
         self.copy = tables.Copy(name)
-        self.seen = serials.NONE
+        self.seen = versions.NONE
 
     def order(self, kind, payload, change=""):
-        overlay = orders.Overlay(self.copy, self.copy.tip.after("n"))
+        overlay = orders.Overlay(self.copy, self.copy.applied.after("n"))
         result = orders.plan(overlay, orders.Order(kind, change, payload))
         if overlay.rows:
             self.copy.apply(overlay.batch())
         return result
 
     def tick(self, elapsed, *rules):
-        expected = str(self.copy.serial(items.TIME))
+        expected = str(self.copy.version(items.TIME))
         self.order(f"tick-{self.copy.name}", (expected, elapsed, [list(rule) for rule in rules], 600.0))
 
 
@@ -65,17 +65,17 @@
         if draw < 0.3:
             path = f"/p{randomness.randrange(40)}"
             ledger.order("purge", [("path", path)])
-            newest[path] = ledger.copy.tip
+            newest[path] = ledger.copy.applied
         elif draw < 0.5:
             ledger.tick(randomness.uniform(1, 30), PURGE._replace(keep=randomness.choice((5, 75))))
         else:
-            fetched.append((f"/p{randomness.randrange(40)}", ledger.copy.tip))
-        path, tip = randomness.choice(fetched or [("/p0", ledger.copy.tip)])
-        forgotten = serials.decode(ledger.copy.value(items.PURGED) or serials.NONE)
-        purged = max(forgotten, ledger.copy.serial(f"purge/path/{path}"))
-        if newest.get(path, serials.NONE) > tip:
+            fetched.append((f"/p{randomness.randrange(40)}", ledger.copy.applied))
+        path, applied = randomness.choice(fetched or [("/p0", ledger.copy.applied)])
+        forgotten = versions.decode(ledger.copy.value(items.PURGED) or versions.NONE)
+        purged = max(forgotten, ledger.copy.version(f"purge/path/{path}"))
+        if newest.get(path, versions.NONE) > applied:
             refused += 1
-            assert tip < purged
+            assert applied < purged
     assert refused > 100 and ledger.copy.value(items.PURGED)
 
 
@@ -86,16 +86,16 @@
         await day.stage.order("agency-1", "change", [{"kind": "path", "name": "/vacancies/", "value": value}])
         await asyncio.sleep(1)
         assert (await day.stage.ask("edge-1", "GET", path))[0] == 200
-        edge = scenes.board(day, "edge-1")
+        edge = scenes.context(day, "edge-1")
         day.world.cut_off(["edge-1"])
         day.stage.records.versions[path] += 1
         await day.stage.order("agency-2", "purge", [("path", path)])
-        rule = [tabletime.Rule("purge", 1.0, 0.0, 0)]
+        rule = [table_time.Rule("purge", 1.0, 0.0, 0)]
         for _ in range(3):
             await asyncio.sleep(2)
-            expected = str(scenes.board(day, "agency-2").ledger.serial(items.TIME))
+            expected = str(scenes.context(day, "agency-2").ledger.version(items.TIME))
             await day.stage.order("agency-2", "tick-ledger", (expected, 2.0, rule, 600.0))
-        assert scenes.board(day, "agency-2").ledger.value(f"purge/path/{path}") is None
+        assert scenes.context(day, "agency-2").ledger.value(f"purge/path/{path}") is None
         day.world.wires.heal()
         await day.world.until(lambda: edge.is_current(edge.ledger), 20)
         # Never heard of by this edge, and forgotten by all: its cached copy must go all the same.
@@ -116,15 +116,15 @@
         await day.stage.order("agency-1", "change", [{**scenes.site_row("north"), "value": None}])
         for _ in range(3):
             await asyncio.sleep(1)
-            expected = str(scenes.board(day, "agency-2").blueprint.serial(items.TIME))
+            expected = str(scenes.context(day, "agency-2").configuration.version(items.TIME))
             await day.stage.order("agency-2", "tick-blueprint", (expected, 2.0, [], 1.0))
-        assert "site/north" not in scenes.board(day, "agency-2").blueprint.items
+        assert "site/north" not in scenes.context(day, "agency-2").configuration.items
         await node.start()
         await day.world.until_ready()
         await asyncio.sleep(2)
         for name in ("agency-4", "agency-1", "edge-1"):
-            assert "site/north" not in scenes.board(day, name).blueprint.items
-        roots = {scenes.board(day, f"agency-{n}").blueprint.root() for n in range(1, 6)}
+            assert "site/north" not in scenes.context(day, name).configuration.items
+        roots = {scenes.context(day, f"agency-{n}").configuration.root() for n in range(1, 6)}
         assert len(roots) == 1
 
     scenes.play(scene)
@@ -132,18 +132,18 @@
 
 def test_time_is_never_raised_twice_for_the_same_stretch_and_never_by_a_long_sleep():
     ledger = Table(items.LEDGER)
-    first = str(ledger.copy.serial(items.TIME))
+    first = str(ledger.copy.version(items.TIME))
     ledger.tick(15, PURGE)
-    with pytest.raises(errors.StaleSerial):
+    with pytest.raises(errors.StaleVersion):
         ledger.order("tick-ledger", (first, 15.0, [], 600.0))
     ledger.tick(4000, PURGE)
-    assert ledger.copy.value(items.TIME)["seconds"] == 15 + tabletime.STEP_LIMIT
+    assert ledger.copy.value(items.TIME)["seconds"] == 15 + table_time.STEP_LIMIT
 
 
-def test_keys_are_kept_for_their_time_and_a_full_store_rejects_new_ones_with_when_to_come_back(monkeypatch):
+def test_keys_are_kept_for_their_time_and_a_full_store_refuses_new_ones_with_when_to_come_back(monkeypatch):
     monkeypatch.setattr(orders, "CLAIMS_LIMIT", 100)
     claims = Table(items.CLAIMS)
-    rule = tabletime.Rule("claim", 600.0, 600.0, 100)
+    rule = table_time.Rule("claim", 600.0, 600.0, 100)
     claims.tick(15, rule)
     for number in range(100):
         claims.order("claim", (f"k{number}", "a", "print"))
@@ -171,7 +171,7 @@
         ask = ("POST", "/applications", body)
         assert (await day.stage.ask("edge-1", *ask, idempotency_key="once"))[0] == 200
         await asyncio.sleep(40)
-        before = scenes.board(day, "agency-1").copies[items.CLAIMS].value(items.TIME)["seconds"]
+        before = scenes.context(day, "agency-1").copies[items.CLAIMS].value(items.TIME)["seconds"]
         assert 15 <= before <= 50
         for node in day.world.nodes.values():
             node.kill(reset=False)
@@ -180,7 +180,7 @@
             await node.start()
         await day.world.until_ready()
         await asyncio.sleep(40)
-        after = scenes.board(day, "agency-1").copies[items.CLAIMS].value(items.TIME)["seconds"]
+        after = scenes.context(day, "agency-1").copies[items.CLAIMS].value(items.TIME)["seconds"]
         # Hours in the dark are not counted: nobody could have asked again meanwhile.
         assert before < after < before + 45
         status, _, result = await day.stage.ask("edge-2", *ask, idempotency_key="once")
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -12,7 +12,7 @@
 
 
 def listed(day, name="agency-1"):
-    return {item.key: item.value["state"] for item in scenes.board(day, name).ledger.under("origin/")}
+    return {item.key: item.value["state"] for item in scenes.context(day, name).ledger.under("origin/")}
 
 
 async def reads(day, count, mark):
@@ -88,8 +88,8 @@
         day.stage.platform_says = says
         await asyncio.sleep(3)
         assert listed(day) == before
-        failed = sum(node.body.board.counters.total("platform_failed") for node in day.world.role("agency"))
-        state = scenes.board(day, "agency-2").ledger.value("platform")["state"]
+        failed = sum(node.body.context.counters.total("platform_failed") for node in day.world.role("agency"))
+        state = scenes.context(day, "agency-2").ledger.value("platform")["state"]
         assert failed >= 2 or state == "shrunk"
         assert set(await reads(day, 10, "still")) == {200}
 
@@ -124,7 +124,7 @@
     scenes.play(scene)
 
 
-def test_a_holder_paused_past_its_term_stops_by_itself_and_its_late_write_is_rejected():
+def test_a_holder_paused_past_its_lease_stops_by_itself_and_its_late_write_is_refused():
     async def scene(day):
         duties = {
             node.plan.name: duty
@@ -133,18 +133,18 @@
             if duty.name == "placement"
         }
         holder = next(name for name, duty in duties.items() if duty.holds())
-        term = duties[holder].term
+        lease = duties[holder].lease
         node = day.world.nodes[holder]
         node.freeze()
         await day.world.until(lambda: any(d.holds() for n, d in duties.items() if n != holder), 20)
         node.thaw()
         assert not duties[holder].holds()
-        # Until its tables are current again it would be rejected for want of a majority.
+        # Until its tables are current again it would be refused for want of a majority.
         await day.world.until_ready()
         row = ("slots/00", {"owners": ["nonsense"] * 16})
-        with pytest.raises(errors.StaleSerial):
-            await day.stage.order(holder, "fenced", ("placement", term, [row]))
-        assert scenes.board(day, holder).ledger.value("slots/00") != row[1]
+        with pytest.raises(errors.StaleVersion):
+            await day.stage.order(holder, "fenced", ("placement", lease, [row]))
+        assert scenes.context(day, holder).ledger.value("slots/00") != row[1]
 
     scenes.play(scene)
 
@@ -158,16 +158,16 @@
         holder = next(
             duty for node in day.world.role("agency") for duty in node.body.duties if duty.holds()
         )
-        await day.stage.order("agency-2", "fenced", (holder.name, holder.term, row))
+        await day.stage.order("agency-2", "fenced", (holder.name, holder.lease, row))
         await asyncio.sleep(1)
         for name in ("agency-4", "edge-1", "shield-2", "store-1"):
-            assert scenes.board(day, name).ledger.value("hologram/7") == {"depth": 3}
+            assert scenes.context(day, name).ledger.value("hologram/7") == {"depth": 3}
         for node in day.world.role("agency"):
             node.kill()
         for node in day.world.role("agency"):
             await node.start()
         await day.world.until_ready()
-        assert scenes.board(day, "agency-1").ledger.value("hologram/7") == {"depth": 3}
+        assert scenes.context(day, "agency-1").ledger.value("hologram/7") == {"depth": 3}
         assert newer is not day.world.nodes["agency-1"].body
 
     scenes.play(scene)
--- a/tests/test_seeds.py
+++ b/tests/test_seeds.py
@@ -5,11 +5,11 @@
 import pytest
 import scenes
 
-import irisstand.ledger.items as items
-import irisstand.ledger.quorum as quorum
-import irisstand.ledger.serials as serials
-import irisstand.rehearsal.virtual as virtual
-import irisstand.rehearsal.world as worlds
+import irisstand.state.items as items
+import irisstand.state.quorum as quorum
+import irisstand.state.versions as versions
+import irisstand.simulator.virtual_time as virtual
+import irisstand.simulator.world as worlds
 
 SITES = (("north", "one"), ("south", "one"), ("east", "two"), ("west", "two"))
 
@@ -26,10 +26,10 @@
     return virtual.run(whole())
 
 
-def voters(world, table=items.BLUEPRINT):
+def voters(world, table=items.CONFIGURATION):
     """The voters in force, as the newest copy of a living core node has them."""
     cores = [node for node in world.role("agency") if node.is_up]
-    newest = max((node.body.board.copies[table] for node in cores), key=lambda copy: copy.tip)
+    newest = max((node.body.context.copies[table] for node in cores), key=lambda copy: copy.applied)
     return quorum.decode(newest.value(items.VOTERS))
 
 
@@ -48,7 +48,7 @@
         async def look():
             while True:
                 for node in world.role("agency"):
-                    known = quorum.decode(node.body.board.copies[items.BLUEPRINT].value(items.VOTERS))
+                    known = quorum.decode(node.body.context.copies[items.CONFIGURATION].value(items.VOTERS))
                     if known and not quorum.outlives_any_site(known):
                         worst.append(known)
                 await asyncio.sleep(0.01)
@@ -71,7 +71,7 @@
             await node.start()
         await asyncio.sleep(20)
         for node in world.role("agency"):
-            assert node.body.board.copies[items.BLUEPRINT].tip == serials.NONE
+            assert node.body.context.copies[items.CONFIGURATION].applied == versions.NONE
 
     play(scene)
 
@@ -80,12 +80,12 @@
     async def scene(world):
         await world.until(lambda: all_vote(world, FIVE), 10)
         node = world.nodes["agency-1"]
-        old = node.body.core.vault.identity
+        old = node.body.core.store.identity
         node.kill()
         node.wipe()
         await node.start()
-        await world.until(lambda: any(v.vault == node.body.core.vault.identity for v in voters(world)), 4)
-        assert old not in {voter.vault for voter in voters(world)}
+        await world.until(lambda: any(v.disk_id == node.body.core.store.identity for v in voters(world)), 4)
+        assert old not in {voter.disk_id for voter in voters(world)}
 
     play(scene)
 
@@ -110,10 +110,10 @@
 def test_what_was_confirmed_outlives_the_disks_of_a_whole_site_and_the_power_of_all_others(site):
     async def scene(world):
         await world.until(lambda: all_vote(world, FIVE), 10)
-        taker = next(node for node in world.role("agency") if node.plan.site == site)
+        proposer = next(node for node in world.role("agency") if node.plan.site == site)
         item = {"name": "s1", "version": 4}
         payload = [("upstream/s1", {"version": 4, "item": item})]
-        await world.stage.order(taker.plan.name, "amend", payload)
+        await world.stage.order(proposer.plan.name, "amend", payload)
         for node in world.role("agency"):
             node.kill(reset=False)
             if node.plan.site == site:
@@ -123,12 +123,12 @@
             await node.start()
         await world.until(lambda: all(map(world.is_ready, world.role("agency"))), 15)
         for node in world.role("agency"):
-            assert node.body.board.blueprint.value("upstream/s1") == payload[0][1]
+            assert node.body.context.configuration.value("upstream/s1") == payload[0][1]
 
     play(scene)
 
 
-def test_an_edge_cut_off_from_the_core_follows_through_its_colleagues():
+def test_an_edge_cut_off_from_the_core_follows_through_its_peers():
     async def scene(world):
         await world.until_ready()
         cores = [node.plan.host for node in world.role("agency")]
@@ -166,7 +166,7 @@
         edge.freeze()
         await asyncio.sleep(4)
         edge.thaw()
-        assert not edge.body.board.core_is_out
+        assert not edge.body.context.core_is_out
         await world.until(lambda: world.is_ready(edge), 1)
 
     play(scene, outage_bound=5.0)
--- a/tests/test_slow_disks.py
+++ b/tests/test_slow_disks.py
@@ -4,13 +4,13 @@
 
 import scenes
 
-import irisstand.ledger.disk
-import irisstand.ledger.items as items
+import irisstand.state.disk
+import irisstand.state.items as items
 
 
 def test_the_real_disk_keeps_only_what_was_synced_and_puts_torn_files_aside(tmp_path):
     async def scene():
-        disk = irisstand.ledger.disk.FolderDisk(tmp_path / "data")
+        disk = irisstand.state.disk.FolderDisk(tmp_path / "data")
         assert await disk.load() == ({}, [])
         await disk.write([("a", b"1"), ("b", b"2")])
         (tmp_path / "data" / "c.aside").write_bytes(b"half")
@@ -26,7 +26,7 @@
         await disk.remove(["long"])
         before = len(list((tmp_path / "data").iterdir()))
         await disk.write([("short", b"y"), ("other", b"z")])
-        assert await irisstand.ledger.disk.FolderDisk(tmp_path / "data").load() == (
+        assert await irisstand.state.disk.FolderDisk(tmp_path / "data").load() == (
             {"short": b"y", "other": b"z"}, [],
         )  # fmt: skip
         assert len(list((tmp_path / "data").iterdir())) == before
@@ -45,12 +45,12 @@
         await day.stage.order("agency-1", "change", [{**scenes.site_row(), "value": None}])
         await asyncio.sleep(1)
         assert node.disk.writes - before[0] > 200 and node.disk.removals - before[1] <= 20
-        root = node.body.core.vault.copies[items.BLUEPRINT].root()
+        root = node.body.core.store.copies[items.CONFIGURATION].root()
         node.kill()
         await node.start()
-        assert node.body.core.vault.sound[items.BLUEPRINT]
-        assert node.body.core.vault.copies[items.BLUEPRINT].root() == root
-        assert node.body.board.blueprint.value("site/north") is None
+        assert node.body.core.store.sound[items.CONFIGURATION]
+        assert node.body.core.store.copies[items.CONFIGURATION].root() == root
+        assert node.body.context.configuration.value("site/north") is None
 
     scenes.play(scene)
 
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -7,7 +7,7 @@
 from scenes_direct import play, whole
 
 import irisstand.errors as errors
-import irisstand.ledger.items as items
+import irisstand.state.items as items
 
 
 async def asks(stage, number, path="/reads/", pause=0.0):
@@ -60,7 +60,7 @@
         stage.put(items.LEDGER, "evacuated/north", None)
         await asks(stage, 30)
         assert set(stage.keys()) == {"a"}
-        await asyncio.sleep(scenes_direct.BOOT.platform_lag + 3.1)
+        await asyncio.sleep(scenes_direct.SETTINGS.platform_lag + 3.1)
         await asks(stage, 40)
         return set(stage.keys())
 
@@ -77,15 +77,15 @@
         times = [sent[4] for sent in stage.sent]
         return max(sum(start <= other < start + 1.0 for other in times) for start in times) if times else 0
 
-    boot = scenes_direct.BOOT
-    bound = scenes_direct.UPSTREAM["cold_rate"] * boot.cold_factor + boot.cold_burst
+    settings = scenes_direct.SETTINGS
+    bound = scenes_direct.UPSTREAM["cold_rate"] * settings.cold_factor + settings.cold_burst
     assert play(scene, edges=edges) * edges <= max(bound, edges)
 
 
 def test_a_service_gets_no_more_than_this_edges_part_of_its_rate_in_any_five_seconds():
     async def scene(stage):
         item = {**scenes_direct.UPSTREAM, "version": 9, "rate": 40.0}
-        stage.put(items.BLUEPRINT, "upstream/s", {"version": 9, "item": item})
+        stage.put(items.CONFIGURATION, "upstream/s", {"version": 9, "item": item})
         crowd = [asks(stage, 200, f"/reads/{number}/", pause=0.05) for number in range(10)]
         statuses = [status for found in await asyncio.gather(*crowd) for status in found]
         times = [sent[4] for sent in stage.sent]
@@ -110,7 +110,7 @@
     async def scene(stage):
         stage.refused = {"a"}
         running = asyncio.get_running_loop().create_task(stage.part.run())
-        stage.board.crashed = asyncio.get_running_loop().create_future()
+        stage.context.crashed = asyncio.get_running_loop().create_future()
         assert set(await asks(stage, 20, pause=0.1)) == {200}
         tried = stage.connections["a"]
         stage.refused = set()
--- a/tests/test_versioned.py
+++ b/tests/test_versioned.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-import irisstand.agency.amending as amending
-import irisstand.agency.overlay as overlays
+import irisstand.controlplane.amending as amending
+import irisstand.controlplane.overlay as overlays
 import irisstand.errors as errors
-import irisstand.ledger.items as items
-import irisstand.ledger.serials as serials
-import irisstand.ledger.tables as tables
+import irisstand.state.items as items
+import irisstand.state.versions as versions
+import irisstand.state.tables as tables
 
 ROUTE = {
     "name": "r1", "version": 3, "host": "a.example", "prefix": "/a/", "kind": "idempotent", "timeout": 2.5,
@@ -22,7 +22,7 @@
 
 def amend(table, call):
     """Play one call on a table, as a ballot would."""
-    overlay = overlays.Overlay(table, table.tip.after("n"))
+    overlay = overlays.Overlay(table, table.applied.after("n"))
     planned = amending.plan_amend(overlay, amending.parse(json.dumps(call).encode()))
     for key, value in planned.items():
         overlay.put(key, value)
@@ -31,8 +31,8 @@
 
 
 def fresh():
-    table = tables.Copy(items.BLUEPRINT)
-    table.tip = serials.Serial(1, "n")
+    table = tables.Copy(items.CONFIGURATION)
+    table.applied = versions.Version(1, "n")
     amend(table, CALL)
     return table
 
