--- a/tests/test_vetting.py
+++ b/tests/test_vetting.py
@@ -1,8 +1,8 @@
-"""The checker: what it finds in a proposed blueprint, and that a sound one passes."""
+"""The checker: what it finds in a proposed configuration, and that a sound one passes."""
 
-import irisstand.rehearsal.fleet as fleets
-import irisstand.rehearsal.load as load
-import irisstand.vetting.checker as checker
+import irisstand.fleet.processes as fleets
+import irisstand.fleet.load as load
+import irisstand.validation.checker as checker
 
 SHIELDS = [
     {"role": "shield", "machine": f"m{n}", "site": site, "state": "alive"} for n, site in enumerate("xxy")
@@ -32,7 +32,7 @@
     return {(f.level, f.kind, f.name, f.field) for f in checker.vet(rows, proposed, fleet)}
 
 
-def test_faults_are_what_the_core_would_reject_and_hide_the_rest():
+def test_faults_are_what_the_core_would_refuse_and_hide_the_rest():
     bad = [path("/a/", "nobody", "GET"), service("lonely")]
     assert found([], bad) == {("fault", "path", "/a/", "grants")}
     assert found([], [{"kind": "site", "name": "x", "value": {"weight": "much"}}]) == {
@@ -65,14 +65,14 @@
     assert found([*rows, both], [path("/a/b/", "content", "GET", "POST")]) == set()
 
 
-def test_the_rehearsals_own_blueprint_passes_on_its_own_fleet():
+def test_the_rehearsals_own_configuration_passes_on_its_own_fleet():
     shape = fleets.SHAPES["karbes"]
     places = [place for place in fleets.lay_out(shape) if place.role == "shield"]
     members = [
         {"role": "shield", "machine": place.machine, "site": place.site, "state": "alive"} for place in places
     ]
     fleet = checker.fleet_from(members, [origin("content"), origin("application")])
-    rows = load.blueprint(shape)
+    rows = load.configuration(shape)
     limits = [
         {"kind": "shield", "name": place.machine, "value": {"limit": 1000}} for place in places
     ]
--- a/tests/test_writes.py
+++ b/tests/test_writes.py
@@ -1,4 +1,4 @@
-"""Writes: sent at most once, and rejected only if they certainly never run."""
+"""Writes: sent at most once, and refused only if they certainly never run."""
 
 import asyncio
 import json
@@ -41,7 +41,7 @@
     scenes.play(scene)
 
 
-def test_over_the_ceiling_writes_are_rejected_at_once_with_a_time_to_come_back_and_never_run():
+def test_over_the_ceiling_writes_are_refused_at_once_with_a_time_to_come_back_and_never_run():
     async def scene(day):
         value = {"deadline": 3.0, "ceiling": {"rate": 10, "inflight": 100}}
         await day.stage.order(
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_shields_edges_and_origins_killed_under_writes_run_none_twice_and_none_rejected(seed):
+def test_shields_edges_and_origins_killed_under_writes_run_none_twice_and_none_refused(seed):
     async def scene(day):
         randomness = random.Random(seed)
         jobs = []
@@ -85,7 +85,7 @@
     scenes.play(scene, seed + 1)
 
 
-def test_work_whose_consumer_left_is_dropped_before_it_is_sent():
+def test_work_whose_client_left_is_dropped_before_it_is_sent():
     async def scene(day):
         for origin in applications(day):
             origin.up = False
@@ -131,7 +131,7 @@
     scenes.play(scene)
 
 
-def test_a_key_whose_answer_was_lost_is_never_run_again_and_a_rejected_one_may_be():
+def test_a_key_whose_answer_was_lost_is_never_run_again_and_a_refused_one_may_be():
     async def scene(day):
         for origin in applications(day):
             origin.faults.add("lose-answer")
