--- a/src/irisstand/controlplane/bootstrap.py
+++ b/src/irisstand/controlplane/bootstrap.py
@@ -91,7 +91,7 @@
         return [(u.card.address, u.identity.name) for u in self.context.peers("agency")]
 
     async def learn(self) -> None:
-        for address, name in self.core.replicator.sources():
+        for address, name in self.core.refresher.sources():
             try:
                 await self.core.replicator.pull(address, name)
             except (errors.Unreached, errors.Unanswered):
--- a/src/irisstand/controlplane/core.py
+++ b/src/irisstand/controlplane/core.py
@@ -6,7 +6,7 @@
 
 from irisstand import errors, node_context
 from irisstand.state import disk as disks
-from irisstand.state import durable_store, items, owner, quorum, versions
+from irisstand.state import durable_store, items, owner, quorum, refresher, versions
 from irisstand.state import replicator as replicators
 
 PATIENCE = 1.0
@@ -17,6 +17,7 @@
         self.context = context
         self.store = durable_store.DurableStore(disk, context.randomness)
         self.replicator = replicators.Replicator(context)
+        self.refresher = refresher.Refresher(context, self.replicator)
         self.owners: dict[str, owner.Owner] = {}
         self.asking: set[asyncio.Task] = set()
         for kind in ("promise", "accept", "commit", "found"):
--- /dev/null
+++ b/src/irisstand/controlplane/operator_reads.py
@@ -0,0 +1,94 @@
+"""What operators read over HTTP: rows, items, decisions, voters, members, machines."""
+
+import typing
+
+import sanic.request
+import sanic.response
+
+from irisstand import node_context, web
+from irisstand.controlplane import amending, changes, voters
+from irisstand.membership import updates
+from irisstand.validation import schema
+
+
+class OperatorReads:
+    def __init__(self, context: node_context.NodeContext, members: voters.Voters, server: web.Web) -> None:
+        self.context, self.voters = context, members
+        self.changes = changes.Changes(context)
+        add = server.app.add_route
+        add(self.get_rows, "/rows", methods=["GET"])
+        add(self.get_items, "/items", methods=["GET"])
+        add(self.get_change, "/changes/<change>", methods=["GET"])
+        add(self.get_voters, "/voters", methods=["GET"])
+        add(self.get_members, "/members", methods=["GET"])
+        add(self.get_machines, "/machines", methods=["GET"])
+        add(self.get_ledger, "/ledger", methods=["GET"])
+
+    async def get_rows(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
+        """Every row in force with its version; a table that may be old is not shown as the table."""
+        self.context.check_current()
+        copy = self.context.configuration
+        rows = []
+        for kind in schema.REGISTRY:
+            for item in copy.under(kind + "/"):
+                name = item.key.removeprefix(kind + "/")
+                rows.append({"kind": kind, "name": name, "serial": str(item.version), "value": item.value})
+        return web.as_json({"tip": str(copy.applied), "rows": rows})
+
+    async def get_items(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
+        """All versioned items that stand, laid out as an amendment that would put them."""
+        self.context.check_current()
+        return web.as_json(amending.listing(self.context.configuration))
+
+    async def get_change(self, request: sanic.request.Request, change: str) -> sanic.response.HTTPResponse:
+        self.context.check_current()
+        return web.as_json(await self.changes.show(change))
+
+    async def get_voters(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
+        self.context.check_current()
+        return web.as_json(await self.voters.show())
+
+    async def get_ledger(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
+        self.context.check_current()
+        copy = self.context.ledger
+        rows = [
+            {"key": item.key, "serial": str(item.version), "value": item.value}
+            for item in copy.under("")
+            if not item.key.startswith("~change/")
+        ]
+        return web.as_json({"tip": str(copy.applied), "rows": rows})
+
+    async def get_members(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
+        detector = self.context.detector
+        everybody = [detector.own_update(), *detector.roster.everything()]
+        return web.as_json({"members": [self.member(update) for update in everybody]})
+
+    def member(self, update: updates.Update) -> dict[str, typing.Any]:
+        state = "left" if update.left else update.state.name.lower()
+        return {
+            "name": update.identity.name,
+            "life": update.identity.life,
+            "state": state,
+            "incarnation": update.incarnation,
+            **update.card._asdict(),
+        }
+
+    async def get_machines(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
+        """Why each machine rests or does not, and the hours that rest has saved."""
+        self.context.check_current()
+        ledger = self.context.ledger
+        why = (ledger.value("staffing") or {"why": {}})["why"]
+        machines = {}
+        for update in [self.context.detector.own_update(), *self.context.detector.roster.members.values()]:
+            entry = machines.setdefault(
+                update.card.machine, {"site": update.card.site, "nodes": [], "why": ""}
+            )
+            entry["nodes"].append(f"{update.identity.name} {update.state.name.lower()}")
+        for name, entry in machines.items():
+            entry["rests"] = self.context.is_resting(name)
+            entry["why"] = why.get(name, "")
+            entry["evacuated"] = self.context.is_evacuated(entry["site"])
+            saved = ledger.value(f"saved/{name}") or {"seconds": 0}
+            entry["hours_saved"] = round(saved["seconds"] / 3600, 2)
+        total = sum(item.value["seconds"] for item in ledger.under("saved/")) / 3600
+        return web.as_json({"machines": machines, "machine_hours_saved": round(total, 2)})
--- a/src/irisstand/controlplane/orders.py
+++ b/src/irisstand/controlplane/orders.py
@@ -4,9 +4,9 @@
 import typing
 
 from irisstand import errors
-from irisstand.controlplane import amending, table_time
+from irisstand.controlplane import amending, table_time, voter_changes
 from irisstand.controlplane import overlay as overlays
-from irisstand.state import items, quorum, versions
+from irisstand.state import items, versions
 from irisstand.validation import rules, schema
 
 # Remembered at the most: beyond that, new ones wait until the oldest have stood for long enough.
@@ -66,43 +66,6 @@
     return {f"evacuated/{payload}": None}
 
 
-def plan_enrol(overlay: Overlay, payload: typing.Any) -> Planned:
-    """Vote a core node in, one change of the voters at a time.
-
-    Under a known name it replaces that node's lost disk; under a new name, the voter that it says is gone, or
-    nobody, as long as there are fewer voters than there is room for.
-    """
-    newcomer, replaced = quorum.Voter(*payload[0]), payload[1]
-    room = payload[2] if len(payload) > 2 else 0
-    voters = quorum.decode(overlay.value(items.VOTERS))
-    if any(voter.disk_id == newcomer.disk_id for voter in voters):
-        return {}
-    known = [voter.name for voter in voters]
-    leaves = newcomer.name if newcomer.name in known else replaced
-    grows = not leaves and len(voters) < room
-    if leaves not in known and not grows:
-        raise errors.StaleVersion([{"voter": leaves, "in_force": str(overlay.version(items.VOTERS))}])
-    following = [voter for voter in voters if voter.name != leaves] + [newcomer]
-    # Refused whole: a set that one lost site could rob of its majority, where the present one could not.
-    if quorum.outlives_any_site(voters) and not quorum.outlives_any_site(following):
-        message = f"with {newcomer.name} for {leaves}, the loss of one site would end the majority"
-        raise errors.BadChange([{"row": None, "field": "voters", "message": message}])
-    return {items.VOTERS: [tuple(voter) for voter in following]}
-
-
-def plan_retire(overlay: Overlay, payload: typing.Any) -> Planned:
-    """One voter less. Twice is the same as once; the last three stay."""
-    voters = quorum.decode(overlay.value(items.VOTERS))
-    following = [voter for voter in voters if voter.name != payload]
-    if len(following) == len(voters):
-        return {}
-    loses = quorum.outlives_any_site(voters) and not quorum.outlives_any_site(following)
-    if loses or len(following) < min(3, len(voters)):
-        message = f"without {payload} the loss of one site would end the majority; replace it instead"
-        raise errors.BadChange([{"row": None, "field": "voters", "message": message}])
-    return {items.VOTERS: [tuple(voter) for voter in following]}
-
-
 def plan_lease(overlay: Overlay, payload: typing.Any) -> Planned:
     """Take or keep a duty: only from the version that the candidate saw, so two cannot both win it."""
     duty, holder, expected = payload
@@ -147,12 +110,12 @@
     "purge": (items.LEDGER, plan_purge),
     "evacuate": (items.LEDGER, plan_evacuate),
     "return": (items.LEDGER, plan_return),
-    "enrol-blueprint": (items.CONFIGURATION, plan_enrol),
-    "enrol-ledger": (items.LEDGER, plan_enrol),
-    "enrol-claims": (items.CLAIMS, plan_enrol),
-    "retire-blueprint": (items.CONFIGURATION, plan_retire),
-    "retire-ledger": (items.LEDGER, plan_retire),
-    "retire-claims": (items.CLAIMS, plan_retire),
+    "enrol-blueprint": (items.CONFIGURATION, voter_changes.plan_enrol),
+    "enrol-ledger": (items.LEDGER, voter_changes.plan_enrol),
+    "enrol-claims": (items.CLAIMS, voter_changes.plan_enrol),
+    "retire-blueprint": (items.CONFIGURATION, voter_changes.plan_retire),
+    "retire-ledger": (items.LEDGER, voter_changes.plan_retire),
+    "retire-claims": (items.CLAIMS, voter_changes.plan_retire),
     "claim": (items.CLAIMS, plan_claim),
     "settle": (items.CLAIMS, plan_settle),
     "term": (items.LEDGER, plan_lease),
--- /dev/null
+++ b/src/irisstand/controlplane/voter_changes.py
@@ -0,0 +1,47 @@
+"""Orders that change which core nodes vote on a table."""
+
+import typing
+
+from irisstand import errors
+from irisstand.controlplane import overlay as overlays
+from irisstand.state import items, quorum
+
+Overlay = overlays.Overlay
+Planned = dict[str, typing.Any]
+
+
+def plan_enrol(overlay: Overlay, payload: typing.Any) -> Planned:
+    """Vote a core node in, one change of the voters at a time.
+
+    Under a known name it replaces that node's lost disk; under a new name, the voter that it says is gone, or
+    nobody, as long as there are fewer voters than there is room for.
+    """
+    newcomer, replaced = quorum.Voter(*payload[0]), payload[1]
+    room = payload[2] if len(payload) > 2 else 0
+    voters = quorum.decode(overlay.value(items.VOTERS))
+    if any(voter.disk_id == newcomer.disk_id for voter in voters):
+        return {}
+    known = [voter.name for voter in voters]
+    leaves = newcomer.name if newcomer.name in known else replaced
+    grows = not leaves and len(voters) < room
+    if leaves not in known and not grows:
+        raise errors.StaleVersion([{"voter": leaves, "in_force": str(overlay.version(items.VOTERS))}])
+    following = [voter for voter in voters if voter.name != leaves] + [newcomer]
+    # Refused whole: a set that one lost site could rob of its majority, where the present one could not.
+    if quorum.outlives_any_site(voters) and not quorum.outlives_any_site(following):
+        message = f"with {newcomer.name} for {leaves}, the loss of one site would end the majority"
+        raise errors.BadChange([{"row": None, "field": "voters", "message": message}])
+    return {items.VOTERS: [tuple(voter) for voter in following]}
+
+
+def plan_retire(overlay: Overlay, payload: typing.Any) -> Planned:
+    """One voter less. Twice is the same as once; the last three stay."""
+    voters = quorum.decode(overlay.value(items.VOTERS))
+    following = [voter for voter in voters if voter.name != payload]
+    if len(following) == len(voters):
+        return {}
+    loses = quorum.outlives_any_site(voters) and not quorum.outlives_any_site(following)
+    if loses or len(following) < min(3, len(voters)):
+        message = f"without {payload} the loss of one site would end the majority; replace it instead"
+        raise errors.BadChange([{"row": None, "field": "voters", "message": message}])
+    return {items.VOTERS: [tuple(voter) for voter in following]}
--- a/src/irisstand/dataplane/assembly.py
+++ b/src/irisstand/dataplane/assembly.py
@@ -6,7 +6,7 @@
 
 from irisstand import clocks, node_context, node_settings
 from irisstand.dataplane import views
-from irisstand.state import replicator
+from irisstand.state import refresher, replicator
 from irisstand.transport import network
 
 # Plug-in point: a role is an entry here, the module whose `part` makes it. It is imported when its role is
@@ -34,13 +34,14 @@
         self.context = node_context.NodeContext(settings, settings.role, clock, randomness, net)
         self.view = views.Views(self.context)
         self.replicator = replicator.Replicator(self.context)
+        self.refresher = refresher.Refresher(self.context, self.replicator)
         self.part: typing.Any = importlib.import_module(REGISTRY[settings.role]).part(
             self.context, self.view, connect
         )
 
     async def open(self) -> None:
         await self.context.open()
-        self.context.start(self.replicator.run(), "courier")
+        self.context.start(self.refresher.run(), "refresher")
         if hasattr(self.part, "run"):
             self.context.start(self.part.run(), f"part of a {self.context.role}")
 
--- a/src/irisstand/node_context.py
+++ b/src/irisstand/node_context.py
@@ -6,7 +6,7 @@
 import random
 import typing
 
-from irisstand import clocks, node_settings, ring
+from irisstand import clocks, errors, node_settings, ring
 from irisstand import counters as counting
 from irisstand.membership import detector as detecting
 from irisstand.membership import joining, updates
@@ -89,6 +89,12 @@
         longest = self.settings.freshness_bound + self.settings.outage_bound
         return self.core_is_out and age is not None and age <= longest
 
+    def check_current(self) -> None:
+        """StaleConfiguration if any table is not known to be current here."""
+        for copy in self.copies.values():
+            if not self.is_current(copy):
+                raise errors.StaleConfiguration(f"the {copy.name} table is not known to be current here")
+
     def is_evacuated(self, site: str) -> bool:
         return self.ledger.value(f"evacuated/{site}") is not None
 
--- a/src/irisstand/state/replicator.py
+++ b/src/irisstand/state/replicator.py
@@ -2,9 +2,7 @@
 up.
 """
 
-import asyncio
-
-from irisstand import errors, node_context
+from irisstand import node_context
 from irisstand.state import items, tables, versions
 from irisstand.transport import network
 
@@ -12,21 +10,14 @@
 # Bytes of one reply, about: a table larger than a frame is carried in parts.
 PART_LIMIT = 1024 * 1024
 PARTS_LIMIT = 1000
-# Seconds after which the next peer is asked beside one that has not answered yet.
-STAGGER = 0.12
 # Of the freshness bound, what an answer may be old so that nobody else is asked.
 NEWS = 0.6
-# Seconds after which a round has found nobody.
-ROUND = 1.1
-# Seconds between rounds while a table is not fresh.
-STARTING = 0.06
 
 
 class Replicator:
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
         self.mending: set[str] = set()
-        self.answered_last: tuple[network.Address, str] | None = None
         context.transport.handlers["after"] = self.on_after
         context.transport.handlers["ranges"] = self.on_ranges
 
@@ -131,75 +122,6 @@
         finally:
             self.mending.discard(copy.name)
 
-    def sources(self) -> list[tuple[network.Address, str]]:
-        """Whom to ask, in order: the core, but soon also who answered last, and a few others.
-
-        A node that is cut off from the core, though not from its peers, learns through one of them.
-        """
-        context = self.context
-        core, others = [], []
-        for update in context.detector.roster.members.values():
-            (core if update.card.role == "agency" else others).append(update)
-        context.randomness.shuffle(core)
-        context.randomness.shuffle(others)
-        core.sort(key=lambda update: (update.state, update.card.site != context.settings.site))
-        found = [(update.card.address, update.identity.name) for update in core]
-        aside = [(update.card.address, update.identity.name) for update in others[:2]]
-        if self.answered_last in found[1:]:
-            found.remove(self.answered_last)
-            found.insert(1, self.answered_last)
-        elif self.answered_last is not None and self.answered_last not in found:
-            aside.insert(0, self.answered_last)
-        # Between the core nodes, so that a node cut off from all of them has not to wait for each in vain.
-        for place, source in enumerate(dict.fromkeys(aside)):
-            found.insert(1 + 2 * place, source)
-        return found
-
-    async def try_source(self, address: network.Address, name: str) -> bool:
-        try:
-            if await self.pull(address, name):
-                self.answered_last = (address, name)
-                self.context.core_is_out = False
-                return True
-        except (errors.IrisError, ValueError, TypeError, KeyError, IndexError):
-            self.context.counters.add("sync_failed")
-        return False
-
-    async def refresh(self) -> None:
-        """One round of questions, each begun a little after the last, until one has been answered."""
-        asking: set[asyncio.Task] = set()
-        started = self.context.clock.now()
-        try:
-            for address, name in self.sources():
-                asking.add(asyncio.get_running_loop().create_task(self.try_source(address, name)))
-                done, asking = await asyncio.wait(
-                    asking, timeout=STAGGER, return_when=asyncio.FIRST_COMPLETED
-                )
-                if any(task.result() for task in done):
-                    return
-            # A wait too short to move the clock would never end.
-            while asking and (left := started + ROUND - self.context.clock.now()) > 0.001:
-                done, asking = await asyncio.wait(asking, timeout=left, return_when=asyncio.FIRST_COMPLETED)
-                if any(task.result() for task in done):
-                    return
-            # A round that was itself held up tells of this node, not of the others.
-            self.context.core_is_out = self.context.clock.now() - started < 2 * ROUND
-        finally:
-            for task in asking:
-                task.cancel()
-
-    async def run(self) -> None:
-        context = self.context
-        while True:
-            started = context.clock.now()
-            await self.refresh()
-            interval = context.settings.freshness_interval
-            # A node that cannot serve yet asks at once again: the core may be back at this moment.
-            if not all(map(context.is_fresh, context.copies.values())):
-                interval = min(interval, STARTING)
-            pause = interval - (context.clock.now() - started)
-            await asyncio.sleep(max(0.01, pause))
-
 
 def size_of(held: list[items.Item]) -> int:
     """About how many bytes items take up in a frame; strings and bytes are what makes them large."""
