--- a/src/irisstand/controlplane/duties.py
+++ b/src/irisstand/controlplane/duties.py
@@ -67,8 +67,12 @@
         if version != self.seen:
             self.seen, self.seen_at = version, now
         row = copy.value(f"term/{self.name}")
+        # In force for this very life, which does not work on it: decided too late, or not renewed in time. So
+        # there is no holder to wait out; should another candidate have taken it, the version has moved.
+        if row is not None and row["holder"] == self.holder:
+            await self.take(version)
         # Given up in order, it is vacant at once.
-        if row is None or not row["holder"] or now - self.seen_at > self.length * (1 + MARGIN):
+        elif row is None or not row["holder"] or now - self.seen_at > self.length * (1 + MARGIN):
             # All candidates see the vacancy at once; a random wait keeps their ballots from colliding.
             await asyncio.sleep(self.context.randomness.uniform(0, STAGGER * self.length))
             if str(copy.version(f"term/{self.name}")) == version:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -99,3 +99,55 @@
         assert took < 0.8
 
     scenes.play(scene)
+
+
+def test_a_lease_won_after_its_end_is_taken_anew_though_the_try_at_once_was_refused():
+    """Kildespor, seed 1028: it lay on a holder that did not work, and all waited for its length again."""
+
+    async def scene(day):
+        await asyncio.sleep(2)
+        holder = holder_of(day, "platform-watch")
+        for node in day.world.role("agency"):
+            for duty in node.body.duties:
+                if node is not holder and duty.name == "platform-watch":
+                    # No other candidate may hide how long this one waits.
+                    duty.length = 60.0
+        duty = next(duty for duty in holder.body.duties if duty.name == "platform-watch")
+        submit, orders = duty.submitter.submit, []
+
+        async def late_then_refused(order):
+            if order.kind != "term" or order.payload[0] != duty.name:
+                return await submit(order)
+            orders.append(order)
+            if len(orders) == 2:
+                raise errors.NoMajority("this node has lost the majority of the voters")
+            result = await submit(order)
+            if len(orders) == 1:
+                await asyncio.sleep(duty.length)
+            return result
+
+        duty.submitter.submit = late_then_refused
+        await day.world.until(lambda: len(orders) == 2, 5)
+        assert not duty.holds()
+        took = await day.world.until(duty.holds, 5)
+        assert took < 0.5
+
+    scenes.play(scene)
+
+
+def test_a_candidate_takes_a_lease_soon_though_the_last_winner_is_cut_off():
+    """In a split just begun nobody suspects the last winner yet, and an order goes to it first."""
+
+    async def scene(day):
+        await asyncio.sleep(2)
+        ledger = scenes.context(day, "agency-1").ledger
+        winner = ledger.applied.node.partition("~")[0]
+        candidate = next(node for node in day.world.role("agency") if node.plan.name != winner)
+        duty = next(duty for duty in candidate.body.duties if duty.name == "platform-watch")
+        day.world.cut_off([winner])
+        started = asyncio.get_running_loop().time()
+        await duty.take(str(duty.context.ledger.version("term/platform-watch")))
+        assert duty.holds()
+        assert asyncio.get_running_loop().time() - started < 0.8
+
+    scenes.play(scene)
