--- a/src/irisstand/simulator/rest_judge.py
+++ b/src/irisstand/simulator/rest_judge.py
@@ -72,7 +72,7 @@
         return node is not None and (node.disk.full or node.disk.stalled)
 
     def reaches_core(self, node: typing.Any, voters: list) -> bool:
-        """On the side of a cut where things can be decided: a majority runs there. The others count as lost."""
+        """On the side of a cut where a majority runs and can decide; the other side counts as lost."""
         reached = sum(
             self.runs(voter.name) and not self.world.wires.is_cut(node.plan.host, voter.host)
             for voter in voters
