--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -48,7 +48,7 @@
 # Quiet 4: a rest beside a core machine that had just died.
 # Kildespor 1002: more under way than the ceiling, by abandoned requests. 1028: a term decided after its end.
 # Busy 2001: a leaving origin in a split, 2.4 s. Planned 2011: two and two
-# of five voters reach one another and the fifth is dead, so nothing can be decided, which the judge overlooked.
+# of five voters reach one another and the fifth is dead: nothing can be decided, which the judge overlooked.
 SEEDS = [
     ("busy", 1, 30),
     ("busy", 4, 20),
