--- a/src/irisstand/node_context.py
+++ b/src/irisstand/node_context.py
@@ -28,6 +28,7 @@
     ) -> None:
         self.settings, self.clock, self.randomness, self.net = settings, clock, randomness, net
         self.role = role
+        self.started_at = clock.now()
         self.counters = counting.Counters()
         held = items.TABLES if role == "agency" else items.CARRIED
         self.copies = {name: tables.Copy(name) for name in held}
@@ -77,9 +78,14 @@
         return self.copies[items.LEDGER]
 
     def is_fresh(self, table: tables.Copy) -> bool:
-        """Confirmed within the bound, by whatever way."""
+        """Confirmed within the bound, as of a moment in this life of the process.
+
+        A node killed and started again might else serve by a table older than its former life's.
+        """
         age = table.age(self.clock.now())
-        return age is not None and age <= self.settings.freshness_bound
+        if age is None or table.current_as_of < self.started_at:
+            return False
+        return age <= self.settings.freshness_bound
 
     def is_current(self, table: tables.Copy) -> bool:
         """Fresh; or, where the settings allow it, older while the whole core is out."""
--- a/tests/guarded_control.py
+++ b/tests/guarded_control.py
@@ -118,4 +118,10 @@
         "            await task\n            if False:\n                task.cancel()",
         "test_leaving.py::test_a_change_that_cannot_be_settled_before_its_node_goes_is_answered_all_the_same",
     ),
+    (
+        "node_context.py",
+        "        if age is None or table.current_as_of < self.started_at:",
+        "        if age is None:",
+        "test_restarts.py",
+    ),
 ]
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -47,6 +47,7 @@
 # Planned 10: orders dropped. 15: a replaced service was taken for a shrunk one, its leaving origin with it.
 # Quiet 4: a rest beside a core machine that had just died.
 # Kildespor 1002: more under way than the ceiling, by abandoned requests. 1028: a term decided after its end.
+# Busy 3020, planned 3012: a restarted node served by an older table than its former life.
 # Busy 2001: a leaving origin in a split, 2.4 s. Planned 2011: two and two
 # of five voters reach one another and the fifth is dead: nothing can be decided, which the judge overlooked.
 SEEDS = [
@@ -72,6 +73,8 @@
     ("kildespor", 1028, 30),
     ("busy", 2001, 30),
     ("planned", 2011, 30),
+    ("busy", 3020, 30),
+    ("planned", 3012, 30),
 ]
 
 
--- /dev/null
+++ b/tests/test_restarts.py
@@ -0,0 +1,29 @@
+"""What a node may use right after it was started again."""
+
+import asyncio
+import random
+
+import scenes_direct
+
+import irisstand.clocks as clocks
+import irisstand.node_context as node_context
+import irisstand.simulator.virtual_time as virtual
+
+
+def test_a_restarted_node_uses_no_table_that_may_be_older_than_its_former_lifes():
+    """Found by seeds 3020 (busy) and 3012 (planned): a peer's copy, well within the bound, was older."""
+
+    async def scene():
+        await asyncio.sleep(10)
+        settings = scenes_direct.SETTINGS
+        context = node_context.NodeContext(
+            settings, settings.role, clocks.LoopClock(), random.Random(1), None
+        )
+        started = context.clock.now()
+        copy = context.configuration
+        copy.confirm_current(started - 0.5)
+        before = context.is_fresh(copy)
+        copy.confirm_current(started)
+        return before, context.is_fresh(copy)
+
+    assert virtual.run(scene()) == (False, True)
