--- /dev/null
+++ b/src/irisstand/control_errors.py
@@ -0,0 +1,58 @@
+"""Typed errors of the control plane: orders that clash with what was decided before them."""
+
+import typing
+
+from irisstand import errors
+
+
+class DetailedError(errors.IrisError):
+    """A refusal with details, which it keeps on its way between nodes. `DETAILED` lists the kinds by code."""
+
+    details_name = "details"
+    summary = "refused"
+
+    def __init__(self, details: list) -> None:
+        super().__init__(self.summary)
+        self.details = details
+
+    def __init_subclass__(cls) -> None:
+        DETAILED[cls.code] = cls
+
+    def as_object(self) -> dict:
+        return {**super().as_object(), self.details_name: self.details}
+
+
+DETAILED: dict[str, type[DetailedError]] = {}
+
+
+class VersionTaken(DetailedError):
+    """Other content was confirmed under the version of an item in the call."""
+
+    code, status, details_name = "version-taken", 409, "conflicts"
+    summary = "a version in the call is taken by another content, nothing was changed"
+    remedy = "read the items again, and send this content under a higher version"
+
+
+class ChangeIdTaken(DetailedError):
+    """Another order was confirmed under the same change id."""
+
+    code, status, details_name = "change-id-taken", 409, "conflicts"
+    summary = "the change id was used for another order, nothing was changed"
+    remedy = "send this order under a new change id"
+
+
+class SiteNotHeard(errors.IrisError):
+    """This node knows no such site, which may be its own ignorance: another node may know it."""
+
+    code, status, comes_back = "site-not-heard", 503, 1.0
+    remedy = "ask another node, and look at the site's name"
+
+
+def rebuild(code: str, details: typing.Any) -> DetailedError | None:
+    """A detailed refusal as a peer sent it; None if the code is none.
+
+    >>> rebuild("version-taken", [{"item": "route/a"}]).as_object()["conflicts"]
+    [{'item': 'route/a'}]
+    """
+    kind = DETAILED.get(code)
+    return kind(details) if kind is not None else None
--- a/src/irisstand/controlplane/amending.py
+++ b/src/irisstand/controlplane/amending.py
@@ -1,43 +1,75 @@
-"""Orders that amend versioned items: for each name the highest version stands, and a call counts whole."""
+"""Orders that amend versioned items: for each name the highest version stands, and a call counts whole.
+
+One version of an item has one content, for ever: it is confirmed again, and no other content is.
+"""
 
-import json
 import typing
 
-from irisstand import errors
+from irisstand import control_errors, errors
 from irisstand.controlplane import overlay as overlays
+from irisstand.controlplane import request_bodies, taken_versions
 from irisstand.state import tables, versioned_items
 from irisstand.validation import versioned
 
+Stored = dict[str, typing.Any]
 
-def plan_amend(overlay: overlays.Overlay, payload: typing.Any) -> dict[str, typing.Any]:
-    """Rows to write, none if nothing newer came; BadChange if the table would not be valid with them."""
-    changed = {}
-    for key, value in payload:
-        known = overlay.value(key)
-        # A lower or equal version changes nothing, and is acknowledged all the same.
-        if known is None or known["version"] < value["version"]:
-            changed[key] = value
-    if not changed:
+
+class Judged(typing.NamedTuple):
+    """The items of a call, judged one by one against the versions that were confirmed before."""
+
+    newer: dict[str, Stored]
+    # Older than what stands, and not confirmed before as far as is remembered.
+    late: list[versioned.Entry]
+    # Rows to write: what is newer, and the versions that late items take.
+    rows: dict[str, Stored]
+    conflicts: list[dict[str, typing.Any]]
+
+
+def plan_amend(overlay: overlays.Overlay, payload: typing.Any) -> dict[str, Stored]:
+    """Rows to write, none if all was confirmed before; VersionTaken or BadChange refuse the call whole.
+
+    What was confirmed once is confirmed again, whatever has become of the table since: the remembered digests
+    decide before any check of validity.
+    """
+    judged = judge(overlay, payload)
+    if judged.conflicts:
+        raise control_errors.VersionTaken(judged.conflicts)
+    if not judged.newer and not judged.late:
         return {}
-    standing = {}
+    standing: dict[str, Stored] = {}
     for prefix in ("route/", "upstream/"):
         standing.update(overlay.under(prefix))
-    standing.update(changed)
-    faults = versioned.faults_of(standing)
+    standing.update(judged.newer)
+    faults = versioned.faults_of(standing) if judged.newer else []
+    faults += versioned.faults_of_late(judged.late, standing)
     if faults:
         raise errors.BadChange(faults)
-    return changed
+    return judged.rows
+
+
+def judge(overlay: overlays.Overlay, payload: typing.Any) -> Judged:
+    judged = Judged({}, [], {}, [])
+    # From the lowest version on, so that of two versions of one item in a call both are taken.
+    for key, value in sorted(payload, key=lambda entry: entry[1]["version"]):
+        known = judged.rows.get(key) or overlay.value(key)
+        if known is None or known["version"] < value["version"]:
+            judged.rows[key] = judged.newer[key] = taken_versions.overtake(known, value)
+            continue
+        is_taken = taken_versions.is_taken(known, value)
+        if is_taken:
+            judged.conflicts.append({"item": key, "version": value["version"], "in_force": known["version"]})
+        elif is_taken is None:
+            judged.late.append((key, value))
+            remembered = taken_versions.remember(known, value)
+            # With a full memory of higher versions there is nothing to write.
+            if remembered["seen"] != known.get("seen"):
+                judged.rows[key] = remembered
+    return judged
 
 
 def parse(body: bytes) -> list[versioned.Entry]:
     """The entries of a call's JSON body; BadRequest or BadChange with every fault."""
-    try:
-        content = json.loads(body)
-    except (ValueError, RecursionError):
-        raise errors.BadRequest("the body is not whole JSON", "send a JSON object") from None
-    if not isinstance(content, dict):
-        raise errors.BadRequest("the body is not a JSON object", "send a JSON object")
-    entries, faults = versioned.read(content)
+    entries, faults = versioned.read(request_bodies.read_object(body))
     if faults:
         raise errors.BadChange(faults)
     if not entries:
--- a/src/irisstand/controlplane/evacuation.py
+++ b/src/irisstand/controlplane/evacuation.py
@@ -2,7 +2,7 @@
 
 import typing
 
-from irisstand import errors, node_context
+from irisstand import control_errors, errors, node_context, node_settings
 from irisstand.controlplane import fleet_view
 from irisstand.state import items, quorum
 
@@ -12,6 +12,19 @@
         self.context = context
         self.view = fleet_view.FleetView(context)
 
+    def check_site(self, site: str) -> None:
+        """Refused for good only by settings that name all sites: a member list alone may lack the newest."""
+        named = set(node_settings.pairs(self.context.settings.region_by_site))
+        known = {update.card.site for update in self.context.detector.roster.members.values()}
+        known |= {self.context.settings.site, *named}
+        known |= {item.key.split("/", 1)[1] for item in self.context.configuration.under("site/")}
+        if site in known:
+            return
+        if named:
+            raise errors.Unknown(f"no site {site!r}", f"use one of {', '.join(sorted(known))}")
+        remedy = f"ask another node; known here are {', '.join(sorted(known))}"
+        raise control_errors.SiteNotHeard(f"no site {site!r} is known to this node", remedy)
+
     async def check(self, site: str, insist: bool) -> list[str]:
         """Notes for the operator; CannotCarry with figures if the other sites are too small for the load."""
         figures: dict[str, typing.Any] = {}
--- a/src/irisstand/controlplane/operator_orders.py
+++ b/src/irisstand/controlplane/operator_orders.py
@@ -7,8 +7,8 @@
 import sanic.request
 import sanic.response
 
-from irisstand import errors, node_context, node_settings, web
-from irisstand.controlplane import amending, evacuation, orders, submitting, voters
+from irisstand import errors, node_context, web
+from irisstand.controlplane import amending, evacuation, orders, request_bodies, submitting, voters
 
 CHANGE = re.compile(r"^[A-Za-z0-9._:-]{1,100}$")
 
@@ -31,13 +31,7 @@
         add(self.put_evacuation, "/sites/<site>/evacuation", methods=["PUT", "DELETE"])
 
     def body(self, request: sanic.request.Request) -> dict:
-        try:
-            content = json.loads(request.body)
-        except (ValueError, RecursionError):
-            raise errors.BadRequest("the body is not JSON", "send a JSON object") from None
-        if not isinstance(content, dict):
-            raise errors.BadRequest("the body is not a JSON object", "send a JSON object")
-        return content
+        return request_bodies.read_object(request.body)
 
     def change_id(self, content: dict) -> str:
         """The sender's id for the change, or a new one, which the result names."""
@@ -108,12 +102,7 @@
         raise errors.BadRequest("not one tag, nor one host and path", "name a tag, or a host and a path")
 
     async def put_evacuation(self, request: sanic.request.Request, site: str) -> sanic.response.HTTPResponse:
-        known = {update.card.site for update in self.context.detector.roster.members.values()}
-        known |= {self.context.settings.site}
-        known |= {item.key.split("/", 1)[1] for item in self.context.configuration.under("site/")}
-        known |= set(node_settings.pairs(self.context.settings.region_by_site))
-        if site not in known:
-            raise errors.Unknown(f"no site {site!r}", f"use one of {', '.join(sorted(known))}")
+        self.evacuation.check_site(site)
         # Where only origins are emptied, the machines carry on, and an order again is the same order.
         only_origins = self.context.settings.evacuates == "origins"
         change = "" if only_origins else self.change_id({})
--- a/src/irisstand/controlplane/orders.py
+++ b/src/irisstand/controlplane/orders.py
@@ -3,11 +3,11 @@
 import collections.abc
 import typing
 
-from irisstand import errors
+from irisstand import control_errors, errors
 from irisstand.controlplane import amending, table_time, voter_changes
 from irisstand.controlplane import overlay as overlays
 from irisstand.state import items, versions
-from irisstand.validation import rules, schema
+from irisstand.validation import one_content, rules, schema
 
 # Remembered at the most: beyond that, new ones wait until the oldest have stood for long enough.
 CLAIMS_LIMIT = 50_000
@@ -137,6 +137,7 @@
     record = f"~change/{order.change}"
     known = overlay.value(record) if order.change else None
     if known is not None:
+        check_same(order, known)
         return (overlay.version(record), known["rows"])
     if order.change:
         table_time.check_room(overlay, "~change", CHANGES_LIMIT)
@@ -145,5 +146,15 @@
     for key, value in planned.items():
         overlay.put(key, value)
     if order.change:
-        overlay.put(record, {"rows": keys})
+        overlay.put(record, {"rows": keys, "digest": digest_of(order)})
     return (overlay.new_version, keys)
+
+
+def digest_of(order: Order) -> str:
+    return one_content.digest([order.kind, order.payload])
+
+
+def check_same(order: Order, record: dict[str, typing.Any]) -> None:
+    """Only the order that took an id gets its result. Records of earlier software bear no digest."""
+    if record.get("digest", digest_of(order)) != digest_of(order):
+        raise control_errors.ChangeIdTaken([{"change": order.change, "rows": record["rows"]}])
--- a/src/irisstand/controlplane/proposer.py
+++ b/src/irisstand/controlplane/proposer.py
@@ -100,7 +100,7 @@
                     raise Lost("finished a pending batch first")
                 return
             overlay = orders.Overlay(self.copy, ballot)
-            planned, undecided = self.plan(overlay, waiting)
+            planned, refused, undecided = self.plan(overlay, waiting)
             # A batch without rows moves the applied version, which settles that an earlier proposal never
             # counts.
             if overlay.rows or undecided:
@@ -110,6 +110,8 @@
             for entry, (version, keys) in planned:
                 if not entry.future.done():
                     entry.future.set_result({"serial": str(version), "rows": keys})
+            for entry, error in refused:
+                entry.future.set_exception(error)
 
     def draw(self) -> versions.Version:
         record = self.core.store.records[self.table]
@@ -118,9 +120,13 @@
         self.highest = seen.after(f"{self.context.settings.name}~{self.core.store.identity}")
         return self.highest
 
-    def plan(self, overlay: orders.Overlay, waiting: list[Waiting]) -> tuple[list[tuple], bool]:
-        """What can be proposed, and whether a refusal has to wait for this base to be decided."""
-        planned, undecided = [], False
+    def plan(self, overlay: orders.Overlay, waiting: list[Waiting]) -> tuple[list, list, bool]:
+        """What can be proposed, what is refused beside it, and whether a refusal has to wait for this base to
+        be decided.
+        """
+        planned: list[tuple] = []
+        refused: list[tuple] = []
+        undecided = False
         for entry in waiting:
             # What is too much for one frame is left for the next ballot.
             if entry.future.done() or overlay.size > BATCH_BYTES:
@@ -138,9 +144,12 @@
                 # another proposer may yet finish it: only a decision on the base makes a refusal true.
                 if any(base == self.copy.applied for base, _, _ in entry.proposed):
                     undecided = True
+                elif overlay.rows:
+                    # It may rest on rows of this very batch, which count only once they are decided.
+                    refused.append((entry, error))
                 else:
                     entry.future.set_exception(error)
-        return planned, undecided
+        return planned, refused, undecided
 
     async def prepare(self, voters: list[quorum.Voter], ballot: versions.Version) -> items.Batch | None:
         """Promises from a majority; brings the copy to the newest applied version and returns what is
--- /dev/null
+++ b/src/irisstand/controlplane/request_bodies.py
@@ -0,0 +1,26 @@
+"""Bodies of operators' requests: a JSON object that can be carried and stored, or a typed refusal."""
+
+import json
+
+from irisstand import errors
+from irisstand.validation import one_content
+
+OBJECT = "send a JSON object"
+
+
+def read_object(body: bytes) -> dict:
+    """Refused here, what a packer does not take can never stop a node that carries or stores it.
+
+    >>> read_object(b'{"a": 1}')
+    {'a': 1}
+    """
+    try:
+        content = json.loads(body)
+    except (ValueError, RecursionError):
+        raise errors.BadRequest("the body is not whole JSON", OBJECT) from None
+    if not isinstance(content, dict):
+        raise errors.BadRequest("the body is not a JSON object", OBJECT)
+    fault = one_content.fault_of(content)
+    if fault:
+        raise errors.BadRequest(f"the body holds {fault}", "send finite numbers and plain text, not too deep")
+    return content
--- a/src/irisstand/controlplane/submitting.py
+++ b/src/irisstand/controlplane/submitting.py
@@ -3,7 +3,7 @@
 import asyncio
 import typing
 
-from irisstand import errors
+from irisstand import control_errors, errors
 from irisstand.controlplane import core as cores
 from irisstand.controlplane import orders
 from irisstand.controlplane import proposer as proposers
@@ -42,6 +42,8 @@
             return ("claimed", error.claim)
         except errors.ChangeUnknown as error:
             return ("unknown", str(error))
+        except control_errors.DetailedError as error:
+            return (error.code, error.details)
 
     async def answer(self, order: orders.Order) -> dict:
         """The result for an operator, who gets an answer also when this node has to go before it is known."""
@@ -80,6 +82,9 @@
                 if own and (order.change or order.kind in TAKEN_HERE):
                     break
                 raise errors.ChangeUnknown(str(error)) from None
+            except (errors.BadRequest, errors.Unknown) as error:
+                # Not a word on the order: this voter could not read the message, being older, newer or ill.
+                raise errors.ChangeUnknown(str(error)) from None
             return unwrap(reply)
         if not own:
             raise errors.NoMajority("no voter can be reached from here")
@@ -131,4 +136,10 @@
         raise errors.Claimed(content)
     if word == "unknown":
         raise errors.ChangeUnknown(content)
+    refusal = control_errors.rebuild(word, content)
+    if refusal is not None:
+        raise refusal
+    # A word of later software is no confirmation.
+    if word != "done":
+        raise errors.ChangeUnknown(f"the voter answered {word!r}")
     return content
--- a/src/irisstand/validation/versioned.py
+++ b/src/irisstand/validation/versioned.py
@@ -2,15 +2,14 @@
 
 An item is `kind/NAME` in the configuration, with {"version": number, "item": value, or None once dropped}.
 For each
-name the highest version stands; a lower or equal one changes nothing. Times are seconds, rates are per
-second.
+name the highest version stands, and a lower one changes nothing. Times are seconds, rates are per second.
 """
 
 import functools
 import typing
 
 from irisstand.state import versioned_items
-from irisstand.validation import validating
+from irisstand.validation import one_content, validating
 
 SECONDS = {"type": "number", "minimum": 0, "maximum": 86400}
 RATE = {"type": ["number", "null"], "exclusiveMinimum": 0}
@@ -72,6 +71,7 @@
         },
     },
 }
+DROP = {"type": "object", "required": ["name", "version"], "properties": {"name": NAME, "version": VERSION}}
 # The list in a call's body for each kind; limits are one item without a name.
 LISTS = {"route": "routes", "upstream": "upstreams"}
 Entry = tuple[str, dict[str, typing.Any]]
@@ -82,6 +82,11 @@
     return validating.compiled(SCHEMAS[kind])
 
 
+@functools.cache
+def drop_validator() -> typing.Any:
+    return validating.compiled(DROP)
+
+
 def read(body: typing.Any) -> tuple[list[Entry], list[dict[str, str]]]:
     """The entries of a call, as (key, stored value), and its faults, each naming item, field and remedy.
 
@@ -109,38 +114,43 @@
         for item in as_list(parts["put"].get(name), name, fault):
             check(kind, item, fault)
             if not faults:
-                entries.append((f"{kind}/{item['name']}", {"version": item["version"], "item": item}))
+                entries.append((f"{kind}/{item['name']}", stored(item)))
         for item in as_list(parts["drop"].get(name), name, fault):
-            if not isinstance(item, dict) or not isinstance(item.get("name"), str) or not is_version(item):
+            if not drop_validator().is_valid(item):
                 fault(name, "", "to drop an item, give its name and a whole number as version")
             else:
-                entries.append((f"{kind}/{item['name']}", {"version": item["version"], "item": None}))
+                entries.append((f"{kind}/{item['name']}", {"version": int(item["version"]), "item": None}))
     limits = parts["put"].get("limits")
     if limits is not None:
         check("limits", limits, fault)
         if not faults:
-            entries.append((versioned_items.LIMITS, {"version": limits["version"], "item": limits}))
+            entries.append((versioned_items.LIMITS, stored(limits)))
     return unique(entries, fault), faults
 
 
+def stored(item: dict) -> dict[str, typing.Any]:
+    """An item as its row holds it; its version is a whole number however it was spelt.
+
+    >>> stored({"name": "a", "version": 3.0})
+    {'version': 3, 'item': {'name': 'a', 'version': 3}}
+    """
+    version = int(item["version"])
+    return {"version": version, "item": {**item, "version": version}}
+
+
 def unique(entries: list[Entry], fault: typing.Callable[[str, str, str], None]) -> list[Entry]:
-    """Each item once, in its highest version; two contents under one version are a fault.
+    """Each version of an item once; two contents under one version are a fault.
 
     >>> unique([("route/a", {"version": 3, "item": None}), ("route/a", {"version": 3, "item": None})], print)
     [('route/a', {'version': 3, 'item': None})]
     """
-    found: dict[str, dict[str, typing.Any]] = {}
+    found: dict[tuple[str, int], Entry] = {}
     for key, value in entries:
-        known = found.get(key)
-        if known is not None and known["version"] == value["version"] and known != value:
+        place = (key, value["version"])
+        known = found.setdefault(place, (key, value))
+        if not one_content.is_same(known[1], value):
             fault(key, "version", "two contents under one version in one call; keep one")
-        if known is None or known["version"] < value["version"]:
-            found[key] = value
-    return list(found.items())
-
-
-def is_version(item: dict) -> bool:
-    return type(item.get("version")) is int and item["version"] >= 0
+    return list(found.values())
 
 
 def as_list(value: typing.Any, name: str, fault: typing.Callable[[str, str, str], None]) -> list:
@@ -162,23 +172,42 @@
     """What is wrong with the whole table as it would stand: `standing` is stored values by key."""
     found: list[dict[str, str]] = []
     places: dict[tuple[str, str], str] = {}
+    services = {key for key, value in standing.items() if value["item"] is not None}
     for key, value in standing.items():
         route = value["item"]
         if route is None or not key.startswith("route/"):
             continue
-        parts = versioned_items.splits(route)
-        for service, _ in parts:
-            known = standing.get(f"upstream/{service}")
-            if known is None or known["item"] is None:
-                message = f"service {service!r} has no item; send it too, or name another"
-                found.append({"item": key, "field": "service", "message": message})
-        if not any(weight > 0 for _, weight in parts):
-            found.append({"item": key, "field": "split", "message": "the weights add up to 0; raise one"})
-        if (route.get("target") or 0) >= route["timeout"] + TARGET_OVER:
-            found.append({"item": key, "field": "target", "message": "far over the timeout; lower it"})
+        found += faults_of_route(key, route, services)
         place = (route["host"], route["prefix"])
         if place in places:
             message = f"{places[place]} has the same host and prefix; drop or change one"
             found.append({"item": key, "field": "prefix", "message": message})
         places[place] = key
     return found
+
+
+def faults_of_late(late: list[Entry], standing: dict[str, dict]) -> list[dict[str, str]]:
+    """What could never have been valid of items that are older than what stands.
+
+    A service that was dropped since may have stood when the item was sent; one that never had an item cannot.
+    """
+    found: list[dict[str, str]] = []
+    for key, value in late:
+        if value["item"] is not None and key.startswith("route/"):
+            found += faults_of_route(key, value["item"], set(standing))
+    return found
+
+
+def faults_of_route(key: str, route: dict, services: set[str]) -> list[dict[str, str]]:
+    """What is wrong with a route beside the keys of the services that it may name."""
+    found: list[dict[str, str]] = []
+    parts = versioned_items.splits(route)
+    for service, _ in parts:
+        if f"upstream/{service}" not in services:
+            message = f"service {service!r} has no item; send it too, or name another"
+            found.append({"item": key, "field": "service", "message": message})
+    if not any(weight > 0 for _, weight in parts):
+        found.append({"item": key, "field": "split", "message": "the weights add up to 0; raise one"})
+    if (route.get("target") or 0) >= route["timeout"] + TARGET_OVER:
+        found.append({"item": key, "field": "target", "message": "far over the timeout; lower it"})
+    return found
--- /dev/null
+++ b/tests/test_one_content.py
@@ -0,0 +1,244 @@
+"""One number, one content: a repeat is confirmed for ever, other content under a taken number never."""
+
+import json
+
+import pytest
+
+import irisstand.controlplane.amending as amending
+import irisstand.controlplane.orders as orders
+import irisstand.controlplane.overlay as overlays
+import irisstand.errors as errors
+import irisstand.state.items as items
+import irisstand.state.tables as tables
+import irisstand.state.versions as versions
+
+ROUTE = {
+    "name": "r1",
+    "version": 3,
+    "host": "a.example",
+    "prefix": "/a/",
+    "kind": "idempotent",
+    "timeout": 2.5,
+    "service": "s1",
+}
+UPSTREAM = {"name": "s1", "version": 3, "rate": 100.0}
+
+
+def put(*routes, upstreams=(), drop=None):
+    return {"put": {"routes": list(routes), "upstreams": list(upstreams)}, "drop": drop or {}}
+
+
+def route(version, **fields):
+    return {**ROUTE, "version": version, **fields}
+
+
+FIRST = put(ROUTE, upstreams=[UPSTREAM])
+
+
+def amend(table, call):
+    """Play one call on a table, as a ballot would; the rows that it writes."""
+    overlay = overlays.Overlay(table, table.applied.after("n"))
+    payload = amending.parse(json.dumps(call).encode())
+    orders.plan(overlay, orders.Order("amend", "", payload))
+    written = list(overlay.rows)
+    table.apply(overlay.batch())
+    return written
+
+
+def fresh():
+    table = tables.Copy(items.CONFIGURATION)
+    table.applied = versions.Version(1, "n")
+    amend(table, FIRST)
+    return table
+
+
+def refused(table, call):
+    before = table.root()
+    with pytest.raises(errors.IrisError) as raised:
+        amend(table, call)
+    assert raised.value.status == 409 and raised.value.code == "version-taken"
+    assert raised.value.remedy and raised.value.as_object()["conflicts"]
+    assert table.root() == before
+
+
+def test_other_content_under_the_version_in_force_is_refused_whole():
+    table = fresh()
+    refused(table, put(route(3, timeout=1), route(7, name="r2", prefix="/b/")))
+    assert [found["name"] for found in amending.listing(table)["routes"]] == ["r1"]
+
+
+def test_a_drop_and_a_put_under_one_version_are_two_contents():
+    table = fresh()
+    refused(table, {"drop": {"routes": [{"name": "r1", "version": 3}]}})
+    amend(table, {"drop": {"routes": [{"name": "r1", "version": 5}]}})
+    refused(table, put(route(5)))
+
+
+@pytest.mark.parametrize(
+    "twin",
+    [
+        dict(reversed(ROUTE.items())),
+        {**ROUTE, "target": None, "split": None},
+        {**ROUTE, "version": 3.0, "timeout": 2.50},
+    ],
+)
+def test_field_order_absent_or_null_and_number_spelling_are_the_same_content(twin):
+    table = fresh()
+    assert amend(table, put(twin)) == []
+    amend(table, put(route(8, timeout=4)))
+    assert amend(table, put({**twin}, upstreams=[{**UPSTREAM, "rate": 100}])) == []
+    assert amend(table, put(route(8.0, timeout=4.0))) == []
+
+
+def test_a_repeat_is_confirmed_after_it_was_overtaken_and_dropped_and_other_content_is_not():
+    table = fresh()
+    second = put(route(5, timeout=1))
+    amend(table, second)
+    amend(table, put(route(9, timeout=2)))
+    amend(table, {"drop": {"routes": [{"name": "r1", "version": 12}]}})
+    for call in (FIRST, second, put(route(9, timeout=2))):
+        assert amend(table, call) == []
+    refused(table, put(route(5, timeout=7)))
+    refused(table, put(route(3, timeout=7)))
+    refused(table, put(route(9, timeout=1)))
+
+
+def test_a_repeat_is_confirmed_though_its_service_is_gone_and_its_place_taken():
+    table = fresh()
+    call = put(route(5), route(5, name="r2", prefix="/b/"))
+    amend(table, call)
+    dropped = [{"name": "r1", "version": 9}, {"name": "r2", "version": 9}]
+    amend(table, {"drop": {"routes": dropped, "upstreams": [{"name": "s1", "version": 9}]}})
+    taker = route(9, name="r3", service="s2")
+    amend(table, put(taker, upstreams=[{"name": "s2", "version": 9}]))
+    assert amend(table, call) == [] and amend(table, FIRST) == []
+
+
+def test_a_repeat_whose_one_item_was_overtaken_is_confirmed_and_the_rest_stands():
+    table = fresh()
+    call = put(route(5, timeout=1), route(5, name="r2", prefix="/b/"))
+    amend(table, call)
+    amend(table, put(route(6, timeout=2)))
+    assert amend(table, call) == []
+    assert [found["version"] for found in amending.listing(table)["routes"]] == [6, 5]
+
+
+def test_an_older_change_that_comes_late_is_confirmed_and_its_number_is_taken_from_then_on():
+    table = fresh()
+    amend(table, put(route(9, timeout=4)))
+    late = put(route(6, timeout=1))
+    amend(table, late)
+    assert amending.listing(table)["routes"][0]["timeout"] == 4
+    assert amend(table, late) == []
+    refused(table, put(route(6, timeout=2)))
+
+
+def test_what_can_never_be_valid_is_refused_also_when_it_comes_late():
+    table = fresh()
+    amend(table, put(route(9)))
+    before = table.root()
+    for fields in ({"target": 99}, {"service": "nowhere"}, {"split": [{"service": "s1", "weight": 0}]}):
+        with pytest.raises(errors.BadChange):
+            amend(table, put(route(6, **fields)))
+    assert table.root() == before
+
+
+def test_both_versions_of_an_item_in_one_call_are_confirmed():
+    table = fresh()
+    amend(table, put(route(9, timeout=4), route(6, timeout=1)))
+    assert amending.listing(table)["routes"][0]["timeout"] == 4
+    assert amend(table, put(route(6, timeout=1))) == []
+    refused(table, put(route(6, timeout=2)))
+
+
+def test_memory_is_bounded_and_a_version_older_than_it_is_confirmed():
+    table = fresh()
+    for version in range(4, 400):
+        amend(table, put(route(version, timeout=version)))
+    assert len(json.dumps(table.value("route/r1"))) < 3000
+    assert amend(table, FIRST) == []
+    assert amend(table, put(route(390, timeout=390))) == []
+    refused(table, put(route(390, timeout=1)))
+
+
+def test_a_row_of_the_version_before_without_a_memory_still_reads():
+    table = fresh()
+    table.put(items.Item("route/r1", table.applied, {"version": 3, "item": ROUTE}))
+    assert amend(table, FIRST) == []
+    refused(table, put(route(3, timeout=1)))
+    amend(table, put(route(4)))
+    assert amend(table, FIRST) == []
+
+
+BAD_NUMBERS = [3.5, "3", None, True, -1, 2**53 + 1, 1e300, 10**30]
+
+
+@pytest.mark.parametrize("version", BAD_NUMBERS)
+@pytest.mark.parametrize("part", ["put", "drop"])
+def test_a_version_that_is_no_whole_number_within_bounds_is_a_typed_refusal(part, version):
+    table = fresh()
+    before = table.root()
+    item = route(version) if part == "put" else {"name": "r1", "version": version}
+    with pytest.raises((errors.BadChange, errors.BadRequest)):
+        amend(table, {part: {"routes": [item]}})
+    assert table.root() == before
+
+
+@pytest.mark.parametrize(
+    "body",
+    [
+        b'{"put": {"limits": {"version": 3, "idle": NaN}}}',
+        b'{"put": {"upstreams": [{"name": "a", "version": 3, "rate": Infinity}]}}',
+        b'{"put": {"upstreams": [{"name": "a", "version": 3, "rate": 1e999}]}}',
+        b'{"put": {"upstreams": [{"name": "a", "version": 3, "more": 1' + b"0" * 40 + b"}]}}",
+        b'{"put": {"upstreams": [{"name": "\\ud800", "version": 3}]}}',
+        b'{"put": {"upstreams": [{"name": "a", "version": 3, "\\ud800": 1}]}}',
+        b'{"put": {"upstreams": [{"name": "a", "version": 3, "more": ' + b"[" * 300 + b"]" * 300 + b"}]}}",
+        b'{"drop": {"routes": [{"name": "' + b"x" * 5000 + b'", "version": 3}]}}',
+    ],
+)
+def test_what_could_not_be_carried_or_stored_is_refused_before_it_is_an_order(body):
+    with pytest.raises((errors.BadRequest, errors.BadChange)):
+        amending.parse(body)
+
+
+def change(table, kind, change_id, payload):
+    overlay = overlays.Overlay(table, table.applied.after("n"))
+    result = orders.plan(overlay, orders.Order(kind, change_id, payload))
+    table.apply(overlay.batch())
+    return result
+
+
+def test_an_id_with_other_content_is_refused_and_with_the_same_gets_the_first_result():
+    table = fresh()
+    row = {"kind": "site", "name": "north", "value": {"weight": 5}}
+    first = change(table, "change", "mine", [row])
+    change(table, "change", "other", [{**row, "value": {"weight": 6}}])
+    same = {"value": {"weight": 5.0}, "expected": None, "name": "north", "kind": "site"}
+    assert change(table, "change", "mine", [same]) == first
+    before = table.root()
+    with pytest.raises(errors.IrisError) as raised:
+        change(table, "change", "mine", [{**row, "value": {"weight": 7}}])
+    assert raised.value.status == 409 and raised.value.code == "change-id-taken"
+    assert table.root() == before
+
+
+def test_a_record_of_the_version_before_without_a_digest_still_reads():
+    table = fresh()
+    table.put(items.Item("~change/old", table.applied, {"rows": ["site/north"]}))
+    row = {"kind": "site", "name": "north", "value": {"weight": 5}}
+    assert change(table, "change", "old", [row]) == (table.version("~change/old"), ["site/north"])
+
+
+def test_forgetting_takes_no_row_of_a_dropped_item_with_it():
+    table = fresh()
+    amend(table, {"drop": {"routes": [{"name": "r1", "version": 9}]}})
+    table.put(items.Item("site/gone", table.applied, None))
+    for _ in range(40):
+        overlay = overlays.Overlay(table, table.applied.after("n"))
+        payload = (str(table.version(items.TIME)), 60.0, [["~change", 1.0, 1.0, 1]], 1.0)
+        orders.plan(overlay, orders.Order("tick-blueprint", "", payload))
+        table.apply(overlay.batch())
+    assert "site/gone" not in table.items
+    assert amend(table, FIRST) == []
+    refused(table, put(route(9)))
--- /dev/null
+++ b/tests/test_one_content_racing.py
@@ -0,0 +1,170 @@
+"""Repeats, lost answers and rivals under one number, at several control nodes in virtual time."""
+
+import asyncio
+
+import pytest
+import scenes
+
+import irisstand.control_errors as control_errors
+import irisstand.controlplane.evacuation as evacuation
+import irisstand.controlplane.orders as orders
+import irisstand.controlplane.proposer as proposers
+import irisstand.errors as errors
+import irisstand.state.items as items
+
+CORE = [f"agency-{number}" for number in range(1, 6)]
+
+
+def upstream(version, rate, name="s9"):
+    return [
+        (f"upstream/{name}", {"version": version, "item": {"name": name, "version": version, "rate": rate}})
+    ]
+
+
+async def amend(day, name, payload):
+    """As the operators' page hands it on, without a change id."""
+    node = day.world.nodes[name]
+    return await node.do(node.body.submitter.answer(orders.Order("amend", "", payload)), 8.0)
+
+
+async def insist(day, payload, places):
+    """Repeated unchanged, from node to node, until there is a clear answer: True if it was confirmed."""
+    for place in range(20):
+        name = places[place % len(places)]
+        try:
+            if day.world.nodes[name].is_up:
+                await amend(day, name, payload)
+                return True
+        except control_errors.VersionTaken:
+            return False
+        except (errors.IrisError, TimeoutError, asyncio.CancelledError, ConnectionError):
+            pass
+        await asyncio.sleep(0.3)
+    raise AssertionError("no clear answer")
+
+
+def turned(number):
+    return CORE[number % 5 :] + CORE[: number % 5]
+
+
+def rates(day, name="s9"):
+    rows = [scenes.context(day, node).configuration.value(f"upstream/{name}") for node in CORE]
+    return {row["item"]["rate"] for row in rows if row is not None}
+
+
+def test_of_rivals_under_one_version_one_content_is_confirmed_and_its_repeats_always():
+    async def scene(day):
+        for version in range(1, 9):
+            # Eight under way: four contents, each by two operators.
+            sent = [(rate, turned(rate + 2 * twin)) for rate in range(1, 5) for twin in (0, 1)]
+            asked = [insist(day, upstream(version, rate), places) for rate, places in sent]
+            answers = await asyncio.gather(*asked)
+            confirmed = {rate for (rate, _), answer in zip(sent, answers, strict=True) if answer}
+            assert len(confirmed) == 1 and sum(answers) == 2, answers
+            await asyncio.sleep(1)
+            assert rates(day) == confirmed
+
+    scenes.play(scene)
+
+
+@pytest.mark.parametrize("seed", range(6))
+def test_a_taker_killed_on_the_way_and_the_order_at_once_elsewhere_beside_a_rival(seed):
+    async def scene(day):
+        for version in range(1, 5):
+            first = asyncio.create_task(amend(day, "agency-1", upstream(version, 1)))
+            await asyncio.sleep(0.004 * (3 * seed + version))
+            day.world.nodes["agency-1"].kill()
+            asked = [
+                insist(day, upstream(version, 1), turned(1 + seed)),
+                insist(day, upstream(version, 2), turned(3 + seed)),
+            ]
+            answers = await asyncio.gather(*asked)
+            assert sum(answers) == 1, answers
+            first.cancel()
+            await asyncio.gather(first, return_exceptions=True)
+            await day.world.nodes["agency-1"].start()
+            await day.world.until(lambda: all(map(day.world.is_ready, day.world.role("agency"))), 15)
+            await asyncio.sleep(1)
+            assert rates(day) == {1 if answers[0] else 2}
+            # The one that was confirmed is confirmed again at every node, and the other at none.
+            for name in CORE:
+                assert await insist(day, upstream(version, 1), [name]) is answers[0]
+
+    scenes.play(scene, seed=seed + 1)
+
+
+def test_a_repeat_is_confirmed_after_it_was_overtaken_and_all_lost_power():
+    async def scene(day):
+        call = upstream(3, 1) + upstream(3, 1, "s8")
+        await amend(day, "agency-1", call)
+        await amend(day, "agency-2", upstream(5, 2))
+        await amend(day, "agency-3", [("upstream/s8", {"version": 6, "item": None})])
+        for node in day.world.role("agency"):
+            node.kill(reset=False)
+        for node in day.world.role("agency"):
+            await node.start()
+        await day.world.until(lambda: all(map(day.world.is_ready, day.world.role("agency"))), 15)
+        for name in CORE:
+            assert await insist(day, call, [name])
+            with pytest.raises(control_errors.VersionTaken) as raised:
+                await amend(day, name, upstream(3, 9))
+            assert raised.value.details == [{"item": "upstream/s9", "version": 3, "in_force": 5}]
+        assert rates(day) == {2}
+
+    scenes.play(scene)
+
+
+def test_an_id_that_is_taken_is_refused_with_its_details_at_every_node():
+    async def scene(day):
+        first = await day.stage.order("agency-1", "change", [scenes.site_row(weight=5)], "mine")
+        for name in CORE:
+            assert await day.stage.order(name, "change", [scenes.site_row(weight=5)], "mine") == first
+            with pytest.raises(control_errors.ChangeIdTaken) as raised:
+                await day.stage.order(name, "change", [scenes.site_row(weight=6)], "mine")
+            assert raised.value.details == [{"change": "mine", "rows": ["site/north"]}]
+
+    scenes.play(scene)
+
+
+def test_nothing_is_refused_for_rows_of_its_own_batch_that_were_never_decided(monkeypatch):
+    async def scene(day):
+        node = day.world.nodes["agency-1"]
+        proposer = node.body.submitter.proposers[items.CONFIGURATION]
+        before = str(proposer.copy.version("site/north"))
+        rows = [[scenes.site_row(weight=weight, expected=before)] for weight in (1, 2)]
+        futures = [asyncio.get_running_loop().create_future() for _ in rows]
+        give_up_at = node.body.context.clock.now() + 8.0
+        whole, lost = proposers.Proposer.propose, []
+
+        async def propose(self, voters, ballot, batch):
+            if self is proposer and not lost:
+                # The one that came first is given up on, before any voter has heard of its batch.
+                lost.append(batch)
+                futures[0].cancel()
+                raise proposers.Lost("cut off")
+            await whole(self, voters, ballot, batch)
+
+        monkeypatch.setattr(proposers.Proposer, "propose", propose)
+        for number, future in enumerate(futures):
+            order = orders.Order("change", f"c-{number}", rows[number])
+            proposer.queue.put_nowait(proposers.Waiting(order, future, give_up_at, []))
+        done = await asyncio.gather(*futures, return_exceptions=True)
+        assert lost and isinstance(done[1], dict), done
+        assert proposer.copy.value("site/north") == {"weight": 2}
+
+    scenes.play(scene)
+
+
+def test_a_site_that_this_node_has_not_heard_of_is_no_clear_refusal_unless_settings_name_all():
+    async def scene(day):
+        context = scenes.context(day, "agency-1")
+        judge = evacuation.Evacuation(context)
+        judge.check_site("west")
+        with pytest.raises(control_errors.SiteNotHeard) as raised:
+            judge.check_site("newest")
+        assert raised.value.status == 503
+        context.settings = context.settings._replace(region_by_site="north=one,south=one")
+        with pytest.raises(errors.Unknown):
+            judge.check_site("newest")
+
+    scenes.play(scene)
--- a/tests/test_versioned.py
+++ b/tests/test_versioned.py
@@ -5,6 +5,7 @@
 
 import pytest
 
+import irisstand.control_errors as control_errors
 import irisstand.controlplane.amending as amending
 import irisstand.controlplane.overlay as overlays
 import irisstand.errors as errors
@@ -99,18 +100,32 @@
         amending.parse(body)
 
 
-def test_the_highest_version_stands_and_a_lower_or_equal_one_changes_nothing():
+def in_force(table):
+    row = table.value("route/r1")
+    return row["version"], row["item"]
+
+
+def test_the_highest_version_stands_and_a_lower_one_changes_nothing_nor_an_equal_one():
     table = fresh()
-    assert amend(table, changed(version=7, timeout=4))
-    for version in (7, 5):
-        assert amend(table, changed(version=version, timeout=1)) == {}
+    seven = changed(version=7, timeout=4)
+    assert amend(table, seven)
+    before = in_force(table)
+    # Lower, it takes its number and no more; equal, it is a repeat or is refused.
+    amend(table, changed(version=5, timeout=1))
+    assert in_force(table) == before
+    assert amend(table, seven) == {}
+    root = table.root()
+    with pytest.raises(control_errors.VersionTaken):
+        amend(table, changed(version=7, timeout=1))
+    assert table.root() == root and in_force(table) == before
     assert amending.listing(table)["routes"][0]["timeout"] == 4
 
 
 def test_a_dropped_name_keeps_its_version():
     table = fresh()
     assert amend(table, {"drop": {"routes": [{"name": "r1", "version": 8}]}})
-    assert amend(table, changed(version=7)) == {}
+    amend(table, changed(version=7))
+    assert in_force(table) == (8, None)
     assert amending.listing(table)["routes"] == []
     assert amend(table, changed(version=9))
     assert len(amending.listing(table)["routes"]) == 1
