--- a/tests/test_one_content_racing.py
+++ b/tests/test_one_content_racing.py
@@ -168,3 +168,24 @@
             judge.check_site("newest")
 
     scenes.play(scene)
+
+
+@pytest.mark.parametrize("kind", [errors.BadRequest, errors.Unknown])
+def test_a_voter_that_cannot_read_a_message_refuses_no_order(monkeypatch, kind):
+    async def scene(day):
+        await amend(day, "agency-1", upstream(1, 1))
+        transport = scenes.context(day, "agency-3").transport
+        ask = transport.ask
+
+        async def misread(address, name, word, body, patience):
+            if word == "order":
+                raise kind("no handler for order")
+            return await ask(address, name, word, body, patience)
+
+        monkeypatch.setattr(transport, "ask", misread)
+        with pytest.raises(errors.ChangeUnknown):
+            await amend(day, "agency-3", upstream(2, 2))
+        monkeypatch.undo()
+        await amend(day, "agency-3", upstream(2, 2))
+
+    scenes.play(scene)
