--- a/src/irisstand/validation/versioned.py
+++ b/src/irisstand/validation/versioned.py
@@ -147,8 +147,9 @@
     found: dict[tuple[str, int], Entry] = {}
     for key, value in entries:
         place = (key, value["version"])
-        known = found.setdefault(place, (key, value))
-        if not one_content.is_same(known[1], value):
+        if place not in found:
+            found[place] = (key, value)
+        elif not one_content.is_same(found[place][1], value):
             fault(key, "version", "two contents under one version in one call; keep one")
     return list(found.values())
 
