--- a/src/irisstand/controlplane/evacuation.py
+++ b/src/irisstand/controlplane/evacuation.py
@@ -1,11 +1,14 @@
 """What an evacuation would mean, before it is decided: whether the rest can carry the load, and the core."""
 
+import asyncio
 import typing
 
 from irisstand import control_errors, errors, node_context, node_settings
 from irisstand.controlplane import fleet_view
 from irisstand.state import items, quorum
 
+CONFIRM_PATIENCE = 0.8
+
 
 class Evacuation:
     def __init__(self, context: node_context.NodeContext) -> None:
@@ -25,6 +28,31 @@
         remedy = f"ask another node; known here are {', '.join(sorted(known))}"
         raise control_errors.SiteNotHeard(f"no site {site!r} is known to this node", remedy)
 
+    async def judge(self, site: str, insist: bool) -> list[str]:
+        """Notes as `check` has them; refused only on a ledger that a majority confirmed since this was asked.
+
+        Ordered twice is the same as ordered once: what has been judged and decided is not judged again, also
+        where this node has not heard of the decision yet.
+        """
+        asked_at = self.context.clock.now()
+        if self.view.is_evacuated(site):
+            return []
+        try:
+            return await self.check(site, insist)
+        except errors.CannotCarry:
+            await self.confirm_since(asked_at)
+        return [] if self.view.is_evacuated(site) else await self.check(site, insist)
+
+    async def confirm_since(self, moment: float) -> None:
+        """Until this node's ledger is known to be what a majority had at a later moment."""
+        clock = self.context.clock
+        while (self.context.ledger.current_as_of or 0.0) < moment:
+            if clock.now() - moment > CONFIRM_PATIENCE:
+                raise errors.NoMajority(
+                    "this node has not heard a majority of the voters since this was asked"
+                )
+            await asyncio.sleep(0.02)
+
     async def check(self, site: str, insist: bool) -> list[str]:
         """Notes for the operator; CannotCarry with figures if the other sites are too small for the load."""
         figures: dict[str, typing.Any] = {}
--- a/src/irisstand/controlplane/operator_orders.py
+++ b/src/irisstand/controlplane/operator_orders.py
@@ -109,9 +109,8 @@
         if request.method == "DELETE":
             return await self.submit("return", change, site)
         notes: list[str] = []
-        # Ordered twice is the same as ordered once, and has been judged already.
-        if not only_origins and not self.evacuation.view.is_evacuated(site):
-            notes = await self.evacuation.check(site, request.args.get("insist") == "true")
+        if not only_origins:
+            notes = await self.evacuation.judge(site, request.args.get("insist") == "true")
         response = await self.submit("evacuate", change, site)
         if notes and response.status == 200:
             response = web.as_json({**json.loads(response.body), "notes": notes})
--- a/tests/guarded_control.py
+++ b/tests/guarded_control.py
@@ -176,4 +176,10 @@
         "    if False:",
         "test_one_content.py::test_what_could_not_be_carried_or_stored_is_refused_before_it_is_an_order",
     ),
+    (
+        "controlplane/evacuation.py",
+        "            await self.confirm_since(asked_at)",
+        "            raise",
+        "test_one_content_racing.py::test_an_evacuation_again_is_not_refused_by_a_node_that_has_not_heard_of_it",
+    ),
 ]
--- a/tests/test_one_content_racing.py
+++ b/tests/test_one_content_racing.py
@@ -189,3 +189,31 @@
         await amend(day, "agency-3", upstream(2, 2))
 
     scenes.play(scene)
+
+
+def test_an_evacuation_again_is_not_refused_by_a_node_that_has_not_heard_of_it(monkeypatch):
+    async def cannot(self, site, insist):
+        raise errors.CannotCarry("too small", {})
+
+    async def scene(day):
+        node = day.world.nodes["agency-5"]
+        judge = evacuation.Evacuation(node.body.context)
+        day.world.cut_off(["agency-5"])
+        await day.stage.order("agency-1", "evacuate", "north")
+        monkeypatch.setattr(evacuation.Evacuation, "check", cannot)
+        # Cut off, it cannot know; back in touch, it learns before it speaks.
+        with pytest.raises(errors.NoMajority):
+            await node.do(judge.judge("north", False), 8.0)
+        assert not judge.view.is_evacuated("north")
+        day.world.wires.heal()
+        for _ in range(20):
+            try:
+                assert await node.do(judge.judge("north", False), 8.0) == []
+                break
+            except errors.NoMajority:
+                await asyncio.sleep(0.1)
+        assert judge.view.is_evacuated("north")
+        with pytest.raises(errors.CannotCarry):
+            await node.do(judge.judge("south", False), 8.0)
+
+    scenes.play(scene)
