--- a/src/irisstand/controlplane/orders.py
+++ b/src/irisstand/controlplane/orders.py
@@ -17,6 +17,37 @@
 Planned = dict[str, typing.Any]
 
 
+# Payloads travel as plain tuples; these name their parts.
+class LeaseWanted(typing.NamedTuple):
+    """`expected` is the version of the duty's lease that the candidate saw."""
+
+    duty: str
+    holder: str
+    expected: str
+
+
+class FencedRows(typing.NamedTuple):
+    """Rows of a duty's holder; `lease` is the version under which it holds the duty."""
+
+    duty: str
+    lease: str
+    rows: list[tuple[str, typing.Any]]
+
+
+class ClaimWanted(typing.NamedTuple):
+    key: str
+    attempt: str
+    fingerprint: typing.Any
+
+
+class Settlement(typing.NamedTuple):
+    """`result` None gives the claim back."""
+
+    key: str
+    attempt: str
+    result: typing.Any
+
+
 def plan_change(overlay: Overlay, payload: typing.Any) -> Planned:
     """Operators' rows: schema, then the rules on the whole table, then each row's expected version."""
     faults = []
@@ -68,39 +99,44 @@
 
 def plan_lease(overlay: Overlay, payload: typing.Any) -> Planned:
     """Take or keep a duty: only from the version that the candidate saw, so two cannot both win it."""
-    duty, holder, expected = payload
-    key = f"term/{duty}"
-    if str(overlay.version(key)) != expected:
-        raise errors.StaleVersion([{"duty": duty, "in_force": str(overlay.version(key))}])
-    return {key: {"holder": holder}}
+    wanted = LeaseWanted(*payload)
+    key = f"term/{wanted.duty}"
+    if str(overlay.version(key)) != wanted.expected:
+        raise errors.StaleVersion([{"duty": wanted.duty, "in_force": str(overlay.version(key))}])
+    return {key: {"holder": wanted.holder}}
 
 
 def plan_fenced(overlay: Overlay, payload: typing.Any) -> Planned:
     """Rows written by a duty's holder: they count only while its own term is the one in force."""
-    duty, lease, rows = payload
-    if str(overlay.version(f"term/{duty}")) != lease:
-        raise errors.StaleVersion([{"duty": duty, "in_force": str(overlay.version(f"term/{duty}"))}])
-    return {key: value for key, value in rows if overlay.value(key) != value}
+    fenced = FencedRows(*payload)
+    in_force = str(overlay.version(f"term/{fenced.duty}"))
+    if in_force != fenced.lease:
+        raise errors.StaleVersion([{"duty": fenced.duty, "in_force": in_force}])
+    return {key: value for key, value in fenced.rows if overlay.value(key) != value}
 
 
 def plan_claim(overlay: Overlay, payload: typing.Any) -> Planned:
     """Claim a keyed write for one attempt: whoever comes second learns what became of the first."""
-    key, attempt, fingerprint = payload
-    known = overlay.value(f"claim/{key}")
-    if known is not None and known["by"] != attempt:
+    wanted = ClaimWanted(*payload)
+    row = f"claim/{wanted.key}"
+    known = overlay.value(row)
+    if known is not None and known["by"] != wanted.attempt:
         raise errors.Claimed(known)
     if known is None:
         table_time.check_room(overlay, "claim", CLAIMS_LIMIT)
-    return {f"claim/{key}": {"by": attempt, "print": fingerprint, "state": "claimed"}}
+    return {row: {"by": wanted.attempt, "print": wanted.fingerprint, "state": "claimed"}}
 
 
 def plan_settle(overlay: Overlay, payload: typing.Any) -> Planned:
     """Record the result of a claimed write, or give the claim back if it certainly did not run."""
-    key, attempt, result = payload
-    known = overlay.value(f"claim/{key}")
-    if known is None or known["by"] != attempt or known["state"] != "claimed":
+    settled = Settlement(*payload)
+    row = f"claim/{settled.key}"
+    known = overlay.value(row)
+    if known is None or known["by"] != settled.attempt or known["state"] != "claimed":
         return {}
-    return {f"claim/{key}": None if result is None else {**known, "state": "done", "result": result}}
+    if settled.result is None:
+        return {row: None}
+    return {row: {**known, "state": "done", "result": settled.result}}
 
 
 # Plug-in point: kind of order -> the table it writes and how it is planned.
--- a/tests/guarded_control.py
+++ b/tests/guarded_control.py
@@ -4,7 +4,7 @@
 GUARDS = [
     (
         "controlplane/orders.py",
-        '    if known is not None and known["by"] != attempt:\n        raise errors.Claimed',
+        '    if known is not None and known["by"] != wanted.attempt:\n        raise errors.Claimed',
         "    if False:\n        raise errors.Claimed",
         "test_writes.py::test_the_same_key_at_two_edges_runs_once_and_both_get_the_one_result",
     ),
