--- a/tests/guarded_control.py
+++ b/tests/guarded_control.py
@@ -123,6 +123,8 @@
         "        if age is None or table.current_as_of < self.started_at:",
         "        if age is None:",
         "test_restarts.py",
+    ),
+    (
         "controlplane/taken_versions.py",
         '        return not one_content.is_same(known["item"], value["item"])',
         "        return False",
