--- a/src/irisstand/controlplane/request_bodies.py
+++ b/src/irisstand/controlplane/request_bodies.py
@@ -8,6 +8,14 @@
 OBJECT = "send a JSON object"
 
 
+def distinct(pairs: list[tuple]) -> dict:
+    """A field given twice has two contents, and readers differ in which one they take."""
+    found = dict(pairs)
+    if len(found) < len(pairs):
+        raise ValueError("a field stands twice")
+    return found
+
+
 def read_object(body: bytes) -> dict:
     """Refused here, what a packer does not take can never stop a node that carries or stores it.
 
@@ -15,9 +23,9 @@
     {'a': 1}
     """
     try:
-        content = json.loads(body)
+        content = json.loads(body, object_pairs_hook=distinct)
     except (ValueError, RecursionError):
-        raise errors.BadRequest("the body is not whole JSON", OBJECT) from None
+        raise errors.BadRequest("the body is not whole JSON, with each field once", OBJECT) from None
     if not isinstance(content, dict):
         raise errors.BadRequest("the body is not a JSON object", OBJECT)
     fault = one_content.fault_of(content)
--- a/tests/test_one_content.py
+++ b/tests/test_one_content.py
@@ -194,6 +194,7 @@
         b'{"put": {"upstreams": [{"name": "\\ud800", "version": 3}]}}',
         b'{"put": {"upstreams": [{"name": "a", "version": 3, "\\ud800": 1}]}}',
         b'{"put": {"upstreams": [{"name": "a", "version": 3, "more": ' + b"[" * 300 + b"]" * 300 + b"}]}}",
+        b'{"put": {"upstreams": [{"name": "a", "version": 3, "rate": 1, "rate": 2}]}}',
         b'{"drop": {"routes": [{"name": "' + b"x" * 5000 + b'", "version": 3}]}}',
     ],
 )
