--- a/src/irisstand/controlplane/evacuation.py
+++ b/src/irisstand/controlplane/evacuation.py
@@ -8,25 +8,54 @@
 from irisstand.state import items, quorum
 
 CONFIRM_PATIENCE = 0.8
+SITES_PATIENCE = 0.5
 
 
 class Evacuation:
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
         self.view = fleet_view.FleetView(context)
+        context.transport.handlers["sites"] = self.on_sites
 
-    def check_site(self, site: str) -> None:
-        """Refused for good only by settings that name all sites: a member list alone may lack the newest."""
-        named = set(node_settings.pairs(self.context.settings.region_by_site))
-        known = {update.card.site for update in self.context.detector.roster.members.values()}
-        known |= {self.context.settings.site, *named}
-        known |= {item.key.split("/", 1)[1] for item in self.context.configuration.under("site/")}
+    def sites(self) -> set[str]:
+        """Sites that this node has heard of: from settings, members and rows."""
+        found = {update.card.site for update in self.context.detector.roster.members.values()}
+        found |= {self.context.settings.site, *node_settings.pairs(self.context.settings.region_by_site)}
+        return found | {item.key.split("/", 1)[1] for item in self.context.configuration.under("site/")}
+
+    async def on_sites(self, _: str, body: list) -> tuple:
+        return tuple(sorted(self.sites()))
+
+    async def check_site(self, site: str) -> None:
+        """Refused for good only where settings name all sites, or a majority of the voters knows of none.
+
+        This node's own member list may lack the newest; what any voter has heard of is a site.
+        """
+        known = self.sites()
         if site in known:
             return
-        if named:
-            raise errors.Unknown(f"no site {site!r}", f"use one of {', '.join(sorted(known))}")
-        remedy = f"ask another node; known here are {', '.join(sorted(known))}"
-        raise control_errors.SiteNotHeard(f"no site {site!r} is known to this node", remedy)
+        answered = 1
+        if not node_settings.pairs(self.context.settings.region_by_site):
+            heard = await asyncio.gather(*(self.ask_sites(voter) for voter in self.other_voters()))
+            answered += sum(told is not None for told in heard)
+            known |= {name for told in heard if told is not None for name in told}
+            if site in known:
+                return
+            if 2 * answered <= len(self.other_voters()) + 1:
+                remedy = f"ask another node; known here are {', '.join(sorted(known))}"
+                raise control_errors.SiteNotHeard(f"no site {site!r} is known to this node", remedy)
+        raise errors.Unknown(f"no site {site!r}", f"use one of {', '.join(sorted(known))}")
+
+    def other_voters(self) -> list[quorum.Voter]:
+        voters = quorum.decode(self.context.ledger.value(items.VOTERS))
+        return [voter for voter in voters if voter.name != self.context.settings.name]
+
+    async def ask_sites(self, voter: quorum.Voter) -> tuple | None:
+        address = (voter.host, voter.port)
+        try:
+            return await self.context.transport.ask(address, voter.name, "sites", (), SITES_PATIENCE)
+        except errors.IrisError:
+            return None
 
     async def judge(self, site: str, insist: bool) -> list[str]:
         """Notes as `check` has them; refused only on a ledger that a majority confirmed since this was asked.
--- a/src/irisstand/controlplane/operator_orders.py
+++ b/src/irisstand/controlplane/operator_orders.py
@@ -102,7 +102,7 @@
         raise errors.BadRequest("not one tag, nor one host and path", "name a tag, or a host and a path")
 
     async def put_evacuation(self, request: sanic.request.Request, site: str) -> sanic.response.HTTPResponse:
-        self.evacuation.check_site(site)
+        await self.evacuation.check_site(site)
         # Where only origins are emptied, the machines carry on, and an order again is the same order.
         only_origins = self.context.settings.evacuates == "origins"
         change = "" if only_origins else self.change_id({})
