--- a/src/irisstand/controlplane/assembly.py
+++ b/src/irisstand/controlplane/assembly.py
@@ -31,6 +31,11 @@
         self.context = node_context.NodeContext(settings, "agency", clock, randomness, net)
         self.core = cores.Core(self.context, disk)
         self.proposers = {table: proposers.Proposer(self.core, table) for table in items.TABLES}
+        self.checks = {
+            table: majority_check.MajorityCheck(self.core, proposer)
+            for table, proposer in self.proposers.items()
+        }
+        self.read_index = majority_check.ReadIndex(self.checks)
         self.submitter = submitting.Submitter(self.core, self.proposers)
         self.founding = founding.Bootstrap(self.core, self.submitter)
         self.duties: list[duties.Duty] = []
@@ -51,9 +56,7 @@
         await self.context.open()
         for table in items.TABLES:
             self.context.start(self.proposers[table].run(), f"taker of {table}")
-            self.context.start(
-                majority_check.MajorityCheck(self.core, self.proposers[table]).run(), f"pulse of {table}"
-            )
+            self.context.start(self.checks[table].run(), f"pulse of {table}")
         self.context.start(self.founding.run(), "founding")
         for duty in self.duties:
             self.context.start(duty.run(), f"duty {duty.name}")
--- a/src/irisstand/controlplane/majority_check.py
+++ b/src/irisstand/controlplane/majority_check.py
@@ -1,4 +1,8 @@
-"""The core's own freshness: each core node confirms its applied version with a majority of the voters."""
+"""The core's own freshness: each core node confirms its applied version with a majority of the voters.
+
+The same round serves as a read index: a read that waits for a round begun after it came in sees every change
+that was confirmed to anybody before.
+"""
 
 import asyncio
 
@@ -8,12 +12,19 @@
 from irisstand.state import quorum, versions
 
 TRIES = 5
+# Seconds for a round that reads wait for: a voter that is cut off is not waited for any longer.
+READ_ROUND = 0.4
+# Seconds that a read waits at the most, one round under way before its own included.
+READ_PATIENCE = 0.6
 
 
 class MajorityCheck:
     def __init__(self, core: cores.Core, proposer: proposers.Proposer) -> None:
         self.core, self.proposer, self.context = core, proposer, core.context
         self.table, self.copy = proposer.table, proposer.copy
+        # Of the rounds for reads: the one under way, and the one that has not begun, which reads may join.
+        self.read_round: asyncio.Task | None = None
+        self.next_read_round: asyncio.Task | None = None
 
     async def run(self) -> None:
         while True:
@@ -25,16 +36,45 @@
             pause = self.context.settings.freshness_interval - (self.context.clock.now() - started)
             await asyncio.sleep(max(0.01, pause))
 
-    async def beat(self) -> None:
+    async def confirm_read(self) -> None:
+        """Return once a round that began after this call has proved the copy; StaleConfiguration if none does.
+
+        Reads that come while a round is under way share the next one.
+        """
+        # Without the voters for longer than the bound, this node will not find them within any patience.
+        is_confirmed = False
+        if self.context.is_fresh(self.copy):
+            if self.next_read_round is None:
+                self.next_read_round = asyncio.get_running_loop().create_task(self.run_read_round())
+            joined = self.next_read_round
+            done, _ = await asyncio.wait([joined], timeout=READ_PATIENCE)
+            is_confirmed = bool(done) and joined.result()
+        if not is_confirmed:
+            self.context.counters.add("reads_put_off", table=self.table)
+            raise errors.StaleConfiguration(f"no majority confirms the {self.table} table to this node now")
+
+    async def run_read_round(self) -> bool:
+        if self.read_round is not None:
+            await asyncio.wait([self.read_round])
+        # From here on the round is under way: a read that comes later needs another.
+        self.read_round, self.next_read_round = self.next_read_round, None
+        try:
+            async with asyncio.timeout(READ_ROUND):
+                return await self.beat()
+        except (TimeoutError, errors.IrisError, proposers.Lost, ValueError, TypeError):
+            return False
+
+    async def beat(self) -> bool:
+        """One round; whether it proved that the copy holds all that was confirmed before the round began."""
         voters = self.core.voters(self.table)
         if not voters:
-            return
+            return False
         asked_at = self.context.clock.now()
         replies = await self.core.gather(
             voters, "stand", lambda voter: (self.table,), lambda replies: self.is_enough(voters, replies)
         )
         if not self.is_enough(voters, replies):
-            return
+            return False
         true = {disk_id: reply for disk_id, reply in replies.items() if reply[0] == disk_id}
         applied, holder = max((versions.decode(reply[1]), disk_id) for disk_id, reply in true.items())
         pending = any(
@@ -46,17 +86,18 @@
                 await self.core.catch_up(self.table, name)
             # The voters may have been changed by what was just learnt: then another set must be asked.
             if self.core.voters(self.table) != voters:
-                return
+                return False
             # A yes may have been given for a batch seen pending: only an applied version beyond it proves the
             # outcome.
             if self.copy.applied > applied or (self.copy.applied == applied and not pending):
                 self.copy.confirm_current(asked_at)
                 await self.keep_up()
-                return
+                return True
             await asyncio.sleep(0.04)
             # Its proposer had time to finish; perhaps it died, so finish in its place.
             if attempt >= 2 and self.core.votes(self.table):
                 await self.proposer.finish_pending()
+        return False
 
     def is_enough(self, voters: list[quorum.Voter], replies: dict) -> bool:
         return quorum.is_majority(
@@ -77,3 +118,14 @@
             await self.core.owners[self.table].order("keep")
         except errors.IrisError:
             self.context.counters.add("keep_failed", table=self.table)
+
+
+class ReadIndex:
+    """Proves tables current for one read, by a round to a majority for each."""
+
+    def __init__(self, checks: dict[str, MajorityCheck]) -> None:
+        self.checks = checks
+
+    async def confirm(self, *tables: str) -> None:
+        """StaleConfiguration unless every table holds all that was confirmed before this call."""
+        await asyncio.gather(*(self.checks[table].confirm_read() for table in tables))
--- a/src/irisstand/controlplane/operator_reads.py
+++ b/src/irisstand/controlplane/operator_reads.py
@@ -1,4 +1,7 @@
-"""What operators read over HTTP: rows, items, decisions, voters, members, machines."""
+"""What operators read over HTTP: rows, items, decisions, voters, members, machines.
+
+Reads of control state are linearizable: a majority confirms the tables after the read came in, or it gets 503.
+"""
 
 import typing
 
@@ -6,14 +9,21 @@
 import sanic.response
 
 from irisstand import node_context, web
-from irisstand.controlplane import amending, changes, voters
+from irisstand.controlplane import amending, changes, majority_check, voters
 from irisstand.membership import updates
+from irisstand.state import items
 from irisstand.validation import schema
 
 
 class OperatorReads:
-    def __init__(self, context: node_context.NodeContext, members: voters.Voters, server: web.Web) -> None:
-        self.context, self.voters = context, members
+    def __init__(
+        self,
+        context: node_context.NodeContext,
+        members: voters.Voters,
+        read_index: majority_check.ReadIndex,
+        server: web.Web,
+    ) -> None:
+        self.context, self.voters, self.read_index = context, members, read_index
         self.changes = changes.Changes(context)
         add = server.app.add_route
         add(self.get_rows, "/rows", methods=["GET"])
@@ -26,7 +36,7 @@
 
     async def get_rows(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         """Every row in force with its version; a table that may be old is not shown as the table."""
-        self.context.check_current()
+        await self.read_index.confirm(items.CONFIGURATION)
         copy = self.context.configuration
         rows = []
         for kind in schema.REGISTRY:
@@ -37,19 +47,19 @@
 
     async def get_items(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         """All versioned items that stand, laid out as an amendment that would put them."""
-        self.context.check_current()
+        await self.read_index.confirm(items.CONFIGURATION)
         return web.as_json(amending.listing(self.context.configuration))
 
     async def get_change(self, request: sanic.request.Request, change: str) -> sanic.response.HTTPResponse:
-        self.context.check_current()
+        await self.read_index.confirm(items.CONFIGURATION, items.LEDGER)
         return web.as_json(await self.changes.show(change))
 
     async def get_voters(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        self.context.check_current()
+        await self.read_index.confirm(*items.TABLES)
         return web.as_json(await self.voters.show())
 
     async def get_ledger(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        self.context.check_current()
+        await self.read_index.confirm(items.LEDGER)
         copy = self.context.ledger
         rows = [
             {"key": item.key, "serial": str(item.version), "value": item.value}
@@ -75,7 +85,7 @@
 
     async def get_machines(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         """Why each machine rests or does not, and the hours that rest has saved."""
-        self.context.check_current()
+        await self.read_index.confirm(items.LEDGER)
         ledger = self.context.ledger
         why = (ledger.value("staffing") or {"why": {}})["why"]
         machines = {}
--- a/src/irisstand/controlplane/program.py
+++ b/src/irisstand/controlplane/program.py
@@ -58,7 +58,8 @@
         web = importlib.import_module("irisstand.web")
         operators = importlib.import_module("irisstand.controlplane.operators")
         self.server = web.Web(context, self.ring)
-        operators.Operators(context, self.control_node.submitter, self.server)
+        node = self.control_node
+        operators.Operators(context, node.submitter, node.read_index, self.server)
         try:
             await self.server.open()
         except OSError as error:
--- a/src/irisstand/controlplane/proposer.py
+++ b/src/irisstand/controlplane/proposer.py
@@ -20,6 +20,17 @@
     proposed: list
 
 
+class Plan(typing.NamedTuple):
+    """What one ballot can settle, and `undecided`: whether a refusal has to wait for this base to be decided.
+
+    `refused` was judged with rows of this very batch in place, and is told only once these are decided.
+    """
+
+    accepted: list[tuple[Waiting, tuple[versions.Version, list[str]]]]
+    refused: list[tuple[Waiting, errors.IrisError]]
+    undecided: bool
+
+
 class Lost(Exception):
     """This ballot did not decide; another has to be held."""
 
@@ -100,17 +111,22 @@
                     raise Lost("finished a pending batch first")
                 return
             overlay = orders.Overlay(self.copy, ballot)
-            planned, refused, undecided = self.plan(overlay, waiting)
+            plan = self.plan(overlay, waiting)
             # A batch without rows moves the applied version, which settles that an earlier proposal never
             # counts.
-            if overlay.rows or undecided:
-                for entry, (_, keys) in planned:
+            if overlay.rows or plan.undecided:
+                for entry, (_, keys) in plan.accepted:
                     entry.proposed.append((self.copy.applied, ballot, keys))
                 await self.propose(voters, ballot, overlay.batch())
-            for entry, (version, keys) in planned:
-                if not entry.future.done():
-                    entry.future.set_result({"serial": str(version), "rows": keys})
-            for entry, error in refused:
+            self.tell(plan)
+
+    def tell(self, plan: Plan) -> None:
+        """The results of a batch that is decided, or that needed no rows."""
+        for entry, (version, keys) in plan.accepted:
+            if not entry.future.done():
+                entry.future.set_result({"serial": str(version), "rows": keys})
+        for entry, error in plan.refused:
+            if not entry.future.done():
                 entry.future.set_exception(error)
 
     def draw(self) -> versions.Version:
@@ -120,13 +136,9 @@
         self.highest = seen.after(f"{self.context.settings.name}~{self.core.store.identity}")
         return self.highest
 
-    def plan(self, overlay: orders.Overlay, waiting: list[Waiting]) -> tuple[list, list, bool]:
-        """What can be proposed, what is refused beside it, and whether a refusal has to wait for this base to
-        be decided.
-        """
-        planned: list[tuple] = []
-        refused: list[tuple] = []
-        undecided = False
+    def plan(self, overlay: orders.Overlay, waiting: list[Waiting]) -> Plan:
+        """Put on the overlay what can be proposed; refuse at once only what the decided base refuses."""
+        accepted, refused, undecided = [], [], False
         for entry in waiting:
             # What is too much for one frame is left for the next ballot.
             if entry.future.done() or overlay.size > BATCH_BYTES:
@@ -138,7 +150,7 @@
             if entry.future.done():
                 continue
             try:
-                planned.append((entry, orders.plan(overlay, entry.order)))
+                accepted.append((entry, orders.plan(overlay, entry.order)))
             except errors.IrisError as error:
                 # Proposed on this very base, it may lie accepted with a voter that did not answer, and
                 # another proposer may yet finish it: only a decision on the base makes a refusal true.
@@ -149,7 +161,7 @@
                     refused.append((entry, error))
                 else:
                     entry.future.set_exception(error)
-        return planned, refused, undecided
+        return Plan(accepted, refused, undecided)
 
     async def prepare(self, voters: list[quorum.Voter], ballot: versions.Version) -> items.Batch | None:
         """Promises from a majority; brings the copy to the newest applied version and returns what is
--- a/src/irisstand/controlplane/submitting.py
+++ b/src/irisstand/controlplane/submitting.py
@@ -49,7 +49,12 @@
         """The result for an operator, who gets an answer also when this node has to go before it is known."""
         with self.context.working():
             task = asyncio.get_running_loop().create_task(self.submit(order))
-            await asyncio.wait([task, self.context.closing], return_when=asyncio.FIRST_COMPLETED)
+            try:
+                await asyncio.wait([task, self.context.closing], return_when=asyncio.FIRST_COMPLETED)
+            except asyncio.CancelledError:
+                # Its sender hung up: it must not be carried out after whatever that sender orders next.
+                task.cancel()
+                raise
             if not task.done():
                 task.cancel()
                 raise errors.ChangeUnknown("this node is shutting down, and it is not settled yet")
--- /dev/null
+++ b/tests/test_cut_off.py
@@ -0,0 +1,250 @@
+"""A control node that is cut off or frozen, and comes back: no old state, no refusal, no yes of its own."""
+
+import asyncio
+import json
+import types
+
+import pytest
+import scenes
+
+import irisstand.controlplane.operator_reads as operator_reads
+import irisstand.controlplane.orders as orders
+import irisstand.controlplane.voters as voters
+import irisstand.errors as errors
+import irisstand.state.items as items
+import irisstand.state.versions as versions
+
+PAGES = ("get_rows", "get_items", "get_ledger", "get_voters", "get_machines")
+# What an operator that was given no answer can rely on: nothing here is a refusal.
+NOT_REFUSED = (errors.NoMajority, errors.ChangeUnknown, errors.NotFounded, TimeoutError)
+
+
+def reads_of(day, name):
+    """The operators' pages of one node, without the listener before them."""
+    body = day.world.nodes[name].body
+    server = types.SimpleNamespace(app=types.SimpleNamespace(add_route=lambda *_, **__: None))
+    members = voters.Voters(body.context, body.submitter)
+    return operator_reads.OperatorReads(body.context, members, body.read_index, server)
+
+
+async def read(day, name, page="get_rows", *arguments):
+    reads = reads_of(day, name)
+    response = await day.world.nodes[name].do(getattr(reads, page)(None, *arguments), 5)
+    return json.loads(response.body)
+
+
+def weight_of(rows, site="north"):
+    found = [row["value"]["weight"] for row in rows["rows"] if (row["kind"], row["name"]) == ("site", site)]
+    return found[0] if found else None
+
+
+# -- reads -------------------------------------------------------------------------------------------
+@pytest.mark.parametrize("page", PAGES)
+def test_a_control_node_just_cut_off_shows_nothing_and_says_so_at_once(page):
+    async def scene(day):
+        day.world.cut_off(["agency-5"])
+        # Well inside the freshness bound: by its age alone this node's copy still counts.
+        await day.stage.order("agency-2", "change", [scenes.site_row(weight=7)])
+        started = day.now()
+        with pytest.raises(errors.StaleConfiguration) as raised:
+            await read(day, "agency-5", page)
+        assert day.now() - started < 0.8
+        assert raised.value.status == 503 and raised.value.retry_after
+
+    scenes.play(scene)
+
+
+def test_a_change_that_is_not_known_yet_is_not_denied_by_a_node_cut_off():
+    async def scene(day):
+        day.world.cut_off(["agency-5"])
+        await day.stage.order("agency-2", "change", [scenes.site_row(weight=7)], "mine")
+        with pytest.raises(errors.StaleConfiguration):
+            await read(day, "agency-5", "get_change", "mine")
+
+    scenes.play(scene)
+
+
+def test_every_read_after_a_yes_shows_it_at_whatever_node():
+    async def scene(day):
+        for weight in range(1, 13):
+            await day.stage.order(f"agency-{weight % 5 + 1}", "change", [scenes.site_row(weight=weight)])
+            for number in range(1, 6):
+                assert weight_of(await read(day, f"agency-{number}")) == weight
+
+    scenes.play(scene)
+
+
+def test_a_read_settles_a_batch_that_a_majority_accepted_or_is_put_off():
+    async def scene(day):
+        core = day.world.nodes["agency-1"].body.core
+        applied = core.context.configuration.applied
+        ballot = versions.Version(applied.counter + 5, f"agency-1~{core.store.identity}")
+        batch = items.Batch(ballot, applied, (("site/south", {"weight": 9}, False),))
+        day.world.nodes["agency-1"].kill()
+        for name in ("agency-2", "agency-3", "agency-4"):
+            node = day.world.nodes[name]
+            owner = node.body.core.owners[items.CONFIGURATION]
+            await node.do(owner.order("promise", ballot), 1)
+            await node.do(owner.order("accept", ballot, batch, "agency-1"), 1)
+        # Its proposer may have said yes to its operator a moment ago.
+        try:
+            assert weight_of(await read(day, "agency-5"), "south") == 9
+        except errors.StaleConfiguration:
+            await asyncio.sleep(1)
+            assert weight_of(await read(day, "agency-5"), "south") == 9
+
+    scenes.play(scene)
+
+
+def test_reads_that_come_together_share_a_round():
+    async def scene(day):
+        node = day.world.nodes["agency-1"]
+        reads = reads_of(day, "agency-1")
+        before = node.body.context.counters.text()
+        told = await asyncio.gather(*(node.do(reads.get_rows(None), 5) for _ in range(200)))
+        assert len({response.body for response in told}) == 1
+        after = node.body.context.counters.text()
+        assert asked(after) - asked(before) < 40
+
+    scenes.play(scene)
+
+
+def asked(counters):
+    return sum(float(line.split()[-1]) for line in counters.splitlines() if 'kind="stand"' in line)
+
+
+# -- orders ------------------------------------------------------------------------------------------
+def test_a_refusal_never_rests_on_rows_that_were_only_proposed():
+    """Two orders in one batch: the second was refused for the first, which then came to nothing."""
+
+    async def scene(day):
+        node = day.world.nodes["agency-1"]
+        proposer = node.body.proposers[items.CONFIGURATION]
+        expected = str(node.body.context.configuration.version("site/north"))
+        rows = [[scenes.site_row(weight=weight, expected=expected)] for weight in (1, 2)]
+        proposing = proposer.propose
+
+        async def cut_before_accept(*arguments):
+            day.world.cut_off(["agency-1"])
+            await proposing(*arguments)
+
+        proposer.propose = cut_before_accept
+        decided = [proposer.decide(orders.Order("change", f"c{n}", rows[n])) for n in range(2)]
+        told = await node.do(asyncio.wait_for(gather_all(decided), 20), 30)
+        # No majority heard of either: neither may be told that another change came first.
+        assert all(isinstance(result, NOT_REFUSED) for result in told), told
+        day.world.wires.heal()
+
+    scenes.play(scene)
+
+
+async def gather_all(waiting):
+    return await asyncio.gather(*waiting, return_exceptions=True)
+
+
+def test_an_order_whose_sender_hung_up_is_not_carried_out_later():
+    async def scene(day):
+        node = day.world.nodes["agency-1"]
+        day.world.cut_off(["agency-1"])
+        answering = node.actor.start(
+            node.body.submitter.answer(orders.Order("change", "left", [scenes.site_row(weight=8)]))
+        )
+        await asyncio.sleep(0.3)
+        # The listener cancels what a closed connection asked for.
+        answering.cancel()
+        await asyncio.sleep(0.1)
+        day.world.wires.heal()
+        await asyncio.sleep(8)
+        assert scenes.context(day, "agency-2").configuration.value("site/north") is None
+
+    scenes.play(scene)
+
+
+def test_a_forwarded_order_that_lay_in_a_frozen_voter_is_not_carried_out_after_its_opposite():
+    async def scene(day):
+        await day.stage.order("agency-2", "purge", [("tag", "vacancies")])
+        frozen = day.world.nodes["agency-2"]
+        frozen.freeze()
+        evacuate, back = orders.Order("evacuate", "", "north"), orders.Order("return", "", "north")
+        node = day.world.nodes["agency-1"]
+        await node.do(node.body.submitter.answer(evacuate), 8)
+        await node.do(node.body.submitter.answer(back), 8)
+        frozen.thaw()
+        await asyncio.sleep(6)
+        assert not scenes.context(day, "agency-3").is_evacuated("north")
+
+    scenes.play(scene)
+
+
+@pytest.mark.parametrize("trouble", ["cut", "freeze", "kill"])
+def test_changes_sent_in_pairs_to_the_node_that_returns_are_never_refused(trouble):
+    async def scene(day):
+        node = day.world.nodes["agency-1"]
+        first = await day.stage.order("agency-1", "change", [scenes.site_row(weight=1)])
+        assert first["serial"]
+        {"cut": lambda: day.world.cut_off(["agency-1"]), "freeze": node.freeze, "kill": node.kill}[trouble]()
+        for weight in range(2, 22):
+            await day.stage.order(f"agency-{weight % 4 + 2}", "change", [scenes.site_row(weight=weight)])
+            await asyncio.sleep(1)
+        # It expects what was confirmed while this node was away: to refuse it would be ignorance.
+        expected = str(scenes.context(day, "agency-3").configuration.version("site/north"))
+        pairs = [
+            asyncio.create_task(until_known(day, f"pair-{n}", scenes.site_row(site, 50, expected=version)))
+            for n, (site, version) in enumerate((("north", expected), ("west", "0.")))
+        ]
+        await asyncio.sleep(0.3)
+        if trouble == "kill":
+            await node.start()
+        else:
+            day.world.wires.heal()
+            node.thaw()
+        told = await asyncio.gather(*pairs)
+        assert all(isinstance(result, dict) for result in told), told
+        assert weight_of(await read(day, "agency-4")) == 50
+
+    scenes.play(scene)
+
+
+async def until_known(day, change, row):
+    """As the operator does it: the same change again and again to that very node, until it answers."""
+    if row["expected"] == "0.":
+        row = {key: value for key, value in row.items() if key != "expected"}
+    for _ in range(40):
+        try:
+            return await asyncio.wait_for(day.stage.order("agency-1", "change", [row], change), 1)
+        except NOT_REFUSED + (errors.StaleConfiguration, errors.Unreached, errors.Draining):
+            await asyncio.sleep(0.1)
+    return None
+
+
+# -- duties ------------------------------------------------------------------------------------------
+def holder_of(day, name="staffing"):
+    found = []
+    for node in day.world.role("agency"):
+        found += [(node, duty) for duty in node.body.duties if duty.name == name and duty.holds()]
+    return found
+
+
+@pytest.mark.parametrize("clock", ["goes on", "stands still"])
+def test_a_holder_that_thaws_writes_nothing_under_a_lease_that_another_has_taken(clock):
+    """A stopped process's monotonic clock goes on; that of a suspended machine stands still."""
+
+    async def scene(day):
+        ((node, duty),) = holder_of(day)
+        lease = duty.lease
+        node.freeze()
+        await asyncio.sleep(8)
+        ((other, _),) = [pair for pair in holder_of(day) if pair[0] is not node]
+        if clock == "stands still":
+            duty.held_until += 8
+        node.thaw()
+        # It knows the tables again, and believes in its lease as it did before.
+        await day.world.until_ready()
+        duty.lease = lease
+        with pytest.raises(errors.StaleVersion):
+            await node.do(duty.write([("rest/x", {"since": 1})]), 8)
+        await asyncio.sleep(2)
+        assert scenes.context(day, "agency-1").ledger.value("rest/x") is None
+        assert [pair[0] for pair in holder_of(day)] == [other]
+
+    scenes.play(scene)
