--- a/src/irisstand/controlplane/majority_check.py
+++ b/src/irisstand/controlplane/majority_check.py
@@ -37,7 +37,7 @@
             await asyncio.sleep(max(0.01, pause))
 
     async def confirm_read(self) -> None:
-        """Return once a round that began after this call has proved the copy; StaleConfiguration if none does.
+        """Return once a round that began after this call has proved the copy, else StaleConfiguration.
 
         Reads that come while a round is under way share the next one.
         """
--- a/src/irisstand/controlplane/operator_reads.py
+++ b/src/irisstand/controlplane/operator_reads.py
@@ -1,6 +1,7 @@
 """What operators read over HTTP: rows, items, decisions, voters, members, machines.
 
-Reads of control state are linearizable: a majority confirms the tables after the read came in, or it gets 503.
+Reads of control state are linearizable: a majority confirms the tables after the read came in, or it is
+put off with 503.
 """
 
 import typing
--- a/src/irisstand/node_context.py
+++ b/src/irisstand/node_context.py
@@ -48,8 +48,8 @@
         self.transport.handlers["tips"] = self.on_applied_versions
         self.joining = joining.Joining(self.detector, self.transport, settings.seeds)
         # Leaving: readiness is off, but work is still taken. Draining: no new work either.
-        # In the last round of questions not one peer, of the core or not, knew a table to be fresh.
-        self.core_is_out = False
+        # By table, the last moment at which most of its voters were found unable to confirm anything.
+        self.core_out_as_of: dict[str, float] = {}
         self.leaving = False
         self.draining = False
         self.under_way = 0
@@ -87,13 +87,21 @@
             return False
         return age <= self.settings.freshness_bound
 
+    def is_core_out(self, table: tables.Copy) -> bool:
+        """Whether the voters were found unable to confirm anything, and that within the freshness bound."""
+        as_of = self.core_out_as_of.get(table.name)
+        return as_of is not None and self.clock.now() - as_of <= self.settings.freshness_bound
+
     def is_current(self, table: tables.Copy) -> bool:
-        """Fresh; or, where the settings allow it, older while the whole core is out."""
+        """Fresh; or, on the data plane and where the settings allow it, older while the core is out."""
         if self.is_fresh(table):
             return True
+        # Control state is never handed out by its age alone.
+        if self.role == "agency":
+            return False
         age = table.age(self.clock.now())
         longest = self.settings.freshness_bound + self.settings.outage_bound
-        return self.core_is_out and age is not None and age <= longest
+        return self.is_core_out(table) and age is not None and age <= longest
 
     def check_current(self) -> None:
         """StaleConfiguration if any table is not known to be current here."""
--- a/src/irisstand/state/refresher.py
+++ b/src/irisstand/state/refresher.py
@@ -1,8 +1,9 @@
-"""Keeping a node's tables current: whom to ask, how often, and what to conclude when nobody answers."""
+"""Keeping a node's tables current: whom to ask, and how often."""
 
 import asyncio
 
 from irisstand import errors, node_context
+from irisstand.state import outage
 from irisstand.state import replicator as replicators
 from irisstand.transport import network
 
@@ -49,7 +50,6 @@
         try:
             if await self.replicator.pull(address, name):
                 self.answered_last = (address, name)
-                self.context.core_is_out = False
                 return True
         except (errors.IrisError, ValueError, TypeError, KeyError, IndexError):
             self.context.counters.add("sync_failed")
@@ -72,14 +72,14 @@
                 done, asking = await asyncio.wait(asking, timeout=left, return_when=asyncio.FIRST_COMPLETED)
                 if any(task.result() for task in done):
                     return
-            # A round that was itself held up tells of this node, not of the others.
-            self.context.core_is_out = self.context.clock.now() - started < 2 * ROUND
         finally:
             for task in asking:
                 task.cancel()
 
     async def run(self) -> None:
         context = self.context
+        if context.settings.outage_bound:
+            context.start(outage.OutageWatch(context).run(), "outage watch")
         while True:
             started = context.clock.now()
             await self.refresh()
--- /dev/null
+++ b/tests/test_outage.py
@@ -0,0 +1,158 @@
+"""How long the data plane uses old tables: longer only on evidence that the core can confirm nothing."""
+
+import asyncio
+
+import pytest
+import scenes
+
+import irisstand.simulator.virtual_time as virtual
+import irisstand.simulator.world as worlds
+import irisstand.state.items as items
+
+BOUND, STRETCH = 1.5, 5.0
+
+
+def play(scene):
+    """With nodes that may use tables for STRETCH seconds more while the core is out."""
+
+    async def whole():
+        world = worlds.World(1, scenes.SHAPE)
+        world.outage_bound = STRETCH
+        await world.start_all()
+        await world.until_ready()
+        await world.stage.order("agency-1", "change", [scenes.site_row()])
+        await world.until_ready()
+        await asyncio.sleep(1)
+        await scene(world)
+        assert not asyncio.get_running_loop().faults, asyncio.get_running_loop().faults[0]
+
+    virtual.run(whole())
+
+
+def cut(world, some, others):
+    world.wires.cut(world.hosts(some), world.hosts(others))
+
+
+def cores(world, *numbers):
+    return [f"agency-{number}" for number in numbers or range(1, 6)]
+
+
+async def seconds_in_use(world, name="edge-1", longest=8.0):
+    """Until the node takes its tables for current no more."""
+    return await world.until(lambda: not world.is_ready(world.nodes[name]), longest)
+
+
+def test_a_node_that_reaches_nobody_uses_its_tables_no_longer_than_the_bound():
+    async def scene(world):
+        world.cut_off(["edge-1"])
+        assert await seconds_in_use(world) <= BOUND + 0.1
+        await asyncio.sleep(2)
+        assert not world.is_ready(world.nodes["edge-1"])
+
+    play(scene)
+
+
+def test_a_node_on_the_side_of_a_minority_of_the_core_uses_its_tables_no_longer():
+    async def scene(world):
+        world.cut_off(["edge-1", "agency-1", "agency-2"])
+        await world.stage.order("agency-3", "change", [scenes.site_row(weight=5)])
+        assert await seconds_in_use(world) <= BOUND + 0.1
+        await asyncio.sleep(2)
+        assert not world.is_ready(world.nodes["edge-1"])
+
+    play(scene)
+
+
+def test_a_core_that_stands_still_is_no_evidence_and_what_it_confirms_after_a_thaw_is_not_missed():
+    async def scene(world):
+        for name in cores(world):
+            world.nodes[name].freeze()
+        assert await seconds_in_use(world) <= BOUND + 0.1
+        await asyncio.sleep(1)
+        for name in cores(world):
+            world.nodes[name].thaw()
+        await world.until(lambda: all(map(world.is_ready, world.role("agency"))), 3)
+        await world.stage.order("agency-2", "change", [scenes.site_row(weight=5)])
+        await asyncio.sleep(1.9)
+        edge = world.nodes["edge-1"]
+        assert scenes_value(edge) == {"weight": 5} or not world.is_ready(edge)
+
+    play(scene)
+
+
+def scenes_value(node):
+    return node.body.context.configuration.value("site/north")
+
+
+def test_voters_that_answer_that_they_have_no_majority_let_tables_be_used_longer():
+    async def scene(world):
+        for name in cores(world):
+            cut(world, [name], [other for other in cores(world) if other != name])
+        unready = 0
+        for _ in range(300):
+            await asyncio.sleep(0.02)
+            unready += not world.is_ready(world.nodes["edge-1"])
+        # All but a moment in which nobody had said so yet.
+        assert unready <= 15
+        assert await seconds_in_use(world) <= STRETCH + BOUND + 0.2 - 6.0
+
+    play(scene)
+
+
+def test_voters_cut_from_one_another_that_serve_a_hub_are_no_evidence():
+    """Four of five have no majority of their own, and still decide for the fifth, cut from the edge."""
+
+    async def scene(world):
+        leaves = cores(world, 2, 3, 4, 5)
+        for name in leaves:
+            cut(world, [name], [other for other in leaves if other != name])
+        cut(world, ["agency-1"], [name for name in world.nodes if name not in cores(world)])
+        await asyncio.sleep(2.5)
+        for weight in range(2, 6):
+            await world.stage.order("agency-1", "change", [scenes.site_row(weight=weight)])
+            await asyncio.sleep(1.9)
+            edge = world.nodes["edge-1"]
+            assert scenes_value(edge) == {"weight": weight} or not world.is_ready(edge)
+
+    play(scene)
+
+
+def test_a_batch_that_may_have_been_confirmed_is_no_evidence():
+    async def scene(world):
+        for name in cores(world):
+            cut(world, [name], [other for other in cores(world) if other != name])
+        copy = world.nodes["edge-1"].body.context.configuration
+        for name in cores(world, 1, 2, 3):
+            store = world.nodes[name].body.core.store
+            record = store.records[items.CONFIGURATION]
+            store.records[items.CONFIGURATION] = record._replace(
+                pending=items.Batch(copy.applied.after("x"), copy.applied, ())
+            )
+        assert await seconds_in_use(world) <= BOUND + 0.1
+        await asyncio.sleep(1)
+        assert not world.is_ready(world.nodes["edge-1"])
+
+    play(scene)
+
+
+@pytest.mark.parametrize("killed", [2, 3])
+def test_processes_that_do_not_run_are_evidence_if_they_are_more_than_half(killed):
+    async def scene(world):
+        gone = cores(world)[:killed]
+        for name in gone:
+            world.nodes[name].kill()
+        # The others run, and neither they nor anybody else is reached from here.
+        cut(world, ["edge-1"], [name for name in world.nodes if name not in [*gone, "edge-1"]])
+        took = await seconds_in_use(world)
+        assert took <= BOUND + 0.1 if killed == 2 else took >= STRETCH
+
+    play(scene)
+
+
+def test_a_core_node_hands_nothing_out_longer_whatever_it_finds():
+    async def scene(world):
+        for name in cores(world)[1:]:
+            world.nodes[name].kill()
+        assert await seconds_in_use(world, "agency-1") <= BOUND + 0.1
+
+    play(scene)
--- a/tests/test_seeds.py
+++ b/tests/test_seeds.py
@@ -166,7 +166,7 @@
         edge.freeze()
         await asyncio.sleep(4)
         edge.thaw()
-        assert not edge.body.context.core_is_out
+        assert not any(map(edge.body.context.is_core_out, edge.body.context.copies.values()))
         await world.until(lambda: world.is_ready(edge), 1)
 
     play(scene, outage_bound=5.0)
