--- a/src/irisstand/controlplane/duties.py
+++ b/src/irisstand/controlplane/duties.py
@@ -1,4 +1,8 @@
-"""Duties that one node does: won by ballot when vacant, held for a term, given up before it ends."""
+"""Duties that one node does: won by ballot when vacant, held for a term, given up before it ends.
+
+A holder stops by its own monotonic clock. That clock may stand still, as when a virtual machine is suspended;
+so whatever a holder writes is judged once more by the voters, against the lease in force (`plan_fenced`).
+"""
 
 import asyncio
 import collections.abc
@@ -32,6 +36,9 @@
         self.held_until = 0.0
         self.seen = ""
         self.seen_at = 0.0
+        # The version from which this node last asked for the lease, and when it first did.
+        self.asked_from = ""
+        self.first_asked_at = 0.0
 
     def holds(self) -> bool:
         return bool(self.lease) and self.context.clock.now() < self.held_until
@@ -87,6 +94,8 @@
         for _ in range(TAKES):
             # Counted from before the order goes out, so this node stops before any other may start.
             started = self.context.clock.now()
+            if expected != self.asked_from:
+                self.asked_from, self.first_asked_at = expected, started
             order = orders.Order("term", "", (self.name, self.holder, expected))
             try:
                 result = await self.submitter.submit(order)
@@ -98,6 +107,8 @@
                     self.lease = ""
                     return
                 result = {"serial": version}
+                # By an earlier order maybe, whose answer was lost: others have counted from then on.
+                started = self.first_asked_at
             self.lease, self.held_until = result["serial"], started + self.length
             self.context.counters.add("terms_taken", duty=self.name)
             if self.holds():
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -7,6 +7,7 @@
 import pytest
 import scenes
 
+import irisstand.controlplane.duties as duties
 import irisstand.controlplane.operator_reads as operator_reads
 import irisstand.controlplane.orders as orders
 import irisstand.controlplane.voters as voters
@@ -109,6 +110,28 @@
     scenes.play(scene)
 
 
+def test_a_read_does_not_join_a_round_that_began_before_it_came():
+    async def scene(day):
+        node = day.world.nodes["agency-1"]
+        check = node.body.checks[items.LEDGER]
+        begun = []
+
+        async def slow_beat():
+            begun.append(day.now())
+            await asyncio.sleep(0.2)
+            return True
+
+        check.beat = slow_beat
+        first = node.actor.start(check.confirm_read())
+        await asyncio.sleep(0.1)
+        asked_at = day.now()
+        await node.do(check.confirm_read(), 2)
+        assert begun[-1] >= asked_at
+        await first
+
+    scenes.play(scene)
+
+
 def asked(counters):
     return sum(float(line.split()[-1]) for line in counters.splitlines() if 'kind="stand"' in line)
 
@@ -248,3 +271,29 @@
         assert [pair[0] for pair in holder_of(day)] == [other]
 
     scenes.play(scene)
+
+
+def test_a_lease_taken_by_an_order_whose_answer_was_lost_counts_from_that_order():
+    """Others count from the moment at which they see the lease, which may be long before its holder asks."""
+
+    async def scene(day):
+        node = day.world.nodes["agency-3"]
+        real = node.body.submitter
+        duty = duties.Duty(real, "trial", None)
+        duty.holder = "agency-3~life"
+        vacant = str(node.body.context.ledger.version("term/trial"))
+
+        async def lose_answer(order):
+            await real.submit(order)
+            await asyncio.sleep(1.5)
+            raise errors.ChangeUnknown("the answer was lost")
+
+        duty.submitter = types.SimpleNamespace(submit=lose_answer)
+        asked_at = day.now()
+        with pytest.raises(errors.ChangeUnknown):
+            await node.do(duty.take(vacant), 8)
+        duty.submitter = real
+        await node.do(duty.take(vacant), 8)
+        assert duty.lease and duty.held_until <= asked_at + duty.length
+
+    scenes.play(scene)
