--- a/src/irisstand/controlplane/majority_check.py
+++ b/src/irisstand/controlplane/majority_check.py
@@ -13,9 +13,9 @@
 
 TRIES = 5
 # Seconds for a round that reads wait for: a voter that is cut off is not waited for any longer.
-READ_ROUND = 0.4
+READ_ROUND = 0.6
 # Seconds that a read waits at the most, one round under way before its own included.
-READ_PATIENCE = 0.6
+READ_PATIENCE = 0.75
 
 
 class MajorityCheck:
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -114,10 +114,8 @@
     async def scene(day):
         node = day.world.nodes["agency-1"]
         check = node.body.checks[items.LEDGER]
-        begun = []
 
         async def slow_beat():
-            begun.append(day.now())
             await asyncio.sleep(0.2)
             return True
 
@@ -126,7 +124,7 @@
         await asyncio.sleep(0.1)
         asked_at = day.now()
         await node.do(check.confirm_read(), 2)
-        assert begun[-1] >= asked_at
+        assert day.now() >= asked_at + 0.2
         await first
 
     scenes.play(scene)
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -42,12 +42,17 @@
     return await world.until(lambda: not world.is_ready(world.nodes[name]), longest)
 
 
+async def stays_out(world, name="edge-1"):
+    for _ in range(250):
+        await asyncio.sleep(0.02)
+        assert not world.is_ready(world.nodes[name])
+
+
 def test_a_node_that_reaches_nobody_uses_its_tables_no_longer_than_the_bound():
     async def scene(world):
         world.cut_off(["edge-1"])
         assert await seconds_in_use(world) <= BOUND + 0.1
-        await asyncio.sleep(2)
-        assert not world.is_ready(world.nodes["edge-1"])
+        await stays_out(world)
 
     play(scene)
 
@@ -57,8 +62,7 @@
         world.cut_off(["edge-1", "agency-1", "agency-2"])
         await world.stage.order("agency-3", "change", [scenes.site_row(weight=5)])
         assert await seconds_in_use(world) <= BOUND + 0.1
-        await asyncio.sleep(2)
-        assert not world.is_ready(world.nodes["edge-1"])
+        await stays_out(world)
 
     play(scene)
 
@@ -129,8 +133,7 @@
                 pending=items.Batch(copy.applied.after("x"), copy.applied, ())
             )
         assert await seconds_in_use(world) <= BOUND + 0.1
-        await asyncio.sleep(1)
-        assert not world.is_ready(world.nodes["edge-1"])
+        await stays_out(world)
 
     play(scene)
 
@@ -145,6 +148,7 @@
         cut(world, ["edge-1"], [name for name in world.nodes if name not in [*gone, "edge-1"]])
         took = await seconds_in_use(world)
         assert took <= BOUND + 0.1 if killed == 2 else took >= STRETCH
+        await stays_out(world)
 
     play(scene)
 
