--- a/tests/test_cut_off_leases.py
+++ b/tests/test_cut_off_leases.py
@@ -1,4 +1,4 @@
-"""Leases of a control machine that was frozen or cut off: what it may still write, and from when a lease counts."""
+"""Leases of a control machine that was frozen or cut off: what it may write, and when a lease begins."""
 
 import asyncio
 import types
