--- a/src/irisstand/dataplane/routes.py
+++ b/src/irisstand/dataplane/routes.py
@@ -4,9 +4,11 @@
 
 from irisstand import errors, node_context
 from irisstand.balancing import draws
-from irisstand.state import versioned_items, versions
+from irisstand.dataplane import prefixes
+from irisstand.state import items, tables, versioned_items, versions
 
 ATTEMPTS = 2
+ROUTE, UPSTREAM = "route/", "upstream/"
 
 
 class Route(typing.NamedTuple):
@@ -52,53 +54,132 @@
     idle: float = 30.0
 
 
+class Compiled(typing.NamedTuple):
+    """A row as it was last read; `route` is None for a service, and where the row says it is dropped."""
+
+    version: versions.Version
+    host: str
+    route: Route | None
+
+
 class Routes:
-    """Compiled from the configuration once for each of its applied versions."""
+    """Compiled from the configuration row by row: a change costs what it changed and no more."""
 
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
         self.applied = versions.NONE
-        self.hosts: dict[str, list[Route]] = {}
+        self.hosts: dict[str, prefixes.Prefixes[Route]] = {}
         self.upstreams: dict[str, Upstream] = {}
         self.limits = Limits()
         self.by_name: dict[str, Route] = {}
-        # Services of which holders fetch objects, with the routes that these are on.
+        # Services of which holders fetch objects, with one route for each set of regions that these have.
         self.held: dict[str, list[Route]] = {}
+        self.held_names: dict[str, dict[tuple[str, ...], dict[str, Route]]] = {}
+        # All rows of routes and services by key, the dropped ones too, and the container they were read from.
+        self.compiled: dict[str, Compiled] = {}
+        self.read_from: object = None
 
+    # -- following the configuration -----------------------------------------------------------------
     def refresh(self) -> None:
+        """Take in what changed in the configuration since the last time."""
         copy = self.context.configuration
-        if copy.applied == self.applied:
+        if copy.applied == self.applied and copy.items is self.read_from:
             return
-        self.applied = copy.applied
-        self.hosts, self.upstreams = {}, {}
-        for item in copy.under("route/"):
-            if item.value["item"] is not None:
-                route = as_route(item.value["item"])
-                self.hosts.setdefault(item.value["item"]["host"].lower(), []).append(route)
-        self.by_name, self.held = {}, {}
-        for routes in self.hosts.values():
-            routes.sort(key=lambda route: -len(route.prefix))
-            for route in routes:
-                self.by_name[route.name] = route
-                for name, _ in route.splits if route.is_cacheable else ():
-                    self.held.setdefault(name, []).append(route)
-        for item in copy.under("upstream/"):
-            if item.value["item"] is not None:
-                upstream = as_upstream(item.value["item"])
-                self.upstreams[upstream.name] = upstream
-        stored = copy.value(versioned_items.LIMITS)
-        fields = (stored or {}).get("item") or {}
-        self.limits = Limits(**{name: fields[name] for name in Limits._fields if name in fields})
-
+        # A copy that was mended may have other rows at versions that were read already.
+        if copy.items is self.read_from and copy.applied > self.applied:
+            self.take_changes(copy)
+        else:
+            self.compare_all(copy)
+        self.applied, self.read_from = copy.applied, copy.items
+        self.limits = as_limits(copy.value(versioned_items.LIMITS))
+
+    def take_changes(self, copy: tables.Copy) -> None:
+        changed, forgotten = copy.after(self.applied)
+        for item in changed:
+            self.take(item.key, item)
+        for key in forgotten:
+            self.take(key, None)
+        # More may have been forgotten than the copy remembers by name.
+        if len(self.compiled) != copy.counts["route"] + copy.counts["upstream"]:
+            self.compare_all(copy)
+
+    def compare_all(self, copy: tables.Copy) -> None:
+        """Look at every row, and compile those that are others than before."""
+        for key in [key for key in self.compiled if key not in copy.items]:
+            self.take(key, None)
+        for prefix in (ROUTE, UPSTREAM):
+            for key in copy.items.irange(prefix, prefix + tables.LAST):
+                item, known = copy.items[key], self.compiled.get(key)
+                if known is None or known.version != item.version:
+                    self.take(key, item)
+
+    def take(self, key: str, item: items.Item | None) -> None:
+        """Take in one row as it stands now; None is a row that is gone."""
+        if key.startswith(ROUTE):
+            self.take_route(key, item)
+        elif key.startswith(UPSTREAM):
+            self.take_upstream(key, item)
+
+    def take_route(self, key: str, item: items.Item | None) -> None:
+        known = self.compiled.pop(key, None)
+        if known is not None and known.route is not None:
+            self.remove(known.host, known.route)
+        content = content_of(item)
+        host, route = ("", None) if content is None else (content["host"].lower(), as_route(content))
+        if route is not None:
+            self.add(host, route)
+        if item is not None:
+            self.compiled[key] = Compiled(item.version, host, route)
+
+    def take_upstream(self, key: str, item: items.Item | None) -> None:
+        self.compiled.pop(key, None)
+        self.upstreams.pop(key.removeprefix(UPSTREAM), None)
+        content = content_of(item)
+        if content is not None:
+            self.upstreams[key.removeprefix(UPSTREAM)] = as_upstream(content)
+        if item is not None:
+            self.compiled[key] = Compiled(item.version, "", None)
+
+    def add(self, host: str, route: Route) -> None:
+        self.hosts.setdefault(host, prefixes.Prefixes()).add(route.prefix, route.name, route)
+        self.by_name[route.name] = route
+        for service in services_held(route):
+            named = self.held_names.setdefault(service, {}).setdefault(route.regions, {})
+            named[route.name] = route
+            if len(named) == 1:
+                self.list_held(service)
+
+    def remove(self, host: str, route: Route) -> None:
+        self.hosts[host].remove(route.prefix, route.name)
+        if self.hosts[host].is_empty():
+            del self.hosts[host]
+        del self.by_name[route.name]
+        for service in services_held(route):
+            named = self.held_names[service][route.regions]
+            del named[route.name]
+            if not named:
+                del self.held_names[service][route.regions]
+                self.list_held(service)
+
+    def list_held(self, service: str) -> None:
+        """One route for each set of regions: whether holders may have its objects hangs on these alone."""
+        by_regions = self.held_names[service]
+        if by_regions:
+            self.held[service] = [next(iter(named.values())) for named in by_regions.values()]
+        else:
+            del self.held[service], self.held_names[service]
+
+    # -- asking --------------------------------------------------------------------------------------
     def match(self, host: str, path: str) -> Route:
         """The route of that host whose prefix begins the path and is longest; UnknownPath if there is
         none."""
         self.refresh()
         name = host.lower()
         for candidate in (name, name.rpartition(":")[0]):
-            for route in self.hosts.get(candidate, ()):
-                if path.startswith(route.prefix):
-                    return route
+            routes = self.hosts.get(candidate)
+            route = None if routes is None else routes.longest(path)
+            if route is not None:
+                return route
         raise errors.UnknownPath(f"no route of {host} covers the path", "ask for a path that a route covers")
 
     def still_allows(self, route: Route, service: str) -> bool:
@@ -108,6 +189,20 @@
         return now is not None and any(name == service and weight > 0 for name, weight in now.splits)
 
 
+def content_of(item: items.Item | None) -> dict[str, typing.Any] | None:
+    """What the operator sent, or None where the row is gone, removed or says that it is dropped."""
+    return None if item is None or item.value is None else item.value["item"]
+
+
+def services_held(route: Route) -> set[str]:
+    return {name for name, _ in route.splits} if route.is_cacheable else set()
+
+
+def as_limits(stored: dict[str, typing.Any] | None) -> Limits:
+    fields = (stored or {}).get("item") or {}
+    return Limits(**{name: fields[name] for name in Limits._fields if name in fields})
+
+
 def as_route(item: dict[str, typing.Any]) -> Route:
     """
     >>> as_route({"name": "a", "prefix": "/a/", "kind": "cacheable", "timeout": 2, "service": "s"}).splits
--- /dev/null
+++ b/tests/test_big_configurations.py
@@ -0,0 +1,204 @@
+"""Big configurations: a change costs what it changed, and a request costs no more for other routes."""
+
+import random
+
+import pytest
+from scenes_direct import KINDS, play
+
+import irisstand.dataplane.routes as routing
+import irisstand.errors as errors
+import irisstand.state.items as items
+import irisstand.state.versions as versions
+
+MANY = 5000
+HOSTS = ["a.example", "A.example", "b.example:80", "h"]
+PREFIXES = ["/", "/a", "/a/", "/a/b/", "/ab", "/b/", "/b/c/d/"]
+REGIONS = [None, ["one"], ["two", "one"]]
+
+
+class CountedPath(str):
+    """A path that counts how often it is compared with a prefix."""
+
+    steps = 0
+
+    def startswith(self, *arguments):
+        self.steps += 1
+        return super().startswith(*arguments)
+
+    def __getitem__(self, place):
+        self.steps += 1
+        return super().__getitem__(place)
+
+
+def route(name, **fields):
+    item = {
+        "name": name,
+        "version": 1,
+        "host": "h",
+        "prefix": f"/{name}/",
+        "kind": "cacheable",
+        "timeout": 2.0,
+    }
+    return item | {"cache_life": 10.0, "service": "s"} | fields
+
+
+def put_at_once(stage, rows):
+    """A batch as a change of many rows brings it: one version for all."""
+    copy = stage.context.configuration
+    stage.counter += 1
+    version = versions.Version(stage.counter, "n")
+    copy.apply(items.Batch(version, copy.applied, tuple(rows)))
+
+
+def many(stage, number=MANY):
+    names = [f"big-{place:05d}" for place in range(number)]
+    put_at_once(stage, [(f"route/{n}", {"version": 1, "item": route(n)}, False) for n in names])
+    return names
+
+
+def counting_compiles(monkeypatch):
+    """Names of the routes that are compiled from now on."""
+    compiled = []
+    plain = routing.as_route
+
+    def counted(item):
+        compiled.append(item["name"])
+        return plain(item)
+
+    monkeypatch.setattr(routing, "as_route", counted)
+    return compiled
+
+
+# -- what a change and a request cost -----------------------------------------------------------------------
+def test_a_change_of_one_route_compiles_that_one_alone(monkeypatch):
+    async def scene(stage):
+        many(stage)
+        stage.part.table.refresh()
+        compiled = counting_compiles(monkeypatch)
+        stage.put(
+            items.CONFIGURATION, "route/big-00007", {"version": 2, "item": route("big-00007", timeout=9)}
+        )
+        found = stage.part.table.match("h", "/big-00007/x")
+        stage.put(items.CONFIGURATION, "upstream/t", {"version": 1, "item": {"name": "t", "version": 1}})
+        stage.put(items.CONFIGURATION, "~time", {"seconds": 1.0, "marks": [], "rules": []})
+        stage.put(items.CONFIGURATION, "route/big-00008", {"version": 2, "item": None})
+        with pytest.raises(errors.UnknownPath):
+            stage.part.table.match("h", "/big-00008/x")
+        return found.timeout, compiled, "t" in stage.part.table.upstreams
+
+    assert play(scene) == (9.0, ["big-00007"], True)
+
+
+def test_a_lookup_does_not_walk_through_the_routes():
+    async def scene(stage):
+        many(stage)
+        table = stage.part.table
+        paths = [CountedPath("/big-04999/x"), CountedPath("/objects/1"), CountedPath("/nowhere")]
+        for path in paths[:2]:
+            assert path.startswith(table.match("h", path).prefix)
+        with pytest.raises(errors.UnknownPath):
+            table.match("h", paths[2])
+        return max(path.steps for path in paths)
+
+    # As many steps as prefixes have lengths, twice where a host is looked up with its port and without.
+    assert play(scene) <= 10
+
+
+def test_a_place_under_a_rate_does_not_ask_every_route_of_the_service(monkeypatch):
+    async def scene(stage):
+        names = many(stage)
+        put_at_once(stage, [("route/far", {"version": 1, "item": route("far", regions=["two"])}, False)])
+        stage.part.table.refresh()
+        asked = []
+        plain = stage.part.targets.may_hold
+        monkeypatch.setattr(stage.part.targets, "may_hold", lambda r: asked.append(r.regions) or plain(r))
+        upstream = stage.part.table.upstreams["s"]._replace(rate=1000.0)
+        for member in range(2, 5):
+            stage.member(f"holder-{member}", "holder")
+        stage.part.targets.enter(upstream, 1.0)
+        return len(names), sorted(asked)
+
+    assert play(scene) == (MANY, [(), ("two",)])
+
+
+# -- the same as a full rebuild -----------------------------------------------------------------------------
+def plainly(copy, host, path):
+    """The route that a request meets, by a walk through all rows."""
+    names = (host.lower(), host.lower().rpartition(":")[0])
+    rows = [item.value["item"] for item in copy.under("route/") if item.value["item"] is not None]
+    for name in names:
+        found = [row for row in rows if row["host"].lower() == name and path.startswith(row["prefix"])]
+        if found:
+            longest = max(len(row["prefix"]) for row in found)
+            return next(row["name"] for row in found if len(row["prefix"]) == longest)
+    return None
+
+
+def matched(table, host, path):
+    try:
+        return table.match(host, path).name
+    except errors.UnknownPath:
+        return None
+
+
+def some_row(randomness):
+    name = f"r{randomness.randrange(30)}"
+    if randomness.random() < 0.2:
+        value = {"version": 1, "item": {"name": name, "version": 1, "rate": randomness.random()}}
+        return f"upstream/{name}", value if randomness.random() < 0.7 else {"version": 2, "item": None}
+    if randomness.random() < 0.3:
+        return f"route/{name}", randomness.choice([None, {"version": 2, "item": None}])
+    fields = {"host": randomness.choice(HOSTS), "prefix": randomness.choice(PREFIXES)}
+    fields |= {"regions": randomness.choice(REGIONS), "kind": randomness.choice(list(KINDS.values()))}
+    return f"route/{name}", {"version": 1, "item": route(name, service=randomness.choice("st"), **fields)}
+
+
+def mended(copy, randomness):
+    """The copy as a peer's mend leaves it: another container, and rows that differ at old versions."""
+    aside = copy.clone()
+    for key in randomness.sample(list(aside.items), min(3, len(aside.items))):
+        aside.remove(key)
+    copy.adopt(aside)
+
+
+def contents(table):
+    held = {service: sorted({one.regions for one in routes}) for service, routes in table.held.items()}
+    return table.by_name, table.upstreams, table.limits, held
+
+
+@pytest.mark.parametrize("seed", range(12))
+def test_taking_in_changes_comes_to_the_same_as_reading_all_anew(seed):
+    randomness = random.Random(seed)
+
+    async def scene(stage):
+        table, copy = stage.part.table, stage.context.configuration
+        for _ in range(60):
+            rows = dict(some_row(randomness) for _ in range(randomness.randrange(1, 6)))
+            dead = [key for key, item in copy.items.items() if item.value is None]
+            gone = randomness.sample(dead, min(2, len(dead))) if randomness.random() < 0.3 else []
+            changes = [(key, value, False) for key, value in rows.items() if key not in gone]
+            put_at_once(stage, [*changes, *((key, None, True) for key in gone)])
+            if randomness.random() < 0.1:
+                mended(copy, randomness)
+            if randomness.random() < 0.3:
+                continue
+            table.refresh()
+            anew = routing.Routes(stage.context)
+            anew.refresh()
+            assert contents(table) == contents(anew)
+            for host in ("a.example", "A.EXAMPLE:80", "b.example:80", "b.example", "h"):
+                for path in ("/", "/a", "/abc", "/a/b/c", "/b/c/d/e", "/objects/1", "x"):
+                    assert matched(table, host, path) == plainly(copy, host, path), (host, path)
+
+    play(scene)
+
+
+def test_rows_forgotten_beyond_what_the_copy_remembers_are_gone_from_the_routes():
+    async def scene(stage):
+        stage.context.configuration.forgotten = type(stage.context.configuration.forgotten)(maxlen=3)
+        names = many(stage, 20)
+        stage.part.table.refresh()
+        put_at_once(stage, [(f"route/{name}", None, True) for name in names])
+        return [matched(stage.part.table, "h", f"/{name}/x") for name in names]
+
+    assert set(play(scene)) == {None}
