--- a/src/irisstand/state/replicator.py
+++ b/src/irisstand/state/replicator.py
@@ -2,12 +2,15 @@
 up.
 """
 
-from irisstand import node_context
-from irisstand.state import items, tables, versions
+from irisstand import errors, node_context
+from irisstand.state import items, part_carrier, tables, versions
 from irisstand.transport import network
 
 PATIENCE = 0.6
-# Bytes of one reply, about: a table larger than a frame is carried in parts.
+# Bytes of changed rows in one reply, about. Several peers are asked within one round, and each answers: large
+# replies together fill a slow link, none comes in time, and the next round asks for all of them again.
+ROWS_LIMIT = 32 * 1024
+# Bytes of one reply with whole ranges, about.
 PART_LIMIT = 1024 * 1024
 PARTS_LIMIT = 1000
 # Of the freshness bound, what an answer may be old so that nobody else is asked.
@@ -18,6 +21,7 @@
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
         self.mending: set[str] = set()
+        self.parts = part_carrier.PartCarrier(context)
         context.transport.handlers["after"] = self.on_after
         context.transport.handlers["ranges"] = self.on_ranges
 
@@ -44,7 +48,7 @@
         changed, forgotten = copy.after(applied)
         # Equal applied versions that do not add up are damage, and more than fits a frame is carried in
         # parts.
-        if copy.applied == applied or size_of(changed) > PART_LIMIT:
+        if copy.applied == applied or size_of(changed, ROWS_LIMIT) > ROWS_LIMIT:
             return ("mend",)
         return ("rows", tuple(items.encode(item) for item in changed), tuple(forgotten))
 
@@ -86,7 +90,7 @@
                 if told[0] == "rows" and copy.advance(applied, root, changed, [str(key) for key in told[2]]):
                     context.counters.add("rows_carried", len(changed), table=copy.name)
                 else:
-                    await self.mend(address, name, copy)
+                    await self.mend(address, name, copy, told[0] == "mend" and applied > copy.applied)
                     age = None
             if age is not None and applied == copy.applied:
                 copy.confirm_current(sent - age)
@@ -97,32 +101,49 @@
             all_current = all_current and is_news and context.is_fresh(copy)
         return all_current
 
-    async def mend(self, address: network.Address, name: str, copy: tables.Copy) -> None:
-        """Compare range by range with one peer, aside, until both are alike; then take it whole."""
-        # One mending of a table at a time: two would only carry the same ranges twice.
+    async def mend(self, address: network.Address, name: str, copy: tables.Copy, in_parts: bool) -> None:
+        """Take what a peer has, part by part, or range by range if that does not add up."""
+        # One mending of a table at a time: two would only carry the same rows twice.
         if copy.name in self.mending:
             return
         self.mending.add(copy.name)
         try:
-            aside = copy.clone()
-            for _ in range(PARTS_LIMIT):
-                sent = self.context.clock.now()
-                body = (copy.name, aside.digests())
-                applied_parts, age, root, parts = await self.context.transport.ask(
-                    address, name, "ranges", body, PATIENCE
-                )
-                ranges = {int(number): [items.decode(one) for one in held] for number, held in parts}
-                aside.install(ranges)
-                aside.applied = versions.decode(applied_parts)
-                self.context.counters.add("ranges_mended", len(ranges), table=copy.name)
-                if aside.root() == root:
-                    if copy.adopt(aside) and age is not None:
-                        copy.confirm_current(sent - age)
-                    return
+            if not in_parts or not await self.carry_parts(address, name, copy):
+                await self.mend_ranges(address, name, copy)
         finally:
             self.mending.discard(copy.name)
 
+    async def carry_parts(self, address: network.Address, name: str, copy: tables.Copy) -> bool:
+        try:
+            return await self.parts.carry(address, name, copy)
+        except errors.Unknown:
+            # A peer of the version before has no parts to give.
+            return False
+
+    async def mend_ranges(self, address: network.Address, name: str, copy: tables.Copy) -> None:
+        """Compare range by range with one peer, aside, until both are alike; then take it whole."""
+        aside = copy.clone()
+        for _ in range(PARTS_LIMIT):
+            sent = self.context.clock.now()
+            body = (copy.name, aside.digests())
+            applied_parts, age, root, parts = await self.context.transport.ask(
+                address, name, "ranges", body, PATIENCE
+            )
+            ranges = {int(number): [items.decode(one) for one in held] for number, held in parts}
+            aside.install(ranges)
+            aside.applied = versions.decode(applied_parts)
+            self.context.counters.add("ranges_mended", len(ranges), table=copy.name)
+            if aside.root() == root:
+                if copy.adopt(aside) and age is not None:
+                    copy.confirm_current(sent - age)
+                return
+
 
-def size_of(held: list[items.Item]) -> int:
-    """About how many bytes items take up in a frame; strings and bytes are what makes them large."""
-    return sum(len(item.key) + 60 + len(repr(item.value)) for item in held)
+def size_of(held: list[items.Item], limit: int = PART_LIMIT) -> int:
+    """About how many bytes items take up in a frame, counted no further than just over the limit."""
+    size = 0
+    for item in held:
+        size += len(item.key) + 60 + len(repr(item.value))
+        if size > limit:
+            break
+    return size
--- /dev/null
+++ b/tests/test_big_carrying.py
@@ -0,0 +1,226 @@
+"""Carrying big changes: a slow link is never filled, and what came over it is not carried twice."""
+
+import asyncio
+import types
+
+import pytest
+
+import irisstand.clocks as clocks
+import irisstand.counters as counting
+import irisstand.errors as errors
+import irisstand.simulator.virtual_time as virtual
+import irisstand.state.items as items
+import irisstand.state.part_carrier as part_carrier
+import irisstand.state.replicator as replicator
+import irisstand.state.tables as tables
+import irisstand.state.versions as versions
+import irisstand.transport.codec as codec
+
+ROUTES = 1480
+# Of an edge's link of 11 Mbit/s, what its clients leave free.
+LINK = 700_000
+
+
+def row(number):
+    fields = {"host": "api.example", "prefix": f"/extra/{number}/", "kind": "idempotent", "timeout": 2.5}
+    item = {"name": f"extra-{number:05d}", "version": 1, "service": "searchdesk", "attempts": 2, **fields}
+    return f"route/extra-{number:05d}", {"version": 1, "item": item}, False
+
+
+class Node:
+    """A node's replicator, whose transport is a link of so many bytes a second that all replies share."""
+
+    def __init__(self, name, rate=None):
+        self.name, self.rate = name, rate
+        self.peers, self.replies = {}, []
+        self.free_at = 0.0
+        self.handlers = {}
+        settings = types.SimpleNamespace(freshness_bound=1.5)
+        copies = {items.CONFIGURATION: tables.Copy(items.CONFIGURATION)}
+        self.context = types.SimpleNamespace(
+            copies=copies,
+            clock=clocks.LoopClock(),
+            counters=counting.Counters(),
+            transport=self,
+            settings=settings,
+            is_fresh=lambda copy: copy.age(self.context.clock.now()) is not None,
+        )
+        self.copy = copies[items.CONFIGURATION]
+        self.replicator = replicator.Replicator(self.context)
+
+    def apply(self, number, rows):
+        self.copy.apply(items.Batch(versions.Version(number, "n"), self.copy.applied, tuple(rows)))
+        self.copy.confirm_current(self.context.clock.now())
+
+    async def ask(self, address, name, kind, body, patience):
+        """As the real transport: what was sent to an asker that gave up still takes up the link."""
+        handlers = self.peers[name].handlers
+        if kind not in handlers:
+            raise errors.Unknown(f"no handler for {kind}")
+        asked = codec.unpack(codec.pack(("ask", 1, (kind, body))))[2][1]
+        reply = codec.pack(("result", 1, await handlers[kind](self.name, asked)))
+        self.replies.append((name, kind, len(reply)))
+        now = asyncio.get_running_loop().time()
+        if self.rate:
+            self.free_at = max(self.free_at, now) + len(reply) / self.rate
+        wait = max(0.002, self.free_at - now)
+        await asyncio.sleep(min(wait, patience))
+        if wait > patience:
+            raise errors.Unanswered(f"{name} gave no result in time")
+        return codec.unpack(reply)[2]
+
+    async def pull(self, name):
+        try:
+            return await self.replicator.pull(("", 0), name)
+        except errors.IrisError:
+            return False
+
+    async def round(self, names):
+        """A round of questions: another peer after each 0.12 s, until one has been answered."""
+        asking = set()
+        for name in names:
+            asking.add(asyncio.create_task(self.pull(name)))
+            done, asking = await asyncio.wait(asking, timeout=0.12, return_when=asyncio.FIRST_COMPLETED)
+            if any(task.result() for task in done):
+                break
+        else:
+            if asking:
+                await asyncio.wait(asking, timeout=0.4)
+        for task in asking:
+            task.cancel()
+        await asyncio.sleep(0.01)
+
+
+def far_behind(rate=LINK, peers=6, routes=ROUTES):
+    """An edge that lacks a change of so many routes, and its peers."""
+    edge = Node("edge", rate)
+    cores = [Node(f"core-{number}") for number in range(peers)]
+    for node in (edge, *cores):
+        node.apply(1, [row(100_000)])
+    for core in cores:
+        core.apply(2, [row(number) for number in range(routes)])
+        edge.peers[core.name] = core
+    return edge, cores
+
+
+def test_a_big_change_reaches_a_node_on_a_slow_link_that_asks_several_peers():
+    async def scene():
+        edge, cores = far_behind(rate=LINK // 2)
+        while edge.copy.root() != cores[0].copy.root():
+            await edge.round(list(edge.peers))
+            assert edge.context.clock.now() < 60
+        return edge.context.clock.now(), max(size for *_, size in edge.replies)
+
+    seconds, largest = virtual.run(scene())
+    assert seconds < 1.0 and largest < 40_000
+
+
+def test_what_came_from_a_peer_that_falls_silent_is_not_asked_for_again():
+    async def scene():
+        edge, cores = far_behind(peers=2)
+        plain = cores[0].handlers["part"]
+        given = []
+
+        async def falls_silent(sender, body):
+            if len(given) == 3:
+                await asyncio.sleep(60)
+            given.append(await plain(sender, body))
+            return given[-1]
+
+        cores[0].handlers["part"] = falls_silent
+        task = asyncio.create_task(edge.pull("core-0"))
+        await asyncio.sleep(0.5)
+        task.cancel()
+        await asyncio.sleep(0)
+        before = len(edge.replies)
+        await edge.pull("core-1")
+        parts = [entry for entry in edge.replies[before:] if entry[1] == "part"]
+        whole = len(part_carrier.unpack_rows(given[0][3]))
+        return edge.copy.root() == cores[1].copy.root(), len(parts), -(-(ROUTES - 3 * whole) // whole)
+
+    is_same, parts, wanted = virtual.run(scene())
+    assert is_same and parts <= wanted + 1
+
+
+def test_parts_are_worked_out_once_for_all_who_ask(monkeypatch):
+    async def scene():
+        edges = [Node(f"edge-{number}") for number in range(20)]
+        core = Node("core")
+        core.apply(1, [row(number) for number in range(ROUTES)])
+        cut = []
+        plain = part_carrier.cut_part
+        monkeypatch.setattr(
+            part_carrier, "cut_part", lambda copy, cursor: cut.append(cursor) or plain(copy, cursor)
+        )
+        for edge in edges:
+            edge.peers["core"] = core
+            await edge.pull("core")
+            assert edge.copy.root() == core.copy.root()
+        return len(cut), len([1 for _, kind, _ in edges[0].replies if kind == "part"])
+
+    cut, parts = virtual.run(scene())
+    assert cut == parts
+
+
+@pytest.mark.parametrize("seed", range(8))
+def test_rows_changed_while_parts_are_on_their_way_come_out_as_the_peers(seed):
+    async def scene():
+        edge, (core,) = far_behind(peers=1, rate=None)
+        plain, number = core.handlers["part"], [2]
+
+        async def changing(sender, body):
+            reply = await plain(sender, body)
+            if number[0] < 9:
+                number[0] += 1
+                place = (seed * 7919 + number[0] * 104_729) % ROUTES
+                rows = [row(place), (row(place + 1)[0], None, False), (row(place + 2)[0], None, True)]
+                core.apply(number[0], rows)
+            return reply
+
+        core.handlers["part"] = changing
+        for _ in range(12):
+            await edge.pull("core-0")
+        kinds = {kind for _, kind, _ in edge.replies}
+        return edge.copy.root() == core.copy.root(), dict(edge.copy.items) == dict(core.copy.items), kinds
+
+    is_same, are_equal, kinds = virtual.run(scene())
+    assert is_same and are_equal and "ranges" not in kinds
+
+
+def test_a_peer_of_the_version_before_gives_its_ranges():
+    async def scene():
+        edge, (core,) = far_behind(peers=1, rate=None)
+        del core.handlers["part"]
+        await edge.pull("core-0")
+        return edge.copy.root() == core.copy.root(), edge.replies[-1][1]
+
+    assert virtual.run(scene()) == (True, "ranges")
+
+
+def test_a_peer_that_is_older_than_what_came_is_not_taken_for_the_truth():
+    async def scene():
+        edge, cores = far_behind(peers=2, rate=None)
+        cores[1].copy.take(tables.Copy(items.CONFIGURATION))
+        cores[1].apply(1, [row(100_000)])
+        before = edge.copy.root()
+        cursor = part_carrier.Cursor(versions.Version(2, "n"), "route/extra-00100")
+        edge.replicator.parts.staged_for(edge.copy).cursor = cursor
+        with pytest.raises(errors.StaleConfiguration):
+            await edge.replicator.parts.carry(("", 0), "core-1", edge.copy)
+        return edge.copy.root() == before
+
+    assert virtual.run(scene())
+
+
+def test_rows_that_do_not_add_up_are_not_taken():
+    async def scene():
+        edge, (core,) = far_behind(peers=1, rate=None)
+        staged = edge.replicator.parts.staged_for(edge.copy)
+        wrong = items.Item("route/other", versions.Version(2, "n"), {"version": 1, "item": None})
+        staged.rows["route/other"] = wrong
+        taken = await edge.replicator.parts.carry(("", 0), "core-0", edge.copy)
+        untouched = edge.copy.applied == versions.Version(1, "n")
+        await edge.pull("core-0")
+        return taken, untouched, edge.copy.root() == core.copy.root()
+
+    assert virtual.run(scene()) == (False, True, True)
