--- a/src/irisstand/state/part_carrier.py
+++ b/src/irisstand/state/part_carrier.py
@@ -56,6 +56,8 @@
         self.kept: dict[tuple[str, Cursor], Part] = {}
         self.kept_of: dict[str, versions.Version] = {}
         context.transport.handlers["part"] = self.on_part
+        for copy in context.copies.values():
+            copy.watchers.append(self.drop_outdated)
 
     # -- answering -----------------------------------------------------------------------------------
     async def on_part(self, _: str, body: list) -> tuple:
@@ -84,6 +86,12 @@
         return self.kept[place]
 
     # -- asking --------------------------------------------------------------------------------------
+    def drop_outdated(self) -> None:
+        """Rows above a version that the copy has left by another way are of no use."""
+        for name, staged in list(self.staged.items()):
+            if staged.base != self.context.copies[name].applied:
+                del self.staged[name]
+
     async def carry(self, address: network.Address, name: str, copy: tables.Copy) -> bool:
         """Ask one peer for part after part. False if the rows do not add up to its copy."""
         staged = self.staged_for(copy)
@@ -92,6 +100,9 @@
             cursor = (tuple(staged.cursor.version), staged.cursor.key)
             body = (copy.name, tuple(staged.base), cursor)
             reply = await self.context.transport.ask(address, name, "part", body, PATIENCE)
+            if copy.applied != staged.base:
+                # It moved on by another way, and the next round asks from where it stands.
+                return True
             applied_parts, age, root, rows, end, forgotten = reply
             staged.rows.update({item.key: item for item in unpack_rows(rows)})
             if end is not None:
@@ -116,9 +127,6 @@
     def take(
         self, copy: tables.Copy, staged: Staged, applied: versions.Version, root: bytes, forgotten: list
     ) -> bool:
-        # A copy that moved on meanwhile has been told of rows above another version.
-        if copy.applied != staged.base:
-            return False
         gone = {str(key) for key in forgotten}
         changed = [item for item in staged.rows.values() if item.key not in gone]
         taken = copy.advance(applied, root, changed, sorted(gone))
--- a/tests/test_big_carrying.py
+++ b/tests/test_big_carrying.py
@@ -224,3 +224,24 @@
         return taken, untouched, edge.copy.root() == core.copy.root()
 
     assert virtual.run(scene()) == (False, True, True)
+
+
+def test_a_copy_that_moved_on_by_another_way_keeps_nothing_aside_and_is_not_set_back():
+    async def scene():
+        edge, (core,) = far_behind(peers=1, rate=None)
+        plain = core.handlers["part"]
+
+        async def overtaken(sender, body):
+            reply = await plain(sender, body)
+            if edge.copy.applied == versions.Version(1, "n"):
+                edge.apply(3, [row(number) for number in range(5)])
+            return reply
+
+        core.handlers["part"] = overtaken
+        settled = await edge.replicator.parts.carry(("", 0), "core-0", edge.copy)
+        kept = dict(edge.replicator.parts.staged)
+        await edge.pull("core-0")
+        return settled, kept, edge.copy.applied, {kind for _, kind, _ in edge.replies}
+
+    settled, kept, applied, kinds = virtual.run(scene())
+    assert settled and not kept and applied == versions.Version(3, "n") and "ranges" not in kinds
