--- a/tests/guarded_control.py
+++ b/tests/guarded_control.py
@@ -244,4 +244,28 @@
         "        except OSError:\n            return True",
         "test_outage.py::test_a_node_that_reaches_nobody_uses_its_tables_no_longer_than_the_bound",
     ),
+    (
+        "state/replicator.py",
+        "size_of(changed, ROWS_LIMIT) > ROWS_LIMIT:",
+        "size_of(changed) > PART_LIMIT:",
+        "test_big_carrying.py::test_a_big_change_reaches_a_node_on_a_slow_link_that_asks_several_peers",
+    ),
+    (
+        "state/part_carrier.py",
+        "                staged.cursor = next_cursor(staged.cursor, end)\n",
+        "                self.staged.pop(copy.name, None)\n                staged.cursor = next_cursor(staged.cursor, end)\n",
+        "test_big_carrying.py::test_what_came_from_a_peer_that_falls_silent_is_not_asked_for_again",
+    ),
+    (
+        "state/part_carrier.py",
+        "        if copy.applied < max(base, cursor.version):",
+        "        if False:",
+        "test_big_carrying.py::test_a_peer_that_is_older_than_what_came_is_not_taken_for_the_truth",
+    ),
+    (
+        "state/part_carrier.py",
+        "        if place not in self.kept:",
+        "        if True:",
+        "test_big_carrying.py::test_parts_are_worked_out_once_for_all_who_ask",
+    ),
 ]
