--- a/src/irisstand/balancing/parts.py
+++ b/src/irisstand/balancing/parts.py
@@ -1,8 +1,7 @@
 """Bounds over the whole fleet, split over the edges that reach origins: each keeps to its part by itself.
 
-Nobody counts for all: the parts are even, and add up to less than the bound, so that a member more or
-less on one
-edge's list does no harm.
+Nobody counts for all. Connections and cold places are even parts that add up to less than the bound, so that
+a member more or less on one edge's list does no harm. Parts of a rate are recorded: see `rate_parts`.
 """
 
 import collections
@@ -14,14 +13,12 @@
 
 # Of a bound over all: the rest is for lists that differ and for requests that do not travel equally long.
 PRUDENCE = 0.85
-# Of a site's part, what its holders have where there are any: of objects that they may all hold, and where
-# some routes' objects go past them. The rest is for edges that cannot ask them.
-HELD, HELD_PARTLY = 0.9, 0.55
-# And of an origin's connections. Fewer than two are not worth having: one is busy while the next is needed.
+# Of an origin's connections, what holders have of those that they use. Fewer than two are not worth having:
+# one is busy while the next is needed.
 HELD_CONNECTIONS, FEWEST = 0.86, 2
 SECOND = 1.1
-# Seconds of a ceiling that may be used at once.
-BURST = 0.35
+# Seconds of a rate that may be used at once; and the least: eight of these make up the slack of five.
+BURST, BURST_LEAST = 0.2, 0.625
 # Below this part of the burst a rate is scarce, and counts as such for some seconds.
 SCARCE, SCARCE_FOR = 0.3, 6.0
 
@@ -34,28 +31,6 @@
     site: str
 
 
-def ceiling_part(own: str, members: list[Member], held: float) -> float:
-    """This node's part of a service's rate: sites count alike, as clients live beside all of them.
-
-    `held` is the part of it that a site's holders fetch, if the site has any; its edges have the rest.
-
-    >>> listed = (("a", "direct", "n"), ("b", "direct", "s"), ("c", "direct", "s"), ("h", "holder", "n"))
-    >>> members = [Member(*entry) for entry in listed]
-    >>> [round(ceiling_part(name, members, 0.9), 2) for name in "abch"]
-    [0.05, 0.25, 0.25, 0.45]
-    >>> [round(ceiling_part(name, members, 0.0), 2) for name in "abch"]
-    [0.5, 0.25, 0.25, 0.0]
-    """
-    edges = [member for member in members if member.role != "holder"]
-    mine = next(member for member in members if member.name == own)
-    sites = {member.site for member in edges} | {mine.site}
-    holders = sum(member.role == "holder" and member.site == mine.site for member in members)
-    served = sum(member.site == mine.site for member in edges)
-    if mine.role == "holder":
-        return held / len(sites) / holders if served else 0.0
-    return (1.0 - held if holders else 1.0) / len(sites) / served
-
-
 def connections(own: str, members: list[Member], origin: str, limit: int, is_held: bool) -> int:
     """How many connections this node may have to an origin that accepts `limit` from all; 0 for none.
 
@@ -118,28 +93,39 @@
 
 
 class Ceiling:
-    """A part of a rate over all, with a burst so short that no window of five seconds goes over."""
+    """A part of a rate, with a burst so short that no window of five seconds goes over.
 
-    def __init__(self, clock: clocks.Clock) -> None:
-        self.clock, self.at = clock, clock.now()
-        self.tokens: float | None = None
+    It begins with nothing at `opened_at`, when this process did: what the forerunner used up just before is
+    not known to it.
+    """
+
+    def __init__(self, clock: clocks.Clock, opened_at: float) -> None:
+        self.clock, self.at = clock, opened_at
+        self.tokens = 0.0
         self.scarce_at = -1e9
 
     def is_scarce(self) -> bool:
         return self.clock.now() - self.scarce_at < SCARCE_FOR
 
-    def take(self, rate: float, patience: float = 0.0) -> float | None:
-        """Seconds until a request may leave, which then has its place; None if that is over `patience`."""
+    def wait(self, rate: float) -> float | None:
+        """Seconds until the next request might leave; None if there is no rate."""
         now = self.clock.now()
         if rate <= 0.0:
+            # What was saved up belongs to the part, and goes with it.
+            self.tokens, self.at = min(0.0, self.tokens), now
             return None
-        most = max(1.0, rate * BURST)
-        grown = most if self.tokens is None else self.tokens + rate * (now - self.at)
-        self.tokens, self.at = min(most, grown), now
+        most = max(BURST_LEAST, rate * BURST)
+        self.tokens, self.at = min(most, self.tokens + rate * (now - self.at)), now
         # What is borrowed from the next moments is waited for.
-        wait = max(0.0, (1.0 - self.tokens) / rate)
-        if self.tokens < SCARCE * most:
-            self.scarce_at = now
+        return max(0.0, (1.0 - self.tokens) / rate)
+
+    def take(self, rate: float, patience: float = 0.0) -> float | None:
+        """Seconds until a request may leave, which then has its place; None if that is over `patience`."""
+        wait = self.wait(rate)
+        if wait is None:
+            return None
+        if self.tokens < SCARCE * max(BURST_LEAST, rate * BURST):
+            self.scarce_at = self.clock.now()
         if wait > patience:
             return None
         self.tokens -= 1.0
--- a/src/irisstand/controlplane/assembly.py
+++ b/src/irisstand/controlplane/assembly.py
@@ -7,7 +7,15 @@
 from irisstand import clocks, node_context, node_settings
 from irisstand.controlplane import bootstrap as founding
 from irisstand.controlplane import core as cores
-from irisstand.controlplane import duties, majority_check, placement, retention, staffing, submitting
+from irisstand.controlplane import (
+    duties,
+    majority_check,
+    placement,
+    rate_placement,
+    retention,
+    staffing,
+    submitting,
+)
 from irisstand.controlplane import platform_watch as watch
 from irisstand.controlplane import proposer as proposers
 from irisstand.state import disk as disks
@@ -15,7 +23,7 @@
 from irisstand.transport import network
 
 # Seconds for which a lost holder leaves its duty undone, about. Short where a rule of seconds hangs on it.
-PLATFORM_LEASE, STAFFING_LEASE = 1.4, 2.0
+PLATFORM_LEASE, STAFFING_LEASE, RATES_LEASE = 1.4, 2.0, 4.0
 
 
 class ControlNode:
@@ -47,6 +55,8 @@
         self.duties.append(duties.Duty(self.submitter, "staffing", staffer.work, STAFFING_LEASE))
         keeper = retention.Retention(self.context)
         self.duties.append(duties.Duty(self.submitter, "retention", keeper.work))
+        rate_placer = rate_placement.RatePlacement(self.context)
+        self.duties.append(duties.Duty(self.submitter, "rate-parts", rate_placer.work, RATES_LEASE))
         wanted = settings.duties.split(",")
         self.duties = [duty for duty in self.duties if duty.name in wanted]
 
--- /dev/null
+++ b/src/irisstand/controlplane/rate_placement.py
@@ -0,0 +1,63 @@
+"""The rate-parts duty: who owns which part of the services' rates, as recorded in the ledger."""
+
+from irisstand import node_context
+from irisstand.balancing import rate_parts
+from irisstand.controlplane import duties
+
+PAUSE = 0.5
+# An owner that is missing keeps its part for this long: a process that was killed is back sooner.
+GRACE = 8.0
+# A holder of this duty first lets the members' list fill, so that it does not give all to the first one.
+FIRST_LOOK = 2.0
+
+
+class RatePlacement:
+    def __init__(self, context: node_context.NodeContext) -> None:
+        self.context = context
+        self.worked_at, self.began_at = -1e9, -1e9
+        self.frozen_until = -1e9
+        self.seen_at: dict[str, float] = {}
+
+    async def work(self, duty: duties.Duty) -> None:
+        now = self.context.clock.now()
+        if now - self.worked_at < PAUSE:
+            return
+        units = self.units()
+        if now - self.worked_at > 10 * PAUSE:
+            self.began_at = now
+            self.seen_at = dict.fromkeys(units, now)
+            # What an earlier holder of the duty took away just before is not known here.
+            self.frozen_until = now + rate_parts.LAPSE if units else now
+        self.worked_at = now
+        weights = self.weights(units, now)
+        if not weights or now - self.began_at < FIRST_LOOK:
+            return
+        planned, is_reduced = rate_parts.plan(units, weights, now < self.frozen_until)
+        if planned != units and duty.holds():
+            if is_reduced:
+                self.frozen_until = now + rate_parts.LAPSE
+            await duty.write([(rate_parts.KEY, {"units": planned})])
+            if is_reduced:
+                # Counted from when it was decided, not from when it was asked for.
+                self.frozen_until = self.context.clock.now() + rate_parts.LAPSE
+            self.context.counters.add("rate_parts_moved")
+
+    def units(self) -> dict[str, int]:
+        row = self.context.ledger.value(rate_parts.KEY)
+        return dict(row["units"]) if row else {}
+
+    def weights(self, units: dict[str, int], now: float) -> dict[str, float]:
+        """Those who are up, and owners that were up not long ago, for they may be back at once."""
+        holders, edges = self.listed("holder"), self.listed("direct")
+        present = {**holders, **edges}
+        self.seen_at.update(dict.fromkeys(present, now))
+        waited_for = {name for name in units if now - self.seen_at.get(name, -1e9) < GRACE}
+        if waited_for - set(present):
+            # Nothing moves while one is waited for: it would have to move back.
+            return {name: float(share) for name, share in units.items()}
+        return rate_parts.choose(sorted(holders.items()), sorted(edges.items()))
+
+    def listed(self, role: str) -> dict[str, str]:
+        """Sites by name of the members that are not suspected."""
+        updates = self.context.peers(role)
+        return {update.identity.name: update.card.site for update in updates if not update.state}
--- a/src/irisstand/dataplane/conversing.py
+++ b/src/irisstand/dataplane/conversing.py
@@ -90,6 +90,9 @@
                 self.context.counters.add("rejected", code=action[1].code)
                 raise action[1]
             if action[0] == "send":
+                if not running:
+                    patience = min(WAITS * route.target, decision.remaining() / 4)
+                    await self.targets.ready(service, patience)
                 happened = self.send(route, service, request, headers, decision, tried, running)
             else:
                 happened = await self.next_of(running, action[1])
--- a/src/irisstand/dataplane/targets.py
+++ b/src/irisstand/dataplane/targets.py
@@ -6,7 +6,7 @@
 
 from irisstand import errors, node_context
 from irisstand.balancing import parts
-from irisstand.dataplane import exchange, routes, views, vocabulary
+from irisstand.dataplane import exchange, rate_grants, routes, views, vocabulary
 from irisstand.dataplane import target as targeting
 
 PROBE_PATIENCE = 0.6
@@ -41,7 +41,7 @@
         # Connections by origin, worked out anew when the members change.
         self.most_members: list[parts.Member] = []
         self.most_known: dict[tuple, int] = {}
-        self.ceilings: dict[str, parts.Ceiling] = {}
+        self.grants = rate_grants.RateGrants(context, table)
         self.site_regions: dict[str, str] = {}
         context.ledger.watchers.append(self.follow)
 
@@ -146,13 +146,6 @@
         edges = [member for member in self.members() if member.role != "holder"]
         return len(edges) >= self.context.settings.holder_edges * len({member.site for member in edges})
 
-    def held_part(self, service: str) -> float:
-        """What holders fetch of a service's objects at this site; a route may keep its objects from them."""
-        held = self.table.held.get(service)
-        if not held or not self.uses_holders():
-            return 0.0
-        return parts.HELD if all(map(self.may_hold, held)) else parts.HELD_PARTLY
-
     def may_hold(self, route: routes.Route) -> bool:
         """Whether holders at this site may have the route's objects at all."""
         own = self.region_of(self.context.settings.site) or self.context.settings.region
@@ -183,27 +176,17 @@
         places = parts.cold_places(settings.name, self.edges(), target.instance, allowed)
         return target.sent_cold.count() < places
 
+    async def ready(self, service: str, patience: float) -> None:
+        """Before `enter`: places that this node lacks are borrowed from nodes that own some."""
+        await self.grants.ready(self.table.upstreams.get(service), patience)
+
     def enter(self, upstream: routes.Upstream, patience: float) -> float:
-        """A place under this edge's part of the service's ceiling: seconds until it may be used.
-
-        Raises OverCeiling where that is over `patience`.
-        """
-        if upstream.rate is None:
-            return 0.0
-        ceiling = self.ceilings.setdefault(upstream.name, parts.Ceiling(self.context.clock))
-        # A holder that did not answer this node fetches nothing for it.
-        now = self.context.clock.now()
-        present = [member for member in self.members() if now >= self.avoided.get(member.name, 0.0)]
-        part = parts.ceiling_part(self.context.settings.name, present, self.held_part(upstream.name))
-        wait = ceiling.take(upstream.rate * part, patience)
-        if wait is None:
-            raise errors.OverCeiling(f"{upstream.name} is at its ceiling", retry_after=0.2)
-        return wait
+        """A place under the service's rate: seconds until it may be used, or OverCeiling."""
+        return self.grants.enter(upstream, patience)
 
     def is_scarce(self, service: str) -> bool:
         """Whether this node's part of the service's rate was all but used up in the last seconds."""
-        ceiling = self.ceilings.get(service)
-        return ceiling is not None and ceiling.is_scarce()
+        return self.grants.is_scarce(service)
 
     # -- probes --------------------------------------------------------------------------------------
     async def run(self) -> None:
--- a/src/irisstand/node_settings.py
+++ b/src/irisstand/node_settings.py
@@ -36,7 +36,7 @@
     found_by_seeds: bool = False
     may_found: bool = True
     voters: int = 5
-    duties: str = "platform-watch,placement,staffing,retention"
+    duties: str = "platform-watch,placement,rate-parts,staffing,retention"
     vocabulary: str = "irisstand"
     region_by_site: str = ""
     evacuates: str = "machines"
@@ -121,7 +121,7 @@
 
 
 def duty_names(value: typing.Any) -> str:
-    known = ("platform-watch", "placement", "staffing", "retention")
+    known = ("platform-watch", "placement", "rate-parts", "staffing", "retention")
     if not isinstance(value, str) or any(name not in known for name in value.split(",") if name):
         raise ValueError(f"give names out of {', '.join(known)}, with commas between")
     return value
--- a/tests/scenes_direct.py
+++ b/tests/scenes_direct.py
@@ -8,6 +8,7 @@
 import irisstand.dataplane.direct as direct
 import irisstand.dataplane.exchange as exchange
 import irisstand.dataplane.views as views
+import irisstand.errors as errors
 import irisstand.membership.updates as updates
 import irisstand.node_context as node_context
 import irisstand.node_settings as node_settings
@@ -74,6 +75,7 @@
             settings, settings.role, clocks.LoopClock(), random.Random(7), None
         )
         self.context.closing = asyncio.get_running_loop().create_future()
+        self.context.transport.ask = self.nobody
         self.counter = 1
         self.sent = []
         self.refused = set()
@@ -86,10 +88,15 @@
         for name, kind in KINDS.items():
             self.route(name, kind=kind)
         self.put(items.CONFIGURATION, "upstream/s", {"version": 1, "item": UPSTREAM})
+        members = sorted(["edge-1", *(f"edge-{number}" for number in range(2, edges + 1))])
+        self.put(items.LEDGER, "rate-parts", {"units": dict.fromkeys(members, 1000 // len(members))})
         for key in "ab":
             self.origin(key)
         self.confirm_current()
 
+    async def nobody(self, address, name, kind, body, patience):
+        raise errors.Unreached(name)
+
     def member(self, name, role, site="north", region="one"):
         card = updates.Card(role, f"m-{name}", site, region, f"10.0.1.{len(name)}", 7000, 8000)
         update = updates.Update(updates.State.ALIVE, updates.Identity(name, "a"), 0, card)
--- /dev/null
+++ b/tests/test_rate_grants.py
@@ -0,0 +1,157 @@
+"""A service's rate over all nodes: what is sent in any five seconds, whatever each knows of the others."""
+
+import asyncio
+import random
+
+import pytest
+import scenes_direct
+import test_holders
+
+import irisstand.errors as errors
+import irisstand.simulator.virtual_time as virtual
+import irisstand.state.items as items
+
+RATE = 40.0
+WINDOW, OVERRUN, SLACK = 5.0, 1.1, 5
+HOLDERS = {"holder-1": 250, "holder-2": 250, "holder-3": 250, "holder-4": 250}
+SITES = {"edge_3": "south", "edge_4": "south", "holder_3": "south", "holder_4": "south"}
+
+
+class Fleet(test_holders.Site):
+    """A site whose links can be cut one way, and whose nodes can be killed and started again."""
+
+    def __init__(self, edges=4, **more):
+        super().__init__(edges=edges, holders=4, **SITES, **more)
+        self.buried, self.cut = [], set()
+        for node in self.nodes.values():
+            self.furnish(node)
+
+    def furnish(self, node):
+        item = {**scenes_direct.UPSTREAM, "version": 9, "rate": RATE, "connections": 4000}
+        node.put(items.CONFIGURATION, "upstream/s", {"version": 9, "item": item})
+        node.put(items.LEDGER, "rate-parts", {"units": HOLDERS})
+        node.confirm_current()
+
+    def asker(self, sender):
+        ask_any = super().asker(sender)
+
+        async def ask(address, name, kind, body, patience):
+            if (sender, name) in self.cut:
+                await asyncio.sleep(patience)
+                raise errors.Unanswered(name)
+            return await ask_any(address, name, kind, body, patience)
+
+        return ask
+
+    def restart(self, name):
+        """SIGKILL and a new process at once: nothing of the old one's memory is left."""
+        old = self.nodes[name]
+        self.buried.append(old)
+        fresh = scenes_direct.Scene(settings=old.context.settings)
+        for other in self.nodes.values():
+            settings = other.context.settings
+            if settings.name != name:
+                fresh.member(settings.name, settings.role, settings.site, settings.region)
+        self.nodes[name] = fresh
+        fresh.context.transport.ask = self.asker(name)
+        self.furnish(fresh)
+
+    def forget(self, name, other):
+        """`name`'s list of members holds `other` no more."""
+        members = self.nodes[name].context.detector.roster.members
+        for identity in [key for key in members if key == other or getattr(key, "name", "") == other]:
+            del members[identity]
+
+    def moments(self):
+        nodes = [*self.nodes.values(), *self.buried]
+        return sorted(sent[4] for node in nodes for sent in node.sent)
+
+
+def most_in_a_window(times):
+    most, first = 0, 0
+    for last, moment in enumerate(times):
+        while times[first] <= moment - WINDOW:
+            first += 1
+        most = max(most, last - first + 1)
+    return most
+
+
+async def crowd(fleet, names, seconds, per_second, prefix=""):
+    """Requests for objects that nobody has yet; returns the statuses."""
+    loop = asyncio.get_running_loop()
+    end, number, found = loop.time() + seconds, 0, []
+
+    async def one(name, path):
+        try:
+            found.append((await fleet.nodes[name].ask(path, request_id=path)).status)
+        except errors.IrisError as error:
+            found.append(error.status)
+
+    tasks = []
+    while loop.time() < end:
+        for name in names:
+            number += 1
+            tasks.append(asyncio.create_task(one(name, f"/objects/{prefix}{name}-{number}")))
+        await asyncio.sleep(1 / per_second)
+    await asyncio.gather(*tasks)
+    return found
+
+
+async def trouble(fleet, luck):
+    names = list(fleet.nodes)
+    holders = list(HOLDERS)
+    while True:
+        kind = luck.choice(["silent", "cut", "restart", "forget", "restart holders"])
+        if kind == "silent":
+            fleet.silent = set(luck.sample(holders, luck.randint(1, 3)))
+        elif kind == "cut":
+            fleet.cut = {(luck.choice(names), luck.choice(names)) for _ in range(20)}
+        elif kind == "restart":
+            fleet.restart(luck.choice(names))
+        elif kind == "forget":
+            fleet.forget(*luck.sample(names, 2))
+        else:
+            for name in luck.sample(holders, 2):
+                fleet.restart(name)
+        await asyncio.sleep(luck.uniform(0.1, 1.5))
+
+
+def play(scene):
+    async def run():
+        return await scene(Fleet())
+
+    return virtual.run(run())
+
+
+@pytest.mark.parametrize("seed", range(12))
+def test_whatever_each_node_knows_all_of_them_keep_to_the_rate_in_any_five_seconds(seed):
+    async def scene(fleet):
+        disturbing = asyncio.create_task(trouble(fleet, random.Random(seed)))
+        await crowd(fleet, list(fleet.nodes), 14, 12)
+        disturbing.cancel()
+        return fleet.moments()
+
+    assert most_in_a_window(play(scene)) <= RATE * WINDOW * OVERRUN + SLACK
+
+
+@pytest.mark.parametrize("name", ["holder-1", "edge-1"])
+def test_a_node_that_alone_has_work_gets_most_of_the_rate_within_a_second(name):
+    async def scene(fleet):
+        await crowd(fleet, [name], 1, 100, "early")
+        before = len(fleet.moments())
+        await crowd(fleet, [name], 5, 100)
+        return (len(fleet.moments()) - before) / 5
+
+    assert play(scene) >= 0.85 * RATE
+
+
+def test_an_edge_whose_holders_are_all_silent_to_it_but_one_elsewhere_is_lent_places_by_that_one():
+    async def scene(fleet):
+        fleet.cut = {("edge-1", name) for name in ("holder-1", "holder-2", "holder-3")}
+        await crowd(fleet, ["edge-1"], 3, 20)
+        before = len(fleet.nodes["edge-1"].sent)
+        found = await crowd(fleet, ["edge-1"], 4, 5, "late")
+        return len(fleet.nodes["edge-1"].sent) - before, found
+
+    sent, found = play(scene)
+    assert sent >= 18 and found.count(200) >= 18
