--- a/src/irisstand/dataplane/rate_grants.py
+++ b/src/irisstand/dataplane/rate_grants.py
@@ -31,7 +31,7 @@
 
 
 class RateGrants:
-    """Handler "rate-places" takes (service, places wanted, patience); "places" and a wait for each come back."""
+    """Handler "rate-places" takes (service, places wanted, patience), and gives a wait for each place."""
 
     def __init__(self, context: node_context.NodeContext, table: routes.Routes) -> None:
         self.context, self.table = context, table
@@ -172,6 +172,8 @@
     # -- lending -------------------------------------------------------------------------------------
     async def on_places(self, _: str, body: list) -> tuple:
         service, wanted, patience = str(body[0]), int(body[1]), float(body[2])
+        # Nothing may have been asked of this node yet since the configuration came.
+        self.table.refresh()
         upstream = self.table.upstreams.get(service)
         if upstream is None or self.context.draining:
             return ("places",)
--- a/tests/test_rate_grants.py
+++ b/tests/test_rate_grants.py
@@ -7,6 +7,8 @@
 import scenes_direct
 import test_holders
 
+import irisstand.dataplane.rate_grants as rate_grants
+import irisstand.dataplane.routes as routes
 import irisstand.errors as errors
 import irisstand.simulator.virtual_time as virtual
 import irisstand.state.items as items
@@ -155,3 +157,58 @@
 
     sent, found = play(scene)
     assert sent >= 18 and found.count(200) >= 18
+
+
+def test_an_owner_whose_ledger_is_old_neither_uses_nor_lends_its_part():
+    async def scene(fleet):
+        now = asyncio.get_running_loop().time()
+        owner = fleet.nodes["holder-1"]
+        owner.context.ledger.current_as_of = now
+        await asyncio.sleep(5)
+        grants, upstream = owner.part.targets.grants, routes.Upstream("s", "/", 50, 0.0, 5.0, RATE)
+        owner.part.table.refresh()
+        early = await grants.on_places("edge-1", ["s", 1, 0.1])
+        used = grants.enter(upstream, 0.1)
+        await asyncio.sleep(1.5)
+        with pytest.raises(errors.OverCeiling):
+            grants.enter(upstream, 0.1)
+        return early, used, await grants.on_places("edge-1", ["s", 1, 0.1])
+
+    early, used, late = play(scene)
+    assert early == ("places", 0.0) and used == 0.0 and late == ("places",)
+
+
+def test_a_lent_place_is_good_for_a_moment_only():
+    async def scene(fleet):
+        grants, upstream = (
+            fleet.nodes["edge-1"].part.targets.grants,
+            routes.Upstream("s", "/", 5, 0, 5.0, RATE),
+        )
+        await asyncio.sleep(1)
+        await grants.ready(upstream, 0.1)
+        await asyncio.sleep(rate_grants.GOOD_FOR + 0.01)
+        with pytest.raises(errors.OverCeiling):
+            grants.enter(upstream, 0.1)
+        await grants.ready(upstream, 0.1)
+        return grants.enter(upstream, 0.1)
+
+    assert play(scene) == 0.0
+
+
+def test_a_process_that_was_killed_again_and_again_gets_no_burst_each_time():
+    async def scene(fleet):
+        fleet.cut = {("holder-1", name) for name in fleet.nodes}
+        upstream = routes.Upstream("s", "/", 5, 0, 5.0, RATE)
+        used = 0
+        for _ in range(40):
+            await asyncio.sleep(0.05)
+            for _ in range(20):
+                try:
+                    fleet.nodes["holder-1"].part.targets.grants.enter(upstream, 0.0)
+                except errors.OverCeiling:
+                    break
+                used += 1
+            fleet.restart("holder-1")
+        return used
+
+    assert play(scene) <= 40 * 0.05 * RATE / 4
--- /dev/null
+++ b/tests/test_rate_parts.py
@@ -0,0 +1,134 @@
+"""Who owns which part of the services' rates: no part has two owners within a window, whoever writes."""
+
+import asyncio
+import random
+
+import pytest
+import scenes_direct
+
+import irisstand.balancing.rate_parts as rate_parts
+import irisstand.controlplane.rate_placement as rate_placement
+import irisstand.simulator.virtual_time as virtual
+import irisstand.state.items as items
+
+# For so long after its last row an owner may still start requests that one window of five seconds counts.
+STILL_COUNTS = rate_parts.USED_FOR + 5.0
+
+
+class Writer:
+    """A duty under a lease, whose rows are decided after `delay` seconds."""
+
+    def __init__(self, core, delay=0.0):
+        self.core, self.delay = core, delay
+
+    def holds(self):
+        return True
+
+    async def write(self, rows):
+        await asyncio.sleep(self.delay)
+        for key, value in rows:
+            self.core.put(items.LEDGER, key, value)
+            self.core.history.append((self.core.context.clock.now(), value["units"]))
+
+
+class Core(scenes_direct.Scene):
+    """The ledger, and one holder of the duty after the other."""
+
+    def __init__(self):
+        super().__init__()
+        self.put(items.LEDGER, rate_parts.KEY, None)
+        self.history = []
+        self.change_holder()
+
+    def change_holder(self, delay=0.0):
+        self.placement, self.duty = rate_placement.RatePlacement(self.context), Writer(self, delay)
+
+    def lose(self, name):
+        members = self.context.detector.roster.members
+        for identity in [identity for identity in members if identity.name == name]:
+            del members[identity]
+
+    async def go_on(self, seconds):
+        end = self.context.clock.now() + seconds
+        while self.context.clock.now() < end:
+            await self.placement.work(self.duty)
+            await asyncio.sleep(0.2)
+
+    def units(self):
+        row = self.context.ledger.value(rate_parts.KEY)
+        return row["units"] if row else {}
+
+
+def play(scene):
+    async def run():
+        return await scene(Core())
+
+    return virtual.run(run())
+
+
+def most_counted(history):
+    """The largest sum of what owners held in any `STILL_COUNTS` seconds, each with its most."""
+    largest = 0
+    for index, (moment, _) in enumerate(history):
+        held = {}
+        for number, (_, units) in enumerate(history[: index + 1]):
+            ended = history[number + 1][0] if number + 1 < len(history) else moment
+            if ended > moment - STILL_COUNTS or number == index:
+                for name, share in units.items():
+                    held[name] = max(held.get(name, 0), share)
+        largest = max(largest, sum(held.values()))
+    return largest
+
+
+def test_sites_have_even_parts_and_a_holder_that_comes_back_soon_keeps_its_own():
+    async def scene(core):
+        for name, site in (("h1", "north"), ("h2", "north"), ("h3", "south")):
+            core.member(name, "holder", site)
+        await core.go_on(5)
+        first = core.units()
+        core.lose("h3")
+        await core.go_on(4)
+        core.member("h3", "holder", "south")
+        await core.go_on(30)
+        return first, core.units()
+
+    expected = {"h1": 250, "h2": 250, "h3": 500}
+    assert play(scene) == (expected, expected)
+
+
+def test_the_part_of_a_holder_that_is_gone_is_given_to_others_only_when_it_has_certainly_stopped():
+    async def scene(core):
+        for name in ("h1", "h2"):
+            core.member(name, "holder")
+        await core.go_on(5)
+        core.lose("h2")
+        await core.go_on(60)
+        return core.history
+
+    history = play(scene)
+    assert [units for _, units in history] == [{"h1": 500, "h2": 500}, {"h1": 500}, {"h1": 1000}]
+    assert history[2][0] - history[1][0] >= rate_parts.LAPSE
+
+
+@pytest.mark.parametrize("seed", range(12))
+def test_no_part_has_two_owners_within_a_window_whatever_members_and_holders_of_the_duty_do(seed):
+    async def scene(core):
+        luck = random.Random(seed)
+        names = [f"holder-{number}" for number in range(8)]
+        for name in names[:5]:
+            core.member(name, "holder", luck.choice(["north", "south"]))
+        for _ in range(40):
+            kind = luck.choice(["lose", "lose", "come", "come", "holder", "nothing"])
+            if kind == "lose":
+                core.lose(luck.choice(names))
+            elif kind == "come":
+                core.member(luck.choice(names), "holder", luck.choice(["north", "south"]))
+            elif kind == "holder":
+                core.change_holder(luck.choice([0.0, 0.5, 3.0]))
+            await core.go_on(luck.uniform(0.5, 14))
+        return core.history
+
+    history = play(scene)
+    assert len(history) > 3
+    assert all(sum(units.values()) <= rate_parts.WHOLE for _, units in history)
+    assert most_counted(history) <= rate_parts.WHOLE
