--- a/src/irisstand/dataplane/rate_grants.py
+++ b/src/irisstand/dataplane/rate_grants.py
@@ -37,7 +37,7 @@
         self.context, self.table = context, table
         self.opened_at = context.clock.now()
         self.own: dict[str, parts.Ceiling] = {}
-        self.lent: dict[str, collections.deque[Place]] = {}
+        self.lent: dict[str, list[Place]] = {}
         self.waiting: collections.Counter[str] = collections.Counter()
         self.borrowing: dict[str, asyncio.Task] = {}
         # Owners that did not answer or had nothing, by service, and until when they are not asked.
@@ -85,12 +85,9 @@
 
     def usable(self, service: str, patience: float) -> list[Place]:
         now = self.context.clock.now()
-        places = self.lent.setdefault(service, collections.deque())
-        while places and places[0].expires_at <= now:
-            places.popleft()
-        return [
-            place for place in places if max(now, place.usable_at) <= min(now + patience, place.expires_at)
-        ]
+        places = self.lent.setdefault(service, [])
+        places[:] = [place for place in places if now < place.expires_at]
+        return [place for place in places if place.usable_at <= now + patience + ROUNDING]
 
     def take_lent(self, service: str, patience: float) -> Place | None:
         found = self.usable(service, patience)
@@ -165,7 +162,7 @@
             self.left_alone[name, service] = now + EMPTY_FOR
             return False
         self.context.counters.add("rate_places_borrowed", len(waits))
-        places = self.lent.setdefault(service, collections.deque())
+        places = self.lent.setdefault(service, [])
         places.extend(Place(now + float(wait), asked_at + float(wait) + GOOD_FOR) for wait in waits)
         return True
 
--- a/tests/test_rate_grants.py
+++ b/tests/test_rate_grants.py
@@ -212,3 +212,36 @@
         return used
 
     assert play(scene) <= 40 * 0.05 * RATE / 4
+
+
+@pytest.mark.parametrize("seed", range(6))
+def test_a_cold_origin_gets_no_more_in_a_second_whatever_each_node_knows(seed):
+    async def scene(fleet):
+        luck = random.Random(seed)
+        for node in fleet.nodes.values():
+            node.put(items.LEDGER, "origin/b", None)
+            node.origin("a", state="cold", warmup=3)
+        for name in fleet.nodes:
+            for other in luck.sample(list(fleet.nodes), 6):
+                fleet.forget(name, other)
+        await asyncio.sleep(4)
+        tasks = []
+        for number in range(400):
+            name = luck.choice(["edge-1", "edge-2", "edge-3", "edge-4"])
+            path = f"/reads/{number}"
+            tasks.append(asyncio.create_task(status(fleet.nodes[name], path)))
+            await asyncio.sleep(0.01)
+        await asyncio.gather(*tasks)
+        return fleet.moments()
+
+    async def status(node, path):
+        try:
+            return (await node.ask(path, request_id=path)).status
+        except errors.IrisError as error:
+            return error.status
+
+    times = play(scene)
+    settings = scenes_direct.SETTINGS
+    bound = scenes_direct.UPSTREAM["cold_rate"] * settings.cold_factor + settings.cold_burst
+    assert 10 < len(times)
+    assert max(sum(start <= other < start + 1.0 for other in times) for start in times) <= bound
