--- a/src/irisstand/dataplane/conversing.py
+++ b/src/irisstand/dataplane/conversing.py
@@ -91,9 +91,11 @@
                 raise action[1]
             if action[0] == "send":
                 if not running:
-                    patience = min(WAITS * route.target, decision.remaining() / 4)
-                    await self.targets.ready(route, service, tried, patience)
+                    await self.targets.ready(service, min(WAITS * route.target, decision.remaining() / 4))
                 happened = self.send(route, service, request, headers, decision, tried, running)
+                if not running and isinstance(happened[1], errors.WarmingUp):
+                    await self.targets.ready_cold(route, service, tried)
+                    happened = self.send(route, service, request, headers, decision, tried, running)
             else:
                 happened = await self.next_of(running, action[1])
             action = decision.ask(happened)
--- a/src/irisstand/dataplane/rate_grants.py
+++ b/src/irisstand/dataplane/rate_grants.py
@@ -99,10 +99,9 @@
     def next_owner(self, name: str) -> typing.Any:
         """An owner that can be asked: of this site first, then by lot."""
         now, units = self.context.clock.now(), self.own.units()
-        listed = [*self.context.peers("holder"), *self.context.peers("direct")]
         found = [
             update
-            for update in listed
+            for update in self.context.detector.roster.members.values()
             if units.get(update.identity.name)
             and not update.state
             and now >= self.left_alone.get((update.identity.name, name), -1e9)
--- a/src/irisstand/dataplane/targets.py
+++ b/src/irisstand/dataplane/targets.py
@@ -190,22 +190,20 @@
         settings = self.context.settings
         return None if upstream is None else upstream.cold_rate * settings.cold_factor + settings.cold_burst
 
-    async def ready(
-        self, route: routes.Route, service: str, tried: typing.Container[str], patience: float
-    ) -> None:
-        """Before `draw`: places that this node lacks are borrowed from nodes that own some."""
+    async def ready(self, service: str, patience: float) -> None:
+        """Before `draw`: places under a rate that this node lacks are borrowed from nodes that own some."""
         upstream = self.table.upstreams.get(service)
-        if upstream is None:
-            return
-        if upstream.rate is not None:
+        if upstream is not None and upstream.rate is not None:
             await self.grants.ready(service, patience)
+
+    async def ready_cold(self, route: routes.Route, service: str, tried: typing.Container[str]) -> None:
+        """After a draw that found only cold origins: a place for one of them is borrowed."""
         try:
-            free = self.free(route, upstream, tried)
-        except errors.IrisError:
-            # The draw will say so.
+            found = self.free(route, self.table.upstreams[service], tried)
+        except (errors.IrisError, KeyError):
+            # The next draw will say so.
             return
-        if all(target.is_cold() for target in free):
-            await self.grants.ready(cold_name(self.context.randomness.choice(free)), 0.0)
+        await self.grants.ready(cold_name(self.context.randomness.choice(found)), 0.0)
 
     def enter(self, upstream: routes.Upstream, patience: float) -> float:
         """A place under the service's rate: seconds until it may be used, or OverCeiling."""
