--- a/tests/guarded_direct.py
+++ b/tests/guarded_direct.py
@@ -132,4 +132,34 @@
         "            self.lengths = sorted(self.counts)",
         "test_big_configurations.py",
     ),
+    (
+        "dataplane/owned_parts.py",
+        "        if whole is None or age is None or age > rate_parts.USED_FOR:",
+        "        if whole is None:",
+        "test_rate_grants.py::test_an_owner_whose_ledger_is_old_neither_uses_nor_lends_its_part",
+    ),
+    (
+        "dataplane/rate_grants.py",
+        "if now < place.expires_at]",
+        "]",
+        "test_rate_grants.py::test_a_lent_place_is_good_for_a_moment_only",
+    ),
+    (
+        "balancing/parts.py",
+        "        self.tokens = 0.0\n        self.scarce_at",
+        "        self.tokens = 50.0\n        self.scarce_at",
+        "test_rate_grants.py::test_a_process_that_was_killed_again_and_again_gets_no_burst_each_time",
+    ),
+    (
+        "controlplane/rate_placement.py",
+        "            self.frozen_until = now + rate_parts.LAPSE if units else now",
+        "            self.frozen_until = now",
+        "test_rate_parts.py",
+    ),
+    (
+        "balancing/rate_parts.py",
+        "    if is_frozen:\n        return units, False",
+        "    if False:\n        return units, False",
+        "test_rate_parts.py",
+    ),
 ]
