--- a/src/irisstand/dataplane/front_listener.py
+++ b/src/irisstand/dataplane/front_listener.py
@@ -2,6 +2,7 @@
 
 import asyncio
 
+import sanic.exceptions
 import sanic.request
 import sanic.response
 
@@ -26,9 +27,15 @@
         self.follow()
         context.configuration.watchers.append(self.follow)
         self.app.error_handler.add(Exception, self.on_error)
-        self.app.add_route(self.serve, "/", methods=METHODS, name="root")
-        self.app.add_route(self.serve, "/<rest:path>", methods=METHODS, name="rest")
+
+        async def serve(request: sanic.request.Request, rest: str = "") -> sanic.response.HTTPResponse:
+            return await self.serve(request)
+
+        # Streamed, so that the time for a body is this listener's own; sanic marks the handler as such.
+        self.app.add_route(serve, "/", methods=METHODS, name="root", stream=True)
+        self.app.add_route(serve, "/<rest:path>", methods=METHODS, name="rest", stream=True)
         self.server = None
+        context.closers.append(self.abort_connections)
 
     def follow(self) -> None:
         """The operators' limits; a connection takes those that stand when it opens."""
@@ -78,14 +85,33 @@
                 connection.close_if_idle()
         return bool(connections)
 
-    async def serve(self, request: sanic.request.Request, rest: str = "") -> sanic.response.HTTPResponse:
+    def abort_connections(self) -> None:
+        """The end: a client that does not read must not keep a connection's task, and so the process."""
+        for connection in list(self.server.connections) if self.server is not None else ():
+            if connection.transport is not None:
+                connection.transport.abort()
+
+    async def read_body(self, request: sanic.request.Request) -> bytes:
+        """The whole body; 408 once nothing came for as long as the limits let a connection be idle."""
+        pieces: list[bytes] = []
+        while request.stream.request_body:
+            try:
+                async with asyncio.timeout(max(1.0, self.part.table.limits.idle)):
+                    piece = await request.stream.read()
+            except TimeoutError:
+                # What is left of it would be waited for again before the connection could close.
+                request.stream.request_body = None
+                raise sanic.exceptions.RequestTimeout("the body stopped before it was whole") from None
+            pieces.append(piece or b"")
+        return b"".join(pieces)
+
+    async def serve(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
+        body = await self.read_body(request)
         headers: dict[str, str] = {}
         for name, value in request.headers.items():
             key = name.lower()
             headers[key] = f"{headers[key]}, {value}" if key in headers else value
-        asked = direct.Request(
-            request.method, request.raw_url, headers.pop("host", ""), headers, request.body or b""
-        )
+        asked = direct.Request(request.method, request.raw_url, headers.pop("host", ""), headers, body)
         # A client that goes away does not take back what an origin is at work on.
         task = asyncio.get_running_loop().create_task(self.answer(asked))
         with self.context.working():
@@ -100,6 +126,10 @@
             status, headers, body = await self.part.handle(asked)
         except errors.IrisError as error:
             return self.as_fault(error)
+        except asyncio.CancelledError:
+            # Something that this request shared was given up; to sanic it would look like its client's going.
+            self.context.counters.add("requests_crashed")
+            return self.as_fault(errors.OutcomeUnknown("what this request waited for was given up"))
         except Exception as error:
             ring.note("crash", error=repr(error))
             self.context.counters.add("requests_crashed")
@@ -117,6 +147,8 @@
 
     def on_error(self, request: sanic.request.Request, error: Exception) -> sanic.response.HTTPResponse:
         status = getattr(error, "status_code", None) or 500
+        if status == 408 and request.stream is not None:
+            request.stream.keep_alive = False
         # Sanic calls an oversized head an oversized payload; HTTP has a status of its own for it.
         if status == 413 and "header" in str(error).lower():
             status = 431
--- a/src/irisstand/node_context.py
+++ b/src/irisstand/node_context.py
@@ -55,6 +55,8 @@
         self.under_way = 0
         # Asked during a drain: whether somebody may still send this node work on a connection that is open.
         self.held: collections.abc.Callable[[], bool] = lambda: False
+        # Called at the very end, to let go of what would keep this process.
+        self.closers: list[collections.abc.Callable[[], None]] = []
         # In order of starting: a set of tasks has an order of its own in every run.
         self.tasks: dict[asyncio.Task, None] = {}
         self.crashed: asyncio.Future | None = None
@@ -165,6 +167,8 @@
         self.start(self.joining.run(), "joining")
 
     async def close(self) -> None:
+        for closer in self.closers:
+            closer()
         for task in list(self.tasks):
             task.cancel()
         await self.transport.close()
--- a/src/irisstand/running.py
+++ b/src/irisstand/running.py
@@ -2,8 +2,10 @@
 
 import asyncio
 import collections.abc
+import os
 import signal
 import sys
+import threading
 import typing
 
 import click
@@ -12,6 +14,9 @@
 import irisstand
 from irisstand import errors, node_context, node_settings, reloading, ring
 
+# Seconds that the last steps of a planned end may take beyond the farewell and the drain.
+END_MARGIN = 0.35
+
 Opened = tuple[node_context.NodeContext, collections.abc.Callable[[], collections.abc.Awaitable[None]]]
 Reread = collections.abc.Callable[[], node_settings.Settings]
 Assemble = collections.abc.Callable[[node_settings.Settings, ring.Ring], collections.abc.Awaitable[Opened]]
@@ -61,6 +66,17 @@
         return 1
 
 
+def bound_end(settings: node_settings.Settings) -> None:
+    """End this process in its time, whatever still holds it: a thread in a stalled write, or a task.
+
+    By then nothing is answered any more, and to the disk it is the same as a kill, which it withstands.
+    """
+    allowed = settings.farewell + settings.drain + END_MARGIN
+    timer = threading.Timer(allowed, os._exit, (0,))
+    timer.daemon = True
+    timer.start()
+
+
 async def serve(
     settings: node_settings.Settings,
     assemble: Assemble,
@@ -94,6 +110,7 @@
     # Balancers and peers first learn that this node leaves; until then it serves as before. A listener
     # closed at once would reset connections that were made but not yet taken up.
     context.leaving = True
+    bound_end(context.settings)
     await asyncio.sleep(context.settings.farewell)
     await stop_listening()
     await context.drain()
--- a/src/irisstand/web.py
+++ b/src/irisstand/web.py
@@ -52,6 +52,8 @@
             }
         )
         self.server: typing.Any = None
+        self.connections: set = set()
+        context.closers.append(self.abort_connections)
         self.app.error_handler.add(Exception, self.on_error)
         self.app.add_route(self.live, "/_irisstand/live", methods=["GET"])
         self.app.add_route(self.ready, "/_irisstand/ready", methods=["GET"])
@@ -65,6 +67,7 @@
         self.server = await self.app.create_server(
             host=settings.host, port=settings.http_port, return_asyncio_server=True, access_log=False
         )
+        self.connections = self.server.connections
         await self.server.startup()
         await self.server.start_serving()
 
@@ -87,6 +90,12 @@
             self.server.close()
             self.server = None
 
+    def abort_connections(self) -> None:
+        """The end: a client that does not read must not keep a connection's task, and so the process."""
+        for connection in list(self.connections):
+            if connection.transport is not None:
+                connection.transport.abort()
+
     async def on_response(
         self, request: sanic.request.Request, response: sanic.response.BaseHTTPResponse
     ) -> None:
