--- a/src/irisstand/dataplane/conversing.py
+++ b/src/irisstand/dataplane/conversing.py
@@ -161,12 +161,13 @@
         try:
             if wait:
                 await asyncio.sleep(wait)
-            line = await target.take(max(0.01, decision.remaining()))
+            request_id = "" if anonymous else request.headers.get(self.words.request_id, "")
+            # Without an id nothing would tell a surplus answer to an earlier request from this one's.
+            line = await target.take(max(0.01, decision.remaining()), is_fresh=not request_id)
             left = max(1, int(decision.remaining() * 1000))
             left_out = (self.words.remaining, self.words.request_id if anonymous else "")
             sent = [("host", request.host), *((n, v) for n, v in headers if n not in left_out)]
             sent += [(self.words.remaining, str(left)), (self.words.expected, target.instance)]
-            request_id = "" if anonymous else request.headers.get(self.words.request_id, "")
             # The decision has its own deadline; this one is for what goes on after it.
             async with asyncio.timeout(decision.remaining() + 1.0):
                 answer = await line.send(request.method, request.target, sent, request.body, request_id)
--- a/src/irisstand/dataplane/direct.py
+++ b/src/irisstand/dataplane/direct.py
@@ -58,7 +58,11 @@
         if self.words.request_id in request.headers:
             headers[self.words.request_id] = request.headers[self.words.request_id]
         whole = exchange.Answer(thing.status, headers, thing.body)
-        return ranges.apply(whole, request.headers) if thing.status == 200 else whole
+        given = ranges.apply(whole, request.headers) if thing.status == 200 else whole
+        if given.status == 416:
+            # This node's own refusal: the origin sealed another status.
+            given.headers.pop(self.words.seal, None)
+        return given
 
 
 def connector(settings: typing.Any) -> exchange.Connect:
--- a/src/irisstand/dataplane/edge.py
+++ b/src/irisstand/dataplane/edge.py
@@ -224,9 +224,11 @@
 
     # -- towards shields -----------------------------------------------------------------------------
     async def ask(self, shield: typing.Any, kind: str, body: tuple, remaining: float) -> tuple:
+        # A read is answered as well by a shield that was started anew; a write is meant for the one chosen.
+        life = shield.identity.life if kind == "write" else ""
         try:
             reply = await self.context.transport.ask(
-                shield.card.address, shield.identity.name, kind, body, remaining, shield.identity.life
+                shield.card.address, shield.identity.name, kind, body, remaining, life
             )
             return ("result", reply)
         except errors.IrisError as error:
--- a/src/irisstand/dataplane/exchange.py
+++ b/src/irisstand/dataplane/exchange.py
@@ -40,6 +40,8 @@
     def __init__(self, id_header: str) -> None:
         self.id_header = id_header
         self.alive, self.touched = True, False
+        # Set from the first request on: what comes after it may be a surplus answer to it.
+        self.is_used, self.is_first = False, True
         self.transport: asyncio.Transport | None = None
         self.parser: typing.Any = None
         self.request_id = ""
@@ -107,9 +109,19 @@
             raise ValueError("not an answer that this connection can carry")
         # The parser waits for the body that a HEAD's answer only announces.
         if self.method == "HEAD" and self.waiting is not None and not self.waiting.done():
+            if not self.is_meant():
+                raise ValueError("an answer that does not name its request")
             self.alive = False
             self.waiting.set_result(Answer(status, self.headers, b""))
 
+    def is_meant(self) -> bool:
+        """Whether the answer is this request's. Without an id that is certain only of a connection's first.
+
+        Believed of a surplus answer, "did not run" would have an unrepeatable request sent a second time.
+        """
+        found = self.headers.get(self.id_header)
+        return self.is_first if found is None else found == self.request_id
+
     def on_body(self, body: bytes) -> None:
         self.body += body
         # An endless body must not fill this process's memory.
@@ -126,6 +138,11 @@
             if self.surplus > SURPLUS_LIMIT:
                 raise ValueError("too many answers to other requests")
             return
+        if not self.is_meant():
+            raise ValueError("an answer that does not name its request")
+        # It was given before the request had left whole: what is left of that would go on after it.
+        if self.transport.get_write_buffer_size():
+            self.alive = False
         status = self.parser.get_status_code()
         if "close" in self.headers.get("connection", "").lower() or not self.parser.should_keep_alive():
             self.alive = False
@@ -159,6 +176,7 @@
         self.method, self.request_id = method, request_id
         self.waiting = asyncio.get_running_loop().create_future()
         self.touched = True
+        self.is_first, self.is_used = not self.is_used, True
         try:
             self.transport.write(b"".join(lines))
             return await self.waiting
--- a/src/irisstand/dataplane/holders.py
+++ b/src/irisstand/dataplane/holders.py
@@ -87,11 +87,11 @@
         )
         try:
             told, parts = await self.context.transport.ask(
-                holder.card.address, holder.identity.name, "object", body, patience, holder.identity.life
+                holder.card.address, holder.identity.name, "object", body, patience
             )
         except errors.IrisError as error:
             self.context.counters.add("holder_failures", code=error.code)
-            if error.code in ("unreached", "unanswered", "draining", "life-ended"):
+            if error.code in ("unreached", "unanswered", "draining"):
                 self.avoided[holder.identity.name] = self.context.clock.now() + AVOIDED
             # What the holder met at an origin this node may still avoid, within what is left of its time.
             return None
--- a/src/irisstand/dataplane/target.py
+++ b/src/irisstand/dataplane/target.py
@@ -64,9 +64,12 @@
     def is_cold(self) -> bool:
         return self.origin.state == "cold" or self.context.clock.now() < self.cold_until
 
-    async def take(self, patience: float) -> exchange.Exchange:
-        """A connection for one request. Its failure touches nothing, and marks the origin as down."""
-        while self.idle:
+    async def take(self, patience: float, is_fresh: bool = False) -> exchange.Exchange:
+        """A connection for one request. Its failure touches nothing, and marks the origin as down.
+
+        `is_fresh` asks for one that has carried no request yet, as one that bears no id needs.
+        """
+        while self.idle and not is_fresh:
             line = self.idle.pop()
             if line.is_usable():
                 return line
--- a/src/irisstand/standins/upstream.py
+++ b/src/irisstand/standins/upstream.py
@@ -55,13 +55,18 @@
     async def serve(self, request: aiohttp.web.Request) -> aiohttp.web.StreamResponse:
         self.arrivals += 1
         words = self.words
+        # Every answer names its request, those to what did not run among them.
+        request_id = request.headers.get(words.request_id, "")
         expected = request.headers.get(words.expected, self.instance)
         if expected != self.instance or self.faults.get("wrong"):
-            return aiohttp.web.Response(status=421, headers={words.instance: self.instance})
+            return aiohttp.web.Response(
+                status=421, headers={words.instance: self.instance, words.request_id: request_id}
+            )
         body = await request.read()
         if self.faults.get("full"):
-            return aiohttp.web.Response(status=503, headers={words.not_run: "1"})
-        request_id = request.headers.get(words.request_id, "")
+            return aiohttp.web.Response(
+                status=503, headers={words.not_run: "1", words.request_id: request_id}
+            )
         self.runs.append(Run(self.instance, request_id, request.method, request.path_qs, body))
         await asyncio.sleep(self.faults.get("slow", 0.002))
         if self.faults.get("lost"):
--- /dev/null
+++ b/tests/test_exchange_hostile.py
@@ -0,0 +1,148 @@
+"""What ties an origin's answer to its request, against origins that lie, on real sockets."""
+
+import asyncio
+
+import pytest
+import scenes_direct
+from test_exchange import ID, answer, ask, talk
+
+import irisstand.dataplane.exchange as exchange
+
+NO_ID = b"HTTP/1.1 503 Busy\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n"
+
+
+def test_an_answer_without_an_id_on_a_used_connection_belongs_to_nobody():
+    """A surplus refusal in the place of the next answer would have an unrepeatable call sent twice."""
+
+    async def origin(number, reader, writer):
+        writer.write(answer("a") if number == 1 else NO_ID + answer("b"))
+
+    async def scene(line):
+        await ask(line, "a")
+        with pytest.raises(exchange.Broken):
+            await ask(line, "b")
+        return line.touched, line.is_usable()
+
+    assert talk(origin, scene) == (True, False)
+
+
+def test_a_surplus_answer_that_lies_there_when_the_connection_is_taken_is_nobodys():
+    async def origin(number, reader, writer):
+        writer.write(answer("ab"[number - 1], b"n%d" % number))
+        if number == 1:
+            await writer.drain()
+            await asyncio.sleep(0.05)
+            writer.write(NO_ID)
+
+    async def scene(line):
+        await ask(line, "a")
+        await asyncio.sleep(0.03)
+        # The surplus comes while the next request is on its way.
+        try:
+            return (await ask(line, "b")).status
+        except exchange.Broken:
+            return None
+
+    # Either the idle connection ends by it, or the exchange does; it is never the second's answer.
+    assert talk(origin, scene) in (None, 200)
+
+
+@pytest.mark.parametrize("found", ["other", None])
+def test_a_heads_answer_is_told_apart_by_its_id_too(found):
+    async def origin(number, reader, writer):
+        if number == 1:
+            writer.write(answer("a"))
+            return
+        told = f"{ID}: {found}\r\n" if found else ""
+        writer.write(f"HTTP/1.1 503 Busy\r\n{told}x-not-run: 1\r\ncontent-length: 9\r\n\r\n".encode())
+
+    async def scene(line):
+        await ask(line, "a")
+        with pytest.raises(exchange.Broken):
+            await line.send("HEAD", b"/x", [("host", "h")], b"", "b")
+
+    talk(origin, scene)
+
+
+def test_a_connection_whose_answer_came_before_the_request_was_written_is_not_used_again():
+    async def origin(number, reader, writer):
+        writer.write(answer("a"))
+        await writer.drain()
+        # The rest of the request is never read.
+        await asyncio.sleep(1)
+
+    async def scene(line):
+        body = b"x" * 32 * 1024 * 1024
+        found = await line.send("POST", b"/x", [("host", "h")], body, "a")
+        return found.status, line.is_usable()
+
+    assert talk(origin, scene) == (200, False)
+
+
+@pytest.mark.parametrize("status", ["204 No Content", "304 Not Modified"])
+def test_a_body_behind_an_answer_that_has_none_ends_the_connection(status):
+    async def origin(number, reader, writer):
+        writer.write(f"HTTP/1.1 {status}\r\n{ID}: a\r\n\r\nbytes of nobody".encode())
+
+    async def scene(line):
+        found = await ask(line, "a")
+        await asyncio.sleep(0.05)
+        return found.body, line.is_usable()
+
+    assert talk(origin, scene) == (b"", False)
+
+
+@pytest.mark.parametrize("status", ["100 Continue", "103 Early Hints", "101 Switching Protocols"])
+def test_an_interim_answer_is_no_answer(status):
+    async def origin(number, reader, writer):
+        writer.write(f"HTTP/1.1 {status}\r\n\r\n".encode() + answer("a"))
+
+    async def scene(line):
+        with pytest.raises(exchange.Broken):
+            await ask(line, "a")
+        return line.is_usable()
+
+    assert talk(origin, scene) is False
+
+
+def test_a_second_try_at_an_object_bears_no_id_and_so_goes_on_a_connection_of_its_own():
+    """A surplus answer without an id would be taken, and kept, for another object."""
+
+    async def scene(stage):
+        async def working(headers):
+            await asyncio.sleep(0.05)
+            return scenes_direct.whole(headers["x-request-id"])
+
+        # At once, so that each origin has idle connections that were used.
+        stage.play = lambda key, headers, body: working(headers)
+        await asyncio.gather(*(stage.ask(f"/reads/{n}", request_id=f"r{n}") for n in range(8)))
+        assert set(stage.connections) == {"a", "b"}
+        before = sum(stage.connections.values())
+        stage.sent.clear()
+        stage.play = lambda key, headers, body: scenes_direct.whole(
+            headers.get("x-request-id"), status=500 if len(stage.sent) == 1 else 200
+        )
+        assert (await stage.ask("/objects/1", request_id="o1")).status == 200
+        assert [sent[3].get("x-request-id") for sent in stage.sent] == ["o1", None]
+        return sum(stage.connections.values()) - before
+
+    assert scenes_direct.play(scene) == 1
+
+
+def test_a_part_that_does_not_exist_bears_no_seal_of_the_whole():
+    async def scene(stage):
+        return await stage.ask("/objects/1", range="bytes=999-")
+
+    found = scenes_direct.play(scene)
+    assert found.status == 416 and "content-digest" not in found.headers
+
+
+def test_a_request_without_an_id_goes_on_a_connection_that_carried_none_before():
+    async def scene(stage):
+        for number in range(3):
+            await stage.ask(f"/reads/{number}", request_id=f"r{number}")
+        before = sum(stage.connections.values())
+        await stage.ask("/reads/9", request_id="")
+        return sum(stage.connections.values()) - before
+
+    assert scenes_direct.play(scene) == 1
