--- a/src/irisstand/simulation_commands.py
+++ b/src/irisstand/simulation_commands.py
@@ -93,5 +93,22 @@
             click.echo(f"{count:>6} routes: {what:<50} {figure:>10.4g} {unit}")
 
 
+@click.command("fuzz-origins", help="Play scripts of hostile origins against an edge, and judge them.")
+@click.option("--scripts", type=click.IntRange(1), default=2000, show_default=True)
+@click.option("--workers", type=click.IntRange(1, 256), default=4, show_default=True)
+@click.option("--first", type=int, default=1, show_default=True, help="the first seed")
+def fuzz_origins(scripts: int, workers: int, first: int) -> None:
+    from irisstand.simulator import hostile_scripts
+
+    figures = hostile_scripts.play_all(scripts, workers, first)
+    for what in figures.broken[:20]:
+        click.echo(what)
+    click.echo(
+        f"{figures.scripts} scripts, {figures.answered} answered, {figures.runs} runs at origins, "
+        f"{len(figures.broken)} broken"
+    )
+    sys.exit(1 if figures.broken else 0)
+
+
 # Plug-in point: a command of the rehearsal is an entry here.
-COMMANDS = [rehearse, stand_ins, simulate, storm, detection, sizes, big_configurations]
+COMMANDS = [rehearse, stand_ins, simulate, storm, detection, sizes, big_configurations, fuzz_origins]
--- /dev/null
+++ b/tests/test_hostile_peers.py
@@ -0,0 +1,52 @@
+"""Scripts of hostile origins: in virtual time by seed, and on real sockets."""
+
+import asyncio
+import random
+
+import pytest
+
+import irisstand.dataplane.exchange as exchange
+import irisstand.errors as errors
+import irisstand.simulator.hostile_scripts as hostile_scripts
+import irisstand.standins.hostile_origin as hostile_origin
+
+
+def test_whatever_origins_do_each_client_gets_its_own_answer_and_no_write_runs_twice():
+    figures = hostile_scripts.play(range(1, 301))
+    assert not figures.broken, figures.broken[:5]
+    # The scripts do reach answers, and runs beyond the answered ones.
+    assert figures.answered > 1000 and figures.runs > figures.answered
+
+
+@pytest.mark.parametrize("seed", range(6))
+def test_on_real_sockets_an_answer_is_its_own_requests_or_none(seed):
+    async def scene():
+        randomness, record = random.Random(seed), hostile_origin.Record()
+        loop = asyncio.get_running_loop()
+        server = await loop.create_server(
+            lambda: hostile_origin.HostileOrigin(randomness, record), "127.0.0.1", 0
+        )
+        connect = exchange.connector(hostile_origin.ID)
+        line, answered = None, 0
+        for number in range(25):
+            request_id, target = f"r{number}", f"/reads/{number}"
+            if line is None or not line.is_usable():
+                line = await connect(*server.sockets[0].getsockname())
+            headers = [("host", "h"), (hostile_origin.ID, request_id)]
+            try:
+                async with asyncio.timeout(0.35):
+                    found = await line.send("GET", target.encode(), headers, b"", request_id)
+            except (errors.IrisError, TimeoutError):
+                assert not line.is_usable()
+                continue
+            answered += 1
+            assert found.headers.get(hostile_origin.ID) in (request_id, None)
+            if found.status == 200:
+                assert found.body == f"{target} answered".encode()
+            elif hostile_origin.NOT_RUN in found.headers:
+                assert not record.runs[request_id]
+        line.close()
+        server.close()
+        return answered
+
+    assert asyncio.run(scene()) > 5
