--- a/tests/guarded_direct.py
+++ b/tests/guarded_direct.py
@@ -66,8 +66,8 @@
     ),
     (
         "dataplane/targets.py",
-        "        return target.sent_cold.count() < places",
-        "        return True",
+        "[target for target in free if self.grants.has_place(cold_name(target), 0.0)]",
+        "list(free)",
         "test_targets.py",
     ),
     (
@@ -76,7 +76,12 @@
         "                pass",
         "test_targets.py",
     ),
-    ("dataplane/targets.py", "        if wait is None:\n", "        if False:\n", "test_targets.py"),
+    (
+        "dataplane/rate_grants.py",
+        "        wait = self.own.take(name, patience)\n        if wait is None:\n",
+        "        wait = self.own.take(name, patience)\n        if False:\n",
+        "test_rate_grants.py",
+    ),
     ("dataplane/trying.py", "self.sent < self.route.attempts and ", "", "test_targets.py"),
     (
         "controlplane/amending.py",
@@ -162,4 +167,42 @@
         "    if False:\n        return units, False",
         "test_rate_parts.py",
     ),
+    (
+        "dataplane/exchange.py",
+        "        return self.is_first if found is None else found == self.request_id",
+        "        return found in (None, self.request_id)",
+        "test_exchange_hostile.py",
+    ),
+    (
+        "dataplane/exchange.py",
+        "        if self.transport.get_write_buffer_size():\n            self.alive = False",
+        "",
+        "test_exchange_hostile.py",
+    ),
+    ("dataplane/conversing.py", "is_fresh=not request_id)", "is_fresh=False)", "test_exchange_hostile.py"),
+    (
+        "dataplane/direct.py",
+        "        if given.status == 416:",
+        "        if False:",
+        "test_exchange_hostile.py",
+    ),
+    (
+        "dataplane/front_listener.py",
+        "        context.closers.append(self.abort_connections)",
+        "",
+        "test_front_listener.py",
+    ),
+    (
+        "dataplane/target.py",
+        "        return self.usual * 0.5 ** (idle / HALF_LIFE)",
+        "        return self.usual",
+        "test_targets.py::test_an_origin_that_was_slow_once_is_asked_again_though_another_is_quicker",
+    ),
+    (
+        "transport/peers.py",
+        "            if not self.is_meant(ask.life):",
+        "            if False:",
+        "test_lives.py",
+    ),
+    ("running.py", "    bound_end(context.settings)\n", "", "test_end.py"),
 ]
