--- a/src/irisstand/dataplane/exchange.py
+++ b/src/irisstand/dataplane/exchange.py
@@ -175,6 +175,11 @@
         self.reset()
         self.method, self.request_id = method, request_id
         self.waiting = asyncio.get_running_loop().create_future()
+        # Closed, but not yet told so: what is written now would go nowhere.
+        if self.transport.is_closing():
+            self.waiting = None
+            self.end(None)
+            raise Broken("the connection was closed before the request could leave")
         self.touched = True
         self.is_first, self.is_used = not self.is_used, True
         try:
--- a/src/irisstand/transport/network.py
+++ b/src/irisstand/transport/network.py
@@ -50,6 +50,9 @@
             raise ConnectionResetError("the colleague closed the connection") from None
 
     def write(self, payload: bytes) -> None:
+        # Closed, but not yet told so: what is written now would go nowhere.
+        if self.writer.is_closing():
+            raise ConnectionResetError("the connection is closed")
         self.writer.write(struct.pack("!I", len(payload)) + payload)
 
     async def flush(self) -> None:
--- a/src/irisstand/transport/peers.py
+++ b/src/irisstand/transport/peers.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import collections.abc
+import contextlib
 import typing
 
 from irisstand import counters as counting
@@ -141,9 +142,13 @@
         number = link.number
         future = loop.create_future()
         link.waiting[number] = future
-        link.stream.write(
-            codec.encode(codec.Ask(number, kind, body, (life or link.life) if link.life else ""))
-        )
+        meant = (life or link.life) if link.life else ""
+        try:
+            link.stream.write(codec.encode(codec.Ask(number, kind, body, meant)))
+        except OSError:
+            link.waiting.pop(number, None)
+            link.shut()
+            raise errors.Unreached(f"{name or address}: the connection was closed") from None
         self.counters.add("frames_sent", kind=kind)
         try:
             async with asyncio.timeout_at(deadline):
@@ -166,7 +171,9 @@
         """Queued work whose asker has gone is to be dropped at the other end."""
         link.waiting.pop(number, None)
         if link.open:
-            link.stream.write(codec.encode(codec.Withdraw(number)))
+            # Over a closed connection the other end drops its work by itself.
+            with contextlib.suppress(OSError):
+                link.stream.write(codec.encode(codec.Withdraw(number)))
 
     def retire(self, link: Link) -> None:
         link.retired = True
