--- a/src/irisstand/standins/hostile_origin.py
+++ b/src/irisstand/standins/hostile_origin.py
@@ -38,6 +38,7 @@
     def __init__(self, randomness: random.Random, record: Record) -> None:
         self.randomness, self.record = randomness, record
         self.received = b""
+        self.free_at = 0.0
         self.transport: typing.Any = None
         self.earlier = Asked("earlier", "/earlier", "GET")
         self.ways = sorted(name for name in dir(self) if name.startswith("way_"))
@@ -67,7 +68,10 @@
 
     # -- pieces --------------------------------------------------------------------------------------
     def send(self, data: bytes, delay: float = 0.0) -> None:
-        asyncio.get_running_loop().call_later(delay, self.write, data)
+        # In the order in which it was sent, as on any connection; timers of one moment keep none.
+        loop = asyncio.get_running_loop()
+        self.free_at = max(self.free_at + 1e-6, loop.time() + delay)
+        loop.call_at(self.free_at, self.write, data)
 
     def write(self, data: bytes) -> None:
         if not self.transport.is_closing():
