--- a/src/irisstand/simulator/memory_disk.py
+++ b/src/irisstand/simulator/memory_disk.py
@@ -14,6 +14,7 @@
     def __init__(self, randomness: random.Random) -> None:
         self.randomness = randomness
         self.files: dict[str, bytes] = {}
+        self.put_aside: list[str] = []
         self.stalled = False
         self.full = False
         self.slowness = 0.002
--- a/src/irisstand/state/disk.py
+++ b/src/irisstand/state/disk.py
@@ -5,15 +5,17 @@
 import concurrent.futures
 import errno
 import hashlib
-import os
 import pathlib
 import struct
 import typing
 
 from irisstand import errors
+from irisstand.state import folder as folders
 
 HEAD = struct.Struct("!I16s")
 SPARES_LIMIT = 512
+# Larger files are no spares: a small file written over them would take up their room.
+SPARE_BYTES = 64 * 1024
 
 
 def seal(content: bytes) -> bytes:
@@ -35,6 +37,9 @@
 
 
 class Disk(typing.Protocol):
+    # Names of files that an earlier load has found torn.
+    put_aside: list[str]
+
     async def write(self, files: collections.abc.Sequence[tuple[str, bytes]]) -> None:
         """All durable when it returns; raises DiskFull with none of them counted on."""
 
@@ -51,10 +56,12 @@
     deletion makes a later sync wait a hundred times as long as it does by itself.
     """
 
-    def __init__(self, folder: pathlib.Path) -> None:
+    def __init__(self, folder: pathlib.Path, files: folders.Folder | None = None) -> None:
         self.folder = folder
+        self.files = files or folders.RealFolder(folder)
         self.spares: list[str] = []
         self.spare_number = 0
+        self.put_aside: list[str] = []
         self.thread = concurrent.futures.ThreadPoolExecutor(1, "disk")
 
     async def write(self, files: collections.abc.Sequence[tuple[str, bytes]]) -> None:
@@ -70,62 +77,53 @@
         aside: list[str] = []
         try:
             for name, content in files:
-                path = os.path.join(self.folder, name + ".aside")
-                aside.append(path)
+                aside.append(name + ".aside")
                 if self.spares:
-                    os.rename(self.spares.pop(), path)
-                # Never truncated: freeing its blocks is what must not happen.
-                with open(os.open(path, os.O_WRONLY | os.O_CREAT, 0o644), "wb") as handle:
-                    handle.write(seal(content))
-                    handle.flush()
-                    os.fsync(handle.fileno())
-            for path in aside:
-                os.rename(path, path.removesuffix(".aside"))
-            self.sync_folder()
+                    self.files.rename(self.spares.pop(), aside[-1])
+                self.files.write(aside[-1], seal(content))
+            for name in aside:
+                self.files.rename(name, name.removesuffix(".aside"))
+            self.files.sync()
         except OSError as error:
-            for path in aside:
-                if os.path.exists(path):
-                    self.make_spare(path)
+            self.remove_now(aside)
             if error.errno in (errno.ENOSPC, errno.EDQUOT):
                 raise errors.DiskFull(f"no space left in {self.folder}") from None
             raise
 
-    def sync_folder(self) -> None:
-        handle = os.open(self.folder, os.O_RDONLY)
-        try:
-            os.fsync(handle)
-        finally:
-            os.close(handle)
-
     def remove_now(self, names: list[str]) -> None:
         for name in names:
-            path = os.path.join(self.folder, name)
-            if os.path.exists(path):
-                self.make_spare(path)
-
-    def make_spare(self, path: str) -> None:
-        if len(self.spares) >= SPARES_LIMIT:
-            os.unlink(path)
+            if self.files.exists(name):
+                self.make_spare(name)
+
+    def make_spare(self, name: str) -> None:
+        is_large = self.files.size(name) > SPARE_BYTES
+        # After a loss of power a file may be there under two names, of which the other counts.
+        if is_large or self.files.links(name) > 1 or len(self.spares) >= SPARES_LIMIT:
+            self.files.unlink(name)
             return
         self.spare_number += 1
-        spare = os.path.join(self.folder, f"{self.spare_number:09d}.spare")
-        os.rename(path, spare)
+        spare = f"{self.spare_number:09d}.spare"
+        self.files.rename(name, spare)
         self.spares.append(spare)
 
     def load_now(self) -> tuple[dict[str, bytes], list[str]]:
-        self.folder.mkdir(parents=True, exist_ok=True)
+        self.files.make()
         sound: dict[str, bytes] = {}
         torn: list[str] = []
-        for path in sorted(self.folder.iterdir()):
+        self.put_aside = []
+        for name in self.files.names():
             # What was only written aside was never promised to anybody.
-            if path.suffix in (".aside", ".spare"):
-                path.rename(path.with_name(f"{path.name}.old"))
-            elif path.suffix not in (".torn", ".old") and path.is_file():
+            if name.endswith((".aside", ".spare")):
+                self.files.rename(name, f"{name}.old")
+            elif name.endswith(".torn"):
+                self.put_aside.append(name.removesuffix(".torn"))
+            elif not name.endswith(".old"):
                 try:
-                    sound[path.name] = unseal(path.read_bytes())
+                    sound[name] = unseal(self.files.read(name))
                 except errors.TornFile:
-                    path.rename(path.with_name(path.name + ".torn"))
-                    torn.append(path.name)
-        for path in sorted(self.folder.glob("*.old")):
-            self.make_spare(str(path))
+                    self.files.rename(name, name + ".torn")
+                    torn.append(name)
+        for name in self.files.names():
+            if name.endswith(".old"):
+                self.make_spare(name)
         return sound, torn
--- a/src/irisstand/state/durable_store.py
+++ b/src/irisstand/state/durable_store.py
@@ -1,8 +1,7 @@
-"""What a voter keeps on its disk: its durable store id, its record for each table, one file for each item
-version.
+"""What a voter keeps on its disk: its durable store id, its record for each table, and the files with the
+table's items.
 """
 
-import hashlib
 import random
 import typing
 
@@ -10,13 +9,14 @@
 
 from irisstand import ring
 from irisstand.state import disk as disks
-from irisstand.state import items, tables, versions
+from irisstand.state import item_files, items, tables, versions
 
 
 class Record(typing.NamedTuple):
     """A voter's word on one table. `root` proves the items found on disk to be those of `applied version`.
 
-    `gone` names item files that no longer count, should a crash have come before their removal.
+    `gone` names item files that no longer count, should a crash have come before their removal. Only the
+    `segments` named here count. `forgotten` holds (key, version): up to it the key does not count.
     """
 
     promised: versions.Version
@@ -25,6 +25,8 @@
     accepted: versions.Version
     pending: items.Batch | None
     gone: tuple[str, ...] = ()
+    segments: tuple[str, ...] = ()
+    forgotten: tuple[tuple[str, versions.Version], ...] = ()
 
 
 # What is out of date stays until there is this much of it, and then goes to the disk's spares all at once.
@@ -33,11 +35,27 @@
 BLANK = Record(versions.NONE, versions.NONE, b"", versions.NONE, None)
 
 
-def item_file(table: str, item: items.Item) -> str:
-    """Named by key and version, so that a new version never overwrites an old one."""
-    key = hashlib.sha256(item.key.encode()).hexdigest()[:24]
-    node = hashlib.sha256(item.version.node.encode()).hexdigest()[:8]
-    return f"{table}.item.{key}.{item.version.counter:012d}.{node}"
+def encode_record(record: Record) -> bytes:
+    pending = None if record.pending is None else items.encode_batch(record.pending)
+    numbers = (tuple(record.promised), tuple(record.applied), record.root, tuple(record.accepted))
+    forgotten = tuple((key, tuple(version)) for key, version in record.forgotten)
+    return ormsgpack.packb((*numbers, pending, record.gone, record.segments, forgotten))
+
+
+def decode_record(content: bytes) -> Record:
+    """Records of the version before end after `gone`."""
+    promised, applied, root, accepted, pending, gone, *more = ormsgpack.unpackb(content)
+    segments, forgotten = more or ((), ())
+    return Record(
+        versions.decode(promised),
+        versions.decode(applied),
+        root,
+        versions.decode(accepted),
+        None if pending is None else items.decode_batch(pending),
+        tuple(gone),
+        tuple(segments),
+        tuple((key, versions.decode(version)) for key, version in forgotten),
+    )
 
 
 class DurableStore:
@@ -47,19 +65,27 @@
         self.numbers: dict[str, int] = {}
         self.records: dict[str, Record] = {}
         self.copies: dict[str, tables.Copy] = {}
+        self.layouts: dict[str, item_files.Layout] = {}
         self.sound: dict[str, bool] = {}
         self.garbage: dict[str, list[str]] = {}
-        self.unsaved: dict[str, set[str]] = {table: set() for table in items.TABLES}
+        # Written for a record that never came: on the disk, perhaps, and not to be counted.
+        self.strays: dict[str, set[str]] = {table: set() for table in items.TABLES}
 
     async def open(self) -> None:
         files, torn = await self.disk.load()
         if torn:
             ring.note("torn-files", names=torn)
-        damaged = any(".voter." in name or name == "vault" for name in torn)
+        # Put aside by a start that power was lost in, before this disk had a new id to show for it.
+        torn = [*torn, *self.disk.put_aside]
+        damaged = "vault" in torn
         for table in items.TABLES:
-            self.load_table(table, files)
             # An older record in place of a torn newer one would take promises back: that disk has no vote.
-            damaged = damaged or (table not in self.records and any(n.startswith(table) for n in files))
+            # A torn older one is a file written anew that a loss of power has left under its earlier name.
+            self.load_table(table, files)
+            voters = [name for name in torn if name.startswith(f"{table}.voter.")]
+            damaged = damaged or any(item_files.number_of(name) > self.numbers[table] for name in voters)
+            used = [name for name in (*files, *torn) if name.startswith((f"{table}.voter.", f"{table}.seg"))]
+            self.numbers[table] = max([self.numbers[table], *map(item_files.number_of, used)])
         if "vault" in files and not damaged:
             self.identity = files["vault"].decode()
         else:
@@ -73,37 +99,33 @@
         copy = tables.Copy(table)
         self.copies[table] = copy
         self.numbers[table] = 0
+        layout = self.layouts[table] = item_files.Layout()
         names = sorted(name for name in files if name.startswith(f"{table}.voter."))
+        record = BLANK
         if names:
-            promised, applied, root, accepted, pending, gone = ormsgpack.unpackb(files[names[-1]])
-            batch = None if pending is None else items.decode_batch(pending)
-            self.numbers[table] = int(names[-1].rsplit(".", 1)[1])
-            numbers = [versions.decode(parts) for parts in (promised, applied, accepted)]
-            record = Record(numbers[0], numbers[1], root, numbers[2], batch, tuple(gone))
-            self.records[table] = record
+            record = self.records[table] = decode_record(files[names[-1]])
+            self.numbers[table] = item_files.number_of(names[-1])
             copy.applied = record.applied
-        gone_names = set(self.records.get(table, BLANK).gone)
-        # Left over from the last run: the files that a newer record has replaced.
-        self.garbage[table] = [*names[:-1], *(name for name in gone_names if name in files)]
-        for name, content in files.items():
-            if name.startswith(f"{table}.item.") and name not in gone_names:
-                item = items.decode(ormsgpack.unpackb(content))
-                # Versions newer than the applied version belong to a commit that was cut short; it is done
-                # again.
-                if item.version <= copy.applied:
-                    copy.merge(item)
+        layout.forgotten = dict(record.forgotten)
+        item_files.load(copy, layout, files, record.segments, set(record.gone))
+        # Left over from the last run: all but the newest record and what it rests on.
+        counted = layout.names() | set(names[-1:])
+        self.garbage[table] = [n for n in files if n.startswith(f"{table}.") and n not in counted]
         roots = (copy.root(), tables.first_root(copy))
-        self.sound[table] = not names or self.records[table].root in roots
+        self.sound[table] = not names or record.root in roots
 
     async def save_record(self, table: str, record: Record) -> None:
+        await self.write_record(table, record)
+        await self.sweep(table)
+
+    async def write_record(self, table: str, record: Record) -> None:
         self.numbers[table] += 1
         number = self.numbers[table]
-        pending = None if record.pending is None else items.encode_batch(record.pending)
-        numbers = (tuple(record.promised), tuple(record.applied), record.root, tuple(record.accepted))
-        content = (*numbers, pending, record.gone)
-        await self.disk.write([(f"{table}.voter.{number:012d}", ormsgpack.packb(content))])
+        await self.disk.write([(f"{table}.voter.{number:012d}", encode_record(record))])
         self.records[table] = record
         self.garbage[table].append(f"{table}.voter.{number - 1:012d}")
+
+    async def sweep(self, table: str) -> None:
         if len(self.garbage[table]) > GARBAGE_LIMIT:
             names, self.garbage[table] = self.garbage[table], []
             await self.disk.remove(names)
@@ -111,41 +133,45 @@
     def behind(self, table: str, live: tables.Copy) -> dict[str, items.Item | None]:
         """Keys whose file is out of date, with what they hold now; None where nothing is left."""
         kept = self.copies[table]
-        # What does not add up says nothing about which rows are wrong, so all are written.
-        if not self.sound[table]:
+        changed, forgotten = live.after(kept.applied)
+        keys = {item.key for item in changed} | set(forgotten)
+        # A forgetting that the live copy no longer remembers shows in the root: then all are compared.
+        if not self.sound[table] or kept.sums_with(keys, live) != live.sums:
             keys = set(kept.items) | set(live.items)
-        else:
-            changed, forgotten = live.after(kept.applied)
-            keys = {item.key for item in changed} | set(forgotten) | self.unsaved[table]
-        return {key: live.items.get(key) for key in keys}
+        wanted = {key: live.items.get(key) for key in keys}
+        return {key: item for key, item in wanted.items() if item != kept.items.get(key)}
 
     async def save_copy(self, table: str, live: tables.Copy, record: Record) -> None:
         """Items first, then the record that confirms for them, and only then the old versions go."""
         # Taken all at once: the live copy moves on while the disk is waited for.
         wanted, applied, root = self.behind(table, live), live.applied, live.root()
-        old, sound = self.copies[table].items, self.sound[table]
-        fresh = {
-            key: item
-            for key, item in wanted.items()
-            if item is not None and (old.get(key) != item or not sound or key in self.unsaved[table])
-        }
-        # Until the record is written nobody knows which of these files are on the disk.
-        self.unsaved[table] |= set(wanted)
-        if fresh:
-            packed = [(item_file(table, i), ormsgpack.packb(items.encode(i))) for i in fresh.values()]
-            await self.disk.write(packed)
+        kept, old, strays = self.copies[table], self.layouts[table], self.strays[table]
+        segment = item_files.segment_file(table, self.numbers[table] + 1)
+        layout, files = item_files.plan(kept, old, wanted, not self.sound[table], segment)
+        strays |= {name for name, _ in files}
+        if files:
+            await self.disk.write(files)
+        counted = layout.names()
+        obsolete = dict.fromkeys((*sorted(old.names() | strays), *self.garbage[table]))
+        garbage = [name for name in obsolete if name not in counted]
         # Still on the disk, but never to be read again: a forgotten key must not come back with a restart.
-        left = [name for name in self.garbage[table] if ".item." in name]
-        left += [item_file(table, old[key]) for key in wanted if key in old and wanted[key] != old[key]]
-        self.garbage[table] = [name for name in self.garbage[table] if ".item." not in name] + left
-        await self.save_record(table, record._replace(applied=applied, root=root, gone=tuple(left)))
-        kept = self.copies[table]
+        changed = record._replace(
+            applied=applied,
+            root=root,
+            gone=tuple(name for name in garbage if ".item." in name),
+            segments=tuple(layout.segments),
+            forgotten=tuple(layout.forgotten.items()),
+        )
+        # Until this record is written, the files before it are what counts.
+        await self.write_record(table, changed)
+        self.garbage[table] = [*garbage, *self.garbage[table][-1:]]
         for key, item in wanted.items():
             if item is None:
                 kept.remove(key)
             else:
                 kept.put(item)
         kept.applied = applied
-        self.unsaved[table].clear()
-        # A forgetting that the live copy no longer remembers shows here, and is mended by writing all anew.
+        self.layouts[table] = layout
+        strays.clear()
         self.sound[table] = kept.root() == root
+        await self.sweep(table)
--- a/src/irisstand/state/tables.py
+++ b/src/irisstand/state/tables.py
@@ -86,6 +86,15 @@
     def root(self) -> bytes:
         return root_of(self.sums)
 
+    def sums_with(self, keys: collections.abc.Iterable[str], other: "Copy") -> list[int]:
+        """The sums of the ranges, were these keys as they are in the other copy."""
+        sums = list(self.sums)
+        for key in keys:
+            number = range_of(key)
+            change = other.hashes.get(key, 0) - self.hashes.get(key, 0)
+            sums[number] = (sums[number] + change) % WORD
+        return sums
+
     def range_items(self, numbers: set[int]) -> list[items.Item]:
         return [item for key, item in self.items.items() if range_of(key) in numbers]
 
--- /dev/null
+++ b/tests/test_power_loss.py
@@ -0,0 +1,115 @@
+"""A loss of power keeps or loses each unsynced name by itself: what was acknowledged is there all the same."""
+
+import asyncio
+import pathlib
+import random
+
+import pytest
+
+import irisstand.errors as errors
+import irisstand.simulator.simulated_folder
+import irisstand.state.disk
+import irisstand.state.durable_store
+import irisstand.state.items as items
+import irisstand.state.tables as tables
+import irisstand.state.versions as versions
+
+STEPS = 120
+LIVES = 4
+
+
+class Voter:
+    """One voter's disk and what it has acknowledged, which no loss of power may take back."""
+
+    def __init__(self, seed):
+        self.randomness = random.Random(seed)
+        self.folder = irisstand.simulator.simulated_folder.SimulatedFolder(random.Random(seed + 1))
+        self.live = {table: tables.Copy(table) for table in items.TABLES}
+        self.acknowledged = {}
+        self.sent = {}
+        self.store = None
+        self.identity = ""
+
+    async def start(self):
+        disk = irisstand.state.disk.FolderDisk(pathlib.Path("simulated"), self.folder)
+        self.store = irisstand.state.durable_store.DurableStore(disk, self.randomness)
+        await self.store.open()
+
+    async def step(self):
+        table = self.randomness.choice(items.TABLES)
+        record = self.store.records[table]
+        draw = self.randomness.random()
+        if draw < 0.4 and record.applied != versions.NONE:
+            changed = record._replace(promised=record.promised.after("n"))
+            self.sent[table] = changed
+            await self.store.save_record(table, changed)
+        else:
+            self.decide(table, 200 if draw > 0.97 else self.randomness.randrange(1, 6))
+            self.sent[table] = record._replace(applied=self.live[table].applied)
+            await self.store.save_copy(table, self.live[table], record)
+        self.acknowledged[table] = self.store.records[table]
+
+    def decide(self, table, count):
+        live = self.live[table]
+        rows = []
+        for key in {f"key/{self.randomness.randrange(40)}" for _ in range(count)}:
+            rows.append((key, self.randomness.random(), key in live.items and self.randomness.random() < 0.4))
+        live.apply(items.Batch(live.applied.after("n"), live.applied, tuple(rows)))
+
+    def check(self):
+        assert self.store.identity == self.identity, "the disk has lost its vote"
+        for table, record in self.acknowledged.items():
+            found = self.store.records[table]
+            assert (found.promised, found.applied) >= (record.promised, record.applied)
+            assert found.promised >= record.promised and found.applied >= record.applied
+            assert self.store.sound[table], f"{table} does not add up"
+            # One record more than was acknowledged may have reached the disk, and nothing else.
+            assert (found.promised, found.applied) in (
+                (record.promised, record.applied),
+                (self.sent[table].promised, self.sent[table].applied),
+            )
+
+
+async def live_and_lose_power(seed, full=False):
+    voter = Voter(seed)
+    await voter.start()
+    voter.identity = voter.store.identity
+    for _ in range(LIVES):
+        if full:
+            start = voter.folder.operations + voter.randomness.randrange(100)
+            voter.folder.full_at = range(start, start + voter.randomness.randrange(1, 20))
+        voter.folder.off_at = voter.folder.operations + voter.randomness.randrange(1, 600)
+        try:
+            for _ in range(STEPS):
+                try:
+                    await voter.step()
+                except errors.DiskFull:
+                    assert full
+        except irisstand.simulator.simulated_folder.PowerLoss:
+            pass
+        voter.folder.full_at = range(0)
+        voter.folder.lose_power()
+        try:
+            # It may go off again while it starts.
+            if voter.randomness.random() < 0.3:
+                voter.folder.off_at = voter.folder.operations + voter.randomness.randrange(1, 40)
+                await voter.start()
+        except irisstand.simulator.simulated_folder.PowerLoss:
+            voter.folder.lose_power()
+        voter.folder.off_at = None
+        await voter.start()
+        voter.check()
+        for table in items.TABLES:
+            voter.acknowledged[table] = voter.sent[table] = voter.store.records[table]
+
+
+@pytest.mark.parametrize("block", range(6))
+def test_what_was_acknowledged_outlives_a_loss_of_power_at_any_file_operation(block):
+    for seed in range(block * 20, block * 20 + 20):
+        asyncio.run(live_and_lose_power(seed))
+
+
+@pytest.mark.parametrize("block", range(3))
+def test_a_disk_that_fills_at_any_single_write_leaves_nothing_that_does_not_add_up(block):
+    for seed in range(1000 + block * 20, 1000 + block * 20 + 20):
+        asyncio.run(live_and_lose_power(seed, full=True))
