--- a/tests/test_restart_after_changes.py
+++ b/tests/test_restart_after_changes.py
@@ -6,6 +6,7 @@
 import time
 import types
 
+import ormsgpack
 import pytest
 import scenes
 
@@ -13,6 +14,7 @@
 import irisstand.simulator.simulated_folder
 import irisstand.state.disk
 import irisstand.state.durable_store
+import irisstand.state.item_files
 import irisstand.state.items as items
 import irisstand.state.replicator
 import irisstand.state.tables as tables
@@ -174,3 +176,33 @@
         assert len(confirmed) > 400
 
     scenes.play(scene)
+
+
+def test_a_folder_whose_records_know_no_segments_starts_and_goes_on():
+    """As the version before wrote it: six fields a record, and each item in a file of its own."""
+
+    async def scene():
+        folder, live = new_folder(), tables.Copy(items.LEDGER)
+        disk = irisstand.state.disk.FolderDisk(pathlib.Path("simulated"), folder)
+        await disk.load()
+        grow(live, 60, random.Random(4), removals=0)
+        files = [
+            (irisstand.state.item_files.item_file(items.LEDGER, item), ormsgpack.packb(items.encode(item)))
+            for item in live.items.values()
+        ]
+        number = tuple(live.applied)
+        record = ((number[0] + 5, "n"), number, live.root(), (0, ""), None, ("ledger.item.gone",))
+        await disk.write(
+            [*files, ("vault", b"its-id"), ("ledger.voter.000000000007", ormsgpack.packb(record))]
+        )
+        store = await store_on(folder)
+        assert store.identity == "its-id" and store.sound[items.LEDGER]
+        assert store.copies[items.LEDGER].root() == live.root()
+        assert store.records[items.LEDGER].promised == versions.Version(number[0] + 5, "n")
+        grow(live, 300, random.Random(5))
+        await store.save_copy(items.LEDGER, live, store.records[items.LEDGER])
+        again = await store_on(folder)
+        assert again.identity == "its-id" and again.sound[items.LEDGER]
+        assert again.copies[items.LEDGER].root() == live.root()
+
+    asyncio.run(scene())
