--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -118,7 +118,7 @@
 
 
 def test_an_item_under_another_items_name_does_not_count():
-    """As a folder of the version before may hold it, where a file written anew came back under its old name."""
+    """As a folder of the version before may hold it, where a file came back under its old name."""
 
     async def scene():
         voter = Voter(7)
