--- a/src/irisstand/state/outage.py
+++ b/src/irisstand/state/outage.py
@@ -68,7 +68,8 @@
 
     def is_without_majority(self, voter: quorum.Voter, copy: tables.Copy, told: list, stand: list) -> bool:
         """By its own words; and nothing that it knows of has passed this node by."""
-        is_current = next(current for name, _, current in told if name == copy.name)
+        # One that says nothing about the table may well be able to confirm it.
+        is_current = {name: current for name, _, current in told}.get(copy.name, True)
         disk_id, applied, pending, _ = stand
         if disk_id != voter.disk_id or is_current or versions.decode(applied) > copy.applied:
             return False
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -160,3 +160,18 @@
         assert await seconds_in_use(world, "agency-1") <= BOUND + 0.1
 
     play(scene)
+
+
+def test_answers_that_make_no_sense_are_no_evidence_and_end_nothing():
+    async def scene(world):
+        async def nonsense(sender, body):
+            return ()
+
+        for name in cores(world):
+            cut(world, [name], [other for other in cores(world) if other != name])
+            world.nodes[name].body.context.transport.handlers["tips"] = nonsense
+        assert await seconds_in_use(world) <= BOUND + 0.1
+        await stays_out(world)
+        assert not world.nodes["edge-1"].body.context.crashed.done()
+
+    play(scene)
