--- a/src/irisstand/controlplane/assembly.py
+++ b/src/irisstand/controlplane/assembly.py
@@ -15,6 +15,7 @@
     retention,
     staffing,
     submitting,
+    voter_planner,
 )
 from irisstand.controlplane import platform_watch as watch
 from irisstand.controlplane import proposer as proposers
@@ -46,6 +47,7 @@
         self.read_index = majority_check.ReadIndex(self.checks)
         self.submitter = submitting.Submitter(self.core, self.proposers)
         self.founding = founding.Bootstrap(self.core, self.submitter)
+        self.planner = voter_planner.VoterPlanner(self.core, self.submitter)
         self.duties: list[duties.Duty] = []
         if ask_platform is not None:
             watcher = watch.Watch(self.context, ask_platform)
@@ -68,6 +70,7 @@
             self.context.start(self.proposers[table].run(), f"taker of {table}")
             self.context.start(self.checks[table].run(), f"pulse of {table}")
         self.context.start(self.founding.run(), "founding")
+        self.context.start(self.planner.run(), "voter planner")
         for duty in self.duties:
             self.context.start(duty.run(), f"duty {duty.name}")
 
--- a/src/irisstand/controlplane/bootstrap.py
+++ b/src/irisstand/controlplane/bootstrap.py
@@ -4,7 +4,7 @@
 
 from irisstand import errors, ring
 from irisstand.controlplane import core as cores
-from irisstand.controlplane import fleet_view, orders, submitting
+from irisstand.controlplane import orders, submitting
 from irisstand.state import items, quorum, versions
 
 FIRST = versions.Version(1, "founding")
@@ -14,15 +14,22 @@
     def __init__(self, core: cores.Core, submitter: submitting.Submitter) -> None:
         self.core, self.context, self.submitter = core, core.context, submitter
         self.missing_since: dict[str, float] = {}
-        self.view = fleet_view.FleetView(self.context)
         self.context.transport.handlers["core-state"] = self.on_core_state
         self.context.transport.handlers["hold"] = self.on_hold
 
     async def on_core_state(self, _: str, body: list) -> tuple:
-        return (tuple(self.core.own_voter()), self.is_empty())
+        return (tuple(self.core.own_voter()), self.is_empty(), self.context.leaving)
 
-    async def on_hold(self, _: str, body: list) -> tuple:
-        """A voter to be: all tables are current and on its disk before it says who it is."""
+    async def on_hold(self, sender: str, body: list) -> tuple:
+        """A voter to be: all tables are current, no older than the asker's, and on its disk before it says
+        who it is."""
+        for table, parts in body:
+            if self.context.copies[table].applied < versions.decode(parts):
+                await self.core.catch_up(table, sender)
+            if self.context.copies[table].applied < versions.decode(parts):
+                raise errors.NotFounded("this node is behind the one that asks")
+        if self.context.leaving:
+            raise errors.NotFounded("this node is about to end")
         for table in items.TABLES:
             if not self.context.is_current(self.context.copies[table]):
                 raise errors.NotFounded("this node has not learnt the tables yet")
@@ -56,7 +63,7 @@
         states = [(self.core.own_voter(), True)]
         for address, name in self.founders():
             try:
-                voter, empty = await self.context.transport.ask(address, name, "core-state", (), 1.0)
+                voter, empty, *_ = await self.context.transport.ask(address, name, "core-state", (), 1.0)
             except errors.IrisError:
                 # One that cannot be asked may know a founded core.
                 await self.learn()
@@ -91,10 +98,13 @@
         return [(u.card.address, u.identity.name) for u in self.context.peers("agency")]
 
     async def learn(self) -> None:
-        for address, name in self.core.refresher.sources():
+        # Other roles do not hold all tables; one peer's refusal must not end the round before the next.
+        cores_known = {update.identity.name for update in self.context.peers("agency")}
+        sources = self.core.refresher.sources()
+        for address, name in [source for source in sources if source[1] in cores_known]:
             try:
                 await self.core.replicator.pull(address, name)
-            except (errors.Unreached, errors.Unanswered):
+            except (errors.IrisError, ValueError, TypeError):
                 continue
             # Another empty node has answered, too, and taught nothing.
             if not self.is_empty():
@@ -106,29 +116,27 @@
             copy = self.context.copies[table]
             if copy.applied == versions.NONE:
                 await self.learn()
+            # Where the seeds found the core, the voters plan who votes: see voter_planner.
+            if self.context.settings.found_by_seeds:
+                continue
             if self.core.votes(table) or not self.context.is_current(copy):
                 continue
-            leaves = await self.replaceable(table)
-            room = self.context.settings.voters if self.context.settings.found_by_seeds else 0
+            leaves = self.replaceable(table)
             # A spare core node: it knows everything, and waits until a voter is gone.
-            if not leaves and len(self.core.voters(table)) >= room:
+            if not leaves:
                 continue
             await self.core.owners[table].order("keep")
-            payload = (tuple(self.core.own_voter()), leaves, room)
+            payload = (tuple(self.core.own_voter()), leaves)
             await self.submitter.submit(orders.Order(f"enrol-{table}", "", payload))
             ring.note("enrolled", table=table, leaves=leaves)
 
-    async def replaceable(self, table: str) -> str:
+    def replaceable(self, table: str) -> str:
         """The voter whose place this node may take: its own older self, or one that is long gone."""
         now = self.context.clock.now()
         voters = self.core.voters(table)
         if any(voter.name == self.context.settings.name for voter in voters):
             return self.context.settings.name
         present = {update.identity.name for update in self.context.peers("agency")}
-        if self.context.settings.found_by_seeds:
-            # SWIM keeps a dead member for seconds; the next loss may come before that.
-            heard = await asyncio.gather(*(self.view.stands(voter, table) for voter in voters))
-            present = {voter.name for voter, stands in zip(voters, heard, strict=True) if stands}
         for voter in voters:
             if voter.name in present:
                 self.missing_since.pop(voter.name, None)
--- a/src/irisstand/controlplane/core.py
+++ b/src/irisstand/controlplane/core.py
@@ -10,6 +10,8 @@
 from irisstand.state import replicator as replicators
 
 PATIENCE = 1.0
+# Seconds without any question, asked or answered, after which this process itself stood still.
+STOOD_STILL = 0.8
 
 
 class Core:
@@ -20,9 +22,13 @@
         self.refresher = refresher.Refresher(context, self.replicator)
         self.owners: dict[str, owner.Owner] = {}
         self.asking: set[asyncio.Task] = set()
+        # When each voter's disk last said where it stands, or was first asked.
+        self.heard: dict[str, float] = {}
+        self.awake_at = 0.0
         for kind in ("promise", "accept", "commit", "found"):
             context.transport.handlers[kind] = getattr(self, f"on_{kind}")
         context.transport.handlers["stand"] = self.on_stand
+        context.transport.handlers["hears"] = self.on_hears
 
     async def open(self) -> None:
         await self.store.open()
@@ -79,18 +85,41 @@
 
     async def on_stand(self, _: str, body: list) -> tuple:
         """Where this node stands, from memory: it must answer even while its disk is stalled."""
+        self.note_awake()
         (table,) = body
         record = self.store.records[table]
         pending = None if record.pending is None else tuple(record.pending.base)
         applied = max(record.applied, self.context.copies[table].applied)
         return (self.store.identity, tuple(applied), pending, tuple(record.promised))
 
+    async def on_hears(self, _: str, body: list) -> tuple:
+        """Its disk, and for how many seconds each voter's disk has not been heard here."""
+        self.note_awake()
+        now, own = self.context.clock.now(), self.store.identity
+        voting = {voter.disk_id for table in items.TABLES for voter in self.voters(table)}
+        silent = [(disk_id, now - since) for disk_id, since in self.heard.items() if disk_id in voting]
+        return (own, tuple(entry for entry in silent if entry[0] != own))
+
+    def note_awake(self) -> None:
+        """Silence counts only while this process runs: one that stood still has heard nobody, and says
+        nothing by that."""
+        now = self.context.clock.now()
+        if now - self.awake_at > STOOD_STILL:
+            self.heard = dict.fromkeys(self.heard, now)
+        self.awake_at = now
+
     # -- asking the voters ---------------------------------------------------------------------------
     async def ask_voter(self, voter: quorum.Voter, kind: str, body: tuple) -> typing.Any:
         if voter.disk_id == self.store.identity:
             handler = self.context.transport.handlers[kind]
             return await handler(self.context.settings.name, list(body))
-        return await self.context.transport.ask((voter.host, voter.port), voter.name, kind, body, PATIENCE)
+        self.note_awake()
+        self.heard.setdefault(voter.disk_id, self.context.clock.now())
+        address = (voter.host, voter.port)
+        reply = await self.context.transport.ask(address, voter.name, kind, body, PATIENCE)
+        if kind == "stand" and reply[0] == voter.disk_id:
+            self.heard[voter.disk_id] = self.context.clock.now()
+        return reply
 
     async def gather(
         self,
--- a/src/irisstand/controlplane/voter_changes.py
+++ b/src/irisstand/controlplane/voter_changes.py
@@ -45,3 +45,21 @@
         message = f"without {payload} the loss of one site would end the majority; replace it instead"
         raise errors.BadChange([{"row": None, "field": "voters", "message": message}])
     return {items.VOTERS: [tuple(voter) for voter in following]}
+
+
+def plan_voters(overlay: Overlay, payload: typing.Any) -> Planned:
+    """The whole set at once, agreed by old and new set; only from the version that its planner saw."""
+    expected, decoded = payload[0], [quorum.Voter(*parts) for parts in payload[1]]
+    if str(overlay.version(items.VOTERS)) != expected:
+        raise errors.StaleVersion([{"voters": expected, "in_force": str(overlay.version(items.VOTERS))}])
+    voters = quorum.decode(overlay.value(items.VOTERS))
+    alike = len(decoded) != len({v.name for v in decoded}) or len(decoded) != len(
+        {v.disk_id for v in decoded}
+    )
+    loses = quorum.outlives_any_site(voters) and not quorum.outlives_any_site(decoded)
+    if not decoded or alike or loses:
+        message = "the set is empty, names one twice, or the loss of one site would end its majority"
+        raise errors.BadChange([{"row": None, "field": "voters", "message": message}])
+    if {voter.disk_id for voter in voters} == {voter.disk_id for voter in decoded}:
+        return {}
+    return {items.VOTERS: [tuple(voter) for voter in decoded]}
--- /dev/null
+++ b/tests/test_voter_target.py
@@ -0,0 +1,100 @@
+"""The target set of voters as a decision, and the order that changes a whole set."""
+
+import asyncio
+
+import pytest
+from scenes_voters import (
+    BUILT,
+    CATCH_UP,
+    is_whole,
+    kill_and_wipe,
+    play,
+    voters,
+)
+
+import irisstand.controlplane.orders as orders
+import irisstand.controlplane.voter_target as voter_target
+import irisstand.errors as errors
+import irisstand.state.items as items
+import irisstand.state.quorum as quorum
+
+
+def test_two_newcomers_for_one_place_leave_one_set_for_all_tables():
+    async def scene(world):
+        await world.until(lambda: is_whole(world), BUILT)
+        lost = world.nodes["agency-5"]
+        kill_and_wipe(lost)
+        world.retire(lost)
+        for number in (8, 9):
+            plan = lost.plan._replace(
+                name=f"agency-{number}", machine=f"m-{number}", host=f"10.0.0.9{number}"
+            )
+            await world.add(plan).start()
+        await world.until(lambda: is_whole(world), CATCH_UP)
+        assert len(voters(world)) == 5
+
+    play(scene, "abcab")
+
+
+def test_sets_of_three_tables_that_disagree_are_made_one():
+    async def scene(world):
+        await world.until(lambda: is_whole(world), BUILT)
+        await asyncio.sleep(2)
+        node = world.nodes[voters(world)[0].name]
+        copy = node.body.context.copies[items.CLAIMS]
+        fewer = tuple(tuple(voter) for voter in {voter.site: voter for voter in voters(world)}.values())
+        payload = (str(copy.version(items.VOTERS)), fewer)
+        await node.do(node.body.submitter.submit(orders.Order("voters-claims", "", payload)), 3)
+        assert len(voters(world, items.CLAIMS)) == 3
+        await world.until(lambda: is_whole(world), CATCH_UP)
+
+    play(scene, "abcabc")
+
+
+def test_a_change_planned_from_an_older_set_or_into_a_weaker_one_is_refused():
+    async def scene(world):
+        await world.until(lambda: is_whole(world), BUILT)
+        node = world.nodes[voters(world)[0].name]
+        version = str(node.body.context.copies[items.LEDGER].version(items.VOTERS))
+        in_force = [tuple(voter) for voter in voters(world)]
+        one_zone = [voter for voter in in_force if voter[2] == "a"]
+        for payload, kind in (
+            (("1@founding", tuple(in_force)), errors.StaleVersion),
+            ((version, tuple(one_zone)), errors.BadChange),
+            ((version, tuple([*in_force, in_force[0]])), errors.BadChange),
+            ((version, ()), errors.BadChange),
+        ):
+            with pytest.raises(kind):
+                await node.do(node.body.submitter.submit(orders.Order("voters-ledger", "", payload)), 3)
+        assert [tuple(voter) for voter in voters(world)] == in_force
+
+    play(scene, "abcab")
+
+
+def made(zones, start=0):
+    names = [f"n{number + start:02}" for number in range(len(zones))]
+    return [
+        quorum.Voter(name, f"disk-{name}", zone, "h", 1, name)
+        for name, zone in zip(names, zones, strict=True)
+    ]
+
+
+def test_the_target_is_the_widest_set_with_the_fewest_moves_and_never_smaller():
+    for zones in ("abc", "aabbc", "aaabbcc", "abcdabcd", "aaaabcd", "abcdeabcdea"):
+        pool = made(zones)
+        for seeds in (pool[:3], pool[-3:], []):
+            found = voter_target.target_voters(pool, seeds, set(), 5)
+            assert quorum.outlives_any_site(found) and len(found) == min(5, len(pool)), zones
+            # Reached once, it is left alone, in whatever order the candidates are told.
+            assert voter_target.target_voters(pool[::-1], found, set(), 5) == found
+    five = made("abcab")
+    assert voter_target.target_voters(five[1:], five, {five[0].disk_id}, 5) == five
+    spare = made("b", 7)
+    repaired = voter_target.target_voters([*five[1:], *spare], five, {five[4].disk_id}, 5)
+    assert set(five[:4]) < set(repaired) and spare[0] in repaired
+    # A place lost in one zone is not filled by one more of a zone whose loss would end the majority.
+    assert (
+        voter_target.target_voters([*five[:2], *five[3:], *made("a", 8)], five, {five[2].disk_id}, 5) == five
+    )
+    renewed = five[0]._replace(disk_id="new")
+    assert renewed in voter_target.target_voters([renewed, *five[1:]], five, set(), 5)
