--- a/tests/guarded_control.py
+++ b/tests/guarded_control.py
@@ -195,4 +195,46 @@
         "    if False:",
         "test_cut_off_leases.py::test_a_holder_that_thaws_writes_nothing_under_a_lease_that_another_has_taken",
     ),
+    (
+        "controlplane/voter_target.py",
+        "    cap = (size - 1) // 2 if len(zones) > 2 else size",
+        "    cap = size",
+        "test_voter_target.py::test_the_target_is_the_widest_set_with_the_fewest_moves_and_never_smaller",
+    ),
+    (
+        "controlplane/voter_planner.py",
+        "            if 2 * says > len(voters):",
+        "            if says:",
+        "test_voter_sets.py::test_one_bad_link_between_two_voters_unseats_neither",
+    ),
+    (
+        "controlplane/core.py",
+        "        if now - self.awake_at > STOOD_STILL:",
+        "        if False:",
+        "test_voter_sets.py::test_a_majority_that_stood_still_together_unseats_nobody_when_it_goes_on",
+    ),
+    (
+        "controlplane/voter_planner.py",
+        "            self.context.held = self.is_handing_over",
+        "            pass",
+        "test_voter_sets.py::test_after_a_planned_replacement_the_power_of_all_others_may_go",
+    ),
+    (
+        "controlplane/voter_changes.py",
+        "    if str(overlay.version(items.VOTERS)) != expected:",
+        "    if False:",
+        "test_voter_target.py::test_a_change_planned_from_an_older_set_or_into_a_weaker_one_is_refused",
+    ),
+    (
+        "controlplane/voter_planner.py",
+        "*(self.change(table, target) for table in items.TABLES)",
+        "self.change(items.LEDGER, target)",
+        "test_voter_target.py::test_sets_of_three_tables_that_disagree_are_made_one",
+    ),
+    (
+        "controlplane/bootstrap.py",
+        "        for address, name in [source for source in sources if source[1] in cores_known]:\n            try:\n                await self.core.replicator.pull(address, name)\n            except (errors.IrisError, ValueError, TypeError):",
+        "        for address, name in sources:\n            try:\n                await self.core.replicator.pull(address, name)\n            except (errors.Unreached, errors.Unanswered):",
+        "test_voter_sets.py::test_a_lost_zone_is_repaired_within_catch_up_so_that_the_next_may_go",
+    ),
 ]
