--- a/src/irisstand/simulation_commands.py
+++ b/src/irisstand/simulation_commands.py
@@ -110,5 +110,35 @@
     sys.exit(1 if figures.broken else 0)
 
 
+@click.command("check-model", help="Explore what order, loss and crashes may do to the decision code.")
+@click.option("--deviations", type=click.IntRange(0, 9), default=1, show_default=True)
+@click.option("--scenarios", "wanted", default="", help="names with commas between them; all if left out")
+@click.option("--workers", type=click.IntRange(1, 256), default=1, show_default=True)
+@click.option("--walks", type=click.IntRange(0), default=0, show_default=True, help="random walks instead")
+@click.option("--first", type=int, default=1, show_default=True, help="the first walk's seed")
+@click.option("--replay", default="", help="one run by its choices, with what it did")
+def check_model(deviations: int, wanted: str, workers: int, walks: int, first: int, replay: str) -> None:
+    from irisstand.modelcheck import check, scenarios
+
+    names = wanted.split(",") if wanted else list(scenarios.REGISTRY)
+    if unknown := [name for name in names if name not in scenarios.REGISTRY]:
+        raise click.BadParameter(f"no scenario {unknown[0]}; use one of {', '.join(scenarios.REGISTRY)}")
+    if replay:
+        choices = tuple(int(choice) for choice in replay.split(","))
+        sys.exit(check.replay(names[0], choices, click.echo))
+    seeds = range(first, first + walks)
+    sys.exit(max(check.check(name, deviations, workers, seeds, click.echo) for name in names))
+
+
 # Plug-in point: a command of the rehearsal is an entry here.
-COMMANDS = [rehearse, stand_ins, simulate, storm, detection, sizes, big_configurations, fuzz_origins]
+COMMANDS = [
+    rehearse,
+    stand_ins,
+    simulate,
+    storm,
+    detection,
+    sizes,
+    big_configurations,
+    fuzz_origins,
+    check_model,
+]
