--- a/src/irisstand/modelcheck/events.py
+++ b/src/irisstand/modelcheck/events.py
@@ -25,6 +25,8 @@
     run: collections.abc.Callable[[], None]
     lose: collections.abc.Callable[[], None] | None = None
     life: int = 0
+    # Held back or doubled once already; it is not again, or nothing would ever end.
+    is_late: bool = False
 
 
 def digest(payload: bytes) -> str:
--- a/src/irisstand/modelcheck/oracle.py
+++ b/src/irisstand/modelcheck/oracle.py
@@ -147,7 +147,7 @@
         self.buried[node.core.store.identity] = dict(node.disk.files)
 
     def check_disks(self, world: typing.Any, version: versions.Version) -> None:
-        """At a yes the batch is on the synced disks of a majority, in more than one site if there are more."""
+        """At a yes the synced disks of a majority hold the batch, in more than one site if there are more."""
         batch = next((batch for batch in self.decided.values() if batch.version == version), None)
         if batch is None or batch.base not in self.states:
             return
