--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -88,6 +88,19 @@
     assert sum("drop: a.1" in line and "accept" in line for line in world.trace) >= 2
 
 
+def test_a_majority_check_after_a_yes_does_not_rest_on_a_batch_that_is_only_pending_where_it_asks():
+    steps = (scenarios.Step(scenarios.ORDER, "b", X), scenarios.Step(scenarios.READ, "a", after=0))
+    world, broken, _ = directed(
+        steps,
+        (r"^b\.1#\d+>a", "drop", False),
+        (r"^b\.1#\d+>c commit", "hold", False),
+        (r"^a\.1#\d+>b stand", "drop", False),
+    )
+    assert not broken
+    assert world.results[0] == "yes"
+    assert world.results[1] == "read"
+
+
 def test_no_two_contents_are_confirmed_under_one_version():
     report = explore.explore(scenarios.REGISTRY["contents"], deviations=1)
     assert not report.broken
