--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -23,9 +23,9 @@
 
 @pytest.mark.parametrize("name", NAMES)
 def test_random_walks_with_links_in_trouble_keep_all_rules(name):
-    report = walk.walk(scenarios.REGISTRY[name], range(1, 31))
+    report = walk.walk(scenarios.REGISTRY[name], range(1, 41))
     assert not report.broken
-    assert report.runs == 30
+    assert report.runs == 40
 
 
 def test_the_same_choices_give_the_same_run():
