--- a/tests/guarded_state.py
+++ b/tests/guarded_state.py
@@ -2,6 +2,36 @@
 # ruff: noqa: E501
 
 GUARDS = [
+    (
+        "state/owner.py",
+        "        if ballot <= record.promised:\n",
+        "        if False:\n",
+        "test_model.py::test_random_walks_with_links_in_trouble_keep_all_rules[race]",
+    ),
+    (
+        "state/quorum.py",
+        "    return is_majority(voters, disk_ids) and (len(sites) == 1 or len(holding) > 1)",
+        "    return is_majority(voters, disk_ids)",
+        "test_model.py::test_random_walks_with_links_in_trouble_keep_all_rules[sites]",
+    ),
+    (
+        "state/owner.py",
+        "        await self.store.save_record(self.table, record._replace(promised=ballot))",
+        "        asyncio.get_running_loop().create_task(\n            self.store.save_record(self.table, record._replace(promised=ballot))\n        )",
+        "test_model.py::test_random_walks_with_links_in_trouble_keep_all_rules[race]",
+    ),
+    (
+        "state/owner.py",
+        "        await self.store.save_record(self.table, changed)",
+        "        asyncio.get_running_loop().create_task(self.store.save_record(self.table, changed))",
+        "test_model.py::test_random_walks_with_links_in_trouble_keep_all_rules[race]",
+    ),
+    (
+        "state/owner.py",
+        "        if self.record.applied == versions.NONE or not self.store.sound[self.table]:\n",
+        "        if False:\n",
+        "test_disks.py::test_a_damaged_file_is_put_aside_and_neither_served_nor_voted_from",
+    ),
     (
         "state/disk.py",
         "is_large or self.files.links(name) > 1 or len",
