--- a/src/irisstand/controlplane/assembly.py
+++ b/src/irisstand/controlplane/assembly.py
@@ -24,7 +24,7 @@
 from irisstand.transport import network
 
 # Seconds for which a lost holder leaves its duty undone, about. Short where a rule of seconds hangs on it.
-PLATFORM_LEASE, STAFFING_LEASE, RATES_LEASE = 1.4, 2.0, 4.0
+PLATFORM_LEASE, STAFFING_LEASE, RATES_LEASE = 1.4, 2.0, 12.0
 
 
 class ControlNode:
