--- a/src/irisstand/controlplane/voter_planner.py
+++ b/src/irisstand/controlplane/voter_planner.py
@@ -127,7 +127,7 @@
         payload = (expected, tuple(tuple(voter) for voter in target))
         order = orders.Order(f"voters-{table}", "", payload)
         if self.context.leaving:
-            # All that decide at a planned end are there: where orders gather, none loses its ballot to another.
+            # Where orders gather, none loses its ballot to another.
             await self.submitter.submit(order)
         else:
             # Decided here, as who decided last may be the very voter that is gone.
--- a/src/irisstand/dataplane/rate_grants.py
+++ b/src/irisstand/dataplane/rate_grants.py
@@ -65,7 +65,8 @@
 
     def has_place(self, name: str, patience: float, wanted: int = 1) -> bool:
         own = self.own.wait(name)
-        return (own is not None and own <= SOON) or len(self.usable(name, patience)) >= wanted
+        # Its own next place costs no question and does not expire; others' are for what is beyond it.
+        return (own is not None and own <= max(SOON, patience)) or len(self.usable(name, patience)) >= wanted
 
     # -- borrowing -----------------------------------------------------------------------------------
     async def ready(self, name: str, patience: float) -> None:
