--- a/src/irisstand/balancing/parts.py
+++ b/src/irisstand/balancing/parts.py
@@ -17,8 +17,8 @@
 # Of an origin's connections, what holders have of those that they use. Fewer than two are not worth having:
 # one is busy while the next is needed.
 HELD_CONNECTIONS, FEWEST = 0.86, 2
-# Seconds of a rate that may be used at once; and the least: eight of these make up the slack of five.
-BURST, BURST_LEAST = 0.2, 0.625
+# Seconds of a rate that may be used at once; and the least: ten of these make up the slack of five.
+BURST, BURST_LEAST = 0.2, 0.5
 # Below this part of the burst a rate is scarce, and counts as such for some seconds.
 SCARCE, SCARCE_FOR = 0.3, 6.0
 
--- a/src/irisstand/balancing/rate_parts.py
+++ b/src/irisstand/balancing/rate_parts.py
@@ -14,7 +14,7 @@
 # Longer than `USED_FOR` by a window of five seconds, so that no window sees both owners; and for clocks.
 LAPSE = 12.0
 # Each owner may use a little at once; with more owners these little bursts would add up.
-MOST_OWNERS = 8
+MOST_OWNERS = 10
 # Units taken for newcomers at a time, and a difference that is left alone.
 STEP, TOLERATED = 125, 10
 
@@ -27,7 +27,7 @@
     >>> choose([("h1", "n"), ("h2", "n"), ("h3", "s")], [("e", "n")])
     {'h1': 0.5, 'h2': 0.5, 'h3': 1.0}
     """
-    found = holders or sorted(edges)[:MOST_OWNERS]
+    found = holders or edges
     by_site: dict[str, list[str]] = {}
     for name, site in sorted(found):
         by_site.setdefault(site, []).append(name)
--- a/src/irisstand/controlplane/rate_placement.py
+++ b/src/irisstand/controlplane/rate_placement.py
@@ -7,8 +7,9 @@
 PAUSE = 0.5
 # An owner that is missing keeps its part for this long: a process that was killed is back sooner.
 GRACE = 8.0
-# A holder of this duty first lets the members' list fill, so that it does not give all to the first one.
-FIRST_LOOK = 2.0
+# Before all is given out for the first time the members' list has to stand still for a moment, within reason:
+# what is given to the first few can be moved to others only slowly.
+STILL_FOR, STILL_AT_MOST = 2.0, 6.0
 
 
 class RatePlacement:
@@ -17,6 +18,9 @@
         self.worked_at, self.began_at = -1e9, -1e9
         self.frozen_until = -1e9
         self.seen_at: dict[str, float] = {}
+        # Who was up at the last look, and since when this has not changed.
+        self.standing: dict[str, float] = {}
+        self.still_since = -1e9
 
     async def work(self, duty: duties.Duty) -> None:
         now = self.context.clock.now()
@@ -30,7 +34,9 @@
             self.frozen_until = now + rate_parts.LAPSE if units else now
         self.worked_at = now
         weights = self.weights(units, now)
-        if not weights or now - self.began_at < FIRST_LOOK:
+        if weights != self.standing:
+            self.standing, self.still_since = weights, now
+        if not weights or (not units and self.is_filling(now)):
             return
         planned, is_reduced = rate_parts.plan(units, weights, now < self.frozen_until)
         if planned != units and duty.holds():
@@ -42,6 +48,9 @@
                 self.frozen_until = self.context.clock.now() + rate_parts.LAPSE
             self.context.counters.add("rate_parts_moved")
 
+    def is_filling(self, now: float) -> bool:
+        return now - self.still_since < STILL_FOR and now - self.began_at < STILL_AT_MOST
+
     def units(self) -> dict[str, int]:
         row = self.context.ledger.value(rate_parts.KEY)
         return dict(row["units"]) if row else {}
@@ -55,6 +64,9 @@
         if waited_for - set(present):
             # Nothing moves while one is waited for: it would have to move back.
             return {name: float(share) for name, share in units.items()}
+        # Where edges fetch for themselves, they own the parts: no place has to be asked for.
+        if len(edges) < self.context.settings.holder_edges * len(set(edges.values())):
+            holders = {}
         return rate_parts.choose(sorted(holders.items()), sorted(edges.items()))
 
     def listed(self, role: str) -> dict[str, str]:
