--- a/src/irisstand/dataplane/holders.py
+++ b/src/irisstand/dataplane/holders.py
@@ -93,9 +93,9 @@
             self.context.counters.add("holder_failures", code=error.code)
             if error.code in ("unreached", "unanswered", "draining"):
                 self.avoided[holder.identity.name] = self.context.clock.now() + AVOIDED
-            # A holder without a place has asked the owners of all; a fetch past it would take one of theirs,
-            # and bring the object to this node alone.
-            if error.code == errors.OverCeiling.code:
+            # A holder without a place has asked the owners of all: an edge's own fetch would take one of
+            # theirs, and bring the object to that edge alone. Another holder may have a place of its own.
+            if error.code == errors.OverCeiling.code and self.context.role != "holder":
                 raise
             # What the holder met at an origin this node may still avoid, within what is left of its time.
             return None
