--- a/tests/test_big_configurations.py
+++ b/tests/test_big_configurations.py
@@ -114,7 +114,9 @@
         asked = []
         plain = stage.part.targets.may_hold
         monkeypatch.setattr(stage.part.targets, "may_hold", lambda r: asked.append(r.regions) or plain(r))
-        put_at_once(stage, [("upstream/s", {"version": 9, "item": {**UPSTREAM, "version": 9, "rate": 1000.0}}, False)])
+        put_at_once(
+            stage, [("upstream/s", {"version": 9, "item": {**UPSTREAM, "version": 9, "rate": 1000.0}}, False)]
+        )
         stage.part.table.refresh()
         for member in range(2, 5):
             stage.member(f"holder-{member}", "holder")
--- a/tests/test_holders.py
+++ b/tests/test_holders.py
@@ -91,6 +91,21 @@
     assert took[0] < 0.8 and max(took[1:]) < 0.1 and sent == {"edge-1": 3} and asked == 1
 
 
+def test_a_holder_without_a_place_is_no_reason_for_its_edges_to_fetch_by_themselves():
+    """Each edge's own fetch would take a place from the owners of all, and serve that edge alone."""
+
+    async def scene(site):
+        def full(*arguments):
+            raise errors.OverCeiling("s is at its ceiling")
+
+        site.nodes["holder-1"].part.targets.enter = full
+        with pytest.raises(errors.OverCeiling):
+            await site.nodes["edge-1"].ask("/objects/1")
+        return site.sent()
+
+    assert play(scene) == {}
+
+
 def test_a_purge_that_only_the_edge_has_heard_of_counts_at_the_holder_too():
     async def scene(site):
         holder, edge = site.nodes["holder-1"], site.nodes["edge-1"]
--- a/tests/test_rate_parts.py
+++ b/tests/test_rate_parts.py
@@ -132,3 +132,29 @@
     assert len(history) > 3
     assert all(sum(units.values()) <= rate_parts.WHOLE for _, units in history)
     assert most_counted(history) <= rate_parts.WHOLE
+
+
+def test_all_is_not_given_to_the_first_few_while_the_members_list_still_fills():
+    async def scene(core):
+        for number in range(1, 9):
+            core.member(f"holder-{number}", "holder", f"site-{number % 4}")
+            for edge in range(10 if number == 1 else 0):
+                for site in range(4):
+                    core.member(f"edge-{site}-{edge}", "direct", f"site-{site}")
+            await core.go_on(0.6)
+        await core.go_on(rate_placement.STILL_FOR + 1.0)
+        return core.units()
+
+    assert play(scene) == {f"holder-{number}": 125 for number in range(1, 9)}
+
+
+def test_edges_that_fetch_for_themselves_own_the_parts_and_ask_for_no_place():
+    async def scene(core):
+        core.context.settings = core.context.settings._replace(holder_edges=5.0)
+        for number in range(8):
+            core.member(f"fetching-{number}", "direct", f"site-{number % 4}")
+            core.member(f"holder-{number}", "holder", f"site-{number % 4}")
+        await core.go_on(rate_placement.STILL_FOR + 2.0)
+        return core.units()
+
+    assert play(scene) == {f"fetching-{number}": 125 for number in range(8)}
