--- /dev/null
+++ b/tools/behaviour_digest.py
@@ -0,0 +1,108 @@
+"""Digest of all that simulated nodes send and write in one seeded day: equal digests mean equal behaviour.
+
+    python tools/behaviour_digest.py --kind busy --seed 201 --seconds 8 [--samples FILE]
+
+A change that only renames or moves code leaves the digest as it is. `--samples` writes a few recorded frames of
+each kind of message, which the tests of the wire format read.
+"""
+
+import collections
+import collections.abc
+import hashlib
+import json
+import pathlib
+import typing
+
+import click
+import ormsgpack
+
+from irisstand.simulator import day, memory_disk, memory_network
+
+SAMPLES_OF_A_KIND = 4
+SAMPLE_BYTES_LIMIT = 4096
+SUM_MODULUS = 2**64
+# How many withdrawals go out depends on the order in which a set of tasks is cancelled.
+UNORDERED = "withdraw"
+
+
+class Recorder:
+    """Sums up frames, datagrams and files in the order in which they leave a simulated process."""
+
+    def __init__(self) -> None:
+        self.sums: collections.Counter[str] = collections.Counter()
+        self.counts: collections.Counter[str] = collections.Counter()
+        self.samples: dict[str, list[str]] = collections.defaultdict(list)
+        self.kinds_asked: dict[tuple[int, int], str] = {}
+
+    def add(self, channel: str, name: str, payload: bytes) -> None:
+        self.counts[channel] += 1
+        digest = hashlib.sha256(f"{channel} {name}\n".encode() + payload).digest()
+        # Sums, so that the order in which cancelled tasks of one moment come up makes no difference.
+        self.sums[channel] = (self.sums[channel] + int.from_bytes(digest[:8])) % SUM_MODULUS
+
+    def add_frame(self, stream: typing.Any, payload: bytes) -> None:
+        """Count a frame under its kind; a result is filed under the kind that was asked."""
+        _, kind, number, body, *_ = ormsgpack.unpackb(payload)
+        label = kind
+        if kind == "ask":
+            label = f"ask {body[0]}"
+            self.kinds_asked[(id(stream), number)] = body[0]
+        elif kind in ("result", "fault"):
+            label = f"{kind} {self.kinds_asked.get((id(stream.peer), number), '')}"
+        self.add(label, stream.host, payload)
+        self.keep(label, payload)
+
+    def keep(self, label: str, payload: bytes) -> None:
+        kept = self.samples[label]
+        if len(kept) < SAMPLES_OF_A_KIND and len(payload) <= SAMPLE_BYTES_LIMIT and payload.hex() not in kept:
+            kept.append(payload.hex())
+
+
+def record(recorder: Recorder) -> None:
+    """Put the recorder before the simulator's network and disk."""
+    write, send = memory_network.MemoryStream.write, memory_network.MemoryPort.send
+    save = memory_disk.MemoryDisk.write
+
+    def recorded_write(self: memory_network.MemoryStream, payload: bytes) -> None:
+        recorder.add_frame(self, payload)
+        write(self, payload)
+
+    def recorded_send(self: memory_network.MemoryPort, payload: bytes, address: tuple[str, int]) -> None:
+        recorder.add("datagram", self.address[0], payload)
+        recorder.keep("datagram", payload)
+        send(self, payload, address)
+
+    async def recorded_save(
+        self: memory_disk.MemoryDisk, files: collections.abc.Sequence[tuple[str, bytes]]
+    ) -> None:
+        for name, content in files:
+            recorder.add("file", name, content)
+        await save(self, files)
+
+    memory_network.MemoryStream.write = recorded_write
+    memory_network.MemoryPort.send = recorded_send
+    memory_disk.MemoryDisk.write = recorded_save
+
+
+@click.command()
+@click.option("--kind", type=click.Choice(sorted(day.KINDS)), default="busy", show_default=True)
+@click.option("--seed", type=int, default=201, show_default=True)
+@click.option("--seconds", type=float, default=8.0, show_default=True, help="Virtual seconds of the day.")
+@click.option("--samples", type=click.Path(path_type=pathlib.Path), help="Where to write recorded frames.")
+def main(kind: str, seed: int, seconds: float, samples: pathlib.Path | None) -> None:
+    """Play one simulated day and print its digest."""
+    recorder = Recorder()
+    record(recorder)
+    played = day.simulate(seed, seconds, kind)
+    broken = sum(played.judge.broken.values())
+    for channel, count in sorted(recorder.counts.items()):
+        if channel == UNORDERED:
+            continue
+        click.echo(f"{recorder.sums[channel]:016x} {count:7d} {channel}")
+    click.echo(f"{kind} {seed} {seconds:g}: {broken} rules broken")
+    if samples is not None:
+        samples.write_text(json.dumps(dict(sorted(recorder.samples.items())), indent=1) + "\n")
+
+
+if __name__ == "__main__":
+    main()
