--- a/src/irisstand/balancing/parts.py
+++ b/src/irisstand/balancing/fleet_limits.py
@@ -10,7 +10,7 @@
 import typing
 
 from irisstand import clocks
-from irisstand.balancing import draws
+from irisstand.balancing import rendezvous
 
 # Of a bound over all: the rest is for lists that differ and for requests that do not travel equally long.
 PRUDENCE = 0.85
@@ -55,7 +55,7 @@
     each = total // len(group)
     if each >= FEWEST:
         return each
-    first = draws.order(origin, [(name, 1.0) for name in group])[: max(1, total // FEWEST)]
+    first = rendezvous.order(origin, [(name, 1.0) for name in group])[: max(1, total // FEWEST)]
     return FEWEST if own in first else 0
 
 
--- a/src/irisstand/balancing/rate_parts.py
+++ b/src/irisstand/balancing/rate_quota.py
@@ -5,7 +5,7 @@
 confirmed less than `USED_FOR` seconds ago, and the next owner waits for `LAPSE`.
 """
 
-from irisstand.balancing import shares
+from irisstand.balancing import quota_shares
 
 KEY = "rate-parts"
 WHOLE = 1000
@@ -58,7 +58,7 @@
         return kept, True
     if is_frozen:
         return units, False
-    target = shares.split(WHOLE, weights)
+    target = quota_shares.split(WHOLE, weights)
     lacking = {name: target[name] - kept.get(name, 0) for name in target}
     free = WHOLE - sum(kept.values())
     if free > 0:
--- a/src/irisstand/balancing/slots.py
+++ b/src/irisstand/balancing/slot_assignment.py
@@ -1,9 +1,9 @@
 """Slots recorded in the ledger: which shield machine holds which part of the objects, moved step by step."""
 
-from irisstand.balancing import draws
+from irisstand.balancing import rendezvous
 
 ROWS = 16
-PER_ROW = draws.SLOTS // ROWS
+PER_ROW = rendezvous.SLOTS // ROWS
 
 
 def row_key(slot: int) -> str:
@@ -11,7 +11,7 @@
 
 
 def wanted(slot: int, weights: dict[str, float]) -> str:
-    names = draws.order(str(slot), sorted(weights.items()))
+    names = rendezvous.order(str(slot), sorted(weights.items()))
     return names[0] if names else ""
 
 
--- /dev/null
+++ b/src/irisstand/controlplane/api/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' HTTP interface."""
--- a/src/irisstand/controlplane/operator_orders.py
+++ b/src/irisstand/controlplane/api/operator_orders.py
@@ -8,7 +8,10 @@
 import sanic.response
 
 from irisstand import errors, node_context, web
-from irisstand.controlplane import amending, evacuation, orders, request_bodies, submitting, voters
+from irisstand.controlplane.api import request_bodies
+from irisstand.controlplane.changes import amendment, evacuation_check, orders
+from irisstand.controlplane.consensus import submitter as submitting
+from irisstand.controlplane.consensus import voter_administration
 
 CHANGE = re.compile(r"^[A-Za-z0-9._:-]{1,100}$")
 
@@ -18,11 +21,11 @@
         self,
         context: node_context.NodeContext,
         submitter: submitting.Submitter,
-        members: voters.Voters,
+        members: voter_administration.Voters,
         server: web.Web,
     ) -> None:
         self.context, self.submitter, self.voters = context, submitter, members
-        self.evacuation = evacuation.Evacuation(context)
+        self.evacuation = evacuation_check.Evacuation(context)
         add = server.app.add_route
         add(self.post_amendment, "/amendments", methods=["POST"])
         add(self.post_change, "/changes", methods=["POST"])
@@ -118,7 +121,7 @@
 
     async def post_amendment(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         """Items with their senders' own versions: each alone is its own id, so a call may come again."""
-        return await self.submit("amend", "", amending.parse(request.body))
+        return await self.submit("amend", "", amendment.parse(request.body))
 
     async def put_voter(self, request: sanic.request.Request, name: str) -> sanic.response.HTTPResponse:
         """PUT {"replaces": OLD} votes a spare in for a voter; DELETE retires a voter without another."""
--- a/src/irisstand/controlplane/operator_reads.py
+++ b/src/irisstand/controlplane/api/operator_reads.py
@@ -10,7 +10,8 @@
 import sanic.response
 
 from irisstand import node_context, web
-from irisstand.controlplane import amending, changes, majority_check, voters
+from irisstand.controlplane.changes import amendment, change_status
+from irisstand.controlplane.consensus import heartbeat, voter_administration
 from irisstand.membership import updates
 from irisstand.state import items
 from irisstand.validation import schema
@@ -20,12 +21,12 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        members: voters.Voters,
-        read_index: majority_check.ReadIndex,
+        members: voter_administration.Voters,
+        read_index: heartbeat.ReadIndex,
         server: web.Web,
     ) -> None:
         self.context, self.voters, self.read_index = context, members, read_index
-        self.changes = changes.Changes(context)
+        self.changes = change_status.Changes(context)
         add = server.app.add_route
         add(self.get_rows, "/rows", methods=["GET"])
         add(self.get_items, "/items", methods=["GET"])
@@ -49,7 +50,7 @@
     async def get_items(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         """All versioned items that stand, laid out as an amendment that would put them."""
         await self.read_index.confirm(items.CONFIGURATION)
-        return web.as_json(amending.listing(self.context.configuration))
+        return web.as_json(amendment.listing(self.context.configuration))
 
     async def get_change(self, request: sanic.request.Request, change: str) -> sanic.response.HTTPResponse:
         await self.read_index.confirm(items.CONFIGURATION, items.LEDGER)
--- a/src/irisstand/controlplane/operators.py
+++ b/src/irisstand/controlplane/api/operators.py
@@ -1,7 +1,9 @@
 """The operators' HTTP: what they read, and what they order."""
 
 from irisstand import node_context, web
-from irisstand.controlplane import majority_check, operator_orders, operator_reads, submitting, voters
+from irisstand.controlplane.api import operator_orders, operator_reads
+from irisstand.controlplane.consensus import heartbeat, voter_administration
+from irisstand.controlplane.consensus import submitter as submitting
 
 
 class Operators:
@@ -11,9 +13,9 @@
         self,
         context: node_context.NodeContext,
         submitter: submitting.Submitter,
-        read_index: majority_check.ReadIndex,
+        read_index: heartbeat.ReadIndex,
         server: web.Web,
     ) -> None:
-        members = voters.Voters(context, submitter)
+        members = voter_administration.Voters(context, submitter)
         self.reads = operator_reads.OperatorReads(context, members, read_index, server)
         self.orders = operator_orders.OperatorOrders(context, submitter, members, server)
--- a/src/irisstand/controlplane/request_bodies.py
+++ b/src/irisstand/controlplane/api/request_bodies.py
@@ -3,7 +3,7 @@
 import json
 
 from irisstand import errors
-from irisstand.validation import one_content
+from irisstand.validation import canonical_content
 
 OBJECT = "send a JSON object"
 
@@ -28,7 +28,7 @@
         raise errors.BadRequest("the body is not whole JSON, with each field once", OBJECT) from None
     if not isinstance(content, dict):
         raise errors.BadRequest("the body is not a JSON object", OBJECT)
-    fault = one_content.fault_of(content)
+    fault = canonical_content.fault_of(content)
     if fault:
         raise errors.BadRequest(f"the body holds {fault}", "send finite numbers and plain text, not too deep")
     return content
--- a/src/irisstand/controlplane/assembly.py
+++ b/src/irisstand/controlplane/assembly.py
@@ -5,22 +5,14 @@
 import random
 
 from irisstand import clocks, node_context, node_settings
-from irisstand.controlplane import bootstrap as founding
-from irisstand.controlplane import core as cores
-from irisstand.controlplane import (
-    duties,
-    majority_check,
-    placement,
-    rate_placement,
-    retention,
-    staffing,
-    submitting,
-    voter_planner,
-)
-from irisstand.controlplane import platform_watch as watch
-from irisstand.controlplane import proposer as proposers
-from irisstand.state import disk as disks
+from irisstand.controlplane.consensus import bootstrap as founding
+from irisstand.controlplane.consensus import core_node as cores
+from irisstand.controlplane.consensus import heartbeat, submitter, voter_planner
+from irisstand.controlplane.consensus import proposer as proposers
+from irisstand.controlplane.singletons import capacity_scaling, lease, placement, rate_placement, retention
+from irisstand.controlplane.singletons import origin_discovery as watch
 from irisstand.state import items
+from irisstand.state.storage import disk as disks
 from irisstand.transport import network
 
 # Seconds for which a lost holder leaves its duty undone, about. Short where a rule of seconds hangs on it.
@@ -41,24 +33,23 @@
         self.core = cores.Core(self.context, disk)
         self.proposers = {table: proposers.Proposer(self.core, table) for table in items.TABLES}
         self.checks = {
-            table: majority_check.MajorityCheck(self.core, proposer)
-            for table, proposer in self.proposers.items()
+            table: heartbeat.MajorityCheck(self.core, proposer) for table, proposer in self.proposers.items()
         }
-        self.read_index = majority_check.ReadIndex(self.checks)
-        self.submitter = submitting.Submitter(self.core, self.proposers)
+        self.read_index = heartbeat.ReadIndex(self.checks)
+        self.submitter = submitter.Submitter(self.core, self.proposers)
         self.founding = founding.Bootstrap(self.core, self.submitter)
         self.planner = voter_planner.VoterPlanner(self.core, self.submitter)
-        self.duties: list[duties.Duty] = []
+        self.duties: list[lease.Duty] = []
         if ask_platform is not None:
             watcher = watch.Watch(self.context, ask_platform)
-            self.duties.append(duties.Duty(self.submitter, "platform-watch", watcher.work, PLATFORM_LEASE))
-        placer, staffer = placement.Placement(self.context), staffing.Staffing(self.context)
-        self.duties.append(duties.Duty(self.submitter, "placement", placer.work))
-        self.duties.append(duties.Duty(self.submitter, "staffing", staffer.work, STAFFING_LEASE))
+            self.duties.append(lease.Duty(self.submitter, "platform-watch", watcher.work, PLATFORM_LEASE))
+        placer, staffer = placement.Placement(self.context), capacity_scaling.Staffing(self.context)
+        self.duties.append(lease.Duty(self.submitter, "placement", placer.work))
+        self.duties.append(lease.Duty(self.submitter, "staffing", staffer.work, STAFFING_LEASE))
         keeper = retention.Retention(self.context)
-        self.duties.append(duties.Duty(self.submitter, "retention", keeper.work))
+        self.duties.append(lease.Duty(self.submitter, "retention", keeper.work))
         rate_placer = rate_placement.RatePlacement(self.context)
-        self.duties.append(duties.Duty(self.submitter, "rate-parts", rate_placer.work, RATES_LEASE))
+        self.duties.append(lease.Duty(self.submitter, "rate-parts", rate_placer.work, RATES_LEASE))
         wanted = settings.duties.split(",")
         self.duties = [duty for duty in self.duties if duty.name in wanted]
 
--- /dev/null
+++ b/src/irisstand/controlplane/changes/__init__.py
@@ -0,0 +1,1 @@
+"""What orders write: planned changes of the replicated tables."""
--- a/src/irisstand/controlplane/amending.py
+++ b/src/irisstand/controlplane/changes/amendment.py
@@ -6,10 +6,11 @@
 import typing
 
 from irisstand import control_errors, errors
-from irisstand.controlplane import overlay as overlays
-from irisstand.controlplane import request_bodies, taken_versions
-from irisstand.state import tables, versioned_items
-from irisstand.validation import versioned
+from irisstand.controlplane.api import request_bodies
+from irisstand.controlplane.changes import confirmed_versions
+from irisstand.controlplane.changes import overlay as overlays
+from irisstand.state import replica, versioned_items
+from irisstand.validation import versioned_items as versioned
 
 Stored = dict[str, typing.Any]
 
@@ -53,14 +54,14 @@
     for key, value in sorted(payload, key=lambda entry: entry[1]["version"]):
         known = judged.rows.get(key) or overlay.value(key)
         if known is None or known["version"] < value["version"]:
-            judged.rows[key] = judged.newer[key] = taken_versions.overtake(known, value)
+            judged.rows[key] = judged.newer[key] = confirmed_versions.overtake(known, value)
             continue
-        is_taken = taken_versions.is_taken(known, value)
+        is_taken = confirmed_versions.is_taken(known, value)
         if is_taken:
             judged.conflicts.append({"item": key, "version": value["version"], "in_force": known["version"]})
         elif is_taken is None:
             judged.late.append((key, value))
-            remembered = taken_versions.remember(known, value)
+            remembered = confirmed_versions.remember(known, value)
             # With a full memory of higher versions there is nothing to write.
             if remembered["seen"] != known.get("seen"):
                 judged.rows[key] = remembered
@@ -77,7 +78,7 @@
     return entries
 
 
-def listing(copy: tables.Copy) -> dict[str, typing.Any]:
+def listing(copy: replica.Copy) -> dict[str, typing.Any]:
     """All items that stand, laid out as a call that would put them."""
     found: dict[str, typing.Any] = {
         name: [item.value["item"] for item in copy.under(f"{kind}/") if item.value["item"] is not None]
--- a/src/irisstand/controlplane/changes.py
+++ b/src/irisstand/controlplane/changes/change_status.py
@@ -4,7 +4,7 @@
 import typing
 
 from irisstand import errors, node_context
-from irisstand.controlplane import table_time
+from irisstand.controlplane.changes import table_time
 from irisstand.membership import updates
 from irisstand.state import items, versions
 
--- a/src/irisstand/controlplane/taken_versions.py
+++ b/src/irisstand/controlplane/changes/confirmed_versions.py
@@ -7,7 +7,7 @@
 
 import typing
 
-from irisstand.validation import one_content
+from irisstand.validation import canonical_content
 
 # So many of the highest versions beside the one in force are remembered; lower ones are confirmed unseen.
 REMEMBERED = 32
@@ -23,10 +23,10 @@
     [False, True, False, None]
     """
     if known["version"] == value["version"]:
-        return not one_content.is_same(known["item"], value["item"])
+        return not canonical_content.is_same(known["item"], value["item"])
     for version, digest in known.get("seen", ()):
         if version == value["version"]:
-            return digest != one_content.digest(value["item"])
+            return digest != canonical_content.digest(value["item"])
     return None
 
 
@@ -43,6 +43,6 @@
 
 
 def seen_with(known: Stored, value: Stored) -> list[list]:
-    entry = [value["version"], one_content.digest(value["item"])]
+    entry = [value["version"], canonical_content.digest(value["item"])]
     seen = [list(pair) for pair in known.get("seen", ())]
     return sorted([*seen, entry], reverse=True)[:REMEMBERED]
--- a/src/irisstand/controlplane/evacuation.py
+++ b/src/irisstand/controlplane/changes/evacuation_check.py
@@ -4,7 +4,7 @@
 import typing
 
 from irisstand import control_errors, errors, node_context, node_settings
-from irisstand.controlplane import fleet_view
+from irisstand.controlplane.singletons import fleet_view
 from irisstand.state import items, quorum
 
 CONFIRM_PATIENCE = 0.8
--- a/src/irisstand/controlplane/orders.py
+++ b/src/irisstand/controlplane/changes/orders.py
@@ -4,10 +4,10 @@
 import typing
 
 from irisstand import control_errors, errors
-from irisstand.controlplane import amending, table_time, voter_changes
-from irisstand.controlplane import overlay as overlays
+from irisstand.controlplane.changes import amendment, table_time, voter_changes
+from irisstand.controlplane.changes import overlay as overlays
 from irisstand.state import items, versions
-from irisstand.validation import one_content, rules, schema
+from irisstand.validation import canonical_content, rules, schema
 
 # Remembered at the most: beyond that, new ones wait until the oldest have stood for long enough.
 CLAIMS_LIMIT = 50_000
@@ -142,7 +142,7 @@
 # Plug-in point: kind of order -> the table it writes and how it is planned.
 REGISTRY: dict[str, tuple[str, collections.abc.Callable[[Overlay, typing.Any], Planned]]] = {
     "change": (items.CONFIGURATION, plan_change),
-    "amend": (items.CONFIGURATION, amending.plan_amend),
+    "amend": (items.CONFIGURATION, amendment.plan_amend),
     "purge": (items.LEDGER, plan_purge),
     "evacuate": (items.LEDGER, plan_evacuate),
     "return": (items.LEDGER, plan_return),
@@ -190,7 +190,7 @@
 
 
 def digest_of(order: Order) -> str:
-    return one_content.digest([order.kind, order.payload])
+    return canonical_content.digest([order.kind, order.payload])
 
 
 def check_same(order: Order, record: dict[str, typing.Any]) -> None:
--- a/src/irisstand/controlplane/overlay.py
+++ b/src/irisstand/controlplane/changes/overlay.py
@@ -2,7 +2,7 @@
 
 import typing
 
-from irisstand.state import items, tables, versions
+from irisstand.state import items, replica, versions
 
 
 class Order(typing.NamedTuple):
@@ -14,7 +14,7 @@
 
 
 class Overlay:
-    def __init__(self, copy: tables.Copy, version: versions.Version) -> None:
+    def __init__(self, copy: replica.Copy, version: versions.Version) -> None:
         self.copy, self.new_version = copy, version
         self.rows: dict[str, tuple[typing.Any, bool]] = {}
         self.size = 0
--- a/src/irisstand/controlplane/table_time.py
+++ b/src/irisstand/controlplane/changes/table_time.py
@@ -10,8 +10,8 @@
 import typing
 
 from irisstand import errors
-from irisstand.controlplane import overlay as overlays
-from irisstand.state import items, tables, versions
+from irisstand.controlplane.changes import overlay as overlays
+from irisstand.state import items, replica, versions
 
 # A step longer than this is a holder that slept; counting less is always safe.
 STEP_LIMIT = 60.0
@@ -94,7 +94,7 @@
     for version, key in overlay.copy.by_version:
         if version > newest or gone >= FORGET_LIMIT:
             break
-        prefix = tables.prefix_of(key)
+        prefix = replica.prefix_of(key)
         old, oldest = cuts.get(prefix, (versions.NONE, versions.NONE))
         # Copies are carried by applied versions and whole, so a copy that lacks a tombstone cannot bring its
         # row back.
--- a/src/irisstand/controlplane/voter_changes.py
+++ b/src/irisstand/controlplane/changes/voter_changes.py
@@ -3,7 +3,7 @@
 import typing
 
 from irisstand import errors
-from irisstand.controlplane import overlay as overlays
+from irisstand.controlplane.changes import overlay as overlays
 from irisstand.state import items, quorum
 
 Overlay = overlays.Overlay
--- a/src/irisstand/state/owner.py
+++ b/src/irisstand/controlplane/consensus/acceptor.py
@@ -4,8 +4,9 @@
 import collections.abc
 import typing
 
-from irisstand import errors, ring
-from irisstand.state import durable_store, items, tables, versions
+from irisstand import errors, event_log
+from irisstand.state import items, replica, versions
+from irisstand.state.storage import durable_store
 
 SLOW = 0.2
 
@@ -15,7 +16,7 @@
 class Owner:
     """Promises, acceptances and commits, each synced before its reply goes out."""
 
-    def __init__(self, store: durable_store.DurableStore, live: tables.Copy, catch_up: CatchUp) -> None:
+    def __init__(self, store: durable_store.DurableStore, live: replica.Copy, catch_up: CatchUp) -> None:
         self.store, self.live, self.catch_up = store, live, catch_up
         self.table = live.name
         self.queue: asyncio.Queue = asyncio.Queue()
@@ -44,14 +45,14 @@
                 took = asyncio.get_running_loop().time() - started
                 # One slow command holds up every ballot on the table, so it is worth an event.
                 if took > SLOW:
-                    ring.note("slow-command", table=self.table, command=command, seconds=took)
+                    event_log.note("slow-command", table=self.table, command=command, seconds=took)
                 if not future.done():
                     future.set_result(result)
             except errors.IrisError as error:
                 if not future.done():
                     future.set_exception(error)
             except OSError as error:
-                ring.note("disk-error", error=repr(error))
+                event_log.note("disk-error", error=repr(error))
                 if not future.done():
                     future.set_exception(errors.DiskFull(f"the disk does not take writes: {error}"))
 
--- a/src/irisstand/controlplane/bootstrap.py
+++ b/src/irisstand/controlplane/consensus/bootstrap.py
@@ -2,9 +2,10 @@
 
 import asyncio
 
-from irisstand import errors, ring
-from irisstand.controlplane import core as cores
-from irisstand.controlplane import orders, submitting
+from irisstand import errors, event_log
+from irisstand.controlplane.changes import orders
+from irisstand.controlplane.consensus import core_node as cores
+from irisstand.controlplane.consensus import submitter as submitting
 from irisstand.state import items, quorum, versions
 
 FIRST = versions.Version(1, "founding")
@@ -51,7 +52,7 @@
                 else:
                     await self.try_enrolling()
             except (errors.IrisError, ValueError, TypeError) as error:
-                ring.note("founding", error=str(error))
+                event_log.note("founding", error=str(error))
             await asyncio.sleep(0.5)
 
     async def try_bootstrap(self) -> None:
@@ -87,7 +88,7 @@
         body = tuple((table, batch) for table in items.TABLES)
         for voter in voters:
             await self.core.ask_voter(voter, "found", body)
-        ring.note("founded", voters=[voter.name for voter in voters])
+        event_log.note("founded", voters=[voter.name for voter in voters])
 
     def founders(self) -> list[tuple]:
         """Address and name of the other cores that have to be empty for a founding; a seed's name is not
@@ -128,7 +129,7 @@
             await self.core.owners[table].order("keep")
             payload = (tuple(self.core.own_voter()), leaves)
             await self.submitter.submit(orders.Order(f"enrol-{table}", "", payload))
-            ring.note("enrolled", table=table, leaves=leaves)
+            event_log.note("enrolled", table=table, leaves=leaves)
 
     def replaceable(self, table: str) -> str:
         """The voter whose place this node may take: its own older self, or one that is long gone."""
--- a/src/irisstand/controlplane/core.py
+++ b/src/irisstand/controlplane/consensus/core_node.py
@@ -5,9 +5,12 @@
 import typing
 
 from irisstand import errors, node_context
-from irisstand.state import disk as disks
-from irisstand.state import durable_store, items, owner, quorum, refresher, versions
-from irisstand.state import replicator as replicators
+from irisstand.controlplane.consensus import acceptor
+from irisstand.state import items, quorum, versions
+from irisstand.state.replication import refresher
+from irisstand.state.replication import replicator as replicators
+from irisstand.state.storage import disk as disks
+from irisstand.state.storage import durable_store
 
 PATIENCE = 1.0
 # Seconds without any question, asked or answered, after which this process itself stood still.
@@ -20,7 +23,7 @@
         self.store = durable_store.DurableStore(disk, context.randomness)
         self.replicator = replicators.Replicator(context)
         self.refresher = refresher.Refresher(context, self.replicator)
-        self.owners: dict[str, owner.Owner] = {}
+        self.owners: dict[str, acceptor.Owner] = {}
         self.asking: set[asyncio.Task] = set()
         # When each voter's disk last said where it stands, or was first asked.
         self.heard: dict[str, float] = {}
@@ -37,7 +40,7 @@
             # A copy whose files do not add up is not read from, and so never spreads.
             if self.store.sound[table]:
                 live.take(self.store.copies[table].clone())
-            self.owners[table] = owner.Owner(self.store, live, self.catch_up)
+            self.owners[table] = acceptor.Owner(self.store, live, self.catch_up)
             self.context.start(self.owners[table].run(), f"owner of {table}")
 
     async def catch_up(self, table: str, name: str) -> None:
--- a/src/irisstand/controlplane/majority_check.py
+++ b/src/irisstand/controlplane/consensus/heartbeat.py
@@ -7,8 +7,8 @@
 import asyncio
 
 from irisstand import errors
-from irisstand.controlplane import core as cores
-from irisstand.controlplane import proposer as proposers
+from irisstand.controlplane.consensus import core_node as cores
+from irisstand.controlplane.consensus import proposer as proposers
 from irisstand.state import quorum, versions
 
 TRIES = 5
--- a/src/irisstand/controlplane/proposer.py
+++ b/src/irisstand/controlplane/consensus/proposer.py
@@ -3,9 +3,9 @@
 import asyncio
 import typing
 
-from irisstand import errors, ring
-from irisstand.controlplane import core as cores
-from irisstand.controlplane import orders
+from irisstand import errors, event_log
+from irisstand.controlplane.changes import orders
+from irisstand.controlplane.consensus import core_node as cores
 from irisstand.state import items, quorum, versions
 
 PATIENCE = 4.0
@@ -64,11 +64,11 @@
                 await self.hold_ballot(waiting)
             except Lost as reason:
                 self.context.counters.add("ballots_lost", table=self.table)
-                ring.note("ballot-lost", table=self.table, reason=str(reason))
+                event_log.note("ballot-lost", table=self.table, reason=str(reason))
                 # Random and growing, or two proposers would meet again at the same moment.
                 await asyncio.sleep(self.context.randomness.uniform(0.01, 0.03) * min(attempts, 8))
             except errors.IrisError as error:
-                ring.note("ballot-failed", table=self.table, error=str(error))
+                event_log.note("ballot-failed", table=self.table, error=str(error))
                 if isinstance(error, errors.DiskFull):
                     self.refuse_unproposed(waiting, error)
                 await asyncio.sleep(0.05)
--- a/src/irisstand/controlplane/submitting.py
+++ b/src/irisstand/controlplane/consensus/submitter.py
@@ -4,9 +4,9 @@
 import typing
 
 from irisstand import control_errors, errors
-from irisstand.controlplane import core as cores
-from irisstand.controlplane import orders
-from irisstand.controlplane import proposer as proposers
+from irisstand.controlplane.changes import orders
+from irisstand.controlplane.consensus import core_node as cores
+from irisstand.controlplane.consensus import proposer as proposers
 from irisstand.state import quorum
 
 FORWARD_PATIENCE = 1.5
--- a/src/irisstand/controlplane/voters.py
+++ b/src/irisstand/controlplane/consensus/voter_administration.py
@@ -4,8 +4,10 @@
 import typing
 
 from irisstand import errors, node_context
-from irisstand.balancing import rota
-from irisstand.controlplane import fleet_view, orders, submitting
+from irisstand.balancing import standby_planning
+from irisstand.controlplane.changes import orders
+from irisstand.controlplane.consensus import submitter as submitting
+from irisstand.controlplane.singletons import fleet_view
 from irisstand.state import items, quorum
 
 PATIENCE = 5.0
@@ -42,8 +44,8 @@
         up = await self.up(list({v.disk_id: v for v in [*present, *following]}.values()), table)
 
         majority = 2 * sum(voter.name in up for voter in following) > len(following)
-        carried = rota.core_carries(quorum.places(present), up)
-        worse = carried and not rota.core_carries(quorum.places(following), up)
+        carried = standby_planning.core_carries(quorum.places(present), up)
+        worse = carried and not standby_planning.core_carries(quorum.places(following), up)
         if not majority or worse or not following:
             figures = {
                 "table": table,
--- a/src/irisstand/controlplane/voter_planner.py
+++ b/src/irisstand/controlplane/consensus/voter_planner.py
@@ -5,9 +5,11 @@
 
 import asyncio
 
-from irisstand import errors, ring
-from irisstand.controlplane import core as cores
-from irisstand.controlplane import orders, submitting, voter_target
+from irisstand import errors, event_log
+from irisstand.controlplane.changes import orders
+from irisstand.controlplane.consensus import core_node as cores
+from irisstand.controlplane.consensus import submitter as submitting
+from irisstand.controlplane.consensus import voter_target
 from irisstand.state import items, quorum
 
 # Seconds between looks; those after a change of the set in which it is not changed without need.
@@ -46,7 +48,7 @@
                 if not self.is_quiet():
                     await self.improve()
             except (errors.IrisError, ValueError, TypeError, IndexError) as error:
-                ring.note("voters-not-changed", error=str(error))
+                event_log.note("voters-not-changed", error=str(error))
             await asyncio.sleep(self.context.randomness.uniform(0.5, 1.0) * INTERVAL)
         if self.is_wanted:
             await self.hand_over()
@@ -69,10 +71,10 @@
             async with asyncio.timeout(patience):
                 await self.improve({own})
         except (errors.IrisError, ValueError, TypeError, IndexError, TimeoutError) as error:
-            ring.note("vote-not-handed-over", error=str(error))
+            event_log.note("vote-not-handed-over", error=str(error))
             return False
         if any(self.core.votes(table) for table in items.TABLES):
-            ring.note("vote-kept", why="no other core node can take it")
+            event_log.note("vote-kept", why="no other core node can take it")
         return True
 
     def standing(self) -> tuple:
@@ -132,7 +134,7 @@
         else:
             # Decided here, as who decided last may be the very voter that is gone.
             await self.submitter.proposers[table].decide(order, DECIDING)
-        ring.note("voters-changed", table=table, voters=[voter.name for voter in target])
+        event_log.note("voters-changed", table=table, voters=[voter.name for voter in target])
 
     async def hold(self, voter: quorum.Voter) -> None:
         """Everything up to what is known here is on its disk before it is named."""
--- a/src/irisstand/controlplane/program.py
+++ b/src/irisstand/controlplane/program.py
@@ -6,24 +6,24 @@
 import random
 import typing
 
-from irisstand import clocks, errors, node_settings, ring, running
+from irisstand import clocks, errors, event_log, node_settings, program
 from irisstand.controlplane import assembly
-from irisstand.controlplane import platform_watch as watch
-from irisstand.state import disk as disks
+from irisstand.controlplane.singletons import origin_discovery as watch
+from irisstand.state.storage import disk as disks
 from irisstand.transport import network
 
 # Seconds that the operators' listener waits for the tables at the most, and after them.
 LATEST, PAUSE = 0.8, 0.4
 
 
-async def assemble(settings: node_settings.Settings, log_ring: ring.Ring) -> running.Opened:
+async def assemble(settings: node_settings.Settings, log_ring: event_log.Ring) -> program.Opened:
     ask = watch.http_ask(settings.platform) if settings.platform is not None else None
     return await assemble_with(ask, settings, log_ring)
 
 
 async def assemble_with(
-    ask: watch.Ask | None, settings: node_settings.Settings, log_ring: ring.Ring
-) -> running.Opened:
+    ask: watch.Ask | None, settings: node_settings.Settings, log_ring: event_log.Ring
+) -> program.Opened:
     """With another way of asking the platform for its origins."""
     control_node = assembly.ControlNode(
         settings,
@@ -43,7 +43,7 @@
     """The operators' listener. It opens a moment after the core is back: its library takes long to import,
     and the whole fleet waits for the tables first."""
 
-    def __init__(self, control_node: assembly.ControlNode, log_ring: ring.Ring) -> None:
+    def __init__(self, control_node: assembly.ControlNode, log_ring: event_log.Ring) -> None:
         self.control_node, self.ring = control_node, log_ring
         self.server: typing.Any = None
 
@@ -56,7 +56,7 @@
         # Those who wait are served first.
         await asyncio.sleep(PAUSE)
         web = importlib.import_module("irisstand.web")
-        operators = importlib.import_module("irisstand.controlplane.operators")
+        operators = importlib.import_module("irisstand.controlplane.api.operators")
         self.server = web.Web(context, self.ring)
         node = self.control_node
         operators.Operators(context, node.submitter, node.read_index, self.server)
@@ -70,7 +70,7 @@
             await self.server.stop_listening()
 
 
-main = running.command("controlplane", "Run the control plane on this shield machine.", assemble)
+main = program.command("controlplane", "Run the control plane on this shield machine.", assemble)
 
 if __name__ == "__main__":
     main()
--- a/src/irisstand/controlplane/staffing.py
+++ b/src/irisstand/controlplane/singletons/capacity_scaling.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from irisstand import node_context
-from irisstand.balancing import rota
-from irisstand.controlplane import duties, fleet_view
+from irisstand.balancing import standby_planning
+from irisstand.controlplane.singletons import fleet_view, lease
 from irisstand.membership import updates
 
 PAUSE = 1.0
@@ -27,7 +27,7 @@
         """Whoever is suspected may be lost, and enough must be awake for the loss after that."""
         self.alarmed = self.alarmed or update.state is not updates.State.ALIVE
 
-    async def work(self, duty: duties.Duty) -> None:
+    async def work(self, duty: lease.Duty) -> None:
         now = self.context.clock.now()
         if now - self.worked_at < PAUSE and not self.alarmed:
             return
@@ -61,7 +61,7 @@
         machines = self.view.machines(role, rates)
         names = {machine.name for machine in machines}
         resting = {name for name in names if self.view.is_resting(name)}
-        rest, reasons = rota.plan(machines, resting, sum(rates.values()), may_rest)
+        rest, reasons = standby_planning.plan(machines, resting, sum(rates.values()), may_rest)
         if rest - resting and now - self.changed_at < self.rest_pause:
             for name in rest - resting:
                 reasons[name] = "awake: it is to rest when things have been quiet for a while"
--- a/src/irisstand/controlplane/fleet_view.py
+++ b/src/irisstand/controlplane/singletons/fleet_view.py
@@ -4,7 +4,7 @@
 import collections.abc
 
 from irisstand import errors, node_context
-from irisstand.balancing import draws, rota, slots
+from irisstand.balancing import rendezvous, slot_assignment, standby_planning
 from irisstand.state import items, quorum
 
 # Who does not answer within this time is not counted on.
@@ -42,15 +42,17 @@
 
     def slot_owners(self) -> list[str]:
         owners: list[str] = []
-        for number in range(0, draws.SLOTS, slots.PER_ROW):
-            row = self.context.ledger.value(slots.row_key(number))
-            owners += row["owners"] if row else [""] * slots.PER_ROW
+        for number in range(0, rendezvous.SLOTS, slot_assignment.PER_ROW):
+            row = self.context.ledger.value(slot_assignment.row_key(number))
+            owners += row["owners"] if row else [""] * slot_assignment.PER_ROW
         return owners
 
     def shares(self) -> dict[str, dict[str, list[int]]]:
         return {item.key.removeprefix("share/"): item.value for item in self.context.ledger.under("share/")}
 
-    def machines(self, role: str, heard: collections.abc.Container[str] | None = None) -> list[rota.Machine]:
+    def machines(
+        self, role: str, heard: collections.abc.Container[str] | None = None
+    ) -> list[standby_planning.Machine]:
         """Machines of a role that are up and not evacuated, resting or not; only those heard, if given."""
         found = []
         for update in self.context.peers(role):
@@ -62,7 +64,7 @@
             row = self.row("shield", machine) if role == "shield" else {}
             limit = row.get("limit", DEFAULT_LIMITS[role])
             pinned = bool(self.row("machine", machine).get("awake"))
-            found.append(rota.Machine(machine, update.card.site, limit, pinned))
+            found.append(standby_planning.Machine(machine, update.card.site, limit, pinned))
         return found
 
     async def core_carries(self) -> bool:
@@ -73,7 +75,7 @@
         voters = quorum.decode(self.context.copies[table].value(items.VOTERS))
         heard = await asyncio.gather(*(self.stands(voter, table) for voter in voters))
         up = {voter.name for voter, stands in zip(voters, heard, strict=True) if stands}
-        return bool(voters) and rota.core_carries(quorum.places(voters), up)
+        return bool(voters) and standby_planning.core_carries(quorum.places(voters), up)
 
     async def stands(self, voter: quorum.Voter, table: str) -> bool:
         try:
--- a/src/irisstand/controlplane/duties.py
+++ b/src/irisstand/controlplane/singletons/lease.py
@@ -8,8 +8,9 @@
 import collections.abc
 import typing
 
-from irisstand import errors, ring
-from irisstand.controlplane import orders, submitting
+from irisstand import errors, event_log
+from irisstand.controlplane.changes import orders
+from irisstand.controlplane.consensus import submitter as submitting
 
 LEASE_LENGTH = 4.0
 # Candidates wait longer than the holder works, by what two steady clocks may drift apart in a term.
@@ -59,7 +60,7 @@
                     await self.watch()
             except (errors.IrisError, ValueError, TypeError) as error:
                 self.context.counters.add("duty_failed", duty=self.name)
-                ring.note("duty", duty=self.name, error=repr(error))
+                event_log.note("duty", duty=self.name, error=repr(error))
             await asyncio.sleep(0.2)
 
     async def watch(self) -> None:
--- a/src/irisstand/controlplane/platform_watch.py
+++ b/src/irisstand/controlplane/singletons/origin_discovery.py
@@ -7,9 +7,9 @@
 import json
 import typing
 
-from irisstand import errors, node_context, ring
-from irisstand.controlplane import duties
-from irisstand.validation import validating
+from irisstand import errors, event_log, node_context
+from irisstand.controlplane.singletons import lease
+from irisstand.validation import lazy_jsonschema
 
 ORIGIN = {
     "type": "object",
@@ -55,7 +55,7 @@
 
 @functools.cache
 def validator() -> typing.Any:
-    return validating.compiled(ANSWER)
+    return lazy_jsonschema.compiled(ANSWER)
 
 
 async def fetch(url: str, patience: float = 2.0) -> tuple[bytes, typing.Any]:
@@ -91,7 +91,7 @@
         self.failures = 0
         self.held, self.older = 0, 0
 
-    async def work(self, duty: duties.Duty) -> None:
+    async def work(self, duty: lease.Duty) -> None:
         now = self.context.clock.now()
         if now - self.asked_at < self.context.settings.platform_interval:
             return
@@ -104,7 +104,7 @@
             # The last good roster stays in force: a dead platform says nothing about its origins.
             self.failures += 1
             self.context.counters.add("platform_failed")
-            ring.note("platform", error=repr(error))
+            event_log.note("platform", error=repr(error))
             rows = self.state_rows("silent", repr(error)[:200]) if self.failures >= SILENT_AFTER else []
         if rows and duty.holds():
             await duty.write(rows)
--- a/src/irisstand/controlplane/placement.py
+++ b/src/irisstand/controlplane/singletons/placement.py
@@ -1,8 +1,8 @@
 """The placement duty: slots to shield machines, and shares of the ceilings, both recorded in the ledger."""
 
 from irisstand import node_context
-from irisstand.balancing import ceilings, draws, shares, slots
-from irisstand.controlplane import duties, fleet_view
+from irisstand.balancing import quota_shares, rendezvous, service_limits, slot_assignment
+from irisstand.controlplane.singletons import fleet_view, lease
 
 # Slots moved of the machine's own will in one step; those of a lost machine move at once.
 STEP = 8
@@ -22,7 +22,7 @@
         self.missing_since: dict[str, float] = {}
         self.frozen_until: dict[str, float] = {}
 
-    async def work(self, duty: duties.Duty) -> None:
+    async def work(self, duty: lease.Duty) -> None:
         now = self.context.clock.now()
         if now - self.worked_at < PAUSE:
             return
@@ -48,15 +48,15 @@
                 # Rest and evacuation are decisions, not accidents: nothing is waited for.
                 if now - since >= GRACE or self.view.is_out(machine):
                     given_up.add(machine)
-        planned, moved = slots.plan(current, weights, given_up, STEP)
+        planned, moved = slot_assignment.plan(current, weights, given_up, STEP)
         if not moved:
             return []
         self.context.counters.add("slots_moved", moved)
         rows = []
-        for number in range(0, draws.SLOTS, slots.PER_ROW):
-            part = planned[number : number + slots.PER_ROW]
-            if part != current[number : number + slots.PER_ROW]:
-                rows.append((slots.row_key(number), {"owners": part}))
+        for number in range(0, rendezvous.SLOTS, slot_assignment.PER_ROW):
+            part = planned[number : number + slot_assignment.PER_ROW]
+            if part != current[number : number + slot_assignment.PER_ROW]:
+                rows.append((slot_assignment.row_key(number), {"owners": part}))
         return rows
 
     # -- shares --------------------------------------------------------------------------------------
@@ -72,14 +72,14 @@
             row = self.context.configuration.value(f"service/{service}") or {"deadline": 60}
             # Requests that the last holder began run until their deadline, and an origin may work on at those
             # that were abandoned for as long again.
-            self.frozen_until[service] = now + FRESHNESS + ceilings.works_for(row["deadline"])
+            self.frozen_until[service] = now + FRESHNESS + service_limits.works_for(row["deadline"])
 
     def share_rows(self, weights: dict[str, float], now: float) -> list:
         current = self.view.shares()
         limits = self.ceilings()
         # With no rows at all, nobody can hold anything.
         frozen = {s for s, until in self.frozen_until.items() if now < until} if current else set()
-        planned, reduced = shares.plan(current, limits, weights, frozen)
+        planned, reduced = quota_shares.plan(current, limits, weights, frozen)
         self.freeze(reduced, now)
         rows = []
         for machine, row in planned.items():
--- a/src/irisstand/controlplane/rate_placement.py
+++ b/src/irisstand/controlplane/singletons/rate_placement.py
@@ -1,8 +1,8 @@
 """The rate-parts duty: who owns which part of the services' rates, as recorded in the ledger."""
 
 from irisstand import node_context
-from irisstand.balancing import rate_parts
-from irisstand.controlplane import duties
+from irisstand.balancing import rate_quota
+from irisstand.controlplane.singletons import lease
 
 PAUSE = 0.5
 # An owner that is missing keeps its part for this long: a process that was killed is back sooner.
@@ -22,7 +22,7 @@
         self.standing: dict[str, float] = {}
         self.still_since = -1e9
 
-    async def work(self, duty: duties.Duty) -> None:
+    async def work(self, duty: lease.Duty) -> None:
         now = self.context.clock.now()
         if now - self.worked_at < PAUSE:
             return
@@ -31,28 +31,28 @@
             self.began_at = now
             self.seen_at = dict.fromkeys(units, now)
             # What an earlier holder of the duty took away just before is not known here.
-            self.frozen_until = now + rate_parts.LAPSE if units else now
+            self.frozen_until = now + rate_quota.LAPSE if units else now
         self.worked_at = now
         weights = self.weights(units, now)
         if weights != self.standing:
             self.standing, self.still_since = weights, now
         if not weights or (not units and self.is_filling(now)):
             return
-        planned, is_reduced = rate_parts.plan(units, weights, now < self.frozen_until)
+        planned, is_reduced = rate_quota.plan(units, weights, now < self.frozen_until)
         if planned != units and duty.holds():
             if is_reduced:
-                self.frozen_until = now + rate_parts.LAPSE
-            await duty.write([(rate_parts.KEY, {"units": planned})])
+                self.frozen_until = now + rate_quota.LAPSE
+            await duty.write([(rate_quota.KEY, {"units": planned})])
             if is_reduced:
                 # Counted from when it was decided, not from when it was asked for.
-                self.frozen_until = self.context.clock.now() + rate_parts.LAPSE
+                self.frozen_until = self.context.clock.now() + rate_quota.LAPSE
             self.context.counters.add("rate_parts_moved")
 
     def is_filling(self, now: float) -> bool:
         return now - self.still_since < STILL_FOR and now - self.began_at < STILL_AT_MOST
 
     def units(self) -> dict[str, int]:
-        row = self.context.ledger.value(rate_parts.KEY)
+        row = self.context.ledger.value(rate_quota.KEY)
         return dict(row["units"]) if row else {}
 
     def weights(self, units: dict[str, int], now: float) -> dict[str, float]:
@@ -67,7 +67,7 @@
         # Where edges fetch for themselves, they own the parts: no place has to be asked for.
         if len(edges) < self.context.settings.holder_edges * len(set(edges.values())):
             holders = {}
-        return rate_parts.choose(sorted(holders.items()), sorted(edges.items()))
+        return rate_quota.choose(sorted(holders.items()), sorted(edges.items()))
 
     def listed(self, role: str) -> dict[str, str]:
         """Sites by name of the members that are not suspected."""
--- a/src/irisstand/controlplane/retention.py
+++ b/src/irisstand/controlplane/singletons/retention.py
@@ -1,7 +1,8 @@
 """The retention duty: raises each table's time, by which what has stood for long enough is forgotten."""
 
 from irisstand import errors, node_context
-from irisstand.controlplane import duties, orders, table_time
+from irisstand.controlplane.changes import orders, table_time
+from irisstand.controlplane.singletons import lease
 from irisstand.state import items
 
 PAUSE = 15.0
@@ -18,11 +19,11 @@
         self.context, self.pause = context, pause
         self.seen: dict[str, tuple[str, float]] = {}
 
-    async def work(self, duty: duties.Duty) -> None:
+    async def work(self, duty: lease.Duty) -> None:
         for table in items.TABLES:
             await self.tick(duty, table)
 
-    async def tick(self, duty: duties.Duty, table: str) -> None:
+    async def tick(self, duty: lease.Duty, table: str) -> None:
         now = self.context.clock.now()
         expected = str(self.context.copies[table].version(items.TIME))
         # Counted from when this node saw the version, which is later than when it was written.
--- a/src/irisstand/dataplane/assembly.py
+++ b/src/irisstand/dataplane/assembly.py
@@ -5,18 +5,18 @@
 import typing
 
 from irisstand import clocks, node_context, node_settings
-from irisstand.dataplane import views
-from irisstand.state import refresher, replicator
+from irisstand.dataplane.routing import configuration_snapshot
+from irisstand.state.replication import refresher, replicator
 from irisstand.transport import network
 
 # Plug-in point: a role is an entry here, the module whose `part` makes it. It is imported when its role is
 # played: a node that was killed is back sooner without the libraries of the others.
 REGISTRY = {
-    "edge": "irisstand.dataplane.edge",
-    "shield": "irisstand.dataplane.shield",
-    "store": "irisstand.dataplane.store",
-    "direct": "irisstand.dataplane.direct",
-    "holder": "irisstand.dataplane.direct",
+    "edge": "irisstand.dataplane.nodes.edge",
+    "shield": "irisstand.dataplane.nodes.shield",
+    "store": "irisstand.dataplane.nodes.store",
+    "direct": "irisstand.dataplane.nodes.direct",
+    "holder": "irisstand.dataplane.nodes.direct",
 }
 
 
@@ -32,7 +32,7 @@
         connect: typing.Any = None,
     ) -> None:
         self.context = node_context.NodeContext(settings, settings.role, clock, randomness, net)
-        self.view = views.Views(self.context)
+        self.view = configuration_snapshot.Views(self.context)
         self.replicator = replicator.Replicator(self.context)
         self.refresher = refresher.Refresher(self.context, self.replicator)
         self.part: typing.Any = importlib.import_module(REGISTRY[settings.role]).part(
--- /dev/null
+++ b/src/irisstand/dataplane/cache/__init__.py
@@ -0,0 +1,1 @@
+"""Cached objects: local caches, the nodes that hold objects, and reads through them."""
--- a/src/irisstand/dataplane/cache.py
+++ b/src/irisstand/dataplane/cache/object_cache.py
@@ -5,7 +5,7 @@
 import collections.abc
 import typing
 
-from irisstand.dataplane import objects
+from irisstand.dataplane.cache import objects
 
 OVERHEAD = 300
 
--- a/src/irisstand/dataplane/holders.py
+++ b/src/irisstand/dataplane/cache/object_holders.py
@@ -7,8 +7,10 @@
 import asyncio
 
 from irisstand import errors, node_context
-from irisstand.balancing import draws
-from irisstand.dataplane import conversing, objects, reading, routes, targets
+from irisstand.balancing import rendezvous
+from irisstand.dataplane.cache import object_reader, objects
+from irisstand.dataplane.routing import routes
+from irisstand.dataplane.upstream import client, endpoint_pool
 from irisstand.membership import updates
 from irisstand.state import versions
 
@@ -22,11 +24,11 @@
 
 class Holders:
     def __init__(
-        self, context: node_context.NodeContext, table: routes.Routes, origins: targets.Targets
+        self, context: node_context.NodeContext, table: routes.Routes, origins: endpoint_pool.Targets
     ) -> None:
         self.context, self.table, self.origins = context, table, origins
         self.avoided = origins.avoided
-        self.reading: reading.Reading | None = None
+        self.reading: object_reader.Reading | None = None
 
     # -- asking --------------------------------------------------------------------------------------
     def pick(self, route: routes.Route, service: str, key: str) -> updates.Update | None:
@@ -46,7 +48,7 @@
         names = [(update.identity.name, 1.0) for update in home]
         if everywhere or context.settings.region in route.regions:
             names.append((context.settings.name, 1.0))
-        order = draws.order(key, names)
+        order = rendezvous.order(key, names)
         return next((u for u in home if u.identity.name == order[0]), None) if order else None
 
     def usable(self) -> list[updates.Update]:
@@ -59,18 +61,22 @@
 
     def draw(self, key: str, found: list[updates.Update]) -> updates.Update | None:
         named = {update.identity.name: update for update in found}
-        names = draws.order(key, [(name, 1.0) for name in named])
+        names = rendezvous.order(key, [(name, 1.0) for name in named])
         return named[names[0]] if names else None
 
     async def ask(
-        self, asked: reading.Asked, floor: versions.Version, remaining: float, known: objects.Object | None
+        self,
+        asked: object_reader.Asked,
+        floor: versions.Version,
+        remaining: float,
+        known: objects.Object | None,
     ) -> objects.Object | None:
         # Whoever was asked by another holder is the last in the row.
         holder = None if asked.is_last else self.pick(asked.route, asked.service, asked.key)
         if holder is None:
             return None
         request = asked.request
-        known_tag = reading.tag_of(known) or ""
+        known_tag = object_reader.tag_of(known) or ""
         asked_at = self.context.clock.now()
         patience = min(LONGEST, PART * remaining)
         body = (
@@ -105,7 +111,7 @@
         return objects.decode(parts, asked_at)
 
     # -- answering -----------------------------------------------------------------------------------
-    def answer(self, own: reading.Reading) -> None:
+    def answer(self, own: object_reader.Reading) -> None:
         """Answer edges out of this reading."""
         self.reading = own
         self.context.transport.handlers["object"] = self.on_object
@@ -114,16 +120,16 @@
         name, service, host, target, headers, remaining, floor, known_tag, applied, is_last = body
         if self.context.draining:
             raise errors.Draining("this holder is shutting down")
-        request = conversing.Request("GET", bytes(target), str(host), dict(headers), b"")
+        request = client.Request("GET", bytes(target), str(host), dict(headers), b"")
         await self.catch_up(versions.decode(applied))
         route = self.table.match(request.host, request.path)
         # Judged by another version than the edge's, its request could go where that one does not allow.
         if route.name != name or not self.table.still_allows(route, service):
             raise errors.StaleConfiguration("the route is another one here")
-        asked = reading.Asked(route, str(service), request, float(remaining), bool(is_last))
+        asked = object_reader.Asked(route, str(service), request, float(remaining), bool(is_last))
         thing = await self.reading.read(asked, versions.decode(floor))
         now = self.context.clock.now()
-        if known_tag and thing.life > 0 and reading.tag_of(thing) == known_tag:
+        if known_tag and thing.life > 0 and object_reader.tag_of(thing) == known_tag:
             return ("same", (tuple(thing.applied), thing.age_now(now), thing.life))
         return ("object", objects.encode(thing, now))
 
--- a/src/irisstand/dataplane/reading.py
+++ b/src/irisstand/dataplane/cache/object_reader.py
@@ -4,8 +4,11 @@
 import typing
 
 from irisstand import errors, node_context
-from irisstand.dataplane import cache, conversing, decisions, objects, routes, views
-from irisstand.dataplane import vocabulary as vocabularies
+from irisstand.dataplane.cache import object_cache, objects
+from irisstand.dataplane.http import header_names as vocabularies
+from irisstand.dataplane.retry import forwarding_policies
+from irisstand.dataplane.routing import configuration_snapshot, routes
+from irisstand.dataplane.upstream import client
 from irisstand.state import versions
 
 # What must not reach an origin when the whole object is wanted for all.
@@ -32,7 +35,7 @@
 
     route: routes.Route
     service: str
-    request: conversing.Request
+    request: client.Request
     remaining: float
     is_last: bool = False
 
@@ -51,14 +54,14 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: views.Views,
-        origins: conversing.Conversing,
+        view: configuration_snapshot.Views,
+        origins: client.Conversing,
         ask_holder: typing.Any,
     ) -> None:
         self.context, self.view, self.origins, self.ask_holder = context, view, origins, ask_holder
         self.words = origins.words
-        self.cache = cache.Cache(context.settings.cache_bytes)
-        self.collapse = cache.Collapse()
+        self.cache = object_cache.Cache(context.settings.cache_bytes)
+        self.collapse = object_cache.Collapse()
 
     async def read(self, asked: Asked, floor: versions.Version = versions.NONE) -> objects.Object:
         """The whole object, good to be given out now; a purge up to `floor` is known to whoever asks."""
@@ -66,7 +69,7 @@
         floor = max(floor, self.view.purged_at(asked.place, ()))
         found = self.cached(asked)
         if found is not None:
-            if decisions.is_usable(found, asked.place, self.view, floor, self.context.clock.now()):
+            if forwarding_policies.is_usable(found, asked.place, self.view, floor, self.context.clock.now()):
                 self.context.counters.add("cache", at=self.context.role, result="hit")
                 return found
         self.context.counters.add("cache", at=self.context.role, result="miss")
@@ -81,7 +84,7 @@
                     thing = await obtain
             except TimeoutError:
                 raise errors.DeadlinePassed("no origin gave a whole answer in time") from None
-            is_good = thing.applied >= floor and decisions.is_fit(
+            is_good = thing.applied >= floor and forwarding_policies.is_fit(
                 thing, asked.place, self.view, self.context.clock.now()
             )
             if thing.life <= 0 or is_good:
@@ -112,7 +115,7 @@
         self, asked: Asked, floor: versions.Version, remaining: float, known: objects.Object | None
     ) -> objects.Object:
         given = asked.request.headers.items()
-        headers = [(n, v) for n, v in given if n not in conversing.HOP and n not in CONDITIONS]
+        headers = [(n, v) for n, v in given if n not in client.HOP and n not in CONDITIONS]
         # What has outlived its life, or was struck by a purge, may still be the newest there is: then only
         # a word of that comes back, and no bytes.
         known_tag = tag_of(known)
--- a/src/irisstand/dataplane/ranges.py
+++ b/src/irisstand/dataplane/cache/ranges.py
@@ -2,7 +2,7 @@
 
 import re
 
-from irisstand.dataplane import exchange
+from irisstand.dataplane.upstream import exchange
 
 SINGLE = re.compile(r"^bytes=(\d{1,18})-(\d{0,18})$")
 
--- /dev/null
+++ b/src/irisstand/dataplane/http/__init__.py
@@ -0,0 +1,1 @@
+"""HTTP towards clients: listeners, adapters and header names."""
--- a/src/irisstand/dataplane/front_listener.py
+++ b/src/irisstand/dataplane/http/listener.py
@@ -6,8 +6,8 @@
 import sanic.request
 import sanic.response
 
-from irisstand import errors, node_context, node_settings, ring
-from irisstand.dataplane import direct
+from irisstand import errors, event_log, node_context, node_settings
+from irisstand.dataplane.nodes import direct
 
 METHODS = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"]
 # Sanic writes these itself.
@@ -137,7 +137,7 @@
             self.context.counters.add("requests_crashed")
             return self.as_fault(errors.OutcomeUnknown("what this request waited for was given up"))
         except Exception as error:
-            ring.note("crash", error=repr(error))
+            event_log.note("crash", error=repr(error))
             self.context.counters.add("requests_crashed")
             return self.as_fault(errors.OutcomeUnknown("an error of this node's own"))
         kept = {name: value for name, value in headers.items() if name not in OWN}
--- a/src/irisstand/dataplane/front.py
+++ b/src/irisstand/dataplane/http/sanic_adapter.py
@@ -8,7 +8,7 @@
 import sanic.response
 
 from irisstand import errors, web
-from irisstand.dataplane import edge as edges
+from irisstand.dataplane.nodes import edge as edges
 
 METHODS = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"]
 
--- /dev/null
+++ b/src/irisstand/dataplane/nodes/__init__.py
@@ -0,0 +1,1 @@
+"""One module for each role of a data plane node."""
--- a/src/irisstand/dataplane/direct.py
+++ b/src/irisstand/dataplane/nodes/direct.py
@@ -3,33 +3,25 @@
 import typing
 
 from irisstand import node_context
-from irisstand.dataplane import (
-    conversing,
-    exchange,
-    holders,
-    objects,
-    ranges,
-    reading,
-    routes,
-    targets,
-    views,
-)
-from irisstand.dataplane import vocabulary as vocabularies
+from irisstand.dataplane.cache import object_holders, object_reader, objects, ranges
+from irisstand.dataplane.http import header_names as vocabularies
+from irisstand.dataplane.routing import configuration_snapshot, routes
+from irisstand.dataplane.upstream import client, endpoint_pool, exchange
 
-Request = conversing.Request
+Request = client.Request
 
 
 class Direct:
     def __init__(
-        self, context: node_context.NodeContext, view: views.Views, connect: exchange.Connect
+        self, context: node_context.NodeContext, view: configuration_snapshot.Views, connect: exchange.Connect
     ) -> None:
         self.context, self.view = context, view
         self.words = vocabularies.REGISTRY[context.settings.vocabulary]
         self.table = routes.Routes(context)
-        self.targets = targets.Targets(context, view, self.table, self.words, connect)
-        self.origins = conversing.Conversing(context, view, self.table, self.targets)
-        self.holders = holders.Holders(context, self.table, self.targets)
-        self.reading = reading.Reading(context, view, self.origins, self.holders.ask)
+        self.targets = endpoint_pool.Targets(context, view, self.table, self.words, connect)
+        self.origins = client.Conversing(context, view, self.table, self.targets)
+        self.holders = object_holders.Holders(context, self.table, self.targets)
+        self.reading = object_reader.Reading(context, view, self.origins, self.holders.ask)
         self.holders.answer(self.reading)
 
     async def run(self) -> None:
@@ -44,10 +36,10 @@
         remaining = min(route.timeout, int(given) / 1000) if given.isdigit() else route.timeout
         if route.is_cacheable and request.method == "GET":
             service = routes.pick_service(route, request.target.decode("latin-1"))
-            asked = reading.Asked(route, service, request, remaining)
+            asked = object_reader.Asked(route, service, request, remaining)
             return self.give(request, await self.reading.read(asked))
         service = routes.pick_service(route, request.headers.get(self.words.request_id, request.path))
-        headers = [(name, value) for name, value in request.headers.items() if name not in conversing.HOP]
+        headers = [(name, value) for name, value in request.headers.items() if name not in client.HOP]
         with self.context.working():
             return await self.origins.converse(route, service, request, headers, remaining)
 
@@ -69,5 +61,7 @@
     return exchange.connector(vocabularies.REGISTRY[settings.vocabulary].request_id)
 
 
-def part(context: node_context.NodeContext, view: views.Views, connect: typing.Any) -> Direct:
+def part(
+    context: node_context.NodeContext, view: configuration_snapshot.Views, connect: typing.Any
+) -> Direct:
     return Direct(context, view, connect or connector(context.settings))
--- a/src/irisstand/dataplane/edge.py
+++ b/src/irisstand/dataplane/nodes/edge.py
@@ -5,9 +5,12 @@
 import typing
 
 from irisstand import errors, node_context
-from irisstand.balancing import budget as budgets
-from irisstand.balancing import heat
-from irisstand.dataplane import cache, decisions, doubts, objects, views
+from irisstand.balancing import popularity
+from irisstand.balancing import retry_budget as budgets
+from irisstand.dataplane.cache import object_cache, objects
+from irisstand.dataplane.nodes import suspicion_watcher
+from irisstand.dataplane.retry import forwarding_policies
+from irisstand.dataplane.routing import configuration_snapshot
 from irisstand.state import versions
 
 READS = ("GET", "HEAD")
@@ -49,13 +52,13 @@
 
 
 class Edge:
-    def __init__(self, context: node_context.NodeContext, view: views.Views) -> None:
+    def __init__(self, context: node_context.NodeContext, view: configuration_snapshot.Views) -> None:
         self.context, self.view = context, view
-        self.cache = cache.Cache(context.settings.cache_bytes)
-        self.collapse = cache.Collapse()
-        self.heat = heat.Heat(context.clock)
+        self.cache = object_cache.Cache(context.settings.cache_bytes)
+        self.collapse = object_cache.Collapse()
+        self.heat = popularity.Heat(context.clock)
         self.budget = budgets.Budget(context.clock, 0.07, 1)
-        self.doubts = doubts.Doubts(context.detector)
+        self.doubts = suspicion_watcher.Doubts(context.detector)
 
     async def handle(self, request: Request) -> Result:
         """The result for the client, or a typed error to be shown as JSON."""
@@ -76,9 +79,9 @@
             raise
 
     # -- reads ---------------------------------------------------------------------------------------
-    async def read(self, granted: views.Granted, request: Request) -> Result:
+    async def read(self, granted: configuration_snapshot.Granted, request: Request) -> Result:
         shared = not any(name in request.headers for name in CREDENTIALS)
-        giving = decisions.Giving(self.context.clock, self.view, granted, request.path)
+        giving = forwarding_policies.Giving(self.context.clock, self.view, granted, request.path)
         floor = self.view.purged_at(request.path, ())
         # Only headers that the configuration names may change a shared answer, so only they are sent on.
         varied = {name.lower() for name in granted.vary}
@@ -91,7 +94,9 @@
         if shared:
             found = self.cache.get(key)
             if found is not None:
-                if decisions.is_usable(found, request.path, self.view, floor, self.context.clock.now()):
+                if forwarding_policies.is_usable(
+                    found, request.path, self.view, floor, self.context.clock.now()
+                ):
                     self.context.counters.add("cache", at="edge", result="hit")
                     return self.result(request, found)
                 floor = max(floor, self.view.purged_at(request.path, found.tags))
@@ -127,7 +132,7 @@
 
     async def fetch(
         self,
-        granted: views.Granted,
+        granted: configuration_snapshot.Granted,
         request: Request,
         headers: dict[str, str],
         floor: versions.Version,
@@ -136,7 +141,7 @@
     ) -> tuple[str, objects.Object]:
         self.budget.note_first()
         shields = self.spread(granted.service, f"{request.path}?{request.query}")
-        decision = decisions.EdgeRead(self.context.clock, granted, shields, self.budget, deadline)
+        decision = forwarding_policies.EdgeRead(self.context.clock, granted, shields, self.budget, deadline)
         # One id for all tries, so that an origin's record shows second tries for what they are.
         request_id = self.request_id()
         happened: tuple = ("started",)
@@ -165,7 +170,7 @@
                 happened = ("object", (service, objects.decode(parts, asked_at)))
 
     async def ask_watched(
-        self, decision: decisions.EdgeRead, shield: typing.Any, body: tuple, remaining: float
+        self, decision: forwarding_policies.EdgeRead, shield: typing.Any, body: tuple, remaining: float
     ) -> tuple:
         """A shield that lost its power closes no connection: its reads go on once it is suspected."""
         doubt = self.doubts.watch(shield.identity)
@@ -193,11 +198,11 @@
         return shields
 
     # -- writes --------------------------------------------------------------------------------------
-    async def write(self, granted: views.Granted, request: Request) -> Result:
+    async def write(self, granted: configuration_snapshot.Granted, request: Request) -> Result:
         request_id = self.request_id()
         key = request.headers.get("idempotency-key", request_id)
         shields = self.view.shields(granted.service, key)
-        decision = decisions.EdgeWrite(self.context.clock, granted, shields)
+        decision = forwarding_policies.EdgeWrite(self.context.clock, granted, shields)
         kept = tuple((name, value) for name, value in request.headers.items() if name not in DROPPED)
         happened: tuple = ("started",)
         while True:
@@ -239,5 +244,5 @@
         return f"{self.context.settings.name}-{self.context.randomness.getrandbits(64):016x}"
 
 
-def part(context: node_context.NodeContext, view: views.Views, connect: typing.Any) -> Edge:
+def part(context: node_context.NodeContext, view: configuration_snapshot.Views, connect: typing.Any) -> Edge:
     return Edge(context, view)
--- a/src/irisstand/dataplane/shield.py
+++ b/src/irisstand/dataplane/nodes/shield.py
@@ -4,28 +4,37 @@
 import typing
 
 from irisstand import errors, node_context
-from irisstand.balancing import budget as budgets
-from irisstand.balancing import ceilings, draws
-from irisstand.dataplane import cache, claims, decisions, lines, objects, origins, views
+from irisstand.balancing import rendezvous, service_limits
+from irisstand.balancing import retry_budget as budgets
+from irisstand.dataplane.cache import object_cache, objects
+from irisstand.dataplane.nodes import idempotency_keys
+from irisstand.dataplane.retry import forwarding_policies
+from irisstand.dataplane.routing import configuration_snapshot
+from irisstand.dataplane.upstream import connections, origin_pool
 from irisstand.state import versions
 
 # At each of the shields that a request comes to; three of them are well inside any patience.
 QUEUE_LIMIT = 0.25
 STORE_PATIENCE = 0.15
 CATCH_UP_LIMIT = 1.0
-NOT_THE_ORIGINS = (errors.OverCeiling, errors.StaleConfiguration, errors.NoShare, lines.Reopened)
+NOT_THE_ORIGINS = (errors.OverCeiling, errors.StaleConfiguration, errors.NoShare, connections.Reopened)
 
 
 class Shield:
-    def __init__(self, context: node_context.NodeContext, view: views.Views, open_line: lines.Open) -> None:
+    def __init__(
+        self,
+        context: node_context.NodeContext,
+        view: configuration_snapshot.Views,
+        open_line: connections.Open,
+    ) -> None:
         self.context, self.view = context, view
-        self.cache = cache.Cache(context.settings.cache_bytes)
-        self.collapse = cache.Collapse()
-        self.origins = origins.Origins(context, view, open_line)
+        self.cache = object_cache.Cache(context.settings.cache_bytes)
+        self.collapse = object_cache.Collapse()
+        self.origins = origin_pool.Origins(context, view, open_line)
         # With the edges' share this stays under the fifth of the traffic that is allowed fleet-wide.
         self.budget = budgets.Budget(context.clock, 0.10, 1)
-        self.claims = claims.Claims(context)
-        self.shares: dict[str, ceilings.Share] = {}
+        self.claims = idempotency_keys.Claims(context)
+        self.shares: dict[str, service_limits.Share] = {}
         self.opened_at = context.clock.now()
         context.transport.handlers.update({"read": self.on_read, "write": self.on_write})
 
@@ -57,7 +66,7 @@
         return remaining - (self.context.clock.now() - started)
 
     async def read(
-        self, granted: views.Granted, work: tuple, remaining: float, shared: bool
+        self, granted: configuration_snapshot.Granted, work: tuple, remaining: float, shared: bool
     ) -> objects.Object:
         request_id, path, query, headers, floor = work
         if not shared:
@@ -67,7 +76,7 @@
         floor = max(floor, self.view.purged_at(path, ()))
         found = self.cache.get(key)
         if found is not None:
-            if decisions.is_usable(found, path, self.view, floor, self.context.clock.now()):
+            if forwarding_policies.is_usable(found, path, self.view, floor, self.context.clock.now()):
                 self.context.counters.add("cache", at="shield", result="hit")
                 return found
             self.cache.drop(key)
@@ -78,7 +87,7 @@
         )
 
     async def look_and_fetch(
-        self, key: str, granted: views.Granted, work: tuple, remaining: float
+        self, key: str, granted: configuration_snapshot.Granted, work: tuple, remaining: float
     ) -> objects.Object:
         floor = work[4]
         store = self.store_for(key)
@@ -99,7 +108,7 @@
     def store_for(self, key: str) -> typing.Any:
         stores = self.context.peers("store")
         found = {update.identity.name: update for update in stores if not update.state}
-        names = draws.order(key, [(name, 1.0) for name in found])
+        names = rendezvous.order(key, [(name, 1.0) for name in found])
         return found[names[0]] if names else None
 
     async def look(
@@ -112,7 +121,7 @@
             )
             if parts:
                 thing = objects.decode(parts, asked_at)
-                if decisions.is_usable(thing, path, self.view, floor, self.context.clock.now()):
+                if forwarding_policies.is_usable(thing, path, self.view, floor, self.context.clock.now()):
                     return thing
         except errors.IrisError:
             # A store is a convenience: without it the read goes to an origin.
@@ -126,9 +135,11 @@
         except errors.IrisError:
             self.context.counters.add("store_failed")
 
-    async def fetch(self, granted: views.Granted, work: tuple, remaining: float) -> objects.Object:
+    async def fetch(
+        self, granted: configuration_snapshot.Granted, work: tuple, remaining: float
+    ) -> objects.Object:
         request_id, path, query, headers, floor = work
-        decision = decisions.ShieldRead(self.context.clock, granted, remaining, self.budget)
+        decision = forwarding_policies.ShieldRead(self.context.clock, granted, remaining, self.budget)
         happened: tuple = ("started",)
         while True:
             action = decision.ask(happened)
@@ -154,11 +165,16 @@
         remaining = await self.check_open(versions.decode(applied), float(remaining))
         granted = self.view.grant(method, path, query)
         with self.context.working():
-            decision = decisions.ShieldWrite(self.context.clock, granted, remaining)
+            decision = forwarding_policies.ShieldWrite(self.context.clock, granted, remaining)
             request = (method, f"{path}?{query}" if query else path, dict(headers), content, request_id)
             return await self.claims.once(granted, request, lambda: self.write(granted, decision, request))
 
-    async def write(self, granted: views.Granted, decision: decisions.ShieldWrite, request: tuple) -> tuple:
+    async def write(
+        self,
+        granted: configuration_snapshot.Granted,
+        decision: forwarding_policies.ShieldWrite,
+        request: tuple,
+    ) -> tuple:
         happened: tuple = ("started",)
         while True:
             action = decision.ask(happened)
@@ -172,7 +188,11 @@
 
     # -- towards origins -----------------------------------------------------------------------------
     async def try_origin(
-        self, granted: views.Granted, request: tuple, decision: decisions.ShieldWork, tried: set[str]
+        self,
+        granted: configuration_snapshot.Granted,
+        request: tuple,
+        decision: forwarding_policies.ShieldWork,
+        tried: set[str],
     ) -> tuple:
         """One try at one origin: ("answer", ...) or ("failed", error, origin, touched)."""
         method, target, headers, body, request_id = request
@@ -182,7 +202,7 @@
             share, entered_at = await self.enter(granted, decision)
         except errors.IrisError as error:
             return ("failed", error, "", False)
-        line: lines.Line | None = None
+        line: connections.Line | None = None
         works_until = 0.0
         try:
             line = await pool.take(max(0.01, decision.remaining()))
@@ -203,38 +223,38 @@
         except (TimeoutError, asyncio.CancelledError) as error:
             # Nobody waits any more, but the origin may work on: its place is kept for as long as it could.
             touched = line is not None and line.touched
-            works_until = entered_at + ceilings.works_for(granted.deadline) if touched else 0.0
+            works_until = entered_at + service_limits.works_for(granted.deadline) if touched else 0.0
             if isinstance(error, asyncio.CancelledError):
                 raise
             self.context.counters.add("origin_failures", service=granted.service, touched=str(touched))
             pool.mark(pool.healthy and touched, repr(error))
-            return ("failed", decisions.kind_of(error), pool.instance, touched)
-        except origins.FAILURES as error:
+            return ("failed", forwarding_policies.kind_of(error), pool.instance, touched)
+        except origin_pool.FAILURES as error:
             touched = line is not None and line.touched
             self.context.counters.add("origin_failures", service=granted.service, touched=str(touched))
             # A kept line that the origin closed meanwhile says nothing of the origin: the prober will tell.
             if not isinstance(error, NOT_THE_ORIGINS):
                 # An unsealed answer is one request's; a broken line says that the origin is gone.
                 pool.mark(pool.healthy and isinstance(error, errors.UnsealedResult), repr(error))
-            return ("failed", decisions.kind_of(error), pool.instance, touched)
+            return ("failed", forwarding_policies.kind_of(error), pool.instance, touched)
         finally:
             if share is not None:
                 share.leave(works_until)
             if line is not None:
                 await pool.give_back(line)
 
-    def recheck(self, granted: views.Granted, method: str, target: str) -> None:
+    def recheck(self, granted: configuration_snapshot.Granted, method: str, target: str) -> None:
         path, _, query = target.partition("?")
         if self.view.grant(method, path, query).service != granted.service:
             raise errors.StaleConfiguration("the blueprint changed while the request waited")
 
     async def enter(
-        self, granted: views.Granted, decision: decisions.ShieldWork
-    ) -> tuple[ceilings.Share, float]:
+        self, granted: configuration_snapshot.Granted, decision: forwarding_policies.ShieldWork
+    ) -> tuple[service_limits.Share, float]:
         """A place under this shield's part of the ceiling, waited for briefly, then said no to at once."""
         rate, inflight = self.view.share(granted.service, granted.ceiling)
         if granted.service not in self.shares:
-            self.shares[granted.service] = ceilings.Share(self.context.clock, self.opened_at)
+            self.shares[granted.service] = service_limits.Share(self.context.clock, self.opened_at)
         share = self.shares[granted.service]
         wait_until = self.context.clock.now() + min(QUEUE_LIMIT, decision.remaining() / 3)
         if not rate or not inflight or share.is_opening(granted.deadline):
@@ -246,5 +266,7 @@
         return share, self.context.clock.now()
 
 
-def part(context: node_context.NodeContext, view: views.Views, connect: typing.Any) -> Shield:
-    return Shield(context, view, connect or lines.open_http)
+def part(
+    context: node_context.NodeContext, view: configuration_snapshot.Views, connect: typing.Any
+) -> Shield:
+    return Shield(context, view, connect or connections.open_http)
--- a/src/irisstand/dataplane/store.py
+++ b/src/irisstand/dataplane/nodes/store.py
@@ -3,14 +3,16 @@
 import typing
 
 from irisstand import node_context
-from irisstand.dataplane import cache, decisions, objects, views
+from irisstand.dataplane.cache import object_cache, objects
+from irisstand.dataplane.retry import forwarding_policies
+from irisstand.dataplane.routing import configuration_snapshot
 from irisstand.state import versions
 
 
 class Store:
-    def __init__(self, context: node_context.NodeContext, view: views.Views) -> None:
+    def __init__(self, context: node_context.NodeContext, view: configuration_snapshot.Views) -> None:
         self.context, self.view = context, view
-        self.cache = cache.Cache(context.settings.cache_bytes)
+        self.cache = object_cache.Cache(context.settings.cache_bytes)
         context.transport.handlers["look"] = self.on_look
         context.transport.handlers["keep"] = self.on_keep
 
@@ -22,7 +24,7 @@
         if found is None:
             self.context.counters.add("cache", at="store", result="miss")
             return ()
-        if not decisions.is_usable(found, path, self.view, versions.decode(floor), now):
+        if not forwarding_policies.is_usable(found, path, self.view, versions.decode(floor), now):
             self.cache.drop(key)
             self.context.counters.add("cache", at="store", result="outlived")
             return ()
@@ -39,5 +41,5 @@
         return ()
 
 
-def part(context: node_context.NodeContext, view: views.Views, connect: typing.Any) -> Store:
+def part(context: node_context.NodeContext, view: configuration_snapshot.Views, connect: typing.Any) -> Store:
     return Store(context, view)
--- a/src/irisstand/dataplane/program.py
+++ b/src/irisstand/dataplane/program.py
@@ -4,12 +4,12 @@
 import importlib
 import random
 
-from irisstand import clocks, node_settings, ring, running
+from irisstand import clocks, event_log, node_settings, program
 from irisstand.dataplane import assembly
 from irisstand.transport import network
 
 
-async def assemble(settings: node_settings.Settings, log_ring: ring.Ring) -> running.Opened:
+async def assemble(settings: node_settings.Settings, log_ring: event_log.Ring) -> program.Opened:
     data_node = assembly.DataNode(
         settings, clocks.MonotonicClock(), random.SystemRandom(), network.RealNetwork()
     )
@@ -21,12 +21,12 @@
     if settings.role == "direct":
         # Readiness has an address of its own, and tells from the start why there is none yet.
         await server.open()
-        front_listener = importlib.import_module("irisstand.dataplane.front_listener")
+        front_listener = importlib.import_module("irisstand.dataplane.http.listener")
         face = front_listener.FrontListener(data_node.context, data_node.part, settings.front)
         data_node.context.start(face.open_when_current(), "front")
         return data_node.context, lambda: stop_all([face.stop_listening, server.stop_listening])
     if settings.role == "edge":
-        front = importlib.import_module("irisstand.dataplane.front")
+        front = importlib.import_module("irisstand.dataplane.http.sanic_adapter")
         front.Front(server, data_node.part)
         data_node.context.start(server.open_when_current(), "listener")
     else:
@@ -43,7 +43,7 @@
         await stop()
 
 
-main = running.command("dataplane", "Run the data plane in one of its roles.", assemble)
+main = program.command("dataplane", "Run the data plane in one of its roles.", assemble)
 
 if __name__ == "__main__":
     main()
--- a/src/irisstand/dataplane/owned_parts.py
+++ b/src/irisstand/dataplane/ratelimit/quota_share.py
@@ -6,7 +6,7 @@
 import math
 
 from irisstand import node_context
-from irisstand.balancing import parts, rate_parts
+from irisstand.balancing import fleet_limits, rate_quota
 
 # A name of a bound is a service's, or this and the instance of a cold origin.
 COLD = "cold "
@@ -24,26 +24,26 @@
     def __init__(self, context: node_context.NodeContext, whole: Whole) -> None:
         self.context, self.whole = context, whole
         self.opened_at = context.clock.now()
-        self.ceilings: dict[str, parts.Ceiling] = {}
-        self.cold: dict[str, parts.Window] = {}
+        self.ceilings: dict[str, fleet_limits.Ceiling] = {}
+        self.cold: dict[str, fleet_limits.Window] = {}
 
     def units(self) -> dict[str, int]:
-        row = self.context.ledger.value(rate_parts.KEY)
+        row = self.context.ledger.value(rate_quota.KEY)
         return row["units"] if row else {}
 
     def part(self, name: str) -> float:
         """This node's part, none where its copy of the ledger was not confirmed for too long."""
         age = self.context.ledger.age(self.context.clock.now())
         whole = self.whole(name)
-        if whole is None or age is None or age > rate_parts.USED_FOR:
+        if whole is None or age is None or age > rate_quota.USED_FOR:
             return 0.0
-        return whole * self.units().get(self.context.settings.name, 0) / rate_parts.WHOLE
+        return whole * self.units().get(self.context.settings.name, 0) / rate_quota.WHOLE
 
-    def ceiling(self, service: str) -> parts.Ceiling:
-        return self.ceilings.setdefault(service, parts.Ceiling(self.context.clock, self.opened_at))
+    def ceiling(self, service: str) -> fleet_limits.Ceiling:
+        return self.ceilings.setdefault(service, fleet_limits.Ceiling(self.context.clock, self.opened_at))
 
-    def window(self, name: str) -> parts.Window:
-        return self.cold.setdefault(name, parts.Window(self.context.clock, COLD_WINDOW))
+    def window(self, name: str) -> fleet_limits.Window:
+        return self.cold.setdefault(name, fleet_limits.Window(self.context.clock, COLD_WINDOW))
 
     def wait(self, name: str) -> float | None:
         """Seconds until the next place; None where that can't be said."""
--- a/src/irisstand/dataplane/rate_grants.py
+++ b/src/irisstand/dataplane/ratelimit/token_leases.py
@@ -10,7 +10,7 @@
 import typing
 
 from irisstand import errors, node_context
-from irisstand.dataplane import owned_parts
+from irisstand.dataplane.ratelimit import quota_share
 
 GOOD_FOR = 0.15
 # Places asked for at once, at the most.
@@ -32,9 +32,9 @@
 class RateGrants:
     """Handler "rate-places" takes (bound, places wanted, patience), and gives a wait for each place."""
 
-    def __init__(self, context: node_context.NodeContext, whole: owned_parts.Whole) -> None:
+    def __init__(self, context: node_context.NodeContext, whole: quota_share.Whole) -> None:
         self.context = context
-        self.own = owned_parts.OwnedParts(context, whole)
+        self.own = quota_share.OwnedParts(context, whole)
         self.lent: dict[str, list[Place]] = {}
         self.waiting: collections.Counter[str] = collections.Counter()
         self.borrowing: dict[str, asyncio.Task] = {}
--- /dev/null
+++ b/src/irisstand/dataplane/retry/__init__.py
@@ -0,0 +1,1 @@
+"""Retry policies: decisions without I/O."""
--- a/src/irisstand/dataplane/trying.py
+++ b/src/irisstand/dataplane/retry/attempt_policy.py
@@ -6,8 +6,8 @@
 """
 
 from irisstand import clocks, errors
-from irisstand.balancing import budget as budgets
-from irisstand.dataplane import routes
+from irisstand.balancing import retry_budget as budgets
+from irisstand.dataplane.routing import routes
 
 Action = tuple
 # A second origin is asked beside a silent first one after so many times its usual time, and part of the
--- a/src/irisstand/dataplane/decisions.py
+++ b/src/irisstand/dataplane/retry/forwarding_policies.py
@@ -4,8 +4,9 @@
 """
 
 from irisstand import clocks, errors
-from irisstand.balancing import budget as budgets
-from irisstand.dataplane import objects, views
+from irisstand.balancing import retry_budget as budgets
+from irisstand.dataplane.cache import objects
+from irisstand.dataplane.routing import configuration_snapshot
 from irisstand.state import versions
 
 Action = tuple
@@ -37,7 +38,7 @@
 
 
 def is_usable(
-    thing: objects.Object, path: str, view: views.Views, floor: versions.Version, now: float
+    thing: objects.Object, path: str, view: configuration_snapshot.Views, floor: versions.Version, now: float
 ) -> bool:
     """Not outlived, and fetched after the newest purge that anybody on the way knows of."""
     purged = max(floor, view.purged_at(path, thing.tags))
@@ -48,7 +49,7 @@
 OUTLIVED = 1.0
 
 
-def is_fit(thing: objects.Object, path: str, view: views.Views, now: float) -> bool:
+def is_fit(thing: objects.Object, path: str, view: configuration_snapshot.Views, now: float) -> bool:
     """Whether a fetched answer may be given out now: purges and life go on while it is under way."""
     outlived = thing.life > 0 and thing.age_now(now) > thing.life + OUTLIVED
     return thing.applied >= view.purged_at(path, thing.tags) and not outlived
@@ -57,7 +58,13 @@
 class Giving:
     """Whether a read's answer is given out, fetched again, or refused; one deadline over all fetches."""
 
-    def __init__(self, clock: clocks.Clock, view: views.Views, granted: views.Granted, path: str) -> None:
+    def __init__(
+        self,
+        clock: clocks.Clock,
+        view: configuration_snapshot.Views,
+        granted: configuration_snapshot.Granted,
+        path: str,
+    ) -> None:
         self.clock, self.view, self.path = clock, view, path
         self.deadline = clock.now() + granted.deadline
 
@@ -88,7 +95,11 @@
     """What reads and writes at an edge have in common: shields in order, and a deadline."""
 
     def __init__(
-        self, clock: clocks.Clock, granted: views.Granted, shields: list, deadline: float | None = None
+        self,
+        clock: clocks.Clock,
+        granted: configuration_snapshot.Granted,
+        shields: list,
+        deadline: float | None = None,
     ) -> None:
         self.clock, self.granted = clock, granted
         self.shields = shields
@@ -118,7 +129,7 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        granted: views.Granted,
+        granted: configuration_snapshot.Granted,
         shields: list,
         budget: budgets.Budget,
         deadline: float,
@@ -164,7 +175,9 @@
 class ShieldWork:
     """What reads and writes at a shield have in common: origins tried, and a deadline."""
 
-    def __init__(self, clock: clocks.Clock, granted: views.Granted, remaining: float) -> None:
+    def __init__(
+        self, clock: clocks.Clock, granted: configuration_snapshot.Granted, remaining: float
+    ) -> None:
         self.clock, self.granted = clock, granted
         self.deadline = clock.now() + min(remaining, granted.deadline)
         self.tried: set[str] = set()
@@ -180,7 +193,11 @@
 
 class ShieldRead(ShieldWork):
     def __init__(
-        self, clock: clocks.Clock, granted: views.Granted, remaining: float, budget: budgets.Budget
+        self,
+        clock: clocks.Clock,
+        granted: configuration_snapshot.Granted,
+        remaining: float,
+        budget: budgets.Budget,
     ) -> None:
         super().__init__(clock, granted, remaining)
         self.budget = budget
--- /dev/null
+++ b/src/irisstand/dataplane/routing/__init__.py
@@ -0,0 +1,1 @@
+"""Routing: routes, prefixes and the configuration in force."""
--- a/src/irisstand/dataplane/views.py
+++ b/src/irisstand/dataplane/routing/configuration_snapshot.py
@@ -3,7 +3,7 @@
 import typing
 
 from irisstand import errors, node_context
-from irisstand.balancing import draws, shares, slots
+from irisstand.balancing import quota_shares, rendezvous, slot_assignment
 from irisstand.membership import updates
 from irisstand.state import items, versions
 
@@ -69,7 +69,7 @@
         if not any(weight > 0 for _, weight in candidates):
             raise errors.MethodRefused(f"{method} is not granted on {name}")
         # By the request alone, so that edge and shield, and all edges, draw the same service.
-        service = draws.pick(f"{path}?{query}", candidates)
+        service = rendezvous.pick(f"{path}?{query}", candidates)
         value = self.context.configuration.value(f"service/{service}")
         if value is None:
             raise errors.UnknownPath(f"service {service} has no row")
@@ -117,11 +117,11 @@
     def share(self, service: str, ceiling: tuple[int, int]) -> tuple[int, int]:
         """This machine's recorded part of a service's ceiling; nothing recorded is nothing."""
         row = self.context.ledger.value(f"share/{self.context.settings.machine}") or {}
-        return shares.effective(row.get(service), ceiling)
+        return quota_shares.effective(row.get(service), ceiling)
 
     def slot_owner(self, slot: int) -> str:
-        row = self.context.ledger.value(slots.row_key(slot))
-        return row["owners"][slot % slots.PER_ROW] if row else ""
+        row = self.context.ledger.value(slot_assignment.row_key(slot))
+        return row["owners"][slot % slot_assignment.PER_ROW] if row else ""
 
     def has_share(self, machine: str, service: str) -> bool:
         return service in (self.context.ledger.value(f"share/{machine}") or {})
@@ -136,9 +136,9 @@
             weight = row.get("weight", 1) * site.get("weight", 1)
             if not self.is_evacuated(update.card.site) and not self.is_resting(update.card.machine):
                 candidates.append((name, weight))
-        slot = draws.slot_of(key)
+        slot = rendezvous.slot_of(key)
         owner = self.slot_owner(slot)
-        ordered = [found[name] for name in draws.order(str(slot), candidates)]
+        ordered = [found[name] for name in rendezvous.order(str(slot), candidates)]
 
         # The recorded owner first, but after it whoever may talk to the service's origins at all. A suspected
         # shield last: its reads move at once, before it is declared failed.
--- a/src/irisstand/dataplane/routes.py
+++ b/src/irisstand/dataplane/routing/routes.py
@@ -3,9 +3,9 @@
 import typing
 
 from irisstand import errors, node_context
-from irisstand.balancing import draws
-from irisstand.dataplane import prefixes
-from irisstand.state import items, tables, versioned_items, versions
+from irisstand.balancing import rendezvous
+from irisstand.dataplane.routing import prefix_map
+from irisstand.state import items, replica, versioned_items, versions
 
 ATTEMPTS = 2
 ROUTE, UPSTREAM = "route/", "upstream/"
@@ -68,7 +68,7 @@
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
         self.applied = versions.NONE
-        self.hosts: dict[str, prefixes.Prefixes[Route]] = {}
+        self.hosts: dict[str, prefix_map.Prefixes[Route]] = {}
         self.upstreams: dict[str, Upstream] = {}
         self.limits = Limits()
         self.by_name: dict[str, Route] = {}
@@ -93,7 +93,7 @@
         self.applied, self.read_from = copy.applied, copy.items
         self.limits = as_limits(copy.value(versioned_items.LIMITS))
 
-    def take_changes(self, copy: tables.Copy) -> None:
+    def take_changes(self, copy: replica.Copy) -> None:
         changed, forgotten = copy.after(self.applied)
         for item in changed:
             self.take(item.key, item)
@@ -103,12 +103,12 @@
         if len(self.compiled) != copy.counts["route"] + copy.counts["upstream"]:
             self.compare_all(copy)
 
-    def compare_all(self, copy: tables.Copy) -> None:
+    def compare_all(self, copy: replica.Copy) -> None:
         """Look at every row, and compile those that are others than before."""
         for key in [key for key in self.compiled if key not in copy.items]:
             self.take(key, None)
         for prefix in (ROUTE, UPSTREAM):
-            for key in copy.items.irange(prefix, prefix + tables.LAST):
+            for key in copy.items.irange(prefix, prefix + replica.LAST):
                 item, known = copy.items[key], self.compiled.get(key)
                 if known is None or known.item != item:
                     self.take(key, item)
@@ -142,7 +142,7 @@
 
     def add(self, host: str, route: Route) -> None:
         if host not in self.hosts:
-            self.hosts[host] = prefixes.Prefixes()
+            self.hosts[host] = prefix_map.Prefixes()
         self.hosts[host].add(route.prefix, route.name, route)
         self.by_name[route.name] = route
         for service in services_held(route):
@@ -240,4 +240,4 @@
     """One of the route's services, drawn by weight and by the key alone."""
     if len(route.splits) == 1:
         return route.splits[0][0]
-    return draws.pick(key, [(name, weight) for name, weight in route.splits if weight > 0])
+    return rendezvous.pick(key, [(name, weight) for name, weight in route.splits if weight > 0])
--- /dev/null
+++ b/src/irisstand/dataplane/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Connections and requests to origins."""
--- a/src/irisstand/dataplane/conversing.py
+++ b/src/irisstand/dataplane/upstream/client.py
@@ -5,9 +5,11 @@
 import typing
 
 from irisstand import errors, node_context
-from irisstand.balancing import budget as budgets
-from irisstand.dataplane import decisions, exchange, routes, targets, trying, views
-from irisstand.dataplane import target as targeting
+from irisstand.balancing import retry_budget as budgets
+from irisstand.dataplane.retry import attempt_policy, forwarding_policies
+from irisstand.dataplane.routing import configuration_snapshot, routes
+from irisstand.dataplane.upstream import endpoint as targeting
+from irisstand.dataplane.upstream import endpoint_pool, exchange
 
 # Of a route's target, what a request may wait for a place under a ceiling before it is refused.
 WAITS = 0.4
@@ -53,9 +55,9 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: views.Views,
+        view: configuration_snapshot.Views,
         table: routes.Routes,
-        origins: targets.Targets,
+        origins: endpoint_pool.Targets,
     ) -> None:
         self.context, self.view, self.table, self.targets = context, view, table, origins
         self.words = origins.words
@@ -79,7 +81,7 @@
         headers: Headers,
         remaining: float,
     ) -> exchange.Answer:
-        decision = trying.for_route(self.context.clock, route, remaining, self.budget(service))
+        decision = attempt_policy.for_route(self.context.clock, route, remaining, self.budget(service))
         running: set[asyncio.Task] = set()
         tried: set[str] = set()
         action = decision.ask(("started",))
@@ -114,7 +116,7 @@
         service: str,
         request: Request,
         headers: Headers,
-        decision: trying.Trying,
+        decision: attempt_policy.Trying,
         tried: set[str],
         running: set[asyncio.Task],
     ) -> tuple:
@@ -151,7 +153,7 @@
         target: targeting.Target,
         request: Request,
         headers: Headers,
-        decision: trying.Trying,
+        decision: attempt_policy.Trying,
         anonymous: bool,
         wait: float,
     ) -> tuple:
@@ -175,7 +177,7 @@
             return self.judge(target, answer, request_id)
         except (OSError, TimeoutError, ValueError, errors.IrisError) as error:
             touched = line is not None and line.touched
-            known = error if isinstance(error, errors.IrisError) else decisions.kind_of(error)
+            known = error if isinstance(error, errors.IrisError) else forwarding_policies.kind_of(error)
             self.context.counters.add("origin_failures", service=target.origin.service, touched=str(touched))
             return ("failed", known, target.instance, touched, touched)
         finally:
--- a/src/irisstand/dataplane/target.py
+++ b/src/irisstand/dataplane/upstream/endpoint.py
@@ -2,8 +2,9 @@
 
 import asyncio
 
-from irisstand import errors, node_context, ring
-from irisstand.dataplane import exchange, views
+from irisstand import errors, event_log, node_context
+from irisstand.dataplane.routing import configuration_snapshot
+from irisstand.dataplane.upstream import exchange
 
 CONNECT_PATIENCE = 0.4
 # Seconds until an origin that could not be reached is probed, doubled with each failure.
@@ -22,7 +23,10 @@
     """One origin's instance: its health comes from requests, and from probes only while it gets none."""
 
     def __init__(
-        self, context: node_context.NodeContext, origin: views.Origin, connect: exchange.Connect
+        self,
+        context: node_context.NodeContext,
+        origin: configuration_snapshot.Origin,
+        connect: exchange.Connect,
     ) -> None:
         self.context, self.origin, self.connect = context, origin, connect
         self.idle: list[exchange.Exchange] = []
@@ -92,7 +96,7 @@
 
     def fail(self, why: str) -> None:
         if not self.is_down:
-            ring.note("origin-down", origin=self.instance, why=why)
+            event_log.note("origin-down", origin=self.instance, why=why)
         self.is_down = True
         self.down_until = self.context.clock.now() + self.backoff
         self.backoff = min(BACKOFF_LIMIT, 2 * self.backoff)
--- a/src/irisstand/dataplane/targets.py
+++ b/src/irisstand/dataplane/upstream/endpoint_pool.py
@@ -5,9 +5,12 @@
 import typing
 
 from irisstand import errors, node_context
-from irisstand.balancing import parts
-from irisstand.dataplane import exchange, owned_parts, rate_grants, routes, views, vocabulary
-from irisstand.dataplane import target as targeting
+from irisstand.balancing import fleet_limits
+from irisstand.dataplane.http import header_names
+from irisstand.dataplane.ratelimit import quota_share, token_leases
+from irisstand.dataplane.routing import configuration_snapshot, routes
+from irisstand.dataplane.upstream import endpoint as targeting
+from irisstand.dataplane.upstream import exchange
 
 PROBE_PATIENCE = 0.6
 # Edges in a route's own regions that must be up before holders elsewhere take its objects: with fewer,
@@ -16,13 +19,13 @@
 # What a request waits for at an origin that far from here, in seconds a request at rest.
 OTHER_SITE, OTHER_REGION = 0.010, 0.060
 # Seconds for which origins of a site just taken back count as cold, beside the platform's lag.
-SETTLING = owned_parts.SETTLING
+SETTLING = quota_share.SETTLING
 FAILURES = (OSError, TimeoutError, ValueError, errors.IrisError)
 
 
 def cold_name(target: targeting.Target) -> str:
     """The name of the bound on what a cold origin may get."""
-    return owned_parts.COLD + target.instance
+    return quota_share.COLD + target.instance
 
 
 class Targets:
@@ -31,9 +34,9 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: views.Views,
+        view: configuration_snapshot.Views,
         table: routes.Routes,
-        words: vocabulary.Vocabulary,
+        words: header_names.Vocabulary,
         connect: exchange.Connect,
     ) -> None:
         self.context, self.view, self.table, self.words, self.connect = context, view, table, words, connect
@@ -44,9 +47,9 @@
         # Holders that did not answer, and until when they are left alone.
         self.avoided: dict[str, float] = {}
         # Connections by origin, worked out anew when the members change.
-        self.most_members: list[parts.Member] = []
+        self.most_members: list[fleet_limits.Member] = []
         self.most_known: dict[tuple, int] = {}
-        self.grants = rate_grants.RateGrants(context, self.whole)
+        self.grants = token_leases.RateGrants(context, self.whole)
         self.site_regions: dict[str, str] = {}
         context.ledger.watchers.append(self.follow)
 
@@ -85,15 +88,17 @@
         """Names of all nodes that reach origins, this one among them."""
         return [member.name for member in self.members()]
 
-    def members(self) -> list[parts.Member]:
+    def members(self) -> list[fleet_limits.Member]:
         """All nodes that reach origins; the list is read again now and then."""
         now, settings = self.context.clock.now(), self.context.settings
         if now - self.members_at > 0.5:
             # A suspected holder fetches nothing for anybody; a suspected edge may still serve its clients.
             holders = [update for update in self.context.peers("holder") if not update.state]
             found = [*self.context.peers("direct"), *holders]
-            named = {u.identity.name: parts.Member(u.identity.name, u.card.role, u.card.site) for u in found}
-            named[settings.name] = parts.Member(settings.name, self.context.role, settings.site)
+            named = {
+                u.identity.name: fleet_limits.Member(u.identity.name, u.card.role, u.card.site) for u in found
+            }
+            named[settings.name] = fleet_limits.Member(settings.name, self.context.role, settings.site)
             self.members_at = now
             if sorted(named.values()) != self.known_members:
                 self.known_members = sorted(named.values())
@@ -150,7 +155,7 @@
             self.most_members, self.most_known = members, {}
         if key not in self.most_known:
             own = self.context.settings.name
-            self.most_known[key] = parts.connections(own, members, target.instance, key[1], is_held)
+            self.most_known[key] = fleet_limits.connections(own, members, target.instance, key[1], is_held)
         return self.most_known[key]
 
     def uses_holders(self) -> bool:
@@ -182,10 +187,10 @@
     def whole(self, name: str) -> float | None:
         """The bound over all nodes by its name: of a service's rate, or of what a cold origin gets."""
         self.table.refresh()
-        if not name.startswith(owned_parts.COLD):
+        if not name.startswith(quota_share.COLD):
             upstream = self.table.upstreams.get(name)
             return None if upstream is None else upstream.rate
-        target = self.all.get(f"origin/{name.removeprefix(owned_parts.COLD)}")
+        target = self.all.get(f"origin/{name.removeprefix(quota_share.COLD)}")
         upstream = None if target is None else self.table.upstreams.get(target.origin.service)
         settings = self.context.settings
         return None if upstream is None else upstream.cold_rate * settings.cold_factor + settings.cold_burst
--- a/src/irisstand/dataplane/origins.py
+++ b/src/irisstand/dataplane/upstream/origin_pool.py
@@ -6,9 +6,10 @@
 
 import aiohttp
 
-from irisstand import errors, node_context, ring
-from irisstand.balancing import warming
-from irisstand.dataplane import lines, views
+from irisstand import errors, event_log, node_context
+from irisstand.balancing import slow_start
+from irisstand.dataplane.routing import configuration_snapshot
+from irisstand.dataplane.upstream import connections
 
 LINES_LIMIT = 16
 PROBE_EVERY = 1.0
@@ -24,16 +25,19 @@
     """The lines to one origin. Its health comes from probes and from requests, never from membership."""
 
     def __init__(
-        self, context: node_context.NodeContext, origin: views.Origin, open_line: lines.Open
+        self,
+        context: node_context.NodeContext,
+        origin: configuration_snapshot.Origin,
+        open_line: connections.Open,
     ) -> None:
         self.context, self.origin, self.open_line = context, origin, open_line
-        self.idle: list[lines.Line] = []
+        self.idle: list[connections.Line] = []
         self.busy = 0
         self.healthy = False
         # Since when it warms up: from the first sight of a cold one, and from every return.
         self.first_seen = context.clock.now()
         self.has_returned, self.was_seen = False, False
-        self.bucket = warming.Bucket(context.clock)
+        self.bucket = slow_start.Bucket(context.clock)
         self.probe = "/health"
         self.closing = False
         self.evacuated = False
@@ -46,10 +50,10 @@
     def warmth(self) -> float:
         """From a twentieth to one: over the warm-up of a cold origin, and after its site's evacuation."""
         now = self.context.clock.now()
-        found = warming.warmth(now - self.returned_at, RETURN_RAMP)
+        found = slow_start.warmth(now - self.returned_at, RETURN_RAMP)
         # The platform lags: an origin that went away and came back is cold whatever it still says.
         if self.origin.state == "cold" or self.has_returned:
-            found = min(found, warming.warmth(now - self.first_seen, self.origin.warmup))
+            found = min(found, slow_start.warmth(now - self.first_seen, self.origin.warmup))
         return found
 
     def note_evacuation(self, evacuated: bool) -> None:
@@ -60,9 +64,9 @@
 
     def has_room(self, even: float, part: float) -> bool:
         warm = self.warmth()
-        return warm >= 1.0 or self.bucket.has_room(warming.allowed_rate(even, warm, part))
+        return warm >= 1.0 or self.bucket.has_room(slow_start.allowed_rate(even, warm, part))
 
-    async def take(self, patience: float) -> lines.Line:
+    async def take(self, patience: float) -> connections.Line:
         """A confirmed line for one request; opening one touches nothing but the probe."""
         while self.idle:
             line = self.idle.pop()
@@ -78,17 +82,17 @@
             self.busy -= 1
             raise
 
-    async def connect(self, patience: float) -> lines.Line:
+    async def connect(self, patience: float) -> connections.Line:
         line = await self.open_line(self.origin.host, self.origin.port)
         self.context.counters.add("origin_connections", service=self.origin.service)
         try:
-            await lines.confirm_current(line, self.probe, self.origin.service, self.instance, patience)
+            await connections.confirm_current(line, self.probe, self.origin.service, self.instance, patience)
         except BaseException:
             await line.close()
             raise
         return line
 
-    async def give_back(self, line: lines.Line) -> None:
+    async def give_back(self, line: connections.Line) -> None:
         self.busy -= 1
         if line.alive and not self.closing:
             self.idle.append(line)
@@ -102,7 +106,7 @@
                 try:
                     line = await self.take(PROBE_PATIENCE)
                     try:
-                        await lines.confirm_current(
+                        await connections.confirm_current(
                             line, self.probe, self.origin.service, self.instance, PROBE_PATIENCE
                         )
                     finally:
@@ -121,7 +125,7 @@
 
     def mark(self, healthy: bool, why: str = "") -> None:
         if healthy != self.healthy:
-            ring.note("origin-health", origin=self.instance, healthy=healthy, why=why)
+            event_log.note("origin-health", origin=self.instance, healthy=healthy, why=why)
             # An origin that comes back after being away is as cold as a new one.
             if healthy:
                 self.first_seen, self.has_returned = self.context.clock.now(), self.was_seen
@@ -132,10 +136,15 @@
 class Origins:
     """Follows the roster in the ledger, and draws."""
 
-    def __init__(self, context: node_context.NodeContext, view: views.Views, open_line: lines.Open) -> None:
+    def __init__(
+        self,
+        context: node_context.NodeContext,
+        view: configuration_snapshot.Views,
+        open_line: connections.Open,
+    ) -> None:
         self.context, self.view, self.open_line = context, view, open_line
-        self.pools: dict[views.Origin, Pool] = {}
-        self.tasks: dict[views.Origin, asyncio.Task] = {}
+        self.pools: dict[configuration_snapshot.Origin, Pool] = {}
+        self.tasks: dict[configuration_snapshot.Origin, asyncio.Task] = {}
         context.ledger.watchers.append(self.follow)
 
     def follow(self) -> None:
@@ -153,10 +162,10 @@
                 self.tasks[place] = self.context.start(pool.keep(), f"keeper of {origin.key}")
             self.pools[place].note_evacuation(self.view.is_evacuated(origin.site))
 
-    def place(self, origin: views.Origin) -> views.Origin:
+    def place(self, origin: configuration_snapshot.Origin) -> configuration_snapshot.Origin:
         return origin._replace(state="", warmup=0, slots=0)
 
-    def draw(self, granted: views.Granted, tried: typing.Container[str]) -> Pool:
+    def draw(self, granted: configuration_snapshot.Granted, tried: typing.Container[str]) -> Pool:
         """Of two drawn at random by warmth, the less busy: good spread without a view of the others."""
         listed = [
             pool
@@ -188,6 +197,6 @@
             drawn.bucket.take()
         return drawn
 
-    def part(self, granted: views.Granted) -> float:
+    def part(self, granted: configuration_snapshot.Granted) -> float:
         """This shield's part of the service's ceiling, from 0 to 1."""
         return self.view.share(granted.service, granted.ceiling)[0] / granted.ceiling[0]
--- a/src/irisstand/fleet/fault_injection.py
+++ b/src/irisstand/fleet/fault_injection.py
@@ -15,7 +15,7 @@
 import typing
 
 from irisstand import errors
-from irisstand.state import disk as disks
+from irisstand.state.storage import disk as disks
 from irisstand.transport import network
 
 VARIABLE = "IRISSTAND_WEATHER"
--- a/src/irisstand/fleet/judge.py
+++ b/src/irisstand/fleet/judge.py
@@ -3,7 +3,7 @@
 import collections
 import json
 
-from irisstand.dataplane import objects
+from irisstand.dataplane.cache import objects
 from irisstand.standins import origin as origins
 
 # What a client may read as "it did not run and never will".
--- a/src/irisstand/membership/detector.py
+++ b/src/irisstand/membership/detector.py
@@ -4,9 +4,9 @@
 import collections.abc
 import random
 
-from irisstand import clocks, errors, ring
+from irisstand import clocks, errors, event_log
 from irisstand import counters as counting
-from irisstand.membership import buffer, roster, updates
+from irisstand.membership import dissemination_buffer, member_list, updates
 from irisstand.transport import codec, network
 
 OnChange = collections.abc.Callable[[updates.Update], None]
@@ -36,8 +36,8 @@
         self.card = card
         self.identity = updates.Identity(name, "")
         self.incarnation = 0
-        self.roster = roster.Roster(randomness)
-        self.buffer = buffer.Buffer()
+        self.roster = member_list.Roster(randomness)
+        self.buffer = dissemination_buffer.Buffer()
         self.suspected_at: dict[updates.Identity, float] = {}
         self.acks: dict[int, asyncio.Future] = {}
         self.sequence = 0
@@ -63,7 +63,7 @@
         return self.limit() * self.tuning.period
 
     def limit(self) -> int:
-        return buffer.sending_limit(self.tuning.factor, len(self.roster.members) + 1)
+        return dissemination_buffer.sending_limit(self.tuning.factor, len(self.roster.members) + 1)
 
     def learn(self, update: updates.Update) -> None:
         """Take one update, whoever sent it."""
@@ -82,7 +82,7 @@
         else:
             self.suspected_at.pop(update.identity, None)
         self.counters.add("swim_updates", state=update.state.name.lower())
-        ring.note("swim", state=update.state.name, name=update.identity.name, life=update.identity.life)
+        event_log.note("swim", state=update.state.name, name=update.identity.name, life=update.identity.life)
         for listener in self.listeners:
             listener(update)
 
--- a/src/irisstand/modelcheck/events.py
+++ b/src/irisstand/modelcheck/events.py
@@ -8,7 +8,7 @@
 
 from irisstand import errors
 from irisstand.simulator import memory_disk
-from irisstand.state import disk as disks
+from irisstand.state.storage import disk as disks
 from irisstand.transport import codec
 
 ASK, REPLY, SYNC, START, RESTART = "ask", "reply", "sync", "start", "restart"
--- a/src/irisstand/modelcheck/founding.py
+++ b/src/irisstand/modelcheck/founding.py
@@ -5,11 +5,12 @@
 import random
 import typing
 
-from irisstand.controlplane import bootstrap
+from irisstand.controlplane.consensus import acceptor, bootstrap
 from irisstand.modelcheck import node as nodes
 from irisstand.simulator import memory_disk
 from irisstand.simulator import virtual_time as virtual
-from irisstand.state import durable_store, items, owner, quorum, tables, versions
+from irisstand.state import items, quorum, replica, versions
+from irisstand.state.storage import durable_store
 
 VOTERS = ("a", "b", "c")
 SPARE = "d"
@@ -39,7 +40,7 @@
     rows = ((items.VOTERS, [list(voter) for voter in voters], False),)
     batch = items.Batch(bootstrap.FIRST, versions.NONE, rows)
     for _, store in made.values():
-        keeper = owner.Owner(store, tables.Copy(nodes.TABLE), None)
+        keeper = acceptor.Owner(store, replica.Copy(nodes.TABLE), None)
         task = asyncio.get_running_loop().create_task(keeper.run())
         await keeper.order("found", batch)
         task.cancel()
--- a/src/irisstand/modelcheck/node.py
+++ b/src/irisstand/modelcheck/node.py
@@ -4,9 +4,9 @@
 import typing
 
 from irisstand import clocks, node_context, node_settings
-from irisstand.controlplane import core as cores
-from irisstand.controlplane import majority_check
-from irisstand.controlplane import proposer as proposers
+from irisstand.controlplane.consensus import core_node as cores
+from irisstand.controlplane.consensus import heartbeat
+from irisstand.controlplane.consensus import proposer as proposers
 from irisstand.membership import updates
 from irisstand.modelcheck import events
 from irisstand.simulator import virtual_time as virtual
@@ -66,7 +66,7 @@
         await self.core.open()
         self.copy = context.copies[TABLE]
         self.proposer = proposers.Proposer(self.core, TABLE)
-        self.check = majority_check.MajorityCheck(self.core, self.proposer)
+        self.check = heartbeat.MajorityCheck(self.core, self.proposer)
         self.world.oracle.watch(self)
         context.start(self.proposer.run(), "proposer")
         self.is_open = True
--- a/src/irisstand/modelcheck/oracle.py
+++ b/src/irisstand/modelcheck/oracle.py
@@ -9,8 +9,9 @@
 from irisstand import errors
 from irisstand.modelcheck import node as nodes
 from irisstand.simulator import memory_disk
-from irisstand.state import disk as disks
-from irisstand.state import durable_store, items, quorum, tables, versions
+from irisstand.state import items, quorum, replica, versions
+from irisstand.state.storage import disk as disks
+from irisstand.state.storage import durable_store
 
 Content = dict[str, items.Item]
 
@@ -82,7 +83,7 @@
                     content[key] = items.Item(key, batch.version, value)
             self.states[batch.version] = content
 
-    def compare(self, name: str, copy: tables.Copy, last: list[versions.Version]) -> None:
+    def compare(self, name: str, copy: replica.Copy, last: list[versions.Version]) -> None:
         if copy.applied < last[0]:
             self.fail(f"{name} went back from {last[0]} to {copy.applied}")
         last[0] = copy.applied
@@ -136,7 +137,7 @@
         if not isinstance(error, errors.ChangeUnknown):
             self.refused.append(order)
 
-    def read(self, name: str, copy: tables.Copy, moment: float) -> None:
+    def read(self, name: str, copy: replica.Copy, moment: float) -> None:
         """A copy that counts as current as of a moment has all that was confirmed before it."""
         for entry in self.confirmed:
             if entry.moment < moment and not self.holds(entry, (copy.applied, dict(copy.items))):
@@ -166,7 +167,7 @@
                 self.fail(f"{version} was confirmed and lies in one site alone")
 
     # -- the end -----------------------------------------------------------------------------------------
-    def check_end(self, copies: list[tables.Copy], changes: list[str]) -> None:
+    def check_end(self, copies: list[replica.Copy], changes: list[str]) -> None:
         """Whole again: every node has all that was confirmed, and nothing that was refused."""
         for copy in copies:
             for entry in self.confirmed:
--- a/src/irisstand/modelcheck/scenarios.py
+++ b/src/irisstand/modelcheck/scenarios.py
@@ -2,7 +2,7 @@
 
 import typing
 
-from irisstand.controlplane import orders
+from irisstand.controlplane.changes import orders
 
 ORDER, READ, ENROL = "order", "read", "enrol"
 
--- a/src/irisstand/modelcheck/world.py
+++ b/src/irisstand/modelcheck/world.py
@@ -7,7 +7,7 @@
 import random
 
 from irisstand import errors
-from irisstand.controlplane import orders
+from irisstand.controlplane.changes import orders
 from irisstand.modelcheck import events, founding, oracle, scenarios
 from irisstand.modelcheck import node as nodes
 from irisstand.state import items, quorum, versions
--- a/src/irisstand/modelcheck/worlds_end.py
+++ b/src/irisstand/modelcheck/worlds_end.py
@@ -1,6 +1,6 @@
 """The end of a run: everybody is up, nothing is lost any more, and all that was said must stand."""
 
-from irisstand.controlplane import orders
+from irisstand.controlplane.changes import orders
 from irisstand.modelcheck import oracle, scenarios
 from irisstand.modelcheck import world as worlds
 
--- a/src/irisstand/node_context.py
+++ b/src/irisstand/node_context.py
@@ -6,11 +6,11 @@
 import random
 import typing
 
-from irisstand import clocks, errors, node_settings, ring
+from irisstand import clocks, errors, event_log, node_settings
 from irisstand import counters as counting
 from irisstand.membership import detector as detecting
 from irisstand.membership import joining, updates
-from irisstand.state import items, tables
+from irisstand.state import items, replica
 from irisstand.transport import network, peers
 
 # Of the drain: for whatever cannot be finished, an answer that says so.
@@ -31,7 +31,7 @@
         self.started_at = clock.now()
         self.counters = counting.Counters()
         held = items.TABLES if role == "agency" else items.CARRIED
-        self.copies = {name: tables.Copy(name) for name in held}
+        self.copies = {name: replica.Copy(name) for name in held}
         card = updates.Card(
             role,
             settings.machine,
@@ -73,14 +73,14 @@
         return tuple((copy.name, tuple(copy.applied), self.is_current(copy)) for copy in copies)
 
     @property
-    def configuration(self) -> tables.Copy:
+    def configuration(self) -> replica.Copy:
         return self.copies[items.CONFIGURATION]
 
     @property
-    def ledger(self) -> tables.Copy:
+    def ledger(self) -> replica.Copy:
         return self.copies[items.LEDGER]
 
-    def is_fresh(self, table: tables.Copy) -> bool:
+    def is_fresh(self, table: replica.Copy) -> bool:
         """Confirmed within the bound, as of a moment in this life of the process.
 
         A node killed and started again might else serve by a table older than its former life's.
@@ -90,12 +90,12 @@
             return False
         return age <= self.settings.freshness_bound
 
-    def is_core_out(self, table: tables.Copy) -> bool:
+    def is_core_out(self, table: replica.Copy) -> bool:
         """Whether the voters were found unable to confirm anything, and that within the freshness bound."""
         as_of = self.core_out_as_of.get(table.name)
         return as_of is not None and self.clock.now() - as_of <= self.settings.freshness_bound
 
-    def is_current(self, table: tables.Copy) -> bool:
+    def is_current(self, table: replica.Copy) -> bool:
         """Fresh; or, on the data plane and where the settings allow it, older while the core is out."""
         if self.is_fresh(table):
             return True
@@ -153,7 +153,7 @@
     def ended(self, task: asyncio.Task) -> None:
         self.tasks.pop(task, None)
         if not task.cancelled() and task.exception() is not None:
-            ring.note("crash", task=task.get_name(), error=repr(task.exception()))
+            event_log.note("crash", task=task.get_name(), error=repr(task.exception()))
             if self.crashed is not None and not self.crashed.done():
                 self.crashed.set_exception(task.exception())
 
--- a/src/irisstand/running.py
+++ b/src/irisstand/program.py
@@ -12,14 +12,16 @@
 import uvloop
 
 import irisstand
-from irisstand import errors, node_context, node_settings, reloading, ring
+from irisstand import errors, event_log, node_context, node_settings, settings_reload
 
 # Seconds that the last steps of a planned end may take beyond the farewell and the drain.
 END_MARGIN = 0.35
 
 Opened = tuple[node_context.NodeContext, collections.abc.Callable[[], collections.abc.Awaitable[None]]]
 Reread = collections.abc.Callable[[], node_settings.Settings]
-Assemble = collections.abc.Callable[[node_settings.Settings, ring.Ring], collections.abc.Awaitable[Opened]]
+Assemble = collections.abc.Callable[
+    [node_settings.Settings, event_log.Ring], collections.abc.Awaitable[Opened]
+]
 
 
 def command(program: str, help_text: str, assemble: Assemble) -> click.Command:
@@ -56,12 +58,12 @@
 
 
 def run(settings: node_settings.Settings, assemble: Assemble, read_again: Reread | None = None) -> int:
-    log_ring = ring.Ring()
+    log_ring = event_log.Ring()
     log_ring.attach()
     try:
         return uvloop.run(serve(settings, assemble, log_ring, read_again))
     except Exception as error:
-        ring.note("crash", error=repr(error))
+        event_log.note("crash", error=repr(error))
         log_ring.write_out(f"crash: {error!r}")
         return 1
 
@@ -80,7 +82,7 @@
 async def serve(
     settings: node_settings.Settings,
     assemble: Assemble,
-    log_ring: ring.Ring,
+    log_ring: event_log.Ring,
     read_again: Reread | None = None,
 ) -> int:
     stop, again = asyncio.Event(), asyncio.Event()
@@ -97,7 +99,7 @@
         print(f"irisstand: {error.code}: {error}; {error.remedy}", file=sys.stderr)
         return 2
     if read_again is not None:
-        context.start(reloading.follow(context, again, read_again), "settings")
+        context.start(settings_reload.follow(context, again, read_again), "settings")
     waiting = loop.create_task(stop.wait())
     await asyncio.wait([waiting, context.crashed], return_when=asyncio.FIRST_COMPLETED)
     if context.crashed.done():
--- a/src/irisstand/reloading.py
+++ b/src/irisstand/settings_reload.py
@@ -5,7 +5,7 @@
 import contextlib
 import sys
 
-from irisstand import errors, node_context, node_settings, ring
+from irisstand import errors, event_log, node_context, node_settings
 
 # The file may change without a signal; seeds are needed only when all peers are gone.
 LOOK_AGAIN = 10.0
@@ -20,7 +20,7 @@
     if "seeds" in changed:
         context.joining.reseed(settings.seeds)
         context.settings = old._replace(seeds=settings.seeds)
-        ring.note("settings", seeds=[list(seed) for seed in settings.seeds])
+        event_log.note("settings", seeds=[list(seed) for seed in settings.seeds])
     # Whether it may found concerns only the next start.
     return [name for name in changed if name not in ("seeds", "may_found")]
 
--- a/src/irisstand/simulator/big_configurations.py
+++ b/src/irisstand/simulator/big_configurations.py
@@ -7,10 +7,11 @@
 
 import ormsgpack
 
-from irisstand.dataplane import routes
+from irisstand.dataplane.routing import routes
 from irisstand.simulator import sizes
-from irisstand.state import items, part_carrier, tables, versions
-from irisstand.validation import versioned
+from irisstand.state import items, replica, versions
+from irisstand.state.replication import chunk_transfer
+from irisstand.validation import versioned_items
 
 LOOKUPS = 5000
 
@@ -27,39 +28,39 @@
     return {"name": f"extra-{number:05d}", "version": version, **fields, **more}
 
 
-def filled(count: int) -> tables.Copy:
+def filled(count: int) -> replica.Copy:
     """A table to which one change has brought so many routes."""
-    copy = tables.Copy(items.CONFIGURATION)
+    copy = replica.Copy(items.CONFIGURATION)
     rows = [(f"route/extra-{n:05d}", {"version": 1, "item": route(n)}, False) for n in range(count)]
     copy.apply(items.Batch(versions.Version(1, "core-1"), copy.applied, tuple(rows)))
     return copy
 
 
-def change_one(copy: tables.Copy) -> items.Item:
+def change_one(copy: replica.Copy) -> items.Item:
     version = versions.Version(copy.applied.counter + 1, "core-1")
     row = ("route/extra-00007", {"version": version.counter, "item": route(7, version.counter)}, False)
     copy.apply(items.Batch(version, copy.applied, (row,)))
     return copy.items[row[0]]
 
 
-def parts_of(copy: tables.Copy) -> list[part_carrier.Part]:
-    cursor, found = part_carrier.Cursor(versions.NONE, tables.LAST), []
+def parts_of(copy: replica.Copy) -> list[chunk_transfer.Part]:
+    cursor, found = chunk_transfer.Cursor(versions.NONE, replica.LAST), []
     while not found or found[-1].end is not None:
-        found.append(part_carrier.cut_part(copy, cursor))
+        found.append(chunk_transfer.cut_part(copy, cursor))
         cursor = found[-1].end or cursor
     return found
 
 
-def take(parts: list[part_carrier.Part], applied: versions.Version, root: bytes) -> tables.Copy:
+def take(parts: list[chunk_transfer.Part], applied: versions.Version, root: bytes) -> replica.Copy:
     """What an edge does with the parts."""
-    copy = tables.Copy(items.CONFIGURATION)
-    rows = [item for part in parts for item in part_carrier.unpack_rows(part.rows)]
+    copy = replica.Copy(items.CONFIGURATION)
+    rows = [item for part in parts for item in chunk_transfer.unpack_rows(part.rows)]
     if not copy.advance(applied, root, rows, []):
         raise ValueError("the parts do not add up")
     return copy
 
 
-def compiled(copy: tables.Copy) -> routes.Routes:
+def compiled(copy: replica.Copy) -> routes.Routes:
     table = routes.Routes(types.SimpleNamespace(configuration=copy))
     table.refresh()
     return table
@@ -98,11 +99,11 @@
         Figure("a core node cuts all parts, once for all askers", "ms", timed(lambda: parts_of(copy))),
         Figure("an edge takes all rows", "ms", timed(lambda: take(parts, copy.applied, copy.root()))),
         Figure("an edge compiles all rows", "ms", timed(lambda: compiled(copy))),
-        Figure("a core node checks a call with all rows", "ms", timed(lambda: versioned.read(listed))),
+        Figure("a core node checks a call with all rows", "ms", timed(lambda: versioned_items.read(listed))),
         Figure(
             "a core node checks the table as it would stand",
             "ms",
-            timed(lambda: versioned.faults_of(standing)),
+            timed(lambda: versioned_items.faults_of(standing)),
         ),
         Figure("memory of rows and routes", "MB", memory(count)),
     ]
--- a/src/irisstand/simulator/hostile_scripts.py
+++ b/src/irisstand/simulator/hostile_scripts.py
@@ -6,7 +6,9 @@
 import typing
 
 from irisstand import clocks, errors, node_context, node_settings
-from irisstand.dataplane import direct, exchange, views
+from irisstand.dataplane.nodes import direct
+from irisstand.dataplane.routing import configuration_snapshot
+from irisstand.dataplane.upstream import exchange
 from irisstand.simulator import virtual_time
 from irisstand.standins import hostile_origin
 from irisstand.state import items, versions
@@ -37,7 +39,7 @@
         clock = clocks.LoopClock()
         self.context = node_context.NodeContext(SETTINGS, "direct", clock, self.randomness, None)
         self.context.closing = asyncio.get_running_loop().create_future()
-        self.part = direct.Direct(self.context, views.Views(self.context), self.connect)
+        self.part = direct.Direct(self.context, configuration_snapshot.Views(self.context), self.connect)
         self.counter = 0
         for name, kind in KINDS.items():
             route = {"name": name, "version": 1, "host": "h", "prefix": f"/{name}/", "kind": kind}
--- a/src/irisstand/simulator/memory_disk.py
+++ b/src/irisstand/simulator/memory_disk.py
@@ -5,7 +5,7 @@
 import random
 
 from irisstand import errors
-from irisstand.state import disk as disks
+from irisstand.state.storage import disk as disks
 
 
 class MemoryDisk:
--- a/src/irisstand/simulator/rest_judge.py
+++ b/src/irisstand/simulator/rest_judge.py
@@ -2,8 +2,8 @@
 
 import typing
 
-from irisstand.balancing import rota
-from irisstand.controlplane import fleet_view
+from irisstand.balancing import standby_planning
+from irisstand.controlplane.singletons import fleet_view
 from irisstand.state import items, quorum
 
 # A loss younger than this cannot be known yet to whoever records a rest: asking and deciding take that long.
@@ -46,9 +46,9 @@
             if node.plan.machine not in resting:
                 row = configuration.value(f"shield/{node.plan.machine}") or {}
                 limit = row.get("limit", fleet_view.DEFAULT_LIMITS[role])
-                awake.append(rota.Machine(node.plan.machine, node.plan.site, limit, False))
+                awake.append(standby_planning.Machine(node.plan.machine, node.plan.site, limit, False))
         load = sum(node.body.context.gauge.per_second() for node in nodes)
-        short = rota.carries(awake, load)
+        short = standby_planning.carries(awake, load)
         # By the row itself: a machine that comes back may find an older rest of its own still recorded.
         recorded = {(name, ledger.version(f"rest/{name}")) for name in resting}
         fresh = recorded - self.recorded
@@ -90,5 +90,5 @@
         able = [voter for voter in up if not self.is_stuck(voter.name)]
         if not quorum.is_durable(voters, {voter.disk_id for voter in able}):
             return "majority"
-        carried = rota.core_carries(quorum.places(voters), {voter.name for voter in up})
+        carried = standby_planning.core_carries(quorum.places(voters), {voter.name for voter in up})
         return "" if carried else "core"
--- a/src/irisstand/simulator/simulated_origins.py
+++ b/src/irisstand/simulator/simulated_origins.py
@@ -5,7 +5,8 @@
 import json
 import typing
 
-from irisstand.dataplane import lines, objects
+from irisstand.dataplane.cache import objects
+from irisstand.dataplane.upstream import connections
 from irisstand.standins import origin as origins
 
 
@@ -51,7 +52,9 @@
             "warmup": self.warmup,
         }
 
-    def answer(self, method: str, target: str, headers: dict[str, str], body: bytes) -> lines.Answer | None:
+    def answer(
+        self, method: str, target: str, headers: dict[str, str], body: bytes
+    ) -> connections.Answer | None:
         """What the origin does, whoever is still there to hear it. None: the answer is lost."""
         if target == "/health":
             content = json.dumps({"service": self.service, "instance": self.instance}).encode()
@@ -99,12 +102,12 @@
 
     async def send(
         self, method: str, target: str, headers: dict[str, str], body: bytes, patience: float
-    ) -> lines.Answer:
+    ) -> connections.Answer:
         loop = asyncio.get_running_loop()
         # A kept connection that the other end has closed is known as such before anything is written.
         if not self.stage.reaches(self.origin, self.address) or self.life != self.origin.life:
             self.alive = False
-            raise lines.Reopened("the connection was gone")
+            raise connections.Reopened("the connection was gone")
         self.touched = True
         future = loop.create_future()
 
@@ -117,7 +120,7 @@
             delay = 0.002 if target == "/health" else self.origin.delay
             loop.call_later(delay, back, answer, context=contextvars.Context())
 
-        def back(answer: lines.Answer | None) -> None:
+        def back(answer: connections.Answer | None) -> None:
             if not future.done() and not self.stage.world.wires.is_cut(self.host, self.address[0]):
                 if answer is None:
                     future.set_exception(ConnectionResetError("the origin closed the connection"))
@@ -138,8 +141,8 @@
         self.alive = False
 
 
-def line_opener(world: typing.Any, host: str) -> lines.Open:
-    async def open_line(origin_host: str, port: int) -> lines.Line:
+def line_opener(world: typing.Any, host: str) -> connections.Open:
+    async def open_line(origin_host: str, port: int) -> connections.Line:
         await asyncio.sleep(world.wires.delay(host, origin_host))
         origin = world.stage.at.get((origin_host, port))
         if origin is None or not origin.up:
--- a/src/irisstand/simulator/sizes.py
+++ b/src/irisstand/simulator/sizes.py
@@ -7,10 +7,10 @@
 
 from irisstand import clocks
 from irisstand import counters as counting
-from irisstand.balancing import parts
-from irisstand.dataplane import cache, objects
+from irisstand.balancing import fleet_limits
+from irisstand.dataplane.cache import object_cache, objects
 from irisstand.membership import detector, updates
-from irisstand.state import items, tables, versions
+from irisstand.state import items, replica, versions
 from irisstand.transport import codec
 
 
@@ -38,13 +38,13 @@
 
 
 def row_bytes(prefix: str, value: typing.Any, rows: int) -> float:
-    copy = tables.Copy(items.LEDGER)
+    copy = replica.Copy(items.LEDGER)
     made = versions.Version(1, "core-1~ab")
     return grown(lambda n: copy.put(items.Item(f"{prefix}/{n:08d}", made, value)), rows)
 
 
 def object_bytes(body: int, count: int) -> float:
-    kept = cache.Cache(1 << 40)
+    kept = object_cache.Cache(1 << 40)
     head = (("etag", '"v1"'), ("content-type", "text/html"))
 
     def put(number: int) -> None:
@@ -82,7 +82,7 @@
     ]
     for members in (50, 200, 800, 2100):
         found.append((f"a member, of {members}", "bytes", member_bytes(members)))
-        listed = [parts.Member(f"e{number}", "direct", f"z{number % 25}") for number in range(members)]
-        spent = seconds(lambda listed=listed: parts.connections("e1", listed, "o", 58, False))
+        listed = [fleet_limits.Member(f"e{number}", "direct", f"z{number % 25}") for number in range(members)]
+        spent = seconds(lambda listed=listed: fleet_limits.connections("e1", listed, "o", 58, False))
         found.append((f"an origin's connections split over {members}", "ms", spent * 1000))
     return found
--- a/src/irisstand/standins/origin.py
+++ b/src/irisstand/standins/origin.py
@@ -7,7 +7,7 @@
 
 import aiohttp.web
 
-from irisstand.dataplane import objects
+from irisstand.dataplane.cache import objects
 
 
 class StandInOrigin:
--- a/src/irisstand/standins/upstream.py
+++ b/src/irisstand/standins/upstream.py
@@ -7,7 +7,7 @@
 
 import aiohttp.web
 
-from irisstand.dataplane import vocabulary as vocabularies
+from irisstand.dataplane.http import header_names as vocabularies
 
 
 class Run(typing.NamedTuple):
--- /dev/null
+++ b/src/irisstand/state/replication/__init__.py
@@ -0,0 +1,1 @@
+"""Replication: carrying changed items between nodes and repairing what differs."""
--- a/src/irisstand/state/part_carrier.py
+++ b/src/irisstand/state/replication/chunk_transfer.py
@@ -12,7 +12,7 @@
 import ormsgpack
 
 from irisstand import errors, node_context
-from irisstand.state import items, tables, versions
+from irisstand.state import items, replica, versions
 from irisstand.transport import codec, network
 
 PATIENCE = 0.6
@@ -75,7 +75,7 @@
         age = copy.age(self.context.clock.now())
         return (tuple(copy.applied), age, copy.root(), part.rows, end, forgotten)
 
-    def part(self, copy: tables.Copy, cursor: Cursor) -> Part:
+    def part(self, copy: replica.Copy, cursor: Cursor) -> Part:
         """The part behind the cursor, worked out once for all who ask for it."""
         if self.kept_of.get(copy.name) != copy.applied or len(self.kept) >= KEPT_PARTS:
             self.kept = {place: part for place, part in self.kept.items() if place[0] != copy.name}
@@ -92,7 +92,7 @@
             if staged.base != self.context.copies[name].applied:
                 del self.staged[name]
 
-    async def carry(self, address: network.Address, name: str, copy: tables.Copy) -> bool:
+    async def carry(self, address: network.Address, name: str, copy: replica.Copy) -> bool:
         """Ask one peer for part after part. False if the rows do not add up to its copy."""
         staged = self.staged_for(copy)
         for _ in range(PARTS_LIMIT):
@@ -116,16 +116,16 @@
             return True
         return False
 
-    def staged_for(self, copy: tables.Copy) -> Staged:
+    def staged_for(self, copy: replica.Copy) -> Staged:
         """What came so far for this very copy, from whichever peer."""
         staged = self.staged.get(copy.name)
         if staged is None or staged.base != copy.applied:
-            staged = Staged(copy.applied, Cursor(copy.applied, tables.LAST), {})
+            staged = Staged(copy.applied, Cursor(copy.applied, replica.LAST), {})
             self.staged[copy.name] = staged
         return staged
 
     def take(
-        self, copy: tables.Copy, staged: Staged, applied: versions.Version, root: bytes, forgotten: list
+        self, copy: replica.Copy, staged: Staged, applied: versions.Version, root: bytes, forgotten: list
     ) -> bool:
         gone = {str(key) for key in forgotten}
         changed = [item for item in staged.rows.values() if item.key not in gone]
@@ -135,7 +135,7 @@
         return taken
 
 
-def cut_part(copy: tables.Copy, cursor: Cursor) -> Part:
+def cut_part(copy: replica.Copy, cursor: Cursor) -> Part:
     """Rows behind the cursor in the order of their versions, as many as a part has room for."""
     packed: list[bytes] = []
     size = 0
--- a/src/irisstand/state/outage.py
+++ b/src/irisstand/state/replication/quorum_loss.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from irisstand import errors, node_context
-from irisstand.state import items, quorum, tables, versions
+from irisstand.state import items, quorum, replica, versions
 
 # Seconds that one voter is waited for.
 PATIENCE = 0.4
@@ -30,11 +30,11 @@
             await asyncio.gather(*(self.probe(copy) for copy in doubtful))
             await asyncio.sleep(PAUSE)
 
-    def is_doubtful(self, copy: tables.Copy) -> bool:
+    def is_doubtful(self, copy: replica.Copy) -> bool:
         age = copy.age(self.context.clock.now())
         return age is not None and age > DOUBT * self.context.settings.freshness_bound
 
-    async def probe(self, copy: tables.Copy) -> None:
+    async def probe(self, copy: replica.Copy) -> None:
         """One round of questions about one table."""
         # The evidence counts from here: a voter may have come back after it was asked.
         started = self.context.clock.now()
@@ -55,7 +55,7 @@
             self.context.core_out_as_of[copy.name] = started
             self.context.counters.add("core_found_out", table=copy.name)
 
-    async def cannot_confirm(self, voter: quorum.Voter, copy: tables.Copy) -> bool:
+    async def cannot_confirm(self, voter: quorum.Voter, copy: replica.Copy) -> bool:
         address, transport = (voter.host, voter.port), self.context.transport
         try:
             told = await transport.ask(address, voter.name, "tips", (), PATIENCE)
@@ -66,7 +66,7 @@
         except (errors.IrisError, ValueError, TypeError, IndexError):
             return False
 
-    def is_without_majority(self, voter: quorum.Voter, copy: tables.Copy, told: list, stand: list) -> bool:
+    def is_without_majority(self, voter: quorum.Voter, copy: replica.Copy, told: list, stand: list) -> bool:
         """By its own words; and nothing that it knows of has passed this node by."""
         # One that says nothing about the table may well be able to confirm it.
         is_current = {name: current for name, _, current in told}.get(copy.name, True)
--- a/src/irisstand/state/refresher.py
+++ b/src/irisstand/state/replication/refresher.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from irisstand import errors, node_context
-from irisstand.state import outage
-from irisstand.state import replicator as replicators
+from irisstand.state.replication import quorum_loss
+from irisstand.state.replication import replicator as replicators
 from irisstand.transport import network
 
 # Seconds after which the next peer is asked beside one that has not answered yet.
@@ -79,7 +79,7 @@
     async def run(self) -> None:
         context = self.context
         if context.settings.outage_bound:
-            context.start(outage.OutageWatch(context).run(), "outage watch")
+            context.start(quorum_loss.OutageWatch(context).run(), "outage watch")
         while True:
             started = context.clock.now()
             await self.refresh()
--- a/src/irisstand/state/replicator.py
+++ b/src/irisstand/state/replication/replicator.py
@@ -3,7 +3,8 @@
 """
 
 from irisstand import errors, node_context
-from irisstand.state import items, part_carrier, tables, versions
+from irisstand.state import items, replica, versions
+from irisstand.state.replication import chunk_transfer
 from irisstand.transport import network
 
 PATIENCE = 0.6
@@ -23,7 +24,7 @@
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
         self.mending: set[str] = set()
-        self.parts = part_carrier.PartCarrier(context)
+        self.parts = chunk_transfer.PartCarrier(context)
         context.transport.handlers["after"] = self.on_after
         context.transport.handlers["ranges"] = self.on_ranges
 
@@ -46,7 +47,7 @@
             replies.append((tuple(copy.applied), copy.age(now), own_root, told))
         return tuple(replies)
 
-    def above(self, copy: tables.Copy, applied: versions.Version) -> tuple:
+    def above(self, copy: replica.Copy, applied: versions.Version) -> tuple:
         changed, forgotten = copy.after(applied)
         # Equal applied versions that do not add up are damage, and more than fits a frame is carried in
         # parts.
@@ -58,13 +59,13 @@
         """Items of ranges whose digests differ from the asker's, as many as fit."""
         name, digests = body
         copy = self.context.copies[name]
-        if len(digests) != tables.RANGES:
+        if len(digests) != replica.RANGES:
             raise ValueError("another number of ranges")
         own = copy.digests()
-        differing = {number for number in range(tables.RANGES) if own[number] != digests[number]}
+        differing = {number for number in range(replica.RANGES) if own[number] != digests[number]}
         grouped: dict[int, list] = {number: [] for number in differing}
         for item in copy.range_items(differing):
-            grouped[tables.range_of(item.key)].append(item)
+            grouped[replica.range_of(item.key)].append(item)
         parts, size = [], 0
         for number, held in grouped.items():
             if size > PART_LIMIT:
@@ -103,7 +104,7 @@
             all_current = all_current and is_news and context.is_fresh(copy)
         return all_current
 
-    async def mend(self, address: network.Address, name: str, copy: tables.Copy, in_parts: bool) -> None:
+    async def mend(self, address: network.Address, name: str, copy: replica.Copy, in_parts: bool) -> None:
         """Take what a peer has, part by part, or range by range if that does not add up."""
         # One mending of a table at a time: two would only carry the same rows twice.
         if copy.name in self.mending:
@@ -115,14 +116,14 @@
         finally:
             self.mending.discard(copy.name)
 
-    async def carry_parts(self, address: network.Address, name: str, copy: tables.Copy) -> bool:
+    async def carry_parts(self, address: network.Address, name: str, copy: replica.Copy) -> bool:
         try:
             return await self.parts.carry(address, name, copy)
         except errors.Unknown:
             # A peer of the version before has no parts to give.
             return False
 
-    async def mend_ranges(self, address: network.Address, name: str, copy: tables.Copy) -> None:
+    async def mend_ranges(self, address: network.Address, name: str, copy: replica.Copy) -> None:
         """Compare range by range with one peer, aside, until both are alike; then take it whole."""
         aside, overtaken = copy.clone(), 0
         for _ in range(PARTS_LIMIT):
--- /dev/null
+++ b/src/irisstand/state/storage/__init__.py
@@ -0,0 +1,1 @@
+"""Durable storage of a voter: files, records and segments on its disk."""
--- a/src/irisstand/state/durable_store.py
+++ b/src/irisstand/state/storage/durable_store.py
@@ -7,9 +7,10 @@
 
 import ormsgpack
 
-from irisstand import ring
-from irisstand.state import disk as disks
-from irisstand.state import item_files, items, tables, versions
+from irisstand import event_log
+from irisstand.state import items, replica, versions
+from irisstand.state.storage import disk as disks
+from irisstand.state.storage import item_files
 
 
 class Record(typing.NamedTuple):
@@ -64,7 +65,7 @@
         self.identity = ""
         self.numbers: dict[str, int] = {}
         self.records: dict[str, Record] = {}
-        self.copies: dict[str, tables.Copy] = {}
+        self.copies: dict[str, replica.Copy] = {}
         self.layouts: dict[str, item_files.Layout] = {}
         self.sound: dict[str, bool] = {}
         self.garbage: dict[str, list[str]] = {}
@@ -74,7 +75,7 @@
     async def open(self) -> None:
         files, torn = await self.disk.load()
         if torn:
-            ring.note("torn-files", names=torn)
+            event_log.note("torn-files", names=torn)
         # Put aside by a start that power was lost in, before this disk had a new id to show for it.
         torn = [*torn, *self.disk.put_aside]
         damaged = "vault" in torn
@@ -96,7 +97,7 @@
             self.records.setdefault(table, BLANK)
 
     def load_table(self, table: str, files: dict[str, bytes]) -> None:
-        copy = tables.Copy(table)
+        copy = replica.Copy(table)
         self.copies[table] = copy
         self.numbers[table] = 0
         layout = self.layouts[table] = item_files.Layout()
@@ -111,7 +112,7 @@
         # Left over from the last run: all but the newest record and what it rests on.
         counted = layout.names() | set(names[-1:])
         self.garbage[table] = [n for n in files if n.startswith(f"{table}.") and n not in counted]
-        roots = (copy.root(), tables.first_root(copy))
+        roots = (copy.root(), replica.first_root(copy))
         self.sound[table] = not names or record.root in roots
 
     async def save_record(self, table: str, record: Record) -> None:
@@ -130,7 +131,7 @@
             names, self.garbage[table] = self.garbage[table], []
             await self.disk.remove(names)
 
-    def behind(self, table: str, live: tables.Copy) -> dict[str, items.Item | None]:
+    def behind(self, table: str, live: replica.Copy) -> dict[str, items.Item | None]:
         """Keys whose file is out of date, with what they hold now; None where nothing is left."""
         kept = self.copies[table]
         changed, forgotten = live.after(kept.applied)
@@ -141,7 +142,7 @@
         wanted = {key: live.items.get(key) for key in keys}
         return {key: item for key, item in wanted.items() if item != kept.items.get(key)}
 
-    async def save_copy(self, table: str, live: tables.Copy, record: Record) -> None:
+    async def save_copy(self, table: str, live: replica.Copy, record: Record) -> None:
         """Items first, then the record that confirms for them, and only then the old versions go."""
         # Taken all at once: the live copy moves on while the disk is waited for.
         wanted, applied, root = self.behind(table, live), live.applied, live.root()
--- a/src/irisstand/state/item_files.py
+++ b/src/irisstand/state/storage/item_files.py
@@ -10,7 +10,7 @@
 
 import ormsgpack
 
-from irisstand.state import items, tables, versions
+from irisstand.state import items, replica, versions
 
 # More changed items than this go into one segment, since each file costs a sync of its own.
 SINGLES_AT_ONCE = 8
@@ -68,7 +68,11 @@
 
 
 def load(
-    copy: tables.Copy, layout: Layout, files: dict[str, bytes], segments: typing.Iterable[str], gone: set[str]
+    copy: replica.Copy,
+    layout: Layout,
+    files: dict[str, bytes],
+    segments: typing.Iterable[str],
+    gone: set[str],
 ) -> None:
     """Fill copy and layout from the files that count: the record's segments, and singles not called gone."""
     table = copy.name
@@ -94,14 +98,14 @@
             layout.singles[item.key] = name
 
 
-def merge(copy: tables.Copy, layout: Layout, item: items.Item) -> None:
+def merge(copy: replica.Copy, layout: Layout, item: items.Item) -> None:
     # Versions newer than the applied version belong to a commit that was cut short; it is done again.
     if item.version <= copy.applied and item.version > layout.forgotten.get(item.key, versions.NONE):
         copy.merge(item)
 
 
 def plan(
-    kept: tables.Copy, layout: Layout, wanted: dict[str, items.Item | None], whole: bool, segment: str
+    kept: replica.Copy, layout: Layout, wanted: dict[str, items.Item | None], whole: bool, segment: str
 ) -> Plan:
     """How the disk gets from what it holds to what is wanted, with few files and few syncs."""
     fresh = {key: item for key, item in wanted.items() if item is not None}
--- a/src/irisstand/transport/peers.py
+++ b/src/irisstand/transport/peers.py
@@ -6,7 +6,7 @@
 import typing
 
 from irisstand import counters as counting
-from irisstand import errors, ring
+from irisstand import errors, event_log
 from irisstand.transport import codec, network
 
 Handler = collections.abc.Callable[[str, list], collections.abc.Awaitable[tuple]]
@@ -231,12 +231,12 @@
             reply = codec.Fault(number, error.as_tuple())
         except (ValueError, TypeError, IndexError, KeyError) as error:
             self.counters.add("frames_dropped", reason="malformed-ask")
-            ring.note("malformed-ask", error=repr(error), sender=sender)
+            event_log.note("malformed-ask", error=repr(error), sender=sender)
             reply = codec.Fault(number, errors.BadRequest(repr(error)).as_tuple())
         except Exception as error:
             # The asker must not wait for its deadline because of a fault of this node's own.
             self.counters.add("asks_crashed")
-            ring.note("ask-crashed", error=repr(error), sender=sender)
+            event_log.note("ask-crashed", error=repr(error), sender=sender)
             reply = codec.Fault(number, errors.IrisError(repr(error)).as_tuple())
         try:
             stream.write(codec.encode(reply))
--- a/src/irisstand/validation/schema.py
+++ b/src/irisstand/validation/schema.py
@@ -3,7 +3,7 @@
 import functools
 import typing
 
-from irisstand.validation import validating
+from irisstand.validation import lazy_jsonschema
 
 NAME = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$"
 PATH = r"^/[!-~]{0,255}$"
@@ -79,12 +79,12 @@
 
 @functools.cache
 def validator(kind: str) -> typing.Any:
-    return validating.compiled(REGISTRY[kind][1])
+    return lazy_jsonschema.compiled(REGISTRY[kind][1])
 
 
 @functools.cache
 def name_validator(kind: str) -> typing.Any:
-    return validating.compiled({"type": "string", "pattern": REGISTRY[kind][0]})
+    return lazy_jsonschema.compiled({"type": "string", "pattern": REGISTRY[kind][0]})
 
 
 def faults(kind: typing.Any, name: typing.Any, value: typing.Any) -> list[tuple[str, str]]:
--- a/src/irisstand/validation/versioned.py
+++ b/src/irisstand/validation/versioned_items.py
@@ -9,7 +9,7 @@
 import typing
 
 from irisstand.state import versioned_items
-from irisstand.validation import one_content, validating
+from irisstand.validation import canonical_content, lazy_jsonschema
 
 SECONDS = {"type": "number", "minimum": 0, "maximum": 86400}
 RATE = {"type": ["number", "null"], "exclusiveMinimum": 0}
@@ -79,12 +79,12 @@
 
 @functools.cache
 def validator(kind: str) -> typing.Any:
-    return validating.compiled(SCHEMAS[kind])
+    return lazy_jsonschema.compiled(SCHEMAS[kind])
 
 
 @functools.cache
 def drop_validator() -> typing.Any:
-    return validating.compiled(DROP)
+    return lazy_jsonschema.compiled(DROP)
 
 
 def read(body: typing.Any) -> tuple[list[Entry], list[dict[str, str]]]:
@@ -149,7 +149,7 @@
         place = (key, value["version"])
         if place not in found:
             found[place] = (key, value)
-        elif not one_content.is_same(found[place][1], value):
+        elif not canonical_content.is_same(found[place][1], value):
             fault(key, "version", "two contents under one version in one call; keep one")
     return list(found.values())
 
--- a/src/irisstand/web.py
+++ b/src/irisstand/web.py
@@ -10,7 +10,7 @@
 import sanic.request
 import sanic.response
 
-from irisstand import errors, node_context, ring
+from irisstand import errors, event_log, node_context
 
 BODY_LIMIT = 4 * 1024 * 1024
 OPENING_LIMIT = 30.0
@@ -35,7 +35,7 @@
 class Web:
     """`ready` tells whether this node should be sent work."""
 
-    def __init__(self, context: node_context.NodeContext, log_ring: ring.Ring) -> None:
+    def __init__(self, context: node_context.NodeContext, log_ring: event_log.Ring) -> None:
         self.context, self.ring = context, log_ring
         name = "irisstand_" + "".join(letter if letter.isalnum() else "_" for letter in context.settings.name)
         self.app = sanic.Sanic(name, configure_logging=False)
@@ -115,7 +115,7 @@
             headers = {"Retry-After": "1"} if status in (502, 503, 504) else None
             content = {"code": f"http-{status}", "message": str(error), "remedy": remedy}
             return as_json(content, status, headers)
-        ring.note("crash", error=repr(error))
+        event_log.note("crash", error=repr(error))
         self.ring.write_out(f"error in a request: {error!r}")
         return as_fault(errors.IrisError("an error of this node's own"))
 
--- a/tests/scenes_direct.py
+++ b/tests/scenes_direct.py
@@ -5,9 +5,9 @@
 import random
 
 import irisstand.clocks as clocks
-import irisstand.dataplane.direct as direct
-import irisstand.dataplane.exchange as exchange
-import irisstand.dataplane.views as views
+import irisstand.dataplane.nodes.direct as direct
+import irisstand.dataplane.routing.configuration_snapshot as configuration_snapshot
+import irisstand.dataplane.upstream.exchange as exchange
 import irisstand.errors as errors
 import irisstand.membership.updates as updates
 import irisstand.node_context as node_context
@@ -83,7 +83,7 @@
         self.play = lambda key, headers, body: whole(headers.get("x-request-id", ""))
         for number in range(2, edges + 1):
             self.member(f"edge-{number}", "direct")
-        self.view = views.Views(self.context)
+        self.view = configuration_snapshot.Views(self.context)
         self.part = direct.Direct(self.context, self.view, self.connect)
         for name, kind in KINDS.items():
             self.route(name, kind=kind)
--- a/tests/test_ballots.py
+++ b/tests/test_ballots.py
@@ -6,14 +6,14 @@
 import pytest
 import scenes
 
+import irisstand.controlplane.consensus.acceptor
 import irisstand.errors as errors
 import irisstand.simulator.memory_disk
 import irisstand.simulator.virtual_time
-import irisstand.state.durable_store
 import irisstand.state.items as items
-import irisstand.state.owner
 import irisstand.state.quorum as quorum
-import irisstand.state.tables as tables
+import irisstand.state.replica as replica
+import irisstand.state.storage.durable_store
 import irisstand.state.versions as versions
 
 
@@ -117,10 +117,10 @@
 
     async def scene():
         disk = irisstand.simulator.memory_disk.MemoryDisk(random.Random(1))
-        disk_id = irisstand.state.durable_store.DurableStore(disk, random.Random(1))
+        disk_id = irisstand.state.storage.durable_store.DurableStore(disk, random.Random(1))
         await disk_id.open()
-        live = tables.Copy(items.LEDGER)
-        owner = irisstand.state.owner.Owner(disk_id, live, None)
+        live = replica.Copy(items.LEDGER)
+        owner = irisstand.controlplane.consensus.acceptor.Owner(disk_id, live, None)
         task = asyncio.create_task(owner.run())
         voter = quorum.Voter("a", disk_id.identity, "s", "h", 1, "m")
         base = versions.Version(22, "b")
--- a/tests/test_big_carrying.py
+++ b/tests/test_big_carrying.py
@@ -10,9 +10,9 @@
 import irisstand.errors as errors
 import irisstand.simulator.virtual_time as virtual
 import irisstand.state.items as items
-import irisstand.state.part_carrier as part_carrier
-import irisstand.state.replicator as replicator
-import irisstand.state.tables as tables
+import irisstand.state.replica as replica
+import irisstand.state.replication.chunk_transfer as chunk_transfer
+import irisstand.state.replication.replicator as replicator
 import irisstand.state.versions as versions
 import irisstand.transport.codec as codec
 
@@ -36,7 +36,7 @@
         self.free_at = 0.0
         self.handlers = {}
         settings = types.SimpleNamespace(freshness_bound=1.5)
-        copies = {items.CONFIGURATION: tables.Copy(items.CONFIGURATION)}
+        copies = {items.CONFIGURATION: replica.Copy(items.CONFIGURATION)}
         self.context = types.SimpleNamespace(
             copies=copies,
             clock=clocks.LoopClock(),
@@ -135,7 +135,7 @@
         before = len(edge.replies)
         await edge.pull("core-1")
         parts = [entry for entry in edge.replies[before:] if entry[1] == "part"]
-        whole = len(part_carrier.unpack_rows(given[0][3]))
+        whole = len(chunk_transfer.unpack_rows(given[0][3]))
         return edge.copy.root() == cores[1].copy.root(), len(parts), -(-(ROUTES - 3 * whole) // whole)
 
     is_same, parts, wanted = virtual.run(scene())
@@ -148,9 +148,9 @@
         core = Node("core")
         core.apply(1, [row(number) for number in range(ROUTES)])
         cut = []
-        plain = part_carrier.cut_part
+        plain = chunk_transfer.cut_part
         monkeypatch.setattr(
-            part_carrier, "cut_part", lambda copy, cursor: cut.append(cursor) or plain(copy, cursor)
+            chunk_transfer, "cut_part", lambda copy, cursor: cut.append(cursor) or plain(copy, cursor)
         )
         for edge in edges:
             edge.peers["core"] = core
@@ -200,10 +200,10 @@
 def test_a_peer_that_is_older_than_what_came_is_not_taken_for_the_truth():
     async def scene():
         edge, cores = far_behind(peers=2, rate=None)
-        cores[1].copy.take(tables.Copy(items.CONFIGURATION))
+        cores[1].copy.take(replica.Copy(items.CONFIGURATION))
         cores[1].apply(1, [row(100_000)])
         before = edge.copy.root()
-        cursor = part_carrier.Cursor(versions.Version(2, "n"), "route/extra-00100")
+        cursor = chunk_transfer.Cursor(versions.Version(2, "n"), "route/extra-00100")
         edge.replicator.parts.staged_for(edge.copy).cursor = cursor
         with pytest.raises(errors.StaleConfiguration):
             await edge.replicator.parts.carry(("", 0), "core-1", edge.copy)
--- a/tests/test_big_configurations.py
+++ b/tests/test_big_configurations.py
@@ -6,7 +6,7 @@
 import pytest
 from scenes_direct import KINDS, UPSTREAM, play
 
-import irisstand.dataplane.routes as routing
+import irisstand.dataplane.routing.routes as routing
 import irisstand.errors as errors
 import irisstand.simulator.big_configurations as big_configurations
 import irisstand.state.items as items
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -6,12 +6,12 @@
 import scenes
 
 import irisstand.state.items as items
-import irisstand.state.tables as tables
+import irisstand.state.replica as replica
 import irisstand.state.versions as versions
 
 
 def filled(count, first=1):
-    copy = tables.Copy("t")
+    copy = replica.Copy("t")
     for number in range(first, first + count):
         version = versions.Version(number, "n")
         copy.apply(items.Batch(version, copy.applied, ((f"k{number}", number, False),)))
@@ -91,7 +91,7 @@
     for number in range(0, 30, 3):
         copy.forget(f"k{number}", versions.Version(40 + number, "n"))
     copy.put(items.Item("a/b", versions.Version(90, "n"), None))
-    fresh = tables.Copy("t")
+    fresh = replica.Copy("t")
     for item in copy.items.values():
         fresh.merge(item)
     assert fresh.root() == copy.root() and list(fresh.by_version) == list(copy.by_version)
--- a/tests/test_closed_transports.py
+++ b/tests/test_closed_transports.py
@@ -6,7 +6,7 @@
 import uvloop
 
 import irisstand.counters as counting
-import irisstand.dataplane.exchange as exchange
+import irisstand.dataplane.upstream.exchange as exchange
 import irisstand.errors as errors
 import irisstand.transport.network as network
 import irisstand.transport.peers as peers
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -7,9 +7,9 @@
 import pytest
 import scenes
 
-import irisstand.controlplane.operator_reads as operator_reads
-import irisstand.controlplane.orders as orders
-import irisstand.controlplane.voters as voters
+import irisstand.controlplane.api.operator_reads as operator_reads
+import irisstand.controlplane.changes.orders as orders
+import irisstand.controlplane.consensus.voter_administration as voter_administration
 import irisstand.errors as errors
 import irisstand.state.items as items
 import irisstand.state.versions as versions
@@ -23,7 +23,7 @@
     """The operators' pages of one node, without the listener before them."""
     body = day.world.nodes[name].body
     server = types.SimpleNamespace(app=types.SimpleNamespace(add_route=lambda *_, **__: None))
-    members = voters.Voters(body.context, body.submitter)
+    members = voter_administration.Voters(body.context, body.submitter)
     return operator_reads.OperatorReads(body.context, members, body.read_index, server)
 
 
--- a/tests/test_cut_off_leases.py
+++ b/tests/test_cut_off_leases.py
@@ -6,7 +6,7 @@
 import pytest
 import scenes
 
-import irisstand.controlplane.duties as duties
+import irisstand.controlplane.singletons.lease as duties
 import irisstand.errors as errors
 
 
--- a/tests/test_direct.py
+++ b/tests/test_direct.py
@@ -6,7 +6,7 @@
 import scenes_direct
 from scenes_direct import play, whole
 
-import irisstand.dataplane.exchange as exchange
+import irisstand.dataplane.upstream.exchange as exchange
 import irisstand.errors as errors
 import irisstand.state.items as items
 
--- a/tests/test_disks.py
+++ b/tests/test_disks.py
@@ -9,7 +9,7 @@
 import irisstand.simulator.virtual_time
 import irisstand.simulator.world
 import irisstand.state.items as items
-import irisstand.state.tables as tables
+import irisstand.state.replica as replica
 
 
 def votes(day, name):
@@ -203,7 +203,7 @@
             disk_id = node.body.core.store
             for table in items.TABLES:
                 record = disk_id.records[table]
-                old_root = tables.first_root(disk_id.copies[table])
+                old_root = replica.first_root(disk_id.copies[table])
                 assert old_root != record.root
                 await disk_id.save_record(table, record._replace(root=old_root))
             node.kill()
--- a/tests/test_doorstep.py
+++ b/tests/test_doorstep.py
@@ -6,8 +6,8 @@
 import pytest
 import scenes
 
-import irisstand.balancing.budget as budgets
-import irisstand.dataplane.decisions as decisions
+import irisstand.balancing.retry_budget as budgets
+import irisstand.dataplane.retry.forwarding_policies as forwarding_policies
 import irisstand.errors as errors
 import irisstand.simulator.origin_faults as trouble_origins
 import irisstand.simulator.origin_judge as doorstep
@@ -121,11 +121,11 @@
         began = part.opened_at
         assert part.view.share("application", granted.ceiling)[0] > 0
         while day.watching.now() < began + granted.deadline:
-            decision = decisions.ShieldWrite(part.context.clock, granted, 3.0)
+            decision = forwarding_policies.ShieldWrite(part.context.clock, granted, 3.0)
             with pytest.raises(errors.NoShare):
                 await node.do(part.enter(granted, decision), 1)
             await asyncio.sleep(0.3)
-        decision = decisions.ShieldWrite(part.context.clock, granted, 3.0)
+        decision = forwarding_policies.ShieldWrite(part.context.clock, granted, 3.0)
         await node.do(part.enter(granted, decision), 1)
 
     scenes.play(scene)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-import irisstand.dataplane.exchange as exchange
+import irisstand.dataplane.upstream.exchange as exchange
 
 ID = "x-request-id"
 
--- a/tests/test_exchange_hostile.py
+++ b/tests/test_exchange_hostile.py
@@ -6,7 +6,7 @@
 import scenes_direct
 from test_exchange import ID, answer, ask, talk
 
-import irisstand.dataplane.exchange as exchange
+import irisstand.dataplane.upstream.exchange as exchange
 
 NO_ID = b"HTTP/1.1 503 Busy\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n"
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,7 @@
 
 import scenes
 
-import irisstand.controlplane.fleet_view as fleet_view
+import irisstand.controlplane.singletons.fleet_view as fleet_view
 
 
 def owners(day, name="agency-1"):
--- a/tests/test_front_listener.py
+++ b/tests/test_front_listener.py
@@ -7,8 +7,8 @@
 import pytest
 import scenes_direct
 
-import irisstand.dataplane.exchange as exchange
-import irisstand.dataplane.front_listener as front_listener
+import irisstand.dataplane.http.listener as listener
+import irisstand.dataplane.upstream.exchange as exchange
 import irisstand.errors as errors
 
 HEAD = b"GET /reads/1 HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -30,7 +30,7 @@
             probe.bind(("127.0.0.1", 0))
             self.address = probe.getsockname()
         self.part = stage.part
-        self.listener = front_listener.FrontListener(self.context, stage.part, self.address)
+        self.listener = listener.FrontListener(self.context, stage.part, self.address)
 
     async def connect(self):
         return await asyncio.open_connection(*self.address)
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -11,7 +11,7 @@
 import irisstand.membership.detector
 import irisstand.membership.updates as updates
 import irisstand.state.items as items
-import irisstand.state.tables as tables
+import irisstand.state.replica as replica
 import irisstand.state.versions as versions
 import irisstand.transport.codec as codec
 
@@ -120,7 +120,7 @@
         for _ in range(2):
             shuffled = given[:]
             randomness.shuffle(shuffled)
-            copy = tables.Copy("t")
+            copy = replica.Copy("t")
             for item in shuffled:
                 copy.merge(items.decode(ormsgpack.unpackb(ormsgpack.packb(items.encode(item)))))
             copies.append(copy)
@@ -129,4 +129,4 @@
         changed = randomness.choice(list(oracle))
         copies[1].put(oracle[changed]._replace(value="damaged"))
         differing = [a != b for a, b in zip(copies[0].digests(), copies[1].digests(), strict=True)]
-        assert differing.index(True) == tables.range_of(changed) and sum(differing) == 1
+        assert differing.index(True) == replica.range_of(changed) and sum(differing) == 1
--- a/tests/test_hostile_peers.py
+++ b/tests/test_hostile_peers.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-import irisstand.dataplane.exchange as exchange
+import irisstand.dataplane.upstream.exchange as exchange
 import irisstand.errors as errors
 import irisstand.simulator.hostile_scripts as hostile_scripts
 import irisstand.standins.hostile_origin as hostile_origin
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -6,8 +6,8 @@
 import aiohttp.web
 import pytest
 
-import irisstand.dataplane.lines as lines
-import irisstand.dataplane.objects as objects
+import irisstand.dataplane.cache.objects as objects
+import irisstand.dataplane.upstream.connections as connections
 import irisstand.errors as errors
 
 
@@ -32,8 +32,8 @@
         port = runner.addresses[0][1]
 
         async def opened():
-            line = await lines.open_http("127.0.0.1", port)
-            await lines.confirm_current(line, "/health", "s", "i", 5)
+            line = await connections.open_http("127.0.0.1", port)
+            await connections.confirm_current(line, "/health", "s", "i", 5)
             line.touched = False
             return line
 
@@ -51,14 +51,14 @@
             held[0].is_connected() for held in next(iter(line.session.connector._conns.values()))
         ):
             await asyncio.sleep(0)
-        with pytest.raises(lines.Reopened):
+        with pytest.raises(connections.Reopened):
             await line.send("POST", "/write", {}, b"x", 5)
         assert "/write" not in served and not line.touched and not line.alive
         await line.close()
         # Another service at the address gets the probe and nothing else.
-        line = await lines.open_http("127.0.0.1", port)
+        line = await connections.open_http("127.0.0.1", port)
         with pytest.raises(errors.WrongService):
-            await lines.confirm_current(line, "/health", "other", "i", 5)
+            await connections.confirm_current(line, "/health", "other", "i", 5)
         await line.close()
         await runner.cleanup()
 
@@ -81,7 +81,7 @@
         runner = aiohttp.web.AppRunner(app, shutdown_timeout=0.1)
         await runner.setup()
         await aiohttp.web.TCPSite(runner, "127.0.0.1", 0).start()
-        line = await lines.open_http("127.0.0.1", runner.addresses[0][1])
+        line = await connections.open_http("127.0.0.1", runner.addresses[0][1])
         with pytest.raises(errors.UnsealedResult):
             await line.send("GET", "/", {}, b"", 30)
         await line.close()
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -6,7 +6,7 @@
 import pytest
 import scenes
 
-import irisstand.controlplane.orders as orders
+import irisstand.controlplane.changes.orders as orders
 import irisstand.counters as counting
 import irisstand.errors as errors
 import irisstand.simulator.memory_network as wires
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -7,8 +7,8 @@
 import pytest
 import scenes
 
-import irisstand.controlplane.changes as changes
-import irisstand.controlplane.voters as voters
+import irisstand.controlplane.changes.change_status as change_status
+import irisstand.controlplane.consensus.voter_administration as voter_administration
 import irisstand.errors as errors
 import irisstand.simulator.world as worlds
 import irisstand.state.items as items
@@ -25,7 +25,7 @@
         await day.stage.order("agency-2", "change", [scenes.site_row("south", 5)], "third")
         await asyncio.sleep(1)
         node = day.world.nodes["agency-4"]
-        shower = changes.Changes(node.body.context)
+        shower = change_status.Changes(node.body.context)
         first = await node.do(shower.show("first"), 3)
         second = await node.do(shower.show("second"), 3)
         third = await node.do(shower.show("third"), 3)
@@ -48,7 +48,7 @@
         copy = scenes.context(day, "store-1").configuration
         copy.applied = copy.applied._replace(counter=copy.applied.counter - 1)
         node = day.world.nodes["agency-1"]
-        shown = await node.do(changes.Changes(node.body.context).show("x"), 3)
+        shown = await node.do(change_status.Changes(node.body.context).show("x"), 3)
         assert shown["serial"] == result["serial"] and shown["nodes"]["store-1"] == "behind"
 
     scenes.play(scene)
@@ -67,7 +67,7 @@
 
 def keeper(day, name="agency-5"):
     node = day.world.nodes[name]
-    return node, voters.Voters(node.body.context, node.body.submitter)
+    return node, voter_administration.Voters(node.body.context, node.body.submitter)
 
 
 def test_a_voter_is_replaced_by_hand_and_twice_is_the_same_as_once():
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -5,7 +5,7 @@
 
 import scenes
 
-import irisstand.controlplane.platform_watch as watch
+import irisstand.controlplane.singletons.origin_discovery as watch
 
 
 def state(day, name="edge-1"):
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -9,11 +9,11 @@
 
 import irisstand.errors as errors
 import irisstand.simulator.simulated_folder
-import irisstand.state.disk
-import irisstand.state.durable_store
-import irisstand.state.item_files
 import irisstand.state.items as items
-import irisstand.state.tables as tables
+import irisstand.state.replica as replica
+import irisstand.state.storage.disk
+import irisstand.state.storage.durable_store
+import irisstand.state.storage.item_files
 import irisstand.state.versions as versions
 
 STEPS = 120
@@ -26,15 +26,15 @@
     def __init__(self, seed):
         self.randomness = random.Random(seed)
         self.folder = irisstand.simulator.simulated_folder.SimulatedFolder(random.Random(seed + 1))
-        self.live = {table: tables.Copy(table) for table in items.TABLES}
+        self.live = {table: replica.Copy(table) for table in items.TABLES}
         self.acknowledged = {}
         self.sent = {}
         self.store = None
         self.identity = ""
 
     async def start(self):
-        disk = irisstand.state.disk.FolderDisk(pathlib.Path("simulated"), self.folder)
-        self.store = irisstand.state.durable_store.DurableStore(disk, self.randomness)
+        disk = irisstand.state.storage.disk.FolderDisk(pathlib.Path("simulated"), self.folder)
+        self.store = irisstand.state.storage.durable_store.DurableStore(disk, self.randomness)
         await self.store.open()
 
     async def step(self):
@@ -130,7 +130,7 @@
         removed = items.Item("a", versions.Version(1, "n"), 1)
         content = ormsgpack.packb(items.encode(removed))
         other = items.Item("c", versions.Version(1, "n"), 1)
-        await voter.store.disk.write([(irisstand.state.item_files.item_file(table, other), content)])
+        await voter.store.disk.write([(irisstand.state.storage.item_files.item_file(table, other), content)])
         await voter.start()
         assert voter.store.sound[table] and set(voter.store.copies[table].items) == {"b"}
 
--- a/tests/test_protection.py
+++ b/tests/test_protection.py
@@ -6,7 +6,7 @@
 import pytest
 import scenes
 
-import irisstand.balancing.shares as shares
+import irisstand.balancing.quota_shares as quota_shares
 import irisstand.errors as errors
 import irisstand.state.items as items
 import irisstand.state.versions as versions
@@ -129,12 +129,12 @@
 
 def test_what_was_taken_from_one_shield_is_not_given_to_another_while_the_first_may_not_know():
     ceilings = {"s": (10, 4)}
-    rows, _ = shares.plan({}, ceilings, {"a": 1, "b": 1}, ())
-    rows, reduced = shares.plan(rows, ceilings, {"b": 1}, ())
+    rows, _ = quota_shares.plan({}, ceilings, {"a": 1, "b": 1}, ())
+    rows, reduced = quota_shares.plan(rows, ceilings, {"b": 1}, ())
     assert reduced == {"s"} and "s" not in rows["a"]
-    held, _ = shares.plan(rows, ceilings, {"b": 1}, reduced)
+    held, _ = quota_shares.plan(rows, ceilings, {"b": 1}, reduced)
     assert held["b"]["s"][:2] == [5, 2]
-    freed, _ = shares.plan(rows, ceilings, {"b": 1}, ())
+    freed, _ = quota_shares.plan(rows, ceilings, {"b": 1}, ())
     assert freed["b"]["s"][:2] == [10, 4]
 
 
--- a/tests/test_rate_grants.py
+++ b/tests/test_rate_grants.py
@@ -7,7 +7,7 @@
 import scenes_direct
 import test_holders
 
-import irisstand.dataplane.rate_grants as rate_grants
+import irisstand.dataplane.ratelimit.token_leases as token_leases
 import irisstand.errors as errors
 import irisstand.simulator.virtual_time as virtual
 import irisstand.state.items as items
@@ -181,7 +181,7 @@
         grants = fleet.nodes["edge-1"].part.targets.grants
         await asyncio.sleep(1)
         await grants.ready("s", 0.1)
-        await asyncio.sleep(rate_grants.GOOD_FOR + 0.01)
+        await asyncio.sleep(token_leases.GOOD_FOR + 0.01)
         with pytest.raises(errors.OverCeiling):
             grants.enter("s", 0.1)
         await grants.ready("s", 0.1)
--- a/tests/test_rate_parts.py
+++ b/tests/test_rate_parts.py
@@ -6,13 +6,13 @@
 import pytest
 import scenes_direct
 
-import irisstand.balancing.rate_parts as rate_parts
-import irisstand.controlplane.rate_placement as rate_placement
+import irisstand.balancing.rate_quota as rate_quota
+import irisstand.controlplane.singletons.rate_placement as rate_placement
 import irisstand.simulator.virtual_time as virtual
 import irisstand.state.items as items
 
 # For so long after its last row an owner may still start requests that one window of five seconds counts.
-STILL_COUNTS = rate_parts.USED_FOR + 5.0
+STILL_COUNTS = rate_quota.USED_FOR + 5.0
 
 
 class Writer:
@@ -36,7 +36,7 @@
 
     def __init__(self):
         super().__init__()
-        self.put(items.LEDGER, rate_parts.KEY, None)
+        self.put(items.LEDGER, rate_quota.KEY, None)
         self.history = []
         self.change_holder()
 
@@ -55,7 +55,7 @@
             await asyncio.sleep(0.2)
 
     def units(self):
-        row = self.context.ledger.value(rate_parts.KEY)
+        row = self.context.ledger.value(rate_quota.KEY)
         return row["units"] if row else {}
 
 
@@ -107,7 +107,7 @@
 
     history = play(scene)
     assert [units for _, units in history] == [{"h1": 500, "h2": 500}, {"h1": 500}, {"h1": 1000}]
-    assert history[2][0] - history[1][0] >= rate_parts.LAPSE
+    assert history[2][0] - history[1][0] >= rate_quota.LAPSE
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -130,8 +130,8 @@
 
     history = play(scene)
     assert len(history) > 3
-    assert all(sum(units.values()) <= rate_parts.WHOLE for _, units in history)
-    assert most_counted(history) <= rate_parts.WHOLE
+    assert all(sum(units.values()) <= rate_quota.WHOLE for _, units in history)
+    assert most_counted(history) <= rate_quota.WHOLE
 
 
 def test_all_is_not_given_to_the_first_few_while_the_members_list_still_fills():
--- a/tests/test_restart_after_changes.py
+++ b/tests/test_restart_after_changes.py
@@ -12,12 +12,12 @@
 
 import irisstand.counters
 import irisstand.simulator.simulated_folder
-import irisstand.state.disk
-import irisstand.state.durable_store
-import irisstand.state.item_files
 import irisstand.state.items as items
-import irisstand.state.replicator
-import irisstand.state.tables as tables
+import irisstand.state.replica as replica
+import irisstand.state.replication.replicator
+import irisstand.state.storage.disk
+import irisstand.state.storage.durable_store
+import irisstand.state.storage.item_files
 import irisstand.state.versions as versions
 
 SYNC_SECONDS = 0.005
@@ -36,8 +36,8 @@
 
 
 async def store_on(folder, seed=5):
-    disk = irisstand.state.disk.FolderDisk(pathlib.Path("simulated"), folder)
-    store = irisstand.state.durable_store.DurableStore(disk, random.Random(seed))
+    disk = irisstand.state.storage.disk.FolderDisk(pathlib.Path("simulated"), folder)
+    store = irisstand.state.storage.durable_store.DurableStore(disk, random.Random(seed))
     await store.open()
     return store
 
@@ -51,7 +51,7 @@
     async def scene():
         folder = new_folder()
         store = await store_on(folder)
-        live = tables.Copy(items.CONFIGURATION)
+        live = replica.Copy(items.CONFIGURATION)
         grow(live, changes, random.Random(1))
         started, syncs = time.process_time(), folder.syncs
         await store.save_copy(items.CONFIGURATION, live, store.records[items.CONFIGURATION])
@@ -64,7 +64,7 @@
 
 def test_a_restart_after_3000_changes_reads_few_files_and_finds_them_sound():
     async def scene():
-        folder, live = new_folder(), tables.Copy(items.LEDGER)
+        folder, live = new_folder(), replica.Copy(items.LEDGER)
         store = await store_on(folder)
         randomness = random.Random(2)
         for _ in range(3000):
@@ -85,14 +85,14 @@
     """Before, the record was written for a disk that did not add up; until the next change it had no vote."""
 
     async def scene():
-        folder, live = new_folder(), tables.Copy(items.LEDGER)
+        folder, live = new_folder(), replica.Copy(items.LEDGER)
         store = await store_on(folder)
         fill = tuple((f"key/{number}", number, False) for number in range(2500))
         live.apply(items.Batch(versions.Version(1, "n"), versions.NONE, fill))
         await store.save_copy(items.LEDGER, live, store.records[items.LEDGER])
         gone = tuple((f"key/{number}", None, True) for number in range(2400))
         live.apply(items.Batch(versions.Version(2, "n"), live.applied, gone))
-        assert len(live.forgotten) == tables.FORGOTTEN_KEPT
+        assert len(live.forgotten) == replica.FORGOTTEN_KEPT
         await store.save_copy(items.LEDGER, live, store.records[items.LEDGER])
         assert store.sound[items.LEDGER]
         again = await store_on(folder)
@@ -103,7 +103,7 @@
 
 def test_a_mend_that_is_overtaken_by_a_commit_goes_on_until_it_has_caught_up():
     async def scene():
-        peer, copy = tables.Copy("t"), tables.Copy("t")
+        peer, copy = replica.Copy("t"), replica.Copy("t")
         grow(peer, 50, random.Random(1))
         grow(copy, 50, random.Random(1))
         copy.remove(next(iter(copy.items)))
@@ -126,8 +126,8 @@
                 transport=transport, clock=clock, counters=counted, copies={"t": table}
             )
 
-        answering = irisstand.state.replicator.Replicator(context(peer))
-        asking = irisstand.state.replicator.Replicator(context(copy))
+        answering = irisstand.state.replication.replicator.Replicator(context(peer))
+        asking = irisstand.state.replication.replicator.Replicator(context(copy))
         await asking.mend(("h", 1), "peer", copy, False)
         assert copy.root() == peer.root() and copy.applied == peer.applied
 
@@ -182,12 +182,15 @@
     """As the version before wrote it: six fields a record, and each item in a file of its own."""
 
     async def scene():
-        folder, live = new_folder(), tables.Copy(items.LEDGER)
-        disk = irisstand.state.disk.FolderDisk(pathlib.Path("simulated"), folder)
+        folder, live = new_folder(), replica.Copy(items.LEDGER)
+        disk = irisstand.state.storage.disk.FolderDisk(pathlib.Path("simulated"), folder)
         await disk.load()
         grow(live, 60, random.Random(4), removals=0)
         files = [
-            (irisstand.state.item_files.item_file(items.LEDGER, item), ormsgpack.packb(items.encode(item)))
+            (
+                irisstand.state.storage.item_files.item_file(items.LEDGER, item),
+                ormsgpack.packb(items.encode(item)),
+            )
             for item in live.items.values()
         ]
         number = tuple(live.applied)
@@ -211,7 +214,7 @@
 @pytest.mark.parametrize("is_cut_short", [True, False])
 def test_a_segment_cut_short_or_altered_is_not_voted_from_and_written_whole_again(is_cut_short):
     async def scene():
-        folder, live = new_folder(), tables.Copy(items.LEDGER)
+        folder, live = new_folder(), replica.Copy(items.LEDGER)
         store = await store_on(folder)
         grow(live, 300, random.Random(6))
         await store.save_copy(items.LEDGER, live, store.records[items.LEDGER])
@@ -233,7 +236,7 @@
 
 def test_power_lost_after_a_torn_record_was_put_aside_does_not_bring_the_older_promise_back():
     async def scene():
-        folder, live = new_folder(), tables.Copy(items.LEDGER)
+        folder, live = new_folder(), replica.Copy(items.LEDGER)
         store = await store_on(folder)
         grow(live, 5, random.Random(6))
         await store.save_copy(items.LEDGER, live, store.records[items.LEDGER])
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -6,7 +6,7 @@
 import pytest
 import scenes
 
-import irisstand.balancing.rota as rota
+import irisstand.balancing.standby_planning as standby_planning
 
 
 def resting(day, name="agency-2"):
@@ -118,7 +118,7 @@
     randomness = random.Random(seed)
     for _ in range(400):
         machines = [
-            rota.Machine(
+            standby_planning.Machine(
                 f"m{n}", randomness.choice("xyz"), randomness.choice((5, 10, 20)), randomness.random() < 0.1
             )
             for n in range(randomness.randrange(1, 8))
@@ -126,7 +126,7 @@
         resting_now = {m.name for m in machines if randomness.random() < 0.5}
         load = randomness.uniform(0, 40)
         may_rest = randomness.random() < 0.9
-        rest, reasons = rota.plan(machines, resting_now, load, may_rest)
+        rest, reasons = standby_planning.plan(machines, resting_now, load, may_rest)
         assert set(reasons) == {m.name for m in machines}
         assert not any(m.name in rest and m.pinned for m in machines)
         assert len(rest - resting_now) <= 1
--- a/tests/test_retention.py
+++ b/tests/test_retention.py
@@ -7,12 +7,12 @@
 import pytest
 import scenes
 
-import irisstand.controlplane.orders as orders
-import irisstand.controlplane.retention as retention
-import irisstand.controlplane.table_time as table_time
+import irisstand.controlplane.changes.orders as orders
+import irisstand.controlplane.changes.table_time as table_time
+import irisstand.controlplane.singletons.retention as retention
 import irisstand.errors as errors
 import irisstand.state.items as items
-import irisstand.state.tables as tables
+import irisstand.state.replica as replica
 import irisstand.state.versions as versions
 
 PURGE = table_time.Rule("purge", 75.0, 0.0, 5000)
@@ -22,7 +22,7 @@
     """One table decided step by step, as a proposer would, with nobody else about."""
 
     def __init__(self, name):
-        self.copy = tables.Copy(name)
+        self.copy = replica.Copy(name)
         self.seen = versions.NONE
 
     def order(self, kind, payload, change=""):
--- a/tests/test_slow_disks.py
+++ b/tests/test_slow_disks.py
@@ -4,13 +4,13 @@
 
 import scenes
 
-import irisstand.state.disk
 import irisstand.state.items as items
+import irisstand.state.storage.disk
 
 
 def test_the_real_disk_keeps_only_what_was_synced_and_puts_torn_files_aside(tmp_path):
     async def scene():
-        disk = irisstand.state.disk.FolderDisk(tmp_path / "data")
+        disk = irisstand.state.storage.disk.FolderDisk(tmp_path / "data")
         assert await disk.load() == ({}, [])
         await disk.write([("a", b"1"), ("b", b"2")])
         (tmp_path / "data" / "c.aside").write_bytes(b"half")
@@ -26,7 +26,7 @@
         await disk.remove(["long"])
         before = len(list((tmp_path / "data").iterdir()))
         await disk.write([("short", b"y"), ("other", b"z")])
-        assert await irisstand.state.disk.FolderDisk(tmp_path / "data").load() == (
+        assert await irisstand.state.storage.disk.FolderDisk(tmp_path / "data").load() == (
             {"short": b"y", "other": b"z"},
             [],
         )
--- a/tests/test_swim.py
+++ b/tests/test_swim.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-import irisstand.membership.buffer
-import irisstand.membership.roster
+import irisstand.membership.dissemination_buffer
+import irisstand.membership.member_list
 import irisstand.membership.updates as updates
 
 CARD = updates.Card("edge", "machine", "site", "region", "127.0.0.1", 1, 2)
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize(("new", "old"), TABLE)
 def test_override_order(new, old):
     for mine, theirs in itertools.product(range(3), repeat=2):
-        roster = irisstand.membership.roster.Roster(random.Random(1))
+        roster = irisstand.membership.member_list.Roster(random.Random(1))
         roster.apply(update("a", old, theirs))
         wins = roster.apply(update("a", new, mine))
         assert wins == TABLE[(new, old)](mine, theirs), (new, mine, old, theirs)
@@ -42,8 +42,8 @@
 
 
 def test_piggyback_is_bounded_least_sent_first_and_drawn_from_both_lists():
-    buffer = irisstand.membership.buffer.Buffer()
-    limit = irisstand.membership.buffer.sending_limit(3, 20)
+    buffer = irisstand.membership.dissemination_buffer.Buffer()
+    limit = irisstand.membership.dissemination_buffer.sending_limit(3, 20)
     for number in range(10):
         buffer.put(update(f"present-{number}"))
         buffer.put(update(f"failed-{number}", "confirm"))
@@ -67,7 +67,7 @@
 
 def test_successive_probes_of_a_member_are_at_most_2n_minus_1_periods_apart():
     for seed in range(20):
-        roster = irisstand.membership.roster.Roster(random.Random(seed))
+        roster = irisstand.membership.member_list.Roster(random.Random(seed))
         for number in range(9):
             roster.apply(update(f"m{number}"))
         last, gap = {}, 0
--- a/tests/test_versioned.py
+++ b/tests/test_versioned.py
@@ -6,11 +6,11 @@
 import pytest
 
 import irisstand.control_errors as control_errors
-import irisstand.controlplane.amending as amending
-import irisstand.controlplane.overlay as overlays
+import irisstand.controlplane.changes.amendment as amendment
+import irisstand.controlplane.changes.overlay as overlays
 import irisstand.errors as errors
 import irisstand.state.items as items
-import irisstand.state.tables as tables
+import irisstand.state.replica as replica
 import irisstand.state.versions as versions
 
 ROUTE = {
@@ -30,7 +30,7 @@
 def amend(table, call):
     """Play one call on a table, as a ballot would."""
     overlay = overlays.Overlay(table, table.applied.after("n"))
-    planned = amending.plan_amend(overlay, amending.parse(json.dumps(call).encode()))
+    planned = amendment.plan_amend(overlay, amendment.parse(json.dumps(call).encode()))
     for key, value in planned.items():
         overlay.put(key, value)
     table.apply(overlay.batch())
@@ -38,7 +38,7 @@
 
 
 def fresh():
-    table = tables.Copy(items.CONFIGURATION)
+    table = replica.Copy(items.CONFIGURATION)
     table.applied = versions.Version(1, "n")
     amend(table, CALL)
     return table
@@ -51,7 +51,7 @@
 
 
 def test_all_items_are_read_back_as_they_were_sent():
-    found = amending.listing(fresh())
+    found = amendment.listing(fresh())
     assert found == {"routes": [ROUTE], "upstreams": [UPSTREAM], "limits": CALL["put"]["limits"]}
 
 
@@ -97,7 +97,7 @@
 )
 def test_what_cannot_be_read_whole_is_refused(body):
     with pytest.raises((errors.BadRequest, errors.BadChange)):
-        amending.parse(body)
+        amendment.parse(body)
 
 
 def in_force(table):
@@ -118,7 +118,7 @@
     with pytest.raises(control_errors.VersionTaken):
         amend(table, changed(version=7, timeout=1))
     assert table.root() == root and in_force(table) == before
-    assert amending.listing(table)["routes"][0]["timeout"] == 4
+    assert amendment.listing(table)["routes"][0]["timeout"] == 4
 
 
 def test_a_dropped_name_keeps_its_version():
@@ -126,9 +126,9 @@
     assert amend(table, {"drop": {"routes": [{"name": "r1", "version": 8}]}})
     amend(table, changed(version=7))
     assert in_force(table) == (8, None)
-    assert amending.listing(table)["routes"] == []
+    assert amendment.listing(table)["routes"] == []
     assert amend(table, changed(version=9))
-    assert len(amending.listing(table)["routes"]) == 1
+    assert len(amendment.listing(table)["routes"]) == 1
 
 
 def test_a_service_that_a_route_still_names_cannot_be_dropped():
--- a/tests/test_voter_target.py
+++ b/tests/test_voter_target.py
@@ -12,8 +12,8 @@
     voters,
 )
 
-import irisstand.controlplane.orders as orders
-import irisstand.controlplane.voter_target as voter_target
+import irisstand.controlplane.changes.orders as orders
+import irisstand.controlplane.consensus.voter_target as voter_target
 import irisstand.errors as errors
 import irisstand.state.items as items
 import irisstand.state.quorum as quorum
