--- a/src/irisstand/controlplane/program.py
+++ b/src/irisstand/controlplane/program.py
@@ -6,7 +6,7 @@
 import random
 import typing
 
-from irisstand import clocks, errors, event_log, node_settings, program
+from irisstand import clocks, errors, event_log, node_settings, process_runner
 from irisstand.controlplane import assembly
 from irisstand.controlplane.singletons import origin_discovery as watch
 from irisstand.state.storage import disk as disks
@@ -16,14 +16,14 @@
 LATEST, PAUSE = 0.8, 0.4
 
 
-async def assemble(settings: node_settings.Settings, log_ring: event_log.Ring) -> program.Opened:
+async def assemble(settings: node_settings.Settings, log_ring: event_log.Ring) -> process_runner.Opened:
     ask = watch.http_ask(settings.platform) if settings.platform is not None else None
     return await assemble_with(ask, settings, log_ring)
 
 
 async def assemble_with(
     ask: watch.Ask | None, settings: node_settings.Settings, log_ring: event_log.Ring
-) -> program.Opened:
+) -> process_runner.Opened:
     """With another way of asking the platform for its origins."""
     control_node = assembly.ControlNode(
         settings,
@@ -70,7 +70,7 @@
             await self.server.stop_listening()
 
 
-main = program.command("controlplane", "Run the control plane on this shield machine.", assemble)
+main = process_runner.command("controlplane", "Run the control plane on this shield machine.", assemble)
 
 if __name__ == "__main__":
     main()
--- a/src/irisstand/dataplane/program.py
+++ b/src/irisstand/dataplane/program.py
@@ -4,12 +4,12 @@
 import importlib
 import random
 
-from irisstand import clocks, event_log, node_settings, program
+from irisstand import clocks, event_log, node_settings, process_runner
 from irisstand.dataplane import assembly
 from irisstand.transport import network
 
 
-async def assemble(settings: node_settings.Settings, log_ring: event_log.Ring) -> program.Opened:
+async def assemble(settings: node_settings.Settings, log_ring: event_log.Ring) -> process_runner.Opened:
     data_node = assembly.DataNode(
         settings, clocks.MonotonicClock(), random.SystemRandom(), network.RealNetwork()
     )
@@ -43,7 +43,7 @@
         await stop()
 
 
-main = program.command("dataplane", "Run the data plane in one of its roles.", assemble)
+main = process_runner.command("dataplane", "Run the data plane in one of its roles.", assemble)
 
 if __name__ == "__main__":
     main()
--- a/tests/test_ballots.py
+++ b/tests/controlplane/test_ballots.py
@@ -3,8 +3,8 @@
 import asyncio
 import random
 
+import cluster
 import pytest
-import scenes
 
 import irisstand.controlplane.consensus.acceptor
 import irisstand.errors as errors
@@ -20,8 +20,8 @@
 def test_two_changes_racing_from_the_same_version_never_both_win():
     async def scene(day):
         for round_number in range(12):
-            expected = str(scenes.context(day, "agency-1").configuration.version("site/north"))
-            rows = [[scenes.site_row(weight=weight, expected=expected)] for weight in (1, 2, 3)]
+            expected = str(cluster.context(day, "agency-1").configuration.version("site/north"))
+            rows = [[cluster.site_row(weight=weight, expected=expected)] for weight in (1, 2, 3)]
             orders = [day.stage.order(f"agency-{number + 1}", "change", rows[number]) for number in range(3)]
             results = await asyncio.gather(*orders, return_exceptions=True)
             won = [result for result in results if isinstance(result, dict)]
@@ -30,30 +30,30 @@
             weight = results.index(won[0]) + 1
             await asyncio.sleep(1)
             for name in ("agency-4", "edge-1", "shield-3", "store-1"):
-                configuration = scenes.context(day, name).configuration
+                configuration = cluster.context(day, name).configuration
                 assert configuration.value("site/north") == {"weight": weight}, round_number
                 assert str(configuration.version("site/north")) == won[0]["serial"]
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_the_same_change_id_again_at_another_node_returns_the_first_result():
     async def scene(day):
-        first = await day.stage.order("agency-1", "change", [scenes.site_row(weight=5)], "mine")
-        await day.stage.order("agency-2", "change", [scenes.site_row(weight=6)], "other")
-        again = await day.stage.order("agency-3", "change", [scenes.site_row(weight=5)], "mine")
+        first = await day.stage.order("agency-1", "change", [cluster.site_row(weight=5)], "mine")
+        await day.stage.order("agency-2", "change", [cluster.site_row(weight=6)], "other")
+        again = await day.stage.order("agency-3", "change", [cluster.site_row(weight=5)], "mine")
         assert again == first
-        assert scenes.context(day, "agency-3").configuration.value("site/north") == {"weight": 6}
+        assert cluster.context(day, "agency-3").configuration.value("site/north") == {"weight": 6}
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_an_invalid_change_is_refused_whole_with_every_fault():
     async def scene(day):
-        before = scenes.context(day, "agency-1").configuration.applied
+        before = cluster.context(day, "agency-1").configuration.applied
         bad = [
-            scenes.site_row(),
-            scenes.site_row("south", weight=-1),
+            cluster.site_row(),
+            cluster.site_row("south", weight=-1),
             {"kind": "path", "name": "/x/", "value": {"grants": [{"service": "nobody", "methods": ["GET"]}]}},
         ]
         with pytest.raises(errors.BadChange) as raised:
@@ -67,9 +67,9 @@
             await day.stage.order(
                 "agency-1", "change", [{"kind": "service", "name": "content", "value": None}]
             )
-        assert scenes.context(day, "agency-1").configuration.applied == before
+        assert cluster.context(day, "agency-1").configuration.applied == before
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -81,7 +81,7 @@
         for number in range(6):
             proposer = f"agency-{randomness.randrange(5) + 1}"
             other = next(f"agency-{n}" for n in range(1, 6) if f"agency-{n}" != proposer)
-            rows = [scenes.site_row(weight=number + 1)]
+            rows = [cluster.site_row(weight=number + 1)]
             task = asyncio.create_task(day.stage.order(proposer, "change", rows, f"c{number}"))
             await asyncio.sleep(randomness.uniform(0, 0.05))
             day.world.nodes[proposer].kill(reset=randomness.random() < 0.5)
@@ -91,25 +91,25 @@
             task.cancel()
             await day.world.nodes[proposer].start()
             await day.world.until_ready()
-            assert scenes.context(day, proposer).configuration.value("site/north") == {"weight": number + 1}
+            assert cluster.context(day, proposer).configuration.value("site/north") == {"weight": number + 1}
 
-    scenes.play(scene, seed)
+    cluster.play(scene, seed)
 
 
 def test_without_a_majority_nothing_is_accepted_and_the_cut_off_side_stops_serving():
     async def scene(day):
         day.world.cut_off(["agency-1", "agency-2", "edge-1"])
         with pytest.raises(errors.NoMajority):
-            await day.stage.order("agency-1", "change", [scenes.site_row(weight=9)])
+            await day.stage.order("agency-1", "change", [cluster.site_row(weight=9)])
         assert not day.world.is_ready(day.world.nodes["agency-1"])
         assert (await day.stage.ask("edge-1", "GET", "/vacancies/1"))[1] == "stale-blueprint"
         assert (await day.stage.ask("edge-2", "GET", "/vacancies/1"))[0] == 200
         day.world.wires.heal()
         await day.world.until_ready()
         # Refused means never: the row did not come into force with the healing either.
-        assert scenes.context(day, "agency-3").configuration.value("site/north") is None
+        assert cluster.context(day, "agency-3").configuration.value("site/north") is None
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_batch_numbered_below_its_base_is_not_accepted():
--- a/tests/test_seeds.py
+++ b/tests/controlplane/test_bootstrap.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
+import cluster
 import pytest
-import scenes
 
 import irisstand.simulator.virtual_time as virtual
 import irisstand.simulator.world as worlds
@@ -16,7 +16,7 @@
 
 def play(scene, seed=1, outage_bound=0.0):
     async def whole():
-        world = worlds.World(seed, scenes.SHAPE)
+        world = worlds.World(seed, cluster.SHAPE)
         world.by_seeds, world.replace_after, world.outage_bound = True, 1.2, outage_bound
         await world.start_all()
         found = await scene(world)
--- a/tests/test_rests.py
+++ b/tests/controlplane/test_capacity_scaling.py
@@ -3,14 +3,14 @@
 import asyncio
 import random
 
+import cluster
 import pytest
-import scenes
 
 import irisstand.balancing.standby_planning as standby_planning
 
 
 def resting(day, name="agency-2"):
-    return {item.key.removeprefix("rest/") for item in scenes.context(day, name).ledger.under("rest/")}
+    return {item.key.removeprefix("rest/") for item in cluster.context(day, name).ledger.under("rest/")}
 
 
 async def settle(day, condition, patience=60):
@@ -24,7 +24,7 @@
         # Two machines at two sites: either may go.
         assert len({node.plan.site for node in awake}) == 2
         # A resting machine stays a member and its control plane node a voter.
-        assert len(scenes.members(day, "edge-1")) == len(day.world.nodes) - 1
+        assert len(cluster.members(day, "edge-1")) == len(day.world.nodes) - 1
         assert all(node.body.core.votes("ledger") for node in day.world.role("agency"))
         for number in range(10):
             assert (await day.stage.ask("edge-1", "GET", f"/vacancies/r{number}"))[0] == 200
@@ -37,10 +37,10 @@
             day, lambda: len([n for n in resting(day) if n.startswith("shield") and n != lost]) <= 2, 30
         )
         assert took < 10
-        saved = scenes.context(day, "agency-2").ledger
+        saved = cluster.context(day, "agency-2").ledger
         await settle(day, lambda: any(True for _ in saved.under("saved/shield")), 90)
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_load_wakes_machines_and_a_pinned_one_never_rests():
@@ -53,7 +53,7 @@
         await day.stage.order("agency-1", "change", [pinned, *limits])
         await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) == 3, 90)
         assert "shield-machine-5" not in resting(day)
-        why = scenes.context(day, "agency-2").ledger.value("staffing")["why"]
+        why = cluster.context(day, "agency-2").ledger.value("staffing")["why"]
         assert why["shield-machine-5"] == "awake: pinned by operators"
         jobs = []
         for number in range(400):
@@ -63,7 +63,7 @@
         assert len([n for n in resting(day) if n.startswith("shield")]) <= 1
         await asyncio.gather(*jobs)
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_core_that_could_not_lose_one_more_machine_keeps_everybody_awake():
@@ -73,7 +73,7 @@
         day.world.nodes["agency-4"].kill()
         await settle(day, lambda: not resting(day), 40)
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_nobody_goes_to_rest_beside_a_core_machine_that_died_a_moment_ago():
@@ -97,7 +97,7 @@
             await asyncio.sleep(0.1)
             assert not resting(day, holder) - before
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_rested_machine_wakes_on_suspicion_and_not_only_on_a_death_that_is_final():
@@ -109,7 +109,7 @@
         # Confirm comes only some 7 seconds after the death.
         assert took < 2.5
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/test_leaving.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
+import cluster
 import pytest
-import scenes
 
 import irisstand.errors as errors
 
@@ -22,7 +22,7 @@
         for other in day.world.role("agency"):
             other.disk.stalled = True
         asking = asyncio.create_task(
-            day.stage.order("agency-2", "change", [scenes.site_row(weight=3)], "change-x")
+            day.stage.order("agency-2", "change", [cluster.site_row(weight=3)], "change-x")
         )
         await asyncio.sleep(0.2)
         stopping = asyncio.create_task(node.stop())
@@ -34,24 +34,24 @@
         assert not day.judge.broken["a planned restart drops no answer under way"]
         assert day.judge.checked["a planned restart drops no answer under way"] == 1
         # Sent again under its id, to anybody, it brings the one true result.
-        result = await day.stage.order("agency-4", "change", [scenes.site_row(weight=3)], "change-x")
+        result = await day.stage.order("agency-4", "change", [cluster.site_row(weight=3)], "change-x")
         await asyncio.sleep(1)
-        assert scenes.context(day, "agency-4").configuration.value("site/north") == {"weight": 3}
+        assert cluster.context(day, "agency-4").configuration.value("site/north") == {"weight": 3}
         assert result["rows"] == ["site/north"]
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_change_under_way_is_finished_before_its_node_goes():
     async def scene(day):
         for other in day.world.role("agency"):
             other.disk.slowness = 0.8
-        asking = asyncio.create_task(day.stage.order("agency-2", "change", [scenes.site_row(weight=3)]))
+        asking = asyncio.create_task(day.stage.order("agency-2", "change", [cluster.site_row(weight=3)]))
         await asyncio.sleep(0.1)
         await day.world.nodes["agency-2"].stop()
         assert (await asking)["rows"] == ["site/north"]
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 @pytest.mark.parametrize("duty", ["platform-watch", "placement", "staffing", "retention"])
@@ -66,7 +66,7 @@
         assert day.watching.now() - began < 1.2
         await stopping
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_after_a_split_a_vacant_duty_is_taken_as_soon_as_anything_can_be_decided():
@@ -81,7 +81,7 @@
         took = await day.world.until(lambda: holder_of(day, "platform-watch") is not None, 5)
         assert took < 1.2
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_lease_that_is_decided_too_late_is_taken_anew_at_once():
@@ -98,7 +98,7 @@
         took = await day.world.until(lambda: holder_of(day, "platform-watch") is not None, 5)
         assert took < 0.8
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_lease_won_after_its_end_is_taken_anew_though_the_try_at_once_was_refused():
@@ -132,7 +132,7 @@
         took = await day.world.until(duty.holds, 5)
         assert took < 0.5
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_candidate_takes_a_lease_soon_though_the_last_winner_is_cut_off():
@@ -140,7 +140,7 @@
 
     async def scene(day):
         await asyncio.sleep(2)
-        ledger = scenes.context(day, "agency-1").ledger
+        ledger = cluster.context(day, "agency-1").ledger
         winner = ledger.applied.node.partition("~")[0]
         candidate = next(node for node in day.world.role("agency") if node.plan.name != winner)
         duty = next(duty for duty in candidate.body.duties if duty.name == "platform-watch")
@@ -150,4 +150,4 @@
         assert duty.holds()
         assert asyncio.get_running_loop().time() - started < 0.8
 
-    scenes.play(scene)
+    cluster.play(scene)
--- a/tests/test_protection.py
+++ b/tests/controlplane/test_guard_scenarios.py
@@ -3,8 +3,8 @@
 import asyncio
 import json
 
+import cluster
 import pytest
-import scenes
 
 import irisstand.balancing.quota_shares as quota_shares
 import irisstand.errors as errors
@@ -30,15 +30,15 @@
 def test_a_batch_that_a_majority_accepted_is_finished_by_the_next_proposer():
     async def scene(day):
         batch = await accept_by_majority(day)
-        await day.stage.order("agency-5", "change", [scenes.site_row(weight=2)])
+        await day.stage.order("agency-5", "change", [cluster.site_row(weight=2)])
         await asyncio.sleep(1)
         for name in ("agency-5", "edge-1"):
-            configuration = scenes.context(day, name).configuration
+            configuration = cluster.context(day, name).configuration
             assert configuration.value("site/south") == {"weight": 9}
             assert configuration.version("site/south") == batch.version
             assert configuration.value("site/north") == {"weight": 2}
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_while_a_pending_batch_cannot_be_settled_nobody_takes_the_table_for_current():
@@ -49,22 +49,22 @@
         await asyncio.sleep(2.5)
         # The yes may be out, and no node knows the row yet: none may answer from the table.
         for name in ("agency-5", "edge-1", "shield-2"):
-            context = scenes.context(day, name)
+            context = cluster.context(day, name)
             assert context.configuration.value("site/south") is None
             assert not context.is_current(context.configuration)
         for node in day.world.role("agency"):
             node.disk.stalled = False
         await day.world.until_ready()
-        assert scenes.context(day, "edge-1").configuration.value("site/south") == {"weight": 9}
+        assert cluster.context(day, "edge-1").configuration.value("site/south") == {"weight": 9}
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_voter_takes_no_batch_that_stands_on_another_base_than_its_own_applied():
     async def scene(day):
         node = day.world.nodes["agency-2"]
         owner = node.body.core.owners[items.CONFIGURATION]
-        await day.stage.order("agency-1", "change", [scenes.site_row()])
+        await day.stage.order("agency-1", "change", [cluster.site_row()])
         await asyncio.sleep(1)
         applied = owner.record.applied
         # A proposer that has slept since an earlier applied version and has only now been promised again.
@@ -74,7 +74,7 @@
         assert (await node.do(owner.order("accept", ballot, batch, "agency-1"), 1))[0] == "moved"
         assert owner.record.pending is None and owner.record.applied == applied
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_disk_asked_for_under_its_predecessors_id_has_no_vote_though_it_has_learnt_everything():
@@ -92,7 +92,7 @@
         with pytest.raises(errors.NotFounded):
             await node.do(node.body.core.on_accept("x", [items.CONFIGURATION, ballot, batch, old]), 1)
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_an_answer_fetched_before_a_purge_by_tag_is_not_given_out_two_seconds_after_it():
@@ -109,7 +109,7 @@
         status, _, result = await fetching
         assert status != 200 or json.loads(result.body)["version"] == 1
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_write_whose_shield_dies_under_it_is_an_unknown_outcome():
@@ -124,7 +124,7 @@
         assert day.stage.records.executions[number] == 1
         assert (status, code) == (504, "outcome-unknown")
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_what_was_taken_from_one_shield_is_not_given_to_another_while_the_first_may_not_know():
@@ -176,4 +176,4 @@
             await asyncio.sleep(1.5)
         assert len(runs) == 1
 
-    scenes.play(scene)
+    cluster.play(scene)
--- a/tests/test_one_content_racing.py
+++ b/tests/controlplane/test_idempotent_changes_racing.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
+import cluster
 import pytest
-import scenes
 
 import irisstand.control_errors as control_errors
 import irisstand.controlplane.changes.evacuation_check as evacuation_check
@@ -48,7 +48,7 @@
 
 
 def rates(day, name="s9"):
-    rows = [scenes.context(day, node).configuration.value(f"upstream/{name}") for node in CORE]
+    rows = [cluster.context(day, node).configuration.value(f"upstream/{name}") for node in CORE]
     return {row["item"]["rate"] for row in rows if row is not None}
 
 
@@ -64,7 +64,7 @@
             await asyncio.sleep(1)
             assert rates(day) == confirmed
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -90,7 +90,7 @@
             for name in CORE:
                 assert await insist(day, upstream(version, 1), [name]) is answers[0]
 
-    scenes.play(scene, seed=seed + 1)
+    cluster.play(scene, seed=seed + 1)
 
 
 def test_a_repeat_is_confirmed_after_it_was_overtaken_and_all_lost_power():
@@ -111,19 +111,19 @@
             assert raised.value.details == [{"item": "upstream/s9", "version": 3, "in_force": 5}]
         assert rates(day) == {2}
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_an_id_that_is_taken_is_refused_with_its_details_at_every_node():
     async def scene(day):
-        first = await day.stage.order("agency-1", "change", [scenes.site_row(weight=5)], "mine")
+        first = await day.stage.order("agency-1", "change", [cluster.site_row(weight=5)], "mine")
         for name in CORE:
-            assert await day.stage.order(name, "change", [scenes.site_row(weight=5)], "mine") == first
+            assert await day.stage.order(name, "change", [cluster.site_row(weight=5)], "mine") == first
             with pytest.raises(control_errors.ChangeIdTaken) as raised:
-                await day.stage.order(name, "change", [scenes.site_row(weight=6)], "mine")
+                await day.stage.order(name, "change", [cluster.site_row(weight=6)], "mine")
             assert raised.value.details == [{"change": "mine", "rows": ["site/north"]}]
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_nothing_is_refused_for_rows_of_its_own_batch_that_were_never_decided(monkeypatch):
@@ -131,7 +131,7 @@
         node = day.world.nodes["agency-1"]
         proposer = node.body.submitter.proposers[items.CONFIGURATION]
         before = str(proposer.copy.version("site/north"))
-        rows = [[scenes.site_row(weight=weight, expected=before)] for weight in (1, 2)]
+        rows = [[cluster.site_row(weight=weight, expected=before)] for weight in (1, 2)]
         futures = [asyncio.get_running_loop().create_future() for _ in rows]
         give_up_at = node.body.context.clock.now() + 8.0
         whole, lost = proposers.Proposer.propose, []
@@ -152,13 +152,13 @@
         assert lost and isinstance(done[1], dict), done
         assert proposer.copy.value("site/north") == {"weight": 2}
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_site_is_refused_only_when_settings_or_a_majority_of_the_voters_know_of_none():
     async def scene(day):
         judges = [
-            evacuation_check.Evacuation(scenes.context(day, f"agency-{number}")) for number in range(1, 6)
+            evacuation_check.Evacuation(cluster.context(day, f"agency-{number}")) for number in range(1, 6)
         ]
         judge, other = judges[0], judges[3]
         await judge.check_site("west")
@@ -170,7 +170,7 @@
         await judge.check_site("newest")
         # Without a majority's answer nobody can say that there is none.
         for number in (2, 3, 4, 5):
-            scenes.context(day, f"agency-{number}").transport.handlers.pop("sites")
+            cluster.context(day, f"agency-{number}").transport.handlers.pop("sites")
         with pytest.raises(control_errors.SiteNotHeard) as raised:
             await judge.check_site("newest")
         assert raised.value.status == 503
@@ -178,14 +178,14 @@
         with pytest.raises(errors.Unknown):
             await judge.check_site("newest")
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 @pytest.mark.parametrize("kind", [errors.BadRequest, errors.Unknown])
 def test_a_voter_that_cannot_read_a_message_refuses_no_order(monkeypatch, kind):
     async def scene(day):
         await amend(day, "agency-1", upstream(1, 1))
-        transport = scenes.context(day, "agency-3").transport
+        transport = cluster.context(day, "agency-3").transport
         ask = transport.ask
 
         async def misread(address, name, word, body, patience):
@@ -199,7 +199,7 @@
         monkeypatch.undo()
         await amend(day, "agency-3", upstream(2, 2))
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_an_evacuation_again_is_not_refused_by_a_node_that_has_not_heard_of_it(monkeypatch):
@@ -227,4 +227,4 @@
         with pytest.raises(errors.CannotCarry):
             await node.do(judge.judge("south", False), 8.0)
 
-    scenes.play(scene)
+    cluster.play(scene)
--- a/tests/test_cut_off_leases.py
+++ b/tests/controlplane/test_leases_under_partition.py
@@ -3,8 +3,8 @@
 import asyncio
 import types
 
+import cluster
 import pytest
-import scenes
 
 import irisstand.controlplane.singletons.lease as duties
 import irisstand.errors as errors
@@ -36,10 +36,10 @@
         with pytest.raises(errors.StaleVersion):
             await node.do(duty.write([("rest/x", {"since": 1})]), 8)
         await asyncio.sleep(2)
-        assert scenes.context(day, "agency-1").ledger.value("rest/x") is None
+        assert cluster.context(day, "agency-1").ledger.value("rest/x") is None
         assert [pair[0] for pair in holder_of(day)] == [other]
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_lease_taken_by_an_order_whose_answer_was_lost_counts_from_that_order():
@@ -65,4 +65,4 @@
         await node.do(duty.take(vacant), 8)
         assert duty.lease and duty.held_until <= asked_at + duty.length
 
-    scenes.play(scene)
+    cluster.play(scene)
--- a/tests/test_operating.py
+++ b/tests/controlplane/test_operations.py
@@ -4,8 +4,8 @@
 import collections
 import json
 
+import cluster
 import pytest
-import scenes
 
 import irisstand.controlplane.changes.change_status as change_status
 import irisstand.controlplane.consensus.voter_administration as voter_administration
@@ -17,12 +17,12 @@
 
 def test_a_change_is_shown_with_its_rows_what_superseded_them_and_who_has_it_in_force():
     async def scene(day):
-        await day.stage.order("agency-1", "change", [scenes.site_row(weight=2)], "first")
-        await day.stage.order("agency-2", "change", [scenes.site_row(weight=3)], "second")
+        await day.stage.order("agency-1", "change", [cluster.site_row(weight=2)], "first")
+        await day.stage.order("agency-2", "change", [cluster.site_row(weight=3)], "second")
         await day.stage.order("agency-3", "purge", [("path", "/vacancies/1")], "swept")
         day.world.cut_off(["edge-2"])
         await asyncio.sleep(3)
-        await day.stage.order("agency-2", "change", [scenes.site_row("south", 5)], "third")
+        await day.stage.order("agency-2", "change", [cluster.site_row("south", 5)], "third")
         await asyncio.sleep(1)
         node = day.world.nodes["agency-4"]
         shower = change_status.Changes(node.body.context)
@@ -38,27 +38,27 @@
         with pytest.raises(errors.Unknown):
             await node.do(shower.show("never-sent"), 3)
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_node_that_is_behind_says_so():
     async def scene(day):
-        result = await day.stage.order("agency-1", "change", [scenes.site_row(weight=2)], "x")
+        result = await day.stage.order("agency-1", "change", [cluster.site_row(weight=2)], "x")
         await asyncio.sleep(1)
-        copy = scenes.context(day, "store-1").configuration
+        copy = cluster.context(day, "store-1").configuration
         copy.applied = copy.applied._replace(counter=copy.applied.counter - 1)
         node = day.world.nodes["agency-1"]
         shown = await node.do(change_status.Changes(node.body.context).show("x"), 3)
         assert shown["serial"] == result["serial"] and shown["nodes"]["store-1"] == "behind"
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 async def spare(day, name, site, region):
     plan = worlds.Plan(name, "agency", f"machine-{name}", site, region, "10.0.3.1")
     await day.world.add(plan).start()
     await day.world.until_ready()
-    await day.world.until(lambda: name in scenes.members(day, "agency-5"), 20)
+    await day.world.until(lambda: name in cluster.members(day, "agency-5"), 20)
 
 
 def voter_names(day, table=items.LEDGER):
@@ -87,9 +87,9 @@
         day.world.nodes["agency-1"].kill()
         day.world.nodes["agency-7"].kill()
         await asyncio.sleep(1)
-        await day.stage.order("agency-4", "change", [scenes.site_row()])
+        await day.stage.order("agency-4", "change", [cluster.site_row()])
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_voter_is_retired_only_if_any_one_site_can_still_be_lost():
@@ -113,7 +113,7 @@
             await node.do(hand.retire("agency-99"), 8)
         assert len(voter_names(day)) == 3
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_an_order_that_would_leave_no_majority_up_is_refused_whole_with_figures():
@@ -129,7 +129,7 @@
         await node.do(hand.replace("agency-2", "agency-7"), 8)
         assert "agency-7" in voter_names(day)
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 OBJECTS = b"""
@@ -226,5 +226,5 @@
         # Two draws, each three to one for the near: rather more than three quarters where both exist.
         assert counts[True] > 2.5 * counts[False], counts
 
-    shape = scenes.SHAPE._replace(application_origins=4)
-    scenes.play(scene, shape=shape)
+    shape = cluster.SHAPE._replace(application_origins=4)
+    cluster.play(scene, shape=shape)
--- a/tests/test_platform.py
+++ b/tests/controlplane/test_origin_discovery.py
@@ -3,17 +3,17 @@
 import asyncio
 import json
 
-import scenes
+import cluster
 
 import irisstand.controlplane.singletons.origin_discovery as watch
 
 
 def state(day, name="edge-1"):
-    return scenes.context(day, name).ledger.value("platform")
+    return cluster.context(day, name).ledger.value("platform")
 
 
 def listed(day):
-    return {item.key for item in scenes.context(day, "edge-1").ledger.under("origin/")}
+    return {item.key for item in cluster.context(day, "edge-1").ledger.under("origin/")}
 
 
 def says(day, revision=None, age=0.0, without=()):
@@ -45,7 +45,7 @@
         await asyncio.sleep(4)
         assert f"origin/{gone.instance}" in listed(day) and state(day)["state"] == "well"
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_lagging_is_told_from_silent():
@@ -65,7 +65,7 @@
         await asyncio.sleep(3)
         assert state(day)["state"] == "well"
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_service_that_shrinks_at_once_waits_and_the_others_do_not():
@@ -82,9 +82,9 @@
         assert state(day)["state"] == "shrunk" and "content" in state(day)["why"]
         assert {f"origin/{name}" for name in content} <= listed(day)
         # What it says of the rest is in force meanwhile.
-        ledger = scenes.context(day, "edge-1").ledger
+        ledger = cluster.context(day, "edge-1").ledger
         assert ledger.value(f"origin/{other.instance}")["state"] == "leaving"
         await asyncio.sleep(6)
         assert not {f"origin/{name}" for name in content[:3]} & listed(day)
 
-    scenes.play(scene)
+    cluster.play(scene)
--- a/tests/test_roster.py
+++ b/tests/controlplane/test_origin_roster.py
@@ -3,8 +3,8 @@
 import asyncio
 import json
 
+import cluster
 import pytest
-import scenes
 
 import irisstand.errors as errors
 
@@ -12,7 +12,7 @@
 
 
 def listed(day, name="agency-1"):
-    return {item.key: item.value["state"] for item in scenes.context(day, name).ledger.under("origin/")}
+    return {item.key: item.value["state"] for item in cluster.context(day, name).ledger.under("origin/")}
 
 
 async def reads(day, count, mark):
@@ -35,7 +35,7 @@
         assert set(await reads(day, 60, "after")) == {200}
         assert len(leaving.started) == said
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_rolling_replacement_of_all_origins_loses_no_read():
@@ -53,7 +53,7 @@
         assert set(statuses) == {200}
         assert all("new" in origin.instance and origin.started for origin in day.stage.origins[:2])
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_cold_origin_ramps_over_its_warm_up():
@@ -71,7 +71,7 @@
         assert 30 < day.watching.now() - began < 60
         assert counts[0] < 20 and counts[0] < counts[1] < counts[-1] and 60 < sum(counts[-2:]) < 140, counts
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 @pytest.mark.parametrize(
@@ -93,11 +93,11 @@
         await asyncio.sleep(3)
         assert listed(day) == before
         failed = sum(node.body.context.counters.total("platform_failed") for node in day.world.role("agency"))
-        state = scenes.context(day, "agency-2").ledger.value("platform")["state"]
+        state = cluster.context(day, "agency-2").ledger.value("platform")["state"]
         assert failed >= 2 or state == "shrunk"
         assert set(await reads(day, 10, "still")) == {200}
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_the_platform_is_asked_by_one_node_within_its_limit_through_changes_of_holder():
@@ -125,7 +125,7 @@
         # One question a second at the most, though three holders were paused and woken in between.
         assert max(sum(one <= other < one + 3 for other in asked) for one in asked) <= 4
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_holder_paused_past_its_lease_stops_by_itself_and_its_late_write_is_refused():
@@ -148,9 +148,9 @@
         row = ("slots/00", {"owners": ["nonsense"] * 16})
         with pytest.raises(errors.StaleVersion):
             await day.stage.order(holder, "fenced", ("placement", lease, [row]))
-        assert scenes.context(day, holder).ledger.value("slots/00") != row[1]
+        assert cluster.context(day, holder).ledger.value("slots/00") != row[1]
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_rows_unknown_to_a_node_are_kept_and_passed_on():
@@ -163,13 +163,13 @@
         await day.stage.order("agency-2", "fenced", (holder.name, holder.lease, row))
         await asyncio.sleep(1)
         for name in ("agency-4", "edge-1", "shield-2", "store-1"):
-            assert scenes.context(day, name).ledger.value("hologram/7") == {"depth": 3}
+            assert cluster.context(day, name).ledger.value("hologram/7") == {"depth": 3}
         for node in day.world.role("agency"):
             node.kill()
         for node in day.world.role("agency"):
             await node.start()
         await day.world.until_ready()
-        assert scenes.context(day, "agency-1").ledger.value("hologram/7") == {"depth": 3}
+        assert cluster.context(day, "agency-1").ledger.value("hologram/7") == {"depth": 3}
         assert newer is not day.world.nodes["agency-1"].body
 
-    scenes.play(scene)
+    cluster.play(scene)
--- a/tests/test_cut_off.py
+++ b/tests/controlplane/test_partitioned_nodes.py
@@ -4,8 +4,8 @@
 import json
 import types
 
+import cluster
 import pytest
-import scenes
 
 import irisstand.controlplane.api.operator_reads as operator_reads
 import irisstand.controlplane.changes.orders as orders
@@ -44,34 +44,34 @@
     async def scene(day):
         day.world.cut_off(["agency-5"])
         # Well inside the freshness bound: by its age alone this node's copy still counts.
-        await day.stage.order("agency-2", "change", [scenes.site_row(weight=7)])
+        await day.stage.order("agency-2", "change", [cluster.site_row(weight=7)])
         started = day.now()
         with pytest.raises(errors.StaleConfiguration) as raised:
             await read(day, "agency-5", page)
         assert day.now() - started < 0.8
         assert raised.value.status == 503 and raised.value.retry_after
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_change_that_is_not_known_yet_is_not_denied_by_a_node_cut_off():
     async def scene(day):
         day.world.cut_off(["agency-5"])
-        await day.stage.order("agency-2", "change", [scenes.site_row(weight=7)], "mine")
+        await day.stage.order("agency-2", "change", [cluster.site_row(weight=7)], "mine")
         with pytest.raises(errors.StaleConfiguration):
             await read(day, "agency-5", "get_change", "mine")
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_every_read_after_a_yes_shows_it_at_whatever_node():
     async def scene(day):
         for weight in range(1, 13):
-            await day.stage.order(f"agency-{weight % 5 + 1}", "change", [scenes.site_row(weight=weight)])
+            await day.stage.order(f"agency-{weight % 5 + 1}", "change", [cluster.site_row(weight=weight)])
             for number in range(1, 6):
                 assert weight_of(await read(day, f"agency-{number}")) == weight
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_read_settles_a_batch_that_a_majority_accepted_or_is_put_off():
@@ -93,7 +93,7 @@
             await asyncio.sleep(1)
             assert weight_of(await read(day, "agency-5"), "south") == 9
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_reads_that_come_together_share_a_round():
@@ -106,7 +106,7 @@
         after = node.body.context.counters.text()
         assert asked(after) - asked(before) < 40
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_read_does_not_join_a_round_that_began_before_it_came():
@@ -126,7 +126,7 @@
         assert day.now() >= asked_at + 0.2
         await first
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def asked(counters):
@@ -141,7 +141,7 @@
         node = day.world.nodes["agency-1"]
         proposer = node.body.proposers[items.CONFIGURATION]
         expected = str(node.body.context.configuration.version("site/north"))
-        rows = [[scenes.site_row(weight=weight, expected=expected)] for weight in (1, 2)]
+        rows = [[cluster.site_row(weight=weight, expected=expected)] for weight in (1, 2)]
         proposing = proposer.propose
 
         async def cut_before_accept(*arguments):
@@ -155,7 +155,7 @@
         assert all(isinstance(result, NOT_REFUSED) for result in told), told
         day.world.wires.heal()
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 async def gather_all(waiting):
@@ -167,7 +167,7 @@
         node = day.world.nodes["agency-1"]
         day.world.cut_off(["agency-1"])
         answering = node.actor.start(
-            node.body.submitter.answer(orders.Order("change", "left", [scenes.site_row(weight=8)]))
+            node.body.submitter.answer(orders.Order("change", "left", [cluster.site_row(weight=8)]))
         )
         await asyncio.sleep(0.3)
         # The listener cancels what a closed connection asked for.
@@ -175,9 +175,9 @@
         await asyncio.sleep(0.1)
         day.world.wires.heal()
         await asyncio.sleep(8)
-        assert scenes.context(day, "agency-2").configuration.value("site/north") is None
+        assert cluster.context(day, "agency-2").configuration.value("site/north") is None
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_forwarded_order_that_lay_in_a_frozen_voter_is_not_carried_out_after_its_opposite():
@@ -191,25 +191,25 @@
         await node.do(node.body.submitter.answer(back), 8)
         frozen.thaw()
         await asyncio.sleep(6)
-        assert not scenes.context(day, "agency-3").is_evacuated("north")
+        assert not cluster.context(day, "agency-3").is_evacuated("north")
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 @pytest.mark.parametrize("trouble", ["cut", "freeze", "kill"])
 def test_changes_sent_in_pairs_to_the_node_that_returns_are_never_refused(trouble):
     async def scene(day):
         node = day.world.nodes["agency-1"]
-        first = await day.stage.order("agency-1", "change", [scenes.site_row(weight=1)])
+        first = await day.stage.order("agency-1", "change", [cluster.site_row(weight=1)])
         assert first["serial"]
         {"cut": lambda: day.world.cut_off(["agency-1"]), "freeze": node.freeze, "kill": node.kill}[trouble]()
         for weight in range(2, 22):
-            await day.stage.order(f"agency-{weight % 4 + 2}", "change", [scenes.site_row(weight=weight)])
+            await day.stage.order(f"agency-{weight % 4 + 2}", "change", [cluster.site_row(weight=weight)])
             await asyncio.sleep(1)
         # It expects what was confirmed while this node was away: to refuse it would be ignorance.
-        expected = str(scenes.context(day, "agency-3").configuration.version("site/north"))
+        expected = str(cluster.context(day, "agency-3").configuration.version("site/north"))
         pairs = [
-            asyncio.create_task(until_known(day, f"pair-{n}", scenes.site_row(site, 50, expected=version)))
+            asyncio.create_task(until_known(day, f"pair-{n}", cluster.site_row(site, 50, expected=version)))
             for n, (site, version) in enumerate((("north", expected), ("west", "0.")))
         ]
         await asyncio.sleep(0.3)
@@ -222,7 +222,7 @@
         assert all(isinstance(result, dict) for result in told), told
         assert weight_of(await read(day, "agency-4")) == 50
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 async def until_known(day, change, row):
--- a/tests/test_fleet.py
+++ b/tests/controlplane/test_placement.py
@@ -3,17 +3,17 @@
 import asyncio
 import collections
 
-import scenes
+import cluster
 
 import irisstand.controlplane.singletons.fleet_view as fleet_view
 
 
 def owners(day, name="agency-1"):
-    return fleet_view.FleetView(scenes.context(day, name)).slot_owners()
+    return fleet_view.FleetView(cluster.context(day, name)).slot_owners()
 
 
 def resting(day, name="agency-2"):
-    return {item.key.removeprefix("rest/") for item in scenes.context(day, name).ledger.under("rest/")}
+    return {item.key.removeprefix("rest/") for item in cluster.context(day, name).ledger.under("rest/")}
 
 
 async def settle(day, condition, patience=60):
@@ -55,7 +55,7 @@
         assert max(steps) <= 8 and sum(steps) == share
         assert last == before
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_shield_that_is_back_at_once_keeps_its_slots():
@@ -70,7 +70,7 @@
             await asyncio.sleep(0.1)
             assert owners(day) == before
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_shares_never_add_up_to_more_than_the_ceiling_through_loss_rest_split_and_change():
@@ -94,11 +94,11 @@
         rule = "the shares of a ceiling add up to no more than it"
         assert day.judge.checked[rule] > 1000 and not day.judge.broken[rule], day.judge.examples
         # And nothing of the ceiling is left lying: the living hold all of it in the end.
-        shares = fleet_view.FleetView(scenes.context(day, "agency-2")).shares()
+        shares = fleet_view.FleetView(cluster.context(day, "agency-2")).shares()
         assert sum(row["content"][0] for row in shares.values()) == 60
         assert sum(row["content"][1] for row in shares.values()) == 30
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_an_evacuated_site_gets_no_new_work_and_comes_back():
@@ -117,7 +117,7 @@
         await asyncio.sleep(2)
         counts = collections.Counter()
         before = {o.instance: len(o.started) for o in day.stage.origins}
-        shields = {n: scenes.context(day, n).gauge for n in day.world.nodes if n.startswith("shield")}
+        shields = {n: cluster.context(day, n).gauge for n in day.world.nodes if n.startswith("shield")}
         for gauge in shields.values():
             gauge.moments.clear()
         for number in range(60):
@@ -135,7 +135,7 @@
         assert (await day.stage.ask("edge-1", "GET", "/shortlists/1"))[0] == 200
         await settle(day, lambda: "shield-machine-1" in owners(day), 20)
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_the_origins_of_a_returned_site_are_taken_back_by_and_by():
@@ -155,4 +155,4 @@
         # Four to five seconds a part: little at first, its half of 200 once the ten seconds are over.
         assert counts[0] < 60 and counts[0] < counts[1] < 110 and counts[2] > 75, counts
 
-    scenes.play(scene)
+    cluster.play(scene)
--- a/tests/test_rate_parts.py
+++ b/tests/controlplane/test_rate_quota.py
@@ -3,8 +3,8 @@
 import asyncio
 import random
 
+import direct_edge
 import pytest
-import scenes_direct
 
 import irisstand.balancing.rate_quota as rate_quota
 import irisstand.controlplane.singletons.rate_placement as rate_placement
@@ -31,7 +31,7 @@
             self.core.history.append((self.core.context.clock.now(), value["units"]))
 
 
-class Core(scenes_direct.Scene):
+class Core(direct_edge.Scene):
     """The ledger, and one holder of the duty after the other."""
 
     def __init__(self):
--- a/tests/test_retention.py
+++ b/tests/controlplane/test_retention.py
@@ -4,8 +4,8 @@
 import json
 import random
 
+import cluster
 import pytest
-import scenes
 
 import irisstand.controlplane.changes.orders as orders
 import irisstand.controlplane.changes.table_time as table_time
@@ -86,16 +86,16 @@
         await day.stage.order("agency-1", "change", [{"kind": "path", "name": "/vacancies/", "value": value}])
         await asyncio.sleep(1)
         assert (await day.stage.ask("edge-1", "GET", path))[0] == 200
-        edge = scenes.context(day, "edge-1")
+        edge = cluster.context(day, "edge-1")
         day.world.cut_off(["edge-1"])
         day.stage.records.versions[path] += 1
         await day.stage.order("agency-2", "purge", [("path", path)])
         rule = [list(table_time.Rule("purge", 1.0, 0.0, 0))]
         for _ in range(3):
             await asyncio.sleep(2)
-            expected = str(scenes.context(day, "agency-2").ledger.version(items.TIME))
+            expected = str(cluster.context(day, "agency-2").ledger.version(items.TIME))
             await day.stage.order("agency-2", "tick-ledger", (expected, 2.0, rule, 600.0))
-        assert scenes.context(day, "agency-2").ledger.value(f"purge/path/{path}") is None
+        assert cluster.context(day, "agency-2").ledger.value(f"purge/path/{path}") is None
         day.world.wires.heal()
         await day.world.until(lambda: edge.is_current(edge.ledger), 20)
         # Never heard of by this edge, and forgotten by all: its cached copy must go all the same.
@@ -103,31 +103,31 @@
         status, _, result = await day.stage.ask("edge-1", "GET", path)
         assert status == 200 and json.loads(result.body)["version"] == 1
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_core_node_that_was_down_while_tombstones_went_brings_no_row_back():
     async def scene(day):
-        rows = [scenes.site_row("north", 3), scenes.site_row("south", 1)]
+        rows = [cluster.site_row("north", 3), cluster.site_row("south", 1)]
         await day.stage.order("agency-1", "change", rows)
         await asyncio.sleep(1)
         node = day.world.nodes["agency-4"]
         node.kill()
-        await day.stage.order("agency-1", "change", [{**scenes.site_row("north"), "value": None}])
+        await day.stage.order("agency-1", "change", [{**cluster.site_row("north"), "value": None}])
         for _ in range(3):
             await asyncio.sleep(1)
-            expected = str(scenes.context(day, "agency-2").configuration.version(items.TIME))
+            expected = str(cluster.context(day, "agency-2").configuration.version(items.TIME))
             await day.stage.order("agency-2", "tick-blueprint", (expected, 2.0, [], 1.0))
-        assert "site/north" not in scenes.context(day, "agency-2").configuration.items
+        assert "site/north" not in cluster.context(day, "agency-2").configuration.items
         await node.start()
         await day.world.until_ready()
         await asyncio.sleep(2)
         for name in ("agency-4", "agency-1", "edge-1"):
-            assert "site/north" not in scenes.context(day, name).configuration.items
-        roots = {scenes.context(day, f"agency-{n}").configuration.root() for n in range(1, 6)}
+            assert "site/north" not in cluster.context(day, name).configuration.items
+        roots = {cluster.context(day, f"agency-{n}").configuration.root() for n in range(1, 6)}
         assert len(roots) == 1
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_time_is_never_raised_twice_for_the_same_stretch_and_never_by_a_long_sleep():
@@ -171,7 +171,7 @@
         ask = ("POST", "/applications", body)
         assert (await day.stage.ask("edge-1", *ask, idempotency_key="once"))[0] == 200
         await asyncio.sleep(40)
-        before = scenes.context(day, "agency-1").copies[items.CLAIMS].value(items.TIME)["seconds"]
+        before = cluster.context(day, "agency-1").copies[items.CLAIMS].value(items.TIME)["seconds"]
         assert 15 <= before <= 50
         for node in day.world.nodes.values():
             node.kill(reset=False)
@@ -180,10 +180,10 @@
             await node.start()
         await day.world.until_ready()
         await asyncio.sleep(40)
-        after = scenes.context(day, "agency-1").copies[items.CLAIMS].value(items.TIME)["seconds"]
+        after = cluster.context(day, "agency-1").copies[items.CLAIMS].value(items.TIME)["seconds"]
         # Hours in the dark are not counted: nobody could have asked again meanwhile.
         assert before < after < before + 45
         status, _, result = await day.stage.ask("edge-2", *ask, idempotency_key="once")
         assert status == 200 and day.stage.records.executions["once"] == 1
 
-    scenes.play(scene)
+    cluster.play(scene)
--- a/tests/test_voter_sets.py
+++ b/tests/controlplane/test_voter_sets.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from scenes_voters import (
+from voter_cluster import (
     BUILT,
     CATCH_UP,
     confirm,
--- a/tests/test_direct.py
+++ b/tests/dataplane/test_direct_edge.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
+import direct_edge
 import pytest
-import scenes_direct
-from scenes_direct import play, whole
+from direct_edge import play, whole
 
 import irisstand.dataplane.upstream.exchange as exchange
 import irisstand.errors as errors
@@ -118,7 +118,7 @@
             assert (await stage.ask(f"/reads/{number}", request_id=f"r{number}")).status == 500
         return len(stage.sent) - 200
 
-    settings = scenes_direct.SETTINGS
+    settings = direct_edge.SETTINGS
     assert (
         0
         < play(scene, edges=4)
--- a/tests/test_direct_objects.py
+++ b/tests/dataplane/test_direct_edge_cache.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from scenes_direct import play, whole
+from direct_edge import play, whole
 
 import irisstand.errors as errors
 import irisstand.state.items as items
--- a/tests/test_targets.py
+++ b/tests/dataplane/test_endpoint_pool.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
+import direct_edge
 import pytest
-import scenes_direct
-from scenes_direct import play, whole
+from direct_edge import play, whole
 
 import irisstand.errors as errors
 import irisstand.state.items as items
@@ -60,7 +60,7 @@
         stage.put(items.LEDGER, "evacuated/north", None)
         await asks(stage, 30)
         assert set(stage.keys()) == {"a"}
-        await asyncio.sleep(scenes_direct.SETTINGS.platform_lag + 3.1)
+        await asyncio.sleep(direct_edge.SETTINGS.platform_lag + 3.1)
         await asks(stage, 40)
         return set(stage.keys())
 
@@ -77,14 +77,14 @@
         times = [sent[4] for sent in stage.sent]
         return max(sum(start <= other < start + 1.0 for other in times) for start in times) if times else 0
 
-    settings = scenes_direct.SETTINGS
-    bound = scenes_direct.UPSTREAM["cold_rate"] * settings.cold_factor + settings.cold_burst
+    settings = direct_edge.SETTINGS
+    bound = direct_edge.UPSTREAM["cold_rate"] * settings.cold_factor + settings.cold_burst
     assert play(scene, edges=edges) * edges <= max(bound, edges)
 
 
 def test_a_service_gets_no_more_than_this_edges_part_of_its_rate_in_any_five_seconds():
     async def scene(stage):
-        item = {**scenes_direct.UPSTREAM, "version": 9, "rate": 40.0}
+        item = {**direct_edge.UPSTREAM, "version": 9, "rate": 40.0}
         stage.put(items.CONFIGURATION, "upstream/s", {"version": 9, "item": item})
         crowd = [asks(stage, 200, f"/reads/{number}/", pause=0.05) for number in range(10)]
         statuses = [status for found in await asyncio.gather(*crowd) for status in found]
@@ -132,7 +132,7 @@
         async def origin(key, headers):
             await asyncio.sleep(slow[key] or 0.004)
             slow[key] = 0.0
-            return scenes_direct.whole(headers["x-request-id"])
+            return direct_edge.whole(headers["x-request-id"])
 
         stage.play = lambda key, headers, body: origin(key, headers)
         # At once, so that both are asked.
@@ -143,5 +143,5 @@
             await asyncio.sleep(0.05)
         return before, stage.keys().count("a")
 
-    before, after = scenes_direct.play(scene)
+    before, after = direct_edge.play(scene)
     assert 0 < before < after
--- a/tests/test_exchange_hostile.py
+++ b/tests/dataplane/test_exchange_hostile_origins.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
+import direct_edge
 import pytest
-import scenes_direct
 from test_exchange import ID, answer, ask, talk
 
 import irisstand.dataplane.upstream.exchange as exchange
@@ -111,7 +111,7 @@
     async def scene(stage):
         async def working(headers):
             await asyncio.sleep(0.05)
-            return scenes_direct.whole(headers["x-request-id"])
+            return direct_edge.whole(headers["x-request-id"])
 
         # At once, so that each origin has idle connections that were used.
         stage.play = lambda key, headers, body: working(headers)
@@ -119,21 +119,21 @@
         assert set(stage.connections) == {"a", "b"}
         before = sum(stage.connections.values())
         stage.sent.clear()
-        stage.play = lambda key, headers, body: scenes_direct.whole(
+        stage.play = lambda key, headers, body: direct_edge.whole(
             headers.get("x-request-id"), status=500 if len(stage.sent) == 1 else 200
         )
         assert (await stage.ask("/objects/1", request_id="o1")).status == 200
         assert [sent[3].get("x-request-id") for sent in stage.sent] == ["o1", None]
         return sum(stage.connections.values()) - before
 
-    assert scenes_direct.play(scene) == 1
+    assert direct_edge.play(scene) == 1
 
 
 def test_a_part_that_does_not_exist_bears_no_seal_of_the_whole():
     async def scene(stage):
         return await stage.ask("/objects/1", range="bytes=999-")
 
-    found = scenes_direct.play(scene)
+    found = direct_edge.play(scene)
     assert found.status == 416 and "content-digest" not in found.headers
 
 
@@ -145,4 +145,4 @@
         await stage.ask("/reads/9", request_id="")
         return sum(stage.connections.values()) - before
 
-    assert scenes_direct.play(scene) == 1
+    assert direct_edge.play(scene) == 1
--- a/tests/test_final.py
+++ b/tests/dataplane/test_final_answers.py
@@ -3,8 +3,8 @@
 import asyncio
 import json
 
+import cluster
 import pytest
-import scenes
 
 import irisstand.errors as errors
 import irisstand.web as web
@@ -79,7 +79,7 @@
         assert codes & {"over-ceiling", "no-share"}
         assert max(took for _, took in told) < 0.9, told
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_an_order_to_a_node_that_has_lost_the_voters_is_refused_at_once():
@@ -88,10 +88,10 @@
         await asyncio.sleep(2)
         began = day.watching.now()
         with pytest.raises(errors.NoMajority):
-            await day.stage.order("agency-2", "change", [scenes.site_row()])
+            await day.stage.order("agency-2", "change", [cluster.site_row()])
         assert day.watching.now() - began < 0.1
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_read_leaves_a_shield_without_power_when_it_is_suspected_and_not_at_its_deadline():
@@ -106,4 +106,4 @@
         (code, took) = await timed(day.stage.ask("edge-1", "GET", path))
         assert code == "" and took < 2.9
 
-    scenes.play(scene)
+    cluster.play(scene)
--- a/tests/test_big_configurations.py
+++ b/tests/dataplane/test_large_configurations.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from scenes_direct import KINDS, UPSTREAM, play
+from direct_edge import KINDS, UPSTREAM, play
 
 import irisstand.dataplane.routing.routes as routing
 import irisstand.errors as errors
--- a/tests/test_front_listener.py
+++ b/tests/dataplane/test_listener.py
@@ -4,8 +4,8 @@
 import itertools
 import socket
 
+import direct_edge
 import pytest
-import scenes_direct
 
 import irisstand.dataplane.http.listener as listener
 import irisstand.dataplane.upstream.exchange as exchange
@@ -23,7 +23,7 @@
     def __init__(self, play):
         # Sanic knows its applications by name for as long as the process lives.
         name = f"edge-{next(NUMBERS)}"
-        stage = scenes_direct.Scene(settings=scenes_direct.SETTINGS._replace(name=name))
+        stage = direct_edge.Scene(settings=direct_edge.SETTINGS._replace(name=name))
         self.context, stage.part.handle = stage.context, play
         self.context.crashed = asyncio.get_running_loop().create_future()
         with socket.socket() as probe:
--- a/tests/test_holders.py
+++ b/tests/dataplane/test_object_holders.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
+import direct_edge
 import pytest
-import scenes_direct
-from scenes_direct import whole
+from direct_edge import whole
 
 import irisstand.errors as errors
 import irisstand.simulator.virtual_time as virtual
@@ -20,10 +20,10 @@
             for number in range(1, count + 1):
                 name = f"{'edge' if role == 'direct' else 'holder'}-{number}"
                 site = places.get(name.replace("-", "_"), "north")
-                settings = scenes_direct.SETTINGS._replace(
+                settings = direct_edge.SETTINGS._replace(
                     name=name, role=role, site=site, region="two" if site == "east" else "one"
                 )
-                self.nodes[name] = scenes_direct.Scene(settings=settings)
+                self.nodes[name] = direct_edge.Scene(settings=settings)
         for name, node in self.nodes.items():
             for other in self.nodes.values():
                 if other is not node:
--- a/tests/test_doorstep.py
+++ b/tests/dataplane/test_origin_limits.py
@@ -3,8 +3,8 @@
 import asyncio
 import random
 
+import cluster
 import pytest
-import scenes
 
 import irisstand.balancing.retry_budget as budgets
 import irisstand.dataplane.retry.forwarding_policies as forwarding_policies
@@ -67,7 +67,7 @@
         checked = judge(day, "application", (30, 10))
         assert checked["no service has more under way than its ceiling"] > 30
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_requests_that_nobody_waits_for_any_more_still_fill_their_place():
@@ -80,7 +80,7 @@
         judge(day, "application", (50, 10))
         assert {code for status, code in told if status == 503} <= {"over-ceiling", "no-share"}
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_line_that_took_long_to_get_is_counted_when_it_is_used():
@@ -106,7 +106,7 @@
         assert len(connects) > 20
         judge(day, "application", (15, 60))
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_shield_just_started_uses_no_share_that_its_forerunner_may_have_filled():
@@ -128,7 +128,7 @@
         decision = forwarding_policies.ShieldWrite(part.context.clock, granted, 3.0)
         await node.do(part.enter(granted, decision), 1)
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -188,7 +188,7 @@
         checked = judge(day, "application", (25, 8))
         assert checked["no service gets more requests in any one second than its ceiling"] > 300
 
-    scenes.play(scene, seed + 1)
+    cluster.play(scene, seed + 1)
 
 
 def test_an_address_handed_to_another_service_gets_no_request_meant_for_the_old_one():
@@ -204,4 +204,4 @@
             assert not fresh.started
         assert not any(day.judge.broken.values())
 
-    scenes.play(scene)
+    cluster.play(scene)
--- a/tests/test_hot.py
+++ b/tests/dataplane/test_popularity.py
@@ -3,8 +3,8 @@
 import asyncio
 import collections
 
-import scenes
-import test_fleet
+import cluster
+import test_placement
 
 
 async def shares_of(day, path, rate, seconds):
@@ -28,11 +28,11 @@
 
 def test_a_hot_object_is_shared_by_two_shields_and_a_cold_one_stays_with_its_own():
     async def scene(day):
-        await test_fleet.pin_all(day)
+        await test_placement.pin_all(day)
         cold = await shares_of(day, "/shortlists/cold", 10, 6)
         assert len(cold) == 1
         await shares_of(day, "/shortlists/hot", 400, 4)
         hot = await shares_of(day, "/shortlists/hot", 400, 6)
         assert len(hot) == 2 and max(hot) < 0.62 * sum(hot), hot
 
-    scenes.play(scene)
+    cluster.play(scene)
--- a/tests/test_reads.py
+++ b/tests/dataplane/test_reads.py
@@ -3,8 +3,8 @@
 import asyncio
 import json
 
+import cluster
 import pytest
-import scenes
 
 
 async def read(day, path, edge="edge-1"):
@@ -30,7 +30,7 @@
         seen = [await read(day, f"/vacancies/x{number}") for number in range(20)]
         assert {status for status, _, _ in seen} <= {502, 503, 504}
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_second_tries_stay_within_their_budget_when_every_origin_fails():
@@ -49,7 +49,7 @@
         nodes = len(day.world.role("edge")) + len(day.world.role("shield"))
         assert 0 < second <= 0.2 * len(set(ids)) + nodes, (first, second, len(set(ids)))
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_purge_that_strikes_while_a_fetch_is_under_way_is_not_lost():
@@ -69,7 +69,7 @@
         for edge in ("edge-1", "edge-2"):
             assert (await read(day, path, edge))[2]["version"] == 1
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_purges_by_tag_reach_every_cache():
@@ -85,7 +85,7 @@
             for edge in ("edge-1", "edge-2"):
                 assert (await read(day, f"/vacancies/{number}", edge))[2]["version"] == 1
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_cache_life_is_one_life_over_all_hops():
@@ -103,7 +103,7 @@
         for edge in ("edge-1", "edge-2"):
             assert (await read(day, path, edge))[2]["version"] == 1
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_identical_reads_share_one_fetch():
@@ -113,7 +113,7 @@
         assert {status for status, _, _ in await asyncio.gather(*jobs)} == {200}
         assert sum(len(o.started) for o in origins(day, "content")) - before[1] == 1
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_an_address_that_now_belongs_to_another_service_gets_nothing_of_the_old_ones():
@@ -130,7 +130,7 @@
         assert stranger.started == [] and stranger.connections > 0
         assert len(other.started) > 20
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_the_reads_of_a_failed_shield_move_at_once():
@@ -142,7 +142,7 @@
         seen = [await read(day, f"/vacancies/a{number}") for number in range(40)]
         assert {status for status, _, _ in seen} == {200}
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_answers_to_requests_with_credentials_are_shared_with_nobody():
@@ -153,7 +153,7 @@
             assert status == 200
         assert sum(len(o.started) for o in origins(day, "content")) - before == 3
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_no_request_goes_to_a_path_or_method_without_a_grant_entry():
@@ -164,4 +164,4 @@
         assert (await day.stage.ask("edge-1", "DELETE", "/applications"))[:2] == (405, "method-rejected")
         assert sum(day.stage.records.requests.values()) == before
 
-    scenes.play(scene)
+    cluster.play(scene)
--- a/tests/test_giving_out.py
+++ b/tests/dataplane/test_served_objects.py
@@ -3,8 +3,8 @@
 import asyncio
 import json
 
+import cluster
 import pytest
-import scenes
 
 
 async def slow_origins(day, delay):
@@ -26,7 +26,7 @@
         status, _, result = await fetching
         assert status == 200 and json.loads(result.body)["version"] == 1
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 @pytest.mark.parametrize("headers", [{}, {"authorization": "Bearer me"}])
@@ -42,7 +42,7 @@
         assert asking.result()[0] == 504
         assert asyncio.get_running_loop().time() - began < 3.3
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_an_answer_that_has_outlived_its_life_on_the_way_is_not_given_out():
@@ -56,7 +56,7 @@
         await slow_origins(day, 0.003)
         assert (await day.stage.ask("edge-1", "GET", "/vacancies/1"))[0] == 200
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_whoever_joins_a_fetch_that_runs_out_of_time_still_has_all_of_its_own():
@@ -70,4 +70,4 @@
         assert (await first)[0] == 504
         assert (await second)[0] == 200
 
-    scenes.play(scene)
+    cluster.play(scene)
--- a/tests/test_cold.py
+++ b/tests/dataplane/test_slow_start.py
@@ -2,13 +2,17 @@
 
 import asyncio
 
-import scenes
-import test_doorstep
+import cluster
+import test_origin_limits
 
 import irisstand.simulator.origin_faults as trouble_origins
 
-of, set_ceiling, ask_steadily = test_doorstep.of, test_doorstep.set_ceiling, test_doorstep.ask_steadily
-judge, restart = test_doorstep.judge, test_doorstep.restart
+of, set_ceiling, ask_steadily = (
+    test_origin_limits.of,
+    test_origin_limits.set_ceiling,
+    test_origin_limits.ask_steadily,
+)
+judge, restart = test_origin_limits.judge, test_origin_limits.restart
 
 
 def make_cold(day, service, warmup=10.0):
@@ -34,7 +38,7 @@
         end = day.watching.now()
         assert sum(moment > end - 4 for origin in fresh for moment, _ in origin.started) > 150
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_cold_origin_is_not_flooded_by_shields_that_are_restarted_or_woken_half_way():
@@ -48,7 +52,7 @@
         await asking
         assert judge(day, "content", (60, 60))["a cold origin gets no more than its warmth allows"] > 30
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_an_origin_that_crashed_comes_back_cold_whatever_the_platform_still_says():
@@ -66,4 +70,4 @@
         await asking
         assert judge(day, "content", (60, 60))["a cold origin gets no more than its warmth allows"] > 30
 
-    scenes.play(scene)
+    cluster.play(scene)
--- a/tests/test_rate_grants.py
+++ b/tests/dataplane/test_token_leases.py
@@ -3,9 +3,9 @@
 import asyncio
 import random
 
+import direct_edge
 import pytest
-import scenes_direct
-import test_holders
+import test_object_holders
 
 import irisstand.dataplane.ratelimit.token_leases as token_leases
 import irisstand.errors as errors
@@ -18,7 +18,7 @@
 SITES = {"edge_3": "south", "edge_4": "south", "holder_3": "south", "holder_4": "south"}
 
 
-class Fleet(test_holders.Site):
+class Fleet(test_object_holders.Site):
     """A site whose links can be cut one way, and whose nodes can be killed and started again."""
 
     def __init__(self, edges=4, **more):
@@ -28,7 +28,7 @@
             self.furnish(node)
 
     def furnish(self, node):
-        item = {**scenes_direct.UPSTREAM, "version": 9, "rate": RATE, "connections": 4000}
+        item = {**direct_edge.UPSTREAM, "version": 9, "rate": RATE, "connections": 4000}
         node.put(items.CONFIGURATION, "upstream/s", {"version": 9, "item": item})
         node.put(items.LEDGER, "rate-parts", {"units": HOLDERS})
         node.confirm_current()
@@ -48,7 +48,7 @@
         """SIGKILL and a new process at once: nothing of the old one's memory is left."""
         old = self.nodes[name]
         self.buried.append(old)
-        fresh = scenes_direct.Scene(settings=old.context.settings)
+        fresh = direct_edge.Scene(settings=old.context.settings)
         for other in self.nodes.values():
             settings = other.context.settings
             if settings.name != name:
@@ -235,7 +235,7 @@
             return error.status
 
     times = play(scene)
-    settings = scenes_direct.SETTINGS
-    bound = scenes_direct.UPSTREAM["cold_rate"] * settings.cold_factor + settings.cold_burst
+    settings = direct_edge.SETTINGS
+    bound = direct_edge.UPSTREAM["cold_rate"] * settings.cold_factor + settings.cold_burst
     assert 5 < len(times)
     assert max(sum(start <= other < start + 1.0 for other in times) for start in times) <= bound
--- a/tests/test_writes.py
+++ b/tests/dataplane/test_writes.py
@@ -4,8 +4,8 @@
 import json
 import random
 
+import cluster
 import pytest
-import scenes
 
 
 def applications(day):
@@ -25,7 +25,7 @@
             assert (status, code) in ((504, "outcome-unknown"), (503, "no-origin"), (503, "no-share"))
             assert runs(day, number) == (1 if code == "outcome-unknown" else 0)
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_write_is_passed_on_only_while_no_byte_of_it_has_gone_towards_an_origin():
@@ -38,7 +38,7 @@
             assert status == 200 and runs(day, number) == 1
         assert len(second.started) >= 10
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_over_the_ceiling_writes_are_refused_at_once_with_a_time_to_come_back_and_never_run():
@@ -59,7 +59,7 @@
         worst = max(sum(start <= other < start + 0.99 for other in moments) for start in moments)
         assert 0 < worst <= 10
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -82,7 +82,7 @@
         assert day.judge.checked["no write runs twice"] == 150
         assert day.judge.checked["a write that succeeded did run"] > 30
 
-    scenes.play(scene, seed + 1)
+    cluster.play(scene, seed + 1)
 
 
 def test_work_whose_client_left_is_dropped_before_it_is_sent():
@@ -106,7 +106,7 @@
         await asyncio.sleep(4)
         assert sum(len(origin.started) for origin in applications(day)) <= under_way + 1
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def keyed(day, edge, key, number, path="/applications"):
@@ -128,7 +128,7 @@
         other = await keyed(day, "edge-1", "key-1", "another-body")
         assert other[:2] == (422, "key-reused") and runs(day, "another-body") == 0
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_key_whose_answer_was_lost_is_never_run_again_and_a_refused_one_may_be():
@@ -155,7 +155,7 @@
         status, code, _ = await keyed(day, "edge-1", "late", "late")
         assert status == 503 and code in ("no-claim", "stale-blueprint") and runs(day, "late") == 0
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -188,4 +188,4 @@
         await asyncio.sleep(1.5)
         await node.start()
 
-    scenes.play(scene, seed + 5)
+    cluster.play(scene, seed + 5)
--- a/tests/test_membership.py
+++ b/tests/membership/test_membership_faults.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-import scenes
+import cluster
 
 import irisstand.membership.detector as detector
 import irisstand.membership.updates as updates
@@ -15,7 +15,7 @@
     found = {}
     for name, node in day.world.nodes.items():
         if name != about and node.is_up:
-            member = scenes.members(day, name).get(about)
+            member = cluster.members(day, name).get(about)
             found[name] = member.state if member else None
     return found
 
@@ -36,7 +36,7 @@
         own = node.body.context.detector
         assert own.incarnation >= 1 and own.identity.life == life
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_dead_node_is_failed_everywhere_within_the_papers_bounds_and_returns_as_a_new_life():
@@ -53,7 +53,7 @@
         await day.world.until(lambda: set(states(day, "store-1").values()) == {updates.State.ALIVE}, 20)
         assert node.body.context.detector.identity.life != life
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_node_falsely_declared_failed_comes_back_as_a_new_life():
@@ -63,7 +63,7 @@
         day.world.cut_off(["edge-2"])
         await day.world.until(lambda: set(states(day, "edge-2").values()) == {None}, 60)
         # Cut off, it has kept the others on its list: it hears nobody, so it is the one that is ill.
-        assert len(scenes.members(day, "edge-2")) == len(day.world.nodes) - 1
+        assert len(cluster.members(day, "edge-2")) == len(day.world.nodes) - 1
         day.world.wires.heal()
         await day.world.until(lambda: set(states(day, "edge-2").values()) == {updates.State.ALIVE}, 30)
         assert node.body.context.detector.identity.name == identity.name
@@ -71,9 +71,9 @@
         # And it has not taken anybody else down with it.
         for name in day.world.nodes:
             if name != "edge-2":
-                assert scenes.context(day, name).counters.get("swim_lives") == 0
+                assert cluster.context(day, name).counters.get("swim_lives") == 0
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_lists_converge_again_after_a_long_split():
@@ -81,16 +81,16 @@
         half = [name for name, node in day.world.nodes.items() if node.plan.site in ("north", "east")]
         day.world.cut_off(half)
         other = next(name for name in day.world.nodes if name not in half)
-        await day.world.until(lambda: not set(half) & set(scenes.members(day, other)), 90)
+        await day.world.until(lambda: not set(half) & set(cluster.members(day, other)), 90)
         day.world.wires.heal()
 
         def whole():
             names = set(day.world.nodes)
-            return all(set(scenes.members(day, name)) == names - {name} for name in names)
+            return all(set(cluster.members(day, name)) == names - {name} for name in names)
 
         await day.world.until(whole, 60)
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_ten_percent_of_packets_lost_fells_no_living_member():
@@ -101,25 +101,25 @@
         for _ in range(200):
             await asyncio.sleep(PERIOD)
             for name in day.world.nodes:
-                assert len(scenes.members(day, name)) == len(day.world.nodes) - 1
+                assert len(cluster.members(day, name)) == len(day.world.nodes) - 1
         suspected = sum(
-            scenes.context(day, name).counters.get("swim_updates", state="suspect")
+            cluster.context(day, name).counters.get("swim_updates", state="suspect")
             for name in day.world.nodes
         )
         confirmed = sum(
-            scenes.context(day, name).counters.get("swim_updates", state="confirm")
+            cluster.context(day, name).counters.get("swim_updates", state="confirm")
             for name in day.world.nodes
         )
         assert suspected > 0 and confirmed == 0
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_node_that_leaves_is_gone_from_the_lists_without_being_suspected():
     async def scene(day):
         await day.world.nodes["edge-1"].stop()
         await day.world.until(lambda: set(states(day, "edge-1").values()) == {None}, 10 * PERIOD)
-        seen = scenes.context(day, "agency-1").detector.roster.failed.values()
+        seen = cluster.context(day, "agency-1").detector.roster.failed.values()
         assert [update.left for update in seen if update.identity.name == "edge-1"] == [True]
 
-    scenes.play(scene)
+    cluster.play(scene)
--- /dev/null
+++ b/tests/mutation/controlplane_mutations.py
@@ -0,0 +1,119 @@
+"""Guarding lines of what orders write and operators read, in the form of guarded.py."""
+# ruff: noqa: E501
+
+GUARDS = [
+    (
+        "controlplane/changes/orders.py",
+        '    if known is not None and known["by"] != wanted.attempt:\n        raise errors.Claimed',
+        "    if False:\n        raise errors.Claimed",
+        "dataplane/test_writes.py::test_the_same_key_at_two_edges_runs_once_and_both_get_the_one_result",
+    ),
+    (
+        "controlplane/changes/table_time.py",
+        "    if overlay.count(prefix) < limit:\n        return",
+        "    return",
+        "controlplane/test_retention.py::test_keys_are_kept_for_their_time_and_a_full_store_refuses_new_ones_with_when_to_come_back",
+    ),
+    (
+        "controlplane/changes/table_time.py",
+        "    if str(overlay.version(items.TIME)) != expected:",
+        "    if False:",
+        "controlplane/test_retention.py::test_time_is_never_raised_twice_for_the_same_stretch_and_never_by_a_long_sleep",
+    ),
+    (
+        "controlplane/changes/table_time.py",
+        "    if purged > before:",
+        "    if False:",
+        "controlplane/test_retention.py",
+    ),
+    (
+        "controlplane/changes/orders.py",
+        '        if row.get("expected") is not None and row["expected"] != str(version):',
+        "        if False:",
+        "controlplane/test_ballots.py",
+    ),
+    (
+        "controlplane/changes/orders.py",
+        "    if faults:\n        raise errors.BadChange(faults)\n    conflicts",
+        "    conflicts",
+        "controlplane/test_ballots.py",
+    ),
+    (
+        "controlplane/singletons/fleet_view.py",
+        "            return reply[0] == voter.disk_id\n        except errors.IrisError:\n            return False",
+        "            return reply[0] == voter.disk_id\n        except errors.IrisError:\n            return True",
+        "controlplane/test_capacity_scaling.py::test_nobody_goes_to_rest_beside_a_core_machine_that_died_a_moment_ago",
+    ),
+    (
+        "controlplane/singletons/origin_discovery.py",
+        "        if shrunk and self.held < HELD_ANSWERS:",
+        "        if False:",
+        "controlplane/test_origin_roster.py",
+    ),
+    (
+        "controlplane/singletons/origin_discovery.py",
+        "        if is_older and self.older <= OLDER_ANSWERS:",
+        "        if False:",
+        "controlplane/test_origin_discovery.py",
+    ),
+    (
+        "controlplane/changes/confirmed_versions.py",
+        '        return not canonical_content.is_same(known["item"], value["item"])',
+        "        return False",
+        "controlplane/test_idempotent_changes.py::test_other_content_under_the_version_in_force_is_refused_whole",
+    ),
+    (
+        "controlplane/changes/confirmed_versions.py",
+        '"item": value["item"], "seen": seen_with(known, known)}',
+        '"item": value["item"]}',
+        "controlplane/test_idempotent_changes.py::test_a_repeat_is_confirmed_after_it_was_overtaken_and_dropped_and_other_content_is_not",
+    ),
+    (
+        "controlplane/changes/amendment.py",
+        "    if judged.conflicts:",
+        "    if False:",
+        "controlplane/test_idempotent_changes.py::test_other_content_under_the_version_in_force_is_refused_whole",
+    ),
+    (
+        "controlplane/changes/amendment.py",
+        "    faults += versioned.faults_of_late(judged.late, standing)\n",
+        "",
+        "controlplane/test_idempotent_changes.py::test_what_can_never_be_valid_is_refused_also_when_it_comes_late",
+    ),
+    (
+        "controlplane/changes/orders.py",
+        "        check_same(order, known)\n",
+        "",
+        "controlplane/test_idempotent_changes.py::test_an_id_with_other_content_is_refused_and_with_the_same_gets_the_first_result",
+    ),
+    (
+        "controlplane/changes/evacuation_check.py",
+        "            if 2 * answered <= len(self.other_voters()) + 1:",
+        "            if False:",
+        "controlplane/test_idempotent_changes_racing.py::test_a_site_is_refused_only_when_settings_or_a_majority_of_the_voters_know_of_none",
+    ),
+    (
+        "controlplane/api/request_bodies.py",
+        "    if fault:",
+        "    if False:",
+        "controlplane/test_idempotent_changes.py::test_what_could_not_be_carried_or_stored_is_refused_before_it_is_an_order",
+    ),
+    (
+        "controlplane/changes/evacuation_check.py",
+        "            await self.confirm_since(asked_at)",
+        "            raise",
+        "controlplane/test_idempotent_changes_racing.py::test_an_evacuation_again_is_not_refused_by_a_node_that_has_not_heard_of_it",
+    ),
+    (
+        "controlplane/api/operator_reads.py",
+        "        await self.read_index.confirm(*items.TABLES)",
+        "        self.context.check_current()",
+        "controlplane/test_partitioned_nodes.py::test_a_control_node_just_cut_off_shows_nothing_and_says_so_at_once",
+    ),
+    (
+        "controlplane/changes/orders.py",
+        "    if in_force != fenced.lease:",
+        "    if False:",
+        "controlplane/test_leases_under_partition.py::test_a_holder_that_thaws_writes_nothing_under_a_lease_that_another_has_taken",
+    ),
+]
--- /dev/null
+++ b/tests/mutation/dataplane_mutations.py
@@ -0,0 +1,143 @@
+"""The guarding lines of the data plane: (file, text, what stands there when it is taken out, the test that must fail)."""
+# ruff: noqa: E501
+
+GUARDS = [
+    (
+        "dataplane/retry/forwarding_policies.py",
+        '        if touched:\n            return ("reject", errors.OutcomeUnknown',
+        '        if False:\n            return ("reject", errors.OutcomeUnknown',
+        "dataplane/test_writes.py::test_a_lost_answer_is_an_unknown_outcome_and_never_a_second_try",
+    ),
+    (
+        "dataplane/retry/forwarding_policies.py",
+        "        if error.code in CERTAINLY_NOT_RUN:",
+        "        if True:",
+        "controlplane/test_guard_scenarios.py::test_a_write_whose_shield_dies_under_it_is_an_unknown_outcome",
+    ),
+    (
+        "dataplane/upstream/connections.py",
+        "        if self.opened:\n            self.alive = False\n",
+        "        if False:\n",
+        "dataplane/test_upstream_connections.py",
+    ),
+    (
+        "dataplane/nodes/idempotency_keys.py",
+        '        if claim["print"] != fingerprint:',
+        "        if False:",
+        "dataplane/test_writes.py::test_the_same_key_at_two_edges_runs_once_and_both_get_the_one_result",
+    ),
+    (
+        "dataplane/nodes/idempotency_keys.py",
+        "        except errors.Claimed as error:\n            return self.replay",
+        "        except errors.Claimed as error:\n            return await work()\n            return self.replay",
+        "dataplane/test_writes.py::test_the_same_key_at_two_edges_runs_once_and_both_get_the_one_result",
+    ),
+    (
+        "dataplane/cache/objects.py",
+        '    if headers.get("content-digest") != digest_header(body):',
+        "    if False:",
+        "dataplane/test_reads.py::test_an_answer_that_is_not_whole_and_sealed_is_never_a_success",
+    ),
+    (
+        "dataplane/cache/objects.py",
+        '    if headers.get("x-request-id") != request_id:',
+        "    if False:",
+        "dataplane/test_reads.py::test_an_answer_that_is_not_whole_and_sealed_is_never_a_success",
+    ),
+    (
+        "dataplane/retry/forwarding_policies.py",
+        "    return thing.applied >= view.purged_at(path, thing.tags) and not outlived",
+        "    return not outlived",
+        "dataplane/test_served_objects.py",
+    ),
+    (
+        "dataplane/retry/forwarding_policies.py",
+        "    return thing.applied >= view.purged_at(path, thing.tags) and not outlived",
+        "    return thing.applied >= view.purged_at(path, thing.tags)",
+        "dataplane/test_served_objects.py::test_an_answer_that_has_outlived_its_life_on_the_way_is_not_given_out",
+    ),
+    (
+        "dataplane/retry/forwarding_policies.py",
+        "        if now > self.deadline - 0.05:",
+        "        if False:",
+        "dataplane/test_served_objects.py::test_purges_that_keep_striking_end_in_a_refusal_within_the_deadline",
+    ),
+    (
+        "dataplane/retry/forwarding_policies.py",
+        "    return thing.age_now(now) < thing.life and thing.applied >= purged",
+        "    return thing.applied >= purged",
+        "dataplane/test_reads.py::test_a_cache_life_is_one_life_over_all_hops",
+    ),
+    (
+        "dataplane/routing/configuration_snapshot.py",
+        "        return max(forgotten, *(copy.version(key) for key in keys))",
+        "        return max(copy.version(key) for key in keys)",
+        "controlplane/test_retention.py::test_a_node_cut_off_past_the_horizon_serves_nothing_that_a_forgotten_purge_struck",
+    ),
+    (
+        "balancing/standby_planning.py",
+        "        if machine.name in rest and carries(awake, load * 1.2):",
+        "        if False:",
+        "controlplane/test_capacity_scaling.py",
+    ),
+    (
+        "dataplane/upstream/origin_pool.py",
+        " and not self.view.is_evacuated(pool.origin.site)\n",
+        "\n",
+        "controlplane/test_placement.py::test_an_evacuated_site_gets_no_new_work_and_comes_back",
+    ),
+    (
+        "dataplane/upstream/origin_pool.py",
+        'pool.origin.state != "leaving"',
+        "True",
+        "controlplane/test_origin_roster.py::test_a_leaving_origin_gets_no_new_work_two_seconds_after_the_platform_says_so",
+    ),
+    (
+        "dataplane/upstream/connections.py",
+        "    if found != (service, instance):",
+        "    if False:",
+        "dataplane/test_origin_limits.py",
+    ),
+    (
+        "dataplane/upstream/origin_pool.py",
+        "        return warm >= 1.0 or self.bucket.has_room",
+        "        return True or self.bucket.has_room",
+        "dataplane/test_slow_start.py",
+    ),
+    (
+        "dataplane/upstream/origin_pool.py",
+        'if self.origin.state == "cold" or self.has_returned:',
+        'if self.origin.state == "cold":',
+        "dataplane/test_slow_start.py::test_an_origin_that_crashed_comes_back_cold_whatever_the_platform_still_says",
+    ),
+    (
+        "balancing/service_limits.py",
+        "        return self.clock.now() - self.opened < max(WORKS, deadline)",
+        "        return False",
+        "dataplane/test_origin_limits.py::test_a_shield_just_started_uses_no_share_that_its_forerunner_may_have_filled",
+    ),
+    (
+        "balancing/service_limits.py",
+        "        if works_until:\n",
+        "        if False:\n",
+        "dataplane/test_origin_limits.py::test_requests_that_nobody_waits_for_any_more_still_fill_their_place",
+    ),
+    (
+        "balancing/service_limits.py",
+        "        return self.clock.now() - entered_at <= FRESH",
+        "        return True",
+        "dataplane/test_origin_limits.py::test_a_line_that_took_long_to_get_is_counted_when_it_is_used",
+    ),
+    (
+        "balancing/quota_shares.py",
+        "        elif service in frozen:",
+        "        elif False:",
+        "controlplane/test_guard_scenarios.py",
+    ),
+    (
+        "balancing/retry_budget.py",
+        "        if len(self.second) + 1 > self.share * len(self.first) + self.allowance:",
+        "        if False:",
+        "dataplane/test_origin_limits.py::test_the_budget_of_second_tries_holds_in_any_ten_seconds",
+    ),
+]
--- a/tests/guards.py
+++ b/tests/mutation/run_mutations.py
@@ -1,6 +1,6 @@
 """Takes out each guarding line in turn, in a copy of the tree, and expects a named test to fail.
 
-    python tests/guards.py [--workers 8] [WORD ...]
+    python tests/mutation/run_mutations.py [--workers 8] [WORD ...]
 
 Run outside CI. With words, only the guards that have one of them in their file or text.
 """
@@ -13,13 +13,21 @@
 import tempfile
 
 import click
-import guarded
-import guarded_ballots
-import guarded_control
-import guarded_direct
-import guarded_state
+import consensus_mutations
+import controlplane_mutations
+import dataplane_mutations
+import direct_edge_mutations
+import state_mutations
 
-ROOT = pathlib.Path(__file__).resolve().parent.parent
+ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
+
+MUTATIONS = (
+    dataplane_mutations.GUARDS
+    + consensus_mutations.GUARDS
+    + controlplane_mutations.GUARDS
+    + state_mutations.GUARDS
+    + direct_edge_mutations.GUARDS
+)
 
 
 def try_without(guard: tuple) -> tuple[tuple, str]:
@@ -50,14 +58,7 @@
 @click.option("--workers", type=click.IntRange(1), default=8, show_default=True)
 @click.argument("words", nargs=-1)
 def main(workers: int, words: tuple) -> None:
-    known = (
-        guarded.GUARDS
-        + guarded_ballots.GUARDS
-        + guarded_control.GUARDS
-        + guarded_state.GUARDS
-        + guarded_direct.GUARDS
-    )
-    chosen = [g for g in known if not words or any(word in g[0] + g[1] for word in words)]
+    chosen = [g for g in MUTATIONS if not words or any(word in g[0] + g[1] for word in words)]
     missed = 0
     with concurrent.futures.ThreadPoolExecutor(workers) as pool:
         for (file, line, _, test), outcome in pool.map(try_without, chosen):
--- a/tests/test_deployed.py
+++ b/tests/programs/test_deployed_programs.py
@@ -8,7 +8,7 @@
 import subprocess
 import sys
 
-import deployed
+import deployed_programs
 import pytest
 
 import irisstand.standins.upstream as upstreams
@@ -16,7 +16,7 @@
 
 def play(scene, folder):
     async def whole():
-        async with deployed.Fleet(folder) as fleet:
+        async with deployed_programs.Fleet(folder) as fleet:
             await fleet.founded()
             return await scene(fleet)
 
@@ -32,7 +32,7 @@
             ("/writes/1", "POST", b"claim"),
         ):
             status, headers, content = await fleet.ask(path, method, body, request_id="r-" + path[1:4])
-            assert status == 200 and upstreams.is_whole(deployed.WORDS, headers, content), path
+            assert status == 200 and upstreams.is_whole(deployed_programs.WORDS, headers, content), path
             assert headers["Attempt-Id"] == "r-" + path[1:4]
         assert [run.target for run in fleet.runs("app") if "?" in run.target] == ["/reads/1?a=%20b"]
         assert [run.body for run in fleet.runs("app") if run.method == "POST"] == [b"claim"]
@@ -65,7 +65,7 @@
             assert 400 <= status < 500, call
         assert (await fleet.call("GET", "/items", node=3))[1] == found
         # Purges by path and by tag: what was changed before them is not given out after.
-        for purge in ({"host": deployed.HOST, "path": "/objects/1"}, {"tag": "t-content"}):
+        for purge in ({"host": deployed_programs.HOST, "path": "/objects/1"}, {"tag": "t-content"}):
             before = (await fleet.ask("/objects/1"))[2]
             for origin in fleet.origins:
                 origin.versions["/objects/1"] += 1
@@ -111,7 +111,7 @@
 
         await fleet.until(is_leaving, 2)
         status, headers, content = await asking
-        assert status == 200 and upstreams.is_whole(deployed.WORDS, headers, content)
+        assert status == 200 and upstreams.is_whole(deployed_programs.WORDS, headers, content)
         assert await ending == 0
         assert await fleet.end("shield-2") == 0
 
@@ -130,7 +130,7 @@
             writer.close()
 
     async def scene(fleet):
-        head = f"Host: {deployed.HOST}\r\nAttempt-Id: r1\r\n".encode()
+        head = f"Host: {deployed_programs.HOST}\r\nAttempt-Id: r1\r\n".encode()
         long = b"GET /reads/1 HTTP/1.1\r\n" + head + b"X-Long: " + b"x" * 9000 + b"\r\n\r\n"
         large = b"POST /writes/1 HTTP/1.1\r\n" + head + b"Content-Length: 100001\r\n\r\n" + b"x" * 100001
         short = b"POST /writes/1 HTTP/1.1\r\n" + head + b"Content-Length: 10\r\n\r\nshort"
@@ -153,20 +153,22 @@
 @pytest.mark.parametrize(
     ("content", "named"),
     [
-        (None, deployed.place.VARIABLE),
+        (None, deployed_programs.place.VARIABLE),
         ("ip = ", "settings file"),
         ("ip = '127.0.0.1'\n", "internal_ports"),
         ("internal_ports = 7\n", "settings"),
     ],
 )
 def test_settings_that_do_not_do_are_named_in_a_line_and_end_with_2(program, content, named, tmp_path):
-    environment = {name: value for name, value in os.environ.items() if name != deployed.place.VARIABLE}
+    environment = {
+        name: value for name, value in os.environ.items() if name != deployed_programs.place.VARIABLE
+    }
     if content is not None:
         (tmp_path / "local.toml").write_text(content)
-        environment[deployed.place.VARIABLE] = str(tmp_path / "local.toml")
+        environment[deployed_programs.place.VARIABLE] = str(tmp_path / "local.toml")
     done = subprocess.run(
         [sys.executable, f"platform/{program}"],
-        cwd=deployed.ROOT,
+        cwd=deployed_programs.ROOT,
         env=environment,
         capture_output=True,
         text=True,
@@ -186,15 +188,15 @@
 
 
 def test_nothing_outside_the_adapter_knows_the_platforms_names():
-    for path in sorted((deployed.ROOT / "src").rglob("*.py")):
+    for path in sorted((deployed_programs.ROOT / "src").rglob("*.py")):
         assert not PLATFORM.findall(path.read_text()), path
 
 
 def test_the_adapter_stays_small_and_shadows_no_module():
-    files = sorted((deployed.ROOT / "platform").glob("*.py"))
+    files = sorted((deployed_programs.ROOT / "platform").glob("*.py"))
     assert sum(len(path.read_text().splitlines()) for path in files) < 400
     names = {path.stem for path in files}
-    own = {path.stem for path in (deployed.ROOT / "src").rglob("*.py")}
+    own = {path.stem for path in (deployed_programs.ROOT / "src").rglob("*.py")}
     assert "__init__" not in names and not names & (set(sys.stdlib_module_names) | own)
-    deploy = pathlib.Path(deployed.ROOT / "deploy")
+    deploy = pathlib.Path(deployed_programs.ROOT / "deploy")
     assert (deploy / "system.toml").is_file() and (deploy / "wire.toml").is_file()
--- a/tests/test_end.py
+++ b/tests/programs/test_shutdown.py
@@ -6,7 +6,7 @@
 
 STUCK = """
 import asyncio, os, signal, sys, threading, types
-import irisstand.running as running
+import irisstand.process_runner as running
 
 async def assemble(settings, log_ring):
     loop = asyncio.get_running_loop()
--- a/tests/test_disks.py
+++ b/tests/state/test_disk_faults.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
+import cluster
 import pytest
-import scenes
 
 import irisstand.errors as errors
 import irisstand.simulator.virtual_time
@@ -18,7 +18,7 @@
 
 def test_after_the_loss_of_everything_the_disks_bring_all_confirmed_rows_back_within_15_seconds():
     async def scene(day):
-        result = await day.stage.order("agency-2", "change", [scenes.site_row(weight=7)])
+        result = await day.stage.order("agency-2", "change", [cluster.site_row(weight=7)])
         await day.stage.order("agency-3", "purge", [("path", "/vacancies/1")])
         for node in day.world.nodes.values():
             node.kill(reset=False)
@@ -31,17 +31,17 @@
             await asyncio.sleep(0.1)
         assert took < 15
         for name in ("agency-5", "edge-2"):
-            configuration = scenes.context(day, name).configuration
+            configuration = cluster.context(day, name).configuration
             assert configuration.value("site/north") == {"weight": 7}
             assert str(configuration.version("site/north")) == result["serial"]
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 @pytest.mark.parametrize("victim", ["agency-1", "agency-4"])
 def test_a_disk_lost_right_after_a_yes_loses_nothing_and_its_successor_learns_before_it_votes(victim):
     async def scene(day):
-        result = await day.stage.order(victim, "change", [scenes.site_row(weight=3)])
+        result = await day.stage.order(victim, "change", [cluster.site_row(weight=3)])
         node = day.world.nodes[victim]
         old = node.body.core.store.identity
         node.kill()
@@ -55,31 +55,31 @@
         assert node.body.core.store.identity != old
         for table in items.TABLES:
             assert len(day.world.nodes["agency-2"].body.core.voters(table)) == 5
-        assert str(scenes.context(day, victim).configuration.version("site/north")) == result["serial"]
+        assert str(cluster.context(day, victim).configuration.version("site/north")) == result["serial"]
         # Its vote counts again: with two others gone it makes up the majority.
         others = [name for name in ("agency-2", "agency-3", "agency-5") if name != victim][:2]
         for name in others:
             day.world.nodes[name].kill()
-        await day.stage.order(victim, "change", [scenes.site_row(weight=4)])
+        await day.stage.order(victim, "change", [cluster.site_row(weight=4)])
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_full_disk_refuses_with_the_remedy_and_the_others_go_on():
     async def scene(day):
         day.world.nodes["agency-1"].disk.full = True
         with pytest.raises(errors.DiskFull) as raised:
-            await day.stage.order("agency-1", "change", [scenes.site_row(weight=2)])
+            await day.stage.order("agency-1", "change", [cluster.site_row(weight=2)])
         assert "data folder" in raised.value.remedy
-        await day.stage.order("agency-2", "change", [scenes.site_row(weight=3)])
+        await day.stage.order("agency-2", "change", [cluster.site_row(weight=3)])
         await asyncio.sleep(2)
         # It keeps serving what is in force, though it can keep none of it.
-        assert scenes.context(day, "agency-1").configuration.value("site/north") == {"weight": 3}
+        assert cluster.context(day, "agency-1").configuration.value("site/north") == {"weight": 3}
         assert day.world.is_ready(day.world.nodes["agency-1"])
         day.world.nodes["agency-1"].disk.full = False
-        await day.stage.order("agency-1", "change", [scenes.site_row(weight=4)])
+        await day.stage.order("agency-1", "change", [cluster.site_row(weight=4)])
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_two_stalled_disks_stop_neither_changes_nor_the_freshness_of_their_own_nodes():
@@ -87,19 +87,19 @@
         for name in ("agency-1", "agency-2"):
             day.world.nodes[name].disk.stalled = True
         for weight in range(1, 6):
-            await day.stage.order("agency-3", "change", [scenes.site_row(weight=weight)])
+            await day.stage.order("agency-3", "change", [cluster.site_row(weight=weight)])
             await asyncio.sleep(1)
             for name in ("agency-1", "agency-2", "edge-1"):
                 assert day.world.is_ready(day.world.nodes[name])
-                assert scenes.context(day, name).configuration.value("site/north") == {"weight": weight}
+                assert cluster.context(day, name).configuration.value("site/north") == {"weight": weight}
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 @pytest.mark.parametrize("part", [".voter.", ".item.", "vault"])
 def test_a_damaged_file_is_put_aside_and_neither_served_nor_voted_from(part):
     async def scene(day):
-        await day.stage.order("agency-1", "change", [scenes.site_row(weight=2)])
+        await day.stage.order("agency-1", "change", [cluster.site_row(weight=2)])
         await asyncio.sleep(1)
         node = day.world.nodes["agency-3"]
         before = node.body.core.store.identity
@@ -124,12 +124,12 @@
         assert all(core.store.sound.values())
         assert core.store.copies[items.CONFIGURATION].root() == core.context.configuration.root()
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_empty_cores_found_only_all_together_and_never_beside_a_founded_one():
     async def scene():
-        world = irisstand.simulator.world.World(3, scenes.SHAPE)
+        world = irisstand.simulator.world.World(3, cluster.SHAPE)
         control_nodes = world.role("agency")
         for node in control_nodes[:4]:
             await node.start()
@@ -155,7 +155,7 @@
 def test_an_empty_core_machine_elsewhere_takes_the_place_of_one_that_is_gone_for_good():
     async def scene(day):
         world = day.world
-        result = await day.stage.order("agency-1", "change", [scenes.site_row(weight=6)])
+        result = await day.stage.order("agency-1", "change", [cluster.site_row(weight=6)])
         world.nodes["agency-2"].kill()
         where = ("shield-machine-9", "south", "one", "10.0.0.99")
         spare = world.add(irisstand.simulator.world.Plan("agency-9", "agency", *where))
@@ -168,16 +168,16 @@
         for table in items.TABLES:
             names = {voter.name for voter in world.nodes["agency-1"].body.core.voters(table)}
             assert names == {"agency-1", "agency-3", "agency-4", "agency-5", "agency-9"}
-        assert str(scenes.context(day, "agency-9").configuration.version("site/north")) == result["serial"]
+        assert str(cluster.context(day, "agency-9").configuration.version("site/north")) == result["serial"]
         # The old one returns with its disk: it has no vote any more, and takes nobody's place.
         await world.nodes["agency-2"].start()
         await asyncio.sleep(10)
         assert not votes(day, "agency-2") and world.is_ready(world.nodes["agency-2"])
         world.nodes["agency-1"].kill()
         world.nodes["agency-3"].kill()
-        await day.stage.order("agency-9", "change", [scenes.site_row(weight=8)])
+        await day.stage.order("agency-9", "change", [cluster.site_row(weight=8)])
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_voter_set_that_one_lost_site_would_rob_of_its_majority_is_refused_whole():
@@ -190,14 +190,14 @@
         assert "one site" in raised.value.faults[0]["message"]
         assert day.world.nodes["agency-3"].body.core.voters(items.LEDGER) == voters
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_folder_of_the_version_before_still_starts():
     """Its records bear a root over sixteen ranges; a core that took that for damage would be lost whole."""
 
     async def scene(day):
-        await day.stage.order("agency-1", "change", [scenes.site_row(weight=7)])
+        await day.stage.order("agency-1", "change", [cluster.site_row(weight=7)])
         await asyncio.sleep(1)
         for node in day.world.role("agency"):
             disk_id = node.body.core.store
@@ -211,7 +211,7 @@
             await node.start()
             assert all(node.body.core.store.sound.values())
         await day.world.until_ready()
-        assert scenes.context(day, "edge-1").configuration.value("site/north") == {"weight": 7}
-        await day.stage.order("agency-3", "change", [scenes.site_row(weight=8)])
+        assert cluster.context(day, "edge-1").configuration.value("site/north") == {"weight": 7}
+        await day.stage.order("agency-3", "change", [cluster.site_row(weight=8)])
 
-    scenes.play(scene)
+    cluster.play(scene)
--- a/tests/test_outage.py
+++ b/tests/state/test_quorum_loss.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
+import cluster
 import pytest
-import scenes
 
 import irisstand.simulator.virtual_time as virtual
 import irisstand.simulator.world as worlds
@@ -16,11 +16,11 @@
     """With nodes that may use tables for STRETCH seconds more while the core is out."""
 
     async def whole():
-        world = worlds.World(1, scenes.SHAPE)
+        world = worlds.World(1, cluster.SHAPE)
         world.outage_bound = STRETCH
         await world.start_all()
         await world.until_ready()
-        await world.stage.order("agency-1", "change", [scenes.site_row()])
+        await world.stage.order("agency-1", "change", [cluster.site_row()])
         await world.until_ready()
         await asyncio.sleep(1)
         await scene(world)
@@ -60,7 +60,7 @@
 def test_a_node_on_the_side_of_a_minority_of_the_core_uses_its_tables_no_longer():
     async def scene(world):
         world.cut_off(["edge-1", "agency-1", "agency-2"])
-        await world.stage.order("agency-3", "change", [scenes.site_row(weight=5)])
+        await world.stage.order("agency-3", "change", [cluster.site_row(weight=5)])
         assert await seconds_in_use(world) <= BOUND + 0.1
         await stays_out(world)
 
@@ -76,7 +76,7 @@
         for name in cores(world):
             world.nodes[name].thaw()
         await world.until(lambda: all(map(world.is_ready, world.role("agency"))), 3)
-        await world.stage.order("agency-2", "change", [scenes.site_row(weight=5)])
+        await world.stage.order("agency-2", "change", [cluster.site_row(weight=5)])
         await asyncio.sleep(1.9)
         edge = world.nodes["edge-1"]
         assert scenes_value(edge) == {"weight": 5} or not world.is_ready(edge)
@@ -113,7 +113,7 @@
         cut(world, ["agency-1"], [name for name in world.nodes if name not in cores(world)])
         await asyncio.sleep(2.5)
         for weight in range(2, 6):
-            await world.stage.order("agency-1", "change", [scenes.site_row(weight=weight)])
+            await world.stage.order("agency-1", "change", [cluster.site_row(weight=weight)])
             await asyncio.sleep(1.9)
             edge = world.nodes["edge-1"]
             assert scenes_value(edge) == {"weight": weight} or not world.is_ready(edge)
--- a/tests/test_carrying.py
+++ b/tests/state/test_replication.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
+import cluster
 import pytest
-import scenes
 
 import irisstand.state.items as items
 import irisstand.state.replica as replica
@@ -21,7 +21,7 @@
 async def bytes_of_changes(day, count):
     before = day.world.wires.bytes_sent.total()
     for weight in range(count):
-        await day.stage.order("agency-1", "change", [scenes.site_row(weight=weight + 1)])
+        await day.stage.order("agency-1", "change", [cluster.site_row(weight=weight + 1)])
         await asyncio.sleep(0.5)
     return day.world.wires.bytes_sent.total() - before
 
@@ -36,7 +36,7 @@
         await asyncio.sleep(5)
         assert await bytes_of_changes(day, 20) < 1.2 * small
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_core_node_with_a_lost_disk_learns_a_table_that_is_larger_than_any_frame():
@@ -52,10 +52,10 @@
         node.wipe()
         await node.start()
         await day.world.until(lambda: all(node.body.core.votes(table) for table in items.TABLES), 60)
-        copies = [scenes.context(day, f"agency-{n}").copies[items.CLAIMS] for n in (1, 4)]
+        copies = [cluster.context(day, f"agency-{n}").copies[items.CLAIMS] for n in (1, 4)]
         assert len(copies[1].items) > 2750 and copies[1].counts == copies[0].counts
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_rows_above_a_applied_are_taken_only_if_the_outcome_is_the_peers_copy():
@@ -75,15 +75,15 @@
 
 def test_a_copy_damaged_in_memory_is_mended_range_by_range():
     async def scene(day):
-        copy = scenes.context(day, "store-1").configuration
+        copy = cluster.context(day, "store-1").configuration
         good = copy.items["service/content"]
         copy.put(good._replace(value={"spoilt": True}))
         copy.remove("path/vacancies/")
         await day.world.until(lambda: copy.items["service/content"] == good, 3)
-        assert copy.root() == scenes.context(day, "agency-1").configuration.root()
-        assert scenes.context(day, "store-1").counters.total("ranges_mended") <= 4
+        assert copy.root() == cluster.context(day, "agency-1").configuration.root()
+        assert cluster.context(day, "store-1").counters.total("ranges_mended") <= 4
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_the_order_by_version_the_counts_and_the_digests_follow_every_change():
@@ -119,4 +119,4 @@
         node.body.context.transport.ask = ask
         await day.world.until_ready()
 
-    scenes.play(scene)
+    cluster.play(scene)
--- a/tests/test_restart_after_changes.py
+++ b/tests/state/test_restart_after_changes.py
@@ -6,9 +6,9 @@
 import time
 import types
 
+import cluster
 import ormsgpack
 import pytest
-import scenes
 
 import irisstand.counters
 import irisstand.simulator.simulated_folder
@@ -143,7 +143,7 @@
 
         async def change(number):
             name = f"agency-{number % 3 + 1}"
-            result = await day.stage.order(name, "change", [scenes.site_row(weight=number % 90 + 1)])
+            result = await day.stage.order(name, "change", [cluster.site_row(weight=number % 90 + 1)])
             confirmed.append(versions.parse(result["serial"]))
 
         async def keep_changing():
@@ -175,7 +175,7 @@
         await changing
         assert len(confirmed) > 400
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_a_folder_whose_records_know_no_segments_starts_and_goes_on():
--- a/tests/test_restarts.py
+++ b/tests/state/test_restart_freshness.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-import scenes_direct
+import direct_edge
 
 import irisstand.clocks as clocks
 import irisstand.node_context as node_context
@@ -15,7 +15,7 @@
 
     async def scene():
         await asyncio.sleep(10)
-        settings = scenes_direct.SETTINGS
+        settings = direct_edge.SETTINGS
         context = node_context.NodeContext(
             settings, settings.role, clocks.LoopClock(), random.Random(1), None
         )
--- a/tests/test_slow_disks.py
+++ b/tests/state/test_slow_disks.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-import scenes
+import cluster
 
 import irisstand.state.items as items
 import irisstand.state.storage.disk
@@ -42,8 +42,8 @@
         node = day.world.nodes["agency-3"]
         before = (node.disk.writes, node.disk.removals)
         for weight in range(1, 61):
-            await day.stage.order("agency-1", "change", [scenes.site_row(weight=weight)])
-        await day.stage.order("agency-1", "change", [{**scenes.site_row(), "value": None}])
+            await day.stage.order("agency-1", "change", [cluster.site_row(weight=weight)])
+        await day.stage.order("agency-1", "change", [{**cluster.site_row(), "value": None}])
         await asyncio.sleep(1)
         assert node.disk.writes - before[0] > 200 and node.disk.removals - before[1] <= 20
         root = node.body.core.store.copies[items.CONFIGURATION].root()
@@ -53,7 +53,7 @@
         assert node.body.core.store.copies[items.CONFIGURATION].root() == root
         assert node.body.context.configuration.value("site/north") is None
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_disks_a_hundred_times_slower_leave_a_working_core():
@@ -63,7 +63,7 @@
         taken = []
         for weight in range(1, 11):
             started = asyncio.get_running_loop().time()
-            await day.stage.order(f"agency-{weight % 5 + 1}", "change", [scenes.site_row(weight=weight)])
+            await day.stage.order(f"agency-{weight % 5 + 1}", "change", [cluster.site_row(weight=weight)])
             taken.append(asyncio.get_running_loop().time() - started)
             for node in day.world.role("agency"):
                 assert day.world.is_ready(node)
@@ -71,4 +71,4 @@
         duties = [duty for node in day.world.role("agency") for duty in node.body.duties]
         await day.world.until(lambda: len({duty.name for duty in duties if duty.holds()}) == 3, 10)
 
-    scenes.play(scene)
+    cluster.play(scene)
--- a/tests/deployed.py
+++ b/tests/support/deployed_programs.py
@@ -14,7 +14,7 @@
 import irisstand.fleet.processes as fleets
 import irisstand.standins.upstream as upstreams
 
-ROOT = pathlib.Path(__file__).resolve().parent.parent
+ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 sys.path.append(str(ROOT / "platform"))
 
 import place  # noqa: E402
--- a/tests/scenes_voters.py
+++ b/tests/support/voter_cluster.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-import scenes
+import cluster
 
 import irisstand.simulator.virtual_time as virtual
 import irisstand.simulator.world as worlds
@@ -16,7 +16,7 @@
 def play(scene, zones, seed=1):
     async def whole():
         sites = tuple((zone, "one" if zone < "c" else "two") for zone in zones)
-        shape = scenes.SHAPE._replace(shields=len(zones), sites=sites, edges=1)
+        shape = cluster.SHAPE._replace(shields=len(zones), sites=sites, edges=1)
         world = worlds.World(seed, shape)
         world.by_seeds, world.replace_after = True, 1.2
         await world.start_all()
--- a/tests/test_worst_days.py
+++ b/tests/tools/test_worst_days.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-TOOL = pathlib.Path(__file__).parent.parent / "tools" / "worst_days.py"
+TOOL = pathlib.Path(__file__).parent.parent.parent / "tools" / "worst_days.py"
 SITE = {
     "name": "somewhere",
     "timing": {"catch_up_s": 4.0},
--- a/tests/test_lives.py
+++ b/tests/transport/test_incarnations.py
@@ -3,8 +3,8 @@
 import asyncio
 import random
 
+import cluster
 import pytest
-import scenes
 
 import irisstand.controlplane.changes.orders as orders
 import irisstand.counters as counting
@@ -118,7 +118,7 @@
         node, asker = day.world.nodes["agency-2"], day.world.nodes["agency-3"]
         proposer = node.body.proposers[items.CONFIGURATION]
         before = node.body.context.configuration.value("site/north")
-        order = orders.Order("change", "", [scenes.site_row(weight=9)])
+        order = orders.Order("change", "", [cluster.site_row(weight=9)])
         # A ballot goes on for so long that the order is still queued when its asker gives up.
         async with proposer.holding:
             ask = asker.body.context.transport.ask(
@@ -131,6 +131,6 @@
         assert node.body.context.configuration.value("site/north") == before
         assert node.body.context.under_way == 0 and proposer.queue.empty()
         # What comes after it is decided as ever.
-        assert await day.stage.order("agency-3", "change", [scenes.site_row(weight=4)])
+        assert await day.stage.order("agency-3", "change", [cluster.site_row(weight=4)])
 
-    scenes.play(scene)
+    cluster.play(scene)
--- a/tests/test_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -5,7 +5,7 @@
 import random
 import re
 
-import scenes
+import cluster
 from test_fuzz import value
 
 import irisstand
@@ -33,7 +33,7 @@
             b"x" * (codec.FRAME_LIMIT + 1),
         ]
         for name in ("agency-2", "edge-1"):
-            context = scenes.context(day, name)
+            context = cluster.context(day, name)
             before = context.counters.total("frames_dropped")
             for payload in bad:
                 stream = await connect(day, name)
@@ -47,7 +47,7 @@
             assert context.counters.total("frames_dropped") - before == len(bad)
         assert (await day.stage.ask("edge-1", "GET", "/vacancies/1"))[0] == 200
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_random_bodies_to_every_kind_of_ask_kill_nobody_and_change_no_table():
@@ -76,9 +76,9 @@
                     assert copy.root() == before[table]
         assert asked > 80
         await day.world.until_ready()
-        assert await day.stage.order("agency-3", "change", [scenes.site_row(weight=4)])
+        assert await day.stage.order("agency-3", "change", [cluster.site_row(weight=4)])
 
-    scenes.play(scene)
+    cluster.play(scene)
 
 
 def test_neighbours_one_protocol_apart_understand_one_another_and_no_others():
--- a/tools/behaviour_digest.py
+++ b/tools/behaviour_digest.py
@@ -2,8 +2,8 @@
 
     python tools/behaviour_digest.py --kind busy --seed 201 --seconds 8 [--samples FILE]
 
-A change that only renames or moves code leaves the digest as it is. `--samples` writes a few recorded frames of
-each kind of message, which the tests of the wire format read.
+A change that only renames or moves code leaves the digests as they are; PYTHONHASHSEED=0 is needed for that.
+`--samples` writes a few recorded frames of each kind of message, which the tests of the wire format read.
 """
 
 import collections
