--- a/src/irisstand/dataplane/assembly.py
+++ b/src/irisstand/dataplane/assembly.py
@@ -5,7 +5,7 @@
 import typing
 
 from irisstand import clocks, node_context, node_settings
-from irisstand.dataplane.routing import configuration_snapshot
+from irisstand.dataplane.routing import snapshot
 from irisstand.state.replication import refresher, replicator
 from irisstand.transport import network
 
@@ -32,7 +32,7 @@
         connect: typing.Any = None,
     ) -> None:
         self.context = node_context.NodeContext(settings, settings.role, clock, randomness, net)
-        self.view = configuration_snapshot.Views(self.context)
+        self.view = snapshot.Views(self.context)
         self.replicator = replicator.Replicator(self.context)
         self.refresher = refresher.Refresher(self.context, self.replicator)
         self.part: typing.Any = importlib.import_module(REGISTRY[settings.role]).part(
--- a/src/irisstand/dataplane/cache/object_reader.py
+++ b/src/irisstand/dataplane/cache/object_reader.py
@@ -7,7 +7,7 @@
 from irisstand.dataplane.cache import object_cache, objects
 from irisstand.dataplane.http import header_names as vocabularies
 from irisstand.dataplane.retry import forwarding_policies
-from irisstand.dataplane.routing import configuration_snapshot, routes
+from irisstand.dataplane.routing import routes, snapshot
 from irisstand.dataplane.upstream import client
 from irisstand.state import versions
 
@@ -54,7 +54,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: configuration_snapshot.Views,
+        view: snapshot.Views,
         origins: client.Conversing,
         ask_holder: typing.Any,
     ) -> None:
--- a/src/irisstand/dataplane/nodes/direct.py
+++ b/src/irisstand/dataplane/nodes/direct.py
@@ -5,7 +5,7 @@
 from irisstand import node_context
 from irisstand.dataplane.cache import object_holders, object_reader, objects, ranges
 from irisstand.dataplane.http import header_names as vocabularies
-from irisstand.dataplane.routing import configuration_snapshot, routes
+from irisstand.dataplane.routing import routes, snapshot
 from irisstand.dataplane.upstream import client, endpoint_pool, exchange
 
 Request = client.Request
@@ -13,7 +13,7 @@
 
 class Direct:
     def __init__(
-        self, context: node_context.NodeContext, view: configuration_snapshot.Views, connect: exchange.Connect
+        self, context: node_context.NodeContext, view: snapshot.Views, connect: exchange.Connect
     ) -> None:
         self.context, self.view = context, view
         self.words = vocabularies.REGISTRY[context.settings.vocabulary]
@@ -61,7 +61,5 @@
     return exchange.connector(vocabularies.REGISTRY[settings.vocabulary].request_id)
 
 
-def part(
-    context: node_context.NodeContext, view: configuration_snapshot.Views, connect: typing.Any
-) -> Direct:
+def part(context: node_context.NodeContext, view: snapshot.Views, connect: typing.Any) -> Direct:
     return Direct(context, view, connect or connector(context.settings))
--- a/src/irisstand/dataplane/nodes/edge.py
+++ b/src/irisstand/dataplane/nodes/edge.py
@@ -10,7 +10,7 @@
 from irisstand.dataplane.cache import object_cache, objects
 from irisstand.dataplane.nodes import suspicion_watcher
 from irisstand.dataplane.retry import forwarding_policies
-from irisstand.dataplane.routing import configuration_snapshot
+from irisstand.dataplane.routing import snapshot
 from irisstand.state import versions
 
 READS = ("GET", "HEAD")
@@ -52,7 +52,7 @@
 
 
 class Edge:
-    def __init__(self, context: node_context.NodeContext, view: configuration_snapshot.Views) -> None:
+    def __init__(self, context: node_context.NodeContext, view: snapshot.Views) -> None:
         self.context, self.view = context, view
         self.cache = object_cache.Cache(context.settings.cache_bytes)
         self.collapse = object_cache.Collapse()
@@ -79,7 +79,7 @@
             raise
 
     # -- reads ---------------------------------------------------------------------------------------
-    async def read(self, granted: configuration_snapshot.Granted, request: Request) -> Result:
+    async def read(self, granted: snapshot.Granted, request: Request) -> Result:
         shared = not any(name in request.headers for name in CREDENTIALS)
         giving = forwarding_policies.Giving(self.context.clock, self.view, granted, request.path)
         floor = self.view.purged_at(request.path, ())
@@ -132,7 +132,7 @@
 
     async def fetch(
         self,
-        granted: configuration_snapshot.Granted,
+        granted: snapshot.Granted,
         request: Request,
         headers: dict[str, str],
         floor: versions.Version,
@@ -198,7 +198,7 @@
         return shields
 
     # -- writes --------------------------------------------------------------------------------------
-    async def write(self, granted: configuration_snapshot.Granted, request: Request) -> Result:
+    async def write(self, granted: snapshot.Granted, request: Request) -> Result:
         request_id = self.request_id()
         key = request.headers.get("idempotency-key", request_id)
         shields = self.view.shields(granted.service, key)
@@ -244,5 +244,5 @@
         return f"{self.context.settings.name}-{self.context.randomness.getrandbits(64):016x}"
 
 
-def part(context: node_context.NodeContext, view: configuration_snapshot.Views, connect: typing.Any) -> Edge:
+def part(context: node_context.NodeContext, view: snapshot.Views, connect: typing.Any) -> Edge:
     return Edge(context, view)
--- a/src/irisstand/dataplane/nodes/idempotency_keys.py
+++ b/src/irisstand/dataplane/nodes/idempotency_keys.py
@@ -9,7 +9,7 @@
 
 from irisstand import errors, node_context
 from irisstand.controlplane.consensus import submitter
-from irisstand.dataplane.routing import configuration_snapshot
+from irisstand.dataplane.routing import snapshot
 
 PATIENCE = 1.5
 # A larger result is not kept with the claim: the second asker learns only that the first one ran.
@@ -22,7 +22,7 @@
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
 
-    async def once(self, granted: configuration_snapshot.Granted, request: tuple, work: Work) -> tuple:
+    async def once(self, granted: snapshot.Granted, request: tuple, work: Work) -> tuple:
         method, target, headers, body, request_id = request
         given = headers.get("idempotency-key")
         # Without a key there is nothing to tell a repetition by; the write is sent at most once all the same.
--- a/src/irisstand/dataplane/nodes/shield.py
+++ b/src/irisstand/dataplane/nodes/shield.py
@@ -9,7 +9,7 @@
 from irisstand.dataplane.cache import object_cache, objects
 from irisstand.dataplane.nodes import idempotency_keys
 from irisstand.dataplane.retry import forwarding_policies
-from irisstand.dataplane.routing import configuration_snapshot
+from irisstand.dataplane.routing import snapshot
 from irisstand.dataplane.upstream import connections, origin_pool
 from irisstand.state import versions
 
@@ -24,7 +24,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: configuration_snapshot.Views,
+        view: snapshot.Views,
         open_line: connections.Open,
     ) -> None:
         self.context, self.view = context, view
@@ -66,7 +66,7 @@
         return remaining - (self.context.clock.now() - started)
 
     async def read(
-        self, granted: configuration_snapshot.Granted, work: tuple, remaining: float, shared: bool
+        self, granted: snapshot.Granted, work: tuple, remaining: float, shared: bool
     ) -> objects.Object:
         request_id, path, query, headers, floor = work
         if not shared:
@@ -87,7 +87,7 @@
         )
 
     async def look_and_fetch(
-        self, key: str, granted: configuration_snapshot.Granted, work: tuple, remaining: float
+        self, key: str, granted: snapshot.Granted, work: tuple, remaining: float
     ) -> objects.Object:
         floor = work[4]
         store = self.store_for(key)
@@ -135,9 +135,7 @@
         except errors.IrisError:
             self.context.counters.add("store_failed")
 
-    async def fetch(
-        self, granted: configuration_snapshot.Granted, work: tuple, remaining: float
-    ) -> objects.Object:
+    async def fetch(self, granted: snapshot.Granted, work: tuple, remaining: float) -> objects.Object:
         request_id, path, query, headers, floor = work
         decision = forwarding_policies.ShieldRead(self.context.clock, granted, remaining, self.budget)
         happened: tuple = ("started",)
@@ -171,7 +169,7 @@
 
     async def write(
         self,
-        granted: configuration_snapshot.Granted,
+        granted: snapshot.Granted,
         decision: forwarding_policies.ShieldWrite,
         request: tuple,
     ) -> tuple:
@@ -189,7 +187,7 @@
     # -- towards origins -----------------------------------------------------------------------------
     async def try_origin(
         self,
-        granted: configuration_snapshot.Granted,
+        granted: snapshot.Granted,
         request: tuple,
         decision: forwarding_policies.ShieldWork,
         tried: set[str],
@@ -243,13 +241,13 @@
             if line is not None:
                 await pool.give_back(line)
 
-    def recheck(self, granted: configuration_snapshot.Granted, method: str, target: str) -> None:
+    def recheck(self, granted: snapshot.Granted, method: str, target: str) -> None:
         path, _, query = target.partition("?")
         if self.view.grant(method, path, query).service != granted.service:
             raise errors.StaleConfiguration("the blueprint changed while the request waited")
 
     async def enter(
-        self, granted: configuration_snapshot.Granted, decision: forwarding_policies.ShieldWork
+        self, granted: snapshot.Granted, decision: forwarding_policies.ShieldWork
     ) -> tuple[service_limits.Share, float]:
         """A place under this shield's part of the ceiling, waited for briefly, then said no to at once."""
         rate, inflight = self.view.share(granted.service, granted.ceiling)
@@ -266,7 +264,5 @@
         return share, self.context.clock.now()
 
 
-def part(
-    context: node_context.NodeContext, view: configuration_snapshot.Views, connect: typing.Any
-) -> Shield:
+def part(context: node_context.NodeContext, view: snapshot.Views, connect: typing.Any) -> Shield:
     return Shield(context, view, connect or connections.open_http)
--- a/src/irisstand/dataplane/nodes/store.py
+++ b/src/irisstand/dataplane/nodes/store.py
@@ -5,12 +5,12 @@
 from irisstand import node_context
 from irisstand.dataplane.cache import object_cache, objects
 from irisstand.dataplane.retry import forwarding_policies
-from irisstand.dataplane.routing import configuration_snapshot
+from irisstand.dataplane.routing import snapshot
 from irisstand.state import versions
 
 
 class Store:
-    def __init__(self, context: node_context.NodeContext, view: configuration_snapshot.Views) -> None:
+    def __init__(self, context: node_context.NodeContext, view: snapshot.Views) -> None:
         self.context, self.view = context, view
         self.cache = object_cache.Cache(context.settings.cache_bytes)
         context.transport.handlers["look"] = self.on_look
@@ -41,5 +41,5 @@
         return ()
 
 
-def part(context: node_context.NodeContext, view: configuration_snapshot.Views, connect: typing.Any) -> Store:
+def part(context: node_context.NodeContext, view: snapshot.Views, connect: typing.Any) -> Store:
     return Store(context, view)
--- a/src/irisstand/dataplane/retry/forwarding_policies.py
+++ b/src/irisstand/dataplane/retry/forwarding_policies.py
@@ -6,7 +6,7 @@
 from irisstand import clocks, errors
 from irisstand.balancing import retry_budget as budgets
 from irisstand.dataplane.cache import objects
-from irisstand.dataplane.routing import configuration_snapshot
+from irisstand.dataplane.routing import snapshot
 from irisstand.state import versions
 
 Action = tuple
@@ -38,7 +38,7 @@
 
 
 def is_usable(
-    thing: objects.Object, path: str, view: configuration_snapshot.Views, floor: versions.Version, now: float
+    thing: objects.Object, path: str, view: snapshot.Views, floor: versions.Version, now: float
 ) -> bool:
     """Not outlived, and fetched after the newest purge that anybody on the way knows of."""
     purged = max(floor, view.purged_at(path, thing.tags))
@@ -49,7 +49,7 @@
 OUTLIVED = 1.0
 
 
-def is_fit(thing: objects.Object, path: str, view: configuration_snapshot.Views, now: float) -> bool:
+def is_fit(thing: objects.Object, path: str, view: snapshot.Views, now: float) -> bool:
     """Whether a fetched answer may be given out now: purges and life go on while it is under way."""
     outlived = thing.life > 0 and thing.age_now(now) > thing.life + OUTLIVED
     return thing.applied >= view.purged_at(path, thing.tags) and not outlived
@@ -61,8 +61,8 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        view: configuration_snapshot.Views,
-        granted: configuration_snapshot.Granted,
+        view: snapshot.Views,
+        granted: snapshot.Granted,
         path: str,
     ) -> None:
         self.clock, self.view, self.path = clock, view, path
@@ -97,7 +97,7 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        granted: configuration_snapshot.Granted,
+        granted: snapshot.Granted,
         shields: list,
         deadline: float | None = None,
     ) -> None:
@@ -129,7 +129,7 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        granted: configuration_snapshot.Granted,
+        granted: snapshot.Granted,
         shields: list,
         budget: budgets.Budget,
         deadline: float,
@@ -175,9 +175,7 @@
 class ShieldWork:
     """What reads and writes at a shield have in common: origins tried, and a deadline."""
 
-    def __init__(
-        self, clock: clocks.Clock, granted: configuration_snapshot.Granted, remaining: float
-    ) -> None:
+    def __init__(self, clock: clocks.Clock, granted: snapshot.Granted, remaining: float) -> None:
         self.clock, self.granted = clock, granted
         self.deadline = clock.now() + min(remaining, granted.deadline)
         self.tried: set[str] = set()
@@ -195,7 +193,7 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        granted: configuration_snapshot.Granted,
+        granted: snapshot.Granted,
         remaining: float,
         budget: budgets.Budget,
     ) -> None:
--- a/src/irisstand/dataplane/upstream/client.py
+++ b/src/irisstand/dataplane/upstream/client.py
@@ -7,7 +7,7 @@
 from irisstand import errors, node_context
 from irisstand.balancing import retry_budget as budgets
 from irisstand.dataplane.retry import attempt_policy, forwarding_policies
-from irisstand.dataplane.routing import configuration_snapshot, routes
+from irisstand.dataplane.routing import routes, snapshot
 from irisstand.dataplane.upstream import endpoint as targeting
 from irisstand.dataplane.upstream import endpoint_pool, exchange
 
@@ -55,7 +55,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: configuration_snapshot.Views,
+        view: snapshot.Views,
         table: routes.Routes,
         origins: endpoint_pool.Targets,
     ) -> None:
--- a/src/irisstand/dataplane/upstream/endpoint.py
+++ b/src/irisstand/dataplane/upstream/endpoint.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from irisstand import errors, event_log, node_context
-from irisstand.dataplane.routing import configuration_snapshot
+from irisstand.dataplane.routing import snapshot
 from irisstand.dataplane.upstream import exchange
 
 CONNECT_PATIENCE = 0.4
@@ -25,7 +25,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        origin: configuration_snapshot.Origin,
+        origin: snapshot.Origin,
         connect: exchange.Connect,
     ) -> None:
         self.context, self.origin, self.connect = context, origin, connect
--- a/src/irisstand/dataplane/upstream/endpoint_pool.py
+++ b/src/irisstand/dataplane/upstream/endpoint_pool.py
@@ -8,7 +8,7 @@
 from irisstand.balancing import fleet_limits
 from irisstand.dataplane.http import header_names
 from irisstand.dataplane.ratelimit import quota_share, token_leases
-from irisstand.dataplane.routing import configuration_snapshot, routes
+from irisstand.dataplane.routing import routes, snapshot
 from irisstand.dataplane.upstream import endpoint as targeting
 from irisstand.dataplane.upstream import exchange
 
@@ -34,7 +34,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: configuration_snapshot.Views,
+        view: snapshot.Views,
         table: routes.Routes,
         words: header_names.Vocabulary,
         connect: exchange.Connect,
--- a/src/irisstand/dataplane/upstream/origin_pool.py
+++ b/src/irisstand/dataplane/upstream/origin_pool.py
@@ -8,7 +8,7 @@
 
 from irisstand import errors, event_log, node_context
 from irisstand.balancing import slow_start
-from irisstand.dataplane.routing import configuration_snapshot
+from irisstand.dataplane.routing import snapshot
 from irisstand.dataplane.upstream import connections
 
 LINES_LIMIT = 16
@@ -27,7 +27,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        origin: configuration_snapshot.Origin,
+        origin: snapshot.Origin,
         open_line: connections.Open,
     ) -> None:
         self.context, self.origin, self.open_line = context, origin, open_line
@@ -139,12 +139,12 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: configuration_snapshot.Views,
+        view: snapshot.Views,
         open_line: connections.Open,
     ) -> None:
         self.context, self.view, self.open_line = context, view, open_line
-        self.pools: dict[configuration_snapshot.Origin, Pool] = {}
-        self.tasks: dict[configuration_snapshot.Origin, asyncio.Task] = {}
+        self.pools: dict[snapshot.Origin, Pool] = {}
+        self.tasks: dict[snapshot.Origin, asyncio.Task] = {}
         context.ledger.watchers.append(self.follow)
 
     def follow(self) -> None:
@@ -162,10 +162,10 @@
                 self.tasks[place] = self.context.start(pool.keep(), f"keeper of {origin.key}")
             self.pools[place].note_evacuation(self.view.is_evacuated(origin.site))
 
-    def place(self, origin: configuration_snapshot.Origin) -> configuration_snapshot.Origin:
+    def place(self, origin: snapshot.Origin) -> snapshot.Origin:
         return origin._replace(state="", warmup=0, slots=0)
 
-    def draw(self, granted: configuration_snapshot.Granted, tried: typing.Container[str]) -> Pool:
+    def draw(self, granted: snapshot.Granted, tried: typing.Container[str]) -> Pool:
         """Of two drawn at random by warmth, the less busy: good spread without a view of the others."""
         listed = [
             pool
@@ -197,6 +197,6 @@
             drawn.bucket.take()
         return drawn
 
-    def part(self, granted: configuration_snapshot.Granted) -> float:
+    def part(self, granted: snapshot.Granted) -> float:
         """This shield's part of the service's ceiling, from 0 to 1."""
         return self.view.share(granted.service, granted.ceiling)[0] / granted.ceiling[0]
--- a/src/irisstand/simulator/hostile_scripts.py
+++ b/src/irisstand/simulator/hostile_scripts.py
@@ -7,7 +7,7 @@
 
 from irisstand import clocks, errors, node_context, node_settings
 from irisstand.dataplane.nodes import direct
-from irisstand.dataplane.routing import configuration_snapshot
+from irisstand.dataplane.routing import snapshot
 from irisstand.dataplane.upstream import exchange
 from irisstand.simulator import virtual_time
 from irisstand.standins import hostile_origin
@@ -39,7 +39,7 @@
         clock = clocks.LoopClock()
         self.context = node_context.NodeContext(SETTINGS, "direct", clock, self.randomness, None)
         self.context.closing = asyncio.get_running_loop().create_future()
-        self.part = direct.Direct(self.context, configuration_snapshot.Views(self.context), self.connect)
+        self.part = direct.Direct(self.context, snapshot.Views(self.context), self.connect)
         self.counter = 0
         for name, kind in KINDS.items():
             route = {"name": name, "version": 1, "host": "h", "prefix": f"/{name}/", "kind": kind}
--- a/src/irisstand/simulator/simulated_actors.py
+++ b/src/irisstand/simulator/simulated_actors.py
@@ -9,7 +9,7 @@
 from irisstand.controlplane.changes import orders
 from irisstand.controlplane.singletons import origin_discovery as watch
 from irisstand.dataplane.nodes import edge as edges
-from irisstand.dataplane.routing import configuration_snapshot
+from irisstand.dataplane.routing import snapshot
 from irisstand.fleet import judge as judges
 from irisstand.simulator import simulated_origins as simulated
 from irisstand.standins import origin as origins
@@ -113,7 +113,7 @@
         finally:
             actor.asks -= 1
 
-    def has_room(self, granted: configuration_snapshot.Granted) -> bool:
+    def has_room(self, granted: snapshot.Granted) -> bool:
         """Whether some shield that is up could have sent one more request of the service just now."""
         now = asyncio.get_running_loop().time()
         for node in self.world.role("shield"):
--- a/tests/mutation/dataplane_mutations.py
+++ b/tests/mutation/dataplane_mutations.py
@@ -69,7 +69,7 @@
         "dataplane/test_reads.py::test_a_cache_life_is_one_life_over_all_hops",
     ),
     (
-        "dataplane/routing/configuration_snapshot.py",
+        "dataplane/routing/snapshot.py",
         "        return max(forgotten, *(copy.version(key) for key in keys))",
         "        return max(copy.version(key) for key in keys)",
         "controlplane/test_retention.py::test_a_node_cut_off_past_the_horizon_serves_nothing_that_a_forgotten_purge_struck",
--- a/tests/state/test_restart_after_changes.py
+++ b/tests/state/test_restart_after_changes.py
@@ -14,10 +14,10 @@
 import irisstand.simulator.simulated_folder
 import irisstand.state.items as items
 import irisstand.state.replica as replica
-import irisstand.state.replication.replicator
-import irisstand.state.storage.disk
-import irisstand.state.storage.durable_store
-import irisstand.state.storage.item_files
+from irisstand.state.replication import replicator
+from irisstand.state.storage import disk as disks
+from irisstand.state.storage import durable_store
+from irisstand.state.storage import item_files
 import irisstand.state.versions as versions
 
 SYNC_SECONDS = 0.005
@@ -36,8 +36,8 @@
 
 
 async def store_on(folder, seed=5):
-    disk = irisstand.state.storage.disk.FolderDisk(pathlib.Path("simulated"), folder)
-    store = irisstand.state.storage.durable_store.DurableStore(disk, random.Random(seed))
+    disk = disks.FolderDisk(pathlib.Path("simulated"), folder)
+    store = durable_store.DurableStore(disk, random.Random(seed))
     await store.open()
     return store
 
@@ -126,8 +126,8 @@
                 transport=transport, clock=clock, counters=counted, copies={"t": table}
             )
 
-        answering = irisstand.state.replication.replicator.Replicator(context(peer))
-        asking = irisstand.state.replication.replicator.Replicator(context(copy))
+        answering = replicator.Replicator(context(peer))
+        asking = replicator.Replicator(context(copy))
         await asking.mend(("h", 1), "peer", copy, False)
         assert copy.root() == peer.root() and copy.applied == peer.applied
 
@@ -183,12 +183,12 @@
 
     async def scene():
         folder, live = new_folder(), replica.Copy(items.LEDGER)
-        disk = irisstand.state.storage.disk.FolderDisk(pathlib.Path("simulated"), folder)
+        disk = disks.FolderDisk(pathlib.Path("simulated"), folder)
         await disk.load()
         grow(live, 60, random.Random(4), removals=0)
         files = [
             (
-                irisstand.state.storage.item_files.item_file(items.LEDGER, item),
+                item_files.item_file(items.LEDGER, item),
                 ormsgpack.packb(items.encode(item)),
             )
             for item in live.items.values()
--- a/tests/support/direct_edge.py
+++ b/tests/support/direct_edge.py
@@ -6,7 +6,7 @@
 
 import irisstand.clocks as clocks
 import irisstand.dataplane.nodes.direct as direct
-import irisstand.dataplane.routing.configuration_snapshot as configuration_snapshot
+import irisstand.dataplane.routing.snapshot as snapshot
 import irisstand.dataplane.upstream.exchange as exchange
 import irisstand.errors as errors
 import irisstand.membership.updates as updates
@@ -83,7 +83,7 @@
         self.play = lambda key, headers, body: whole(headers.get("x-request-id", ""))
         for number in range(2, edges + 1):
             self.member(f"edge-{number}", "direct")
-        self.view = configuration_snapshot.Views(self.context)
+        self.view = snapshot.Views(self.context)
         self.part = direct.Direct(self.context, self.view, self.connect)
         for name, kind in KINDS.items():
             self.route(name, kind=kind)
