--- a/src/irisstand/controlplane/assembly.py
+++ b/src/irisstand/controlplane/assembly.py
@@ -6,8 +6,8 @@
 
 from irisstand import clocks, node_context, node_settings
 from irisstand.controlplane.consensus import bootstrap as founding
-from irisstand.controlplane.consensus import core_node as cores
 from irisstand.controlplane.consensus import heartbeat, submitter, voter_planner
+from irisstand.controlplane.consensus import participant as cores
 from irisstand.controlplane.consensus import proposer as proposers
 from irisstand.controlplane.singletons import capacity_scaling, lease, placement, rate_placement, retention
 from irisstand.controlplane.singletons import origin_discovery as watch
--- a/src/irisstand/controlplane/consensus/bootstrap.py
+++ b/src/irisstand/controlplane/consensus/bootstrap.py
@@ -4,7 +4,7 @@
 
 from irisstand import errors, event_log
 from irisstand.controlplane.changes import orders
-from irisstand.controlplane.consensus import core_node as cores
+from irisstand.controlplane.consensus import participant as cores
 from irisstand.controlplane.consensus import submitter as submitting
 from irisstand.state import items, quorum, versions
 
--- a/src/irisstand/controlplane/consensus/heartbeat.py
+++ b/src/irisstand/controlplane/consensus/heartbeat.py
@@ -7,7 +7,7 @@
 import asyncio
 
 from irisstand import errors
-from irisstand.controlplane.consensus import core_node as cores
+from irisstand.controlplane.consensus import participant as cores
 from irisstand.controlplane.consensus import proposer as proposers
 from irisstand.state import quorum, versions
 
--- a/src/irisstand/controlplane/consensus/proposer.py
+++ b/src/irisstand/controlplane/consensus/proposer.py
@@ -5,7 +5,7 @@
 
 from irisstand import errors, event_log
 from irisstand.controlplane.changes import orders
-from irisstand.controlplane.consensus import core_node as cores
+from irisstand.controlplane.consensus import participant as cores
 from irisstand.state import items, quorum, versions
 
 PATIENCE = 4.0
--- a/src/irisstand/controlplane/consensus/submitter.py
+++ b/src/irisstand/controlplane/consensus/submitter.py
@@ -5,7 +5,7 @@
 
 from irisstand import control_errors, errors
 from irisstand.controlplane.changes import orders
-from irisstand.controlplane.consensus import core_node as cores
+from irisstand.controlplane.consensus import participant as cores
 from irisstand.controlplane.consensus import proposer as proposers
 from irisstand.state import quorum
 
--- a/src/irisstand/modelcheck/node.py
+++ b/src/irisstand/modelcheck/node.py
@@ -4,8 +4,8 @@
 import typing
 
 from irisstand import clocks, node_context, node_settings
-from irisstand.controlplane.consensus import core_node as cores
 from irisstand.controlplane.consensus import heartbeat
+from irisstand.controlplane.consensus import participant as cores
 from irisstand.controlplane.consensus import proposer as proposers
 from irisstand.membership import updates
 from irisstand.modelcheck import events
--- a/tests/mutation/consensus_mutations.py
+++ b/tests/mutation/consensus_mutations.py
@@ -9,7 +9,7 @@
         "simulator/test_simulated_days.py",
     ),
     (
-        "controlplane/consensus/core_node.py",
+        "controlplane/consensus/participant.py",
         "        if disk_id != self.store.identity:",
         "        if False:",
         "controlplane/test_guard_scenarios.py::test_a_disk_asked_for_under_its_predecessors_id_has_no_vote_though_it_has_learnt_everything",
@@ -99,7 +99,7 @@
         "controlplane/test_voter_sets.py::test_one_bad_link_between_two_voters_unseats_neither",
     ),
     (
-        "controlplane/consensus/core_node.py",
+        "controlplane/consensus/participant.py",
         "        if now - self.awake_at > STOOD_STILL:",
         "        if False:",
         "controlplane/test_voter_sets.py::test_a_majority_that_stood_still_together_unseats_nobody_when_it_goes_on",
@@ -129,7 +129,7 @@
         "controlplane/test_voter_sets.py::test_a_lost_zone_is_repaired_within_catch_up_so_that_the_next_may_go",
     ),
     (
-        "controlplane/consensus/core_node.py",
+        "controlplane/consensus/participant.py",
         "        if disk_id != self.store.identity:",
         "        if False:",
         "modelcheck/test_model_check.py::test_random_walks_with_links_in_trouble_keep_all_rules[race]",
--- a/tests/state/test_restart_after_changes.py
+++ b/tests/state/test_restart_after_changes.py
@@ -14,11 +14,10 @@
 import irisstand.simulator.simulated_folder
 import irisstand.state.items as items
 import irisstand.state.replica as replica
+import irisstand.state.versions as versions
 from irisstand.state.replication import replicator
 from irisstand.state.storage import disk as disks
-from irisstand.state.storage import durable_store
-from irisstand.state.storage import item_files
-import irisstand.state.versions as versions
+from irisstand.state.storage import durable_store, item_files
 
 SYNC_SECONDS = 0.005
 CATCH_UP = 4.0
