--- /dev/null
+++ b/tests/state/test_recorded_data_folder.py
@@ -0,0 +1,45 @@
+"""A data folder written by the code before the packages were renamed starts under today's code."""
+
+import asyncio
+import base64
+import json
+import pathlib
+import random
+
+import pytest
+
+from irisstand.state import items, versions
+from irisstand.state.storage import disk as disks
+from irisstand.state.storage import durable_store
+
+RECORDED = json.loads(
+    (pathlib.Path(__file__).parent.parent / "fixtures" / "storage" / "data_folder.json").read_text()
+)
+
+
+@pytest.fixture
+def store(tmp_path):
+    for name, content in RECORDED["files"].items():
+        (tmp_path / name).write_bytes(base64.b64decode(content))
+    opened = durable_store.DurableStore(disks.FolderDisk(tmp_path), random.Random(1))
+    asyncio.run(opened.open())
+    return opened
+
+
+def test_disk_id_is_kept(store):
+    assert store.identity == RECORDED["expected"]["disk_id"]
+
+
+@pytest.mark.parametrize("table", items.TABLES)
+def test_records_and_items_are_read_back(store, table):
+    expected = RECORDED["expected"][table]
+    record = store.records[table]
+    assert record.applied == versions.decode(expected["recorded_applied"])
+    assert record.promised == versions.decode(expected["promised"])
+    assert record.accepted == versions.decode(expected["accepted"])
+    assert record.root.hex() == expected["recorded_root"]
+    assert list(record.segments) == expected["segments"]
+    assert store.sound[table]
+    replica = store.copies[table]
+    assert replica.root() == record.root
+    assert sorted(replica.items)[:5] == expected["keys"]
