--- a/src/irisstand/commands.py
+++ b/src/irisstand/commands.py
@@ -58,7 +58,7 @@
         raise click.BadParameter(f"no format {form!r}; use one of {', '.join(formats.REGISTRY)}")
     try:
         return formats.read(getattr(file, "name", ""), file.read(), form)
-    except errors.BadChange as error:
+    except errors.InvalidChangeError as error:
         for fault in error.faults:
             place = "" if fault["document"] is None else f"document {fault['document'] + 1}: "
             click.echo(f"fault: {place}{fault['field']}: {fault['message']}", err=True)
--- a/src/irisstand/control_errors.py
+++ b/src/irisstand/control_errors.py
@@ -25,7 +25,7 @@
 DETAILED: dict[str, type[DetailedError]] = {}
 
 
-class VersionTaken(DetailedError):
+class VersionTakenError(DetailedError):
     """Other content was confirmed under the version of an item in the call."""
 
     code, status, details_name = "version-taken", 409, "conflicts"
@@ -33,7 +33,7 @@
     remedy = "read the items again, and send this content under a higher version"
 
 
-class ChangeIdTaken(DetailedError):
+class ChangeIdTakenError(DetailedError):
     """Another order was confirmed under the same change id."""
 
     code, status, details_name = "change-id-taken", 409, "conflicts"
@@ -41,7 +41,7 @@
     remedy = "send this order under a new change id"
 
 
-class SiteNotHeard(errors.IrisError):
+class SiteUnknownError(errors.IrisError):
     """This node knows no such site, which may be its own ignorance: another node may know it."""
 
     code, status, comes_back = "site-not-heard", 503, 1.0
--- a/src/irisstand/controlplane/api/operator_orders.py
+++ b/src/irisstand/controlplane/api/operator_orders.py
@@ -42,15 +42,15 @@
         if given is None:
             return f"{self.context.settings.name}.{self.context.randomness.getrandbits(64):016x}"
         if not isinstance(given, str) or not CHANGE.match(given):
-            raise errors.BadRequest("change is not an id", "use up to 100 letters, digits and ._:-")
+            raise errors.BadRequestError("change is not an id", "use up to 100 letters, digits and ._:-")
         return given
 
     async def submit(self, kind: str, change: str, payload: typing.Any) -> sanic.response.HTTPResponse:
         if self.context.draining:
-            raise errors.Draining("this node is shutting down")
+            raise errors.DrainingError("this node is shutting down")
         try:
             result = await self.submitter.answer(orders.Order(kind, change, payload))
-        except errors.ChangeUnknown as error:
+        except errors.ChangeOutcomeUnknownError as error:
             return web.as_json({**error.as_object(), "change": change}, error.status, {"Retry-After": "1"})
         return web.as_json({"change": change, "confirmed": True, **result})
 
@@ -58,9 +58,9 @@
         content = self.body(request)
         rows = content.get("rows")
         if not isinstance(rows, list) or not rows or not all(isinstance(row, dict) for row in rows):
-            raise errors.BadRequest("rows is not a list of objects", "send one object for each row")
+            raise errors.BadRequestError("rows is not a list of objects", "send one object for each row")
         if len(rows) > 1000:
-            raise errors.BadRequest("over 1000 rows in one change", "send it in parts")
+            raise errors.BadRequestError("over 1000 rows in one change", "send it in parts")
         faults = [
             {"row": place, "field": key, "message": "no such field; use kind, name, value and expected"}
             for place, row in enumerate(rows)
@@ -73,7 +73,7 @@
             if "value" not in row
         ]
         if faults:
-            raise errors.BadChange(faults)
+            raise errors.InvalidChangeError(faults)
         return await self.submit("change", self.change_id(content), rows)
 
     async def post_purge(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
@@ -83,15 +83,15 @@
             return await self.submit("purge", "", [self.single_purge(content)])
         paths, tags = content.get("paths", []), content.get("tags", [])
         if not isinstance(paths, list) or not isinstance(tags, list):
-            raise errors.BadRequest("paths and tags are not lists", "send lists of words")
+            raise errors.BadRequestError("paths and tags are not lists", "send lists of words")
         named = [("path", path) for path in paths] + [("tag", tag) for tag in tags]
         if not named or len(named) > 1000:
-            raise errors.BadRequest("no path and no tag, or over 1000", "name what to purge, in parts")
+            raise errors.BadRequestError("no path and no tag, or over 1000", "name what to purge, in parts")
         for kind, name in named:
             if not isinstance(name, str) or not 0 < len(name) <= 1024:
-                raise errors.BadRequest(f"{name!r} is not a {kind}", "send short words")
+                raise errors.BadRequestError(f"{name!r} is not a {kind}", "send short words")
             if kind == "path" and not name.startswith("/"):
-                raise errors.BadRequest(f"path {name!r} does not begin with /", "send the whole path")
+                raise errors.BadRequestError(f"path {name!r} does not begin with /", "send the whole path")
         return await self.submit("purge", self.change_id(content), named)
 
     def single_purge(self, content: dict) -> tuple[str, str]:
@@ -102,7 +102,7 @@
         is_place = isinstance(path, str) and isinstance(host, str) and path.startswith("/")
         if tag is None and is_place and len(host) + len(path) <= 2048:
             return ("path", host + path)
-        raise errors.BadRequest("not one tag, nor one host and path", "name a tag, or a host and a path")
+        raise errors.BadRequestError("not one tag, nor one host and path", "name a tag, or a host and a path")
 
     async def put_evacuation(self, request: sanic.request.Request, site: str) -> sanic.response.HTTPResponse:
         await self.evacuation.check_site(site)
@@ -130,5 +130,5 @@
             return web.as_json(await self.voters.retire(name))
         old = self.body(request).get("replaces")
         if not isinstance(old, str):
-            raise errors.BadRequest("replaces is not a name", 'send {"replaces": "the voter that goes"}')
+            raise errors.BadRequestError("replaces is not a name", 'send {"replaces": "the voter that goes"}')
         return web.as_json(await self.voters.replace(old, name))
--- a/src/irisstand/controlplane/api/request_bodies.py
+++ b/src/irisstand/controlplane/api/request_bodies.py
@@ -25,10 +25,12 @@
     try:
         content = json.loads(body, object_pairs_hook=distinct)
     except (ValueError, RecursionError):
-        raise errors.BadRequest("the body is not whole JSON, with each field once", OBJECT) from None
+        raise errors.BadRequestError("the body is not whole JSON, with each field once", OBJECT) from None
     if not isinstance(content, dict):
-        raise errors.BadRequest("the body is not a JSON object", OBJECT)
+        raise errors.BadRequestError("the body is not a JSON object", OBJECT)
     fault = canonical_content.fault_of(content)
     if fault:
-        raise errors.BadRequest(f"the body holds {fault}", "send finite numbers and plain text, not too deep")
+        raise errors.BadRequestError(
+            f"the body holds {fault}", "send finite numbers and plain text, not too deep"
+        )
     return content
--- a/src/irisstand/controlplane/changes/amendment.py
+++ b/src/irisstand/controlplane/changes/amendment.py
@@ -34,7 +34,7 @@
     """
     judged = judge(overlay, payload)
     if judged.conflicts:
-        raise control_errors.VersionTaken(judged.conflicts)
+        raise control_errors.VersionTakenError(judged.conflicts)
     if not judged.newer and not judged.late:
         return {}
     standing: dict[str, Stored] = {}
@@ -44,7 +44,7 @@
     faults = versioned.faults_of(standing) if judged.newer else []
     faults += versioned.faults_of_late(judged.late, standing)
     if faults:
-        raise errors.BadChange(faults)
+        raise errors.InvalidChangeError(faults)
     return judged.rows
 
 
@@ -72,13 +72,13 @@
     """The entries of a call's JSON body; BadRequest or BadChange with every fault."""
     entries, faults = versioned.read(request_bodies.read_object(body))
     if faults:
-        raise errors.BadChange(faults)
+        raise errors.InvalidChangeError(faults)
     if not entries:
-        raise errors.BadRequest("the call names no item", "put or drop at least one")
+        raise errors.BadRequestError("the call names no item", "put or drop at least one")
     return entries
 
 
-def listing(copy: replica.Copy) -> dict[str, typing.Any]:
+def listing(copy: replica.Replica) -> dict[str, typing.Any]:
     """All items that stand, laid out as a call that would put them."""
     found: dict[str, typing.Any] = {
         name: [item.value["item"] for item in copy.under(f"{kind}/") if item.value["item"] is not None]
--- a/src/irisstand/controlplane/changes/change_status.py
+++ b/src/irisstand/controlplane/changes/change_status.py
@@ -29,7 +29,7 @@
                     "seconds_ago": self.seconds_ago(copy, record.version),
                     "nodes": await self.nodes(table, record.version),
                 }
-        raise errors.Unknown(
+        raise errors.UnknownNameError(
             f"no change {change!r} is known here",
             "use the id that the result of the change named; ids are known for a day. If its outcome was "
             "unknown, send the change again under the same id",
--- a/src/irisstand/controlplane/changes/evacuation_check.py
+++ b/src/irisstand/controlplane/changes/evacuation_check.py
@@ -43,8 +43,8 @@
                 return
             if 2 * answered <= len(self.other_voters()) + 1:
                 remedy = f"ask another node; known here are {', '.join(sorted(known))}"
-                raise control_errors.SiteNotHeard(f"no site {site!r} is known to this node", remedy)
-        raise errors.Unknown(f"no site {site!r}", f"use one of {', '.join(sorted(known))}")
+                raise control_errors.SiteUnknownError(f"no site {site!r} is known to this node", remedy)
+        raise errors.UnknownNameError(f"no site {site!r}", f"use one of {', '.join(sorted(known))}")
 
     def other_voters(self) -> list[quorum.Voter]:
         voters = quorum.decode(self.context.ledger.value(items.VOTERS))
@@ -68,7 +68,7 @@
             return []
         try:
             return await self.check(site, insist)
-        except errors.CannotCarry:
+        except errors.InsufficientCapacityError:
             await self.confirm_since(asked_at)
         return [] if self.view.is_evacuated(site) else await self.check(site, insist)
 
@@ -77,7 +77,7 @@
         clock = self.context.clock
         while (self.context.ledger.current_as_of or 0.0) < moment:
             if clock.now() - moment > CONFIRM_PATIENCE:
-                raise errors.NoMajority(
+                raise errors.NoQuorumError(
                     "this node has not heard a majority of the voters since this was asked"
                 )
             await asyncio.sleep(0.02)
@@ -99,7 +99,7 @@
             if not left or capacity < load:
                 short.append(role)
         if short and not insist:
-            raise errors.CannotCarry(
+            raise errors.InsufficientCapacityError(
                 f"without {site} the load on {' and '.join(short)} machines could not be carried", figures
             )
         notes = [f"insisted on, though {role} machines cannot carry the load" for role in short]
--- a/src/irisstand/controlplane/changes/orders.py
+++ b/src/irisstand/controlplane/changes/orders.py
@@ -72,7 +72,7 @@
         for kind, name, field, message in rules.faults(standing):
             faults.append({"row": None, "kind": kind, "name": name, "field": field, "message": message})
     if faults:
-        raise errors.BadChange(faults)
+        raise errors.InvalidChangeError(faults)
     conflicts = []
     for row in payload:
         version = overlay.version(f"{row['kind']}/{row['name']}")
@@ -80,7 +80,7 @@
             conflict = {"kind": row["kind"], "name": row["name"], "expected": row["expected"]}
             conflicts.append({**conflict, "in_force": str(version)})
     if conflicts:
-        raise errors.StaleVersion(conflicts)
+        raise errors.StaleVersionError(conflicts)
     return {f"{row['kind']}/{row['name']}": row.get("value") for row in payload}
 
 
@@ -102,7 +102,7 @@
     wanted = LeaseWanted(*payload)
     key = f"term/{wanted.duty}"
     if str(overlay.version(key)) != wanted.expected:
-        raise errors.StaleVersion([{"duty": wanted.duty, "in_force": str(overlay.version(key))}])
+        raise errors.StaleVersionError([{"duty": wanted.duty, "in_force": str(overlay.version(key))}])
     return {key: {"holder": wanted.holder}}
 
 
@@ -111,7 +111,7 @@
     fenced = FencedRows(*payload)
     in_force = str(overlay.version(f"term/{fenced.duty}"))
     if in_force != fenced.lease:
-        raise errors.StaleVersion([{"duty": fenced.duty, "in_force": in_force}])
+        raise errors.StaleVersionError([{"duty": fenced.duty, "in_force": in_force}])
     return {key: value for key, value in fenced.rows if overlay.value(key) != value}
 
 
@@ -121,7 +121,7 @@
     row = f"claim/{wanted.key}"
     known = overlay.value(row)
     if known is not None and known["by"] != wanted.attempt:
-        raise errors.Claimed(known)
+        raise errors.KeyClaimedError(known)
     if known is None:
         table_time.check_room(overlay, "claim", CLAIMS_LIMIT)
     return {row: {"by": wanted.attempt, "print": wanted.fingerprint, "state": "claimed"}}
@@ -167,7 +167,7 @@
 
 def table_of(kind: str) -> str:
     if kind not in REGISTRY:
-        raise errors.Unknown(f"no order {kind!r}", f"use one of {', '.join(REGISTRY)}")
+        raise errors.UnknownNameError(f"no order {kind!r}", f"use one of {', '.join(REGISTRY)}")
     return REGISTRY[kind][0]
 
 
@@ -196,4 +196,4 @@
 def check_same(order: Order, record: dict[str, typing.Any]) -> None:
     """Only the order that took an id gets its result. Records of earlier software bear no digest."""
     if record.get("digest", digest_of(order)) != digest_of(order):
-        raise control_errors.ChangeIdTaken([{"change": order.change, "rows": record["rows"]}])
+        raise control_errors.ChangeIdTakenError([{"change": order.change, "rows": record["rows"]}])
--- a/src/irisstand/controlplane/changes/overlay.py
+++ b/src/irisstand/controlplane/changes/overlay.py
@@ -14,7 +14,7 @@
 
 
 class Overlay:
-    def __init__(self, copy: replica.Copy, version: versions.Version) -> None:
+    def __init__(self, copy: replica.Replica, version: versions.Version) -> None:
         self.copy, self.new_version = copy, version
         self.rows: dict[str, tuple[typing.Any, bool]] = {}
         self.size = 0
--- a/src/irisstand/controlplane/changes/table_time.py
+++ b/src/irisstand/controlplane/changes/table_time.py
@@ -73,7 +73,7 @@
     """Raise the table's time from the version that the holder saw, and forget what is old enough."""
     expected, elapsed, rules, tombstones = payload
     if str(overlay.version(items.TIME)) != expected:
-        raise errors.StaleVersion([{"time": expected, "in_force": str(overlay.version(items.TIME))}])
+        raise errors.StaleVersionError([{"time": expected, "in_force": str(overlay.version(items.TIME))}])
     time = Time(overlay.value(items.TIME))
     time.seconds += min(max(0.0, float(elapsed)), STEP_LIMIT)
     # All that stands at this moment is marked by the applied version that it stands under.
@@ -122,4 +122,4 @@
     keep = next((rule[2] for rule in row["rules"] if rule[0] == prefix), STEP_LIMIT)
     oldest = next(s for s, key in overlay.copy.by_version if key.startswith(prefix + "/"))
     wait = Time(row).left(oldest, keep)
-    raise errors.TableFull(f"{limit} of {prefix} are remembered", retry_after=min(600.0, wait))
+    raise errors.TableFullError(f"{limit} of {prefix} are remembered", retry_after=min(600.0, wait))
--- a/src/irisstand/controlplane/changes/voter_changes.py
+++ b/src/irisstand/controlplane/changes/voter_changes.py
@@ -25,12 +25,12 @@
     leaves = newcomer.name if newcomer.name in known else replaced
     grows = not leaves and len(voters) < room
     if leaves not in known and not grows:
-        raise errors.StaleVersion([{"voter": leaves, "in_force": str(overlay.version(items.VOTERS))}])
+        raise errors.StaleVersionError([{"voter": leaves, "in_force": str(overlay.version(items.VOTERS))}])
     following = [voter for voter in voters if voter.name != leaves] + [newcomer]
     # Refused whole: a set that one lost site could rob of its majority, where the present one could not.
     if quorum.outlives_any_site(voters) and not quorum.outlives_any_site(following):
         message = f"with {newcomer.name} for {leaves}, the loss of one site would end the majority"
-        raise errors.BadChange([{"row": None, "field": "voters", "message": message}])
+        raise errors.InvalidChangeError([{"row": None, "field": "voters", "message": message}])
     return {items.VOTERS: [tuple(voter) for voter in following]}
 
 
@@ -43,7 +43,7 @@
     loses = quorum.outlives_any_site(voters) and not quorum.outlives_any_site(following)
     if loses or len(following) < min(3, len(voters)):
         message = f"without {payload} the loss of one site would end the majority; replace it instead"
-        raise errors.BadChange([{"row": None, "field": "voters", "message": message}])
+        raise errors.InvalidChangeError([{"row": None, "field": "voters", "message": message}])
     return {items.VOTERS: [tuple(voter) for voter in following]}
 
 
@@ -51,7 +51,7 @@
     """The whole set at once, agreed by old and new set; only from the version that its planner saw."""
     expected, decoded = payload[0], [quorum.Voter(*parts) for parts in payload[1]]
     if str(overlay.version(items.VOTERS)) != expected:
-        raise errors.StaleVersion([{"voters": expected, "in_force": str(overlay.version(items.VOTERS))}])
+        raise errors.StaleVersionError([{"voters": expected, "in_force": str(overlay.version(items.VOTERS))}])
     voters = quorum.decode(overlay.value(items.VOTERS))
     alike = len(decoded) != len({v.name for v in decoded}) or len(decoded) != len(
         {v.disk_id for v in decoded}
@@ -59,7 +59,7 @@
     loses = quorum.outlives_any_site(voters) and not quorum.outlives_any_site(decoded)
     if not decoded or alike or loses:
         message = "the set is empty, names one twice, or the loss of one site would end its majority"
-        raise errors.BadChange([{"row": None, "field": "voters", "message": message}])
+        raise errors.InvalidChangeError([{"row": None, "field": "voters", "message": message}])
     if {voter.disk_id for voter in voters} == {voter.disk_id for voter in decoded}:
         return {}
     return {items.VOTERS: [tuple(voter) for voter in decoded]}
--- a/src/irisstand/controlplane/consensus/acceptor.py
+++ b/src/irisstand/controlplane/consensus/acceptor.py
@@ -16,7 +16,7 @@
 class Owner:
     """Promises, acceptances and commits, each synced before its reply goes out."""
 
-    def __init__(self, store: durable_store.DurableStore, live: replica.Copy, catch_up: CatchUp) -> None:
+    def __init__(self, store: durable_store.DurableStore, live: replica.Replica, catch_up: CatchUp) -> None:
         self.store, self.live, self.catch_up = store, live, catch_up
         self.table = live.name
         self.queue: asyncio.Queue = asyncio.Queue()
@@ -54,7 +54,7 @@
             except OSError as error:
                 event_log.note("disk-error", error=repr(error))
                 if not future.done():
-                    future.set_exception(errors.DiskFull(f"the disk does not take writes: {error}"))
+                    future.set_exception(errors.DiskFullError(f"the disk does not take writes: {error}"))
 
     @property
     def record(self) -> durable_store.Record:
@@ -63,7 +63,7 @@
     def check_vote(self) -> None:
         """A disk that was wiped or found damaged does not vote."""
         if self.record.applied == versions.NONE or not self.store.sound[self.table]:
-            raise errors.NotFounded("this node has not learnt the table yet and has no vote")
+            raise errors.NotBootstrappedError("this node has not learnt the table yet and has no vote")
 
     async def promise(self, ballot: versions.Version) -> tuple:
         self.check_vote()
--- a/src/irisstand/controlplane/consensus/bootstrap.py
+++ b/src/irisstand/controlplane/consensus/bootstrap.py
@@ -28,12 +28,12 @@
             if self.context.copies[table].applied < versions.decode(parts):
                 await self.core.catch_up(table, sender)
             if self.context.copies[table].applied < versions.decode(parts):
-                raise errors.NotFounded("this node is behind the one that asks")
+                raise errors.NotBootstrappedError("this node is behind the one that asks")
         if self.context.leaving:
-            raise errors.NotFounded("this node is about to end")
+            raise errors.NotBootstrappedError("this node is about to end")
         for table in items.TABLES:
             if not self.context.is_current(self.context.copies[table]):
-                raise errors.NotFounded("this node has not learnt the tables yet")
+                raise errors.NotBootstrappedError("this node has not learnt the tables yet")
             await self.core.owners[table].order("keep")
         return tuple(self.core.own_voter())
 
--- a/src/irisstand/controlplane/consensus/heartbeat.py
+++ b/src/irisstand/controlplane/consensus/heartbeat.py
@@ -31,7 +31,7 @@
             started = self.context.clock.now()
             try:
                 await self.beat()
-            except (errors.IrisError, proposers.Lost, ValueError, TypeError):
+            except (errors.IrisError, proposers.BallotLostError, ValueError, TypeError):
                 self.context.counters.add("pulse_failed", table=self.table)
             pause = self.context.settings.freshness_interval - (self.context.clock.now() - started)
             await asyncio.sleep(max(0.01, pause))
@@ -51,7 +51,9 @@
             is_confirmed = bool(done) and joined.result()
         if not is_confirmed:
             self.context.counters.add("reads_put_off", table=self.table)
-            raise errors.StaleConfiguration(f"no majority confirms the {self.table} table to this node now")
+            raise errors.StaleConfigurationError(
+                f"no majority confirms the {self.table} table to this node now"
+            )
 
     async def run_read_round(self) -> bool:
         if self.read_round is not None:
@@ -61,7 +63,7 @@
         try:
             async with asyncio.timeout(READ_ROUND):
                 return await self.beat()
-        except (TimeoutError, errors.IrisError, proposers.Lost, ValueError, TypeError):
+        except (TimeoutError, errors.IrisError, proposers.BallotLostError, ValueError, TypeError):
             return False
 
     async def beat(self) -> bool:
--- a/src/irisstand/controlplane/consensus/participant.py
+++ b/src/irisstand/controlplane/consensus/participant.py
@@ -77,7 +77,7 @@
 
     def check_disk_id(self, disk_id: str) -> None:
         if disk_id != self.store.identity:
-            raise errors.NotFounded("the disk that was asked for is not this node's any more")
+            raise errors.NotBootstrappedError("the disk that was asked for is not this node's any more")
 
     async def on_commit(self, _: str, body: list) -> tuple:
         table, batch = body
--- a/src/irisstand/controlplane/consensus/proposer.py
+++ b/src/irisstand/controlplane/consensus/proposer.py
@@ -31,7 +31,7 @@
     undecided: bool
 
 
-class Lost(Exception):
+class BallotLostError(Exception):
     """This ballot did not decide; another has to be held."""
 
 
@@ -62,14 +62,14 @@
             attempts += 1
             try:
                 await self.hold_ballot(waiting)
-            except Lost as reason:
+            except BallotLostError as reason:
                 self.context.counters.add("ballots_lost", table=self.table)
                 event_log.note("ballot-lost", table=self.table, reason=str(reason))
                 # Random and growing, or two proposers would meet again at the same moment.
                 await asyncio.sleep(self.context.randomness.uniform(0.01, 0.03) * min(attempts, 8))
             except errors.IrisError as error:
                 event_log.note("ballot-failed", table=self.table, error=str(error))
-                if isinstance(error, errors.DiskFull):
+                if isinstance(error, errors.DiskFullError):
                     self.refuse_unproposed(waiting, error)
                 await asyncio.sleep(0.05)
             self.give_up(waiting)
@@ -80,9 +80,11 @@
             if not entry.future.done() and now >= entry.give_up_at:
                 # Once any voter was sent the batch nobody may call it refused.
                 if entry.proposed:
-                    entry.future.set_exception(errors.ChangeUnknown("the voters have not settled it in time"))
+                    entry.future.set_exception(
+                        errors.ChangeOutcomeUnknownError("the voters have not settled it in time")
+                    )
                 else:
-                    entry.future.set_exception(errors.NoMajority("no majority of the voters answered"))
+                    entry.future.set_exception(errors.NoQuorumError("no majority of the voters answered"))
 
     def refuse_unproposed(self, waiting: list[Waiting], error: errors.IrisError) -> None:
         """A full disk will not empty within the order's patience: say so at once."""
@@ -98,9 +100,9 @@
         async with self.holding:
             voters = self.core.voters(self.table)
             if not voters:
-                raise errors.NotFounded("no core has been founded yet")
+                raise errors.NotBootstrappedError("no core has been founded yet")
             if not self.core.votes(self.table):
-                raise Lost("this node has no vote yet")
+                raise BallotLostError("this node has no vote yet")
             ballot = self.draw()
             pending = await self.prepare(voters, ballot)
             self.context.counters.add("ballots_held", table=self.table)
@@ -108,7 +110,7 @@
                 # A yes may already have been given for it, so it is finished before anything new.
                 await self.propose(voters, ballot, pending)
                 if waiting:
-                    raise Lost("finished a pending batch first")
+                    raise BallotLostError("finished a pending batch first")
                 return
             overlay = orders.Overlay(self.copy, ballot)
             plan = self.plan(overlay, waiting)
@@ -172,7 +174,7 @@
         # Its own promise is synced first: after a crash this number must not be drawn again.
         first = await self.core.ask_voter(own, "promise", (*body, own.disk_id))
         if first[0] != "promised":
-            raise Lost("promised higher itself")
+            raise BallotLostError("promised higher itself")
         replies = await self.core.gather(
             [voter for voter in voters if voter is not own],
             "promise",
@@ -182,19 +184,19 @@
         replies[own.disk_id] = first
         self.note_higher(replies)
         if not quorum.is_majority(voters, self.won(replies, "promised")):
-            raise Lost("no majority promised")
+            raise BallotLostError("no majority promised")
         promised = {disk_id: reply for disk_id, reply in replies.items() if reply[0] == "promised"}
         applied, holder = max((versions.decode(reply[1]), disk_id) for disk_id, reply in promised.items())
         if self.copy.applied < applied:
             name = next(voter.name for voter in voters if voter.disk_id == holder)
             await self.core.catch_up(self.table, name)
         if self.copy.applied < applied or self.core.voters(self.table) != voters:
-            raise Lost("was behind the voters")
+            raise BallotLostError("was behind the voters")
         # The applied version may have moved past this ballot's number while the promises came in. A batch
         # numbered below
         # its own base would be taken for an older table by everybody who compares applied versions.
         if ballot <= self.copy.applied:
-            raise Lost("the tip overtook the ballot")
+            raise BallotLostError("the tip overtook the ballot")
         pending = []
         for reply in promised.values():
             if reply[3] is not None:
@@ -221,7 +223,7 @@
         )
         self.note_higher(replies)
         if not all(quorum.is_durable(members, self.won(replies, "accepted")) for members in sets):
-            raise Lost("no durable majority accepted")
+            raise BallotLostError("no durable majority accepted")
         if self.copy.applied == batch.base:
             self.copy.apply(batch)
         self.context.counters.add("batches_confirmed", table=self.table)
--- a/src/irisstand/controlplane/consensus/submitter.py
+++ b/src/irisstand/controlplane/consensus/submitter.py
@@ -30,17 +30,17 @@
         order = orders.Order(*body)
         table = orders.table_of(order.kind)
         if not self.core.votes(table):
-            raise errors.NotFounded("this node has no vote either")
+            raise errors.NotBootstrappedError("this node has no vote either")
         try:
             with self.context.working():
                 return ("done", await self.proposers[table].decide(order))
-        except errors.BadChange as error:
+        except errors.InvalidChangeError as error:
             return ("bad-change", error.faults)
-        except errors.StaleVersion as error:
+        except errors.StaleVersionError as error:
             return ("stale-serial", error.conflicts)
-        except errors.Claimed as error:
+        except errors.KeyClaimedError as error:
             return ("claimed", error.claim)
-        except errors.ChangeUnknown as error:
+        except errors.ChangeOutcomeUnknownError as error:
             return ("unknown", str(error))
         except control_errors.DetailedError as error:
             return (error.code, error.details)
@@ -57,7 +57,9 @@
                 raise
             if not task.done():
                 task.cancel()
-                raise errors.ChangeUnknown("this node is shutting down, and it is not settled yet")
+                raise errors.ChangeOutcomeUnknownError(
+                    "this node is shutting down, and it is not settled yet"
+                )
             return task.result()
 
     async def submit(self, order: orders.Order) -> dict:
@@ -69,7 +71,7 @@
         table = orders.table_of(order.kind)
         # Without the voters for longer than the bound, this node will not find them within any patience.
         if not self.context.is_current(self.context.copies[table]):
-            raise errors.NoMajority("this node has lost the majority of the voters")
+            raise errors.NoQuorumError("this node has lost the majority of the voters")
         own = self.core.votes(table)
         for voter in self.in_order(table):
             if voter.disk_id == self.core.store.identity:
@@ -78,21 +80,26 @@
                 patience = FORWARD_PATIENCE if own else ONLY_PATIENCE
                 is_watched = own and order.kind in TAKEN_HERE
                 reply = await self.ask_voter(voter, order, patience, is_watched)
-            except (errors.Unreached, errors.NotFounded, errors.DiskFull, errors.NoMajority):
+            except (
+                errors.NotSentError,
+                errors.NotBootstrappedError,
+                errors.DiskFullError,
+                errors.NoQuorumError,
+            ):
                 # All of these say that no voter was sent the order's batch.
                 continue
-            except errors.Unanswered as error:
+            except errors.UnansweredError as error:
                 # It left for the voter, and whether it was decided is not known. With a change id it can be
                 # sent again to anybody for the one true result; without one it must not be.
                 if own and (order.change or order.kind in TAKEN_HERE):
                     break
-                raise errors.ChangeUnknown(str(error)) from None
-            except (errors.BadRequest, errors.Unknown) as error:
+                raise errors.ChangeOutcomeUnknownError(str(error)) from None
+            except (errors.BadRequestError, errors.UnknownNameError) as error:
                 # Not a word on the order: this voter could not read the message, being older, newer or ill.
-                raise errors.ChangeUnknown(str(error)) from None
+                raise errors.ChangeOutcomeUnknownError(str(error)) from None
             return unwrap(reply)
         if not own:
-            raise errors.NoMajority("no voter can be reached from here")
+            raise errors.NoQuorumError("no voter can be reached from here")
         return await self.proposers[table].decide(order)
 
     async def ask_voter(
@@ -108,7 +115,7 @@
                 try:
                     await transport.ask(address, voter.name, "stand", (table,), STANDS_PATIENCE)
                 except errors.IrisError:
-                    raise errors.Unanswered(f"{voter.name} does not say where it stands") from None
+                    raise errors.UnansweredError(f"{voter.name} does not say where it stands") from None
             return await asking
         finally:
             asking.cancel()
@@ -134,17 +141,17 @@
     """The result of an order that a peer took, or the typed error it met."""
     word, content = reply
     if word == "bad-change":
-        raise errors.BadChange(content)
+        raise errors.InvalidChangeError(content)
     if word == "stale-serial":
-        raise errors.StaleVersion(content)
+        raise errors.StaleVersionError(content)
     if word == "claimed":
-        raise errors.Claimed(content)
+        raise errors.KeyClaimedError(content)
     if word == "unknown":
-        raise errors.ChangeUnknown(content)
+        raise errors.ChangeOutcomeUnknownError(content)
     refusal = control_errors.rebuild(word, content)
     if refusal is not None:
         raise refusal
     # A word of later software is no confirmation.
     if word != "done":
-        raise errors.ChangeUnknown(f"the voter answered {word!r}")
+        raise errors.ChangeOutcomeUnknownError(f"the voter answered {word!r}")
     return content
--- a/src/irisstand/controlplane/consensus/voter_administration.py
+++ b/src/irisstand/controlplane/consensus/voter_administration.py
@@ -54,7 +54,7 @@
                 "sites": sorted({voter.site for voter in following}),
             }
             why = "the loss of one machine or site could not be borne" if majority else "no majority is up"
-            error = errors.CannotCarry(f"with these voters of {table}, {why}", figures)
+            error = errors.InsufficientCapacityError(f"with these voters of {table}, {why}", figures)
             error.remedy = "bring back the voters that are down, or put a spare in the place of the one"
             raise error
 
@@ -64,7 +64,9 @@
             self.context.settings.name
         }
         if name not in known | names:
-            raise errors.Unknown(f"no core node {name!r}", f"use one of {', '.join(sorted(known | names))}")
+            raise errors.UnknownNameError(
+                f"no core node {name!r}", f"use one of {', '.join(sorted(known | names))}"
+            )
         # All tables are judged before the first is written.
         left = {table: [v for v in self.of(table) if v.name != name] for table in items.TABLES}
         for table, following in left.items():
@@ -80,15 +82,17 @@
         if spare is None:
             names = sorted(update.identity.name for update in self.context.peers("agency"))
             remedy = f"start it first; up are: {', '.join(names) or 'none'}"
-            raise errors.Unknown(f"no core node {new!r} is up", remedy)
+            raise errors.UnknownNameError(f"no core node {new!r} is up", remedy)
         reply = await self.context.transport.ask(spare.card.address, new, "hold", (), PATIENCE)
         newcomer = quorum.Voter(*reply)
         for table in items.TABLES:
             known = [voter.name for voter in self.of(table)]
             if new in known and old in known:
-                raise errors.BadRequest(f"{new} votes already", f"retire {old} instead of replacing it")
+                raise errors.BadRequestError(f"{new} votes already", f"retire {old} instead of replacing it")
             if new not in known and old not in known:
-                raise errors.Unknown(f"{old!r} is no voter of {table}", f"use one of {', '.join(known)}")
+                raise errors.UnknownNameError(
+                    f"{old!r} is no voter of {table}", f"use one of {', '.join(known)}"
+                )
             kept = [voter for voter in self.of(table) if voter.name not in (old, new)]
             await self.check(table, [*kept, newcomer])
         for table in items.TABLES:
--- a/src/irisstand/controlplane/consensus/voter_planner.py
+++ b/src/irisstand/controlplane/consensus/voter_planner.py
@@ -145,7 +145,7 @@
         else:
             held = await self.context.transport.ask(address, voter.name, "hold", tips, HOLDING)
         if quorum.Voter(*held) != voter:
-            raise errors.NotFounded(f"{voter.name} has another disk than a moment ago")
+            raise errors.NotBootstrappedError(f"{voter.name} has another disk than a moment ago")
 
     async def candidates(self) -> list[quorum.Voter]:
         """Core nodes that know the tables and are not about to end, each as it describes itself."""
--- a/src/irisstand/controlplane/program.py
+++ b/src/irisstand/controlplane/program.py
@@ -63,7 +63,7 @@
         try:
             await self.server.open()
         except OSError as error:
-            raise errors.PortTaken(str(error)) from None
+            raise errors.PortTakenError(str(error)) from None
 
     async def stop_listening(self) -> None:
         if self.server is not None:
--- a/src/irisstand/controlplane/singletons/lease.py
+++ b/src/irisstand/controlplane/singletons/lease.py
@@ -100,7 +100,7 @@
             order = orders.Order("term", "", (self.name, self.holder, expected))
             try:
                 result = await self.submitter.submit(order)
-            except errors.StaleVersion:
+            except errors.StaleVersionError:
                 # Taken all the same, where the voter that took the order could not say so any more.
                 row = self.context.ledger.value(f"term/{self.name}")
                 version = str(self.context.ledger.version(f"term/{self.name}"))
--- a/src/irisstand/controlplane/singletons/origin_discovery.py
+++ b/src/irisstand/controlplane/singletons/origin_discovery.py
@@ -67,10 +67,10 @@
         async with aiohttp.ClientSession(timeout=timeout, connector=connector) as session:
             async with session.get(url) as response:
                 if response.status != 200:
-                    raise errors.BadRequest(f"the platform answered {response.status}")
+                    raise errors.BadRequestError(f"the platform answered {response.status}")
                 return await response.read(), response.headers
     except aiohttp.ClientError as error:
-        raise errors.BadRequest(f"the platform cannot be asked: {error!r}") from None
+        raise errors.BadRequestError(f"the platform cannot be asked: {error!r}") from None
 
 
 def http_ask(address: tuple[str, int]) -> Ask:
@@ -114,7 +114,7 @@
         answer = json.loads(heard.content)
         fault = next(validator().iter_errors(answer), None)
         if fault is not None:
-            raise errors.BadRequest(f"the platform's answer is malformed: {fault.message}")
+            raise errors.BadRequestError(f"the platform's answer is malformed: {fault.message}")
         revision, known = answer.get("revision"), self.state().get("revision")
         # An older answer may come by another way, after a newer one: the platform is more than one machine.
         is_older = revision is not None and known is not None and revision < known
--- a/src/irisstand/controlplane/singletons/retention.py
+++ b/src/irisstand/controlplane/singletons/retention.py
@@ -36,7 +36,7 @@
         payload = (expected, now - since, self.rules(table), TOMBSTONES)
         try:
             await duty.submitter.submit(orders.Order(f"tick-{table}", "", payload))
-        except errors.StaleVersion:
+        except errors.StaleVersionError:
             # Another holder raised it: nothing of the time is counted twice.
             self.context.counters.add("ticks_lost", table=table)
 
--- a/src/irisstand/dataplane/cache/object_holders.py
+++ b/src/irisstand/dataplane/cache/object_holders.py
@@ -101,7 +101,7 @@
                 self.avoided[holder.identity.name] = self.context.clock.now() + AVOIDED
             # A holder without a place has asked the owners of all: an edge's own fetch would take one of
             # theirs, and bring the object to that edge alone. Another holder may have a place of its own.
-            if error.code == errors.OverCeiling.code and self.context.role != "holder":
+            if error.code == errors.LimitExceededError.code and self.context.role != "holder":
                 raise
             # What the holder met at an origin this node may still avoid, within what is left of its time.
             return None
@@ -119,13 +119,13 @@
     async def on_object(self, _: str, body: list) -> tuple:
         name, service, host, target, headers, remaining, floor, known_tag, applied, is_last = body
         if self.context.draining:
-            raise errors.Draining("this holder is shutting down")
+            raise errors.DrainingError("this holder is shutting down")
         request = client.Request("GET", bytes(target), str(host), dict(headers), b"")
         await self.catch_up(versions.decode(applied))
         route = self.table.match(request.host, request.path)
         # Judged by another version than the edge's, its request could go where that one does not allow.
         if route.name != name or not self.table.still_allows(route, service):
-            raise errors.StaleConfiguration("the route is another one here")
+            raise errors.StaleConfigurationError("the route is another one here")
         asked = object_reader.Asked(route, str(service), request, float(remaining), bool(is_last))
         thing = await self.reading.read(asked, versions.decode(floor))
         now = self.context.clock.now()
@@ -137,7 +137,7 @@
         started = self.context.clock.now()
         while self.context.configuration.applied < applied:
             if self.context.clock.now() - started > CATCH_UP:
-                raise errors.StaleConfiguration("this holder is behind the edge")
+                raise errors.StaleConfigurationError("this holder is behind the edge")
             await asyncio.sleep(0.01)
         if not all(map(self.context.is_current, self.context.copies.values())):
-            raise errors.StaleConfiguration("this holder's tables are not known to be current")
+            raise errors.StaleConfigurationError("this holder's tables are not known to be current")
--- a/src/irisstand/dataplane/cache/object_reader.py
+++ b/src/irisstand/dataplane/cache/object_reader.py
@@ -83,7 +83,7 @@
                 async with asyncio.timeout(max(0.01, left)):
                     thing = await obtain
             except TimeoutError:
-                raise errors.DeadlinePassed("no origin gave a whole answer in time") from None
+                raise errors.DeadlineExceededError("no origin gave a whole answer in time") from None
             is_good = thing.applied >= floor and forwarding_policies.is_fit(
                 thing, asked.place, self.view, self.context.clock.now()
             )
@@ -92,7 +92,7 @@
             # Struck by a purge while it was under way: fetched again, within the one deadline.
             floor = max(floor, self.view.purged_at(asked.place, thing.tags))
             if deadline - self.context.clock.now() < TOO_LATE:
-                raise errors.DeadlinePassed("no answer was still good by the time that it came")
+                raise errors.DeadlineExceededError("no answer was still good by the time that it came")
 
     def cached(self, asked: Asked) -> objects.Object | None:
         found = self.cache.get(asked.key)
--- a/src/irisstand/dataplane/cache/objects.py
+++ b/src/irisstand/dataplane/cache/objects.py
@@ -57,11 +57,11 @@
 def check_seal(headers: dict[str, str], body: bytes, request_id: str) -> None:
     """Whole, sealed and meant for this request, or UnsealedResult. Header names are lower case."""
     if headers.get("content-length") != str(len(body)):
-        raise errors.UnsealedResult("the body's length is not the one declared")
+        raise errors.UnsealedResultError("the body's length is not the one declared")
     if headers.get("content-digest") != digest_header(body):
-        raise errors.UnsealedResult("the body does not match its Content-Digest")
+        raise errors.UnsealedResultError("the body does not match its Content-Digest")
     if headers.get("x-request-id") != request_id:
-        raise errors.UnsealedResult("the answer names another request")
+        raise errors.UnsealedResultError("the answer names another request")
 
 
 PASSED_ON = (
--- a/src/irisstand/dataplane/http/listener.py
+++ b/src/irisstand/dataplane/http/listener.py
@@ -67,7 +67,7 @@
             await self.server.startup()
             await self.server.start_serving()
         except OSError as error:
-            raise errors.PortTaken(str(error)) from None
+            raise errors.PortTakenError(str(error)) from None
 
     async def stop_listening(self) -> None:
         if self.server is not None:
@@ -135,11 +135,11 @@
         except asyncio.CancelledError:
             # Something that this request shared was given up; to sanic it would look like its client's going.
             self.context.counters.add("requests_crashed")
-            return self.as_fault(errors.OutcomeUnknown("what this request waited for was given up"))
+            return self.as_fault(errors.OutcomeUnknownError("what this request waited for was given up"))
         except Exception as error:
             event_log.note("crash", error=repr(error))
             self.context.counters.add("requests_crashed")
-            return self.as_fault(errors.OutcomeUnknown("an error of this node's own"))
+            return self.as_fault(errors.OutcomeUnknownError("an error of this node's own"))
         kept = {name: value for name, value in headers.items() if name not in OWN}
         content_type = headers.get("content-type", "application/octet-stream")
         return sanic.response.HTTPResponse(body, status, kept, content_type)
--- a/src/irisstand/dataplane/http/sanic_adapter.py
+++ b/src/irisstand/dataplane/http/sanic_adapter.py
@@ -23,7 +23,7 @@
         path = request.path
         # Two spellings of one path would be two objects to a purge, and dots would climb out of a grant.
         if "//" in path or any(part in (".", "..") for part in urllib.parse.unquote(path).split("/")):
-            raise errors.BadRequest("the path has empty or dotted parts", "send the plain path")
+            raise errors.BadRequestError("the path has empty or dotted parts", "send the plain path")
         headers = {name.lower(): value for name, value in request.headers.items()}
         asked = edges.Request(request.method, path, request.query_string, headers, request.body or b"")
         try:
--- a/src/irisstand/dataplane/nodes/edge.py
+++ b/src/irisstand/dataplane/nodes/edge.py
@@ -65,7 +65,7 @@
         # A draining edge takes no new connection, but what comes on a kept one is answered as ever.
         self.view.check_current()
         if self.view.is_evacuated(self.context.settings.site):
-            raise errors.SiteEvacuated(f"site {self.context.settings.site} takes no new work")
+            raise errors.SiteEvacuatedError(f"site {self.context.settings.site} takes no new work")
         self.context.gauge.note()
         granted = self.view.grant(request.method, request.path, request.query)
         self.context.counters.add("requests", method=request.method)
@@ -178,7 +178,7 @@
         try:
             await asyncio.wait([asking, doubt], return_when=asyncio.FIRST_COMPLETED)
             if not asking.done() and decision.may_turn_away():
-                return ("failed", errors.Unreached("the shield is suspected to have failed"))
+                return ("failed", errors.NotSentError("the shield is suspected to have failed"))
             return await asking
         finally:
             doubt.cancel()
--- a/src/irisstand/dataplane/nodes/idempotency_keys.py
+++ b/src/irisstand/dataplane/nodes/idempotency_keys.py
@@ -35,11 +35,11 @@
         fingerprint = hashlib.sha256(f"{method} {target}\0".encode() + body).hexdigest()[:16]
         try:
             await self.claim(key, attempt, fingerprint)
-        except errors.Claimed as error:
+        except errors.KeyClaimedError as error:
             return self.replay(error.claim, fingerprint)
         try:
             result = await work()
-        except errors.OutcomeUnknown:
+        except errors.OutcomeUnknownError:
             # It may have run: the claim stays, and nobody runs it again.
             raise
         except errors.IrisError:
@@ -57,12 +57,14 @@
     def replay(self, claim: dict, fingerprint: str) -> tuple:
         """What the second asker gets: the first one's result, as far as it is known."""
         if claim["print"] != fingerprint:
-            raise errors.KeyReused("this Idempotency-Key was used for another request")
+            raise errors.KeyReusedError("this Idempotency-Key was used for another request")
         if claim["state"] != "done":
-            raise errors.OutcomeUnknown("a request with this key is under way or was lost")
+            raise errors.OutcomeUnknownError("a request with this key is under way or was lost")
         status, headers, body = claim["result"]
         if body is None:
-            raise errors.OutcomeUnknown("the request with this key has run; its answer was too large to keep")
+            raise errors.OutcomeUnknownError(
+                "the request with this key has run; its answer was too large to keep"
+            )
         self.context.counters.add("keyed_replays")
         return (status, tuple((name, value) for name, value in headers), body)
 
@@ -71,11 +73,11 @@
             try:
                 await self.order("claim", (key, attempt, fingerprint))
                 return
-            except errors.ChangeUnknown:
+            except errors.ChangeOutcomeUnknownError:
                 # Asked again as the same attempt, which brings the one true result.
                 continue
         self.context.start(self.settle(key, attempt, None), "release a claim")
-        raise errors.NoClaim("the core did not confirm the claim in time")
+        raise errors.KeyNotClaimedError("the core did not confirm the claim in time")
 
     async def settle(self, key: str, attempt: str, result: list | None, tries: int = 5) -> None:
         for number in range(tries):
@@ -98,10 +100,10 @@
                     update.card.address, update.identity.name, "order", (kind, "", payload), PATIENCE
                 )
                 return submitter.unwrap(reply)
-            except (errors.Unreached, errors.NotFounded):
+            except (errors.NotSentError, errors.NotBootstrappedError):
                 continue
-            except errors.Unanswered as error:
-                raise errors.ChangeUnknown(str(error)) from None
-            except errors.NoMajority as error:
-                raise errors.NoClaim(str(error)) from None
-        raise errors.NoClaim("no agency can be reached")
+            except errors.UnansweredError as error:
+                raise errors.ChangeOutcomeUnknownError(str(error)) from None
+            except errors.NoQuorumError as error:
+                raise errors.KeyNotClaimedError(str(error)) from None
+        raise errors.KeyNotClaimedError("no agency can be reached")
--- a/src/irisstand/dataplane/nodes/shield.py
+++ b/src/irisstand/dataplane/nodes/shield.py
@@ -17,7 +17,12 @@
 QUEUE_LIMIT = 0.25
 STORE_PATIENCE = 0.15
 CATCH_UP_LIMIT = 1.0
-NOT_THE_ORIGINS = (errors.OverCeiling, errors.StaleConfiguration, errors.NoShare, connections.Reopened)
+NOT_THE_ORIGINS = (
+    errors.LimitExceededError,
+    errors.StaleConfigurationError,
+    errors.NoQuotaShareError,
+    connections.Reopened,
+)
 
 
 class Shield:
@@ -54,13 +59,13 @@
         """
         started = self.context.clock.now()
         if self.context.draining:
-            raise errors.Draining("this shield is shutting down")
+            raise errors.DrainingError("this shield is shutting down")
         # The edge may have heard of a change first. Judged by the older rows, its request would go where the
         # newer ones do not allow; so this waits for the table rather than answer from the past.
         self.context.gauge.note()
         while self.context.configuration.applied < applied:
             if self.context.clock.now() - started > min(CATCH_UP_LIMIT, remaining / 2):
-                raise errors.StaleConfiguration("this shield is behind the edge")
+                raise errors.StaleConfigurationError("this shield is behind the edge")
             await asyncio.sleep(0.01)
         self.view.check_current()
         return remaining - (self.context.clock.now() - started)
@@ -233,7 +238,7 @@
             # A kept line that the origin closed meanwhile says nothing of the origin: the prober will tell.
             if not isinstance(error, NOT_THE_ORIGINS):
                 # An unsealed answer is one request's; a broken line says that the origin is gone.
-                pool.mark(pool.healthy and isinstance(error, errors.UnsealedResult), repr(error))
+                pool.mark(pool.healthy and isinstance(error, errors.UnsealedResultError), repr(error))
             return ("failed", forwarding_policies.kind_of(error), pool.instance, touched)
         finally:
             if share is not None:
@@ -244,7 +249,7 @@
     def recheck(self, granted: snapshot.Granted, method: str, target: str) -> None:
         path, _, query = target.partition("?")
         if self.view.grant(method, path, query).service != granted.service:
-            raise errors.StaleConfiguration("the blueprint changed while the request waited")
+            raise errors.StaleConfigurationError("the blueprint changed while the request waited")
 
     async def enter(
         self, granted: snapshot.Granted, decision: forwarding_policies.ShieldWork
@@ -256,10 +261,10 @@
         share = self.shares[granted.service]
         wait_until = self.context.clock.now() + min(QUEUE_LIMIT, decision.remaining() / 3)
         if not rate or not inflight or share.is_opening(granted.deadline):
-            raise errors.NoShare(f"no share of {granted.service} is held here")
+            raise errors.NoQuotaShareError(f"no share of {granted.service} is held here")
         while not share.enter(rate, inflight):
             if self.context.clock.now() >= wait_until:
-                raise errors.OverCeiling(f"{granted.service} is at its ceiling")
+                raise errors.LimitExceededError(f"{granted.service} is at its ceiling")
             await asyncio.sleep(0.01)
         return share, self.context.clock.now()
 
--- a/src/irisstand/dataplane/ratelimit/token_leases.py
+++ b/src/irisstand/dataplane/ratelimit/token_leases.py
@@ -54,7 +54,7 @@
             return max(0.0, found[0].usable_at - self.context.clock.now())
         wait = self.own.take(name, patience)
         if wait is None:
-            raise errors.OverCeiling(f"{name} is at its ceiling", retry_after=0.2)
+            raise errors.LimitExceededError(f"{name} is at its ceiling", retry_after=0.2)
         return wait
 
     def usable(self, name: str, patience: float) -> list[Place]:
--- a/src/irisstand/dataplane/retry/attempt_policy.py
+++ b/src/irisstand/dataplane/retry/attempt_policy.py
@@ -38,7 +38,10 @@
     def on_started(self) -> Action:
         self.budget.note_first()
         if self.remaining() <= 0.005:
-            return ("reject", errors.DeadlinePassed("the deadline passed before an origin could be asked"))
+            return (
+                "reject",
+                errors.DeadlineExceededError("the deadline passed before an origin could be asked"),
+            )
         return ("send",)
 
     def may_send_more(self) -> bool:
@@ -70,7 +73,7 @@
 
     def wait(self) -> Action:
         if self.remaining() <= 0:
-            return self.over(errors.DeadlinePassed("no origin gave a whole answer in time"))
+            return self.over(errors.DeadlineExceededError("no origin gave a whole answer in time"))
         until = self.deadline if self.hedge_at is None else min(self.hedge_at, self.deadline)
         return ("wait", max(0.0, until - self.clock.now()))
 
@@ -127,7 +130,7 @@
 
     def wait(self) -> Action:
         if self.remaining() <= 0:
-            return ("reject", errors.OutcomeUnknown("the origin gave no whole answer in time"))
+            return ("reject", errors.OutcomeUnknownError("the origin gave no whole answer in time"))
         return ("wait", self.remaining())
 
     def on_silent(self) -> Action:
@@ -138,7 +141,7 @@
 
     def on_failed(self, error: errors.IrisError, instance: str, touched: bool, arrived: bool) -> Action:
         if touched:
-            return ("reject", errors.OutcomeUnknown(f"the request went to an origin and then: {error}"))
+            return ("reject", errors.OutcomeUnknownError(f"the request went to an origin and then: {error}"))
         self.last = error
         if not arrived:
             self.sent -= 1
--- a/src/irisstand/dataplane/retry/forwarding_policies.py
+++ b/src/irisstand/dataplane/retry/forwarding_policies.py
@@ -73,7 +73,7 @@
         now = self.clock.now()
         if happened[0] == "object" and is_fit(happened[1], self.path, self.view, now):
             return ("answer", happened[1])
-        error = errors.DeadlinePassed("no answer was still good by the time that it came")
+        error = errors.DeadlineExceededError("no answer was still good by the time that it came")
         if happened[0] == "failed":
             error = happened[1]
             # A shared fetch ends with the time of whoever began it; who joined it later has more.
@@ -119,9 +119,12 @@
 
     def ask_next(self) -> Action:
         if self.remaining() <= 0.005:
-            return ("reject", errors.DeadlinePassed("the deadline passed before a shield could be asked"))
+            return (
+                "reject",
+                errors.DeadlineExceededError("the deadline passed before a shield could be asked"),
+            )
         if not self.shields:
-            return ("reject", errors.NoShield("no shield can be asked"))
+            return ("reject", errors.NoShieldError("no shield can be asked"))
         return ("ask", self.shields.pop(0), self.remaining())
 
 
@@ -169,7 +172,7 @@
         if error.code in CERTAINLY_NOT_RUN:
             return ("reject", error)
         # Once a shield may have passed it on, nobody here can say that it did not run.
-        return ("reject", errors.OutcomeUnknown(f"the request left this node and then: {error}"))
+        return ("reject", errors.OutcomeUnknownError(f"the request left this node and then: {error}"))
 
 
 class ShieldWork:
@@ -185,7 +188,10 @@
 
     def draw(self) -> Action:
         if self.remaining() <= 0.005:
-            return ("reject", errors.DeadlinePassed("the deadline passed before an origin could be asked"))
+            return (
+                "reject",
+                errors.DeadlineExceededError("the deadline passed before an origin could be asked"),
+            )
         return ("draw", self.tried)
 
 
@@ -242,7 +248,7 @@
             return happened
         _, error, origin, touched = happened
         if touched:
-            return ("reject", errors.OutcomeUnknown(f"the request went to an origin and then: {error}"))
+            return ("reject", errors.OutcomeUnknownError(f"the request went to an origin and then: {error}"))
         if not origin:
             return ("reject", error)
         # Certainly untouched: the next origin gets it as if it were the first.
@@ -255,5 +261,5 @@
     if isinstance(error, errors.IrisError):
         return error
     if isinstance(error, TimeoutError):
-        return errors.DeadlinePassed("the origin gave no whole answer in time")
-    return errors.OriginFailed(f"the origin failed: {type(error).__name__}")
+        return errors.DeadlineExceededError("the origin gave no whole answer in time")
+    return errors.OriginFailedError(f"the origin failed: {type(error).__name__}")
--- a/src/irisstand/dataplane/routing/routes.py
+++ b/src/irisstand/dataplane/routing/routes.py
@@ -93,7 +93,7 @@
         self.applied, self.read_from = copy.applied, copy.items
         self.limits = as_limits(copy.value(versioned_items.LIMITS))
 
-    def take_changes(self, copy: replica.Copy) -> None:
+    def take_changes(self, copy: replica.Replica) -> None:
         changed, forgotten = copy.after(self.applied)
         for item in changed:
             self.take(item.key, item)
@@ -103,7 +103,7 @@
         if len(self.compiled) != copy.counts["route"] + copy.counts["upstream"]:
             self.compare_all(copy)
 
-    def compare_all(self, copy: replica.Copy) -> None:
+    def compare_all(self, copy: replica.Replica) -> None:
         """Look at every row, and compile those that are others than before."""
         for key in [key for key in self.compiled if key not in copy.items]:
             self.take(key, None)
@@ -182,7 +182,9 @@
             route = None if routes is None else routes.longest(path)
             if route is not None:
                 return route
-        raise errors.UnknownPath(f"no route of {host} covers the path", "ask for a path that a route covers")
+        raise errors.UnknownPathError(
+            f"no route of {host} covers the path", "ask for a path that a route covers"
+        )
 
     def still_allows(self, route: Route, service: str) -> bool:
         """Whether the route as it stands now lets a request go to the service."""
--- a/src/irisstand/dataplane/routing/snapshot.py
+++ b/src/irisstand/dataplane/routing/snapshot.py
@@ -40,7 +40,7 @@
     def check_current(self) -> None:
         for copy in self.context.copies.values():
             if not self.context.is_current(copy):
-                raise errors.StaleConfiguration(f"the {copy.name} table is not known to be current here")
+                raise errors.StaleConfigurationError(f"the {copy.name} table is not known to be current here")
 
     def path_row(self, path: str) -> tuple[str, dict] | None:
         """The row with the longest name that the path begins with."""
@@ -58,7 +58,7 @@
         """Which service answers, by the grant entries in force; whatever they do not name goes nowhere."""
         found = self.path_row(path)
         if found is None:
-            raise errors.UnknownPath(f"no path of the blueprint covers {path}")
+            raise errors.UnknownPathError(f"no path of the blueprint covers {path}")
         name, row = found
         wanted = "GET" if method == "HEAD" else method
         candidates = [
@@ -67,12 +67,12 @@
             if wanted in entry["methods"] or method in entry["methods"]
         ]
         if not any(weight > 0 for _, weight in candidates):
-            raise errors.MethodRefused(f"{method} is not granted on {name}")
+            raise errors.MethodNotAllowedError(f"{method} is not granted on {name}")
         # By the request alone, so that edge and shield, and all edges, draw the same service.
         service = rendezvous.pick(f"{path}?{query}", candidates)
         value = self.context.configuration.value(f"service/{service}")
         if value is None:
-            raise errors.UnknownPath(f"service {service} has no row")
+            raise errors.UnknownPathError(f"service {service} has no row")
         ceiling = (value["ceiling"]["rate"], value["ceiling"]["inflight"])
         return Granted(
             name,
--- a/src/irisstand/dataplane/upstream/client.py
+++ b/src/irisstand/dataplane/upstream/client.py
@@ -95,7 +95,7 @@
                 if not running:
                     await self.targets.ready(service, min(WAITS * route.target, decision.remaining() / 4))
                 happened = self.send(route, service, request, headers, decision, tried, running)
-                if not running and isinstance(happened[1], errors.WarmingUp):
+                if not running and isinstance(happened[1], errors.SlowStartError):
                     await self.targets.ready_cold(route, service, tried)
                     happened = self.send(route, service, request, headers, decision, tried, running)
             else:
@@ -125,7 +125,7 @@
             # Time may have gone by since the route was read: what it allowed then may be withdrawn by now.
             self.view.check_current()
             if upstream is None or not self.table.still_allows(route, service):
-                raise errors.StaleConfiguration(
+                raise errors.StaleConfigurationError(
                     "the route changed while the request waited", retry_after=0.05
                 )
             target = self.targets.draw(route, upstream, tried)
@@ -191,18 +191,20 @@
         if answer.status == 421:
             # Another instance has the address: nothing more goes there until the list says so.
             target.fail("another instance answers")
-            error = errors.NoOrigin(f"{instance} is not at its address any more", retry_after=0.2)
+            error = errors.NoOriginError(f"{instance} is not at its address any more", retry_after=0.2)
             return ("failed", error, instance, False, True)
         if words.not_run in answer.headers and answer.status in (*PROMISES, 400):
             target.full_until = self.context.clock.now() + 0.05
-            error = errors.OverCeiling(f"{instance} did not run the request", retry_after=0.15)
+            error = errors.LimitExceededError(f"{instance} did not run the request", retry_after=0.15)
             return ("failed", error, instance, False, True)
         if answer.status in PROMISES:
-            error = errors.OriginFailed(f"{instance} answered {answer.status}, and may have run the request")
+            error = errors.OriginFailedError(
+                f"{instance} answered {answer.status}, and may have run the request"
+            )
             return ("failed", error, instance, True, True)
         if request_id and answer.headers.get(words.request_id) != request_id:
-            error = errors.UnsealedResult("the answer does not name the request")
+            error = errors.UnsealedResultError("the answer does not name the request")
             return ("failed", error, instance, True, True)
         if answer.status < 300 and words.seal not in answer.headers:
-            return ("failed", errors.UnsealedResult("the answer bears no seal"), instance, True, True)
+            return ("failed", errors.UnsealedResultError("the answer bears no seal"), instance, True, True)
         return ("answer", answer, instance)
--- a/src/irisstand/dataplane/upstream/connections.py
+++ b/src/irisstand/dataplane/upstream/connections.py
@@ -89,7 +89,7 @@
             content += chunk
             # An endless body must not fill this process's memory.
             if len(content) > BODY_LIMIT:
-                raise errors.UnsealedResult(f"the body is over {BODY_LIMIT} bytes")
+                raise errors.UnsealedResultError(f"the body is over {BODY_LIMIT} bytes")
         headers = {name.lower(): value for name, value in response.headers.items()}
         if headers.get("connection", "").lower() == "close":
             self.alive = False
@@ -111,8 +111,8 @@
         named = json.loads(body)
         found = (named.get("service"), named.get("instance"))
     except (ValueError, AttributeError):
-        raise errors.WrongService("the probe's answer names no service") from None
+        raise errors.WrongServiceError("the probe's answer names no service") from None
     if found != (service, instance):
-        raise errors.WrongService(f"{found[0]}/{found[1]} answers where {service}/{instance} should")
+        raise errors.WrongServiceError(f"{found[0]}/{found[1]} answers where {service}/{instance} should")
     if status != 200:
-        raise errors.NoOrigin(f"the probe of {instance} answered {status}")
+        raise errors.NoOriginError(f"the probe of {instance} answered {status}")
--- a/src/irisstand/dataplane/upstream/endpoint.py
+++ b/src/irisstand/dataplane/upstream/endpoint.py
@@ -83,7 +83,7 @@
                 line = await self.connect(self.origin.host, self.origin.port)
         except (OSError, TimeoutError) as error:
             self.fail(repr(error))
-            raise errors.Unreached(f"the origin {self.instance} takes no connection") from None
+            raise errors.NotSentError(f"the origin {self.instance} takes no connection") from None
         self.context.counters.add("origin_connections", service=self.origin.service)
         return line
 
--- a/src/irisstand/dataplane/upstream/endpoint_pool.py
+++ b/src/irisstand/dataplane/upstream/endpoint_pool.py
@@ -126,10 +126,10 @@
         ]
         up = [target for target in listed if not target.is_down]
         if not up:
-            raise errors.NoOrigin(f"no origin of {upstream.name} is usable just now", retry_after=0.3)
+            raise errors.NoOriginError(f"no origin of {upstream.name} is usable just now", retry_after=0.3)
         free = [t for t in up if len(t.started) < self.most(t, upstream) and now >= t.full_until]
         if not free:
-            raise errors.OverCeiling(f"every origin of {upstream.name} is full", retry_after=0.1)
+            raise errors.LimitExceededError(f"every origin of {upstream.name} is full", retry_after=0.1)
         return free
 
     def draw(
@@ -143,7 +143,7 @@
         sure = [target for target in warm if not target.is_doubtful()]
         found = sure or warm or [target for target in free if self.grants.has_place(cold_name(target), 0.0)]
         if not found:
-            raise errors.WarmingUp(f"the origins of {upstream.name} are warming up", retry_after=0.4)
+            raise errors.SlowStartError(f"the origins of {upstream.name} are warming up", retry_after=0.4)
         return min(found, key=self.cost)
 
     def most(self, target: targeting.Target, upstream: routes.Upstream) -> int:
@@ -246,7 +246,7 @@
             target.give_back(line)
             named = answer.headers.get(self.words.instance)
             if answer.status != 200 or (named and named != target.instance):
-                raise errors.NoOrigin(f"the probe was answered {answer.status} by {named}")
+                raise errors.NoOriginError(f"the probe was answered {answer.status} by {named}")
         except FAILURES as error:
             target.fail(repr(error))
             return
--- a/src/irisstand/dataplane/upstream/exchange.py
+++ b/src/irisstand/dataplane/upstream/exchange.py
@@ -31,7 +31,7 @@
 
 
 # The connection ended, or brought bytes that are no answer, before the answer was whole.
-Broken = errors.OriginFailed
+Broken = errors.OriginFailedError
 
 
 class Exchange(asyncio.Protocol):
--- a/src/irisstand/dataplane/upstream/origin_pool.py
+++ b/src/irisstand/dataplane/upstream/origin_pool.py
@@ -74,7 +74,7 @@
                 self.busy += 1
                 return line
         if self.busy >= LINES_LIMIT:
-            raise errors.OverCeiling("every line to the origin is busy")
+            raise errors.LimitExceededError("every line to the origin is busy")
         self.busy += 1
         try:
             return await self.connect(patience)
@@ -112,7 +112,7 @@
                     finally:
                         await self.give_back(line)
                     self.mark(True)
-                except errors.OverCeiling:
+                except errors.LimitExceededError:
                     # Every line is at work: that is health enough.
                     pass
                 except FAILURES as error:
@@ -178,12 +178,12 @@
             if pool.healthy and pool.instance not in tried and not self.view.is_evacuated(pool.origin.site)
         ]
         if not usable:
-            raise errors.NoOrigin(f"no origin of {granted.service} is usable just now")
+            raise errors.NoOriginError(f"no origin of {granted.service} is usable just now")
         even, part = granted.ceiling[0] / len(listed), self.part(granted)
         open_ones = [pool for pool in usable if pool.has_room(even, part)]
         # All that are left are warming up: more than they may get is refused, not poured over them.
         if not open_ones:
-            raise errors.WarmingUp(f"the origins of {granted.service} are warming up")
+            raise errors.SlowStartError(f"the origins of {granted.service} are warming up")
         regions = self.context.regions()
         near = {
             pool.origin: NEARNESS if regions.get(pool.origin.site) == self.context.settings.region else 1.0
--- a/src/irisstand/errors.py
+++ b/src/irisstand/errors.py
@@ -38,96 +38,96 @@
         self.faults = faults
 
 
-class BadFrame(IrisError):
+class MalformedFrameError(IrisError):
     code, status, remedy = "bad-frame", 400, "speak this protocol's version, within the size limit"
 
 
-class Unreached(IrisError):
+class NotSentError(IrisError):
     """Certain: not one byte of the request has left. Another peer may be asked."""
 
     code, status, remedy = "unreached", 503, "ask another colleague"
     comes_back = 1.0
 
 
-class Unanswered(IrisError):
+class UnansweredError(IrisError):
     """The request left and no result came: nobody here knows whether it ran."""
 
     code, status, remedy = "unanswered", 504, "ask again later; do not assume that it did not run"
     comes_back = 1.0
 
 
-class OutcomeUnknown(IrisError):
+class OutcomeUnknownError(IrisError):
     code, status = "outcome-unknown", 504
     comes_back = 5.0
     remedy = "it may or may not have run: look at the origin before sending it again"
 
 
-class StaleConfiguration(IrisError):
+class StaleConfigurationError(IrisError):
     code, status, remedy = "stale-blueprint", 503, "try another node; this one has lost the core"
     comes_back = 2.0
 
 
-class UnknownPath(IrisError):
+class UnknownPathError(IrisError):
     code, status, remedy = "unknown-path", 404, "ask for a path that the blueprint grants"
 
 
-class MethodRefused(IrisError):
+class MethodNotAllowedError(IrisError):
     code, status, remedy = "method-rejected", 405, "use a method that the path's grant entries name"
 
 
-class DeadlinePassed(IrisError):
+class DeadlineExceededError(IrisError):
     code, status, remedy = "deadline-passed", 504, "ask again; a read is safe to repeat"
     comes_back = 1.0
 
 
-class OverCeiling(IrisError):
+class LimitExceededError(IrisError):
     code, status, remedy = "over-ceiling", 503, "wait for Retry-After seconds"
     comes_back = 1.0
 
 
-class WarmingUp(IrisError):
+class SlowStartError(IrisError):
     """All origins that are left are cold: what they may get is taken up."""
 
     code, status, remedy = "warming-up", 503, "wait for Retry-After seconds; the origins take more by and by"
     comes_back = 1.0
 
 
-class NoShare(IrisError):
+class NoQuotaShareError(IrisError):
     """This shield holds no part of the service's ceiling just now; another one does."""
 
     code, status, remedy = "no-share", 503, "wait for Retry-After seconds; shares are being handed over"
     comes_back = 2.0
 
 
-class NoOrigin(IrisError):
+class NoOriginError(IrisError):
     code, status = "no-origin", 503
     comes_back = 2.0
     remedy = "wait for Retry-After seconds; no origin of the service is usable"
 
 
-class OriginFailed(IrisError):
+class OriginFailedError(IrisError):
     """The request went to an origin, which gave no answer: unlike no-origin, it may have run there."""
 
     code, status, remedy = "origin-failed", 502, "ask again; a read is safe to repeat"
     comes_back = 1.0
 
 
-class NoShield(IrisError):
+class NoShieldError(IrisError):
     code, status, remedy = "no-shield", 503, "wait for Retry-After seconds; no shield is reachable"
     comes_back = 2.0
 
 
-class Draining(IrisError):
+class DrainingError(IrisError):
     code, status, remedy = "draining", 503, "ask another node; this one is shutting down"
     comes_back = 1.0
 
 
-class SiteEvacuated(IrisError):
+class SiteEvacuatedError(IrisError):
     code, status, remedy = "site-evacuated", 503, "ask an edge of another site"
     comes_back = 5.0
 
 
-class CannotCarry(IrisError):
+class InsufficientCapacityError(IrisError):
     code, status = "cannot-carry", 409
     remedy = "wake or mend machines first, or send the order with insist=true"
 
@@ -139,17 +139,17 @@
         return {**super().as_object(), "figures": self.figures}
 
 
-class UnsealedResult(IrisError):
+class UnsealedResultError(IrisError):
     code, status, remedy = "unsealed-result", 502, "mend the origin: its answer was not whole or not sealed"
     comes_back = 1.0
 
 
-class WrongService(IrisError):
+class WrongServiceError(IrisError):
     code, status, remedy = "wrong-service", 502, "the address belongs to another service; mend the roster"
     comes_back = 2.0
 
 
-class BadChange(IrisError):
+class InvalidChangeError(IrisError):
     code, status, remedy = "bad-change", 422, "correct every fault listed and send the change again"
 
     def __init__(self, faults: list[dict]) -> None:
@@ -160,7 +160,7 @@
         return {**super().as_object(), "faults": self.faults}
 
 
-class StaleVersion(IrisError):
+class StaleVersionError(IrisError):
     code, status = "stale-serial", 409
     remedy = "read the row again, and send the change with the serial in force"
 
@@ -172,20 +172,20 @@
         return {**super().as_object(), "conflicts": self.conflicts}
 
 
-class NoMajority(IrisError):
+class NoQuorumError(IrisError):
     """Raised only before any voter was sent the batch: certainly not accepted."""
 
     code, status, remedy = "no-majority", 503, "nothing was changed; send it again when the core is whole"
     comes_back = 2.0
 
 
-class ChangeUnknown(IrisError):
+class ChangeOutcomeUnknownError(IrisError):
     code, status = "outcome-unknown", 503
     comes_back = 1.0
     remedy = "send the same change id again: it returns the one true result"
 
 
-class Claimed(IrisError):
+class KeyClaimedError(IrisError):
     """A keyed write that another request has claimed; `claim` says what became of it."""
 
     code, status, remedy = "claimed", 409, "wait for the first request's outcome"
@@ -195,18 +195,18 @@
         self.claim = claim
 
 
-class KeyReused(IrisError):
+class KeyReusedError(IrisError):
     code, status, remedy = "key-reused", 422, "use a new Idempotency-Key for another request"
 
 
-class NoClaim(IrisError):
+class KeyNotClaimedError(IrisError):
     """The key could not be claimed, so the write was not sent on."""
 
     code, status, remedy = "no-claim", 503, "wait for Retry-After seconds; the core could not record the key"
     comes_back = 1.0
 
 
-class TableFull(IrisError):
+class TableFullError(IrisError):
     """Nothing that is still to be remembered is forgotten to make room."""
 
     code, status = "table-full", 503
@@ -214,29 +214,29 @@
     remedy = "wait for Retry-After seconds; the oldest will be gone by then"
 
 
-class PortTaken(IrisError):
+class PortTakenError(IrisError):
     code, status, remedy = "port-taken", 500, "free the port or name another"
 
 
-class NotFounded(IrisError):
+class NotBootstrappedError(IrisError):
     code, status, remedy = "not-founded", 503, "wait until all founding cores have met"
     comes_back = 1.0
 
 
-class DiskFull(IrisError):
+class DiskFullError(IrisError):
     code, status, remedy = "disk-full", 503, "free space in the data folder; the node votes again by itself"
     comes_back = 10.0
 
 
-class TornFile(IrisError):
+class TornFileError(IrisError):
     code, status, remedy = "torn-file", 500, "none needed: it was put aside and is mended from peers"
 
 
-class Unknown(IrisError):
+class UnknownNameError(IrisError):
     code, status, remedy = "unknown-name", 404, "use one of the names listed"
 
 
-class BadRequest(IrisError):
+class BadRequestError(IrisError):
     code, status, remedy = "bad-request", 400, "send what the operators' page describes"
 
 
--- a/src/irisstand/membership/detector.py
+++ b/src/irisstand/membership/detector.py
@@ -26,7 +26,7 @@
     def __init__(
         self,
         name: str,
-        card: updates.Card,
+        card: updates.NodeInfo,
         clock: clocks.Clock,
         randomness: random.Random,
         counters: counting.Counters,
@@ -114,7 +114,7 @@
             learned = [updates.decode(parts) for parts in riding]
             sender = updates.Identity(str(name), str(life))
             about = updates.Identity(str(about_name), str(about_life))
-        except (errors.BadFrame, ValueError, TypeError):
+        except (errors.MalformedFrameError, ValueError, TypeError):
             self.counters.add("datagrams_dropped")
             return
         for update in learned:
--- a/src/irisstand/membership/updates.py
+++ b/src/irisstand/membership/updates.py
@@ -11,7 +11,7 @@
     life: str
 
 
-class Card(typing.NamedTuple):
+class NodeInfo(typing.NamedTuple):
     """Where a member is and what it is; it never changes within a life."""
 
     role: str
@@ -37,7 +37,7 @@
     state: State
     identity: Identity
     incarnation: int
-    card: Card
+    card: NodeInfo
     left: bool = False
 
 
@@ -76,5 +76,5 @@
         raise ValueError("a number of an update is not one")
     if not 0 < port < 65536 or http_port >= 65536 or type(left) is not bool or not name:
         raise ValueError("an update names no member")
-    place = Card(role, machine, site, region, host, port, http_port)
+    place = NodeInfo(role, machine, site, region, host, port, http_port)
     return Update(State(state), Identity(name, life), incarnation, place, left)
--- a/src/irisstand/modelcheck/events.py
+++ b/src/irisstand/modelcheck/events.py
@@ -48,7 +48,7 @@
     def lose(self) -> None:
         if not self.future.done():
             self.asker.mark(f"unanswered {self.label}")
-            self.future.set_exception(errors.Unanswered(f"{self.name} gave no result in time"))
+            self.future.set_exception(errors.UnansweredError(f"{self.name} gave no result in time"))
 
     def serve(self) -> None:
         """Delivered: the peer's handler runs as the peer; a peer that is down refuses the connection."""
@@ -58,7 +58,7 @@
             peer.actor.start(self.answer(peer))
         elif not self.future.done():
             self.asker.mark(f"unreached {self.label}")
-            self.future.set_exception(errors.Unreached(f"{self.name} is down"))
+            self.future.set_exception(errors.NotSentError(f"{self.name} is down"))
 
     async def answer(self, peer: typing.Any) -> None:
         kind, inner = codec.unpack(self.payload)[2]
@@ -67,7 +67,7 @@
         except errors.IrisError as error:
             result = ("fault", error.as_tuple())
         except (ValueError, TypeError, IndexError, KeyError) as error:
-            result = ("fault", errors.BadRequest(repr(error)).as_tuple())
+            result = ("fault", errors.BadRequestError(repr(error)).as_tuple())
         if self in peer.serving:
             peer.serving.remove(self)
         payload = codec.pack(result)
--- a/src/irisstand/modelcheck/founding.py
+++ b/src/irisstand/modelcheck/founding.py
@@ -40,7 +40,7 @@
     rows = ((items.VOTERS, [list(voter) for voter in voters], False),)
     batch = items.Batch(bootstrap.FIRST, versions.NONE, rows)
     for _, store in made.values():
-        keeper = acceptor.Owner(store, replica.Copy(nodes.TABLE), None)
+        keeper = acceptor.Owner(store, replica.Replica(nodes.TABLE), None)
         task = asyncio.get_running_loop().create_task(keeper.run())
         await keeper.order("found", batch)
         task.cancel()
--- a/src/irisstand/modelcheck/node.py
+++ b/src/irisstand/modelcheck/node.py
@@ -56,7 +56,7 @@
         context = node_context.NodeContext(self.settings(), "agency", clocks.LoopClock(), randomness, None)
         # Everybody knows everybody: membership is not what is checked here.
         for other in self.world.nodes.values():
-            card = updates.Card("agency", other.name, other.site, "region", other.name, PORT, PORT + 1)
+            card = updates.NodeInfo("agency", other.name, other.site, "region", other.name, PORT, PORT + 1)
             identity = updates.Identity(other.name, "1")
             if other is not self:
                 context.detector.roster.apply(updates.Update(updates.State.ALIVE, identity, 1, card))
--- a/src/irisstand/modelcheck/oracle.py
+++ b/src/irisstand/modelcheck/oracle.py
@@ -83,7 +83,7 @@
                     content[key] = items.Item(key, batch.version, value)
             self.states[batch.version] = content
 
-    def compare(self, name: str, copy: replica.Copy, last: list[versions.Version]) -> None:
+    def compare(self, name: str, copy: replica.Replica, last: list[versions.Version]) -> None:
         if copy.applied < last[0]:
             self.fail(f"{name} went back from {last[0]} to {copy.applied}")
         last[0] = copy.applied
@@ -134,10 +134,10 @@
                 self.fail(f"{key} was confirmed at version {value['version']}, which has another content")
 
     def say_no(self, order: typing.Any, error: errors.IrisError) -> None:
-        if not isinstance(error, errors.ChangeUnknown):
+        if not isinstance(error, errors.ChangeOutcomeUnknownError):
             self.refused.append(order)
 
-    def read(self, name: str, copy: replica.Copy, moment: float) -> None:
+    def read(self, name: str, copy: replica.Replica, moment: float) -> None:
         """A copy that counts as current as of a moment has all that was confirmed before it."""
         for entry in self.confirmed:
             if entry.moment < moment and not self.holds(entry, (copy.applied, dict(copy.items))):
@@ -167,7 +167,7 @@
                 self.fail(f"{version} was confirmed and lies in one site alone")
 
     # -- the end -----------------------------------------------------------------------------------------
-    def check_end(self, copies: list[replica.Copy], changes: list[str]) -> None:
+    def check_end(self, copies: list[replica.Replica], changes: list[str]) -> None:
         """Whole again: every node has all that was confirmed, and nothing that was refused."""
         for copy in copies:
             for entry in self.confirmed:
--- a/src/irisstand/modelcheck/world.py
+++ b/src/irisstand/modelcheck/world.py
@@ -75,7 +75,9 @@
                 self.results[number] = "yes"
             except errors.IrisError as error:
                 self.oracle.say_no(order, error)
-                self.results[number] = "unknown" if isinstance(error, errors.ChangeUnknown) else "no"
+                self.results[number] = (
+                    "unknown" if isinstance(error, errors.ChangeOutcomeUnknownError) else "no"
+                )
         except Exception as error:
             # A check that failed is tried again by its loop; here it is over.
             self.results.setdefault(number, "no")
--- a/src/irisstand/node_context.py
+++ b/src/irisstand/node_context.py
@@ -31,8 +31,8 @@
         self.started_at = clock.now()
         self.counters = counting.Counters()
         held = items.TABLES if role == "agency" else items.CARRIED
-        self.copies = {name: replica.Copy(name) for name in held}
-        card = updates.Card(
+        self.copies = {name: replica.Replica(name) for name in held}
+        card = updates.NodeInfo(
             role,
             settings.machine,
             settings.site,
@@ -73,14 +73,14 @@
         return tuple((copy.name, tuple(copy.applied), self.is_current(copy)) for copy in copies)
 
     @property
-    def configuration(self) -> replica.Copy:
+    def configuration(self) -> replica.Replica:
         return self.copies[items.CONFIGURATION]
 
     @property
-    def ledger(self) -> replica.Copy:
+    def ledger(self) -> replica.Replica:
         return self.copies[items.LEDGER]
 
-    def is_fresh(self, table: replica.Copy) -> bool:
+    def is_fresh(self, table: replica.Replica) -> bool:
         """Confirmed within the bound, as of a moment in this life of the process.
 
         A node killed and started again might else serve by a table older than its former life's.
@@ -90,12 +90,12 @@
             return False
         return age <= self.settings.freshness_bound
 
-    def is_core_out(self, table: replica.Copy) -> bool:
+    def is_core_out(self, table: replica.Replica) -> bool:
         """Whether the voters were found unable to confirm anything, and that within the freshness bound."""
         as_of = self.core_out_as_of.get(table.name)
         return as_of is not None and self.clock.now() - as_of <= self.settings.freshness_bound
 
-    def is_current(self, table: replica.Copy) -> bool:
+    def is_current(self, table: replica.Replica) -> bool:
         """Fresh; or, on the data plane and where the settings allow it, older while the core is out."""
         if self.is_fresh(table):
             return True
@@ -110,7 +110,7 @@
         """StaleConfiguration if any table is not known to be current here."""
         for copy in self.copies.values():
             if not self.is_current(copy):
-                raise errors.StaleConfiguration(f"the {copy.name} table is not known to be current here")
+                raise errors.StaleConfigurationError(f"the {copy.name} table is not known to be current here")
 
     def is_evacuated(self, site: str) -> bool:
         return self.ledger.value(f"evacuated/{site}") is not None
--- a/src/irisstand/process_runner.py
+++ b/src/irisstand/process_runner.py
@@ -104,7 +104,7 @@
     await asyncio.wait([waiting, context.crashed], return_when=asyncio.FIRST_COMPLETED)
     if context.crashed.done():
         error = context.crashed.exception()
-        if isinstance(error, errors.PortTaken):
+        if isinstance(error, errors.PortTakenError):
             print(f"irisstand: {error}; {error.remedy}", file=sys.stderr)
             return 2
         log_ring.write_out(f"crash: {error!r}")
--- a/src/irisstand/simulator/big_configurations.py
+++ b/src/irisstand/simulator/big_configurations.py
@@ -28,22 +28,22 @@
     return {"name": f"extra-{number:05d}", "version": version, **fields, **more}
 
 
-def filled(count: int) -> replica.Copy:
+def filled(count: int) -> replica.Replica:
     """A table to which one change has brought so many routes."""
-    copy = replica.Copy(items.CONFIGURATION)
+    copy = replica.Replica(items.CONFIGURATION)
     rows = [(f"route/extra-{n:05d}", {"version": 1, "item": route(n)}, False) for n in range(count)]
     copy.apply(items.Batch(versions.Version(1, "core-1"), copy.applied, tuple(rows)))
     return copy
 
 
-def change_one(copy: replica.Copy) -> items.Item:
+def change_one(copy: replica.Replica) -> items.Item:
     version = versions.Version(copy.applied.counter + 1, "core-1")
     row = ("route/extra-00007", {"version": version.counter, "item": route(7, version.counter)}, False)
     copy.apply(items.Batch(version, copy.applied, (row,)))
     return copy.items[row[0]]
 
 
-def parts_of(copy: replica.Copy) -> list[chunk_transfer.Part]:
+def parts_of(copy: replica.Replica) -> list[chunk_transfer.Part]:
     cursor, found = chunk_transfer.Cursor(versions.NONE, replica.LAST), []
     while not found or found[-1].end is not None:
         found.append(chunk_transfer.cut_part(copy, cursor))
@@ -51,16 +51,16 @@
     return found
 
 
-def take(parts: list[chunk_transfer.Part], applied: versions.Version, root: bytes) -> replica.Copy:
+def take(parts: list[chunk_transfer.Part], applied: versions.Version, root: bytes) -> replica.Replica:
     """What an edge does with the parts."""
-    copy = replica.Copy(items.CONFIGURATION)
+    copy = replica.Replica(items.CONFIGURATION)
     rows = [item for part in parts for item in chunk_transfer.unpack_rows(part.rows)]
     if not copy.advance(applied, root, rows, []):
         raise ValueError("the parts do not add up")
     return copy
 
 
-def compiled(copy: replica.Copy) -> routes.Routes:
+def compiled(copy: replica.Replica) -> routes.Routes:
     table = routes.Routes(types.SimpleNamespace(configuration=copy))
     table.refresh()
     return table
--- a/src/irisstand/simulator/invariants.py
+++ b/src/irisstand/simulator/invariants.py
@@ -52,11 +52,11 @@
                 result = await self.stage.order(
                     control_node, "change", [{**row, "expected": expected}], change
                 )
-            except errors.StaleVersion:
+            except errors.StaleVersionError:
                 self.judge.results["change: another came first"] += 1
                 self.offers[name].remove(offer)
                 return
-            except errors.NoMajority:
+            except errors.NoQuorumError:
                 self.judge.results["change: no majority"] += 1
                 # A yes or no heard on the first attempt only: later ones may hide an unknown outcome.
                 if not attempt:
@@ -87,7 +87,7 @@
         try:
             await self.stage.order(control_node, "change", [good, row])
             self.judge.check("an invalid change is rejected whole", False, "it was confirmed")
-        except errors.BadChange:
+        except errors.InvalidChangeError:
             self.judge.check("an invalid change is rejected whole", True)
         except (errors.IrisError, TimeoutError):
             pass
--- a/src/irisstand/simulator/memory_disk.py
+++ b/src/irisstand/simulator/memory_disk.py
@@ -30,7 +30,7 @@
         for name, content in files:
             await self.turn()
             if self.full:
-                raise errors.DiskFull("the simulated disk is full")
+                raise errors.DiskFullError("the simulated disk is full")
             self.files[name] = disks.seal(content)
             self.writes += 1
         await self.turn()
@@ -48,7 +48,7 @@
         for name in sorted(self.files):
             try:
                 sound[name] = disks.unseal(self.files[name])
-            except errors.TornFile:
+            except errors.TornFileError:
                 torn.append(name)
                 del self.files[name]
         return sound, torn
--- a/src/irisstand/simulator/restart_measurement.py
+++ b/src/irisstand/simulator/restart_measurement.py
@@ -30,7 +30,7 @@
     wiped_seconds: float
 
 
-def change(live: replica.Copy, randomness: random.Random) -> None:
+def change(live: replica.Replica, randomness: random.Random) -> None:
     """One batch of one row; some remove what is there."""
     key = f"path/{randomness.randrange(KEYS)}"
     is_removal = key in live.items and randomness.random() < REMOVALS
@@ -48,7 +48,7 @@
 
 async def measure(changes: int) -> Measured:
     table, randomness = items.CONFIGURATION, random.Random(changes)
-    folder, live = simulated_folder.SimulatedFolder(random.Random(2)), replica.Copy(items.CONFIGURATION)
+    folder, live = simulated_folder.SimulatedFolder(random.Random(2)), replica.Replica(items.CONFIGURATION)
     store = await opened(folder)
     for _ in range(changes):
         change(live, randomness)
--- a/src/irisstand/simulator/simulated_actors.py
+++ b/src/irisstand/simulator/simulated_actors.py
@@ -80,7 +80,7 @@
         node = self.world.nodes[name]
         # As its operators' page says it, or the closed listener behind it.
         if node.body.context.draining:
-            raise errors.Draining(f"{name} is shutting down")
+            raise errors.DrainingError(f"{name} is shutting down")
         actor = node.actor
         actor.asks += 1
         try:
--- a/src/irisstand/simulator/sizes.py
+++ b/src/irisstand/simulator/sizes.py
@@ -17,7 +17,7 @@
 def card(number: int) -> updates.Update:
     name = f"edge-zone-{number % 25}-{number}"
     zone, region = f"zone-{number % 25}", f"region-{number % 10}"
-    place = updates.Card("direct", name, zone, region, "10.100.100.100", 7661, 8140)
+    place = updates.NodeInfo("direct", name, zone, region, "10.100.100.100", 7661, 8140)
     return updates.Update(updates.State.ALIVE, updates.Identity(name, f"{number:016x}"), 0, place)
 
 
@@ -38,7 +38,7 @@
 
 
 def row_bytes(prefix: str, value: typing.Any, rows: int) -> float:
-    copy = replica.Copy(items.LEDGER)
+    copy = replica.Replica(items.LEDGER)
     made = versions.Version(1, "core-1~ab")
     return grown(lambda n: copy.put(items.Item(f"{prefix}/{n:08d}", made, value)), rows)
 
--- a/src/irisstand/simulator/storm.py
+++ b/src/irisstand/simulator/storm.py
@@ -78,7 +78,7 @@
             try:
                 await self.day.stage.order(control_node, kind, payload)
                 self.latencies.append(loop.time() - started)
-            except (errors.BadChange, errors.StaleVersion):
+            except (errors.InvalidChangeError, errors.StaleVersionError):
                 self.refused += 1
             except (errors.IrisError, TimeoutError):
                 self.not_confirmed += 1
--- a/src/irisstand/state/replica.py
+++ b/src/irisstand/state/replica.py
@@ -28,7 +28,7 @@
     return int.from_bytes(hashlib.sha256(packed).digest()[:16])
 
 
-class Copy:
+class Replica:
     """Digests are sums of the hashes of a range's items, so a change costs what changed and no more."""
 
     def __init__(self, name: str) -> None:
@@ -86,7 +86,7 @@
     def root(self) -> bytes:
         return root_of(self.sums)
 
-    def sums_with(self, keys: collections.abc.Iterable[str], other: "Copy") -> list[int]:
+    def sums_with(self, keys: collections.abc.Iterable[str], other: "Replica") -> list[int]:
         """The sums of the ranges, were these keys as they are in the other copy."""
         sums = list(self.sums)
         for key in keys:
@@ -177,7 +177,7 @@
                 if self.items.get(item.key) != item:
                     self.put(item)
 
-    def adopt(self, other: "Copy") -> bool:
+    def adopt(self, other: "Replica") -> bool:
         """Take a whole mended copy at once, so that nobody ever reads one that is half mended."""
         if other.applied < self.applied:
             return False
@@ -185,7 +185,7 @@
         self.changed()
         return True
 
-    def take(self, other: "Copy") -> None:
+    def take(self, other: "Replica") -> None:
         self.items, self.by_version, self.hashes = other.items, other.by_version, other.hashes
         self.sums, self.counts, self.forgotten = other.sums, other.counts, other.forgotten
         self.applied = other.applied
@@ -194,8 +194,8 @@
         for watcher in self.watchers:
             watcher()
 
-    def clone(self) -> "Copy":
-        twin = Copy(self.name)
+    def clone(self) -> "Replica":
+        twin = Replica(self.name)
         twin.items, twin.by_version = self.items.copy(), self.by_version.copy()
         twin.hashes, twin.sums = dict(self.hashes), list(self.sums)
         twin.counts, twin.forgotten = self.counts.copy(), self.forgotten.copy()
@@ -215,7 +215,7 @@
     return key.partition("/")[0]
 
 
-def first_root(copy: Copy) -> bytes:
+def first_root(copy: Replica) -> bytes:
     """The root as the version before this one worked it out, over sixteen ranges: old folders bear it."""
     parts = [hashlib.sha256() for _ in range(16)]
     for key, item in copy.items.items():
--- a/src/irisstand/state/replication/chunk_transfer.py
+++ b/src/irisstand/state/replication/chunk_transfer.py
@@ -68,14 +68,14 @@
         copy, base = self.context.copies[name], versions.decode(base_parts)
         cursor = Cursor(versions.decode(version_parts), str(key))
         if copy.applied < max(base, cursor.version):
-            raise errors.StaleConfiguration(f"the {name} table is older here than the asker's")
+            raise errors.StaleConfigurationError(f"the {name} table is older here than the asker's")
         part = self.part(copy, cursor)
         forgotten = tuple(copy.after(base)[1]) if part.end is None else ()
         end = None if part.end is None else (tuple(part.end.version), part.end.key)
         age = copy.age(self.context.clock.now())
         return (tuple(copy.applied), age, copy.root(), part.rows, end, forgotten)
 
-    def part(self, copy: replica.Copy, cursor: Cursor) -> Part:
+    def part(self, copy: replica.Replica, cursor: Cursor) -> Part:
         """The part behind the cursor, worked out once for all who ask for it."""
         if self.kept_of.get(copy.name) != copy.applied or len(self.kept) >= KEPT_PARTS:
             self.kept = {place: part for place, part in self.kept.items() if place[0] != copy.name}
@@ -92,7 +92,7 @@
             if staged.base != self.context.copies[name].applied:
                 del self.staged[name]
 
-    async def carry(self, address: network.Address, name: str, copy: replica.Copy) -> bool:
+    async def carry(self, address: network.Address, name: str, copy: replica.Replica) -> bool:
         """Ask one peer for part after part. False if the rows do not add up to its copy."""
         staged = self.staged_for(copy)
         for _ in range(PARTS_LIMIT):
@@ -116,7 +116,7 @@
             return True
         return False
 
-    def staged_for(self, copy: replica.Copy) -> Staged:
+    def staged_for(self, copy: replica.Replica) -> Staged:
         """What came so far for this very copy, from whichever peer."""
         staged = self.staged.get(copy.name)
         if staged is None or staged.base != copy.applied:
@@ -125,7 +125,7 @@
         return staged
 
     def take(
-        self, copy: replica.Copy, staged: Staged, applied: versions.Version, root: bytes, forgotten: list
+        self, copy: replica.Replica, staged: Staged, applied: versions.Version, root: bytes, forgotten: list
     ) -> bool:
         gone = {str(key) for key in forgotten}
         changed = [item for item in staged.rows.values() if item.key not in gone]
@@ -135,7 +135,7 @@
         return taken
 
 
-def cut_part(copy: replica.Copy, cursor: Cursor) -> Part:
+def cut_part(copy: replica.Replica, cursor: Cursor) -> Part:
     """Rows behind the cursor in the order of their versions, as many as a part has room for."""
     packed: list[bytes] = []
     size = 0
--- a/src/irisstand/state/replication/quorum_loss.py
+++ b/src/irisstand/state/replication/quorum_loss.py
@@ -30,11 +30,11 @@
             await asyncio.gather(*(self.probe(copy) for copy in doubtful))
             await asyncio.sleep(PAUSE)
 
-    def is_doubtful(self, copy: replica.Copy) -> bool:
+    def is_doubtful(self, copy: replica.Replica) -> bool:
         age = copy.age(self.context.clock.now())
         return age is not None and age > DOUBT * self.context.settings.freshness_bound
 
-    async def probe(self, copy: replica.Copy) -> None:
+    async def probe(self, copy: replica.Replica) -> None:
         """One round of questions about one table."""
         # The evidence counts from here: a voter may have come back after it was asked.
         started = self.context.clock.now()
@@ -55,18 +55,20 @@
             self.context.core_out_as_of[copy.name] = started
             self.context.counters.add("core_found_out", table=copy.name)
 
-    async def cannot_confirm(self, voter: quorum.Voter, copy: replica.Copy) -> bool:
+    async def cannot_confirm(self, voter: quorum.Voter, copy: replica.Replica) -> bool:
         address, transport = (voter.host, voter.port), self.context.transport
         try:
             told = await transport.ask(address, voter.name, "tips", (), PATIENCE)
             stand = await transport.ask(address, voter.name, "stand", (copy.name,), PATIENCE)
             return self.is_without_majority(voter, copy, told, stand)
-        except errors.Unreached:
+        except errors.NotSentError:
             return await self.is_refused(voter)
         except (errors.IrisError, ValueError, TypeError, IndexError):
             return False
 
-    def is_without_majority(self, voter: quorum.Voter, copy: replica.Copy, told: list, stand: list) -> bool:
+    def is_without_majority(
+        self, voter: quorum.Voter, copy: replica.Replica, told: list, stand: list
+    ) -> bool:
         """By its own words; and nothing that it knows of has passed this node by."""
         # One that says nothing about the table may well be able to confirm it.
         is_current = {name: current for name, _, current in told}.get(copy.name, True)
--- a/src/irisstand/state/replication/replicator.py
+++ b/src/irisstand/state/replication/replicator.py
@@ -47,7 +47,7 @@
             replies.append((tuple(copy.applied), copy.age(now), own_root, told))
         return tuple(replies)
 
-    def above(self, copy: replica.Copy, applied: versions.Version) -> tuple:
+    def above(self, copy: replica.Replica, applied: versions.Version) -> tuple:
         changed, forgotten = copy.after(applied)
         # Equal applied versions that do not add up are damage, and more than fits a frame is carried in
         # parts.
@@ -104,7 +104,7 @@
             all_current = all_current and is_news and context.is_fresh(copy)
         return all_current
 
-    async def mend(self, address: network.Address, name: str, copy: replica.Copy, in_parts: bool) -> None:
+    async def mend(self, address: network.Address, name: str, copy: replica.Replica, in_parts: bool) -> None:
         """Take what a peer has, part by part, or range by range if that does not add up."""
         # One mending of a table at a time: two would only carry the same rows twice.
         if copy.name in self.mending:
@@ -116,14 +116,14 @@
         finally:
             self.mending.discard(copy.name)
 
-    async def carry_parts(self, address: network.Address, name: str, copy: replica.Copy) -> bool:
+    async def carry_parts(self, address: network.Address, name: str, copy: replica.Replica) -> bool:
         try:
             return await self.parts.carry(address, name, copy)
-        except errors.Unknown:
+        except errors.UnknownNameError:
             # A peer of the version before has no parts to give.
             return False
 
-    async def mend_ranges(self, address: network.Address, name: str, copy: replica.Copy) -> None:
+    async def mend_ranges(self, address: network.Address, name: str, copy: replica.Replica) -> None:
         """Compare range by range with one peer, aside, until both are alike; then take it whole."""
         aside, overtaken = copy.clone(), 0
         for _ in range(PARTS_LIMIT):
--- a/src/irisstand/state/storage/disk.py
+++ b/src/irisstand/state/storage/disk.py
@@ -33,7 +33,7 @@
         content = sealed[HEAD.size : HEAD.size + length]
         if len(content) == length and hashlib.sha256(content).digest()[:16] == checksum:
             return content
-    raise errors.TornFile("the checksum does not match")
+    raise errors.TornFileError("the checksum does not match")
 
 
 class Folder(typing.Protocol):
@@ -161,7 +161,7 @@
         except OSError as error:
             self.remove_now(aside)
             if error.errno in (errno.ENOSPC, errno.EDQUOT):
-                raise errors.DiskFull(f"no space left in {self.folder}") from None
+                raise errors.DiskFullError(f"no space left in {self.folder}") from None
             raise
 
     def remove_now(self, names: list[str]) -> None:
@@ -194,7 +194,7 @@
             elif not name.endswith(".old"):
                 try:
                     sound[name] = unseal(self.files.read(name))
-                except errors.TornFile:
+                except errors.TornFileError:
                     self.files.rename(name, name + ".torn")
                     torn.append(name)
         for name in self.files.names():
--- a/src/irisstand/state/storage/durable_store.py
+++ b/src/irisstand/state/storage/durable_store.py
@@ -65,7 +65,7 @@
         self.identity = ""
         self.numbers: dict[str, int] = {}
         self.records: dict[str, Record] = {}
-        self.copies: dict[str, replica.Copy] = {}
+        self.copies: dict[str, replica.Replica] = {}
         self.layouts: dict[str, item_files.Layout] = {}
         self.sound: dict[str, bool] = {}
         self.garbage: dict[str, list[str]] = {}
@@ -97,7 +97,7 @@
             self.records.setdefault(table, BLANK)
 
     def load_table(self, table: str, files: dict[str, bytes]) -> None:
-        copy = replica.Copy(table)
+        copy = replica.Replica(table)
         self.copies[table] = copy
         self.numbers[table] = 0
         layout = self.layouts[table] = item_files.Layout()
@@ -131,7 +131,7 @@
             names, self.garbage[table] = self.garbage[table], []
             await self.disk.remove(names)
 
-    def behind(self, table: str, live: replica.Copy) -> dict[str, items.Item | None]:
+    def behind(self, table: str, live: replica.Replica) -> dict[str, items.Item | None]:
         """Keys whose file is out of date, with what they hold now; None where nothing is left."""
         kept = self.copies[table]
         changed, forgotten = live.after(kept.applied)
@@ -142,7 +142,7 @@
         wanted = {key: live.items.get(key) for key in keys}
         return {key: item for key, item in wanted.items() if item != kept.items.get(key)}
 
-    async def save_copy(self, table: str, live: replica.Copy, record: Record) -> None:
+    async def save_copy(self, table: str, live: replica.Replica, record: Record) -> None:
         """Items first, then the record that confirms for them, and only then the old versions go."""
         # Taken all at once: the live copy moves on while the disk is waited for.
         wanted, applied, root = self.behind(table, live), live.applied, live.root()
--- a/src/irisstand/state/storage/item_files.py
+++ b/src/irisstand/state/storage/item_files.py
@@ -68,7 +68,7 @@
 
 
 def load(
-    copy: replica.Copy,
+    copy: replica.Replica,
     layout: Layout,
     files: dict[str, bytes],
     segments: typing.Iterable[str],
@@ -98,14 +98,14 @@
             layout.singles[item.key] = name
 
 
-def merge(copy: replica.Copy, layout: Layout, item: items.Item) -> None:
+def merge(copy: replica.Replica, layout: Layout, item: items.Item) -> None:
     # Versions newer than the applied version belong to a commit that was cut short; it is done again.
     if item.version <= copy.applied and item.version > layout.forgotten.get(item.key, versions.NONE):
         copy.merge(item)
 
 
 def plan(
-    kept: replica.Copy, layout: Layout, wanted: dict[str, items.Item | None], whole: bool, segment: str
+    kept: replica.Replica, layout: Layout, wanted: dict[str, items.Item | None], whole: bool, segment: str
 ) -> Plan:
     """How the disk gets from what it holds to what is wanted, with few files and few syncs."""
     fresh = {key: item for key, item in wanted.items() if item is not None}
--- a/src/irisstand/transport/codec.py
+++ b/src/irisstand/transport/codec.py
@@ -12,7 +12,7 @@
 FRAME_LIMIT = 8 * 1024 * 1024
 
 
-class UnknownVersion(errors.BadFrame):
+class UnknownProtocolError(errors.MalformedFrameError):
     """A frame of a protocol that this version neither speaks nor is a neighbour of."""
 
     code, remedy = "unknown-version", "upgrade this node or its peer to neighbouring versions"
@@ -78,7 +78,7 @@
     try:
         kind, number, body = unpack(payload)
         if type(number) is not int:
-            raise errors.BadFrame("no number")
+            raise errors.MalformedFrameError("no number")
         if kind == "hello":
             return Hello(*map(str, body[:2]))
         if kind == "ask":
@@ -92,8 +92,8 @@
         if kind == "withdraw":
             return Withdraw(number)
     except (ValueError, TypeError, IndexError) as error:
-        raise errors.BadFrame(f"not a whole message: {type(error).__name__}") from None
-    raise errors.BadFrame(f"{kind} is no kind of message")
+        raise errors.MalformedFrameError(f"not a whole message: {type(error).__name__}") from None
+    raise errors.MalformedFrameError(f"{kind} is no kind of message")
 
 
 def pack(message: tuple) -> bytes:
@@ -107,16 +107,16 @@
 def unpack(payload: bytes) -> tuple:
     """The message without its protocol number, or BadFrame; never another exception."""
     if len(payload) > FRAME_LIMIT:
-        raise errors.BadFrame(f"{len(payload)} bytes are over the limit of {FRAME_LIMIT}")
+        raise errors.MalformedFrameError(f"{len(payload)} bytes are over the limit of {FRAME_LIMIT}")
     try:
         message = ormsgpack.unpackb(payload)
     except Exception as error:
-        raise errors.BadFrame(f"not decodable: {type(error).__name__}") from None
+        raise errors.MalformedFrameError(f"not decodable: {type(error).__name__}") from None
     if not isinstance(message, list) or len(message) < 2:
-        raise errors.BadFrame("not a message")
+        raise errors.MalformedFrameError("not a message")
     # bool is an int to Python, and True would pass for protocol 1.
     if type(message[0]) is not int or message[0] not in ACCEPTED:
-        raise UnknownVersion("unknown protocol number")
+        raise UnknownProtocolError("unknown protocol number")
     if not isinstance(message[1], str):
-        raise errors.BadFrame("no kind")
+        raise errors.MalformedFrameError("no kind")
     return tuple(message[1:])
--- a/src/irisstand/transport/network.py
+++ b/src/irisstand/transport/network.py
@@ -44,7 +44,7 @@
             (length,) = struct.unpack("!I", await self.reader.readexactly(4))
             # A hostile length must not make this process reserve the memory it names.
             if length > codec.FRAME_LIMIT:
-                raise errors.BadFrame(f"a frame of {length} bytes was announced")
+                raise errors.MalformedFrameError(f"a frame of {length} bytes was announced")
             return await self.reader.readexactly(length)
         except asyncio.IncompleteReadError:
             raise ConnectionResetError("the colleague closed the connection") from None
--- a/src/irisstand/transport/peers.py
+++ b/src/irisstand/transport/peers.py
@@ -15,7 +15,7 @@
 SILENCE = 0.5
 
 
-class LifeEnded(errors.Unreached):
+class IncarnationEndedError(errors.NotSentError):
     """Certain: it was not carried out. Meant for an earlier life of whoever answers at the address now."""
 
     code, remedy = "life-ended", "ask another colleague; the one that was meant has ended"
@@ -40,7 +40,7 @@
                 message = codec.decode(await self.stream.read())
                 self.heard_at = asyncio.get_running_loop().time()
                 if not isinstance(message, codec.Result | codec.Fault):
-                    raise errors.BadFrame("neither a result nor a fault")
+                    raise errors.MalformedFrameError("neither a result nor a fault")
                 # A number is never used again on a link, so what was withdrawn finds nobody here.
                 future = self.waiting.pop(message.number, None)
                 if future is not None and not future.done():
@@ -50,7 +50,7 @@
                         future.set_exception(errors.from_tuple(message.parts))
         except OSError:
             pass
-        except errors.BadFrame as error:
+        except errors.MalformedFrameError as error:
             self.counters.add("frames_dropped", reason=type(error).__name__)
         finally:
             self.shut()
@@ -60,7 +60,7 @@
         self.stream.close()
         for future in self.waiting.values():
             if not future.done():
-                future.set_exception(errors.Unanswered("the connection was lost under the request"))
+                future.set_exception(errors.UnansweredError("the connection was lost under the request"))
         self.waiting.clear()
 
 
@@ -111,7 +111,7 @@
                 stream.write(codec.encode(self.hello()))
                 hello = codec.decode(await stream.read())
                 if not isinstance(hello, codec.Hello) or (name and hello.name != name):
-                    raise errors.Unreached(f"{address} is not {name} any more")
+                    raise errors.NotSentError(f"{address} is not {name} any more")
             except BaseException:
                 stream.close()
                 raise
@@ -133,11 +133,11 @@
         try:
             async with asyncio.timeout(patience):
                 link = await self.dial(address, name)
-        except (OSError, TimeoutError, errors.BadFrame, ValueError, TypeError) as error:
-            raise errors.Unreached(f"{name or address}: {type(error).__name__}") from None
+        except (OSError, TimeoutError, errors.MalformedFrameError, ValueError, TypeError) as error:
+            raise errors.NotSentError(f"{name or address}: {type(error).__name__}") from None
         # Nothing is awaited between this check and the write, so a closed link is known as such.
         if not link.open:
-            raise errors.Unreached(f"{name or address}: the connection was closed")
+            raise errors.NotSentError(f"{name or address}: the connection was closed")
         link.number += 1
         number = link.number
         future = loop.create_future()
@@ -148,7 +148,7 @@
         except OSError:
             link.waiting.pop(number, None)
             link.shut()
-            raise errors.Unreached(f"{name or address}: the connection was closed") from None
+            raise errors.NotSentError(f"{name or address}: the connection was closed") from None
         self.counters.add("frames_sent", kind=kind)
         try:
             async with asyncio.timeout_at(deadline):
@@ -160,9 +160,9 @@
             # while those already on it may still be answered.
             if patience >= SILENCE and link.heard_at < deadline - patience:
                 self.retire(link)
-            raise errors.Unanswered(f"{name or address} gave no result in time") from None
+            raise errors.UnansweredError(f"{name or address} gave no result in time") from None
         except OSError:
-            raise errors.Unanswered(f"{name or address}: the connection broke") from None
+            raise errors.UnansweredError(f"{name or address}: the connection broke") from None
         except asyncio.CancelledError:
             self.withdraw(link, number)
             raise
@@ -196,7 +196,7 @@
                 elif isinstance(message, codec.Ask) and sender and len(asks) < ASKS_LIMIT:
                     # A number that repeats while its ask is under way could not be withdrawn or told apart.
                     if message.number in asks:
-                        raise errors.BadFrame("a number that is in use")
+                        raise errors.MalformedFrameError("a number that is in use")
                     ask = asyncio.create_task(self.answer(stream, sender, message))
                     asks[message.number] = ask
                     ask.add_done_callback(lambda _, number=message.number: asks.pop(number, None))
@@ -204,10 +204,10 @@
                     if message.number in asks:
                         asks[message.number].cancel()
                 else:
-                    raise errors.BadFrame(f"{type(message).__name__} makes no sense here")
+                    raise errors.MalformedFrameError(f"{type(message).__name__} makes no sense here")
         except (OSError, asyncio.CancelledError):
             pass
-        except (errors.BadFrame, ValueError, TypeError, IndexError, KeyError) as error:
+        except (errors.MalformedFrameError, ValueError, TypeError, IndexError, KeyError) as error:
             # A malformed stream cannot be trusted to be in step again, so it is closed and counted.
             self.counters.add("frames_dropped", reason=type(error).__name__)
         finally:
@@ -221,18 +221,18 @@
         try:
             if not self.is_meant(ask.life):
                 self.counters.add("asks_for_ended_lives")
-                raise LifeEnded(f"{self.name} is in another life")
+                raise IncarnationEndedError(f"{self.name} is in another life")
             handler = self.handlers.get(ask.kind)
             if handler is None:
                 self.counters.add("frames_dropped", reason="unknown-kind")
-                raise errors.Unknown(f"no handler for {ask.kind}")
+                raise errors.UnknownNameError(f"no handler for {ask.kind}")
             reply: codec.Message = codec.Result(number, await handler(sender, ask.body))
         except errors.IrisError as error:
             reply = codec.Fault(number, error.as_tuple())
         except (ValueError, TypeError, IndexError, KeyError) as error:
             self.counters.add("frames_dropped", reason="malformed-ask")
             event_log.note("malformed-ask", error=repr(error), sender=sender)
-            reply = codec.Fault(number, errors.BadRequest(repr(error)).as_tuple())
+            reply = codec.Fault(number, errors.BadRequestError(repr(error)).as_tuple())
         except Exception as error:
             # The asker must not wait for its deadline because of a fault of this node's own.
             self.counters.add("asks_crashed")
--- a/src/irisstand/validation/formats.py
+++ b/src/irisstand/validation/formats.py
@@ -48,10 +48,10 @@
     try:
         decoded = json.loads(content)
     except (ValueError, RecursionError) as error:
-        raise errors.BadChange([fault(None, "file", f"not JSON: {error}")]) from None
+        raise errors.InvalidChangeError([fault(None, "file", f"not JSON: {error}")]) from None
     given = decoded.get("rows") if isinstance(decoded, dict) else decoded
     if not isinstance(given, list) or not all(isinstance(row, dict) for row in given):
-        raise errors.BadChange([fault(None, "file", "not a list of rows")])
+        raise errors.InvalidChangeError([fault(None, "file", "not a list of rows")])
     return given
 
 
@@ -59,19 +59,19 @@
     """Documents of apiVersion, kind, metadata and spec; every fault of every document at once."""
     # Aliases can make a small file into a huge tree; no table needs them.
     if b"&" in content and any(isinstance(e, yaml.AliasEvent) for e in events(content)):
-        raise errors.BadChange([fault(None, "file", "aliases are not taken; write the value out")])
+        raise errors.InvalidChangeError([fault(None, "file", "aliases are not taken; write the value out")])
     try:
         documents = [one for one in yaml.load_all(content, StrictLoader) if one is not None]
     except (yaml.YAMLError, RecursionError, ValueError) as error:
         mark = getattr(error, "problem_mark", None)
         where = f"line {mark.line + 1}: " if mark is not None else ""
         message = f"{where}{getattr(error, 'problem', None) or error}"
-        raise errors.BadChange([fault(None, "file", message)]) from None
+        raise errors.InvalidChangeError([fault(None, "file", message)]) from None
     faults = [found for place, one in enumerate(documents) for found in faults_of(place, one)]
     if not documents:
         faults.append(fault(None, "file", "no document in it"))
     if faults:
-        raise errors.BadChange(faults)
+        raise errors.InvalidChangeError(faults)
     return [row_of(document) for document in documents]
 
 
@@ -131,7 +131,7 @@
     [{'kind': 'site', 'name': 'north', 'value': {'weight': 2}}]
     """
     if len(content) > SIZE_LIMIT:
-        raise errors.BadChange([fault(None, "file", f"over {SIZE_LIMIT} bytes; send it in parts")])
+        raise errors.InvalidChangeError([fault(None, "file", f"over {SIZE_LIMIT} bytes; send it in parts")])
     if not form:
         form = next((f for f, (ends, _) in REGISTRY.items() if name.lower().endswith(ends)), "rows")
     return REGISTRY[form][1](content)
--- a/src/irisstand/web.py
+++ b/src/irisstand/web.py
@@ -83,7 +83,7 @@
             try:
                 await self.open()
             except OSError as error:
-                raise errors.PortTaken(str(error)) from None
+                raise errors.PortTakenError(str(error)) from None
 
     async def stop_listening(self) -> None:
         if self.server is not None:
--- a/tests/controlplane/test_ballots.py
+++ b/tests/controlplane/test_ballots.py
@@ -26,7 +26,7 @@
             results = await asyncio.gather(*orders, return_exceptions=True)
             won = [result for result in results if isinstance(result, dict)]
             assert len(won) == 1, results
-            assert all(isinstance(result, dict | errors.StaleVersion) for result in results)
+            assert all(isinstance(result, dict | errors.StaleVersionError) for result in results)
             weight = results.index(won[0]) + 1
             await asyncio.sleep(1)
             for name in ("agency-4", "edge-1", "shield-3", "store-1"):
@@ -56,14 +56,14 @@
             cluster.site_row("south", weight=-1),
             {"kind": "path", "name": "/x/", "value": {"grants": [{"service": "nobody", "methods": ["GET"]}]}},
         ]
-        with pytest.raises(errors.BadChange) as raised:
+        with pytest.raises(errors.InvalidChangeError) as raised:
             await day.stage.order("agency-1", "change", bad)
         assert [(fault["row"], fault["field"]) for fault in raised.value.faults] == [(1, "weight")]
-        with pytest.raises(errors.BadChange) as raised:
+        with pytest.raises(errors.InvalidChangeError) as raised:
             await day.stage.order("agency-4", "change", [bad[0], bad[2]])
         assert "nobody" in raised.value.faults[0]["message"]
         # A service that a path still grants cannot be removed under it either.
-        with pytest.raises(errors.BadChange):
+        with pytest.raises(errors.InvalidChangeError):
             await day.stage.order(
                 "agency-1", "change", [{"kind": "service", "name": "content", "value": None}]
             )
@@ -99,7 +99,7 @@
 def test_without_a_majority_nothing_is_accepted_and_the_cut_off_side_stops_serving():
     async def scene(day):
         day.world.cut_off(["agency-1", "agency-2", "edge-1"])
-        with pytest.raises(errors.NoMajority):
+        with pytest.raises(errors.NoQuorumError):
             await day.stage.order("agency-1", "change", [cluster.site_row(weight=9)])
         assert not day.world.is_ready(day.world.nodes["agency-1"])
         assert (await day.stage.ask("edge-1", "GET", "/vacancies/1"))[1] == "stale-blueprint"
@@ -119,7 +119,7 @@
         disk = irisstand.simulator.memory_disk.MemoryDisk(random.Random(1))
         disk_id = irisstand.state.storage.durable_store.DurableStore(disk, random.Random(1))
         await disk_id.open()
-        live = replica.Copy(items.LEDGER)
+        live = replica.Replica(items.LEDGER)
         owner = irisstand.controlplane.consensus.acceptor.Owner(disk_id, live, None)
         task = asyncio.create_task(owner.run())
         voter = quorum.Voter("a", disk_id.identity, "s", "h", 1, "m")
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -26,7 +26,7 @@
         )
         await asyncio.sleep(0.2)
         stopping = asyncio.create_task(node.stop())
-        with pytest.raises(errors.ChangeUnknown):
+        with pytest.raises(errors.ChangeOutcomeUnknownError):
             await asking
         for other in day.world.role("agency"):
             other.disk.stalled = False
@@ -120,7 +120,7 @@
                 return await submit(order)
             orders.append(order)
             if len(orders) == 2:
-                raise errors.NoMajority("this node has lost the majority of the voters")
+                raise errors.NoQuorumError("this node has lost the majority of the voters")
             result = await submit(order)
             if len(orders) == 1:
                 await asyncio.sleep(duty.length)
--- a/tests/controlplane/test_guard_scenarios.py
+++ b/tests/controlplane/test_guard_scenarios.py
@@ -86,10 +86,10 @@
         await node.start()
         await day.world.until(lambda: node.body.core.votes(items.CONFIGURATION), 20)
         ballot = (10**6, "x")
-        with pytest.raises(errors.NotFounded):
+        with pytest.raises(errors.NotBootstrappedError):
             await node.do(node.body.core.on_promise("x", [items.CONFIGURATION, ballot, old]), 1)
         batch = items.encode_batch(items.Batch(versions.Version(10**6, "x"), versions.NONE, ()))
-        with pytest.raises(errors.NotFounded):
+        with pytest.raises(errors.NotBootstrappedError):
             await node.do(node.body.core.on_accept("x", [items.CONFIGURATION, ballot, batch, old]), 1)
 
     cluster.play(scene)
@@ -146,7 +146,7 @@
         runs = []
 
         async def nothing():
-            raise errors.NoOrigin("certainly not run")
+            raise errors.NoOriginError("certainly not run")
 
         async def run():
             runs.append(1)
@@ -163,11 +163,11 @@
             await settle(*arguments, **keywords)
 
         claims.settle = late
-        with pytest.raises(errors.NoOrigin):
+        with pytest.raises(errors.NoOriginError):
             await first.do(claims.once(granted, request, nothing), 3)
         second.body.part.claims.settle = late
         for node in (second, third):
-            with pytest.raises(errors.OutcomeUnknown):
+            with pytest.raises(errors.OutcomeUnknownError):
                 await node.do(node.body.part.claims.once(granted, request, run), 3)
         await asyncio.sleep(1.5)
         again = (*request[:4], "request-2")
--- a/tests/controlplane/test_idempotent_changes.py
+++ b/tests/controlplane/test_idempotent_changes.py
@@ -46,7 +46,7 @@
 
 
 def fresh():
-    table = replica.Copy(items.CONFIGURATION)
+    table = replica.Replica(items.CONFIGURATION)
     table.applied = versions.Version(1, "n")
     amend(table, FIRST)
     return table
@@ -138,7 +138,7 @@
     amend(table, put(route(9)))
     before = table.root()
     for fields in ({"target": 99}, {"service": "nowhere"}, {"split": [{"service": "s1", "weight": 0}]}):
-        with pytest.raises(errors.BadChange):
+        with pytest.raises(errors.InvalidChangeError):
             amend(table, put(route(6, **fields)))
     assert table.root() == before
 
@@ -179,7 +179,7 @@
     table = fresh()
     before = table.root()
     item = route(version) if part == "put" else {"name": "r1", "version": version}
-    with pytest.raises((errors.BadChange, errors.BadRequest)):
+    with pytest.raises((errors.InvalidChangeError, errors.BadRequestError)):
         amend(table, {part: {"routes": [item]}})
     assert table.root() == before
 
@@ -199,7 +199,7 @@
     ],
 )
 def test_what_could_not_be_carried_or_stored_is_refused_before_it_is_an_order(body):
-    with pytest.raises((errors.BadRequest, errors.BadChange)):
+    with pytest.raises((errors.BadRequestError, errors.InvalidChangeError)):
         amendment.parse(body)
 
 
--- a/tests/controlplane/test_idempotent_changes_racing.py
+++ b/tests/controlplane/test_idempotent_changes_racing.py
@@ -35,7 +35,7 @@
             if day.world.nodes[name].is_up:
                 await amend(day, name, payload)
                 return True
-        except control_errors.VersionTaken:
+        except control_errors.VersionTakenError:
             return False
         except (errors.IrisError, TimeoutError, asyncio.CancelledError, ConnectionError):
             pass
@@ -106,7 +106,7 @@
         await day.world.until(lambda: all(map(day.world.is_ready, day.world.role("agency"))), 15)
         for name in CORE:
             assert await insist(day, call, [name])
-            with pytest.raises(control_errors.VersionTaken) as raised:
+            with pytest.raises(control_errors.VersionTakenError) as raised:
                 await amend(day, name, upstream(3, 9))
             assert raised.value.details == [{"item": "upstream/s9", "version": 3, "in_force": 5}]
         assert rates(day) == {2}
@@ -119,7 +119,7 @@
         first = await day.stage.order("agency-1", "change", [cluster.site_row(weight=5)], "mine")
         for name in CORE:
             assert await day.stage.order(name, "change", [cluster.site_row(weight=5)], "mine") == first
-            with pytest.raises(control_errors.ChangeIdTaken) as raised:
+            with pytest.raises(control_errors.ChangeIdTakenError) as raised:
                 await day.stage.order(name, "change", [cluster.site_row(weight=6)], "mine")
             assert raised.value.details == [{"change": "mine", "rows": ["site/north"]}]
 
@@ -141,7 +141,7 @@
                 # The one that came first is given up on, before any voter has heard of its batch.
                 lost.append(batch)
                 futures[0].cancel()
-                raise proposers.Lost("cut off")
+                raise proposers.BallotLostError("cut off")
             await whole(self, voters, ballot, batch)
 
         monkeypatch.setattr(proposers.Proposer, "propose", propose)
@@ -162,7 +162,7 @@
         ]
         judge, other = judges[0], judges[3]
         await judge.check_site("west")
-        with pytest.raises(errors.Unknown) as raised:
+        with pytest.raises(errors.UnknownNameError) as raised:
             await judge.check_site("newest")
         assert raised.value.status == 404
         # One voter that has heard of it is enough: this node's own list may lack the newest.
@@ -171,17 +171,17 @@
         # Without a majority's answer nobody can say that there is none.
         for number in (2, 3, 4, 5):
             cluster.context(day, f"agency-{number}").transport.handlers.pop("sites")
-        with pytest.raises(control_errors.SiteNotHeard) as raised:
+        with pytest.raises(control_errors.SiteUnknownError) as raised:
             await judge.check_site("newest")
         assert raised.value.status == 503
         judge.context.settings = judge.context.settings._replace(region_by_site="north=one,south=one")
-        with pytest.raises(errors.Unknown):
+        with pytest.raises(errors.UnknownNameError):
             await judge.check_site("newest")
 
     cluster.play(scene)
 
 
-@pytest.mark.parametrize("kind", [errors.BadRequest, errors.Unknown])
+@pytest.mark.parametrize("kind", [errors.BadRequestError, errors.UnknownNameError])
 def test_a_voter_that_cannot_read_a_message_refuses_no_order(monkeypatch, kind):
     async def scene(day):
         await amend(day, "agency-1", upstream(1, 1))
@@ -194,7 +194,7 @@
             return await ask(address, name, word, body, patience)
 
         monkeypatch.setattr(transport, "ask", misread)
-        with pytest.raises(errors.ChangeUnknown):
+        with pytest.raises(errors.ChangeOutcomeUnknownError):
             await amend(day, "agency-3", upstream(2, 2))
         monkeypatch.undo()
         await amend(day, "agency-3", upstream(2, 2))
@@ -204,7 +204,7 @@
 
 def test_an_evacuation_again_is_not_refused_by_a_node_that_has_not_heard_of_it(monkeypatch):
     async def cannot(self, site, insist):
-        raise errors.CannotCarry("too small", {})
+        raise errors.InsufficientCapacityError("too small", {})
 
     async def scene(day):
         node = day.world.nodes["agency-5"]
@@ -213,7 +213,7 @@
         await day.stage.order("agency-1", "evacuate", "north")
         monkeypatch.setattr(evacuation_check.Evacuation, "check", cannot)
         # Cut off, it cannot know; back in touch, it learns before it speaks.
-        with pytest.raises(errors.NoMajority):
+        with pytest.raises(errors.NoQuorumError):
             await node.do(judge.judge("north", False), 8.0)
         assert not judge.view.is_evacuated("north")
         day.world.wires.heal()
@@ -221,10 +221,10 @@
             try:
                 assert await node.do(judge.judge("north", False), 8.0) == []
                 break
-            except errors.NoMajority:
+            except errors.NoQuorumError:
                 await asyncio.sleep(0.1)
         assert judge.view.is_evacuated("north")
-        with pytest.raises(errors.CannotCarry):
+        with pytest.raises(errors.InsufficientCapacityError):
             await node.do(judge.judge("south", False), 8.0)
 
     cluster.play(scene)
--- a/tests/controlplane/test_leases_under_partition.py
+++ b/tests/controlplane/test_leases_under_partition.py
@@ -33,7 +33,7 @@
         # It knows the tables again, and believes in its lease as it did before.
         await day.world.until_ready()
         duty.lease = lease
-        with pytest.raises(errors.StaleVersion):
+        with pytest.raises(errors.StaleVersionError):
             await node.do(duty.write([("rest/x", {"since": 1})]), 8)
         await asyncio.sleep(2)
         assert cluster.context(day, "agency-1").ledger.value("rest/x") is None
@@ -55,11 +55,11 @@
         async def lose_answer(order):
             await real.submit(order)
             await asyncio.sleep(1.5)
-            raise errors.ChangeUnknown("the answer was lost")
+            raise errors.ChangeOutcomeUnknownError("the answer was lost")
 
         duty.submitter = types.SimpleNamespace(submit=lose_answer)
         asked_at = day.now()
-        with pytest.raises(errors.ChangeUnknown):
+        with pytest.raises(errors.ChangeOutcomeUnknownError):
             await node.do(duty.take(vacant), 8)
         duty.submitter = real
         await node.do(duty.take(vacant), 8)
--- a/tests/controlplane/test_operations.py
+++ b/tests/controlplane/test_operations.py
@@ -35,7 +35,7 @@
         # Cut off before the third: nobody hears it, and it would not answer by what it has.
         assert third["nodes"]["edge-2"] == "silent"
         assert (await node.do(shower.show("swept"), 3))["rows"][0]["row"] == "purge/path//vacancies/1"
-        with pytest.raises(errors.Unknown):
+        with pytest.raises(errors.UnknownNameError):
             await node.do(shower.show("never-sent"), 3)
 
     cluster.play(scene)
@@ -81,7 +81,7 @@
             for table in items.TABLES:
                 names = {f"agency-{n}" for n in (2, 3, 4, 5, 7)}
                 assert voter_names(day, table) == names
-        with pytest.raises(errors.Unknown):
+        with pytest.raises(errors.UnknownNameError):
             await node.do(hand.replace("agency-2", "agency-99"), 8)
         # The replaced machine may go now, and one more loss is borne.
         day.world.nodes["agency-1"].kill()
@@ -96,7 +96,7 @@
     async def scene(day):
         node, hand = keeper(day)
         # Two of five are at north: without one at another site, its loss would leave two of four.
-        with pytest.raises((errors.CannotCarry, errors.BadChange)) as caught:
+        with pytest.raises((errors.InsufficientCapacityError, errors.InvalidChangeError)) as caught:
             await node.do(hand.retire("agency-2"), 8)
         assert caught.value.figures["voters"] == 4 and len(voter_names(day)) == 5
         for _ in range(2):
@@ -107,9 +107,9 @@
         await node.do(hand.retire("agency-2"), 8)
         await asyncio.sleep(1)
         # The last three stay.
-        with pytest.raises((errors.CannotCarry, errors.BadChange)):
+        with pytest.raises((errors.InsufficientCapacityError, errors.InvalidChangeError)):
             await node.do(hand.retire("agency-3"), 8)
-        with pytest.raises(errors.Unknown):
+        with pytest.raises(errors.UnknownNameError):
             await node.do(hand.retire("agency-99"), 8)
         assert len(voter_names(day)) == 3
 
@@ -122,7 +122,7 @@
         for name in ("agency-2", "agency-3"):
             day.world.nodes[name].kill()
         node, hand = keeper(day)
-        with pytest.raises(errors.CannotCarry) as caught:
+        with pytest.raises(errors.InsufficientCapacityError) as caught:
             await node.do(hand.retire("agency-4"), 8)
         assert caught.value.figures["up"] == ["agency-1", "agency-5"]
         # A dead one's place may be taken: that makes things better.
@@ -183,7 +183,7 @@
     ],
 )
 def test_faulty_objects_are_refused_whole_and_the_fault_is_named(content, where):
-    with pytest.raises(errors.BadChange) as caught:
+    with pytest.raises(errors.InvalidChangeError) as caught:
         formats.read("first.yaml", content)
     assert any(where in f"{fault['field']}: {fault['message']}" for fault in caught.value.faults), (
         caught.value.faults
@@ -192,7 +192,7 @@
 
 def test_several_faults_are_all_named_with_their_documents():
     content = OBJECTS.replace(b"kind: Path", b"kind: Road").replace(b"deadline: 3", b"deadline: no")
-    with pytest.raises(errors.BadChange) as caught:
+    with pytest.raises(errors.InvalidChangeError) as caught:
         formats.read("first.yaml", content)
     assert {(fault["document"], fault["field"]) for fault in caught.value.faults} == {
         (0, "spec.deadline"),
--- a/tests/controlplane/test_origin_roster.py
+++ b/tests/controlplane/test_origin_roster.py
@@ -146,7 +146,7 @@
         # Until its tables are current again it would be refused for want of a majority.
         await day.world.until_ready()
         row = ("slots/00", {"owners": ["nonsense"] * 16})
-        with pytest.raises(errors.StaleVersion):
+        with pytest.raises(errors.StaleVersionError):
             await day.stage.order(holder, "fenced", ("placement", lease, [row]))
         assert cluster.context(day, holder).ledger.value("slots/00") != row[1]
 
--- a/tests/controlplane/test_partitioned_nodes.py
+++ b/tests/controlplane/test_partitioned_nodes.py
@@ -16,7 +16,12 @@
 
 PAGES = ("get_rows", "get_items", "get_ledger", "get_voters", "get_machines")
 # What an operator that was given no answer can rely on: nothing here is a refusal.
-NOT_REFUSED = (errors.NoMajority, errors.ChangeUnknown, errors.NotFounded, TimeoutError)
+NOT_REFUSED = (
+    errors.NoQuorumError,
+    errors.ChangeOutcomeUnknownError,
+    errors.NotBootstrappedError,
+    TimeoutError,
+)
 
 
 def reads_of(day, name):
@@ -46,7 +51,7 @@
         # Well inside the freshness bound: by its age alone this node's copy still counts.
         await day.stage.order("agency-2", "change", [cluster.site_row(weight=7)])
         started = day.now()
-        with pytest.raises(errors.StaleConfiguration) as raised:
+        with pytest.raises(errors.StaleConfigurationError) as raised:
             await read(day, "agency-5", page)
         assert day.now() - started < 0.8
         assert raised.value.status == 503 and raised.value.retry_after
@@ -58,7 +63,7 @@
     async def scene(day):
         day.world.cut_off(["agency-5"])
         await day.stage.order("agency-2", "change", [cluster.site_row(weight=7)], "mine")
-        with pytest.raises(errors.StaleConfiguration):
+        with pytest.raises(errors.StaleConfigurationError):
             await read(day, "agency-5", "get_change", "mine")
 
     cluster.play(scene)
@@ -89,7 +94,7 @@
         # Its proposer may have said yes to its operator a moment ago.
         try:
             assert weight_of(await read(day, "agency-5"), "south") == 9
-        except errors.StaleConfiguration:
+        except errors.StaleConfigurationError:
             await asyncio.sleep(1)
             assert weight_of(await read(day, "agency-5"), "south") == 9
 
@@ -232,7 +237,7 @@
     for _ in range(40):
         try:
             return await asyncio.wait_for(day.stage.order("agency-1", "change", [row], change), 1)
-        except NOT_REFUSED + (errors.StaleConfiguration, errors.Unreached, errors.Draining):
+        except NOT_REFUSED + (errors.StaleConfigurationError, errors.NotSentError, errors.DrainingError):
             await asyncio.sleep(0.1)
     return None
 
--- a/tests/controlplane/test_retention.py
+++ b/tests/controlplane/test_retention.py
@@ -22,7 +22,7 @@
     """One table decided step by step, as a proposer would, with nobody else about."""
 
     def __init__(self, name):
-        self.copy = replica.Copy(name)
+        self.copy = replica.Replica(name)
         self.seen = versions.NONE
 
     def order(self, kind, payload, change=""):
@@ -134,7 +134,7 @@
     ledger = Table(items.LEDGER)
     first = str(ledger.copy.version(items.TIME))
     ledger.tick(15, PURGE)
-    with pytest.raises(errors.StaleVersion):
+    with pytest.raises(errors.StaleVersionError):
         ledger.order("tick-ledger", (first, 15.0, [], 600.0))
     ledger.tick(4000, PURGE)
     assert ledger.copy.value(items.TIME)["seconds"] == 15 + table_time.STEP_LIMIT
@@ -149,12 +149,12 @@
         claims.order("claim", (f"k{number}", "a", "print"))
         if number % 10 == 9:
             claims.tick(15, rule)
-    with pytest.raises(errors.TableFull) as caught:
+    with pytest.raises(errors.TableFullError) as caught:
         claims.order("claim", ("another", "a", "print"))
     # The oldest was claimed 150 seconds ago.
     assert 430 <= caught.value.retry_after <= 470
     # Known keys are still answered for, by whoever asks again.
-    with pytest.raises(errors.Claimed):
+    with pytest.raises(errors.KeyClaimedError):
         claims.order("claim", ("k0", "b", "print"))
     for _ in range(29):
         claims.tick(15, rule)
--- a/tests/controlplane/test_voter_target.py
+++ b/tests/controlplane/test_voter_target.py
@@ -59,10 +59,10 @@
         in_force = [tuple(voter) for voter in voters(world)]
         one_zone = [voter for voter in in_force if voter[2] == "a"]
         for payload, kind in (
-            (("1@founding", tuple(in_force)), errors.StaleVersion),
-            ((version, tuple(one_zone)), errors.BadChange),
-            ((version, tuple([*in_force, in_force[0]])), errors.BadChange),
-            ((version, ()), errors.BadChange),
+            (("1@founding", tuple(in_force)), errors.StaleVersionError),
+            ((version, tuple(one_zone)), errors.InvalidChangeError),
+            ((version, tuple([*in_force, in_force[0]])), errors.InvalidChangeError),
+            ((version, ()), errors.InvalidChangeError),
         ):
             with pytest.raises(kind):
                 await node.do(node.body.submitter.submit(orders.Order("voters-ledger", "", payload)), 3)
--- a/tests/dataplane/test_direct_edge.py
+++ b/tests/dataplane/test_direct_edge.py
@@ -32,7 +32,7 @@
         stage.play = lambda key, headers, body: whole(headers["x-request-id"], status=status)
         await stage.ask("/writes/1", "POST")
 
-    error, stage = fails(scene, errors.OutcomeUnknown)
+    error, stage = fails(scene, errors.OutcomeUnknownError)
     assert error.status not in (408, 421, 429, 503) and len(stage.sent) == 1
 
 
@@ -41,7 +41,7 @@
         stage.play = lambda key, headers, body: BROKEN
         await stage.ask("/writes/1", "POST")
 
-    error, stage = fails(scene, errors.OutcomeUnknown)
+    error, stage = fails(scene, errors.OutcomeUnknownError)
     assert len(stage.sent) == 1
 
 
@@ -50,7 +50,7 @@
         stage.play = lambda key, headers, body: FULL
         await stage.ask("/writes/1", "POST")
 
-    error, stage = fails(scene, errors.OverCeiling)
+    error, stage = fails(scene, errors.LimitExceededError)
     assert error.status == 503 and 0 < error.retry_after < 1
     assert sorted(stage.keys()) == ["a", "b"]
 
@@ -139,13 +139,13 @@
     async def nowhere(stage):
         await stage.ask("/elsewhere/1")
 
-    assert fails(nowhere, errors.UnknownPath)[0].status == 404
+    assert fails(nowhere, errors.UnknownPathError)[0].status == 404
 
     async def refused(stage):
         stage.refused = {"a", "b"}
         await stage.ask("/reads/1")
 
-    error, stage = fails(refused, errors.Unreached)
+    error, stage = fails(refused, errors.NotSentError)
     assert error.status == 503 and not stage.sent
 
 
@@ -155,5 +155,5 @@
             copy.current_as_of = stage.context.clock.now() - 1.6
         await stage.ask("/reads/1")
 
-    error, stage = fails(scene, errors.StaleConfiguration)
+    error, stage = fails(scene, errors.StaleConfigurationError)
     assert not stage.sent
--- a/tests/dataplane/test_direct_edge_cache.py
+++ b/tests/dataplane/test_direct_edge_cache.py
@@ -98,7 +98,7 @@
         await stage.ask("/objects/1", request_id="r2")
         sent = len(stage.sent)
         stage.put(items.CONFIGURATION, "route/objects", {"version": 99, "item": None})
-        with pytest.raises(errors.UnknownPath):
+        with pytest.raises(errors.UnknownPathError):
             await stage.ask("/objects/1", request_id="r3")
         return sent
 
--- a/tests/dataplane/test_final_answers.py
+++ b/tests/dataplane/test_final_answers.py
@@ -18,10 +18,10 @@
 
 ARGUMENTS = {
     errors.SettingsError: (["x"],),
-    errors.BadChange: ([],),
-    errors.StaleVersion: ([],),
-    errors.Claimed: ({},),
-    errors.CannotCarry: ("x", {}),
+    errors.InvalidChangeError: ([],),
+    errors.StaleVersionError: ([],),
+    errors.KeyClaimedError: ({},),
+    errors.InsufficientCapacityError: ("x", {}),
 }
 
 
@@ -87,7 +87,7 @@
         day.world.cut_off(["agency-2"])
         await asyncio.sleep(2)
         began = day.watching.now()
-        with pytest.raises(errors.NoMajority):
+        with pytest.raises(errors.NoQuorumError):
             await day.stage.order("agency-2", "change", [cluster.site_row()])
         assert day.watching.now() - began < 0.1
 
--- a/tests/dataplane/test_large_configurations.py
+++ b/tests/dataplane/test_large_configurations.py
@@ -84,7 +84,7 @@
         stage.put(items.CONFIGURATION, "upstream/t", {"version": 1, "item": {"name": "t", "version": 1}})
         stage.put(items.CONFIGURATION, "~time", {"seconds": 1.0, "marks": [], "rules": []})
         stage.put(items.CONFIGURATION, "route/big-00008", {"version": 2, "item": None})
-        with pytest.raises(errors.UnknownPath):
+        with pytest.raises(errors.UnknownPathError):
             stage.part.table.match("h", "/big-00008/x")
         return found.timeout, compiled, "t" in stage.part.table.upstreams
 
@@ -98,7 +98,7 @@
         paths = [CountedPath("/big-04999/x"), CountedPath("/objects/1"), CountedPath("/nowhere")]
         for path in paths[:2]:
             assert path.startswith(table.match("h", path).prefix)
-        with pytest.raises(errors.UnknownPath):
+        with pytest.raises(errors.UnknownPathError):
             table.match("h", paths[2])
         return max(path.steps for path in paths)
 
@@ -144,7 +144,7 @@
 def matched(table, host, path):
     try:
         return table.match(host, path).name
-    except errors.UnknownPath:
+    except errors.UnknownPathError:
         return None
 
 
--- a/tests/dataplane/test_listener.py
+++ b/tests/dataplane/test_listener.py
@@ -140,4 +140,4 @@
         return told
 
     status = int(play(scene, cancelled).split()[1])
-    assert status == errors.OutcomeUnknown.status
+    assert status == errors.OutcomeUnknownError.status
--- a/tests/dataplane/test_object_holders.py
+++ b/tests/dataplane/test_object_holders.py
@@ -36,7 +36,7 @@
             self.asked.append((sender, name))
             if name in self.silent:
                 await asyncio.sleep(patience)
-                raise errors.Unanswered(name)
+                raise errors.UnansweredError(name)
             reply = await self.nodes[name].context.transport.handlers[kind](sender, list(body))
             self.replies.append(reply[0])
             return reply
@@ -96,10 +96,10 @@
 
     async def scene(site):
         def full(*arguments):
-            raise errors.OverCeiling("s is at its ceiling")
+            raise errors.LimitExceededError("s is at its ceiling")
 
         site.nodes["holder-1"].part.targets.enter = full
-        with pytest.raises(errors.OverCeiling):
+        with pytest.raises(errors.LimitExceededError):
             await site.nodes["edge-1"].ask("/objects/1")
         return site.sent()
 
--- a/tests/dataplane/test_origin_limits.py
+++ b/tests/dataplane/test_origin_limits.py
@@ -122,7 +122,7 @@
         assert part.view.share("application", granted.ceiling)[0] > 0
         while day.watching.now() < began + granted.deadline:
             decision = forwarding_policies.ShieldWrite(part.context.clock, granted, 3.0)
-            with pytest.raises(errors.NoShare):
+            with pytest.raises(errors.NoQuotaShareError):
                 await node.do(part.enter(granted, decision), 1)
             await asyncio.sleep(0.3)
         decision = forwarding_policies.ShieldWrite(part.context.clock, granted, 3.0)
--- a/tests/dataplane/test_token_leases.py
+++ b/tests/dataplane/test_token_leases.py
@@ -39,7 +39,7 @@
         async def ask(address, name, kind, body, patience):
             if (sender, name) in self.cut:
                 await asyncio.sleep(patience)
-                raise errors.Unanswered(name)
+                raise errors.UnansweredError(name)
             return await ask_any(address, name, kind, body, patience)
 
         return ask
@@ -168,7 +168,7 @@
         early = await grants.on_places("edge-1", ["s", 1, 0.1])
         used = grants.enter("s", 0.1)
         await asyncio.sleep(1.5)
-        with pytest.raises(errors.OverCeiling):
+        with pytest.raises(errors.LimitExceededError):
             grants.enter("s", 0.1)
         return early, used, await grants.on_places("edge-1", ["s", 1, 0.1])
 
@@ -182,7 +182,7 @@
         await asyncio.sleep(1)
         await grants.ready("s", 0.1)
         await asyncio.sleep(token_leases.GOOD_FOR + 0.01)
-        with pytest.raises(errors.OverCeiling):
+        with pytest.raises(errors.LimitExceededError):
             grants.enter("s", 0.1)
         await grants.ready("s", 0.1)
         return grants.enter("s", 0.1)
@@ -199,7 +199,7 @@
             for _ in range(20):
                 try:
                     fleet.nodes["holder-1"].part.targets.grants.enter("s", 0.0)
-                except errors.OverCeiling:
+                except errors.LimitExceededError:
                     break
                 used += 1
             fleet.restart("holder-1")
--- a/tests/dataplane/test_upstream_connections.py
+++ b/tests/dataplane/test_upstream_connections.py
@@ -57,7 +57,7 @@
         await line.close()
         # Another service at the address gets the probe and nothing else.
         line = await connections.open_http("127.0.0.1", port)
-        with pytest.raises(errors.WrongService):
+        with pytest.raises(errors.WrongServiceError):
             await connections.confirm_current(line, "/health", "other", "i", 5)
         await line.close()
         await runner.cleanup()
@@ -82,7 +82,7 @@
         await runner.setup()
         await aiohttp.web.TCPSite(runner, "127.0.0.1", 0).start()
         line = await connections.open_http("127.0.0.1", runner.addresses[0][1])
-        with pytest.raises(errors.UnsealedResult):
+        with pytest.raises(errors.UnsealedResultError):
             await line.send("GET", "/", {}, b"", 30)
         await line.close()
         await runner.cleanup()
@@ -99,8 +99,8 @@
     }
     objects.check_seal(good, body, "mine")
     for broken in ({"content-length": "8"}, {"content-digest": "sha-256=:AA==:"}, {"x-request-id": "x"}):
-        with pytest.raises(errors.UnsealedResult):
+        with pytest.raises(errors.UnsealedResultError):
             objects.check_seal({**good, **broken}, body, "mine")
     for missing in good:
-        with pytest.raises(errors.UnsealedResult):
+        with pytest.raises(errors.UnsealedResultError):
             objects.check_seal({key: value for key, value in good.items() if key != missing}, body, "mine")
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -9,7 +9,7 @@
 import irisstand.membership.member_list
 import irisstand.membership.updates as updates
 
-CARD = updates.Card("edge", "machine", "site", "region", "127.0.0.1", 1, 2)
+CARD = updates.NodeInfo("edge", "machine", "site", "region", "127.0.0.1", 1, 2)
 STATES = {"alive": updates.State.ALIVE, "suspect": updates.State.SUSPECT, "confirm": updates.State.CONFIRM}
 
 # (new, old) -> by which relation of incarnations the new one wins, as section 4.2 of the paper lists it.
--- a/tests/mutation/consensus_mutations.py
+++ b/tests/mutation/consensus_mutations.py
@@ -52,8 +52,8 @@
     ),
     (
         "controlplane/consensus/submitter.py",
-        "            except (errors.BadRequest, errors.Unknown) as error:",
-        "            except errors.TornFile as error:",
+        "            except (errors.BadRequestError, errors.UnknownNameError) as error:",
+        "            except errors.TornFileError as error:",
         "controlplane/test_idempotent_changes_racing.py::test_a_voter_that_cannot_read_a_message_refuses_no_order",
     ),
     (
@@ -125,7 +125,7 @@
     (
         "controlplane/consensus/bootstrap.py",
         "        for address, name in [source for source in sources if source[1] in cores_known]:\n            try:\n                await self.core.replicator.pull(address, name)\n            except (errors.IrisError, ValueError, TypeError):",
-        "        for address, name in sources:\n            try:\n                await self.core.replicator.pull(address, name)\n            except (errors.Unreached, errors.Unanswered):",
+        "        for address, name in sources:\n            try:\n                await self.core.replicator.pull(address, name)\n            except (errors.NotSentError, errors.UnansweredError):",
         "controlplane/test_voter_sets.py::test_a_lost_zone_is_repaired_within_catch_up_so_that_the_next_may_go",
     ),
     (
--- a/tests/mutation/controlplane_mutations.py
+++ b/tests/mutation/controlplane_mutations.py
@@ -4,8 +4,8 @@
 GUARDS = [
     (
         "controlplane/changes/orders.py",
-        '    if known is not None and known["by"] != wanted.attempt:\n        raise errors.Claimed',
-        "    if False:\n        raise errors.Claimed",
+        '    if known is not None and known["by"] != wanted.attempt:\n        raise errors.KeyClaimedError',
+        "    if False:\n        raise errors.KeyClaimedError",
         "dataplane/test_writes.py::test_the_same_key_at_two_edges_runs_once_and_both_get_the_one_result",
     ),
     (
@@ -34,7 +34,7 @@
     ),
     (
         "controlplane/changes/orders.py",
-        "    if faults:\n        raise errors.BadChange(faults)\n    conflicts",
+        "    if faults:\n        raise errors.InvalidChangeError(faults)\n    conflicts",
         "    conflicts",
         "controlplane/test_ballots.py",
     ),
--- a/tests/mutation/dataplane_mutations.py
+++ b/tests/mutation/dataplane_mutations.py
@@ -4,8 +4,8 @@
 GUARDS = [
     (
         "dataplane/retry/forwarding_policies.py",
-        '        if touched:\n            return ("reject", errors.OutcomeUnknown',
-        '        if False:\n            return ("reject", errors.OutcomeUnknown',
+        '        if touched:\n            return ("reject", errors.OutcomeUnknownError',
+        '        if False:\n            return ("reject", errors.OutcomeUnknownError',
         "dataplane/test_writes.py::test_a_lost_answer_is_an_unknown_outcome_and_never_a_second_try",
     ),
     (
@@ -28,8 +28,8 @@
     ),
     (
         "dataplane/nodes/idempotency_keys.py",
-        "        except errors.Claimed as error:\n            return self.replay",
-        "        except errors.Claimed as error:\n            return await work()\n            return self.replay",
+        "        except errors.KeyClaimedError as error:\n            return self.replay",
+        "        except errors.KeyClaimedError as error:\n            return await work()\n            return self.replay",
         "dataplane/test_writes.py::test_the_same_key_at_two_edges_runs_once_and_both_get_the_one_result",
     ),
     (
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -4,8 +4,8 @@
 GUARDS = [
     (
         "dataplane/retry/attempt_policy.py",
-        '        if touched:\n            return ("reject", errors.OutcomeUnknown',
-        '        if False:\n            return ("reject", errors.OutcomeUnknown',
+        '        if touched:\n            return ("reject", errors.OutcomeUnknownError',
+        '        if False:\n            return ("reject", errors.OutcomeUnknownError',
         "dataplane/test_direct_edge.py",
     ),
     (
--- a/tests/state/test_chunk_transfer.py
+++ b/tests/state/test_chunk_transfer.py
@@ -36,7 +36,7 @@
         self.free_at = 0.0
         self.handlers = {}
         settings = types.SimpleNamespace(freshness_bound=1.5)
-        copies = {items.CONFIGURATION: replica.Copy(items.CONFIGURATION)}
+        copies = {items.CONFIGURATION: replica.Replica(items.CONFIGURATION)}
         self.context = types.SimpleNamespace(
             copies=copies,
             clock=clocks.LoopClock(),
@@ -56,7 +56,7 @@
         """As the real transport: what was sent to an asker that gave up still takes up the link."""
         handlers = self.peers[name].handlers
         if kind not in handlers:
-            raise errors.Unknown(f"no handler for {kind}")
+            raise errors.UnknownNameError(f"no handler for {kind}")
         asked = codec.unpack(codec.pack(("ask", 1, (kind, body))))[2][1]
         reply = codec.pack(("result", 1, await handlers[kind](self.name, asked)))
         self.replies.append((name, kind, len(reply)))
@@ -66,7 +66,7 @@
         wait = max(0.002, self.free_at - now)
         await asyncio.sleep(min(wait, patience))
         if wait > patience:
-            raise errors.Unanswered(f"{name} gave no result in time")
+            raise errors.UnansweredError(f"{name} gave no result in time")
         return codec.unpack(reply)[2]
 
     async def pull(self, name):
@@ -200,12 +200,12 @@
 def test_a_peer_that_is_older_than_what_came_is_not_taken_for_the_truth():
     async def scene():
         edge, cores = far_behind(peers=2, rate=None)
-        cores[1].copy.take(replica.Copy(items.CONFIGURATION))
+        cores[1].copy.take(replica.Replica(items.CONFIGURATION))
         cores[1].apply(1, [row(100_000)])
         before = edge.copy.root()
         cursor = chunk_transfer.Cursor(versions.Version(2, "n"), "route/extra-00100")
         edge.replicator.parts.staged_for(edge.copy).cursor = cursor
-        with pytest.raises(errors.StaleConfiguration):
+        with pytest.raises(errors.StaleConfigurationError):
             await edge.replicator.parts.carry(("", 0), "core-1", edge.copy)
         return edge.copy.root() == before
 
--- a/tests/state/test_disk_faults.py
+++ b/tests/state/test_disk_faults.py
@@ -49,7 +49,7 @@
         await node.start()
         assert not votes(day, victim)
         # Asked under its old disk's name it has no vote, whatever its memory holds.
-        with pytest.raises(errors.NotFounded):
+        with pytest.raises(errors.NotBootstrappedError):
             await node.do(node.body.core.on_promise("x", [items.CONFIGURATION, (999, "x"), old]), 1)
         await day.world.until(lambda: votes(day, victim), 10)
         assert node.body.core.store.identity != old
@@ -68,7 +68,7 @@
 def test_a_full_disk_refuses_with_the_remedy_and_the_others_go_on():
     async def scene(day):
         day.world.nodes["agency-1"].disk.full = True
-        with pytest.raises(errors.DiskFull) as raised:
+        with pytest.raises(errors.DiskFullError) as raised:
             await day.stage.order("agency-1", "change", [cluster.site_row(weight=2)])
         assert "data folder" in raised.value.remedy
         await day.stage.order("agency-2", "change", [cluster.site_row(weight=3)])
@@ -112,7 +112,7 @@
         core = node.body.core
         assert not day.world.is_ready(node)
         if part == ".item.":
-            with pytest.raises(errors.NotFounded):
+            with pytest.raises(errors.NotBootstrappedError):
                 await node.do(core.owners[items.CONFIGURATION].order("promise", (10**6, "x")), 1)
             assert core.context.configuration.value("site/north") is None
         else:
@@ -185,7 +185,7 @@
         voters = day.world.nodes["agency-1"].body.core.voters(items.LEDGER)
         newcomer = ("agency-9", "vault", "north", "10.0.0.99", 7000, "m")
         assert [voter.site for voter in voters].count("north") == 2
-        with pytest.raises(errors.BadChange) as raised:
+        with pytest.raises(errors.InvalidChangeError) as raised:
             await day.stage.order("agency-1", "enrol-ledger", (newcomer, "agency-2"))
         assert "one site" in raised.value.faults[0]["message"]
         assert day.world.nodes["agency-3"].body.core.voters(items.LEDGER) == voters
--- a/tests/state/test_power_loss.py
+++ b/tests/state/test_power_loss.py
@@ -26,7 +26,7 @@
     def __init__(self, seed):
         self.randomness = random.Random(seed)
         self.folder = irisstand.simulator.simulated_folder.SimulatedFolder(random.Random(seed + 1))
-        self.live = {table: replica.Copy(table) for table in items.TABLES}
+        self.live = {table: replica.Replica(table) for table in items.TABLES}
         self.acknowledged = {}
         self.sent = {}
         self.store = None
@@ -85,7 +85,7 @@
             for _ in range(STEPS):
                 try:
                     await voter.step()
-                except errors.DiskFull:
+                except errors.DiskFullError:
                     assert full
         except irisstand.simulator.simulated_folder.PowerLoss:
             pass
--- a/tests/state/test_replication.py
+++ b/tests/state/test_replication.py
@@ -11,7 +11,7 @@
 
 
 def filled(count, first=1):
-    copy = replica.Copy("t")
+    copy = replica.Replica("t")
     for number in range(first, first + count):
         version = versions.Version(number, "n")
         copy.apply(items.Batch(version, copy.applied, ((f"k{number}", number, False),)))
@@ -91,7 +91,7 @@
     for number in range(0, 30, 3):
         copy.forget(f"k{number}", versions.Version(40 + number, "n"))
     copy.put(items.Item("a/b", versions.Version(90, "n"), None))
-    fresh = replica.Copy("t")
+    fresh = replica.Replica("t")
     for item in copy.items.values():
         fresh.merge(item)
     assert fresh.root() == copy.root() and list(fresh.by_version) == list(copy.by_version)
--- a/tests/state/test_restart_after_changes.py
+++ b/tests/state/test_restart_after_changes.py
@@ -50,7 +50,7 @@
     async def scene():
         folder = new_folder()
         store = await store_on(folder)
-        live = replica.Copy(items.CONFIGURATION)
+        live = replica.Replica(items.CONFIGURATION)
         grow(live, changes, random.Random(1))
         started, syncs = time.process_time(), folder.syncs
         await store.save_copy(items.CONFIGURATION, live, store.records[items.CONFIGURATION])
@@ -63,7 +63,7 @@
 
 def test_a_restart_after_3000_changes_reads_few_files_and_finds_them_sound():
     async def scene():
-        folder, live = new_folder(), replica.Copy(items.LEDGER)
+        folder, live = new_folder(), replica.Replica(items.LEDGER)
         store = await store_on(folder)
         randomness = random.Random(2)
         for _ in range(3000):
@@ -84,7 +84,7 @@
     """Before, the record was written for a disk that did not add up; until the next change it had no vote."""
 
     async def scene():
-        folder, live = new_folder(), replica.Copy(items.LEDGER)
+        folder, live = new_folder(), replica.Replica(items.LEDGER)
         store = await store_on(folder)
         fill = tuple((f"key/{number}", number, False) for number in range(2500))
         live.apply(items.Batch(versions.Version(1, "n"), versions.NONE, fill))
@@ -102,7 +102,7 @@
 
 def test_a_mend_that_is_overtaken_by_a_commit_goes_on_until_it_has_caught_up():
     async def scene():
-        peer, copy = replica.Copy("t"), replica.Copy("t")
+        peer, copy = replica.Replica("t"), replica.Replica("t")
         grow(peer, 50, random.Random(1))
         grow(copy, 50, random.Random(1))
         copy.remove(next(iter(copy.items)))
@@ -181,7 +181,7 @@
     """As the version before wrote it: six fields a record, and each item in a file of its own."""
 
     async def scene():
-        folder, live = new_folder(), replica.Copy(items.LEDGER)
+        folder, live = new_folder(), replica.Replica(items.LEDGER)
         disk = disks.FolderDisk(pathlib.Path("simulated"), folder)
         await disk.load()
         grow(live, 60, random.Random(4), removals=0)
@@ -213,7 +213,7 @@
 @pytest.mark.parametrize("is_cut_short", [True, False])
 def test_a_segment_cut_short_or_altered_is_not_voted_from_and_written_whole_again(is_cut_short):
     async def scene():
-        folder, live = new_folder(), replica.Copy(items.LEDGER)
+        folder, live = new_folder(), replica.Replica(items.LEDGER)
         store = await store_on(folder)
         grow(live, 300, random.Random(6))
         await store.save_copy(items.LEDGER, live, store.records[items.LEDGER])
@@ -235,7 +235,7 @@
 
 def test_power_lost_after_a_torn_record_was_put_aside_does_not_bring_the_older_promise_back():
     async def scene():
-        folder, live = new_folder(), replica.Copy(items.LEDGER)
+        folder, live = new_folder(), replica.Replica(items.LEDGER)
         store = await store_on(folder)
         grow(live, 5, random.Random(6))
         await store.save_copy(items.LEDGER, live, store.records[items.LEDGER])
--- a/tests/support/direct_edge.py
+++ b/tests/support/direct_edge.py
@@ -95,10 +95,10 @@
         self.confirm_current()
 
     async def nobody(self, address, name, kind, body, patience):
-        raise errors.Unreached(name)
+        raise errors.NotSentError(name)
 
     def member(self, name, role, site="north", region="one"):
-        card = updates.Card(role, f"m-{name}", site, region, f"10.0.1.{len(name)}", 7000, 8000)
+        card = updates.NodeInfo(role, f"m-{name}", site, region, f"10.0.1.{len(name)}", 7000, 8000)
         update = updates.Update(updates.State.ALIVE, updates.Identity(name, "a"), 0, card)
         self.context.detector.learn(update)
 
--- a/tests/transport/test_closed_connections.py
+++ b/tests/transport/test_closed_connections.py
@@ -47,7 +47,7 @@
         asker = peers.Transport(network.RealNetwork(), counting.Counters(), "asker")
         link = await asker.dial(place, "peer")
         link.stream.writer.transport.abort()
-        with pytest.raises(errors.Unreached):
+        with pytest.raises(errors.NotSentError):
             await asker.ask(place, "peer", "do", (), 1.0)
         link = await asker.dial(place, "peer")
         asking = asyncio.create_task(asker.ask(place, "peer", "do", (), 5.0))
@@ -55,7 +55,7 @@
         link.stream.writer.transport.abort()
         asking.cancel()
         # The asker's cancellation stays one; an error in its place would end a controller, and its process.
-        with pytest.raises((asyncio.CancelledError, errors.Unanswered)):
+        with pytest.raises((asyncio.CancelledError, errors.UnansweredError)):
             await asking
         await asker.close()
         await asked.close()
--- a/tests/transport/test_fuzz.py
+++ b/tests/transport/test_fuzz.py
@@ -31,7 +31,7 @@
 
 
 def detector():
-    card = updates.Card("edge", "m", "s", "r", "127.0.0.1", 1, 2)
+    card = updates.NodeInfo("edge", "m", "s", "r", "127.0.0.1", 1, 2)
     counters = irisstand.counters.Counters()
     return irisstand.membership.detector.Detector("a", card, StoppedClock(), random.Random(1), counters)
 
@@ -48,10 +48,10 @@
         del packed[randomness.randrange(len(packed)) :]
         try:
             assert isinstance(codec.unpack(bytes(packed))[0], str)
-        except errors.BadFrame:
+        except errors.MalformedFrameError:
             pass
     for bad in (b"", b"\xc1", ormsgpack.packb((9, "ping")), ormsgpack.packb((True, "ping"))):
-        with pytest.raises(errors.BadFrame):
+        with pytest.raises(errors.MalformedFrameError):
             codec.unpack(bad)
 
 
@@ -76,7 +76,7 @@
 def test_updates_in_any_order_leave_what_the_override_order_says(seed):
     """Oracle: Confirm if there was one, else the highest incarnation, and Suspect before Alive in it."""
     randomness = random.Random(seed)
-    card = updates.Card("edge", "m", "s", "r", "127.0.0.1", 1, 2)
+    card = updates.NodeInfo("edge", "m", "s", "r", "127.0.0.1", 1, 2)
     for _ in range(300):
         given = [
             updates.Update(
@@ -120,7 +120,7 @@
         for _ in range(2):
             shuffled = given[:]
             randomness.shuffle(shuffled)
-            copy = replica.Copy("t")
+            copy = replica.Replica("t")
             for item in shuffled:
                 copy.merge(items.decode(ormsgpack.unpackb(ormsgpack.packb(items.encode(item)))))
             copies.append(copy)
--- a/tests/transport/test_incarnations.py
+++ b/tests/transport/test_incarnations.py
@@ -42,10 +42,10 @@
         return ("ran",)
 
     async def scene(asker, asked):
-        with pytest.raises(peers.LifeEnded) as raised:
+        with pytest.raises(peers.IncarnationEndedError) as raised:
             await asker.ask(PLACE, "peer", "do", (), 1.0, "first")
         # Certainly not carried out, as every other kind that lets a caller ask elsewhere.
-        assert isinstance(raised.value, errors.Unreached) and not runs
+        assert isinstance(raised.value, errors.NotSentError) and not runs
         assert asked.counters.total("asks_for_ended_lives") == 1
         assert await asker.ask(PLACE, "peer", "do", (), 1.0, "second") == ["ran"]
         assert await asker.ask(PLACE, "peer", "do", (), 1.0) == ["ran"]
@@ -68,7 +68,7 @@
         return (body[0],)
 
     async def scene(asker, asked):
-        with pytest.raises(errors.Unanswered):
+        with pytest.raises(errors.UnansweredError):
             await asker.ask(PLACE, "peer", "do", ("slow",), 0.2)
         replies = await asyncio.gather(
             *(asker.ask(PLACE, "peer", "do", (f"n{number}",), 1.0) for number in range(5))
@@ -84,7 +84,7 @@
 
     packed = codec.encode(codec.Hello("asker", "life"))
     changed = bytes([packed[0], 9]) + packed[2:]
-    with pytest.raises(codec.UnknownVersion):
+    with pytest.raises(codec.UnknownProtocolError):
         codec.decode(changed)
 
     async def scene(asker, asked):
@@ -124,7 +124,7 @@
             ask = asker.body.context.transport.ask(
                 (node.plan.host, 7000), "agency-2", "order", tuple(order), 0.3
             )
-            with pytest.raises(errors.Unanswered):
+            with pytest.raises(errors.UnansweredError):
                 await asker.do(ask, 5)
             await asyncio.sleep(0.1)
         await asyncio.sleep(2)
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -88,7 +88,7 @@
         try:
             assert codec.unpack(changed) == ("ping", 1)
             assert abs(protocol - codec.PROTOCOL) <= 1
-        except errors.BadFrame:
+        except errors.MalformedFrameError:
             assert abs(protocol - codec.PROTOCOL) > 1
 
 
--- a/tests/validation/test_versioned_items.py
+++ b/tests/validation/test_versioned_items.py
@@ -38,7 +38,7 @@
 
 
 def fresh():
-    table = replica.Copy(items.CONFIGURATION)
+    table = replica.Replica(items.CONFIGURATION)
     table.applied = versions.Version(1, "n")
     amend(table, CALL)
     return table
@@ -77,7 +77,7 @@
 def test_an_invalid_call_changes_nothing(fields):
     table = fresh()
     before = table.root()
-    with pytest.raises(errors.BadChange) as raised:
+    with pytest.raises(errors.InvalidChangeError) as raised:
         amend(table, changed(**fields))
     assert raised.value.faults and table.root() == before
 
@@ -96,7 +96,7 @@
     ],
 )
 def test_what_cannot_be_read_whole_is_refused(body):
-    with pytest.raises((errors.BadRequest, errors.BadChange)):
+    with pytest.raises((errors.BadRequestError, errors.InvalidChangeError)):
         amendment.parse(body)
 
 
@@ -115,7 +115,7 @@
     assert in_force(table) == before
     assert amend(table, seven) == {}
     root = table.root()
-    with pytest.raises(control_errors.VersionTaken):
+    with pytest.raises(control_errors.VersionTakenError):
         amend(table, changed(version=7, timeout=1))
     assert table.root() == root and in_force(table) == before
     assert amendment.listing(table)["routes"][0]["timeout"] == 4
@@ -132,7 +132,7 @@
 
 
 def test_a_service_that_a_route_still_names_cannot_be_dropped():
-    with pytest.raises(errors.BadChange):
+    with pytest.raises(errors.InvalidChangeError):
         amend(fresh(), {"drop": {"upstreams": [{"name": "s1", "version": 9}]}})
 
 
@@ -141,5 +141,5 @@
     call["put"]["routes"].append(copy.deepcopy(call["put"]["routes"][0]))
     assert amend(fresh(), call)
     call["put"]["routes"][1]["timeout"] = 1
-    with pytest.raises(errors.BadChange):
+    with pytest.raises(errors.InvalidChangeError):
         amend(fresh(), call)
