--- /dev/null
+++ b/tests/docs/test_pages.py
@@ -0,0 +1,75 @@
+"""The pages name modules, classes and files that exist."""
+
+import importlib.util
+import pathlib
+import re
+
+import pytest
+
+ROOT = pathlib.Path(__file__).parents[2]
+SOURCE = ROOT / "src" / "irisstand"
+PACKAGES = sorted(path.name for path in SOURCE.iterdir() if (path / "__init__.py").exists())
+CODE = re.compile(r"`([a-z_]+(?:\.[A-Za-z_]+)+)`")
+LINK = re.compile(r"(?<!!)\[[^\]]*\]\(([^)\s]+)\)")
+FENCE = re.compile(r"^```.*?^```$", re.MULTILINE | re.DOTALL)
+# Endings of file names: `deploy.toml` names a file and not a module.
+FILE_ENDINGS = {"py", "md", "toml", "txt", "yaml", "json", "sh"}
+PAGES = sorted([*ROOT.glob("*.md"), *(ROOT / "docs").rglob("*.md")])
+
+
+def find_missing(dotted: str) -> str:
+    """The part of `package.module.Name` that does not exist, or nothing."""
+    words = dotted.removeprefix("irisstand.").split(".")
+    name = "irisstand"
+    for position, word in enumerate(words):
+        deeper = f"{name}.{word}"
+        spec = (
+            importlib.util.find_spec(deeper) if hasattr(importlib.import_module(name), "__path__") else None
+        )
+        if spec is None:
+            found = importlib.import_module(name)
+            for attribute in words[position:]:
+                if not hasattr(found, attribute):
+                    return f"{name}: {'.'.join(words[position:])}"
+                found = getattr(found, attribute)
+            return ""
+        name = deeper
+    return ""
+
+
+def module_names(text: str) -> list[str]:
+    """Dotted names in backticks that begin with the product's name or one of its packages."""
+    names = CODE.findall(FENCE.sub("", text))
+    first = {"irisstand", *PACKAGES}
+    return [n for n in names if n.split(".")[0] in first and n.rsplit(".", 1)[-1] not in FILE_ENDINGS]
+
+
+def test_a_name_that_is_missing_is_found() -> None:
+    assert find_missing("irisstand.errors.IrisError") == ""
+    assert find_missing("transport.peers") == ""
+    assert find_missing("transport.no_such_module")
+    assert find_missing("irisstand.errors.NoSuchError")
+    assert module_names("`transport.codec` `pyproject.toml` `a.b` `irisstand.errors`") == [
+        "transport.codec",
+        "irisstand.errors",
+    ]
+
+
+@pytest.mark.parametrize("page", ["docs/architecture.md", "docs/glossary.md"])
+def test_every_module_and_class_that_a_page_names_exists(page: str) -> None:
+    names = module_names((ROOT / page).read_text())
+    assert len(names) > 20
+    missing = {name: part for name in names if (part := find_missing(name))}
+    assert not missing
+
+
+def test_every_package_is_on_the_architecture_page() -> None:
+    text = (ROOT / "docs" / "architecture.md").read_text()
+    assert [name for name in PACKAGES if f"`irisstand.{name}`" not in text] == []
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: str(page.relative_to(ROOT)))
+def test_relative_links_resolve(page: pathlib.Path) -> None:
+    targets = [target for target in LINK.findall(FENCE.sub("", page.read_text())) if "://" not in target]
+    broken = [target for target in targets if not (page.parent / target.split("#")[0]).exists()]
+    assert not broken
