--- a/src/irisstand/controlplane/api/operator_orders.py
+++ b/src/irisstand/controlplane/api/operator_orders.py
@@ -25,7 +25,7 @@
         server: web.Web,
     ) -> None:
         self.context, self.submitter, self.voters = context, submitter, members
-        self.evacuation = evacuation_check.Evacuation(context)
+        self.evacuation = evacuation_check.EvacuationCheck(context)
         add = server.app.add_route
         add(self.post_amendment, "/amendments", methods=["POST"])
         add(self.post_change, "/changes", methods=["POST"])
@@ -121,7 +121,7 @@
 
     async def post_amendment(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         """Items with their senders' own versions: each alone is its own id, so a call may come again."""
-        return await self.submit("amend", "", amendment.parse(request.body))
+        return await self.submit("amend", "", amendment.parse_amendment(request.body))
 
     async def put_voter(self, request: sanic.request.Request, name: str) -> sanic.response.HTTPResponse:
         """PUT {"replaces": OLD} votes a spare in for a voter; DELETE retires a voter without another."""
--- a/src/irisstand/controlplane/api/operator_reads.py
+++ b/src/irisstand/controlplane/api/operator_reads.py
@@ -26,7 +26,7 @@
         server: web.Web,
     ) -> None:
         self.context, self.voters, self.read_index = context, members, read_index
-        self.changes = change_status.Changes(context)
+        self.changes = change_status.ChangeStatus(context)
         add = server.app.add_route
         add(self.get_rows, "/rows", methods=["GET"])
         add(self.get_items, "/items", methods=["GET"])
@@ -50,7 +50,7 @@
     async def get_items(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         """All versioned items that stand, laid out as an amendment that would put them."""
         await self.read_index.confirm(items.CONFIGURATION)
-        return web.as_json(amendment.listing(self.context.configuration))
+        return web.as_json(amendment.as_amendment(self.context.configuration))
 
     async def get_change(self, request: sanic.request.Request, change: str) -> sanic.response.HTTPResponse:
         await self.read_index.confirm(items.CONFIGURATION, items.LEDGER)
--- a/src/irisstand/controlplane/assembly.py
+++ b/src/irisstand/controlplane/assembly.py
@@ -27,7 +27,7 @@
         randomness: random.Random,
         net: network.Network,
         disk: disks.Disk,
-        ask_platform: watch.Ask | None,
+        ask_platform: watch.FetchOrigins | None,
     ) -> None:
         self.context = node_context.NodeContext(settings, "agency", clock, randomness, net)
         self.core = cores.Core(self.context, disk)
@@ -39,19 +39,28 @@
         self.submitter = submitter.Submitter(self.core, self.proposers)
         self.founding = founding.Bootstrap(self.core, self.submitter)
         self.planner = voter_planner.VoterPlanner(self.core, self.submitter)
-        self.duties: list[lease.Duty] = []
+        self.singleton_tasks: list[lease.SingletonTask] = []
         if ask_platform is not None:
-            watcher = watch.Watch(self.context, ask_platform)
-            self.duties.append(lease.Duty(self.submitter, "platform-watch", watcher.work, PLATFORM_LEASE))
-        placer, staffer = placement.Placement(self.context), capacity_scaling.Staffing(self.context)
-        self.duties.append(lease.Duty(self.submitter, "placement", placer.work))
-        self.duties.append(lease.Duty(self.submitter, "staffing", staffer.work, STAFFING_LEASE))
+            watcher = watch.OriginDiscovery(self.context, ask_platform)
+            self.singleton_tasks.append(
+                lease.SingletonTask(self.submitter, "platform-watch", watcher.work, PLATFORM_LEASE)
+            )
+        placer, staffer = (
+            placement.ShieldPlacement(self.context),
+            capacity_scaling.CapacityScaling(self.context),
+        )
+        self.singleton_tasks.append(lease.SingletonTask(self.submitter, "placement", placer.work))
+        self.singleton_tasks.append(
+            lease.SingletonTask(self.submitter, "staffing", staffer.work, STAFFING_LEASE)
+        )
         keeper = retention.Retention(self.context)
-        self.duties.append(lease.Duty(self.submitter, "retention", keeper.work))
+        self.singleton_tasks.append(lease.SingletonTask(self.submitter, "retention", keeper.work))
         rate_placer = rate_placement.RatePlacement(self.context)
-        self.duties.append(lease.Duty(self.submitter, "rate-parts", rate_placer.work, RATES_LEASE))
+        self.singleton_tasks.append(
+            lease.SingletonTask(self.submitter, "rate-parts", rate_placer.work, RATES_LEASE)
+        )
         wanted = settings.duties.split(",")
-        self.duties = [duty for duty in self.duties if duty.name in wanted]
+        self.singleton_tasks = [duty for duty in self.singleton_tasks if duty.name in wanted]
 
     async def open(self) -> None:
         # The disk is read before any port opens: no peer may hear a voter that does not know its word.
@@ -62,7 +71,7 @@
             self.context.start(self.checks[table].run(), f"pulse of {table}")
         self.context.start(self.founding.run(), "founding")
         self.context.start(self.planner.run(), "voter planner")
-        for duty in self.duties:
+        for duty in self.singleton_tasks:
             self.context.start(duty.run(), f"duty {duty.name}")
 
     async def close(self) -> None:
--- a/src/irisstand/controlplane/changes/amendment.py
+++ b/src/irisstand/controlplane/changes/amendment.py
@@ -15,7 +15,7 @@
 Stored = dict[str, typing.Any]
 
 
-class Judged(typing.NamedTuple):
+class Classified(typing.NamedTuple):
     """The items of a call, judged one by one against the versions that were confirmed before."""
 
     newer: dict[str, Stored]
@@ -32,7 +32,7 @@
     What was confirmed once is confirmed again, whatever has become of the table since: the remembered digests
     decide before any check of validity.
     """
-    judged = judge(overlay, payload)
+    judged = classify(overlay, payload)
     if judged.conflicts:
         raise control_errors.VersionTakenError(judged.conflicts)
     if not judged.newer and not judged.late:
@@ -48,8 +48,8 @@
     return judged.rows
 
 
-def judge(overlay: overlays.Overlay, payload: typing.Any) -> Judged:
-    judged = Judged({}, [], {}, [])
+def classify(overlay: overlays.Overlay, payload: typing.Any) -> Classified:
+    judged = Classified({}, [], {}, [])
     # From the lowest version on, so that of two versions of one item in a call both are taken.
     for key, value in sorted(payload, key=lambda entry: entry[1]["version"]):
         known = judged.rows.get(key) or overlay.value(key)
@@ -68,7 +68,7 @@
     return judged
 
 
-def parse(body: bytes) -> list[versioned.Entry]:
+def parse_amendment(body: bytes) -> list[versioned.Entry]:
     """The entries of a call's JSON body; BadRequest or BadChange with every fault."""
     entries, faults = versioned.read(request_bodies.read_object(body))
     if faults:
@@ -78,7 +78,7 @@
     return entries
 
 
-def listing(copy: replica.Replica) -> dict[str, typing.Any]:
+def as_amendment(copy: replica.Replica) -> dict[str, typing.Any]:
     """All items that stand, laid out as a call that would put them."""
     found: dict[str, typing.Any] = {
         name: [item.value["item"] for item in copy.under(f"{kind}/") if item.value["item"] is not None]
--- a/src/irisstand/controlplane/changes/change_status.py
+++ b/src/irisstand/controlplane/changes/change_status.py
@@ -8,10 +8,10 @@
 from irisstand.membership import updates
 from irisstand.state import items, versions
 
-PATIENCE = 0.6
+CALL_TIMEOUT_SECONDS = 0.6
 
 
-class Changes:
+class ChangeStatus:
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
 
@@ -46,7 +46,7 @@
 
     def seconds_ago(self, copy: typing.Any, version: versions.Version) -> float:
         """At the least, by the table's own time, which stands still while nobody keeps it."""
-        return round(table_time.Time(copy.value(items.TIME)).stood(version), 1)
+        return round(table_time.TableTime(copy.value(items.TIME)).stood(version), 1)
 
     async def nodes(self, table: str, version: versions.Version) -> dict[str, str]:
         """Asked now of every member: in force, behind, stale (it answers nobody by its table), or silent."""
@@ -63,7 +63,7 @@
     async def ask(self, update: updates.Update) -> tuple | None:
         try:
             return await self.context.transport.ask(
-                update.card.address, update.identity.name, "tips", (), PATIENCE
+                update.card.address, update.identity.name, "tips", (), CALL_TIMEOUT_SECONDS
             )
         except errors.IrisError:
             return None
--- a/src/irisstand/controlplane/changes/confirmed_versions.py
+++ b/src/irisstand/controlplane/changes/confirmed_versions.py
@@ -10,7 +10,7 @@
 from irisstand.validation import canonical_content
 
 # So many of the highest versions beside the one in force are remembered; lower ones are confirmed unseen.
-REMEMBERED = 32
+REMEMBERED_VERSIONS_LIMIT = 32
 Stored = dict[str, typing.Any]
 
 
@@ -34,15 +34,15 @@
     """The row with `value` in force, and what stood before among the versions seen."""
     if known is None:
         return {"version": value["version"], "item": value["item"]}
-    return {"version": value["version"], "item": value["item"], "seen": seen_with(known, known)}
+    return {"version": value["version"], "item": value["item"], "seen": with_version(known, known)}
 
 
 def remember(known: Stored, value: Stored) -> Stored:
     """The row as it stands, with an older version that came late among the versions seen."""
-    return {**known, "seen": seen_with(known, value)}
+    return {**known, "seen": with_version(known, value)}
 
 
-def seen_with(known: Stored, value: Stored) -> list[list]:
+def with_version(known: Stored, value: Stored) -> list[list]:
     entry = [value["version"], canonical_content.digest(value["item"])]
     seen = [list(pair) for pair in known.get("seen", ())]
-    return sorted([*seen, entry], reverse=True)[:REMEMBERED]
+    return sorted([*seen, entry], reverse=True)[:REMEMBERED_VERSIONS_LIMIT]
--- a/src/irisstand/controlplane/changes/evacuation_check.py
+++ b/src/irisstand/controlplane/changes/evacuation_check.py
@@ -7,11 +7,11 @@
 from irisstand.controlplane.singletons import fleet_view
 from irisstand.state import items, quorum
 
-CONFIRM_PATIENCE = 0.8
-SITES_PATIENCE = 0.5
+CONFIRM_TIMEOUT_SECONDS = 0.8
+SITES_TIMEOUT_SECONDS = 0.5
 
 
-class Evacuation:
+class EvacuationCheck:
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
         self.view = fleet_view.FleetView(context)
@@ -53,7 +53,7 @@
     async def ask_sites(self, voter: quorum.Voter) -> tuple | None:
         address = (voter.host, voter.port)
         try:
-            return await self.context.transport.ask(address, voter.name, "sites", (), SITES_PATIENCE)
+            return await self.context.transport.ask(address, voter.name, "sites", (), SITES_TIMEOUT_SECONDS)
         except errors.IrisError:
             return None
 
@@ -76,7 +76,7 @@
         """Until this node's ledger is known to be what a majority had at a later moment."""
         clock = self.context.clock
         while (self.context.ledger.current_as_of or 0.0) < moment:
-            if clock.now() - moment > CONFIRM_PATIENCE:
+            if clock.now() - moment > CONFIRM_TIMEOUT_SECONDS:
                 raise errors.NoQuorumError(
                     "this node has not heard a majority of the voters since this was asked"
                 )
@@ -86,7 +86,7 @@
         """Notes for the operator; CannotCarry with figures if the other sites are too small for the load."""
         figures: dict[str, typing.Any] = {}
         short = []
-        for role in fleet_view.DEFAULT_LIMITS:
+        for role in fleet_view.DEFAULT_CAPACITY_BY_ROLE:
             rates, _ = await self.view.gauges(role)
             # Resting machines count: they are woken for this.
             left = [machine for machine in self.view.machines(role) if machine.site != site]
--- a/src/irisstand/controlplane/changes/orders.py
+++ b/src/irisstand/controlplane/changes/orders.py
@@ -18,7 +18,7 @@
 
 
 # Payloads travel as plain tuples; these name their parts.
-class LeaseWanted(typing.NamedTuple):
+class LeaseRequest(typing.NamedTuple):
     """`expected` is the version of the duty's lease that the candidate saw."""
 
     duty: str
@@ -26,21 +26,21 @@
     expected: str
 
 
-class FencedRows(typing.NamedTuple):
+class FencedWrite(typing.NamedTuple):
     """Rows of a duty's holder; `lease` is the version under which it holds the duty."""
 
     duty: str
-    lease: str
+    fencing_token: str
     rows: list[tuple[str, typing.Any]]
 
 
-class ClaimWanted(typing.NamedTuple):
+class KeyClaim(typing.NamedTuple):
     key: str
     attempt: str
     fingerprint: typing.Any
 
 
-class Settlement(typing.NamedTuple):
+class KeyResult(typing.NamedTuple):
     """`result` None gives the claim back."""
 
     key: str
@@ -99,37 +99,37 @@
 
 def plan_lease(overlay: Overlay, payload: typing.Any) -> Planned:
     """Take or keep a duty: only from the version that the candidate saw, so two cannot both win it."""
-    wanted = LeaseWanted(*payload)
+    wanted = LeaseRequest(*payload)
     key = f"term/{wanted.duty}"
     if str(overlay.version(key)) != wanted.expected:
         raise errors.StaleVersionError([{"duty": wanted.duty, "in_force": str(overlay.version(key))}])
     return {key: {"holder": wanted.holder}}
 
 
-def plan_fenced(overlay: Overlay, payload: typing.Any) -> Planned:
+def plan_fenced_write(overlay: Overlay, payload: typing.Any) -> Planned:
     """Rows written by a duty's holder: they count only while its own term is the one in force."""
-    fenced = FencedRows(*payload)
+    fenced = FencedWrite(*payload)
     in_force = str(overlay.version(f"term/{fenced.duty}"))
-    if in_force != fenced.lease:
+    if in_force != fenced.fencing_token:
         raise errors.StaleVersionError([{"duty": fenced.duty, "in_force": in_force}])
     return {key: value for key, value in fenced.rows if overlay.value(key) != value}
 
 
 def plan_claim(overlay: Overlay, payload: typing.Any) -> Planned:
     """Claim a keyed write for one attempt: whoever comes second learns what became of the first."""
-    wanted = ClaimWanted(*payload)
+    wanted = KeyClaim(*payload)
     row = f"claim/{wanted.key}"
     known = overlay.value(row)
     if known is not None and known["by"] != wanted.attempt:
         raise errors.KeyClaimedError(known)
     if known is None:
-        table_time.check_room(overlay, "claim", CLAIMS_LIMIT)
+        table_time.check_capacity(overlay, "claim", CLAIMS_LIMIT)
     return {row: {"by": wanted.attempt, "print": wanted.fingerprint, "state": "claimed"}}
 
 
-def plan_settle(overlay: Overlay, payload: typing.Any) -> Planned:
+def plan_result(overlay: Overlay, payload: typing.Any) -> Planned:
     """Record the result of a claimed write, or give the claim back if it certainly did not run."""
-    settled = Settlement(*payload)
+    settled = KeyResult(*payload)
     row = f"claim/{settled.key}"
     known = overlay.value(row)
     if known is None or known["by"] != settled.attempt or known["state"] != "claimed":
@@ -152,16 +152,16 @@
     "retire-blueprint": (items.CONFIGURATION, voter_changes.plan_retire),
     "retire-ledger": (items.LEDGER, voter_changes.plan_retire),
     "retire-claims": (items.CLAIMS, voter_changes.plan_retire),
-    "voters-blueprint": (items.CONFIGURATION, voter_changes.plan_voters),
-    "voters-ledger": (items.LEDGER, voter_changes.plan_voters),
-    "voters-claims": (items.CLAIMS, voter_changes.plan_voters),
+    "voters-blueprint": (items.CONFIGURATION, voter_changes.plan_voter_set),
+    "voters-ledger": (items.LEDGER, voter_changes.plan_voter_set),
+    "voters-claims": (items.CLAIMS, voter_changes.plan_voter_set),
     "claim": (items.CLAIMS, plan_claim),
-    "settle": (items.CLAIMS, plan_settle),
+    "settle": (items.CLAIMS, plan_result),
     "term": (items.LEDGER, plan_lease),
-    "fenced": (items.LEDGER, plan_fenced),
-    "tick-blueprint": (items.CONFIGURATION, table_time.plan_tick),
-    "tick-ledger": (items.LEDGER, table_time.plan_tick),
-    "tick-claims": (items.CLAIMS, table_time.plan_tick),
+    "fenced": (items.LEDGER, plan_fenced_write),
+    "tick-blueprint": (items.CONFIGURATION, table_time.plan_time_advance),
+    "tick-ledger": (items.LEDGER, table_time.plan_time_advance),
+    "tick-claims": (items.CLAIMS, table_time.plan_time_advance),
 }
 
 
@@ -179,7 +179,7 @@
         check_same(order, known)
         return (overlay.version(record), known["rows"])
     if order.change:
-        table_time.check_room(overlay, "~change", CHANGES_LIMIT)
+        table_time.check_capacity(overlay, "~change", CHANGES_LIMIT)
     planned = REGISTRY[order.kind][1](overlay, order.payload)
     keys = [key for key in planned if not key.startswith(items.RESERVED)]
     for key, value in planned.items():
--- a/src/irisstand/controlplane/changes/table_time.py
+++ b/src/irisstand/controlplane/changes/table_time.py
@@ -14,13 +14,13 @@
 from irisstand.state import items, replica, versions
 
 # A step longer than this is a holder that slept; counting less is always safe.
-STEP_LIMIT = 60.0
+STEP_LIMIT_SECONDS = 60.0
 # How much closer than their age marks may lie together.
-CLOSENESS = 0.1
-FORGET_LIMIT = 2000
+MARK_SPACING_RATIO = 0.1
+REMOVALS_LIMIT = 2000
 
 
-class Rule(typing.NamedTuple):
+class RetentionRule(typing.NamedTuple):
     """Rows under `prefix` go when older than `keep`, or than `must` where there are more than `number`."""
 
     prefix: str
@@ -29,7 +29,7 @@
     number: int
 
 
-def thin(marks: list, now: float) -> list:
+def thin_marks(marks: list, now: float) -> list:
     """Marks close together when young and far apart when old, so that a day of them stays short.
 
     >>> marks = []
@@ -40,14 +40,14 @@
     kept = list(marks)
     place = 1
     while place < len(kept) - 1:
-        if kept[place + 1][0] - kept[place - 1][0] <= CLOSENESS * (now - kept[place + 1][0]):
+        if kept[place + 1][0] - kept[place - 1][0] <= MARK_SPACING_RATIO * (now - kept[place + 1][0]):
             del kept[place]
         else:
             place += 1
     return kept
 
 
-class Time:
+class TableTime:
     """Table time as a table says it is."""
 
     def __init__(self, row: dict | None) -> None:
@@ -69,21 +69,23 @@
         return max(1.0, keep - self.stood(version))
 
 
-def plan_tick(overlay: overlays.Overlay, payload: typing.Any) -> dict[str, typing.Any]:
+def plan_time_advance(overlay: overlays.Overlay, payload: typing.Any) -> dict[str, typing.Any]:
     """Raise the table's time from the version that the holder saw, and forget what is old enough."""
     expected, elapsed, rules, tombstones = payload
     if str(overlay.version(items.TIME)) != expected:
         raise errors.StaleVersionError([{"time": expected, "in_force": str(overlay.version(items.TIME))}])
-    time = Time(overlay.value(items.TIME))
-    time.seconds += min(max(0.0, float(elapsed)), STEP_LIMIT)
+    time = TableTime(overlay.value(items.TIME))
+    time.seconds += min(max(0.0, float(elapsed)), STEP_LIMIT_SECONDS)
     # All that stands at this moment is marked by the applied version that it stands under.
-    time.marks = thin([*time.marks, [time.seconds, *overlay.copy.applied]], time.seconds)
-    forget(overlay, time, [Rule(*rule) for rule in rules], float(tombstones))
+    time.marks = thin_marks([*time.marks, [time.seconds, *overlay.copy.applied]], time.seconds)
+    remove_expired(overlay, time, [RetentionRule(*rule) for rule in rules], float(tombstones))
     kept = [list(rule) for rule in rules]
     return {items.TIME: {"seconds": time.seconds, "marks": time.marks, "rules": kept}}
 
 
-def forget(overlay: overlays.Overlay, time: Time, rules: list[Rule], tombstones: float) -> None:
+def remove_expired(
+    overlay: overlays.Overlay, time: TableTime, rules: list[RetentionRule], tombstones: float
+) -> None:
     cuts = {rule.prefix: (time.older_than(rule.keep), time.older_than(rule.must)) for rule in rules}
     over = {rule.prefix: overlay.copy.counts[rule.prefix] - rule.number for rule in rules}
     dead = time.older_than(tombstones)
@@ -92,7 +94,7 @@
     gone = 0
     # From the oldest on, so that what is left over for the next step is the newest.
     for version, key in overlay.copy.by_version:
-        if version > newest or gone >= FORGET_LIMIT:
+        if version > newest or gone >= REMOVALS_LIMIT:
             break
         prefix = replica.prefix_of(key)
         old, oldest = cuts.get(prefix, (versions.NONE, versions.NONE))
@@ -114,12 +116,12 @@
         overlay.put(items.PURGED, tuple(purged))
 
 
-def check_room(overlay: overlays.Overlay, prefix: str, limit: int) -> None:
+def check_capacity(overlay: overlays.Overlay, prefix: str, limit: int) -> None:
     """Rather than forget what is still to be known, new ones wait until the oldest have stood long enough."""
     if overlay.count(prefix) < limit:
         return
     row = overlay.value(items.TIME) or {"seconds": 0.0, "marks": [], "rules": []}
-    keep = next((rule[2] for rule in row["rules"] if rule[0] == prefix), STEP_LIMIT)
+    keep = next((rule[2] for rule in row["rules"] if rule[0] == prefix), STEP_LIMIT_SECONDS)
     oldest = next(s for s, key in overlay.copy.by_version if key.startswith(prefix + "/"))
-    wait = Time(row).left(oldest, keep)
+    wait = TableTime(row).left(oldest, keep)
     raise errors.TableFullError(f"{limit} of {prefix} are remembered", retry_after=min(600.0, wait))
--- a/src/irisstand/controlplane/changes/voter_changes.py
+++ b/src/irisstand/controlplane/changes/voter_changes.py
@@ -47,7 +47,7 @@
     return {items.VOTERS: [tuple(voter) for voter in following]}
 
 
-def plan_voters(overlay: Overlay, payload: typing.Any) -> Planned:
+def plan_voter_set(overlay: Overlay, payload: typing.Any) -> Planned:
     """The whole set at once, agreed by old and new set; only from the version that its planner saw."""
     expected, decoded = payload[0], [quorum.Voter(*parts) for parts in payload[1]]
     if str(overlay.version(items.VOTERS)) != expected:
--- a/src/irisstand/controlplane/program.py
+++ b/src/irisstand/controlplane/program.py
@@ -17,12 +17,12 @@
 
 
 async def assemble(settings: node_settings.Settings, log_ring: event_log.Ring) -> process_runner.Opened:
-    ask = watch.http_ask(settings.platform) if settings.platform is not None else None
+    ask = watch.http_origin_source(settings.platform) if settings.platform is not None else None
     return await assemble_with(ask, settings, log_ring)
 
 
 async def assemble_with(
-    ask: watch.Ask | None, settings: node_settings.Settings, log_ring: event_log.Ring
+    ask: watch.FetchOrigins | None, settings: node_settings.Settings, log_ring: event_log.Ring
 ) -> process_runner.Opened:
     """With another way of asking the platform for its origins."""
     control_node = assembly.ControlNode(
--- a/src/irisstand/controlplane/singletons/capacity_scaling.py
+++ b/src/irisstand/controlplane/singletons/capacity_scaling.py
@@ -7,15 +7,15 @@
 from irisstand.controlplane.singletons import fleet_view, lease
 from irisstand.membership import updates
 
-PAUSE = 1.0
+INTERVAL_SECONDS = 1.0
 # Seconds of quiet before the next machine is put to rest; waking never waits.
-REST_PAUSE = 8.0
-SAVED_PAUSE = 60.0
+STANDBY_DELAY_SECONDS = 8.0
+SAVINGS_INTERVAL_SECONDS = 60.0
 
 
-class Staffing:
-    def __init__(self, context: node_context.NodeContext, rest_pause: float = REST_PAUSE) -> None:
-        self.context, self.rest_pause = context, rest_pause
+class CapacityScaling:
+    def __init__(self, context: node_context.NodeContext, rest_pause: float = STANDBY_DELAY_SECONDS) -> None:
+        self.context, self.standby_delay_seconds = context, rest_pause
         self.view = fleet_view.FleetView(context)
         self.worked_at = -1e9
         self.changed_at = context.clock.now()
@@ -27,18 +27,18 @@
         """Whoever is suspected may be lost, and enough must be awake for the loss after that."""
         self.alarmed = self.alarmed or update.state is not updates.State.ALIVE
 
-    async def work(self, duty: lease.Duty) -> None:
+    async def work(self, duty: lease.SingletonTask) -> None:
         now = self.context.clock.now()
-        if now - self.worked_at < PAUSE and not self.alarmed:
+        if now - self.worked_at < INTERVAL_SECONDS and not self.alarmed:
             return
         self.alarmed = False
-        if now - self.worked_at > 10 * PAUSE:
+        if now - self.worked_at > 10 * INTERVAL_SECONDS:
             # A new holder first watches for a while before it puts anybody to rest.
             self.changed_at = now
         self.worked_at = now
         rows: list = []
         reasons: dict[str, str] = {}
-        roles = list(fleet_view.DEFAULT_LIMITS)
+        roles = list(fleet_view.DEFAULT_CAPACITY_BY_ROLE)
         # All at once: the term is short, and whoever does not answer is waited for only once.
         core_carries, *heard = await asyncio.gather(
             self.view.core_carries(), *(self.view.gauges(role) for role in roles)
@@ -50,8 +50,8 @@
         rows += self.saved_rows(now)
         if self.context.ledger.value("staffing") != {"why": reasons}:
             rows.append(("staffing", {"why": reasons}))
-        if rows and duty.holds():
-            await duty.write(rows)
+        if rows and duty.holds_lease():
+            await duty.write_fenced(rows)
 
     def plan_role(
         self, role: str, now: float, rates: dict[str, float], may_rest: bool
@@ -62,7 +62,7 @@
         names = {machine.name for machine in machines}
         resting = {name for name in names if self.view.is_resting(name)}
         rest, reasons = standby_planning.plan(machines, resting, sum(rates.values()), may_rest)
-        if rest - resting and now - self.changed_at < self.rest_pause:
+        if rest - resting and now - self.changed_at < self.standby_delay_seconds:
             for name in rest - resting:
                 reasons[name] = "awake: it is to rest when things have been quiet for a while"
             rest &= resting
@@ -84,7 +84,7 @@
         for name in sorted(resting | set(self.resting_since)):
             since = self.resting_since.setdefault(name, now)
             woken = name not in resting
-            if woken or now - since >= SAVED_PAUSE:
+            if woken or now - since >= SAVINGS_INTERVAL_SECONDS:
                 before = (self.context.ledger.value(f"saved/{name}") or {"seconds": 0})["seconds"]
                 rows.append((f"saved/{name}", {"seconds": round(before + now - since)}))
                 self.resting_since[name] = now
--- a/src/irisstand/controlplane/singletons/fleet_view.py
+++ b/src/irisstand/controlplane/singletons/fleet_view.py
@@ -8,8 +8,8 @@
 from irisstand.state import items, quorum
 
 # Who does not answer within this time is not counted on.
-HEARING = 0.5
-DEFAULT_LIMITS = {"shield": 100.0, "edge": 200.0}
+CALL_TIMEOUT_SECONDS = 0.5
+DEFAULT_CAPACITY_BY_ROLE = {"shield": 100.0, "edge": 200.0}
 
 
 class FleetView:
@@ -62,7 +62,7 @@
             if heard is not None and machine not in heard:
                 continue
             row = self.row("shield", machine) if role == "shield" else {}
-            limit = row.get("limit", DEFAULT_LIMITS[role])
+            limit = row.get("limit", DEFAULT_CAPACITY_BY_ROLE[role])
             pinned = bool(self.row("machine", machine).get("awake"))
             found.append(standby_planning.Machine(machine, update.card.site, limit, pinned))
         return found
@@ -80,7 +80,7 @@
     async def stands(self, voter: quorum.Voter, table: str) -> bool:
         try:
             reply = await self.context.transport.ask(
-                (voter.host, voter.port), voter.name, "stand", (table,), HEARING
+                (voter.host, voter.port), voter.name, "stand", (table,), CALL_TIMEOUT_SECONDS
             )
             return reply[0] == voter.disk_id
         except errors.IrisError:
@@ -93,7 +93,7 @@
         async def ask(update: object) -> float | None:
             try:
                 return await self.context.transport.ask(
-                    update.card.address, update.identity.name, "gauge", (), HEARING
+                    update.card.address, update.identity.name, "gauge", (), CALL_TIMEOUT_SECONDS
                 )
             except errors.IrisError:
                 return None
--- a/src/irisstand/controlplane/singletons/origin_discovery.py
+++ b/src/irisstand/controlplane/singletons/origin_discovery.py
@@ -11,7 +11,7 @@
 from irisstand.controlplane.singletons import lease
 from irisstand.validation import lazy_jsonschema
 
-ORIGIN = {
+ORIGIN_SCHEMA = {
     "type": "object",
     "required": ["id", "service", "host", "port", "site", "state"],
     "properties": {
@@ -25,24 +25,24 @@
         "slots": {"type": "integer", "minimum": 0},
     },
 }
-ANSWER = {
+ANSWER_SCHEMA = {
     "type": "object",
     "required": ["origins"],
     "properties": {
-        "origins": {"type": "array", "items": ORIGIN},
+        "origins": {"type": "array", "items": ORIGIN_SCHEMA},
         "revision": {"type": "integer", "minimum": 0},
     },
 }
 # An answer older than this is recorded as lagging; so many failures in a row, as silence.
-LAG_LIMIT = 10.0
-SILENT_AFTER = 5
+LAG_LIMIT_SECONDS = 10.0
+SILENT_AFTER_FAILURES = 5
 # A list that loses most of a service at once is held back for so many answers, in case it is a fault.
-HELD_ANSWERS = 5
-SHRUNK_FROM = 3
-OLDER_ANSWERS = 30
+SHRINK_HOLD_ANSWERS = 5
+SHRINK_MINIMUM_ORIGINS = 3
+OLDER_ANSWERS_LIMIT = 30
 
 
-class Heard(typing.NamedTuple):
+class PlatformAnswer(typing.NamedTuple):
     """The platform's answer and how old it says to be (the Age header of HTTP caches, RFC 9111)."""
 
     content: bytes
@@ -50,15 +50,15 @@
 
 
 # Raises an IrisError, an OSError, a ValueError or a TimeoutError where the platform gives no list.
-Ask = collections.abc.Callable[[], collections.abc.Awaitable[Heard]]
+FetchOrigins = collections.abc.Callable[[], collections.abc.Awaitable[PlatformAnswer]]
 
 
 @functools.cache
-def validator() -> typing.Any:
-    return lazy_jsonschema.compiled(ANSWER)
+def answer_validator() -> typing.Any:
+    return lazy_jsonschema.compiled(ANSWER_SCHEMA)
 
 
-async def fetch(url: str, patience: float = 2.0) -> tuple[bytes, typing.Any]:
+async def http_get(url: str, patience: float = 2.0) -> tuple[bytes, typing.Any]:
     """Body and headers of a 200, on a connection of its own; BadRequest for anything else."""
     # Imported by the one node that asks: the others are back sooner without it after a kill.
     aiohttp = importlib.import_module("aiohttp")
@@ -73,25 +73,25 @@
         raise errors.BadRequestError(f"the platform cannot be asked: {error!r}") from None
 
 
-def http_ask(address: tuple[str, int]) -> Ask:
+def http_origin_source(address: tuple[str, int]) -> FetchOrigins:
     """Ask the platform over HTTP, each time on a connection of its own."""
 
-    async def ask() -> Heard:
-        content, headers = await fetch(f"http://{address[0]}:{address[1]}/origins")
+    async def ask() -> PlatformAnswer:
+        content, headers = await http_get(f"http://{address[0]}:{address[1]}/origins")
         age = headers.get("Age", "0")
-        return Heard(content, float(age) if age.isdigit() else 0.0)
+        return PlatformAnswer(content, float(age) if age.isdigit() else 0.0)
 
     return ask
 
 
-class Watch:
-    def __init__(self, context: node_context.NodeContext, ask: Ask) -> None:
+class OriginDiscovery:
+    def __init__(self, context: node_context.NodeContext, ask: FetchOrigins) -> None:
         self.context, self.ask = context, ask
         self.asked_at = -1e9
         self.failures = 0
         self.held, self.older = 0, 0
 
-    async def work(self, duty: lease.Duty) -> None:
+    async def work(self, duty: lease.SingletonTask) -> None:
         now = self.context.clock.now()
         if now - self.asked_at < self.context.settings.platform_interval:
             return
@@ -105,14 +105,16 @@
             self.failures += 1
             self.context.counters.add("platform_failed")
             event_log.note("platform", error=repr(error))
-            rows = self.state_rows("silent", repr(error)[:200]) if self.failures >= SILENT_AFTER else []
-        if rows and duty.holds():
-            await duty.write(rows)
+            rows = (
+                self.state_rows("silent", repr(error)[:200]) if self.failures >= SILENT_AFTER_FAILURES else []
+            )
+        if rows and duty.holds_lease():
+            await duty.write_fenced(rows)
 
-    def judge(self, heard: Heard) -> list[tuple[str, typing.Any]]:
+    def judge(self, heard: PlatformAnswer) -> list[tuple[str, typing.Any]]:
         """The rows that the answer calls for. Old after new changes nothing; a sudden shrinking waits."""
         answer = json.loads(heard.content)
-        fault = next(validator().iter_errors(answer), None)
+        fault = next(answer_validator().iter_errors(answer), None)
         if fault is not None:
             raise errors.BadRequestError(f"the platform's answer is malformed: {fault.message}")
         revision, known = answer.get("revision"), self.state().get("revision")
@@ -120,20 +122,21 @@
         is_older = revision is not None and known is not None and revision < known
         self.older = self.older + 1 if is_older else 0
         # Nothing but older ones for long: it counts anew, as after a loss of its own.
-        if is_older and self.older <= OLDER_ANSWERS:
+        if is_older and self.older <= OLDER_ANSWERS_LIMIT:
             self.context.counters.add("platform_old_answers")
             return self.state_rows("lagging", f"revision {revision} after {known}")
         origins = self.origins(answer)
         shrunk = self.shrunk(origins)
-        if shrunk and self.held < HELD_ANSWERS:
+        if shrunk and self.held < SHRINK_HOLD_ANSWERS:
             self.held += 1
             # What it says of the others counts, and of this service, too, but for those that it leaves out.
             rows = self.changes(origins, set(shrunk))
-            why = f"most origins of {', '.join(shrunk)} are gone at once: kept for {HELD_ANSWERS} answers"
+            names = ", ".join(shrunk)
+            why = f"most origins of {names} are gone at once: kept for {SHRINK_HOLD_ANSWERS} answers"
             return rows + self.state_rows("shrunk", why, revision, bool(rows))
         self.held = 0
         rows = self.changes(origins, set())
-        if heard.age > LAG_LIMIT:
+        if heard.age > LAG_LIMIT_SECONDS:
             return rows + self.state_rows("lagging", f"its answer is {heard.age:.0f} s old", revision)
         return rows + self.state_rows("well", "", revision, bool(rows))
 
@@ -182,7 +185,7 @@
         return sorted(
             service
             for service, count in before.items()
-            if 2 * after[service] < count and (count >= SHRUNK_FROM or not origins)
+            if 2 * after[service] < count and (count >= SHRINK_MINIMUM_ORIGINS or not origins)
         )
 
     def changes(self, origins: dict[str, typing.Any], held: set[str]) -> list[tuple[str, typing.Any]]:
--- a/src/irisstand/controlplane/singletons/placement.py
+++ b/src/irisstand/controlplane/singletons/placement.py
@@ -5,15 +5,15 @@
 from irisstand.controlplane.singletons import fleet_view, lease
 
 # Slots moved of the machine's own will in one step; those of a lost machine move at once.
-STEP = 8
-PAUSE = 1.0
+VOLUNTARY_MOVES_LIMIT = 8
+INTERVAL_SECONDS = 1.0
 # A machine that is missing keeps its slots for this long; its reads go to the next in the order meanwhile.
-GRACE = 3.0
+MISSING_GRACE_SECONDS = 3.0
 # A holder cut off stops using its share within the freshness bound of two seconds at the most.
-FRESHNESS = 2.0
+FRESHNESS_BOUND_SECONDS = 2.0
 
 
-class Placement:
+class ShieldPlacement:
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
         self.view = fleet_view.FleetView(context)
@@ -22,19 +22,19 @@
         self.missing_since: dict[str, float] = {}
         self.frozen_until: dict[str, float] = {}
 
-    async def work(self, duty: lease.Duty) -> None:
+    async def work(self, duty: lease.SingletonTask) -> None:
         now = self.context.clock.now()
-        if now - self.worked_at < PAUSE:
+        if now - self.worked_at < INTERVAL_SECONDS:
             return
-        first = now - self.worked_at > 10 * PAUSE
+        first = now - self.worked_at > 10 * INTERVAL_SECONDS
         self.worked_at = now
         weights = self.view.shield_weights()
         if first:
             # What an earlier holder took away just before is not known here.
             self.freeze(self.ceilings(), now)
         rows = [*self.slot_rows(weights, now), *self.share_rows(weights, now)]
-        if rows and duty.holds():
-            await duty.write(rows)
+        if rows and duty.holds_lease():
+            await duty.write_fenced(rows)
             self.context.counters.add("placement_rows", len(rows))
 
     def slot_rows(self, weights: dict[str, float], now: float) -> list:
@@ -46,9 +46,9 @@
             else:
                 since = self.missing_since.setdefault(machine, now)
                 # Rest and evacuation are decisions, not accidents: nothing is waited for.
-                if now - since >= GRACE or self.view.is_out(machine):
+                if now - since >= MISSING_GRACE_SECONDS or self.view.is_out(machine):
                     given_up.add(machine)
-        planned, moved = slot_assignment.plan(current, weights, given_up, STEP)
+        planned, moved = slot_assignment.plan(current, weights, given_up, VOLUNTARY_MOVES_LIMIT)
         if not moved:
             return []
         self.context.counters.add("slots_moved", moved)
@@ -72,7 +72,9 @@
             row = self.context.configuration.value(f"service/{service}") or {"deadline": 60}
             # Requests that the last holder began run until their deadline, and an origin may work on at those
             # that were abandoned for as long again.
-            self.frozen_until[service] = now + FRESHNESS + service_limits.works_for(row["deadline"])
+            self.frozen_until[service] = (
+                now + FRESHNESS_BOUND_SECONDS + service_limits.works_for(row["deadline"])
+            )
 
     def share_rows(self, weights: dict[str, float], now: float) -> list:
         current = self.view.shares()
--- a/src/irisstand/controlplane/singletons/rate_placement.py
+++ b/src/irisstand/controlplane/singletons/rate_placement.py
@@ -4,12 +4,12 @@
 from irisstand.balancing import rate_quota
 from irisstand.controlplane.singletons import lease
 
-PAUSE = 0.5
+INTERVAL_SECONDS = 0.5
 # An owner that is missing keeps its part for this long: a process that was killed is back sooner.
-GRACE = 8.0
+MISSING_GRACE_SECONDS = 8.0
 # Before all is given out for the first time the members' list has to stand still for a moment, within reason:
 # what is given to the first few can be moved to others only slowly.
-STILL_FOR, STILL_AT_MOST = 2.0, 6.0
+STABLE_SECONDS, STABLE_WAIT_LIMIT_SECONDS = 2.0, 6.0
 
 
 class RatePlacement:
@@ -22,12 +22,12 @@
         self.standing: dict[str, float] = {}
         self.still_since = -1e9
 
-    async def work(self, duty: lease.Duty) -> None:
+    async def work(self, duty: lease.SingletonTask) -> None:
         now = self.context.clock.now()
-        if now - self.worked_at < PAUSE:
+        if now - self.worked_at < INTERVAL_SECONDS:
             return
         units = self.units()
-        if now - self.worked_at > 10 * PAUSE:
+        if now - self.worked_at > 10 * INTERVAL_SECONDS:
             self.began_at = now
             self.seen_at = dict.fromkeys(units, now)
             # What an earlier holder of the duty took away just before is not known here.
@@ -39,17 +39,17 @@
         if not weights or (not units and self.is_filling(now)):
             return
         planned, is_reduced = rate_quota.plan(units, weights, now < self.frozen_until)
-        if planned != units and duty.holds():
+        if planned != units and duty.holds_lease():
             if is_reduced:
                 self.frozen_until = now + rate_quota.LAPSE
-            await duty.write([(rate_quota.KEY, {"units": planned})])
+            await duty.write_fenced([(rate_quota.KEY, {"units": planned})])
             if is_reduced:
                 # Counted from when it was decided, not from when it was asked for.
                 self.frozen_until = self.context.clock.now() + rate_quota.LAPSE
             self.context.counters.add("rate_parts_moved")
 
     def is_filling(self, now: float) -> bool:
-        return now - self.still_since < STILL_FOR and now - self.began_at < STILL_AT_MOST
+        return now - self.still_since < STABLE_SECONDS and now - self.began_at < STABLE_WAIT_LIMIT_SECONDS
 
     def units(self) -> dict[str, int]:
         row = self.context.ledger.value(rate_quota.KEY)
@@ -60,7 +60,7 @@
         holders, edges = self.listed("holder"), self.listed("direct")
         present = {**holders, **edges}
         self.seen_at.update(dict.fromkeys(present, now))
-        waited_for = {name for name in units if now - self.seen_at.get(name, -1e9) < GRACE}
+        waited_for = {name for name in units if now - self.seen_at.get(name, -1e9) < MISSING_GRACE_SECONDS}
         if waited_for - set(present):
             # Nothing moves while one is waited for: it would have to move back.
             return {name: float(share) for name, share in units.items()}
--- a/src/irisstand/simulator/invariants.py
+++ b/src/irisstand/simulator/invariants.py
@@ -141,8 +141,8 @@
                     )
                     self.applied_versions[(name, table)] = max(before, copy.applied)
             self.look_at_shares(name, node, used)
-            for duty in getattr(node.body, "duties", []):
-                if duty.holds():
+            for duty in getattr(node.body, "singleton_tasks", []):
+                if duty.holds_lease():
                     holders[duty.name].append(name)
         for duty, names in holders.items():
             self.judge.check("a duty has one holder", len(names) == 1, f"{duty}: {names}")
--- a/src/irisstand/simulator/rest_judge.py
+++ b/src/irisstand/simulator/rest_judge.py
@@ -33,7 +33,7 @@
         # While nothing can be decided, nobody can be told to do anything else.
         if self.core_is_short(ledger) == "majority":
             self.world.stage.deaf.append((now - 0.05, now))
-        for role in fleet_view.DEFAULT_LIMITS:
+        for role in fleet_view.DEFAULT_CAPACITY_BY_ROLE:
             self.look_at(role, ledger, contexts, now)
 
     def look_at(self, role: str, ledger: typing.Any, contexts: list, now: float) -> None:
@@ -45,7 +45,7 @@
         for node in nodes:
             if node.plan.machine not in resting:
                 row = configuration.value(f"shield/{node.plan.machine}") or {}
-                limit = row.get("limit", fleet_view.DEFAULT_LIMITS[role])
+                limit = row.get("limit", fleet_view.DEFAULT_CAPACITY_BY_ROLE[role])
                 awake.append(standby_planning.Machine(node.plan.machine, node.plan.site, limit, False))
         load = sum(node.body.context.gauge.per_second() for node in nodes)
         short = standby_planning.carries(awake, load)
--- a/tests/controlplane/test_capacity_scaling.py
+++ b/tests/controlplane/test_capacity_scaling.py
@@ -83,12 +83,14 @@
         staffing = {
             node.plan.name: duty
             for node in day.world.role("agency")
-            for duty in node.body.duties
+            for duty in node.body.singleton_tasks
             if duty.name == "staffing"
         }
-        holder = next(name for name, duty in staffing.items() if duty.holds())
+        holder = next(name for name, duty in staffing.items() if duty.holds_lease())
         worker = staffing[holder].work.__self__
-        await settle(day, lambda: day.watching.now() - worker.changed_at > worker.rest_pause - 0.3, 30)
+        await settle(
+            day, lambda: day.watching.now() - worker.changed_at > worker.standby_delay_seconds - 0.3, 30
+        )
         before = resting(day, holder)
         victims = [name for name in staffing if name != holder][:2]
         for name in victims:
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -10,8 +10,8 @@
 
 def holder_of(day, duty_name):
     for node in day.world.role("agency"):
-        for duty in node.body.duties if node.is_up else ():
-            if duty.name == duty_name and duty.holds():
+        for duty in node.body.singleton_tasks if node.is_up else ():
+            if duty.name == duty_name and duty.holds_lease():
                 return node
     return None
 
@@ -108,11 +108,11 @@
         await asyncio.sleep(2)
         holder = holder_of(day, "platform-watch")
         for node in day.world.role("agency"):
-            for duty in node.body.duties:
+            for duty in node.body.singleton_tasks:
                 if node is not holder and duty.name == "platform-watch":
                     # No other candidate may hide how long this one waits.
-                    duty.length = 60.0
-        duty = next(duty for duty in holder.body.duties if duty.name == "platform-watch")
+                    duty.lease_seconds = 60.0
+        duty = next(duty for duty in holder.body.singleton_tasks if duty.name == "platform-watch")
         submit, orders = duty.submitter.submit, []
 
         async def late_then_refused(order):
@@ -123,13 +123,13 @@
                 raise errors.NoQuorumError("this node has lost the majority of the voters")
             result = await submit(order)
             if len(orders) == 1:
-                await asyncio.sleep(duty.length)
+                await asyncio.sleep(duty.lease_seconds)
             return result
 
         duty.submitter.submit = late_then_refused
         await day.world.until(lambda: len(orders) == 2, 5)
-        assert not duty.holds()
-        took = await day.world.until(duty.holds, 5)
+        assert not duty.holds_lease()
+        took = await day.world.until(duty.holds_lease, 5)
         assert took < 0.5
 
     cluster.play(scene)
@@ -143,11 +143,11 @@
         ledger = cluster.context(day, "agency-1").ledger
         winner = ledger.applied.node.partition("~")[0]
         candidate = next(node for node in day.world.role("agency") if node.plan.name != winner)
-        duty = next(duty for duty in candidate.body.duties if duty.name == "platform-watch")
+        duty = next(duty for duty in candidate.body.singleton_tasks if duty.name == "platform-watch")
         day.world.cut_off([winner])
         started = asyncio.get_running_loop().time()
-        await duty.take(str(duty.context.ledger.version("term/platform-watch")))
-        assert duty.holds()
+        await duty.acquire(str(duty.context.ledger.version("term/platform-watch")))
+        assert duty.holds_lease()
         assert asyncio.get_running_loop().time() - started < 0.8
 
     cluster.play(scene)
--- a/tests/controlplane/test_idempotent_changes.py
+++ b/tests/controlplane/test_idempotent_changes.py
@@ -38,7 +38,7 @@
 def amend(table, call):
     """Play one call on a table, as a ballot would; the rows that it writes."""
     overlay = overlays.Overlay(table, table.applied.after("n"))
-    payload = amendment.parse(json.dumps(call).encode())
+    payload = amendment.parse_amendment(json.dumps(call).encode())
     orders.plan(overlay, orders.Order("amend", "", payload))
     written = list(overlay.rows)
     table.apply(overlay.batch())
@@ -64,7 +64,7 @@
 def test_other_content_under_the_version_in_force_is_refused_whole():
     table = fresh()
     refused(table, put(route(3, timeout=1), route(7, name="r2", prefix="/b/")))
-    assert [found["name"] for found in amendment.listing(table)["routes"]] == ["r1"]
+    assert [found["name"] for found in amendment.as_amendment(table)["routes"]] == ["r1"]
 
 
 def test_a_drop_and_a_put_under_one_version_are_two_contents():
@@ -120,7 +120,7 @@
     amend(table, call)
     amend(table, put(route(6, timeout=2)))
     assert amend(table, call) == []
-    assert [found["version"] for found in amendment.listing(table)["routes"]] == [6, 5]
+    assert [found["version"] for found in amendment.as_amendment(table)["routes"]] == [6, 5]
 
 
 def test_an_older_change_that_comes_late_is_confirmed_and_its_number_is_taken_from_then_on():
@@ -128,7 +128,7 @@
     amend(table, put(route(9, timeout=4)))
     late = put(route(6, timeout=1))
     amend(table, late)
-    assert amendment.listing(table)["routes"][0]["timeout"] == 4
+    assert amendment.as_amendment(table)["routes"][0]["timeout"] == 4
     assert amend(table, late) == []
     refused(table, put(route(6, timeout=2)))
 
@@ -146,7 +146,7 @@
 def test_both_versions_of_an_item_in_one_call_are_confirmed():
     table = fresh()
     amend(table, put(route(9, timeout=4), route(6, timeout=1)))
-    assert amendment.listing(table)["routes"][0]["timeout"] == 4
+    assert amendment.as_amendment(table)["routes"][0]["timeout"] == 4
     assert amend(table, put(route(6, timeout=1))) == []
     refused(table, put(route(6, timeout=2)))
 
@@ -200,7 +200,7 @@
 )
 def test_what_could_not_be_carried_or_stored_is_refused_before_it_is_an_order(body):
     with pytest.raises((errors.BadRequestError, errors.InvalidChangeError)):
-        amendment.parse(body)
+        amendment.parse_amendment(body)
 
 
 def change(table, kind, change_id, payload):
--- a/tests/controlplane/test_idempotent_changes_racing.py
+++ b/tests/controlplane/test_idempotent_changes_racing.py
@@ -158,7 +158,8 @@
 def test_a_site_is_refused_only_when_settings_or_a_majority_of_the_voters_know_of_none():
     async def scene(day):
         judges = [
-            evacuation_check.Evacuation(cluster.context(day, f"agency-{number}")) for number in range(1, 6)
+            evacuation_check.EvacuationCheck(cluster.context(day, f"agency-{number}"))
+            for number in range(1, 6)
         ]
         judge, other = judges[0], judges[3]
         await judge.check_site("west")
@@ -208,10 +209,10 @@
 
     async def scene(day):
         node = day.world.nodes["agency-5"]
-        judge = evacuation_check.Evacuation(node.body.context)
+        judge = evacuation_check.EvacuationCheck(node.body.context)
         day.world.cut_off(["agency-5"])
         await day.stage.order("agency-1", "evacuate", "north")
-        monkeypatch.setattr(evacuation_check.Evacuation, "check", cannot)
+        monkeypatch.setattr(evacuation_check.EvacuationCheck, "check", cannot)
         # Cut off, it cannot know; back in touch, it learns before it speaks.
         with pytest.raises(errors.NoQuorumError):
             await node.do(judge.judge("north", False), 8.0)
--- a/tests/controlplane/test_leases_under_partition.py
+++ b/tests/controlplane/test_leases_under_partition.py
@@ -13,7 +13,9 @@
 def holder_of(day, name="staffing"):
     found = []
     for node in day.world.role("agency"):
-        found += [(node, duty) for duty in node.body.duties if duty.name == name and duty.holds()]
+        found += [
+            (node, duty) for duty in node.body.singleton_tasks if duty.name == name and duty.holds_lease()
+        ]
     return found
 
 
@@ -23,18 +25,18 @@
 
     async def scene(day):
         ((node, duty),) = holder_of(day)
-        lease = duty.lease
+        lease = duty.fencing_token
         node.freeze()
         await asyncio.sleep(8)
         ((other, _),) = [pair for pair in holder_of(day) if pair[0] is not node]
         if clock == "stands still":
-            duty.held_until += 8
+            duty.lease_ends_at += 8
         node.thaw()
         # It knows the tables again, and believes in its lease as it did before.
         await day.world.until_ready()
-        duty.lease = lease
+        duty.fencing_token = lease
         with pytest.raises(errors.StaleVersionError):
-            await node.do(duty.write([("rest/x", {"since": 1})]), 8)
+            await node.do(duty.write_fenced([("rest/x", {"since": 1})]), 8)
         await asyncio.sleep(2)
         assert cluster.context(day, "agency-1").ledger.value("rest/x") is None
         assert [pair[0] for pair in holder_of(day)] == [other]
@@ -48,7 +50,7 @@
     async def scene(day):
         node = day.world.nodes["agency-3"]
         real = node.body.submitter
-        duty = duties.Duty(real, "trial", None)
+        duty = duties.SingletonTask(real, "trial", None)
         duty.holder = "agency-3~life"
         vacant = str(node.body.context.ledger.version("term/trial"))
 
@@ -60,9 +62,9 @@
         duty.submitter = types.SimpleNamespace(submit=lose_answer)
         asked_at = day.now()
         with pytest.raises(errors.ChangeOutcomeUnknownError):
-            await node.do(duty.take(vacant), 8)
+            await node.do(duty.acquire(vacant), 8)
         duty.submitter = real
-        await node.do(duty.take(vacant), 8)
-        assert duty.lease and duty.held_until <= asked_at + duty.length
+        await node.do(duty.acquire(vacant), 8)
+        assert duty.fencing_token and duty.lease_ends_at <= asked_at + duty.lease_seconds
 
     cluster.play(scene)
--- a/tests/controlplane/test_operations.py
+++ b/tests/controlplane/test_operations.py
@@ -25,7 +25,7 @@
         await day.stage.order("agency-2", "change", [cluster.site_row("south", 5)], "third")
         await asyncio.sleep(1)
         node = day.world.nodes["agency-4"]
-        shower = change_status.Changes(node.body.context)
+        shower = change_status.ChangeStatus(node.body.context)
         first = await node.do(shower.show("first"), 3)
         second = await node.do(shower.show("second"), 3)
         third = await node.do(shower.show("third"), 3)
@@ -48,7 +48,7 @@
         copy = cluster.context(day, "store-1").configuration
         copy.applied = copy.applied._replace(counter=copy.applied.counter - 1)
         node = day.world.nodes["agency-1"]
-        shown = await node.do(change_status.Changes(node.body.context).show("x"), 3)
+        shown = await node.do(change_status.ChangeStatus(node.body.context).show("x"), 3)
         assert shown["serial"] == result["serial"] and shown["nodes"]["store-1"] == "behind"
 
     cluster.play(scene)
--- a/tests/controlplane/test_origin_discovery.py
+++ b/tests/controlplane/test_origin_discovery.py
@@ -21,7 +21,7 @@
     content = {"origins": origins, **({} if revision is None else {"revision": revision})}
 
     async def ask():
-        return watch.Heard(json.dumps(content).encode(), age)
+        return watch.PlatformAnswer(json.dumps(content).encode(), age)
 
     day.stage.ask_platform = ask
 
@@ -37,7 +37,9 @@
         assert f"origin/{gone.instance}" not in listed(day) and state(day)["state"] == "lagging"
         # Nor for the next holder, which has heard nothing of the newer one itself.
         for node in day.world.role("agency"):
-            if any(duty.name == "platform-watch" and duty.holds() for duty in node.body.duties):
+            if any(
+                duty.name == "platform-watch" and duty.holds_lease() for duty in node.body.singleton_tasks
+            ):
                 node.kill()
         await asyncio.sleep(6)
         assert f"origin/{gone.instance}" not in listed(day)
--- a/tests/controlplane/test_origin_roster.py
+++ b/tests/controlplane/test_origin_roster.py
@@ -113,8 +113,8 @@
         for _ in range(3):
             await asyncio.sleep(5)
             for node in day.world.role("agency"):
-                for duty in node.body.duties if node.is_up else ():
-                    if duty.name == "platform-watch" and duty.holds():
+                for duty in node.body.singleton_tasks if node.is_up else ():
+                    if duty.name == "platform-watch" and duty.holds_lease():
                         node.freeze()
                         break
             await asyncio.sleep(8)
@@ -133,16 +133,16 @@
         duties = {
             node.plan.name: duty
             for node in day.world.role("agency")
-            for duty in node.body.duties
+            for duty in node.body.singleton_tasks
             if duty.name == "placement"
         }
-        holder = next(name for name, duty in duties.items() if duty.holds())
-        lease = duties[holder].lease
+        holder = next(name for name, duty in duties.items() if duty.holds_lease())
+        lease = duties[holder].fencing_token
         node = day.world.nodes[holder]
         node.freeze()
-        await day.world.until(lambda: any(d.holds() for n, d in duties.items() if n != holder), 20)
+        await day.world.until(lambda: any(d.holds_lease() for n, d in duties.items() if n != holder), 20)
         node.thaw()
-        assert not duties[holder].holds()
+        assert not duties[holder].holds_lease()
         # Until its tables are current again it would be refused for want of a majority.
         await day.world.until_ready()
         row = ("slots/00", {"owners": ["nonsense"] * 16})
@@ -159,8 +159,13 @@
     async def scene(day):
         newer = day.world.nodes["agency-1"].body
         row = [("hologram/7", {"depth": 3})]
-        holder = next(duty for node in day.world.role("agency") for duty in node.body.duties if duty.holds())
-        await day.stage.order("agency-2", "fenced", (holder.name, holder.lease, row))
+        holder = next(
+            duty
+            for node in day.world.role("agency")
+            for duty in node.body.singleton_tasks
+            if duty.holds_lease()
+        )
+        await day.stage.order("agency-2", "fenced", (holder.name, holder.fencing_token, row))
         await asyncio.sleep(1)
         for name in ("agency-4", "edge-1", "shield-2", "store-1"):
             assert cluster.context(day, name).ledger.value("hologram/7") == {"depth": 3}
--- a/tests/controlplane/test_rate_quota.py
+++ b/tests/controlplane/test_rate_quota.py
@@ -21,10 +21,10 @@
     def __init__(self, core, delay=0.0):
         self.core, self.delay = core, delay
 
-    def holds(self):
+    def holds_lease(self):
         return True
 
-    async def write(self, rows):
+    async def write_fenced(self, rows):
         await asyncio.sleep(self.delay)
         for key, value in rows:
             self.core.put(items.LEDGER, key, value)
@@ -142,7 +142,7 @@
                 for site in range(4):
                     core.member(f"edge-{site}-{edge}", "direct", f"site-{site}")
             await core.go_on(0.6)
-        await core.go_on(rate_placement.STILL_FOR + 1.0)
+        await core.go_on(rate_placement.STABLE_SECONDS + 1.0)
         return core.units()
 
     assert play(scene) == {f"holder-{number}": 125 for number in range(1, 9)}
@@ -154,7 +154,7 @@
         for number in range(8):
             core.member(f"fetching-{number}", "direct", f"site-{number % 4}")
             core.member(f"holder-{number}", "holder", f"site-{number % 4}")
-        await core.go_on(rate_placement.STILL_FOR + 2.0)
+        await core.go_on(rate_placement.STABLE_SECONDS + 2.0)
         return core.units()
 
     assert play(scene) == {f"fetching-{number}": 125 for number in range(8)}
--- a/tests/controlplane/test_retention.py
+++ b/tests/controlplane/test_retention.py
@@ -15,7 +15,7 @@
 import irisstand.state.replica as replica
 import irisstand.state.versions as versions
 
-PURGE = table_time.Rule("purge", 75.0, 0.0, 5000)
+PURGE = table_time.RetentionRule("purge", 75.0, 0.0, 5000)
 
 
 class Table:
@@ -46,7 +46,7 @@
             ledger.order("purge", [("path", f"/vacancies/{number}")], f"purge-{number}")
         ledger.order("evacuate", f"site-{step}")
         ledger.order("return", f"site-{step}")
-        ledger.tick(15, PURGE, retention.CHANGES._replace(number=500))
+        ledger.tick(15, PURGE, retention.CHANGE_RECORD_RULE._replace(number=500))
         sizes.append(len(ledger.copy.items))
     # Four hours: as many rows after the fourth as after the first, and hardly more than must be kept.
     assert max(sizes[-240:]) <= max(sizes[:240]) < 1100, (max(sizes[:240]), max(sizes[-240:]))
@@ -90,7 +90,7 @@
         day.world.cut_off(["edge-1"])
         day.stage.records.versions[path] += 1
         await day.stage.order("agency-2", "purge", [("path", path)])
-        rule = [list(table_time.Rule("purge", 1.0, 0.0, 0))]
+        rule = [list(table_time.RetentionRule("purge", 1.0, 0.0, 0))]
         for _ in range(3):
             await asyncio.sleep(2)
             expected = str(cluster.context(day, "agency-2").ledger.version(items.TIME))
@@ -137,13 +137,13 @@
     with pytest.raises(errors.StaleVersionError):
         ledger.order("tick-ledger", (first, 15.0, [], 600.0))
     ledger.tick(4000, PURGE)
-    assert ledger.copy.value(items.TIME)["seconds"] == 15 + table_time.STEP_LIMIT
+    assert ledger.copy.value(items.TIME)["seconds"] == 15 + table_time.STEP_LIMIT_SECONDS
 
 
 def test_keys_are_kept_for_their_time_and_a_full_store_refuses_new_ones_with_when_to_come_back(monkeypatch):
     monkeypatch.setattr(orders, "CLAIMS_LIMIT", 100)
     claims = Table(items.CLAIMS)
-    rule = table_time.Rule("claim", 600.0, 600.0, 100)
+    rule = table_time.RetentionRule("claim", 600.0, 600.0, 100)
     claims.tick(15, rule)
     for number in range(100):
         claims.order("claim", (f"k{number}", "a", "print"))
--- a/tests/mutation/consensus_mutations.py
+++ b/tests/mutation/consensus_mutations.py
@@ -16,13 +16,13 @@
     ),
     (
         "controlplane/singletons/lease.py",
-        "        return bool(self.lease) and self.context.clock.now() < self.held_until",
-        "        return bool(self.lease)",
+        "        return bool(self.fencing_token) and self.context.clock.now() < self.lease_ends_at",
+        "        return bool(self.fencing_token)",
         "controlplane/test_origin_roster.py",
     ),
     (
         "controlplane/singletons/lease.py",
-        "                if self.context.leaving and self.lease:",
+        "                if self.context.leaving and self.fencing_token:",
         "                if False:",
         "controlplane/test_graceful_shutdown.py::test_a_holder_that_goes_in_order_lays_its_duty_down_at_once",
     ),
--- a/tests/mutation/controlplane_mutations.py
+++ b/tests/mutation/controlplane_mutations.py
@@ -46,13 +46,13 @@
     ),
     (
         "controlplane/singletons/origin_discovery.py",
-        "        if shrunk and self.held < HELD_ANSWERS:",
+        "        if shrunk and self.held < SHRINK_HOLD_ANSWERS:",
         "        if False:",
         "controlplane/test_origin_roster.py",
     ),
     (
         "controlplane/singletons/origin_discovery.py",
-        "        if is_older and self.older <= OLDER_ANSWERS:",
+        "        if is_older and self.older <= OLDER_ANSWERS_LIMIT:",
         "        if False:",
         "controlplane/test_origin_discovery.py",
     ),
@@ -64,7 +64,7 @@
     ),
     (
         "controlplane/changes/confirmed_versions.py",
-        '"item": value["item"], "seen": seen_with(known, known)}',
+        '"item": value["item"], "seen": with_version(known, known)}',
         '"item": value["item"]}',
         "controlplane/test_idempotent_changes.py::test_a_repeat_is_confirmed_after_it_was_overtaken_and_dropped_and_other_content_is_not",
     ),
@@ -112,7 +112,7 @@
     ),
     (
         "controlplane/changes/orders.py",
-        "    if in_force != fenced.lease:",
+        "    if in_force != fenced.fencing_token:",
         "    if False:",
         "controlplane/test_leases_under_partition.py::test_a_holder_that_thaws_writes_nothing_under_a_lease_that_another_has_taken",
     ),
--- a/tests/state/test_slow_disks.py
+++ b/tests/state/test_slow_disks.py
@@ -68,7 +68,7 @@
             for node in day.world.role("agency"):
                 assert day.world.is_ready(node)
         assert max(taken) < 3
-        duties = [duty for node in day.world.role("agency") for duty in node.body.duties]
-        await day.world.until(lambda: len({duty.name for duty in duties if duty.holds()}) == 3, 10)
+        duties = [duty for node in day.world.role("agency") for duty in node.body.singleton_tasks]
+        await day.world.until(lambda: len({duty.name for duty in duties if duty.holds_lease()}) == 3, 10)
 
     cluster.play(scene)
--- a/tests/validation/test_versioned_items.py
+++ b/tests/validation/test_versioned_items.py
@@ -30,7 +30,7 @@
 def amend(table, call):
     """Play one call on a table, as a ballot would."""
     overlay = overlays.Overlay(table, table.applied.after("n"))
-    planned = amendment.plan_amend(overlay, amendment.parse(json.dumps(call).encode()))
+    planned = amendment.plan_amend(overlay, amendment.parse_amendment(json.dumps(call).encode()))
     for key, value in planned.items():
         overlay.put(key, value)
     table.apply(overlay.batch())
@@ -51,7 +51,7 @@
 
 
 def test_all_items_are_read_back_as_they_were_sent():
-    found = amendment.listing(fresh())
+    found = amendment.as_amendment(fresh())
     assert found == {"routes": [ROUTE], "upstreams": [UPSTREAM], "limits": CALL["put"]["limits"]}
 
 
@@ -97,7 +97,7 @@
 )
 def test_what_cannot_be_read_whole_is_refused(body):
     with pytest.raises((errors.BadRequestError, errors.InvalidChangeError)):
-        amendment.parse(body)
+        amendment.parse_amendment(body)
 
 
 def in_force(table):
@@ -118,7 +118,7 @@
     with pytest.raises(control_errors.VersionTakenError):
         amend(table, changed(version=7, timeout=1))
     assert table.root() == root and in_force(table) == before
-    assert amendment.listing(table)["routes"][0]["timeout"] == 4
+    assert amendment.as_amendment(table)["routes"][0]["timeout"] == 4
 
 
 def test_a_dropped_name_keeps_its_version():
@@ -126,9 +126,9 @@
     assert amend(table, {"drop": {"routes": [{"name": "r1", "version": 8}]}})
     amend(table, changed(version=7))
     assert in_force(table) == (8, None)
-    assert amendment.listing(table)["routes"] == []
+    assert amendment.as_amendment(table)["routes"] == []
     assert amend(table, changed(version=9))
-    assert len(amendment.listing(table)["routes"]) == 1
+    assert len(amendment.as_amendment(table)["routes"]) == 1
 
 
 def test_a_service_that_a_route_still_names_cannot_be_dropped():
