--- a/src/irisstand/dataplane/cache/object_holders.py
+++ b/src/irisstand/dataplane/cache/object_holders.py
@@ -24,7 +24,7 @@
 
 class Holders:
     def __init__(
-        self, context: node_context.NodeContext, table: routes.Routes, origins: endpoint_pool.Targets
+        self, context: node_context.NodeContext, table: routes.Routes, origins: endpoint_pool.EndpointPool
     ) -> None:
         self.context, self.table, self.origins = context, table, origins
         self.avoided = origins.avoided
--- a/src/irisstand/dataplane/cache/object_reader.py
+++ b/src/irisstand/dataplane/cache/object_reader.py
@@ -55,7 +55,7 @@
         self,
         context: node_context.NodeContext,
         view: snapshot.Views,
-        origins: client.Conversing,
+        origins: client.UpstreamClient,
         ask_holder: typing.Any,
     ) -> None:
         self.context, self.view, self.origins, self.ask_holder = context, view, origins, ask_holder
@@ -123,7 +123,7 @@
             headers.append(("if-none-match", known_tag))
         # Fetched from now on, so at least as new as everything that this node, or who asks it, has heard of.
         applied, asked_at = max(self.context.ledger.applied, floor), self.context.clock.now()
-        answer = await self.origins.converse(asked.route, asked.service, asked.request, headers, remaining)
+        answer = await self.origins.fetch(asked.route, asked.service, asked.request, headers, remaining)
         life = asked.route.cache_life
         if answer.status == 304 and known is not None and known_tag:
             self.context.counters.add("cache", at=self.context.role, result="revalidated")
--- a/src/irisstand/dataplane/nodes/direct.py
+++ b/src/irisstand/dataplane/nodes/direct.py
@@ -18,14 +18,14 @@
         self.context, self.view = context, view
         self.words = vocabularies.REGISTRY[context.settings.vocabulary]
         self.table = routes.Routes(context)
-        self.targets = endpoint_pool.Targets(context, view, self.table, self.words, connect)
-        self.origins = client.Conversing(context, view, self.table, self.targets)
-        self.holders = object_holders.Holders(context, self.table, self.targets)
+        self.endpoints = endpoint_pool.EndpointPool(context, view, self.table, self.words, connect)
+        self.origins = client.UpstreamClient(context, view, self.table, self.endpoints)
+        self.holders = object_holders.Holders(context, self.table, self.endpoints)
         self.reading = object_reader.Reading(context, view, self.origins, self.holders.ask)
         self.holders.answer(self.reading)
 
     async def run(self) -> None:
-        await self.targets.run()
+        await self.endpoints.run()
 
     async def handle(self, request: Request) -> exchange.Answer:
         """The answer for the client, or a typed error. A request is decided by one version of its route."""
@@ -41,7 +41,7 @@
         service = routes.pick_service(route, request.headers.get(self.words.request_id, request.path))
         headers = [(name, value) for name, value in request.headers.items() if name not in client.HOP]
         with self.context.working():
-            return await self.origins.converse(route, service, request, headers, remaining)
+            return await self.origins.fetch(route, service, request, headers, remaining)
 
     def give(self, request: Request, thing: objects.Object) -> exchange.Answer:
         # This node may have been paused or cut off while the answer was on its way.
--- a/src/irisstand/dataplane/nodes/shield.py
+++ b/src/irisstand/dataplane/nodes/shield.py
@@ -21,7 +21,7 @@
     errors.LimitExceededError,
     errors.StaleConfigurationError,
     errors.NoQuotaShareError,
-    connections.Reopened,
+    connections.ConnectionReopenedError,
 )
 
 
@@ -30,12 +30,12 @@
         self,
         context: node_context.NodeContext,
         view: snapshot.Views,
-        open_line: connections.Open,
+        open_line: connections.ConnectionOpener,
     ) -> None:
         self.context, self.view = context, view
         self.cache = object_cache.Cache(context.settings.cache_bytes)
         self.collapse = object_cache.Collapse()
-        self.origins = origin_pool.Origins(context, view, open_line)
+        self.origins = origin_pool.OriginPool(context, view, open_line)
         # With the edges' share this stays under the fifth of the traffic that is allowed fleet-wide.
         self.budget = budgets.Budget(context.clock, 0.10, 1)
         self.claims = idempotency_keys.Claims(context)
@@ -205,7 +205,7 @@
             share, entered_at = await self.enter(granted, decision)
         except errors.IrisError as error:
             return ("failed", error, "", False)
-        line: connections.Line | None = None
+        line: connections.UpstreamConnection | None = None
         works_until = 0.0
         try:
             line = await pool.take(max(0.01, decision.remaining()))
--- a/src/irisstand/dataplane/retry/attempt_policy.py
+++ b/src/irisstand/dataplane/retry/attempt_policy.py
@@ -17,7 +17,7 @@
 WAY_BACK = 0.015
 
 
-class Trying:
+class AttemptPolicy:
     """What all requests have in common: one deadline, and a number of origins that one try may go to."""
 
     def __init__(
@@ -49,7 +49,7 @@
         return self.sent < self.route.attempts and self.remaining() > 0.03 and self.budget.take()
 
 
-class Repeatable(Trying):
+class IdempotentAttemptPolicy(AttemptPolicy):
     """A request that may run more than once: asked again elsewhere when it fails, or is slow in coming."""
 
     def __init__(
@@ -121,7 +121,7 @@
         return ("answer", self.fault) if self.fault is not None else ("reject", error)
 
 
-class Once(Trying):
+class SingleAttemptPolicy(AttemptPolicy):
     """A request that may run at most once: sent on only while it is certain that it has not run."""
 
     def on_sent(self, instance: str, usual: float) -> Action:
@@ -157,5 +157,7 @@
 
 def for_route(
     clock: clocks.Clock, route: routes.Route, remaining: float, budget: budgets.Budget
-) -> Repeatable | Once:
-    return (Repeatable if route.is_repeatable else Once)(clock, route, remaining, budget)
+) -> IdempotentAttemptPolicy | SingleAttemptPolicy:
+    return (IdempotentAttemptPolicy if route.is_repeatable else SingleAttemptPolicy)(
+        clock, route, remaining, budget
+    )
--- a/src/irisstand/dataplane/retry/forwarding_policies.py
+++ b/src/irisstand/dataplane/retry/forwarding_policies.py
@@ -262,4 +262,5 @@
         return error
     if isinstance(error, TimeoutError):
         return errors.DeadlineExceededError("the origin gave no whole answer in time")
-    return errors.OriginFailedError(f"the origin failed: {type(error).__name__}")
+    kind = getattr(error, "kind", type(error).__name__)
+    return errors.OriginFailedError(f"the origin failed: {kind}")
--- a/src/irisstand/dataplane/upstream/client.py
+++ b/src/irisstand/dataplane/upstream/client.py
@@ -51,15 +51,15 @@
 Headers = collections.abc.Sequence[tuple[str, str]]
 
 
-class Conversing:
+class UpstreamClient:
     def __init__(
         self,
         context: node_context.NodeContext,
         view: snapshot.Views,
         table: routes.Routes,
-        origins: endpoint_pool.Targets,
+        origins: endpoint_pool.EndpointPool,
     ) -> None:
-        self.context, self.view, self.table, self.targets = context, view, table, origins
+        self.context, self.view, self.table, self.endpoints = context, view, table, origins
         self.words = origins.words
         self.budgets: dict[str, budgets.Budget] = {}
         self.attempts: set[asyncio.Task] = set()
@@ -70,10 +70,10 @@
         if service not in self.budgets:
             self.budgets[service] = budgets.Budget(self.context.clock, USED * settings.second_share, 0)
         found = self.budgets[service]
-        found.allowance = USED * settings.second_allowance / len(self.targets.edges())
+        found.allowance = USED * settings.second_allowance / len(self.endpoints.edges())
         return found
 
-    async def converse(
+    async def fetch(
         self,
         route: routes.Route,
         service: str,
@@ -93,10 +93,10 @@
                 raise action[1]
             if action[0] == "send":
                 if not running:
-                    await self.targets.ready(service, min(WAITS * route.target, decision.remaining() / 4))
+                    await self.endpoints.ready(service, min(WAITS * route.target, decision.remaining() / 4))
                 happened = self.send(route, service, request, headers, decision, tried, running)
                 if not running and isinstance(happened[1], errors.SlowStartError):
-                    await self.targets.ready_cold(route, service, tried)
+                    await self.endpoints.ready_cold(route, service, tried)
                     happened = self.send(route, service, request, headers, decision, tried, running)
             else:
                 happened = await self.next_of(running, action[1])
@@ -116,7 +116,7 @@
         service: str,
         request: Request,
         headers: Headers,
-        decision: attempt_policy.Trying,
+        decision: attempt_policy.AttemptPolicy,
         tried: set[str],
         running: set[asyncio.Task],
     ) -> tuple:
@@ -128,14 +128,14 @@
                 raise errors.StaleConfigurationError(
                     "the route changed while the request waited", retry_after=0.05
                 )
-            target = self.targets.draw(route, upstream, tried)
+            target = self.endpoints.draw(route, upstream, tried)
             patience = min(WAITS * route.target, decision.remaining() / 4)
-            wait = self.targets.enter(upstream, patience)
+            wait = self.endpoints.enter(upstream, patience)
         except errors.IrisError as error:
             return ("none", error)
         tried.add(target.instance)
         if target.is_cold():
-            self.targets.enter_cold(target)
+            self.endpoints.enter_cold(target)
         # An object is asked for a second time as this node's own reading of it, under no client's id: an
         # origin that failed under an id would fail under it again.
         anonymous = decision.sent > 0 and route.is_cacheable and request.method == "GET"
@@ -150,10 +150,10 @@
 
     async def attempt(
         self,
-        target: targeting.Target,
+        target: targeting.Endpoint,
         request: Request,
         headers: Headers,
-        decision: attempt_policy.Trying,
+        decision: attempt_policy.AttemptPolicy,
         anonymous: bool,
         wait: float,
     ) -> tuple:
@@ -185,7 +185,7 @@
             if line is not None:
                 target.give_back(line)
 
-    def judge(self, target: targeting.Target, answer: exchange.Answer, request_id: str) -> tuple:
+    def judge(self, target: targeting.Endpoint, answer: exchange.Answer, request_id: str) -> tuple:
         """What an origin's whole answer means for the request."""
         words, instance = self.words, target.instance
         if answer.status == 421:
--- a/src/irisstand/dataplane/upstream/connections.py
+++ b/src/irisstand/dataplane/upstream/connections.py
@@ -13,7 +13,7 @@
 Answer = tuple[int, dict[str, str], bytes]
 
 
-class Line(typing.Protocol):
+class UpstreamConnection(typing.Protocol):
     """`touched` is True from just before the first byte of a request may have left."""
 
     alive: bool
@@ -25,14 +25,17 @@
     async def close(self) -> None: ...
 
 
-Open = collections.abc.Callable[[str, int], collections.abc.Awaitable[Line]]
+ConnectionOpener = collections.abc.Callable[[str, int], collections.abc.Awaitable[UpstreamConnection]]
 
 
-class Reopened(OSError):
-    """The library was about to open a second connection on a line that had one."""
+class ConnectionReopenedError(OSError):
+    """The library was about to open a second connection in a session that had one."""
 
+    # Texts of errors that go back to edges name the kind by this word.
+    kind = "Reopened"
 
-class HttpLine:
+
+class HttpConnection:
     """A client session that may open exactly one connection in its life."""
 
     def __init__(self, host: str, port: int) -> None:
@@ -55,7 +58,7 @@
         # confirmed for, and the request may have run already: so the line ends instead.
         if self.opened:
             self.alive = False
-            raise Reopened("the connection was gone")
+            raise ConnectionReopenedError("the connection was gone")
         self.opened = True
 
     async def on_reuse(self, *_: typing.Any) -> None:
@@ -75,7 +78,7 @@
         except aiohttp.ClientOSError as error:
             self.alive = False
             # The library wraps what its own hook raised; whoever asks should see the plain kind.
-            if isinstance(error.__cause__, Reopened):
+            if isinstance(error.__cause__, ConnectionReopenedError):
                 raise error.__cause__ from None
             raise
         except BaseException:
@@ -100,11 +103,13 @@
         await self.session.close()
 
 
-async def open_http(host: str, port: int) -> Line:
-    return HttpLine(host, port)
+async def open_http(host: str, port: int) -> UpstreamConnection:
+    return HttpConnection(host, port)
 
 
-async def confirm_current(line: Line, probe: str, service: str, instance: str, patience: float) -> None:
+async def confirm_current(
+    line: UpstreamConnection, probe: str, service: str, instance: str, patience: float
+) -> None:
     """The first exchange on a connection: it must name the service and the instance that are meant."""
     try:
         status, _, body = await line.send("GET", probe, {}, b"", patience)
--- a/src/irisstand/dataplane/upstream/endpoint.py
+++ b/src/irisstand/dataplane/upstream/endpoint.py
@@ -19,7 +19,7 @@
 DOUBT_LEAST = 0.25
 
 
-class Target:
+class Endpoint:
     """One origin's instance: its health comes from requests, and from probes only while it gets none."""
 
     def __init__(
--- a/src/irisstand/dataplane/upstream/endpoint_pool.py
+++ b/src/irisstand/dataplane/upstream/endpoint_pool.py
@@ -23,12 +23,12 @@
 FAILURES = (OSError, TimeoutError, ValueError, errors.IrisError)
 
 
-def cold_name(target: targeting.Target) -> str:
+def cold_name(target: targeting.Endpoint) -> str:
     """The name of the bound on what a cold origin may get."""
     return quota_share.COLD + target.instance
 
 
-class Targets:
+class EndpointPool:
     """Follows the roster in the ledger, draws by the route's rules, and probes what is down."""
 
     def __init__(
@@ -40,7 +40,7 @@
         connect: exchange.Connect,
     ) -> None:
         self.context, self.view, self.table, self.words, self.connect = context, view, table, words, connect
-        self.all: dict[str, targeting.Target] = {}
+        self.all: dict[str, targeting.Endpoint] = {}
         self.evacuated: set[str] = set()
         self.opened_at = context.clock.now()
         self.members_at, self.known_members = -1e9, []
@@ -65,7 +65,7 @@
                 continue
             if known is not None:
                 known.end()
-            self.all[key] = targeting.Target(self.context, origin, self.connect)
+            self.all[key] = targeting.Endpoint(self.context, origin, self.connect)
         self.follow_evacuations()
 
     def follow_evacuations(self) -> None:
@@ -112,7 +112,7 @@
     # -- the draw ------------------------------------------------------------------------------------
     def free(
         self, route: routes.Route, upstream: routes.Upstream, tried: typing.Container[str]
-    ) -> list[targeting.Target]:
+    ) -> list[targeting.Endpoint]:
         """The origins that may be asked now, cold ones among them; NoOrigin or OverCeiling."""
         now = self.context.clock.now()
         listed = [
@@ -134,7 +134,7 @@
 
     def draw(
         self, route: routes.Route, upstream: routes.Upstream, tried: typing.Container[str]
-    ) -> targeting.Target:
+    ) -> targeting.Endpoint:
         """The origin that should answer soonest, of those the rules allow now; NoOrigin, WarmingUp or
         OverCeiling."""
         free = self.free(route, upstream, tried)
@@ -146,7 +146,7 @@
             raise errors.SlowStartError(f"the origins of {upstream.name} are warming up", retry_after=0.4)
         return min(found, key=self.cost)
 
-    def most(self, target: targeting.Target, upstream: routes.Upstream) -> int:
+    def most(self, target: targeting.Endpoint, upstream: routes.Upstream) -> int:
         """How many connections this node may have to the origin."""
         members = self.members()
         is_held = upstream.name in self.table.held and self.uses_holders()
@@ -171,7 +171,7 @@
         inside = sum(m.role != "holder" and self.region_of(m.site) in route.regions for m in self.members())
         return inside >= HOME_EDGES
 
-    def cost(self, target: targeting.Target) -> float:
+    def cost(self, target: targeting.Endpoint) -> float:
         """Seconds until its answer, about: what waits there by this edge's doing, and the way to it."""
         settings = self.context.settings
         site = target.origin.site
@@ -214,7 +214,7 @@
         """A place under the service's rate: seconds until it may be used, or OverCeiling."""
         return 0.0 if upstream.rate is None else self.grants.enter(upstream.name, patience)
 
-    def enter_cold(self, target: targeting.Target) -> None:
+    def enter_cold(self, target: targeting.Endpoint) -> None:
         """Take up the place that the draw has seen, if it chose the origin as a cold one."""
         self.grants.enter(cold_name(target), 0.0)
 
@@ -234,7 +234,7 @@
                     self.context.start(self.probe(target), "probe")
             await asyncio.sleep(0.1)
 
-    async def probe(self, target: targeting.Target) -> None:
+    async def probe(self, target: targeting.Endpoint) -> None:
         upstream = self.table.upstreams.get(target.origin.service)
         try:
             async with asyncio.timeout(PROBE_PATIENCE):
--- a/src/irisstand/dataplane/upstream/origin_pool.py
+++ b/src/irisstand/dataplane/upstream/origin_pool.py
@@ -21,17 +21,17 @@
 FAILURES = (OSError, TimeoutError, ValueError, aiohttp.ClientError, errors.IrisError)
 
 
-class Pool:
+class OriginConnections:
     """The lines to one origin. Its health comes from probes and from requests, never from membership."""
 
     def __init__(
         self,
         context: node_context.NodeContext,
         origin: snapshot.Origin,
-        open_line: connections.Open,
+        open_line: connections.ConnectionOpener,
     ) -> None:
         self.context, self.origin, self.open_line = context, origin, open_line
-        self.idle: list[connections.Line] = []
+        self.idle: list[connections.UpstreamConnection] = []
         self.busy = 0
         self.healthy = False
         # Since when it warms up: from the first sight of a cold one, and from every return.
@@ -66,7 +66,7 @@
         warm = self.warmth()
         return warm >= 1.0 or self.bucket.has_room(slow_start.allowed_rate(even, warm, part))
 
-    async def take(self, patience: float) -> connections.Line:
+    async def take(self, patience: float) -> connections.UpstreamConnection:
         """A confirmed line for one request; opening one touches nothing but the probe."""
         while self.idle:
             line = self.idle.pop()
@@ -82,7 +82,7 @@
             self.busy -= 1
             raise
 
-    async def connect(self, patience: float) -> connections.Line:
+    async def connect(self, patience: float) -> connections.UpstreamConnection:
         line = await self.open_line(self.origin.host, self.origin.port)
         self.context.counters.add("origin_connections", service=self.origin.service)
         try:
@@ -92,7 +92,7 @@
             raise
         return line
 
-    async def give_back(self, line: connections.Line) -> None:
+    async def give_back(self, line: connections.UpstreamConnection) -> None:
         self.busy -= 1
         if line.alive and not self.closing:
             self.idle.append(line)
@@ -133,17 +133,17 @@
         self.healthy = healthy
 
 
-class Origins:
+class OriginPool:
     """Follows the roster in the ledger, and draws."""
 
     def __init__(
         self,
         context: node_context.NodeContext,
         view: snapshot.Views,
-        open_line: connections.Open,
+        open_line: connections.ConnectionOpener,
     ) -> None:
         self.context, self.view, self.open_line = context, view, open_line
-        self.pools: dict[snapshot.Origin, Pool] = {}
+        self.pools: dict[snapshot.Origin, OriginConnections] = {}
         self.tasks: dict[snapshot.Origin, asyncio.Task] = {}
         context.ledger.watchers.append(self.follow)
 
@@ -157,7 +157,7 @@
             if place in self.pools:
                 self.pools[place].origin = origin
             else:
-                pool = Pool(self.context, origin, self.open_line)
+                pool = OriginConnections(self.context, origin, self.open_line)
                 self.pools[place] = pool
                 self.tasks[place] = self.context.start(pool.keep(), f"keeper of {origin.key}")
             self.pools[place].note_evacuation(self.view.is_evacuated(origin.site))
@@ -165,7 +165,7 @@
     def place(self, origin: snapshot.Origin) -> snapshot.Origin:
         return origin._replace(state="", warmup=0, slots=0)
 
-    def draw(self, granted: snapshot.Granted, tried: typing.Container[str]) -> Pool:
+    def draw(self, granted: snapshot.Granted, tried: typing.Container[str]) -> OriginConnections:
         """Of two drawn at random by warmth, the less busy: good spread without a view of the others."""
         listed = [
             pool
--- a/src/irisstand/simulator/simulated_origins.py
+++ b/src/irisstand/simulator/simulated_origins.py
@@ -107,7 +107,7 @@
         # A kept connection that the other end has closed is known as such before anything is written.
         if not self.stage.reaches(self.origin, self.address) or self.life != self.origin.life:
             self.alive = False
-            raise connections.Reopened("the connection was gone")
+            raise connections.ConnectionReopenedError("the connection was gone")
         self.touched = True
         future = loop.create_future()
 
@@ -141,8 +141,8 @@
         self.alive = False
 
 
-def line_opener(world: typing.Any, host: str) -> connections.Open:
-    async def open_line(origin_host: str, port: int) -> connections.Line:
+def line_opener(world: typing.Any, host: str) -> connections.ConnectionOpener:
+    async def open_line(origin_host: str, port: int) -> connections.UpstreamConnection:
         await asyncio.sleep(world.wires.delay(host, origin_host))
         origin = world.stage.at.get((origin_host, port))
         if origin is None or not origin.up:
--- a/tests/dataplane/test_large_configurations.py
+++ b/tests/dataplane/test_large_configurations.py
@@ -112,8 +112,8 @@
         put_at_once(stage, [("route/far", {"version": 1, "item": route("far", regions=["two"])}, False)])
         stage.part.table.refresh()
         asked = []
-        plain = stage.part.targets.may_hold
-        monkeypatch.setattr(stage.part.targets, "may_hold", lambda r: asked.append(r.regions) or plain(r))
+        plain = stage.part.endpoints.may_hold
+        monkeypatch.setattr(stage.part.endpoints, "may_hold", lambda r: asked.append(r.regions) or plain(r))
         put_at_once(
             stage, [("upstream/s", {"version": 9, "item": {**UPSTREAM, "version": 9, "rate": 1000.0}}, False)]
         )
@@ -121,7 +121,7 @@
         for member in range(2, 5):
             stage.member(f"holder-{member}", "holder")
         await asyncio.sleep(1)
-        stage.part.targets.enter(stage.part.table.upstreams["s"], 1.0)
+        stage.part.endpoints.enter(stage.part.table.upstreams["s"], 1.0)
         return len(names), asked
 
     # A place is of this node's recorded part: which routes are held does not matter to it.
--- a/tests/dataplane/test_object_holders.py
+++ b/tests/dataplane/test_object_holders.py
@@ -98,7 +98,7 @@
         def full(*arguments):
             raise errors.LimitExceededError("s is at its ceiling")
 
-        site.nodes["holder-1"].part.targets.enter = full
+        site.nodes["holder-1"].part.endpoints.enter = full
         with pytest.raises(errors.LimitExceededError):
             await site.nodes["edge-1"].ask("/objects/1")
         return site.sent()
@@ -162,7 +162,7 @@
                 "upstream/s",
                 {"version": 9, "item": {"name": "s", "version": 9, "rate": 40.0, "connections": 50}},
             )
-            node.part.targets.is_scarce = lambda service: True
+            node.part.endpoints.is_scarce = lambda service: True
         for name in ("edge-1", "edge-2"):
             for number in range(6):
                 assert (await site.nodes[name].ask(f"/objects/{number}")).status == 200
--- a/tests/dataplane/test_token_leases.py
+++ b/tests/dataplane/test_token_leases.py
@@ -164,7 +164,7 @@
         owner = fleet.nodes["holder-1"]
         owner.context.ledger.current_as_of = now
         await asyncio.sleep(5)
-        grants = owner.part.targets.grants
+        grants = owner.part.endpoints.grants
         early = await grants.on_places("edge-1", ["s", 1, 0.1])
         used = grants.enter("s", 0.1)
         await asyncio.sleep(1.5)
@@ -178,7 +178,7 @@
 
 def test_a_lent_place_is_good_for_a_moment_only():
     async def scene(fleet):
-        grants = fleet.nodes["edge-1"].part.targets.grants
+        grants = fleet.nodes["edge-1"].part.endpoints.grants
         await asyncio.sleep(1)
         await grants.ready("s", 0.1)
         await asyncio.sleep(token_leases.GOOD_FOR + 0.01)
@@ -198,7 +198,7 @@
             await asyncio.sleep(0.05)
             for _ in range(20):
                 try:
-                    fleet.nodes["holder-1"].part.targets.grants.enter("s", 0.0)
+                    fleet.nodes["holder-1"].part.endpoints.grants.enter("s", 0.0)
                 except errors.LimitExceededError:
                     break
                 used += 1
--- a/tests/dataplane/test_upstream_connections.py
+++ b/tests/dataplane/test_upstream_connections.py
@@ -51,7 +51,7 @@
             held[0].is_connected() for held in next(iter(line.session.connector._conns.values()))
         ):
             await asyncio.sleep(0)
-        with pytest.raises(connections.Reopened):
+        with pytest.raises(connections.ConnectionReopenedError):
             await line.send("POST", "/write", {}, b"x", 5)
         assert "/write" not in served and not line.touched and not line.alive
         await line.close()
