--- /dev/null
+++ b/src/irisstand/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The `irisstand` command line: one module for each group of commands."""
--- /dev/null
+++ b/src/irisstand/cli/develop.py
@@ -0,0 +1,227 @@
+"""Commands that run a network on this machine or in the simulator, check it and measure it.
+
+Their modules are imported when a command runs: operators need none of them.
+"""
+
+import asyncio
+import contextlib
+import sys
+
+import click
+
+EXAMPLES_LIMIT = 20
+
+
+@click.command(
+    "start-cluster",
+    help="Run a network on this machine and check it. Each node is a process; clients send requests, faults "
+    "are injected by plan, and the invariants are checked.",
+)
+@click.option(
+    "--shape",
+    type=click.Choice(["thin", "karbes", "kildespor"]),
+    default="karbes",
+    help="Size of the network: thin has one node of each role.",
+)
+@click.option(
+    "--seconds",
+    type=click.FloatRange(1, 86400),
+    default=30,
+    help="How long clients send, in seconds.",
+)
+@click.option(
+    "--plan",
+    default="calm",
+    metavar="NAME",
+    help="Which faults are injected: calm (none), kills, wipes, roll, day or weather.",
+)
+@click.option("--seed", type=int, default=1, help="Seed of the clients' random choices.")
+@click.option(
+    "--folder",
+    default="",
+    metavar="DIRECTORY",
+    show_default="a temporary one",
+    help="Where settings, data and logs are kept.",
+)
+def start_cluster(*, shape: str, seconds: float, plan: str, seed: int, folder: str) -> None:
+    """Run a local cluster; exit code 1 if an invariant was broken."""
+    from irisstand.fleet import plans, rehearse
+
+    if plan not in plans.REGISTRY:
+        raise click.BadParameter(f"no such plan; use one of {', '.join(plans.REGISTRY)}")
+    sys.exit(rehearse.rehearse(shape, seconds, plan, seed, folder, click.echo))
+
+
+@click.command(
+    "start-emulators", help="Run emulators of origins and platform. A network started by hand can use them."
+)
+@click.option(
+    "--platform-port",
+    type=click.IntRange(1, 65535),
+    default=9000,
+    help="TCP port on 127.0.0.1 of the platform's list of origins.",
+)
+@click.option("--site", default="north", help="Site that the origins are listed in.")
+def start_emulators(*, platform_port: int, site: str) -> None:
+    """Serve until interrupted."""
+    from irisstand.standins import origin
+
+    click.echo(f"content-1 and application-1 are listed by the platform at 127.0.0.1:{platform_port}")
+    with contextlib.suppress(KeyboardInterrupt):
+        asyncio.run(origin.stand_in(platform_port, site))
+
+
+@click.command(help="Run random faults in virtual time. Each seed is one day; the invariants are checked.")
+@click.option("--first", type=int, default=1, help="The first seed.")
+@click.option("--days", type=click.IntRange(1), default=8, help="How many days; each has the next seed.")
+@click.option(
+    "--seconds", type=click.FloatRange(5, 86400), default=30, help="Length of a day, in virtual seconds."
+)
+@click.option("--workers", type=click.IntRange(1, 256), default=4, help="How many processes run days.")
+@click.option("--log", is_flag=True, help="Print each day's faults with their virtual time.")
+@click.option("--kind", default="busy", metavar="NAME", help="busy, kildespor, quiet, dark or planned.")
+def simulate(  # noqa: PLR0913 - click passes each option as an argument
+    *, first: int, days: int, seconds: float, workers: int, log: bool, kind: str
+) -> None:
+    """Run simulated days; exit code 1 if one of them broke an invariant."""
+    from irisstand.simulator import day
+    from irisstand.simulator import simulate as simulated_days
+
+    if kind not in day.KINDS:
+        raise click.BadParameter(f"no such kind of day; use one of {', '.join(day.KINDS)}")
+    seeds = range(first, first + days)
+    sys.exit(simulated_days.simulate(seeds, seconds, workers, log, click.echo, kind))
+
+
+@click.command("fuzz-origins", help="Play hostile origins against a node. The invariants are checked.")
+@click.option("--scripts", type=click.IntRange(1), default=2000, help="How many scripts, one seed each.")
+@click.option("--workers", type=click.IntRange(1, 256), default=4, help="How many processes play scripts.")
+@click.option("--first", type=int, default=1, help="The first seed.")
+def fuzz_origins(*, scripts: int, workers: int, first: int) -> None:
+    """Play scripts; exit code 1 if one of them broke an invariant."""
+    from irisstand.simulator import hostile_scripts
+
+    figures = hostile_scripts.play_all(scripts, workers, first)
+    for example in figures.broken[:EXAMPLES_LIMIT]:
+        click.echo(example)
+    click.echo(
+        f"{figures.scripts} scripts, {figures.answered} answered, {figures.runs} runs at origins, "
+        f"{len(figures.broken)} broken"
+    )
+    sys.exit(1 if figures.broken else 0)
+
+
+@click.command(
+    "check-model",
+    help="Explore the consensus code. Tried at a small size: orders of messages, losses, crashes.",
+)
+@click.option(
+    "--deviations",
+    type=click.IntRange(0, 9),
+    default=1,
+    help="At most so many steps of a run differ from the regular order.",
+)
+@click.option(
+    "--scenarios",
+    "wanted",
+    default="",
+    metavar="NAMES",
+    show_default="all",
+    help="Names, with commas between.",
+)
+@click.option("--workers", type=click.IntRange(1, 256), default=1, help="How many processes explore.")
+@click.option(
+    "--walks", type=click.IntRange(0), default=0, help="So many random walks instead; 0: explore in order."
+)
+@click.option("--first", type=int, default=1, help="Seed of the first random walk.")
+@click.option(
+    "--replay",
+    default="",
+    metavar="CHOICES",
+    show_default="none",
+    help="Play one run by its choices (numbers with commas between) and print its steps.",
+)
+def check_model(  # noqa: PLR0913 - click passes each option as an argument
+    *, deviations: int, wanted: str, workers: int, walks: int, first: int, replay: str
+) -> None:
+    """Check scenarios; exit code 1 if a run broke an invariant."""
+    from irisstand.modelcheck import check, scenarios
+
+    names = wanted.split(",") if wanted else list(scenarios.REGISTRY)
+    if unknown := [name for name in names if name not in scenarios.REGISTRY]:
+        raise click.BadParameter(f"no scenario {unknown[0]}; use one of {', '.join(scenarios.REGISTRY)}")
+    if replay:
+        choices = tuple(int(choice) for choice in replay.split(","))
+        sys.exit(check.replay(names[0], choices, click.echo))
+    seeds = range(first, first + walks)
+    sys.exit(max(check.check(name, deviations, workers, seeds, click.echo) for name in names))
+
+
+@click.group("benchmark", help="Measure the software in the simulator.")
+def benchmark_group() -> None:
+    """Commands that measure; none of them checks anything."""
+
+
+@benchmark_group.command(
+    "propagation",
+    help="Measure many changes at once. All control plane nodes are sent some.",
+)
+@click.option("--clients", type=click.IntRange(1), default=20, help="How many operators send at once.")
+@click.option("--seconds", type=click.FloatRange(1), default=10, help="Length of a run, in virtual seconds.")
+@click.option("--seeds", type=click.IntRange(1), default=3, help="How many runs; each has the next seed.")
+@click.option("--rows", type=click.IntRange(0), default=0, help="Configuration entries there at the start.")
+def benchmark_propagation(*, clients: int, seconds: float, seeds: int, rows: int) -> None:
+    """Print one line of figures for each seed."""
+    from irisstand.simulator import storm
+
+    for seed in range(1, seeds + 1):
+        figures = storm.measure(seed, clients, seconds, rows)
+        click.echo(f"seed {seed}: " + ", ".join(f"{k} {v:.4g}" for k, v in figures._asdict().items()))
+
+
+@benchmark_group.command(
+    "failure-detection",
+    help="Measure time to detect a failure. In SWIM periods: until suspected, failed and known everywhere.",
+)
+@click.option("--kills", type=click.IntRange(1), default=30, help="How many members are killed, one by one.")
+@click.option(
+    "--loss", type=click.FloatRange(0, 0.9), default=0.0, help="Share of datagrams that are lost, 0 to 0.9."
+)
+@click.option("--seed", type=int, default=1, help="Seed of the run.")
+def benchmark_failure_detection(*, kills: int, loss: float, seed: int) -> None:
+    """Print the measured times."""
+    from irisstand.simulator import detection
+
+    for line in detection.measure(seed, kills, loss):
+        click.echo(line)
+
+
+@benchmark_group.command("sizes", help="Measure bytes in memory and messages. See docs/CAPACITY.md.")
+def benchmark_sizes() -> None:
+    """Print one line for each measured object."""
+    from irisstand.simulator import sizes
+
+    for what, unit, figure in sizes.measure():
+        click.echo(f"{what:<50} {figure:>12.4g} {unit}")
+
+
+@benchmark_group.command(
+    "large-configurations", help="Measure changes of many routes. The cost is each node's."
+)
+@click.option(
+    "--routes",
+    type=click.IntRange(8),
+    multiple=True,
+    default=(100, 1500, 5000),
+    help="How many routes; may be repeated.",
+)
+def benchmark_large_configurations(*, routes: tuple[int, ...]) -> None:
+    """Print one line for each measured step and number of routes."""
+    from irisstand.simulator import big_configurations
+
+    for count in routes:
+        for what, unit, figure in big_configurations.measure(count):
+            click.echo(f"{count:>6} routes: {what:<50} {figure:>10.4g} {unit}")
+
+
+COMMANDS = [start_cluster, start_emulators, simulate, fuzz_origins, check_model, benchmark_group]
--- /dev/null
+++ b/src/irisstand/cli/operate.py
@@ -0,0 +1,129 @@
+"""Commands that change a running network."""
+
+import json
+import sys
+import typing
+
+import click
+
+from irisstand.cli import control_api
+from irisstand.validation import checker, formats
+
+
+@click.command(help="Check FILE, send nothing. Schema, rules and the running network are looked at.")
+@click.argument("file", type=click.File("rb"))
+@click.option("--strict", is_flag=True, help="Exit with code 8 if there are only warnings.")
+@control_api.format_option
+@control_api.core_option
+def validate(*, file: typing.BinaryIO, strict: bool, form: str, core: str) -> None:
+    """Print faults and warnings; exit code 4 for a fault, 8 for warnings with --strict."""
+    proposed = control_api.read_entries(file, form)
+    table = control_api.call(core, "GET", "/rows")["rows"]
+    members = control_api.call(core, "GET", "/members")["members"]
+    fleet = checker.fleet_from(members, control_api.call(core, "GET", "/ledger")["rows"])
+    findings = checker.vet(table, proposed, fleet)
+    for finding in findings:
+        click.echo(f"{finding.level}: {finding.kind} {finding.name}: {finding.field}: {finding.message}")
+    click.echo(f"{len(findings)} finding(s) for {len(proposed)} row(s); nothing was sent")
+    levels = {finding.level for finding in findings}
+    if "fault" in levels:
+        sys.exit(control_api.ExitCode.INVALID)
+    sys.exit(control_api.ExitCode.WARNINGS if strict and levels else control_api.ExitCode.OK)
+
+
+@click.command(help="Compare the configuration with FILE. Exit code 9 if they differ.")
+@click.argument("file", type=click.File("rb"))
+@control_api.format_option
+@control_api.core_option
+def diff(*, file: typing.BinaryIO, form: str, core: str) -> None:
+    """Print one line for each entry that differs."""
+    wanted = control_api.read_entries(file, form)
+    lines = formats.differences(wanted, control_api.call(core, "GET", "/rows")["rows"])
+    for line in lines:
+        click.echo(line)
+    click.echo(f"{len(lines)} difference(s)")
+    sys.exit(control_api.ExitCode.DIFFERENCES if lines else control_api.ExitCode.OK)
+
+
+@click.command(help="Apply the entries in FILE. All of them change or none; '-' reads standard input.")
+@click.argument("file", type=click.File("rb"))
+@control_api.change_option
+@control_api.format_option
+@control_api.core_option
+def apply(*, file: typing.BinaryIO, change: str | None, form: str, core: str) -> None:
+    """Send entries; one that carries a version is refused if the entry in force has another."""
+    entries = []
+    for entry in control_api.read_entries(file, form):
+        sent = {key: value for key, value in entry.items() if key != "serial"}
+        if "serial" in entry:
+            sent.setdefault("expected", entry["serial"])
+        entries.append(sent)
+    content = {"rows": entries, **({"change": change} if change else {})}
+    control_api.print_json(control_api.call(core, "POST", "/changes", content))
+
+
+@click.command(
+    "apply-items",
+    help="Apply the versioned items in FILE. JSON: put and drop, lists by kind; all or none.",
+)
+@click.argument("file", type=click.File("rb"))
+@control_api.core_option
+def apply_items(*, file: typing.BinaryIO, core: str) -> None:
+    """Send an amendment; an item counts if its version is the highest seen for its name."""
+    try:
+        content = json.load(file)
+    except ValueError as error:
+        raise click.ClickException(f"{file.name}: {error}; give whole JSON") from None
+    control_api.print_json(control_api.call(core, "POST", "/amendments", content))
+
+
+@click.command(help="Purge cached objects by path or by tag.")
+@click.option("--path", "paths", multiple=True, metavar="PATH", help="A whole path; may be repeated.")
+@click.option("--tag", "tags", multiple=True, metavar="TAG", help="A tag of objects; may be repeated.")
+@control_api.change_option
+@control_api.core_option
+def purge(*, paths: tuple[str, ...], tags: tuple[str, ...], change: str | None, core: str) -> None:
+    """Purge what is named; nothing purged is served 2 s after the answer."""
+    if not paths and not tags:
+        raise click.UsageError("give at least one --path or --tag")
+    content = {"paths": list(paths), "tags": list(tags), **({"change": change} if change else {})}
+    control_api.print_json(control_api.call(core, "POST", "/purges", content))
+
+
+@click.command(help="Send no new requests to SITE. With the setting evacuates=origins: none to its origins.")
+@click.argument("site")
+@click.option("--insist", is_flag=True, help="Drain even if the other sites cannot carry the load.")
+@control_api.core_option
+def drain(*, site: str, insist: bool, core: str) -> None:
+    """Evacuate a site; refused with figures if the others cannot carry the load."""
+    path = f"/sites/{site}/evacuation{'?insist=true' if insist else ''}"
+    control_api.print_json(control_api.call(core, "PUT", path))
+
+
+@click.command(help="Take SITE back after a drain.")
+@click.argument("site")
+@control_api.core_option
+def undrain(*, site: str, core: str) -> None:
+    """End a site's evacuation."""
+    control_api.print_json(control_api.call(core, "DELETE", f"/sites/{site}/evacuation"))
+
+
+@click.command("replace-voter", help="Replace the voter OLD by NEW. NEW is a spare control plane node.")
+@click.argument("old")
+@click.argument("new")
+@control_api.core_option
+def replace_voter(*, old: str, new: str, core: str) -> None:
+    """Replace one voter in the voter sets of all tables."""
+    path = "/voters/" + control_api.quote(new)
+    control_api.print_json(control_api.call(core, "PUT", path, {"replaces": old}))
+
+
+@click.command("remove-voter", help="Remove a voter. No other node takes its place.")
+@click.argument("name")
+@control_api.core_option
+def remove_voter(*, name: str, core: str) -> None:
+    """Shrink the voter sets of all tables by one."""
+    control_api.print_json(control_api.call(core, "DELETE", "/voters/" + control_api.quote(name)))
+
+
+COMMANDS = [validate, diff, apply, apply_items, purge, drain, undrain, replace_voter, remove_voter]
--- /dev/null
+++ b/tests/programs/test_commands.py
@@ -0,0 +1,162 @@
+"""The `irisstand` command line: help, and the names of the version before."""
+
+import json
+import pathlib
+import re
+
+import click
+import click.testing
+import control_plane_stub
+import pytest
+
+from irisstand import commands
+from irisstand.cli import control_api, develop, sections
+
+FIXTURE = pathlib.Path(__file__).parents[1] / "fixtures" / "commands" / "earlier_names.json"
+RECORDED = json.loads(FIXTURE.read_text())
+NOTICE = re.compile(r"irisstand: '([^']*)' is now '([^']*)'; the earlier name goes with the next version\n")
+NUMBER = re.compile(r" *\d+(\.\d+)?(e[-+]\d+)?")
+
+
+def run(*words: str) -> click.testing.Result:
+    return click.testing.CliRunner().invoke(commands.main, words)
+
+
+def every_command(group: click.Group, path: tuple[str, ...] = ()):
+    """All commands below a group with the words that name them, hidden ones left out."""
+    for name, command in group.commands.items():
+        if command.hidden:
+            continue
+        if isinstance(command, click.Group):
+            yield from every_command(command, (*path, name))
+        else:
+            yield (*path, name), command
+
+
+VISIBLE = dict(every_command(commands.main))
+
+
+@pytest.mark.parametrize("recorded", RECORDED, ids=lambda recorded: " ".join(recorded["words"]))
+def test_every_earlier_name_does_what_it_did(recorded, tmp_path):
+    """Recorded from the code before the commands had their present names."""
+    played = control_plane_stub.play(commands.main, recorded["words"], tmp_path)
+    notice = NOTICE.match(played["stderr"])
+    assert (notice is None) == (recorded["words"][0] == "purge")
+    if notice is not None:
+        assert recorded["words"][: len(notice[1].split())] == notice[1].split()
+        played["stderr"] = played["stderr"][notice.end() :]
+    assert played == {name: recorded[name] for name in played}
+
+
+@pytest.mark.parametrize("recorded", RECORDED, ids=lambda recorded: " ".join(recorded["words"]))
+def test_every_present_name_does_the_same_without_a_notice(recorded, tmp_path):
+    words = recorded["words"]
+    for earlier, current, _ in commands.EARLIER_NAMES:
+        if words[: len(earlier.split())] == earlier.split():
+            words = [*current.split(), *words[len(earlier.split()) :]]
+            break
+    played = control_plane_stub.play(commands.main, words, tmp_path)
+    assert NOTICE.search(played["stderr"]) is None
+    # A usage error names the command as it was typed.
+    compared = ["stdout", "code", "requests"] + ([] if recorded["code"] == 2 else ["stderr"])
+    assert {name: played[name] for name in compared} == {name: recorded[name] for name in compared}
+
+
+def test_every_earlier_name_is_hidden_and_takes_the_same_parameters():
+    for earlier, current, command in commands.EARLIER_NAMES:
+        group: click.Group = commands.main
+        *groups, name = earlier.split()
+        for word in groups:
+            found = group.commands[word]
+            assert isinstance(found, click.Group) and found.hidden
+            group = found
+        assert group.commands[name].hidden
+        assert group.commands[name].params == command.params
+        assert VISIBLE[tuple(current.split())] is command
+
+
+def test_an_alias_hands_on_its_options_and_what_the_command_ends_with():
+    given = []
+
+    @click.command()
+    @click.option("--number", type=int, default=1)
+    def command(number: int) -> None:
+        given.append(number)
+        raise SystemExit(9)
+
+    alias = sections.alias(command, "old name", "new")
+    result = click.testing.CliRunner().invoke(alias, ["--number", "7"])
+    assert (alias.name, given, result.exit_code) == ("name", [7], 9)
+    assert NOTICE.fullmatch(result.stderr).groups() == ("old name", "new")
+    assert result.stdout == ""
+
+
+@pytest.mark.parametrize(
+    ("earlier", "current", "words", "code"),
+    [
+        ("rehearse", "start-cluster", ["--plan", "unknown"], 2),
+        ("stand-ins", "start-emulators", ["--platform-port", "0"], 2),
+        ("storm", "benchmark propagation", ["--clients", "0"], 2),
+        ("detection", "benchmark failure-detection", ["--loss", "1"], 2),
+        ("sizes", "benchmark sizes", [], 0),
+        ("big-configurations", "benchmark large-configurations", ["--routes", "8"], 0),
+    ],
+)
+def test_earlier_names_for_developers_do_the_same(earlier, current, words, code):
+    old, new = run(earlier, *words), run(*current.split(), *words)
+    assert (old.exit_code, new.exit_code) == (code, code)
+    assert NUMBER.sub(" N", old.stdout) == NUMBER.sub(" N", new.stdout)
+    # A usage error names the command as it was typed; its last line says what is wrong.
+    without_notice = old.stderr[NOTICE.match(old.stderr).end() :] if code == 0 else old.stderr
+    assert without_notice.splitlines()[-1:] == new.stderr.splitlines()[-1:]
+
+
+def test_names_that_stayed_still_work():
+    assert run("simulate", "--kind", "unknown").exit_code == 2
+    assert run("fuzz-origins", "--scripts", "0").exit_code == 2
+    assert run("check-model", "--scenarios", "unknown").exit_code == 2
+    assert develop.simulate in VISIBLE.values()
+
+
+def test_help_lists_every_command_under_who_uses_it():
+    text = run("--help").stdout
+    places = [text.index(f"\n{title}:\n") for title in ("Operate", "Inspect", "Develop")]
+    assert places == sorted(places)
+    for name, command in commands.main.commands.items():
+        assert (f"\n  {name} " in text) is not command.hidden, name
+    assert "..." not in text.partition("\n")[2]
+
+
+@pytest.mark.parametrize("path", VISIBLE, ids=" ".join)
+def test_every_option_has_help_and_its_default(path):
+    command, text = VISIBLE[path], run(*path, "--help").stdout
+    assert command.help and command.help.endswith(".")
+    for parameter in command.params:
+        if not isinstance(parameter, click.Option):
+            continue
+        assert parameter.help and parameter.help.endswith("."), parameter.name
+        # A flag is off and a repeated option without a default is empty unless given.
+        if not parameter.is_flag and (not parameter.multiple or isinstance(parameter.default, tuple)):
+            entry = re.split(rf"^  {parameter.opts[-1]}(?= )", text, flags=re.MULTILINE)[1]
+            assert "default: " in " ".join(re.split(r"^  -", entry, flags=re.MULTILINE)[0].split())
+
+
+def test_options_for_times_name_their_unit():
+    for path, command in VISIBLE.items():
+        for parameter in command.params:
+            if isinstance(parameter, click.Option) and parameter.name == "seconds":
+                assert "seconds" in parameter.help, path
+
+
+def test_the_exit_codes_are_those_that_scripts_know():
+    assert {code.name: int(code) for code in control_api.ExitCode} == {
+        "OK": 0,
+        "OTHER": 1,
+        "CONFLICT": 3,
+        "INVALID": 4,
+        "UNKNOWN_NAME": 5,
+        "NOT_CONFIRMED": 6,
+        "NOT_REACHABLE": 7,
+        "WARNINGS": 8,
+        "DIFFERENCES": 9,
+    }
--- /dev/null
+++ b/tests/support/control_plane_stub.py
@@ -0,0 +1,161 @@
+"""A stub of a control plane node's HTTP interface that keeps what it was sent; and runs of the command line.
+
+    python tests/support/control_plane_stub.py > tests/fixtures/commands/earlier_names.json
+
+records what the command line on the path prints for each call of CALLS.
+"""
+
+import contextlib
+import http.server
+import importlib
+import json
+import pathlib
+import sys
+import tempfile
+import threading
+
+import click.testing
+
+CEILING = {"rate": 100, "inflight": 50}
+SERVICE = {
+    "kind": "service",
+    "name": "content",
+    "value": {"deadline": 3, "ceiling": CEILING},
+    "serial": "5.agency-1",
+}
+MEMBER = {
+    "name": "shield-1",
+    "role": "shield",
+    "state": "alive",
+    "machine": "m1",
+    "site": "north",
+    "host": "127.0.0.1",
+    "port": 7002,
+    "life": "l1",
+    "incarnation": 0,
+}
+MACHINES = {
+    "machines": {
+        "m1": {"site": "north", "evacuated": False, "rests": False, "hours_saved": 0.0, "why": "serves"},
+        "m2": {"site": "south", "evacuated": False, "rests": True, "hours_saved": 1.5, "why": "not needed"},
+        "m3": {"site": "south", "evacuated": True, "rests": True, "hours_saved": 0.0, "why": "evacuated"},
+    },
+    "machine_hours_saved": 1.5,
+}
+ANSWERS = {
+    "GET /rows": (200, {"rows": [SERVICE]}),
+    "GET /members": (200, {"members": [MEMBER]}),
+    "GET /ledger": (200, {"rows": []}),
+    "GET /machines": (200, MACHINES),
+    "GET /items": (200, {"put": {"routes": []}, "drop": {}}),
+    "GET /voters": (200, {"tables": {}, "spares": ["agency-4"]}),
+    "GET /changes/c%2F1": (200, {"change": "c/1", "rows": []}),
+    "GET /changes/unknown": (404, {"code": "unknown-name"}),
+    "POST /changes": (200, {"serial": "6.agency-1", "rows": ["service/content"]}),
+    "POST /amendments": (422, {"code": "bad-change", "faults": []}),
+    "PUT /voters/agency-4": (200, {"voters": ["agency-4"]}),
+    "DELETE /voters/agency-4": (503, {"code": "no-majority"}),
+    "PUT /sites/north/evacuation": (409, {"code": "cannot-carry"}),
+    "PUT /sites/north/evacuation?insist=true": (200, {"notes": []}),
+    "DELETE /sites/north/evacuation": (200, {"serial": "7.agency-1"}),
+    "POST /purges": (200, {"serial": "8.agency-1"}),
+}
+GOOD = {"kind": "service", "name": "content", "value": {"deadline": 3, "ceiling": {"rate": 9, "inflight": 5}}}
+FILES = {
+    "good.json": [GOOD],
+    "same.json": [{name: SERVICE[name] for name in ("kind", "name", "value")}],
+    "versioned.json": [{**GOOD, "serial": "5.agency-1"}],
+    "bad.json": {"kind": "service"},
+    "twice.yaml": "kind: Site\nkind: Path\n",
+    "fault.json": [{**GOOD, "value": {}}],
+    "site.json": [{"kind": "site", "name": "nowhere", "value": {}}],
+    "items.json": {"put": {"routes": []}},
+}
+# Words as typed; FILES stand for their paths.
+CALLS = [
+    ["rows", "get"],
+    ["rows", "send", "good.json"],
+    ["rows", "send", "versioned.json", "--change", "c1"],
+    ["rows", "send", "bad.json"],
+    ["rows", "send", "twice.yaml"],
+    ["rows", "send", "good.json", "--format", "unknown"],
+    ["rows", "compare", "good.json"],
+    ["rows", "compare", "same.json"],
+    ["vet", "good.json"],
+    ["vet", "fault.json"],
+    ["vet", "site.json"],
+    ["vet", "site.json", "--strict"],
+    ["amend", "items.json"],
+    ["items"],
+    ["change", "c/1"],
+    ["change", "unknown"],
+    ["purge"],
+    ["purge", "--path", "/a", "--path", "/b", "--tag", "t", "--change", "c2"],
+    ["evacuate", "north"],
+    ["evacuate", "north", "--insist"],
+    ["return", "north"],
+    ["machines"],
+    ["members"],
+    ["voters", "show"],
+    ["voters", "replace", "agency-1", "agency-4"],
+    ["voters", "retire", "agency-4"],
+]
+
+
+class Handler(http.server.BaseHTTPRequestHandler):
+    """Answers from ANSWERS; an unknown call is a 500."""
+
+    def answer(self):
+        call = f"{self.command} {self.path}"
+        body = self.rfile.read(int(self.headers.get("Content-Length") or 0))
+        self.server.requests.append([call, json.loads(body) if body else None])
+        status, content = ANSWERS.get(call, (500, {"code": "not-in-the-stub"}))
+        encoded = json.dumps(content).encode()
+        self.send_response(status)
+        self.send_header("Content-Length", str(len(encoded)))
+        self.end_headers()
+        self.wfile.write(encoded)
+
+    do_GET = do_POST = do_PUT = do_DELETE = answer
+
+    def log_message(self, *_):
+        """Nothing is logged."""
+
+
+@contextlib.contextmanager
+def stub():
+    """A running stub; `requests` holds what it was sent, `address` is what --core is given."""
+    server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), Handler)
+    server.requests = []
+    server.address = f"127.0.0.1:{server.server_address[1]}"
+    thread = threading.Thread(target=server.serve_forever, kwargs={"poll_interval": 0.01}, daemon=True)
+    thread.start()
+    try:
+        yield server
+    finally:
+        server.shutdown()
+        server.server_close()
+        thread.join()
+
+
+def play(main, words, folder):
+    """What one call prints, its exit code, and what it sent to the node."""
+    for name, content in FILES.items():
+        (folder / name).write_text(content if isinstance(content, str) else json.dumps(content))
+    words = [str(folder / word) if word in FILES else word for word in words]
+    with stub() as server:
+        result = click.testing.CliRunner().invoke(main, [*words, "--core", server.address])
+        return {
+            "stdout": result.stdout.replace(str(folder), "FOLDER"),
+            "stderr": result.stderr.replace(str(folder), "FOLDER"),
+            "code": result.exit_code,
+            "requests": server.requests,
+        }
+
+
+if __name__ == "__main__":
+    with tempfile.TemporaryDirectory() as place:
+        command = importlib.import_module("irisstand.commands").main
+        recorded = [{"words": words, **play(command, words, pathlib.Path(place))} for words in CALLS]
+    json.dump(recorded, sys.stdout, indent=1)
+    print()
--- a/tests/test_source_rules.py
+++ b/tests/test_source_rules.py
@@ -19,9 +19,7 @@
 }
 # What only rehearses and simulates a network may do what no daemon may.
 REHEARSING = {"simulator", "standins", "fleet", "modelcheck"}
-DAEMONS = [
-    path for path in FILES if path.parent.name not in REHEARSING and path.name != "simulation_commands.py"
-]
+DAEMONS = [path for path in FILES if path.parent.name not in REHEARSING]
 
 
 @pytest.mark.parametrize("path", DAEMONS, ids=lambda path: str(path.relative_to(ROOT)))
