--- a/src/irisstand/control_errors.py
+++ b/src/irisstand/control_errors.py
@@ -44,7 +44,7 @@
 class SiteUnknownError(errors.IrisError):
     """This node knows no such site, which may be its own ignorance: another node may know it."""
 
-    code, status, comes_back = "site-not-heard", 503, 1.0
+    code, status, default_retry_after = "site-not-heard", 503, 1.0
     remedy = "ask another node, and look at the site's name"
 
 
--- a/src/irisstand/controlplane/api/operator_orders.py
+++ b/src/irisstand/controlplane/api/operator_orders.py
@@ -46,7 +46,7 @@
         return given
 
     async def submit(self, kind: str, change: str, payload: typing.Any) -> sanic.response.HTTPResponse:
-        if self.context.draining:
+        if self.context.is_draining:
             raise errors.DrainingError("this node is shutting down")
         try:
             result = await self.submitter.answer(orders.Order(kind, change, payload))
--- a/src/irisstand/controlplane/api/operator_reads.py
+++ b/src/irisstand/controlplane/api/operator_reads.py
@@ -97,7 +97,7 @@
             )
             entry["nodes"].append(f"{update.identity.name} {update.state.name.lower()}")
         for name, entry in machines.items():
-            entry["rests"] = self.context.is_resting(name)
+            entry["rests"] = self.context.is_standby(name)
             entry["why"] = why.get(name, "")
             entry["evacuated"] = self.context.is_evacuated(entry["site"])
             saved = ledger.value(f"saved/{name}") or {"seconds": 0}
--- a/src/irisstand/controlplane/assembly.py
+++ b/src/irisstand/controlplane/assembly.py
@@ -67,12 +67,12 @@
         await self.core.open()
         await self.context.open()
         for table in items.TABLES:
-            self.context.start(self.proposers[table].run(), f"taker of {table}")
-            self.context.start(self.checks[table].run(), f"pulse of {table}")
-        self.context.start(self.founding.run(), "founding")
-        self.context.start(self.planner.run(), "voter planner")
+            self.context.start_task(self.proposers[table].run(), f"taker of {table}")
+            self.context.start_task(self.checks[table].run(), f"pulse of {table}")
+        self.context.start_task(self.founding.run(), "founding")
+        self.context.start_task(self.planner.run(), "voter planner")
         for duty in self.singleton_tasks:
-            self.context.start(duty.run(), f"duty {duty.name}")
+            self.context.start_task(duty.run(), f"duty {duty.name}")
 
     async def close(self) -> None:
         await self.context.close()
--- a/src/irisstand/controlplane/changes/change_status.py
+++ b/src/irisstand/controlplane/changes/change_status.py
@@ -17,7 +17,7 @@
 
     async def show(self, change: str) -> dict[str, typing.Any]:
         for table in (items.CONFIGURATION, items.LEDGER):
-            copy = self.context.copies[table]
+            copy = self.context.replicas[table]
             record = copy.items.get(f"~change/{change}")
             if record is not None and record.value is not None:
                 rows = [self.row(copy, key, record.version) for key in record.value["rows"]]
@@ -62,7 +62,7 @@
 
     async def ask(self, update: updates.Update) -> tuple | None:
         try:
-            return await self.context.transport.ask(
+            return await self.context.transport.call(
                 update.card.address, update.identity.name, "tips", (), CALL_TIMEOUT_SECONDS
             )
         except errors.IrisError:
--- a/src/irisstand/controlplane/changes/evacuation_check.py
+++ b/src/irisstand/controlplane/changes/evacuation_check.py
@@ -53,7 +53,7 @@
     async def ask_sites(self, voter: quorum.Voter) -> tuple | None:
         address = (voter.host, voter.port)
         try:
-            return await self.context.transport.ask(address, voter.name, "sites", (), SITES_TIMEOUT_SECONDS)
+            return await self.context.transport.call(address, voter.name, "sites", (), SITES_TIMEOUT_SECONDS)
         except errors.IrisError:
             return None
 
@@ -108,7 +108,7 @@
     def core_notes(self, site: str) -> list[str]:
         """An evacuation moves work, not voters; but whoever evacuates may be about to switch off."""
         voters = quorum.decode(self.context.ledger.value(items.VOTERS))
-        up = {update.identity.name for update in self.context.peers("agency") if not update.state}
+        up = {update.identity.name for update in self.context.members_of("agency") if not update.state}
         up.add(self.context.settings.name)
         gone = {item.key.split("/", 1)[1] for item in self.context.ledger.under("evacuated/")} | {site}
         left = sum(voter.name in up and voter.site not in gone for voter in voters)
--- a/src/irisstand/controlplane/consensus/acceptor.py
+++ b/src/irisstand/controlplane/consensus/acceptor.py
@@ -45,14 +45,14 @@
                 took = asyncio.get_running_loop().time() - started
                 # One slow command holds up every ballot on the table, so it is worth an event.
                 if took > SLOW:
-                    event_log.note("slow-command", table=self.table, command=command, seconds=took)
+                    event_log.record("slow-command", table=self.table, command=command, seconds=took)
                 if not future.done():
                     future.set_result(result)
             except errors.IrisError as error:
                 if not future.done():
                     future.set_exception(error)
             except OSError as error:
-                event_log.note("disk-error", error=repr(error))
+                event_log.record("disk-error", error=repr(error))
                 if not future.done():
                     future.set_exception(errors.DiskFullError(f"the disk does not take writes: {error}"))
 
--- a/src/irisstand/controlplane/consensus/bootstrap.py
+++ b/src/irisstand/controlplane/consensus/bootstrap.py
@@ -19,20 +19,20 @@
         self.context.transport.handlers["hold"] = self.on_hold
 
     async def on_core_state(self, _: str, body: list) -> tuple:
-        return (tuple(self.core.own_voter()), self.is_empty(), self.context.leaving)
+        return (tuple(self.core.own_voter()), self.is_empty(), self.context.is_lame_duck)
 
     async def on_hold(self, sender: str, body: list) -> tuple:
         """A voter to be: all tables are current, no older than the asker's, and on its disk before it says
         who it is."""
         for table, parts in body:
-            if self.context.copies[table].applied < versions.decode(parts):
+            if self.context.replicas[table].applied < versions.decode(parts):
                 await self.core.catch_up(table, sender)
-            if self.context.copies[table].applied < versions.decode(parts):
+            if self.context.replicas[table].applied < versions.decode(parts):
                 raise errors.NotBootstrappedError("this node is behind the one that asks")
-        if self.context.leaving:
+        if self.context.is_lame_duck:
             raise errors.NotBootstrappedError("this node is about to end")
         for table in items.TABLES:
-            if not self.context.is_current(self.context.copies[table]):
+            if not self.context.is_current(self.context.replicas[table]):
                 raise errors.NotBootstrappedError("this node has not learnt the tables yet")
             await self.core.owners[table].order("keep")
         return tuple(self.core.own_voter())
@@ -40,7 +40,7 @@
     def is_empty(self) -> bool:
         records = self.core.store.records
         return all(
-            records[table].applied == versions.NONE and self.context.copies[table].applied == versions.NONE
+            records[table].applied == versions.NONE and self.context.replicas[table].applied == versions.NONE
             for table in items.TABLES
         )
 
@@ -52,7 +52,7 @@
                 else:
                     await self.try_enrolling()
             except (errors.IrisError, ValueError, TypeError) as error:
-                event_log.note("founding", error=str(error))
+                event_log.record("founding", error=str(error))
             await asyncio.sleep(0.5)
 
     async def try_bootstrap(self) -> None:
@@ -64,7 +64,7 @@
         states = [(self.core.own_voter(), True)]
         for address, name in self.founders():
             try:
-                voter, empty, *_ = await self.context.transport.ask(address, name, "core-state", (), 1.0)
+                voter, empty, *_ = await self.context.transport.call(address, name, "core-state", (), 1.0)
             except errors.IrisError:
                 # One that cannot be asked may know a founded core.
                 await self.learn()
@@ -88,7 +88,7 @@
         body = tuple((table, batch) for table in items.TABLES)
         for voter in voters:
             await self.core.ask_voter(voter, "found", body)
-        event_log.note("founded", voters=[voter.name for voter in voters])
+        event_log.record("founded", voters=[voter.name for voter in voters])
 
     def founders(self) -> list[tuple]:
         """Address and name of the other cores that have to be empty for a founding; a seed's name is not
@@ -96,11 +96,11 @@
         settings = self.context.settings
         if settings.found_by_seeds:
             return [(seed, "") for seed in settings.seeds if seed != (settings.host, settings.port)]
-        return [(u.card.address, u.identity.name) for u in self.context.peers("agency")]
+        return [(u.card.address, u.identity.name) for u in self.context.members_of("agency")]
 
     async def learn(self) -> None:
         # Other roles do not hold all tables; one peer's refusal must not end the round before the next.
-        cores_known = {update.identity.name for update in self.context.peers("agency")}
+        cores_known = {update.identity.name for update in self.context.members_of("agency")}
         sources = self.core.refresher.sources()
         for address, name in [source for source in sources if source[1] in cores_known]:
             try:
@@ -114,7 +114,7 @@
     async def try_enrolling(self) -> None:
         """A node with a new disk first holds the tables durably, and only then asks to be voted in."""
         for table in items.TABLES:
-            copy = self.context.copies[table]
+            copy = self.context.replicas[table]
             if copy.applied == versions.NONE:
                 await self.learn()
             # Where the seeds found the core, the voters plan who votes: see voter_planner.
@@ -129,7 +129,7 @@
             await self.core.owners[table].order("keep")
             payload = (tuple(self.core.own_voter()), leaves)
             await self.submitter.submit(orders.Order(f"enrol-{table}", "", payload))
-            event_log.note("enrolled", table=table, leaves=leaves)
+            event_log.record("enrolled", table=table, leaves=leaves)
 
     def replaceable(self, table: str) -> str:
         """The voter whose place this node may take: its own older self, or one that is long gone."""
@@ -137,7 +137,7 @@
         voters = self.core.voters(table)
         if any(voter.name == self.context.settings.name for voter in voters):
             return self.context.settings.name
-        present = {update.identity.name for update in self.context.peers("agency")}
+        present = {update.identity.name for update in self.context.members_of("agency")}
         for voter in voters:
             if voter.name in present:
                 self.missing_since.pop(voter.name, None)
--- a/src/irisstand/controlplane/consensus/heartbeat.py
+++ b/src/irisstand/controlplane/consensus/heartbeat.py
@@ -113,7 +113,7 @@
         if owner.queue.empty() and (
             record.applied < self.copy.applied or not self.core.store.sound[self.table]
         ):
-            self.context.start(self.keep(), f"keep {self.table}")
+            self.context.start_task(self.keep(), f"keep {self.table}")
 
     async def keep(self) -> None:
         try:
--- a/src/irisstand/controlplane/consensus/participant.py
+++ b/src/irisstand/controlplane/consensus/participant.py
@@ -36,23 +36,23 @@
     async def open(self) -> None:
         await self.store.open()
         for table in items.TABLES:
-            live = self.context.copies[table]
+            live = self.context.replicas[table]
             # A copy whose files do not add up is not read from, and so never spreads.
             if self.store.sound[table]:
                 live.take(self.store.copies[table].clone())
             self.owners[table] = acceptor.Owner(self.store, live, self.catch_up)
-            self.context.start(self.owners[table].run(), f"owner of {table}")
+            self.context.start_task(self.owners[table].run(), f"owner of {table}")
 
     async def catch_up(self, table: str, name: str) -> None:
         """Take the table from that very peer."""
         places = {voter.name: (voter.host, voter.port) for voter in self.voters(table)}
-        for update in self.context.peers("agency"):
+        for update in self.context.members_of("agency"):
             places[update.identity.name] = update.card.address
         if name in places:
             await self.replicator.pull(places[name], name, (table,))
 
     def voters(self, table: str) -> list[quorum.Voter]:
-        return quorum.decode(self.context.copies[table].value(items.VOTERS))
+        return quorum.decode(self.context.replicas[table].value(items.VOTERS))
 
     def own_voter(self) -> quorum.Voter:
         settings = self.context.settings
@@ -92,7 +92,7 @@
         (table,) = body
         record = self.store.records[table]
         pending = None if record.pending is None else tuple(record.pending.base)
-        applied = max(record.applied, self.context.copies[table].applied)
+        applied = max(record.applied, self.context.replicas[table].applied)
         return (self.store.identity, tuple(applied), pending, tuple(record.promised))
 
     async def on_hears(self, _: str, body: list) -> tuple:
@@ -119,7 +119,7 @@
         self.note_awake()
         self.heard.setdefault(voter.disk_id, self.context.clock.now())
         address = (voter.host, voter.port)
-        reply = await self.context.transport.ask(address, voter.name, kind, body, PATIENCE)
+        reply = await self.context.transport.call(address, voter.name, kind, body, PATIENCE)
         if kind == "stand" and reply[0] == voter.disk_id:
             self.heard[voter.disk_id] = self.context.clock.now()
         return reply
--- a/src/irisstand/controlplane/consensus/proposer.py
+++ b/src/irisstand/controlplane/consensus/proposer.py
@@ -38,7 +38,7 @@
 class Proposer:
     def __init__(self, core: cores.Core, table: str) -> None:
         self.core, self.table, self.context = core, table, core.context
-        self.copy = core.context.copies[table]
+        self.copy = core.context.replicas[table]
         self.queue: asyncio.Queue[Waiting] = asyncio.Queue()
         self.highest = versions.NONE
         self.holding = asyncio.Lock()
@@ -64,11 +64,11 @@
                 await self.hold_ballot(waiting)
             except BallotLostError as reason:
                 self.context.counters.add("ballots_lost", table=self.table)
-                event_log.note("ballot-lost", table=self.table, reason=str(reason))
+                event_log.record("ballot-lost", table=self.table, reason=str(reason))
                 # Random and growing, or two proposers would meet again at the same moment.
                 await asyncio.sleep(self.context.randomness.uniform(0.01, 0.03) * min(attempts, 8))
             except errors.IrisError as error:
-                event_log.note("ballot-failed", table=self.table, error=str(error))
+                event_log.record("ballot-failed", table=self.table, error=str(error))
                 if isinstance(error, errors.DiskFullError):
                     self.refuse_unproposed(waiting, error)
                 await asyncio.sleep(0.05)
--- a/src/irisstand/controlplane/consensus/submitter.py
+++ b/src/irisstand/controlplane/consensus/submitter.py
@@ -32,7 +32,7 @@
         if not self.core.votes(table):
             raise errors.NotBootstrappedError("this node has no vote either")
         try:
-            with self.context.working():
+            with self.context.count_in_flight():
                 return ("done", await self.proposers[table].decide(order))
         except errors.InvalidChangeError as error:
             return ("bad-change", error.faults)
@@ -47,10 +47,10 @@
 
     async def answer(self, order: orders.Order) -> dict:
         """The result for an operator, who gets an answer also when this node has to go before it is known."""
-        with self.context.working():
+        with self.context.count_in_flight():
             task = asyncio.get_running_loop().create_task(self.submit(order))
             try:
-                await asyncio.wait([task, self.context.closing], return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait([task, self.context.drain_ending], return_when=asyncio.FIRST_COMPLETED)
             except asyncio.CancelledError:
                 # Its sender hung up: it must not be carried out after whatever that sender orders next.
                 task.cancel()
@@ -70,7 +70,7 @@
         """
         table = orders.table_of(order.kind)
         # Without the voters for longer than the bound, this node will not find them within any patience.
-        if not self.context.is_current(self.context.copies[table]):
+        if not self.context.is_current(self.context.replicas[table]):
             raise errors.NoQuorumError("this node has lost the majority of the voters")
         own = self.core.votes(table)
         for voter in self.in_order(table):
@@ -107,13 +107,13 @@
     ) -> typing.Any:
         address, transport = (voter.host, voter.port), self.context.transport
         asking = asyncio.get_running_loop().create_task(
-            transport.ask(address, voter.name, "order", tuple(order), patience)
+            transport.call(address, voter.name, "order", tuple(order), patience)
         )
         try:
             while is_watched and not (await asyncio.wait([asking], timeout=DOUBT))[0]:
                 table = orders.table_of(order.kind)
                 try:
-                    await transport.ask(address, voter.name, "stand", (table,), STANDS_PATIENCE)
+                    await transport.call(address, voter.name, "stand", (table,), STANDS_PATIENCE)
                 except errors.IrisError:
                     raise errors.UnansweredError(f"{voter.name} does not say where it stands") from None
             return await asking
@@ -122,8 +122,8 @@
 
     def in_order(self, table: str) -> list[quorum.Voter]:
         """The last winner first, unless it is suspected; then this node itself; then the others."""
-        last = self.context.copies[table].applied.node.partition("~")[0]
-        well = {update.identity.name for update in self.context.peers("agency") if not update.state}
+        last = self.context.replicas[table].applied.node.partition("~")[0]
+        well = {update.identity.name for update in self.context.members_of("agency") if not update.state}
 
         def rank(voter: quorum.Voter) -> tuple:
             is_last = voter.name == last and voter.name in well
--- a/src/irisstand/controlplane/consensus/voter_administration.py
+++ b/src/irisstand/controlplane/consensus/voter_administration.py
@@ -19,7 +19,7 @@
         self.view = fleet_view.FleetView(context)
 
     def of(self, table: str) -> list[quorum.Voter]:
-        return quorum.decode(self.context.copies[table].value(items.VOTERS))
+        return quorum.decode(self.context.replicas[table].value(items.VOTERS))
 
     async def show(self) -> dict[str, typing.Any]:
         """Each table's voters, which of them answer now, and who could take a place."""
@@ -31,7 +31,7 @@
                 for v in self.of(table)
             ]
         known = {voter.name for table in items.TABLES for voter in self.of(table)}
-        spares = [u.identity.name for u in self.context.peers("agency") if u.identity.name not in known]
+        spares = [u.identity.name for u in self.context.members_of("agency") if u.identity.name not in known]
         return {"voters": found, "spares": sorted(spares)}
 
     async def up(self, voters: list[quorum.Voter], table: str) -> set[str]:
@@ -60,7 +60,7 @@
 
     async def retire(self, name: str) -> dict[str, typing.Any]:
         known = {voter.name for table in items.TABLES for voter in self.of(table)}
-        names = {update.identity.name for update in self.context.peers("agency")} | {
+        names = {update.identity.name for update in self.context.members_of("agency")} | {
             self.context.settings.name
         }
         if name not in known | names:
@@ -78,12 +78,12 @@
 
     async def replace(self, old: str, new: str) -> dict[str, typing.Any]:
         """The spare first holds all tables durably; ordered again after a fault, the rest is done."""
-        spare = next((u for u in self.context.peers("agency") if u.identity.name == new), None)
+        spare = next((u for u in self.context.members_of("agency") if u.identity.name == new), None)
         if spare is None:
-            names = sorted(update.identity.name for update in self.context.peers("agency"))
+            names = sorted(update.identity.name for update in self.context.members_of("agency"))
             remedy = f"start it first; up are: {', '.join(names) or 'none'}"
             raise errors.UnknownNameError(f"no core node {new!r} is up", remedy)
-        reply = await self.context.transport.ask(spare.card.address, new, "hold", (), PATIENCE)
+        reply = await self.context.transport.call(spare.card.address, new, "hold", (), PATIENCE)
         newcomer = quorum.Voter(*reply)
         for table in items.TABLES:
             known = [voter.name for voter in self.of(table)]
--- a/src/irisstand/controlplane/consensus/voter_planner.py
+++ b/src/irisstand/controlplane/consensus/voter_planner.py
@@ -32,7 +32,7 @@
         # At a planned end: whether the vote was handed over, or cannot be.
         self.has_handed_over = False
         if self.is_wanted:
-            self.context.held = self.is_handing_over
+            self.context.has_pending_work = self.is_handing_over
 
     @property
     def is_wanted(self) -> bool:
@@ -43,12 +43,12 @@
         return not self.has_handed_over
 
     async def run(self) -> None:
-        while self.is_wanted and not self.context.leaving:
+        while self.is_wanted and not self.context.is_lame_duck:
             try:
                 if not self.is_quiet():
                     await self.improve()
             except (errors.IrisError, ValueError, TypeError, IndexError) as error:
-                event_log.note("voters-not-changed", error=str(error))
+                event_log.record("voters-not-changed", error=str(error))
             await asyncio.sleep(self.context.randomness.uniform(0.5, 1.0) * INTERVAL)
         if self.is_wanted:
             await self.hand_over()
@@ -71,15 +71,15 @@
             async with asyncio.timeout(patience):
                 await self.improve({own})
         except (errors.IrisError, ValueError, TypeError, IndexError, TimeoutError) as error:
-            event_log.note("vote-not-handed-over", error=str(error))
+            event_log.record("vote-not-handed-over", error=str(error))
             return False
         if any(self.core.votes(table) for table in items.TABLES):
-            event_log.note("vote-kept", why="no other core node can take it")
+            event_log.record("vote-kept", why="no other core node can take it")
         return True
 
     def standing(self) -> tuple:
         """What a target hangs on, as far as it is known here without asking anybody."""
-        members = tuple((update.identity, update.state) for update in self.context.peers("agency"))
+        members = tuple((update.identity, update.state) for update in self.context.members_of("agency"))
         return (members, tuple(tuple(self.core.voters(table)) for table in items.TABLES))
 
     def is_quiet(self) -> bool:
@@ -107,7 +107,7 @@
     def is_settling(self, current: list[quorum.Voter], target: list[quorum.Voter], gone: set[str]) -> bool:
         """A set just changed is left alone for a moment, unless somebody of it is to be replaced."""
         now = self.context.clock.now()
-        version = str(self.context.copies[items.LEDGER].version(items.VOTERS))
+        version = str(self.context.replicas[items.LEDGER].version(items.VOTERS))
         if version != self.seen:
             self.seen, self.changed_at = version, now
         taken = {voter.disk_id for voter in target}
@@ -123,27 +123,27 @@
         known = {voter.disk_id for voter in current}
         if known == {voter.disk_id for voter in target} or not self.core.votes(table):
             return
-        expected = str(self.context.copies[table].version(items.VOTERS))
+        expected = str(self.context.replicas[table].version(items.VOTERS))
         newcomers = [voter for voter in target if voter.disk_id not in known]
         await asyncio.gather(*(self.hold(voter) for voter in newcomers))
         payload = (expected, tuple(tuple(voter) for voter in target))
         order = orders.Order(f"voters-{table}", "", payload)
-        if self.context.leaving:
+        if self.context.is_lame_duck:
             # Where orders gather, none loses its ballot to another.
             await self.submitter.submit(order)
         else:
             # Decided here, as who decided last may be the very voter that is gone.
             await self.submitter.proposers[table].decide(order, DECIDING)
-        event_log.note("voters-changed", table=table, voters=[voter.name for voter in target])
+        event_log.record("voters-changed", table=table, voters=[voter.name for voter in target])
 
     async def hold(self, voter: quorum.Voter) -> None:
         """Everything up to what is known here is on its disk before it is named."""
-        tips = tuple((table, tuple(self.context.copies[table].applied)) for table in items.TABLES)
+        tips = tuple((table, tuple(self.context.replicas[table].applied)) for table in items.TABLES)
         address = (voter.host, voter.port)
         if voter.disk_id == self.core.store.identity:
             held = await self.context.transport.handlers["hold"](voter.name, tips)
         else:
-            held = await self.context.transport.ask(address, voter.name, "hold", tips, HOLDING)
+            held = await self.context.transport.call(address, voter.name, "hold", tips, HOLDING)
         if quorum.Voter(*held) != voter:
             raise errors.NotBootstrappedError(f"{voter.name} has another disk than a moment ago")
 
@@ -152,7 +152,7 @@
 
         async def ask(update: object) -> quorum.Voter | None:
             try:
-                reply = await self.context.transport.ask(
+                reply = await self.context.transport.call(
                     update.card.address, update.identity.name, "core-state", (), HEARING
                 )
             except errors.IrisError:
@@ -160,7 +160,7 @@
             voter, is_empty, *more = reply
             return None if is_empty or (more and more[0]) else quorum.Voter(*voter)
 
-        told = await asyncio.gather(*(ask(update) for update in self.context.peers("agency")))
+        told = await asyncio.gather(*(ask(update) for update in self.context.members_of("agency")))
         return [voter for voter in [*told, self.core.own_voter()] if voter is not None]
 
     async def missing(self, voters: list[quorum.Voter]) -> set[str]:
--- a/src/irisstand/controlplane/program.py
+++ b/src/irisstand/controlplane/program.py
@@ -16,13 +16,13 @@
 LATEST, PAUSE = 0.8, 0.4
 
 
-async def assemble(settings: node_settings.Settings, log_ring: event_log.Ring) -> process_runner.Opened:
+async def assemble(settings: node_settings.Settings, log_ring: event_log.EventLog) -> process_runner.Opened:
     ask = watch.http_origin_source(settings.platform) if settings.platform is not None else None
     return await assemble_with(ask, settings, log_ring)
 
 
 async def assemble_with(
-    ask: watch.FetchOrigins | None, settings: node_settings.Settings, log_ring: event_log.Ring
+    ask: watch.FetchOrigins | None, settings: node_settings.Settings, log_ring: event_log.EventLog
 ) -> process_runner.Opened:
     """With another way of asking the platform for its origins."""
     control_node = assembly.ControlNode(
@@ -35,7 +35,7 @@
     )
     await control_node.open()
     door = Door(control_node, log_ring)
-    control_node.context.start(door.open(), "operators' listener")
+    control_node.context.start_task(door.open(), "operators' listener")
     return control_node.context, door.stop_listening
 
 
@@ -43,14 +43,14 @@
     """The operators' listener. It opens a moment after the core is back: its library takes long to import,
     and the whole fleet waits for the tables first."""
 
-    def __init__(self, control_node: assembly.ControlNode, log_ring: event_log.Ring) -> None:
+    def __init__(self, control_node: assembly.ControlNode, log_ring: event_log.EventLog) -> None:
         self.control_node, self.ring = control_node, log_ring
         self.server: typing.Any = None
 
     async def open(self) -> None:
         context = self.control_node.context
         started = context.clock.now()
-        copies = context.copies.values()
+        copies = context.replicas.values()
         while context.clock.now() - started < LATEST and not all(map(context.is_fresh, copies)):
             await asyncio.sleep(0.02)
         # Those who wait are served first.
--- a/src/irisstand/controlplane/singletons/fleet_view.py
+++ b/src/irisstand/controlplane/singletons/fleet_view.py
@@ -20,11 +20,11 @@
         return self.context.is_evacuated(site)
 
     def is_resting(self, machine: str) -> bool:
-        return self.context.is_resting(machine)
+        return self.context.is_standby(machine)
 
     def is_out(self, machine: str) -> bool:
         """Out of work by a recorded decision."""
-        sites = {update.card.machine: update.card.site for update in self.context.peers("shield")}
+        sites = {update.card.machine: update.card.site for update in self.context.members_of("shield")}
         return self.is_resting(machine) or (machine in sites and self.is_evacuated(sites[machine]))
 
     def row(self, kind: str, name: str) -> dict:
@@ -33,7 +33,7 @@
     def shield_weights(self) -> dict[str, float]:
         """Shield machines that may be given work, with their weights."""
         found = {}
-        for update in self.context.peers("shield"):
+        for update in self.context.members_of("shield"):
             machine, site = update.card.machine, update.card.site
             weight = self.row("shield", machine).get("weight", 1) * self.row("site", site).get("weight", 1)
             if weight > 0 and not self.is_resting(machine) and not self.is_evacuated(site):
@@ -55,7 +55,7 @@
     ) -> list[standby_planning.Machine]:
         """Machines of a role that are up and not evacuated, resting or not; only those heard, if given."""
         found = []
-        for update in self.context.peers(role):
+        for update in self.context.members_of(role):
             machine = update.card.machine
             if update.state or self.is_evacuated(update.card.site):
                 continue
@@ -72,14 +72,14 @@
         return all(await asyncio.gather(*(self.voters_carry(table) for table in items.TABLES)))
 
     async def voters_carry(self, table: str) -> bool:
-        voters = quorum.decode(self.context.copies[table].value(items.VOTERS))
+        voters = quorum.decode(self.context.replicas[table].value(items.VOTERS))
         heard = await asyncio.gather(*(self.stands(voter, table) for voter in voters))
         up = {voter.name for voter, stands in zip(voters, heard, strict=True) if stands}
         return bool(voters) and standby_planning.core_carries(quorum.places(voters), up)
 
     async def stands(self, voter: quorum.Voter, table: str) -> bool:
         try:
-            reply = await self.context.transport.ask(
+            reply = await self.context.transport.call(
                 (voter.host, voter.port), voter.name, "stand", (table,), CALL_TIMEOUT_SECONDS
             )
             return reply[0] == voter.disk_id
@@ -88,11 +88,11 @@
 
     async def gauges(self, role: str) -> tuple[dict[str, float], bool]:
         """Requests a second by machine, and whether every member of the role answered."""
-        members = self.context.peers(role)
+        members = self.context.members_of(role)
 
         async def ask(update: object) -> float | None:
             try:
-                return await self.context.transport.ask(
+                return await self.context.transport.call(
                     update.card.address, update.identity.name, "gauge", (), CALL_TIMEOUT_SECONDS
                 )
             except errors.IrisError:
--- a/src/irisstand/controlplane/singletons/lease.py
+++ b/src/irisstand/controlplane/singletons/lease.py
@@ -49,7 +49,7 @@
         self.holder = f"{identity.name}~{identity.life}"
         while True:
             try:
-                if self.context.leaving and self.fencing_token:
+                if self.context.is_lame_duck and self.fencing_token:
                     await self.release()
                 elif self.holds_lease():
                     if self.lease_ends_at - self.context.clock.now() < self.lease_seconds / 2:
@@ -60,7 +60,7 @@
                     await self.watch()
             except (errors.IrisError, ValueError, TypeError) as error:
                 self.context.counters.add("duty_failed", duty=self.name)
-                event_log.note("duty", duty=self.name, error=repr(error))
+                event_log.record("duty", duty=self.name, error=repr(error))
             await asyncio.sleep(0.2)
 
     async def watch(self) -> None:
@@ -69,7 +69,7 @@
         copy, now = self.context.ledger, self.context.clock.now()
         # What was seen before this copy went stale still counts: the same version now means that nobody has
         # renewed the term in between.
-        if not self.context.is_current(copy) or self.context.leaving:
+        if not self.context.is_current(copy) or self.context.is_lame_duck:
             return
         version = str(copy.version(f"term/{self.name}"))
         if version != self.seen:
--- a/src/irisstand/controlplane/singletons/origin_discovery.py
+++ b/src/irisstand/controlplane/singletons/origin_discovery.py
@@ -104,7 +104,7 @@
             # The last good roster stays in force: a dead platform says nothing about its origins.
             self.failures += 1
             self.context.counters.add("platform_failed")
-            event_log.note("platform", error=repr(error))
+            event_log.record("platform", error=repr(error))
             rows = (
                 self.state_rows("silent", repr(error)[:200]) if self.failures >= SILENT_AFTER_FAILURES else []
             )
--- a/src/irisstand/controlplane/singletons/rate_placement.py
+++ b/src/irisstand/controlplane/singletons/rate_placement.py
@@ -71,5 +71,5 @@
 
     def listed(self, role: str) -> dict[str, str]:
         """Sites by name of the members that are not suspected."""
-        updates = self.context.peers(role)
+        updates = self.context.members_of(role)
         return {update.identity.name: update.card.site for update in updates if not update.state}
--- a/src/irisstand/controlplane/singletons/retention.py
+++ b/src/irisstand/controlplane/singletons/retention.py
@@ -25,7 +25,7 @@
 
     async def tick(self, duty: lease.SingletonTask, table: str) -> None:
         now = self.context.clock.now()
-        expected = str(self.context.copies[table].version(items.TIME))
+        expected = str(self.context.replicas[table].version(items.TIME))
         # Counted from when this node saw the version, which is later than when it was written.
         version, since = self.seen.get(table, ("", now))
         if version != expected:
--- a/src/irisstand/counters.py
+++ b/src/irisstand/counters.py
@@ -5,14 +5,14 @@
 from irisstand import clocks
 
 
-class Gauge:
+class LoadGauge:
     """Events a second over the last few seconds."""
 
     def __init__(self, clock: clocks.Clock, window: float = 4.0) -> None:
         self.clock, self.window = clock, window
         self.moments: collections.deque[float] = collections.deque()
 
-    def note(self) -> None:
+    def record(self) -> None:
         self.moments.append(self.clock.now())
         self.trim()
 
--- a/src/irisstand/dataplane/assembly.py
+++ b/src/irisstand/dataplane/assembly.py
@@ -41,9 +41,9 @@
 
     async def open(self) -> None:
         await self.context.open()
-        self.context.start(self.refresher.run(), "refresher")
+        self.context.start_task(self.refresher.run(), "refresher")
         if hasattr(self.part, "run"):
-            self.context.start(self.part.run(), f"part of a {self.context.role}")
+            self.context.start_task(self.part.run(), f"part of a {self.context.role}")
 
     async def close(self) -> None:
         await self.context.close()
--- a/src/irisstand/dataplane/cache/object_holders.py
+++ b/src/irisstand/dataplane/cache/object_holders.py
@@ -55,7 +55,7 @@
         now = self.context.clock.now()
         return [
             update
-            for update in self.context.peers("holder")
+            for update in self.context.members_of("holder")
             if not update.state and now >= self.avoided.get(update.identity.name, 0.0)
         ]
 
@@ -92,7 +92,7 @@
             self.context.role == "holder",
         )
         try:
-            told, parts = await self.context.transport.ask(
+            told, parts = await self.context.transport.call(
                 holder.card.address, holder.identity.name, "object", body, patience
             )
         except errors.IrisError as error:
@@ -118,7 +118,7 @@
 
     async def on_object(self, _: str, body: list) -> tuple:
         name, service, host, target, headers, remaining, floor, known_tag, applied, is_last = body
-        if self.context.draining:
+        if self.context.is_draining:
             raise errors.DrainingError("this holder is shutting down")
         request = client.Request("GET", bytes(target), str(host), dict(headers), b"")
         await self.catch_up(versions.decode(applied))
@@ -139,5 +139,5 @@
             if self.context.clock.now() - started > CATCH_UP:
                 raise errors.StaleConfigurationError("this holder is behind the edge")
             await asyncio.sleep(0.01)
-        if not all(map(self.context.is_current, self.context.copies.values())):
+        if not all(map(self.context.is_current, self.context.replicas.values())):
             raise errors.StaleConfigurationError("this holder's tables are not known to be current")
--- a/src/irisstand/dataplane/cache/object_reader.py
+++ b/src/irisstand/dataplane/cache/object_reader.py
@@ -102,7 +102,7 @@
     async def obtain(self, asked: Asked, floor: versions.Version, remaining: float) -> objects.Object:
         started = self.context.clock.now()
         known = self.cache.get(asked.key)
-        with self.context.working():
+        with self.context.count_in_flight():
             thing = await self.ask_holder(asked, floor, remaining, known)
             if thing is None:
                 left = remaining - (self.context.clock.now() - started)
--- a/src/irisstand/dataplane/http/listener.py
+++ b/src/irisstand/dataplane/http/listener.py
@@ -35,7 +35,7 @@
         self.app.add_route(serve, "/", methods=METHODS, name="root", stream=True)
         self.app.add_route(serve, "/<rest:path>", methods=METHODS, name="rest", stream=True)
         self.server = None
-        context.closers.append(self.abort_connections)
+        context.close_callbacks.append(self.abort_connections)
 
     def follow(self) -> None:
         """The operators' limits; a connection takes those that stand when it opens."""
@@ -52,9 +52,9 @@
 
     async def open_when_current(self) -> None:
         """A node just started would only turn clients away: it listens once it can answer them."""
-        while not all(map(self.context.is_current, self.context.copies.values())):
+        while not all(map(self.context.is_current, self.context.replicas.values())):
             await asyncio.sleep(0.02)
-        if self.context.leaving:
+        if self.context.is_lame_duck:
             return
         try:
             self.server = await self.app.create_server(
@@ -72,7 +72,7 @@
     async def stop_listening(self) -> None:
         if self.server is not None:
             self.server.close()
-            self.context.held = self.release
+            self.context.has_pending_work = self.release
 
     def release(self) -> bool:
         """Close connections on which nothing is read or asked; True while any is left.
@@ -120,10 +120,10 @@
         asked = direct.Request(request.method, request.raw_url, headers.pop("host", ""), headers, body)
         # A client that goes away does not take back what an origin is at work on.
         task = asyncio.get_running_loop().create_task(self.answer(asked))
-        with self.context.working():
+        with self.context.count_in_flight():
             response = await asyncio.shield(task)
         # A kept connection would bring more work to a node that is leaving.
-        if self.context.leaving or self.context.draining:
+        if self.context.is_lame_duck or self.context.is_draining:
             request.stream.keep_alive = False
         return response
 
@@ -137,7 +137,7 @@
             self.context.counters.add("requests_crashed")
             return self.as_fault(errors.OutcomeUnknownError("what this request waited for was given up"))
         except Exception as error:
-            event_log.note("crash", error=repr(error))
+            event_log.record("crash", error=repr(error))
             self.context.counters.add("requests_crashed")
             return self.as_fault(errors.OutcomeUnknownError("an error of this node's own"))
         kept = {name: value for name, value in headers.items() if name not in OWN}
--- a/src/irisstand/dataplane/nodes/direct.py
+++ b/src/irisstand/dataplane/nodes/direct.py
@@ -40,7 +40,7 @@
             return self.give(request, await self.reading.read(asked))
         service = routes.pick_service(route, request.headers.get(self.words.request_id, request.path))
         headers = [(name, value) for name, value in request.headers.items() if name not in client.HOP]
-        with self.context.working():
+        with self.context.count_in_flight():
             return await self.origins.fetch(route, service, request, headers, remaining)
 
     def give(self, request: Request, thing: objects.Object) -> exchange.Answer:
--- a/src/irisstand/dataplane/nodes/edge.py
+++ b/src/irisstand/dataplane/nodes/edge.py
@@ -66,11 +66,11 @@
         self.view.check_current()
         if self.view.is_evacuated(self.context.settings.site):
             raise errors.SiteEvacuatedError(f"site {self.context.settings.site} takes no new work")
-        self.context.gauge.note()
+        self.context.load_gauge.record()
         granted = self.view.grant(request.method, request.path, request.query)
         self.context.counters.add("requests", method=request.method)
         try:
-            with self.context.working():
+            with self.context.count_in_flight():
                 if request.method in READS:
                     return await self.read(granted, request)
                 return await self.write(granted, request)
@@ -232,7 +232,7 @@
         # A read is answered as well by a shield that was started anew; a write is meant for the one chosen.
         life = shield.identity.life if kind == "write" else ""
         try:
-            reply = await self.context.transport.ask(
+            reply = await self.context.transport.call(
                 shield.card.address, shield.identity.name, kind, body, remaining, life
             )
             return ("result", reply)
--- a/src/irisstand/dataplane/nodes/idempotency_keys.py
+++ b/src/irisstand/dataplane/nodes/idempotency_keys.py
@@ -47,7 +47,7 @@
             # the next shield, and the client may come again.
             await self.settle(key, attempt, None, tries=2)
             raise
-        self.context.start(self.settle(key, attempt, self.kept(result)), "settle a claim")
+        self.context.start_task(self.settle(key, attempt, self.kept(result)), "settle a claim")
         return result
 
     def kept(self, result: tuple) -> list:
@@ -76,7 +76,7 @@
             except errors.ChangeOutcomeUnknownError:
                 # Asked again as the same attempt, which brings the one true result.
                 continue
-        self.context.start(self.settle(key, attempt, None), "release a claim")
+        self.context.start_task(self.settle(key, attempt, None), "release a claim")
         raise errors.KeyNotClaimedError("the core did not confirm the claim in time")
 
     async def settle(self, key: str, attempt: str, result: list | None, tries: int = 5) -> None:
@@ -90,13 +90,13 @@
 
     async def order(self, kind: str, payload: tuple) -> dict:
         """Any control plane node takes it; this machine's own first, as its answer has the shortest way."""
-        control_nodes = self.context.peers("agency")
+        control_nodes = self.context.members_of("agency")
         control_nodes.sort(
             key=lambda update: (update.state, update.card.machine != self.context.settings.machine)
         )
         for update in control_nodes[:3]:
             try:
-                reply = await self.context.transport.ask(
+                reply = await self.context.transport.call(
                     update.card.address, update.identity.name, "order", (kind, "", payload), PATIENCE
                 )
                 return submitter.unwrap(reply)
--- a/src/irisstand/dataplane/nodes/shield.py
+++ b/src/irisstand/dataplane/nodes/shield.py
@@ -48,7 +48,7 @@
         request_id, method, path, query, headers, floor, remaining, shared, applied = body
         remaining = await self.check_open(versions.decode(applied), float(remaining))
         granted = self.view.grant(method, path, query)
-        with self.context.working():
+        with self.context.count_in_flight():
             work = (str(request_id), path, query, dict(headers), versions.decode(floor))
             thing = await self.read(granted, work, min(remaining, granted.deadline), bool(shared))
             return (granted.service, objects.encode(thing, self.context.clock.now()))
@@ -58,11 +58,11 @@
         left of its time.
         """
         started = self.context.clock.now()
-        if self.context.draining:
+        if self.context.is_draining:
             raise errors.DrainingError("this shield is shutting down")
         # The edge may have heard of a change first. Judged by the older rows, its request would go where the
         # newer ones do not allow; so this waits for the table rather than answer from the past.
-        self.context.gauge.note()
+        self.context.load_gauge.record()
         while self.context.configuration.applied < applied:
             if self.context.clock.now() - started > min(CATCH_UP_LIMIT, remaining / 2):
                 raise errors.StaleConfigurationError("this shield is behind the edge")
@@ -107,11 +107,11 @@
         if thing.life > 0:
             self.cache.put(key, thing)
             if store is not None:
-                self.context.start(self.keep(store, key, thing), "keep in store")
+                self.context.start_task(self.keep(store, key, thing), "keep in store")
         return thing
 
     def store_for(self, key: str) -> typing.Any:
-        stores = self.context.peers("store")
+        stores = self.context.members_of("store")
         found = {update.identity.name: update for update in stores if not update.state}
         names = rendezvous.order(key, [(name, 1.0) for name in found])
         return found[names[0]] if names else None
@@ -121,7 +121,7 @@
     ) -> objects.Object | None:
         asked_at = self.context.clock.now()
         try:
-            parts = await self.context.transport.ask(
+            parts = await self.context.transport.call(
                 store.card.address, store.identity.name, "look", (key, path, tuple(floor)), STORE_PATIENCE
             )
             if parts:
@@ -136,7 +136,7 @@
     async def keep(self, store: typing.Any, key: str, thing: objects.Object) -> None:
         body = (key, objects.encode(thing, self.context.clock.now()))
         try:
-            await self.context.transport.ask(store.card.address, store.identity.name, "keep", body, 1.0)
+            await self.context.transport.call(store.card.address, store.identity.name, "keep", body, 1.0)
         except errors.IrisError:
             self.context.counters.add("store_failed")
 
@@ -167,7 +167,7 @@
         request_id, method, path, query, headers, content, remaining, applied = body
         remaining = await self.check_open(versions.decode(applied), float(remaining))
         granted = self.view.grant(method, path, query)
-        with self.context.working():
+        with self.context.count_in_flight():
             decision = forwarding_policies.ShieldWrite(self.context.clock, granted, remaining)
             request = (method, f"{path}?{query}" if query else path, dict(headers), content, request_id)
             return await self.claims.once(granted, request, lambda: self.write(granted, decision, request))
--- a/src/irisstand/dataplane/program.py
+++ b/src/irisstand/dataplane/program.py
@@ -9,7 +9,7 @@
 from irisstand.transport import network
 
 
-async def assemble(settings: node_settings.Settings, log_ring: event_log.Ring) -> process_runner.Opened:
+async def assemble(settings: node_settings.Settings, log_ring: event_log.EventLog) -> process_runner.Opened:
     data_node = assembly.DataNode(
         settings, clocks.MonotonicClock(), random.SystemRandom(), network.RealNetwork()
     )
@@ -23,12 +23,12 @@
         await server.open()
         front_listener = importlib.import_module("irisstand.dataplane.http.listener")
         face = front_listener.FrontListener(data_node.context, data_node.part, settings.front)
-        data_node.context.start(face.open_when_current(), "front")
+        data_node.context.start_task(face.open_when_current(), "front")
         return data_node.context, lambda: stop_all([face.stop_listening, server.stop_listening])
     if settings.role == "edge":
         front = importlib.import_module("irisstand.dataplane.http.sanic_adapter")
         front.Front(server, data_node.part)
-        data_node.context.start(server.open_when_current(), "listener")
+        data_node.context.start_task(server.open_when_current(), "listener")
     else:
         await server.open()
     return data_node.context, server.stop_listening
--- a/src/irisstand/dataplane/ratelimit/token_leases.py
+++ b/src/irisstand/dataplane/ratelimit/token_leases.py
@@ -115,7 +115,7 @@
         lender, asked_at = owner.identity.name, self.context.clock.now()
         wanted = max(1, min(MOST_PLACES, self.waiting[name]))
         try:
-            _, *waits = await self.context.transport.ask(
+            _, *waits = await self.context.transport.call(
                 owner.card.address, lender, "rate-places", (name, wanted, patience), GOOD_FOR
             )
         except errors.IrisError as error:
@@ -135,7 +135,7 @@
     async def on_places(self, _: str, body: list) -> tuple:
         name, wanted, patience = str(body[0]), int(body[1]), float(body[2])
         waits = []
-        if not self.context.draining:
+        if not self.context.is_draining:
             for _ in range(min(wanted, MOST_PLACES)):
                 # In the same row as this node's own requests, so that neither starves the other.
                 wait = self.own.take(name, max(0.0, min(patience, PATIENCE)))
--- a/src/irisstand/dataplane/routing/snapshot.py
+++ b/src/irisstand/dataplane/routing/snapshot.py
@@ -38,7 +38,7 @@
         self.lengths_applied = versions.NONE
 
     def check_current(self) -> None:
-        for copy in self.context.copies.values():
+        for copy in self.context.replicas.values():
             if not self.context.is_current(copy):
                 raise errors.StaleConfigurationError(f"the {copy.name} table is not known to be current here")
 
@@ -112,7 +112,7 @@
         ]
 
     def is_resting(self, machine: str) -> bool:
-        return self.context.is_resting(machine)
+        return self.context.is_standby(machine)
 
     def share(self, service: str, ceiling: tuple[int, int]) -> tuple[int, int]:
         """This machine's recorded part of a service's ceiling; nothing recorded is nothing."""
@@ -128,7 +128,7 @@
 
     def shields(self, service: str, key: str) -> list:
         """Shields in the order in which they should be asked for this key of a service."""
-        found = {update.identity.name: update for update in self.context.peers("shield")}
+        found = {update.identity.name: update for update in self.context.members_of("shield")}
         candidates = []
         for name, update in found.items():
             row = self.context.configuration.value(f"shield/{update.card.machine}") or {}
--- a/src/irisstand/dataplane/upstream/endpoint.py
+++ b/src/irisstand/dataplane/upstream/endpoint.py
@@ -96,7 +96,7 @@
 
     def fail(self, why: str) -> None:
         if not self.is_down:
-            event_log.note("origin-down", origin=self.instance, why=why)
+            event_log.record("origin-down", origin=self.instance, why=why)
         self.is_down = True
         self.down_until = self.context.clock.now() + self.backoff
         self.backoff = min(BACKOFF_LIMIT, 2 * self.backoff)
--- a/src/irisstand/dataplane/upstream/endpoint_pool.py
+++ b/src/irisstand/dataplane/upstream/endpoint_pool.py
@@ -93,8 +93,8 @@
         now, settings = self.context.clock.now(), self.context.settings
         if now - self.members_at > 0.5:
             # A suspected holder fetches nothing for anybody; a suspected edge may still serve its clients.
-            holders = [update for update in self.context.peers("holder") if not update.state]
-            found = [*self.context.peers("direct"), *holders]
+            holders = [update for update in self.context.members_of("holder") if not update.state]
+            found = [*self.context.members_of("direct"), *holders]
             named = {
                 u.identity.name: fleet_limits.Member(u.identity.name, u.card.role, u.card.site) for u in found
             }
@@ -106,7 +106,7 @@
 
     def region_of(self, site: str) -> str:
         if site not in self.site_regions:
-            self.site_regions = self.context.regions()
+            self.site_regions = self.context.region_by_site()
         return self.site_regions.get(site, "")
 
     # -- the draw ------------------------------------------------------------------------------------
@@ -231,7 +231,7 @@
                 wanted = target.is_down and now >= target.down_until
                 if wanted and not self.view.is_evacuated(target.origin.site) and not target.gone:
                     target.down_until = now + PROBE_PATIENCE + targeting.BACKOFF_LIMIT
-                    self.context.start(self.probe(target), "probe")
+                    self.context.start_task(self.probe(target), "probe")
             await asyncio.sleep(0.1)
 
     async def probe(self, target: targeting.Endpoint) -> None:
--- a/src/irisstand/dataplane/upstream/origin_pool.py
+++ b/src/irisstand/dataplane/upstream/origin_pool.py
@@ -125,7 +125,7 @@
 
     def mark(self, healthy: bool, why: str = "") -> None:
         if healthy != self.healthy:
-            event_log.note("origin-health", origin=self.instance, healthy=healthy, why=why)
+            event_log.record("origin-health", origin=self.instance, healthy=healthy, why=why)
             # An origin that comes back after being away is as cold as a new one.
             if healthy:
                 self.first_seen, self.has_returned = self.context.clock.now(), self.was_seen
@@ -159,7 +159,7 @@
             else:
                 pool = OriginConnections(self.context, origin, self.open_line)
                 self.pools[place] = pool
-                self.tasks[place] = self.context.start(pool.keep(), f"keeper of {origin.key}")
+                self.tasks[place] = self.context.start_task(pool.keep(), f"keeper of {origin.key}")
             self.pools[place].note_evacuation(self.view.is_evacuated(origin.site))
 
     def place(self, origin: snapshot.Origin) -> snapshot.Origin:
@@ -184,7 +184,7 @@
         # All that are left are warming up: more than they may get is refused, not poured over them.
         if not open_ones:
             raise errors.SlowStartError(f"the origins of {granted.service} are warming up")
-        regions = self.context.regions()
+        regions = self.context.region_by_site()
         near = {
             pool.origin: NEARNESS if regions.get(pool.origin.site) == self.context.settings.region else 1.0
             for pool in open_ones
--- a/src/irisstand/errors.py
+++ b/src/irisstand/errors.py
@@ -11,12 +11,12 @@
     status = 500
     remedy = "look at the log ring of the node that answered"
     # After how many seconds it is worth asking again, where the raiser knows no better.
-    comes_back = 0.0
+    default_retry_after = 0.0
 
     def __init__(self, message: str = "", remedy: str = "", retry_after: float = 0.0) -> None:
         super().__init__(message or self.code)
         self.remedy = remedy or type(self).remedy
-        self.retry_after = retry_after or type(self).comes_back
+        self.retry_after = retry_after or type(self).default_retry_after
 
     def __init_subclass__(cls) -> None:
         if "__init__" not in vars(cls):
@@ -46,25 +46,25 @@
     """Certain: not one byte of the request has left. Another peer may be asked."""
 
     code, status, remedy = "unreached", 503, "ask another colleague"
-    comes_back = 1.0
+    default_retry_after = 1.0
 
 
 class UnansweredError(IrisError):
     """The request left and no result came: nobody here knows whether it ran."""
 
     code, status, remedy = "unanswered", 504, "ask again later; do not assume that it did not run"
-    comes_back = 1.0
+    default_retry_after = 1.0
 
 
 class OutcomeUnknownError(IrisError):
     code, status = "outcome-unknown", 504
-    comes_back = 5.0
+    default_retry_after = 5.0
     remedy = "it may or may not have run: look at the origin before sending it again"
 
 
 class StaleConfigurationError(IrisError):
     code, status, remedy = "stale-blueprint", 503, "try another node; this one has lost the core"
-    comes_back = 2.0
+    default_retry_after = 2.0
 
 
 class UnknownPathError(IrisError):
@@ -77,31 +77,31 @@
 
 class DeadlineExceededError(IrisError):
     code, status, remedy = "deadline-passed", 504, "ask again; a read is safe to repeat"
-    comes_back = 1.0
+    default_retry_after = 1.0
 
 
 class LimitExceededError(IrisError):
     code, status, remedy = "over-ceiling", 503, "wait for Retry-After seconds"
-    comes_back = 1.0
+    default_retry_after = 1.0
 
 
 class SlowStartError(IrisError):
     """All origins that are left are cold: what they may get is taken up."""
 
     code, status, remedy = "warming-up", 503, "wait for Retry-After seconds; the origins take more by and by"
-    comes_back = 1.0
+    default_retry_after = 1.0
 
 
 class NoQuotaShareError(IrisError):
     """This shield holds no part of the service's ceiling just now; another one does."""
 
     code, status, remedy = "no-share", 503, "wait for Retry-After seconds; shares are being handed over"
-    comes_back = 2.0
+    default_retry_after = 2.0
 
 
 class NoOriginError(IrisError):
     code, status = "no-origin", 503
-    comes_back = 2.0
+    default_retry_after = 2.0
     remedy = "wait for Retry-After seconds; no origin of the service is usable"
 
 
@@ -109,22 +109,22 @@
     """The request went to an origin, which gave no answer: unlike no-origin, it may have run there."""
 
     code, status, remedy = "origin-failed", 502, "ask again; a read is safe to repeat"
-    comes_back = 1.0
+    default_retry_after = 1.0
 
 
 class NoShieldError(IrisError):
     code, status, remedy = "no-shield", 503, "wait for Retry-After seconds; no shield is reachable"
-    comes_back = 2.0
+    default_retry_after = 2.0
 
 
 class DrainingError(IrisError):
     code, status, remedy = "draining", 503, "ask another node; this one is shutting down"
-    comes_back = 1.0
+    default_retry_after = 1.0
 
 
 class SiteEvacuatedError(IrisError):
     code, status, remedy = "site-evacuated", 503, "ask an edge of another site"
-    comes_back = 5.0
+    default_retry_after = 5.0
 
 
 class InsufficientCapacityError(IrisError):
@@ -141,12 +141,12 @@
 
 class UnsealedResultError(IrisError):
     code, status, remedy = "unsealed-result", 502, "mend the origin: its answer was not whole or not sealed"
-    comes_back = 1.0
+    default_retry_after = 1.0
 
 
 class WrongServiceError(IrisError):
     code, status, remedy = "wrong-service", 502, "the address belongs to another service; mend the roster"
-    comes_back = 2.0
+    default_retry_after = 2.0
 
 
 class InvalidChangeError(IrisError):
@@ -176,12 +176,12 @@
     """Raised only before any voter was sent the batch: certainly not accepted."""
 
     code, status, remedy = "no-majority", 503, "nothing was changed; send it again when the core is whole"
-    comes_back = 2.0
+    default_retry_after = 2.0
 
 
 class ChangeOutcomeUnknownError(IrisError):
     code, status = "outcome-unknown", 503
-    comes_back = 1.0
+    default_retry_after = 1.0
     remedy = "send the same change id again: it returns the one true result"
 
 
@@ -203,14 +203,14 @@
     """The key could not be claimed, so the write was not sent on."""
 
     code, status, remedy = "no-claim", 503, "wait for Retry-After seconds; the core could not record the key"
-    comes_back = 1.0
+    default_retry_after = 1.0
 
 
 class TableFullError(IrisError):
     """Nothing that is still to be remembered is forgotten to make room."""
 
     code, status = "table-full", 503
-    comes_back = 60.0
+    default_retry_after = 60.0
     remedy = "wait for Retry-After seconds; the oldest will be gone by then"
 
 
@@ -220,12 +220,12 @@
 
 class NotBootstrappedError(IrisError):
     code, status, remedy = "not-founded", 503, "wait until all founding cores have met"
-    comes_back = 1.0
+    default_retry_after = 1.0
 
 
 class DiskFullError(IrisError):
     code, status, remedy = "disk-full", 503, "free space in the data folder; the node votes again by itself"
-    comes_back = 10.0
+    default_retry_after = 10.0
 
 
 class TornFileError(IrisError):
--- a/src/irisstand/event_log.py
+++ b/src/irisstand/event_log.py
@@ -8,7 +8,7 @@
 import eliot
 
 
-class Ring:
+class EventLog:
     """An eliot destination that keeps the newest events and writes them out when asked."""
 
     def __init__(self, size: int = 2000, target: typing.TextIO | None = None) -> None:
@@ -32,6 +32,6 @@
         return count
 
 
-def note(kind: str, **fields: typing.Any) -> None:
+def record(kind: str, **fields: typing.Any) -> None:
     """One event into the ring."""
     eliot.log_message(message_type=kind, **fields)
--- a/src/irisstand/membership/detector.py
+++ b/src/irisstand/membership/detector.py
@@ -82,7 +82,9 @@
         else:
             self.suspected_at.pop(update.identity, None)
         self.counters.add("swim_updates", state=update.state.name.lower())
-        event_log.note("swim", state=update.state.name, name=update.identity.name, life=update.identity.life)
+        event_log.record(
+            "swim", state=update.state.name, name=update.identity.name, life=update.identity.life
+        )
         for listener in self.listeners:
             listener(update)
 
--- a/src/irisstand/membership/joining.py
+++ b/src/irisstand/membership/joining.py
@@ -12,13 +12,13 @@
 FIRST_PAUSE = 0.08
 
 
-class Joining:
+class Joiner:
     def __init__(
         self, detector: detecting.Detector, transport: peers.Transport, seeds: list[network.Address]
     ) -> None:
         self.detector, self.transport = detector, transport
         self.seeds: list[network.Address] = []
-        self.reseed(seeds)
+        self.set_seeds(seeds)
         transport.handlers["roster"] = self.on_roster
         self.joined = asyncio.Event()
 
@@ -39,11 +39,11 @@
             given += detector.roster.everything()
         digest = "" if whole else detector.roster.digest(detector.own_update())
         body = (digest, tuple(updates.encode(u) for u in given))
-        reply = await self.transport.ask(address, name, "roster", body, 2.0)
+        reply = await self.transport.call(address, name, "roster", body, 2.0)
         for parts in reply:
             detector.learn(updates.decode(parts))
 
-    def reseed(self, seeds: list[network.Address]) -> None:
+    def set_seeds(self, seeds: list[network.Address]) -> None:
         own = (self.detector.card.host, self.detector.card.port)
         self.seeds = [tuple(seed) for seed in seeds if tuple(seed) != own]
 
--- a/src/irisstand/modelcheck/events.py
+++ b/src/irisstand/modelcheck/events.py
@@ -93,7 +93,7 @@
         self.handlers: dict[str, typing.Any] = {}
         self.number = 0
 
-    async def ask(self, address: tuple, name: str, kind: str, body: tuple, patience: float) -> typing.Any:
+    async def call(self, address: tuple, name: str, kind: str, body: tuple, patience: float) -> typing.Any:
         """The patience is not counted: the scheduler chooses whether and when the asker gives up."""
         self.number += 1
         payload = codec.pack(("ask", 0, (kind, body)))
--- a/src/irisstand/modelcheck/node.py
+++ b/src/irisstand/modelcheck/node.py
@@ -64,11 +64,11 @@
         context.transport = self.transport
         self.core = cores.Core(context, self.disk)
         await self.core.open()
-        self.copy = context.copies[TABLE]
+        self.copy = context.replicas[TABLE]
         self.proposer = proposers.Proposer(self.core, TABLE)
         self.check = heartbeat.MajorityCheck(self.core, self.proposer)
         self.world.oracle.watch(self)
-        context.start(self.proposer.run(), "proposer")
+        context.start_task(self.proposer.run(), "proposer")
         self.is_open = True
 
     def crash(self) -> None:
--- a/src/irisstand/node_context.py
+++ b/src/irisstand/node_context.py
@@ -14,7 +14,7 @@
 from irisstand.transport import network, peers
 
 # Of the drain: for whatever cannot be finished, an answer that says so.
-LAST_MOMENT = 0.3
+FINAL_ANSWERS_SECONDS = 0.3
 
 
 class NodeContext:
@@ -31,7 +31,7 @@
         self.started_at = clock.now()
         self.counters = counting.Counters()
         held = items.TABLES if role == "agency" else items.CARRIED
-        self.copies = {name: replica.Replica(name) for name in held}
+        self.replicas = {name: replica.Replica(name) for name in held}
         card = updates.NodeInfo(
             role,
             settings.machine,
@@ -42,43 +42,43 @@
             settings.http_port,
         )
         self.detector = detecting.Detector(settings.name, card, clock, randomness, self.counters)
-        self.gauge = counting.Gauge(clock)
+        self.load_gauge = counting.LoadGauge(clock)
         self.transport = peers.Transport(net, self.counters, settings.name)
-        self.transport.own_life = lambda: self.detector.identity.life
+        self.transport.own_incarnation_id = lambda: self.detector.identity.life
         self.transport.handlers["gauge"] = self.on_gauge
         self.transport.handlers["tips"] = self.on_applied_versions
-        self.joining = joining.Joining(self.detector, self.transport, settings.seeds)
+        self.joiner = joining.Joiner(self.detector, self.transport, settings.seeds)
         # Leaving: readiness is off, but work is still taken. Draining: no new work either.
         # By table, the last moment at which most of its voters were found unable to confirm anything.
-        self.core_out_as_of: dict[str, float] = {}
-        self.leaving = False
-        self.draining = False
-        self.under_way = 0
+        self.quorum_lost_as_of: dict[str, float] = {}
+        self.is_lame_duck = False
+        self.is_draining = False
+        self.in_flight = 0
         # Asked during a drain: whether somebody may still send this node work on a connection that is open.
-        self.held: collections.abc.Callable[[], bool] = lambda: False
+        self.has_pending_work: collections.abc.Callable[[], bool] = lambda: False
         # Called at the very end, to let go of what would keep this process.
-        self.closers: list[collections.abc.Callable[[], None]] = []
+        self.close_callbacks: list[collections.abc.Callable[[], None]] = []
         # In order of starting: a set of tasks has an order of its own in every run.
         self.tasks: dict[asyncio.Task, None] = {}
         self.crashed: asyncio.Future | None = None
         # Done when the time for work under way is all but over: what still waits is to be answered now.
-        self.closing: asyncio.Future | None = None
+        self.drain_ending: asyncio.Future | None = None
 
     async def on_gauge(self, _: str, body: list) -> float:
-        return self.gauge.per_second()
+        return self.load_gauge.per_second()
 
     async def on_applied_versions(self, _: str, body: list) -> tuple:
         """The applied version of each table, and whether this node would answer by it at this moment."""
-        copies = self.copies.values()
+        copies = self.replicas.values()
         return tuple((copy.name, tuple(copy.applied), self.is_current(copy)) for copy in copies)
 
     @property
     def configuration(self) -> replica.Replica:
-        return self.copies[items.CONFIGURATION]
+        return self.replicas[items.CONFIGURATION]
 
     @property
     def ledger(self) -> replica.Replica:
-        return self.copies[items.LEDGER]
+        return self.replicas[items.LEDGER]
 
     def is_fresh(self, table: replica.Replica) -> bool:
         """Confirmed within the bound, as of a moment in this life of the process.
@@ -90,9 +90,9 @@
             return False
         return age <= self.settings.freshness_bound
 
-    def is_core_out(self, table: replica.Replica) -> bool:
+    def is_quorum_lost(self, table: replica.Replica) -> bool:
         """Whether the voters were found unable to confirm anything, and that within the freshness bound."""
-        as_of = self.core_out_as_of.get(table.name)
+        as_of = self.quorum_lost_as_of.get(table.name)
         return as_of is not None and self.clock.now() - as_of <= self.settings.freshness_bound
 
     def is_current(self, table: replica.Replica) -> bool:
@@ -104,21 +104,21 @@
             return False
         age = table.age(self.clock.now())
         longest = self.settings.freshness_bound + self.settings.outage_bound
-        return self.is_core_out(table) and age is not None and age <= longest
+        return self.is_quorum_lost(table) and age is not None and age <= longest
 
     def check_current(self) -> None:
         """StaleConfiguration if any table is not known to be current here."""
-        for copy in self.copies.values():
+        for copy in self.replicas.values():
             if not self.is_current(copy):
                 raise errors.StaleConfigurationError(f"the {copy.name} table is not known to be current here")
 
     def is_evacuated(self, site: str) -> bool:
         return self.ledger.value(f"evacuated/{site}") is not None
 
-    def is_resting(self, machine: str) -> bool:
+    def is_standby(self, machine: str) -> bool:
         return self.ledger.value(f"rest/{machine}") is not None
 
-    def regions(self) -> dict[str, str]:
+    def region_by_site(self) -> dict[str, str]:
         """Regions by site, as the members' cards tell them."""
         cards = [update.card for update in self.detector.roster.members.values()]
         told = {card.site: card.region for card in cards}
@@ -128,32 +128,32 @@
             **node_settings.pairs(self.settings.region_by_site),
         }
 
-    def peers(self, role: str) -> list[updates.Update]:
+    def members_of(self, role: str) -> list[updates.Update]:
         """Members of a role not declared failed, this node left out; those not suspected come first."""
         found = [update for update in self.detector.roster.members.values() if update.card.role == role]
         return sorted(found, key=lambda update: (update.state, update.identity))
 
     @contextlib.contextmanager
-    def working(self) -> collections.abc.Iterator[None]:
+    def count_in_flight(self) -> collections.abc.Iterator[None]:
         """Work that somebody waits for: a drain lasts until none is under way."""
-        self.under_way += 1
+        self.in_flight += 1
         try:
             yield
         finally:
-            self.under_way -= 1
+            self.in_flight -= 1
 
     # -- tasks ---------------------------------------------------------------------------------------
-    def start(self, coroutine: collections.abc.Coroutine, name: str) -> asyncio.Task:
+    def start_task(self, coroutine: collections.abc.Coroutine, name: str) -> asyncio.Task:
         """Run a controller for as long as the process lives; its crash is the process's crash."""
         task = asyncio.get_running_loop().create_task(coroutine, name=name)
         self.tasks[task] = None
-        task.add_done_callback(self.ended)
+        task.add_done_callback(self.on_task_done)
         return task
 
-    def ended(self, task: asyncio.Task) -> None:
+    def on_task_done(self, task: asyncio.Task) -> None:
         self.tasks.pop(task, None)
         if not task.cancelled() and task.exception() is not None:
-            event_log.note("crash", task=task.get_name(), error=repr(task.exception()))
+            event_log.record("crash", task=task.get_name(), error=repr(task.exception()))
             if self.crashed is not None and not self.crashed.done():
                 self.crashed.set_exception(task.exception())
 
@@ -161,14 +161,14 @@
         """Ports first, then membership: a node that nobody can reach has no business being listed."""
         address = (self.settings.host, self.settings.port)
         self.crashed = asyncio.get_running_loop().create_future()
-        self.closing = asyncio.get_running_loop().create_future()
+        self.drain_ending = asyncio.get_running_loop().create_future()
         await self.transport.open(address)
         self.detector.port = await self.net.datagrams(address, self.detector.on_datagram)
-        self.start(self.detector.run(), "detector")
-        self.start(self.joining.run(), "joining")
+        self.start_task(self.detector.run(), "detector")
+        self.start_task(self.joiner.run(), "joining")
 
     async def close(self) -> None:
-        for closer in self.closers:
+        for closer in self.close_callbacks:
             closer()
         for task in list(self.tasks):
             task.cancel()
@@ -180,11 +180,11 @@
 
     async def drain(self) -> None:
         """No new work; what is under way gets its time; then goodbye."""
-        self.draining = True
+        self.is_draining = True
         end = self.clock.now() + self.settings.drain
-        while (self.held() or self.under_way) and self.clock.now() < end:
-            if self.clock.now() >= end - LAST_MOMENT and not self.closing.done():
-                self.closing.set_result(None)
+        while (self.has_pending_work() or self.in_flight) and self.clock.now() < end:
+            if self.clock.now() >= end - FINAL_ANSWERS_SECONDS and not self.drain_ending.done():
+                self.drain_ending.set_result(None)
             await asyncio.sleep(0.02)
         self.detector.leave()
         # One moment for the goodbye to get out of the socket buffers.
@@ -194,7 +194,7 @@
         now = self.clock.now()
         copies = {
             name: {"tip": str(copy.applied), "age": copy.age(now), "rows": len(copy.items)}
-            for name, copy in self.copies.items()
+            for name, copy in self.replicas.items()
         }
         return {
             "name": self.settings.name,
@@ -202,8 +202,8 @@
             "machine": self.settings.machine,
             "site": self.settings.site,
             "life": self.detector.identity.life,
-            "draining": self.draining,
-            "under_way": self.under_way,
+            "draining": self.is_draining,
+            "under_way": self.in_flight,
             "tables": copies,
             "members": len(self.detector.roster.members) + 1,
         }
--- a/src/irisstand/process_runner.py
+++ b/src/irisstand/process_runner.py
@@ -15,12 +15,12 @@
 from irisstand import errors, event_log, node_context, node_settings, settings_reload
 
 # Seconds that the last steps of a planned end may take beyond the farewell and the drain.
-END_MARGIN = 0.35
+END_MARGIN_SECONDS = 0.35
 
 Opened = tuple[node_context.NodeContext, collections.abc.Callable[[], collections.abc.Awaitable[None]]]
 Reread = collections.abc.Callable[[], node_settings.Settings]
 Assemble = collections.abc.Callable[
-    [node_settings.Settings, event_log.Ring], collections.abc.Awaitable[Opened]
+    [node_settings.Settings, event_log.EventLog], collections.abc.Awaitable[Opened]
 ]
 
 
@@ -58,12 +58,12 @@
 
 
 def run(settings: node_settings.Settings, assemble: Assemble, read_again: Reread | None = None) -> int:
-    log_ring = event_log.Ring()
+    log_ring = event_log.EventLog()
     log_ring.attach()
     try:
         return uvloop.run(serve(settings, assemble, log_ring, read_again))
     except Exception as error:
-        event_log.note("crash", error=repr(error))
+        event_log.record("crash", error=repr(error))
         log_ring.write_out(f"crash: {error!r}")
         return 1
 
@@ -73,7 +73,7 @@
 
     By then nothing is answered any more, and to the disk it is the same as a kill, which it withstands.
     """
-    allowed = settings.farewell + settings.drain + END_MARGIN
+    allowed = settings.farewell + settings.drain + END_MARGIN_SECONDS
     timer = threading.Timer(allowed, os._exit, (0,))
     timer.daemon = True
     timer.start()
@@ -82,7 +82,7 @@
 async def serve(
     settings: node_settings.Settings,
     assemble: Assemble,
-    log_ring: event_log.Ring,
+    log_ring: event_log.EventLog,
     read_again: Reread | None = None,
 ) -> int:
     stop, again = asyncio.Event(), asyncio.Event()
@@ -99,7 +99,7 @@
         print(f"irisstand: {error.code}: {error}; {error.remedy}", file=sys.stderr)
         return 2
     if read_again is not None:
-        context.start(settings_reload.follow(context, again, read_again), "settings")
+        context.start_task(settings_reload.follow(context, again, read_again), "settings")
     waiting = loop.create_task(stop.wait())
     await asyncio.wait([waiting, context.crashed], return_when=asyncio.FIRST_COMPLETED)
     if context.crashed.done():
@@ -111,7 +111,7 @@
         return 1
     # Balancers and peers first learn that this node leaves; until then it serves as before. A listener
     # closed at once would reset connections that were made but not yet taken up.
-    context.leaving = True
+    context.is_lame_duck = True
     bound_end(context.settings)
     await asyncio.sleep(context.settings.farewell)
     await stop_listening()
--- a/src/irisstand/settings_reload.py
+++ b/src/irisstand/settings_reload.py
@@ -8,7 +8,7 @@
 from irisstand import errors, event_log, node_context, node_settings
 
 # The file may change without a signal; seeds are needed only when all peers are gone.
-LOOK_AGAIN = 10.0
+RECHECK_INTERVAL_SECONDS = 10.0
 
 
 def take_up(context: node_context.NodeContext, settings: node_settings.Settings) -> list[str]:
@@ -18,9 +18,9 @@
         name for name in node_settings.Settings._fields if getattr(old, name) != getattr(settings, name)
     ]
     if "seeds" in changed:
-        context.joining.reseed(settings.seeds)
+        context.joiner.set_seeds(settings.seeds)
         context.settings = old._replace(seeds=settings.seeds)
-        event_log.note("settings", seeds=[list(seed) for seed in settings.seeds])
+        event_log.record("settings", seeds=[list(seed) for seed in settings.seeds])
     # Whether it may found concerns only the next start.
     return [name for name in changed if name not in ("seeds", "may_found")]
 
@@ -35,7 +35,7 @@
     told: list[str] = []
     while True:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LOOK_AGAIN):
+            async with asyncio.timeout(RECHECK_INTERVAL_SECONDS):
                 await signalled.wait()
         is_asked = signalled.is_set()
         signalled.clear()
--- a/src/irisstand/simulator/hostile_scripts.py
+++ b/src/irisstand/simulator/hostile_scripts.py
@@ -38,7 +38,7 @@
         self.writes: set[str] = set()
         clock = clocks.LoopClock()
         self.context = node_context.NodeContext(SETTINGS, "direct", clock, self.randomness, None)
-        self.context.closing = asyncio.get_running_loop().create_future()
+        self.context.drain_ending = asyncio.get_running_loop().create_future()
         self.part = direct.Direct(self.context, snapshot.Views(self.context), self.connect)
         self.counter = 0
         for name, kind in KINDS.items():
@@ -50,11 +50,11 @@
         for key in "ab":
             row = {"service": "s", "host": key, "port": 80, "site": "north", "state": "ready"}
             self.put(items.LEDGER, f"origin/{key}", {**row, "warmup": 0, "slots": 2})
-        for copy in self.context.copies.values():
+        for copy in self.context.replicas.values():
             copy.confirm_current(clock.now() + 1e6)
 
     def put(self, table: str, key: str, value: dict) -> None:
-        copy = self.context.copies[table]
+        copy = self.context.replicas[table]
         self.counter += 1
         copy.put(items.Item(key, versions.Version(self.counter, "n"), value))
         copy.applied = versions.Version(self.counter, "n")
--- a/src/irisstand/simulator/invariants.py
+++ b/src/irisstand/simulator/invariants.py
@@ -132,7 +132,7 @@
         for name, node in self.world.nodes.items():
             if not node.is_up or node.body is None:
                 continue
-            for table, copy in node.body.context.copies.items():
+            for table, copy in node.body.context.replicas.items():
                 if node.body.context.is_current(copy):
                     before = self.applied_versions.get((name, table), versions.NONE)
                     rule = "no node that serves slips back to an older table"
@@ -155,7 +155,7 @@
     def look_at_shares(self, name: str, node: typing.Any, used: dict[str, list[tuple]]) -> None:
         """What each shield would let through, if it were asked at this moment."""
         context = node.body.context
-        if node.plan.role != "shield" or not all(map(context.is_current, context.copies.values())):
+        if node.plan.role != "shield" or not all(map(context.is_current, context.replicas.values())):
             return
         for item in node.body.context.configuration.under("service/"):
             ceiling = item.value["ceiling"]
@@ -183,7 +183,7 @@
             self.judge.check(rule, context.configuration.value("path//never-in-force") is None, name)
         for table in items.TABLES:
             # Terms are renewed all the time, so copies are compared with those at the same applied version.
-            copies = [context.copies[table] for context in contexts.values() if table in context.copies]
+            copies = [context.replicas[table] for context in contexts.values() if table in context.replicas]
             kinds = {(copy.applied, copy.root()) for copy in copies}
             alike = len(kinds) == len({applied for applied, _ in kinds})
             self.judge.check("all copies come out alike", alike, f"{table}: {kinds}")
--- a/src/irisstand/simulator/rest_judge.py
+++ b/src/irisstand/simulator/rest_judge.py
@@ -47,7 +47,7 @@
                 row = configuration.value(f"shield/{node.plan.machine}") or {}
                 limit = row.get("limit", fleet_view.DEFAULT_CAPACITY_BY_ROLE[role])
                 awake.append(standby_planning.Machine(node.plan.machine, node.plan.site, limit, False))
-        load = sum(node.body.context.gauge.per_second() for node in nodes)
+        load = sum(node.body.context.load_gauge.per_second() for node in nodes)
         short = standby_planning.carries(awake, load)
         # By the row itself: a machine that comes back may find an older rest of its own still recorded.
         recorded = {(name, ledger.version(f"rest/{name}")) for name in resting}
--- a/src/irisstand/simulator/simulated_actors.py
+++ b/src/irisstand/simulator/simulated_actors.py
@@ -79,7 +79,7 @@
         order = orders.Order(kind, change or f"change-{self.number}", payload)
         node = self.world.nodes[name]
         # As its operators' page says it, or the closed listener behind it.
-        if node.body.context.draining:
+        if node.body.context.is_draining:
             raise errors.DrainingError(f"{name} is shutting down")
         actor = node.actor
         actor.asks += 1
@@ -93,7 +93,7 @@
         """(status, code, result): what a client sees; status 0 if nothing came back."""
         node = self.world.nodes[edge]
         # The listener of an edge that drains is closed.
-        if not node.is_up or node.body.context.draining:
+        if not node.is_up or node.body.context.is_draining:
             return 0, "no-answer", None
         given = {name.replace("_", "-"): value for name, value in headers.items()}
         request = edges.Request(method, path, "", given, body)
--- a/src/irisstand/simulator/world.py
+++ b/src/irisstand/simulator/world.py
@@ -90,7 +90,7 @@
     async def stop(self) -> None:
         """As SIGTERM does it."""
         context = self.body.context
-        context.leaving = True
+        context.is_lame_duck = True
         await self.actor.start(asyncio.sleep(context.settings.farewell))
         await self.actor.start(context.drain())
         # Whoever still waits for an answer now will never get it.
@@ -193,7 +193,7 @@
                 now = asyncio.get_running_loop().time()
                 copies = {
                     table: (str(copy.applied), copy.age(now))
-                    for table, copy in node.body.context.copies.items()
+                    for table, copy in node.body.context.replicas.items()
                 }
                 records = getattr(getattr(node.body, "core", None), "vault", None)
                 found.append(f"{name} {copies} {records.records if records else ''}")
@@ -211,7 +211,7 @@
 
     def is_ready(self, node: Node) -> bool:
         context = node.body.context
-        return node.is_up and all(context.is_current(copy) for copy in context.copies.values())
+        return node.is_up and all(context.is_current(copy) for copy in context.replicas.values())
 
     async def until_ready(self, patience: float = 20.0) -> float:
         """Until every node that is up is fit to serve."""
--- a/src/irisstand/state/replication/chunk_transfer.py
+++ b/src/irisstand/state/replication/chunk_transfer.py
@@ -56,7 +56,7 @@
         self.kept: dict[tuple[str, Cursor], Part] = {}
         self.kept_of: dict[str, versions.Version] = {}
         context.transport.handlers["part"] = self.on_part
-        for copy in context.copies.values():
+        for copy in context.replicas.values():
             copy.watchers.append(self.drop_outdated)
 
     # -- answering -----------------------------------------------------------------------------------
@@ -65,7 +65,7 @@
         forgotten.
         """
         name, base_parts, (version_parts, key) = body
-        copy, base = self.context.copies[name], versions.decode(base_parts)
+        copy, base = self.context.replicas[name], versions.decode(base_parts)
         cursor = Cursor(versions.decode(version_parts), str(key))
         if copy.applied < max(base, cursor.version):
             raise errors.StaleConfigurationError(f"the {name} table is older here than the asker's")
@@ -89,7 +89,7 @@
     def drop_outdated(self) -> None:
         """Rows above a version that the copy has left by another way are of no use."""
         for name, staged in list(self.staged.items()):
-            if staged.base != self.context.copies[name].applied:
+            if staged.base != self.context.replicas[name].applied:
                 del self.staged[name]
 
     async def carry(self, address: network.Address, name: str, copy: replica.Replica) -> bool:
@@ -99,7 +99,7 @@
             sent = self.context.clock.now()
             cursor = (tuple(staged.cursor.version), staged.cursor.key)
             body = (copy.name, tuple(staged.base), cursor)
-            reply = await self.context.transport.ask(address, name, "part", body, PATIENCE)
+            reply = await self.context.transport.call(address, name, "part", body, PATIENCE)
             if copy.applied != staged.base:
                 # It moved on by another way, and the next round asks from where it stands.
                 return True
--- a/src/irisstand/state/replication/quorum_loss.py
+++ b/src/irisstand/state/replication/quorum_loss.py
@@ -26,7 +26,7 @@
 
     async def run(self) -> None:
         while True:
-            doubtful = [copy for copy in self.context.copies.values() if self.is_doubtful(copy)]
+            doubtful = [copy for copy in self.context.replicas.values() if self.is_doubtful(copy)]
             await asyncio.gather(*(self.probe(copy) for copy in doubtful))
             await asyncio.sleep(PAUSE)
 
@@ -52,14 +52,14 @@
             for task in left:
                 task.cancel()
         if quorum.is_majority(voters, unable):
-            self.context.core_out_as_of[copy.name] = started
+            self.context.quorum_lost_as_of[copy.name] = started
             self.context.counters.add("core_found_out", table=copy.name)
 
     async def cannot_confirm(self, voter: quorum.Voter, copy: replica.Replica) -> bool:
         address, transport = (voter.host, voter.port), self.context.transport
         try:
-            told = await transport.ask(address, voter.name, "tips", (), PATIENCE)
-            stand = await transport.ask(address, voter.name, "stand", (copy.name,), PATIENCE)
+            told = await transport.call(address, voter.name, "tips", (), PATIENCE)
+            stand = await transport.call(address, voter.name, "stand", (copy.name,), PATIENCE)
             return self.is_without_majority(voter, copy, told, stand)
         except errors.NotSentError:
             return await self.is_refused(voter)
--- a/src/irisstand/state/replication/refresher.py
+++ b/src/irisstand/state/replication/refresher.py
@@ -79,13 +79,13 @@
     async def run(self) -> None:
         context = self.context
         if context.settings.outage_bound:
-            context.start(quorum_loss.OutageWatch(context).run(), "outage watch")
+            context.start_task(quorum_loss.OutageWatch(context).run(), "outage watch")
         while True:
             started = context.clock.now()
             await self.refresh()
             interval = context.settings.freshness_interval
             # A node that cannot serve yet asks at once again: the core may be back at this moment.
-            if not all(map(context.is_fresh, context.copies.values())):
+            if not all(map(context.is_fresh, context.replicas.values())):
                 interval = min(interval, STARTING)
             pause = interval - (context.clock.now() - started)
             await asyncio.sleep(max(0.01, pause))
--- a/src/irisstand/state/replication/replicator.py
+++ b/src/irisstand/state/replication/replicator.py
@@ -36,7 +36,7 @@
         now = self.context.clock.now()
         replies = []
         for name, applied_parts, root in body:
-            copy, applied = self.context.copies[name], versions.decode(applied_parts)
+            copy, applied = self.context.replicas[name], versions.decode(applied_parts)
             own_root = copy.root()
             told = ("same",)
             # An asker that is ahead is not sent anything: it would have to throw it away.
@@ -58,7 +58,7 @@
     async def on_ranges(self, _: str, body: list) -> tuple:
         """Items of ranges whose digests differ from the asker's, as many as fit."""
         name, digests = body
-        copy = self.context.copies[name]
+        copy = self.context.replicas[name]
         if len(digests) != replica.RANGES:
             raise ValueError("another number of ranges")
         own = copy.digests()
@@ -78,11 +78,11 @@
     async def pull(self, address: network.Address, name: str, tables_asked: tuple = ()) -> bool:
         """One question for all tables. True if every one is now known to be current well within the bound."""
         context = self.context
-        copies = [context.copies[table] for table in tables_asked or context.copies]
+        copies = [context.replicas[table] for table in tables_asked or context.replicas]
         asked = tuple((copy.name, tuple(copy.applied), copy.root()) for copy in copies)
         # The age counts from here: whatever changed after the question was sent is not confirmed for.
         sent = context.clock.now()
-        replies = await context.transport.ask(address, name, "after", asked, PATIENCE)
+        replies = await context.transport.call(address, name, "after", asked, PATIENCE)
         all_current = True
         for copy, question, (applied_parts, age, root, told) in zip(copies, asked, replies, strict=True):
             applied = versions.decode(applied_parts)
@@ -129,7 +129,7 @@
         for _ in range(PARTS_LIMIT):
             sent = self.context.clock.now()
             body = (copy.name, aside.digests())
-            applied_parts, age, root, parts = await self.context.transport.ask(
+            applied_parts, age, root, parts = await self.context.transport.call(
                 address, name, "ranges", body, PATIENCE
             )
             ranges = {int(number): [items.decode(one) for one in held] for number, held in parts}
--- a/src/irisstand/state/storage/durable_store.py
+++ b/src/irisstand/state/storage/durable_store.py
@@ -75,7 +75,7 @@
     async def open(self) -> None:
         files, torn = await self.disk.load()
         if torn:
-            event_log.note("torn-files", names=torn)
+            event_log.record("torn-files", names=torn)
         # Put aside by a start that power was lost in, before this disk had a new id to show for it.
         torn = [*torn, *self.disk.put_aside]
         damaged = "vault" in torn
--- a/src/irisstand/transport/codec.py
+++ b/src/irisstand/transport/codec.py
@@ -22,37 +22,37 @@
     """The first message of each end. A version before this one tells no life."""
 
     name: str
-    life: str = ""
+    incarnation_id: str = ""
 
 
-class Ask(typing.NamedTuple):
+class Request(typing.NamedTuple):
     """`life` is the receiver's, by its hello: empty where that told none."""
 
     number: int
     kind: str
     body: typing.Any
-    life: str = ""
+    incarnation_id: str = ""
 
 
-class Result(typing.NamedTuple):
+class Response(typing.NamedTuple):
     number: int
     body: typing.Any
 
 
-class Fault(typing.NamedTuple):
+class ErrorResponse(typing.NamedTuple):
     """`parts` as errors.IrisError.as_tuple gives them."""
 
     number: int
     parts: tuple
 
 
-class Withdraw(typing.NamedTuple):
+class Cancel(typing.NamedTuple):
     """The asker of that number has gone: what is still queued for it is dropped."""
 
     number: int
 
 
-Message = Hello | Ask | Result | Fault | Withdraw
+Message = Hello | Request | Response | ErrorResponse | Cancel
 
 
 def encode(message: Message) -> bytes:
@@ -62,13 +62,13 @@
     """
     if isinstance(message, Hello):
         return pack(("hello", 0, tuple(message)))
-    if isinstance(message, Ask):
+    if isinstance(message, Request):
         # A receiver of the version before, which told no life, knows no third part.
-        told = (message.life,) if message.life else ()
+        told = (message.incarnation_id,) if message.incarnation_id else ()
         return pack(("ask", message.number, (message.kind, message.body, *told)))
-    if isinstance(message, Result):
+    if isinstance(message, Response):
         return pack(("result", message.number, message.body))
-    if isinstance(message, Fault):
+    if isinstance(message, ErrorResponse):
         return pack(("fault", message.number, message.parts))
     return pack(("withdraw", message.number, ()))
 
@@ -83,14 +83,14 @@
             return Hello(*map(str, body[:2]))
         if kind == "ask":
             asked, inner, *life = body
-            return Ask(number, str(asked), inner, str(life[0]) if life else "")
+            return Request(number, str(asked), inner, str(life[0]) if life else "")
         if kind == "result":
-            return Result(number, body)
+            return Response(number, body)
         if kind == "fault":
             code, text, remedy, retry_after = body
-            return Fault(number, (str(code), str(text), str(remedy), float(retry_after)))
+            return ErrorResponse(number, (str(code), str(text), str(remedy), float(retry_after)))
         if kind == "withdraw":
-            return Withdraw(number)
+            return Cancel(number)
     except (ValueError, TypeError, IndexError) as error:
         raise errors.MalformedFrameError(f"not a whole message: {type(error).__name__}") from None
     raise errors.MalformedFrameError(f"{kind} is no kind of message")
--- a/src/irisstand/web.py
+++ b/src/irisstand/web.py
@@ -12,8 +12,8 @@
 
 from irisstand import errors, event_log, node_context
 
-BODY_LIMIT = 4 * 1024 * 1024
-OPENING_LIMIT = 30.0
+BODY_LIMIT_BYTES = 4 * 1024 * 1024
+OPENING_LIMIT_SECONDS = 30.0
 
 
 def as_json(
@@ -35,7 +35,7 @@
 class Web:
     """`ready` tells whether this node should be sent work."""
 
-    def __init__(self, context: node_context.NodeContext, log_ring: event_log.Ring) -> None:
+    def __init__(self, context: node_context.NodeContext, log_ring: event_log.EventLog) -> None:
         self.context, self.ring = context, log_ring
         name = "irisstand_" + "".join(letter if letter.isalnum() else "_" for letter in context.settings.name)
         self.app = sanic.Sanic(name, configure_logging=False)
@@ -43,7 +43,7 @@
             {
                 "MOTD": False,
                 "ACCESS_LOG": False,
-                "REQUEST_MAX_SIZE": BODY_LIMIT,
+                "REQUEST_MAX_SIZE": BODY_LIMIT_BYTES,
                 "KEEP_ALIVE_TIMEOUT": 30,
                 "RESPONSE_TIMEOUT": 70,
                 "REQUEST_TIMEOUT": 30,
@@ -53,7 +53,7 @@
         )
         self.server: typing.Any = None
         self.connections: set = set()
-        context.closers.append(self.abort_connections)
+        context.close_callbacks.append(self.abort_connections)
         self.app.error_handler.add(Exception, self.on_error)
         self.app.add_route(self.live, "/_irisstand/live", methods=["GET"])
         self.app.add_route(self.ready, "/_irisstand/ready", methods=["GET"])
@@ -74,12 +74,12 @@
     async def open_when_current(self) -> None:
         """An edge just started would only turn clients away: it listens once it can answer them."""
         clock, started = self.context.clock, self.context.clock.now()
-        while not all(map(self.context.is_current, self.context.copies.values())):
+        while not all(map(self.context.is_current, self.context.replicas.values())):
             # A core that is away for long is no reason to be unreachable: people need to see why.
-            if clock.now() - started > OPENING_LIMIT:
+            if clock.now() - started > OPENING_LIMIT_SECONDS:
                 break
             await asyncio.sleep(0.02)
-        if not self.context.leaving:
+        if not self.context.is_lame_duck:
             try:
                 await self.open()
             except OSError as error:
@@ -100,7 +100,7 @@
         self, request: sanic.request.Request, response: sanic.response.BaseHTTPResponse
     ) -> None:
         # A kept connection would bring more work to a node that is leaving.
-        if self.context.leaving or self.context.draining:
+        if self.context.is_lame_duck or self.context.is_draining:
             response.headers["Connection"] = "close"
 
     def on_error(self, request: sanic.request.Request, error: Exception) -> sanic.response.HTTPResponse:
@@ -115,21 +115,21 @@
             headers = {"Retry-After": "1"} if status in (502, 503, 504) else None
             content = {"code": f"http-{status}", "message": str(error), "remedy": remedy}
             return as_json(content, status, headers)
-        event_log.note("crash", error=repr(error))
+        event_log.record("crash", error=repr(error))
         self.ring.write_out(f"error in a request: {error!r}")
         return as_fault(errors.IrisError("an error of this node's own"))
 
     def is_ready(self) -> tuple[bool, str]:
-        if self.context.leaving or self.context.draining:
+        if self.context.is_lame_duck or self.context.is_draining:
             return False, "draining"
-        for copy in self.context.copies.values():
+        for copy in self.context.replicas.values():
             if not self.context.is_current(copy):
                 return False, f"the {copy.name} table is not known to be current"
         settings = self.context.settings
         # The core works on wherever it is; only clients' work is kept away.
         if self.context.role == "edge" and self.context.is_evacuated(settings.site):
             return False, f"site {settings.site} is evacuated"
-        if self.context.role == "edge" and self.context.is_resting(settings.machine):
+        if self.context.role == "edge" and self.context.is_standby(settings.machine):
             return False, f"machine {settings.machine} rests"
         return True, "ready"
 
--- a/tests/controlplane/test_bootstrap.py
+++ b/tests/controlplane/test_bootstrap.py
@@ -29,7 +29,7 @@
 def voters(world, table=items.CONFIGURATION):
     """The voters in force, as the newest copy of a living core node has them."""
     cores = [node for node in world.role("agency") if node.is_up]
-    newest = max((node.body.context.copies[table] for node in cores), key=lambda copy: copy.applied)
+    newest = max((node.body.context.replicas[table] for node in cores), key=lambda copy: copy.applied)
     return quorum.decode(newest.value(items.VOTERS))
 
 
@@ -48,7 +48,7 @@
         async def look():
             while True:
                 for node in world.role("agency"):
-                    known = quorum.decode(node.body.context.copies[items.CONFIGURATION].value(items.VOTERS))
+                    known = quorum.decode(node.body.context.replicas[items.CONFIGURATION].value(items.VOTERS))
                     if known and not quorum.outlives_any_site(known):
                         worst.append(known)
                 await asyncio.sleep(0.01)
@@ -71,7 +71,7 @@
             await node.start()
         await asyncio.sleep(20)
         for node in world.role("agency"):
-            assert node.body.context.copies[items.CONFIGURATION].applied == versions.NONE
+            assert node.body.context.replicas[items.CONFIGURATION].applied == versions.NONE
 
     play(scene)
 
@@ -166,7 +166,7 @@
         edge.freeze()
         await asyncio.sleep(4)
         edge.thaw()
-        assert not any(map(edge.body.context.is_core_out, edge.body.context.copies.values()))
+        assert not any(map(edge.body.context.is_quorum_lost, edge.body.context.replicas.values()))
         await world.until(lambda: world.is_ready(edge), 1)
 
     play(scene, outage_bound=5.0)
--- a/tests/controlplane/test_idempotent_changes_racing.py
+++ b/tests/controlplane/test_idempotent_changes_racing.py
@@ -187,14 +187,14 @@
     async def scene(day):
         await amend(day, "agency-1", upstream(1, 1))
         transport = cluster.context(day, "agency-3").transport
-        ask = transport.ask
+        ask = transport.call
 
         async def misread(address, name, word, body, patience):
             if word == "order":
                 raise kind("no handler for order")
             return await ask(address, name, word, body, patience)
 
-        monkeypatch.setattr(transport, "ask", misread)
+        monkeypatch.setattr(transport, "call", misread)
         with pytest.raises(errors.ChangeOutcomeUnknownError):
             await amend(day, "agency-3", upstream(2, 2))
         monkeypatch.undo()
--- a/tests/controlplane/test_placement.py
+++ b/tests/controlplane/test_placement.py
@@ -117,7 +117,7 @@
         await asyncio.sleep(2)
         counts = collections.Counter()
         before = {o.instance: len(o.started) for o in day.stage.origins}
-        shields = {n: cluster.context(day, n).gauge for n in day.world.nodes if n.startswith("shield")}
+        shields = {n: cluster.context(day, n).load_gauge for n in day.world.nodes if n.startswith("shield")}
         for gauge in shields.values():
             gauge.moments.clear()
         for number in range(60):
--- a/tests/controlplane/test_retention.py
+++ b/tests/controlplane/test_retention.py
@@ -171,7 +171,7 @@
         ask = ("POST", "/applications", body)
         assert (await day.stage.ask("edge-1", *ask, idempotency_key="once"))[0] == 200
         await asyncio.sleep(40)
-        before = cluster.context(day, "agency-1").copies[items.CLAIMS].value(items.TIME)["seconds"]
+        before = cluster.context(day, "agency-1").replicas[items.CLAIMS].value(items.TIME)["seconds"]
         assert 15 <= before <= 50
         for node in day.world.nodes.values():
             node.kill(reset=False)
@@ -180,7 +180,7 @@
             await node.start()
         await day.world.until_ready()
         await asyncio.sleep(40)
-        after = cluster.context(day, "agency-1").copies[items.CLAIMS].value(items.TIME)["seconds"]
+        after = cluster.context(day, "agency-1").replicas[items.CLAIMS].value(items.TIME)["seconds"]
         # Hours in the dark are not counted: nobody could have asked again meanwhile.
         assert before < after < before + 45
         status, _, result = await day.stage.ask("edge-2", *ask, idempotency_key="once")
--- a/tests/controlplane/test_voter_target.py
+++ b/tests/controlplane/test_voter_target.py
@@ -41,7 +41,7 @@
         await world.until(lambda: is_whole(world), BUILT)
         await asyncio.sleep(2)
         node = world.nodes[voters(world)[0].name]
-        copy = node.body.context.copies[items.CLAIMS]
+        copy = node.body.context.replicas[items.CLAIMS]
         fewer = tuple(tuple(voter) for voter in {voter.site: voter for voter in voters(world)}.values())
         payload = (str(copy.version(items.VOTERS)), fewer)
         await node.do(node.body.submitter.submit(orders.Order("voters-claims", "", payload)), 3)
@@ -55,7 +55,7 @@
     async def scene(world):
         await world.until(lambda: is_whole(world), BUILT)
         node = world.nodes[voters(world)[0].name]
-        version = str(node.body.context.copies[items.LEDGER].version(items.VOTERS))
+        version = str(node.body.context.replicas[items.LEDGER].version(items.VOTERS))
         in_force = [tuple(voter) for voter in voters(world)]
         one_zone = [voter for voter in in_force if voter[2] == "a"]
         for payload, kind in (
--- a/tests/dataplane/test_direct_edge.py
+++ b/tests/dataplane/test_direct_edge.py
@@ -151,7 +151,7 @@
 
 def test_stale_tables_serve_nothing():
     async def scene(stage):
-        for copy in stage.context.copies.values():
+        for copy in stage.context.replicas.values():
             copy.current_as_of = stage.context.clock.now() - 1.6
         await stage.ask("/reads/1")
 
--- a/tests/dataplane/test_listener.py
+++ b/tests/dataplane/test_listener.py
@@ -123,7 +123,7 @@
             await asyncio.sleep(moment)
             writer.transport.abort()
         await asyncio.sleep(0.3)
-        return faults, face.context.crashed.done(), face.context.under_way
+        return faults, face.context.crashed.done(), face.context.in_flight
 
     assert play(scene, slow) == ([], False, 0)
 
--- a/tests/dataplane/test_object_holders.py
+++ b/tests/dataplane/test_object_holders.py
@@ -29,7 +29,7 @@
                 if other is not node:
                     settings = other.context.settings
                     node.member(settings.name, settings.role, settings.site, settings.region)
-            node.context.transport.ask = self.asker(name)
+            node.context.transport.call = self.asker(name)
 
     def asker(self, sender):
         async def ask(address, name, kind, body, patience, life=""):
@@ -184,7 +184,7 @@
 
 def test_a_draining_holder_takes_nothing_more():
     async def scene(site):
-        site.nodes["holder-1"].context.draining = True
+        site.nodes["holder-1"].context.is_draining = True
         assert (await site.nodes["edge-1"].ask("/objects/1")).status == 200
         return site.sent()
 
--- a/tests/dataplane/test_popularity.py
+++ b/tests/dataplane/test_popularity.py
@@ -9,7 +9,7 @@
 
 async def shares_of(day, path, rate, seconds):
     """How many fetches of the path each shield got, by the counters of the shields themselves."""
-    gauges = {node.plan.name: node.body.context.gauge for node in day.world.role("shield")}
+    gauges = {node.plan.name: node.body.context.load_gauge for node in day.world.role("shield")}
     counts = collections.Counter()
     for gauge in gauges.values():
         gauge.window = 1000.0
--- a/tests/dataplane/test_token_leases.py
+++ b/tests/dataplane/test_token_leases.py
@@ -54,7 +54,7 @@
             if settings.name != name:
                 fresh.member(settings.name, settings.role, settings.site, settings.region)
         self.nodes[name] = fresh
-        fresh.context.transport.ask = self.asker(name)
+        fresh.context.transport.call = self.asker(name)
         self.furnish(fresh)
 
     def forget(self, name, other):
--- a/tests/mutation/consensus_mutations.py
+++ b/tests/mutation/consensus_mutations.py
@@ -22,13 +22,13 @@
     ),
     (
         "controlplane/singletons/lease.py",
-        "                if self.context.leaving and self.fencing_token:",
+        "                if self.context.is_lame_duck and self.fencing_token:",
         "                if False:",
         "controlplane/test_graceful_shutdown.py::test_a_holder_that_goes_in_order_lays_its_duty_down_at_once",
     ),
     (
         "controlplane/consensus/submitter.py",
-        "        with self.context.working():\n            task =",
+        "        with self.context.count_in_flight():\n            task =",
         "        if True:\n            task =",
         "controlplane/test_graceful_shutdown.py::test_a_change_under_way_is_finished_before_its_node_goes",
     ),
@@ -106,7 +106,7 @@
     ),
     (
         "controlplane/consensus/voter_planner.py",
-        "            self.context.held = self.is_handing_over",
+        "            self.context.has_pending_work = self.is_handing_over",
         "            pass",
         "controlplane/test_voter_sets.py::test_after_a_planned_replacement_the_power_of_all_others_may_go",
     ),
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -208,7 +208,7 @@
     ),
     (
         "dataplane/http/listener.py",
-        "        context.closers.append(self.abort_connections)",
+        "        context.close_callbacks.append(self.abort_connections)",
         "",
         "dataplane/test_listener.py",
     ),
@@ -220,7 +220,7 @@
     ),
     (
         "transport/peers.py",
-        "            if not self.is_meant(ask.life):",
+        "            if not self.is_own_incarnation(ask.incarnation_id):",
         "            if False:",
         "transport/test_incarnations.py",
     ),
--- a/tests/state/test_chunk_transfer.py
+++ b/tests/state/test_chunk_transfer.py
@@ -38,7 +38,7 @@
         settings = types.SimpleNamespace(freshness_bound=1.5)
         copies = {items.CONFIGURATION: replica.Replica(items.CONFIGURATION)}
         self.context = types.SimpleNamespace(
-            copies=copies,
+            replicas=copies,
             clock=clocks.LoopClock(),
             counters=counting.Counters(),
             transport=self,
@@ -52,7 +52,7 @@
         self.copy.apply(items.Batch(versions.Version(number, "n"), self.copy.applied, tuple(rows)))
         self.copy.confirm_current(self.context.clock.now())
 
-    async def ask(self, address, name, kind, body, patience):
+    async def call(self, address, name, kind, body, patience):
         """As the real transport: what was sent to an asker that gave up still takes up the link."""
         handlers = self.peers[name].handlers
         if kind not in handlers:
--- a/tests/state/test_replication.py
+++ b/tests/state/test_replication.py
@@ -52,7 +52,7 @@
         node.wipe()
         await node.start()
         await day.world.until(lambda: all(node.body.core.votes(table) for table in items.TABLES), 60)
-        copies = [cluster.context(day, f"agency-{n}").copies[items.CLAIMS] for n in (1, 4)]
+        copies = [cluster.context(day, f"agency-{n}").replicas[items.CLAIMS] for n in (1, 4)]
         assert len(copies[1].items) > 2750 and copies[1].counts == copies[0].counts
 
     cluster.play(scene)
@@ -107,16 +107,16 @@
 def test_a_malformed_reply_changes_nothing(answer):
     async def scene(day):
         node = day.world.nodes["store-1"]
-        before = {name: copy.root() for name, copy in node.body.context.copies.items()}
+        before = {name: copy.root() for name, copy in node.body.context.replicas.items()}
 
         async def reply(*_):
             return answer
 
-        ask, node.body.context.transport.ask = node.body.context.transport.ask, reply
+        ask, node.body.context.transport.call = node.body.context.transport.call, reply
         await asyncio.sleep(1)
-        assert {name: copy.root() for name, copy in node.body.context.copies.items()} == before
+        assert {name: copy.root() for name, copy in node.body.context.replicas.items()} == before
         assert not node.actor.dead and node.body.context.counters.total("sync_failed") > 0
-        node.body.context.transport.ask = ask
+        node.body.context.transport.call = ask
         await day.world.until_ready()
 
     cluster.play(scene)
--- a/tests/state/test_restart_after_changes.py
+++ b/tests/state/test_restart_after_changes.py
@@ -118,11 +118,11 @@
             return reply
 
         def context(table):
-            transport = types.SimpleNamespace(handlers={}, ask=ask)
+            transport = types.SimpleNamespace(handlers={}, call=ask)
             clock = types.SimpleNamespace(now=lambda: 1.0)
             counted = irisstand.counters.Counters()
             return types.SimpleNamespace(
-                transport=transport, clock=clock, counters=counted, copies={"t": table}
+                transport=transport, clock=clock, counters=counted, replicas={"t": table}
             )
 
         answering = replicator.Replicator(context(peer))
--- a/tests/support/direct_edge.py
+++ b/tests/support/direct_edge.py
@@ -74,8 +74,8 @@
         self.context = node_context.NodeContext(
             settings, settings.role, clocks.LoopClock(), random.Random(7), None
         )
-        self.context.closing = asyncio.get_running_loop().create_future()
-        self.context.transport.ask = self.nobody
+        self.context.drain_ending = asyncio.get_running_loop().create_future()
+        self.context.transport.call = self.nobody
         self.counter = 1
         self.sent = []
         self.refused = set()
@@ -103,11 +103,11 @@
         self.context.detector.learn(update)
 
     def confirm_current(self, for_seconds=1e6):
-        for copy in self.context.copies.values():
+        for copy in self.context.replicas.values():
             copy.confirm_current(self.context.clock.now() + for_seconds)
 
     def put(self, table, key, value):
-        copy = self.context.copies[table]
+        copy = self.context.replicas[table]
         self.counter += 1
         copy.put(items.Item(key, versions.Version(self.counter, "n"), value))
         copy.applied = versions.Version(self.counter, "n")
--- a/tests/support/voter_cluster.py
+++ b/tests/support/voter_cluster.py
@@ -29,7 +29,7 @@
 
 def voters(world, table=items.LEDGER):
     cores = [node for node in world.role("agency") if node.is_up]
-    newest = max((node.body.context.copies[table] for node in cores), key=lambda copy: copy.applied)
+    newest = max((node.body.context.replicas[table] for node in cores), key=lambda copy: copy.applied)
     return quorum.decode(newest.value(items.VOTERS))
 
 
--- a/tests/transport/test_closed_connections.py
+++ b/tests/transport/test_closed_connections.py
@@ -45,14 +45,14 @@
         asked.handlers["do"] = never
         server, place = await listen(lambda reader, writer: asked.serve(network.TcpStream(reader, writer)))
         asker = peers.Transport(network.RealNetwork(), counting.Counters(), "asker")
-        link = await asker.dial(place, "peer")
-        link.stream.writer.transport.abort()
+        connection = await asker.connect(place, "peer")
+        connection.stream.writer.transport.abort()
         with pytest.raises(errors.NotSentError):
-            await asker.ask(place, "peer", "do", (), 1.0)
-        link = await asker.dial(place, "peer")
-        asking = asyncio.create_task(asker.ask(place, "peer", "do", (), 5.0))
+            await asker.call(place, "peer", "do", (), 1.0)
+        connection = await asker.connect(place, "peer")
+        asking = asyncio.create_task(asker.call(place, "peer", "do", (), 5.0))
         await asyncio.sleep(0.05)
-        link.stream.writer.transport.abort()
+        connection.stream.writer.transport.abort()
         asking.cancel()
         # The asker's cancellation stays one; an error in its place would end a controller, and its process.
         with pytest.raises((asyncio.CancelledError, errors.UnansweredError)):
--- a/tests/transport/test_incarnations.py
+++ b/tests/transport/test_incarnations.py
@@ -26,7 +26,7 @@
         actor = virtual.Actor("peer")
         asked = peers.Transport(wires.MemoryNetwork(lines, "10.0.0.2"), counting.Counters(), "peer")
         asker = peers.Transport(wires.MemoryNetwork(lines, "10.0.0.1"), counting.Counters(), "asker")
-        asked.own_life = lambda: "second"
+        asked.own_incarnation_id = lambda: "second"
         asked.handlers["do"] = answer
         await actor.start(asked.open(PLACE))
         return await scene(asker, asked)
@@ -43,16 +43,16 @@
 
     async def scene(asker, asked):
         with pytest.raises(peers.IncarnationEndedError) as raised:
-            await asker.ask(PLACE, "peer", "do", (), 1.0, "first")
+            await asker.call(PLACE, "peer", "do", (), 1.0, "first")
         # Certainly not carried out, as every other kind that lets a caller ask elsewhere.
         assert isinstance(raised.value, errors.NotSentError) and not runs
         assert asked.counters.total("asks_for_ended_lives") == 1
-        assert await asker.ask(PLACE, "peer", "do", (), 1.0, "second") == ["ran"]
-        assert await asker.ask(PLACE, "peer", "do", (), 1.0) == ["ran"]
+        assert await asker.call(PLACE, "peer", "do", (), 1.0, "second") == ["ran"]
+        assert await asker.call(PLACE, "peer", "do", (), 1.0) == ["ran"]
         # Falsely declared failed, it has a new life and is the same process still.
-        asked.own_life = lambda: "third"
-        assert await asker.ask(PLACE, "peer", "do", (), 1.0, "third") == ["ran"]
-        assert await asker.ask(PLACE, "peer", "do", (), 1.0, "second") == ["ran"]
+        asked.own_incarnation_id = lambda: "third"
+        assert await asker.call(PLACE, "peer", "do", (), 1.0, "third") == ["ran"]
+        assert await asker.call(PLACE, "peer", "do", (), 1.0, "second") == ["ran"]
 
     play(scene, answer)
 
@@ -69,9 +69,9 @@
 
     async def scene(asker, asked):
         with pytest.raises(errors.UnansweredError):
-            await asker.ask(PLACE, "peer", "do", ("slow",), 0.2)
+            await asker.call(PLACE, "peer", "do", ("slow",), 0.2)
         replies = await asyncio.gather(
-            *(asker.ask(PLACE, "peer", "do", (f"n{number}",), 1.0) for number in range(5))
+            *(asker.call(PLACE, "peer", "do", (f"n{number}",), 1.0) for number in range(5))
         )
         assert [reply[0] for reply in replies] == [f"n{number}" for number in range(5)]
 
@@ -100,16 +100,16 @@
 def test_every_message_comes_back_as_it_was():
     for message in (
         codec.Hello("n", "l"),
-        codec.Ask(1, "read", ["x"], "l"),
-        codec.Ask(1, "read", ["x"]),
-        codec.Result(2, ["x"]),
-        codec.Fault(3, ("unreached", "text", "remedy", 1.0)),
-        codec.Withdraw(4),
+        codec.Request(1, "read", ["x"], "l"),
+        codec.Request(1, "read", ["x"]),
+        codec.Response(2, ["x"]),
+        codec.ErrorResponse(3, ("unreached", "text", "remedy", 1.0)),
+        codec.Cancel(4),
     ):
         assert codec.decode(codec.encode(message)) == message
     # As the version before writes them, and reads an ask to a peer that told no life.
     assert codec.decode(codec.pack(("hello", 0, ("n",)))) == codec.Hello("n")
-    assert codec.unpack(codec.encode(codec.Ask(1, "read", ["x"]))) == ("ask", 1, ["read", ["x"]])
+    assert codec.unpack(codec.encode(codec.Request(1, "read", ["x"]))) == ("ask", 1, ["read", ["x"]])
 
 
 def test_an_order_whose_asker_has_gone_is_not_decided_later():
@@ -121,7 +121,7 @@
         order = orders.Order("change", "", [cluster.site_row(weight=9)])
         # A ballot goes on for so long that the order is still queued when its asker gives up.
         async with proposer.holding:
-            ask = asker.body.context.transport.ask(
+            ask = asker.body.context.transport.call(
                 (node.plan.host, 7000), "agency-2", "order", tuple(order), 0.3
             )
             with pytest.raises(errors.UnansweredError):
@@ -129,7 +129,7 @@
             await asyncio.sleep(0.1)
         await asyncio.sleep(2)
         assert node.body.context.configuration.value("site/north") == before
-        assert node.body.context.under_way == 0 and proposer.queue.empty()
+        assert node.body.context.in_flight == 0 and proposer.queue.empty()
         # What comes after it is decided as ever.
         assert await day.stage.order("agency-3", "change", [cluster.site_row(weight=4)])
 
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -57,21 +57,21 @@
         asked = 0
         for name in ("agency-3", "shield-1", "store-1", "edge-2"):
             node = day.world.nodes[name]
-            before = {table: copy.root() for table, copy in node.body.context.copies.items()}
-            applied_versions = {table: copy.applied for table, copy in node.body.context.copies.items()}
+            before = {table: copy.root() for table, copy in node.body.context.replicas.items()}
+            applied_versions = {table: copy.applied for table, copy in node.body.context.replicas.items()}
             kinds = [kind for kind in node.body.context.transport.handlers if kind not in ("roster", "order")]
             for kind in [*kinds, "no-such-kind"]:
                 for _ in range(8):
                     body = tuple(value(randomness) for _ in range(randomness.randrange(10)))
                     source = day.world.nodes["edge-1"]
                     address = (node.plan.host, 7000)
-                    ask = source.body.context.transport.ask(address, name, kind, body, 0.3)
+                    ask = source.body.context.transport.call(address, name, kind, body, 0.3)
                     try:
                         await source.do(ask, 5)
                     except errors.IrisError:
                         asked += 1
             assert not node.body.context.crashed.done()
-            for table, copy in node.body.context.copies.items():
+            for table, copy in node.body.context.replicas.items():
                 if copy.applied == applied_versions[table]:
                     assert copy.root() == before[table]
         assert asked > 80
--- a/tests/transport/test_recorded_errors.py
+++ b/tests/transport/test_recorded_errors.py
@@ -21,7 +21,7 @@
     for module in pkgutil.walk_packages(irisstand.__path__, "irisstand."):
         importlib.import_module(module.name)
     found = {
-        (kind.code, kind.status, kind.remedy, kind.comes_back, kind.code in errors.REGISTRY)
+        (kind.code, kind.status, kind.remedy, kind.default_retry_after, kind.code in errors.REGISTRY)
         for kind in kinds_of(errors.IrisError)
         if kind.__module__.startswith("irisstand.")
     }
