--- a/src/irisstand/controlplane/api/operator_reads.py
+++ b/src/irisstand/controlplane/api/operator_reads.py
@@ -72,17 +72,17 @@
 
     async def get_members(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         detector = self.context.detector
-        everybody = [detector.own_update(), *detector.roster.everything()]
+        everybody = [detector.own_update(), *detector.member_list.all_updates()]
         return web.as_json({"members": [self.member(update) for update in everybody]})
 
     def member(self, update: updates.Update) -> dict[str, typing.Any]:
-        state = "left" if update.left else update.state.name.lower()
+        state = "left" if update.has_left else update.state.name.lower()
         return {
             "name": update.identity.name,
-            "life": update.identity.life,
+            "life": update.identity.incarnation_id,
             "state": state,
-            "incarnation": update.incarnation,
-            **update.card._asdict(),
+            "incarnation": update.incarnation_number,
+            **update.node_info._asdict(),
         }
 
     async def get_machines(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
@@ -91,9 +91,12 @@
         ledger = self.context.ledger
         why = (ledger.value("staffing") or {"why": {}})["why"]
         machines = {}
-        for update in [self.context.detector.own_update(), *self.context.detector.roster.members.values()]:
+        for update in [
+            self.context.detector.own_update(),
+            *self.context.detector.member_list.members.values(),
+        ]:
             entry = machines.setdefault(
-                update.card.machine, {"site": update.card.site, "nodes": [], "why": ""}
+                update.node_info.machine, {"site": update.node_info.site, "nodes": [], "why": ""}
             )
             entry["nodes"].append(f"{update.identity.name} {update.state.name.lower()}")
         for name, entry in machines.items():
--- a/src/irisstand/controlplane/changes/change_status.py
+++ b/src/irisstand/controlplane/changes/change_status.py
@@ -50,7 +50,7 @@
 
     async def nodes(self, table: str, version: versions.Version) -> dict[str, str]:
         """Asked now of every member: in force, behind, stale (it answers nobody by its table), or silent."""
-        members = list(self.context.detector.roster.members.values())
+        members = list(self.context.detector.member_list.members.values())
         told = await asyncio.gather(*(self.ask(update) for update in members))
         own = await self.context.on_applied_versions("", [])
         found = {self.context.settings.name: self.state(own, table, version)}
@@ -63,7 +63,7 @@
     async def ask(self, update: updates.Update) -> tuple | None:
         try:
             return await self.context.transport.call(
-                update.card.address, update.identity.name, "tips", (), CALL_TIMEOUT_SECONDS
+                update.node_info.address, update.identity.name, "tips", (), CALL_TIMEOUT_SECONDS
             )
         except errors.IrisError:
             return None
--- a/src/irisstand/controlplane/changes/evacuation_check.py
+++ b/src/irisstand/controlplane/changes/evacuation_check.py
@@ -19,7 +19,7 @@
 
     def sites(self) -> set[str]:
         """Sites that this node has heard of: from settings, members and rows."""
-        found = {update.card.site for update in self.context.detector.roster.members.values()}
+        found = {update.node_info.site for update in self.context.detector.member_list.members.values()}
         found |= {self.context.settings.site, *node_settings.pairs(self.context.settings.region_by_site)}
         return found | {item.key.split("/", 1)[1] for item in self.context.configuration.under("site/")}
 
--- a/src/irisstand/controlplane/consensus/bootstrap.py
+++ b/src/irisstand/controlplane/consensus/bootstrap.py
@@ -96,7 +96,7 @@
         settings = self.context.settings
         if settings.found_by_seeds:
             return [(seed, "") for seed in settings.seeds if seed != (settings.host, settings.port)]
-        return [(u.card.address, u.identity.name) for u in self.context.members_of("agency")]
+        return [(u.node_info.address, u.identity.name) for u in self.context.members_of("agency")]
 
     async def learn(self) -> None:
         # Other roles do not hold all tables; one peer's refusal must not end the round before the next.
--- a/src/irisstand/controlplane/consensus/participant.py
+++ b/src/irisstand/controlplane/consensus/participant.py
@@ -47,7 +47,7 @@
         """Take the table from that very peer."""
         places = {voter.name: (voter.host, voter.port) for voter in self.voters(table)}
         for update in self.context.members_of("agency"):
-            places[update.identity.name] = update.card.address
+            places[update.identity.name] = update.node_info.address
         if name in places:
             await self.replicator.pull(places[name], name, (table,))
 
--- a/src/irisstand/controlplane/consensus/voter_administration.py
+++ b/src/irisstand/controlplane/consensus/voter_administration.py
@@ -83,7 +83,7 @@
             names = sorted(update.identity.name for update in self.context.members_of("agency"))
             remedy = f"start it first; up are: {', '.join(names) or 'none'}"
             raise errors.UnknownNameError(f"no core node {new!r} is up", remedy)
-        reply = await self.context.transport.call(spare.card.address, new, "hold", (), PATIENCE)
+        reply = await self.context.transport.call(spare.node_info.address, new, "hold", (), PATIENCE)
         newcomer = quorum.Voter(*reply)
         for table in items.TABLES:
             known = [voter.name for voter in self.of(table)]
--- a/src/irisstand/controlplane/consensus/voter_planner.py
+++ b/src/irisstand/controlplane/consensus/voter_planner.py
@@ -153,7 +153,7 @@
         async def ask(update: object) -> quorum.Voter | None:
             try:
                 reply = await self.context.transport.call(
-                    update.card.address, update.identity.name, "core-state", (), HEARING
+                    update.node_info.address, update.identity.name, "core-state", (), HEARING
                 )
             except errors.IrisError:
                 return None
--- a/src/irisstand/controlplane/singletons/capacity_scaling.py
+++ b/src/irisstand/controlplane/singletons/capacity_scaling.py
@@ -25,7 +25,7 @@
 
     def hear(self, update: updates.Update) -> None:
         """Whoever is suspected may be lost, and enough must be awake for the loss after that."""
-        self.alarmed = self.alarmed or update.state is not updates.State.ALIVE
+        self.alarmed = self.alarmed or update.state is not updates.MemberState.ALIVE
 
     async def work(self, duty: lease.SingletonTask) -> None:
         now = self.context.clock.now()
--- a/src/irisstand/controlplane/singletons/fleet_view.py
+++ b/src/irisstand/controlplane/singletons/fleet_view.py
@@ -24,7 +24,9 @@
 
     def is_out(self, machine: str) -> bool:
         """Out of work by a recorded decision."""
-        sites = {update.card.machine: update.card.site for update in self.context.members_of("shield")}
+        sites = {
+            update.node_info.machine: update.node_info.site for update in self.context.members_of("shield")
+        }
         return self.is_resting(machine) or (machine in sites and self.is_evacuated(sites[machine]))
 
     def row(self, kind: str, name: str) -> dict:
@@ -34,7 +36,7 @@
         """Shield machines that may be given work, with their weights."""
         found = {}
         for update in self.context.members_of("shield"):
-            machine, site = update.card.machine, update.card.site
+            machine, site = update.node_info.machine, update.node_info.site
             weight = self.row("shield", machine).get("weight", 1) * self.row("site", site).get("weight", 1)
             if weight > 0 and not self.is_resting(machine) and not self.is_evacuated(site):
                 found[machine] = weight
@@ -56,15 +58,15 @@
         """Machines of a role that are up and not evacuated, resting or not; only those heard, if given."""
         found = []
         for update in self.context.members_of(role):
-            machine = update.card.machine
-            if update.state or self.is_evacuated(update.card.site):
+            machine = update.node_info.machine
+            if update.state or self.is_evacuated(update.node_info.site):
                 continue
             if heard is not None and machine not in heard:
                 continue
             row = self.row("shield", machine) if role == "shield" else {}
             limit = row.get("limit", DEFAULT_CAPACITY_BY_ROLE[role])
             pinned = bool(self.row("machine", machine).get("awake"))
-            found.append(standby_planning.Machine(machine, update.card.site, limit, pinned))
+            found.append(standby_planning.Machine(machine, update.node_info.site, limit, pinned))
         return found
 
     async def core_carries(self) -> bool:
@@ -93,13 +95,15 @@
         async def ask(update: object) -> float | None:
             try:
                 return await self.context.transport.call(
-                    update.card.address, update.identity.name, "gauge", (), CALL_TIMEOUT_SECONDS
+                    update.node_info.address, update.identity.name, "gauge", (), CALL_TIMEOUT_SECONDS
                 )
             except errors.IrisError:
                 return None
 
         found = await asyncio.gather(*(ask(update) for update in members))
         rates = {
-            update.card.machine: rate for update, rate in zip(members, found, strict=True) if rate is not None
+            update.node_info.machine: rate
+            for update, rate in zip(members, found, strict=True)
+            if rate is not None
         }
         return rates, len(rates) == len(members)
--- a/src/irisstand/controlplane/singletons/lease.py
+++ b/src/irisstand/controlplane/singletons/lease.py
@@ -46,7 +46,7 @@
 
     async def run(self) -> None:
         identity = self.context.detector.identity
-        self.holder = f"{identity.name}~{identity.life}"
+        self.holder = f"{identity.name}~{identity.incarnation_id}"
         while True:
             try:
                 if self.context.is_lame_duck and self.fencing_token:
--- a/src/irisstand/controlplane/singletons/rate_placement.py
+++ b/src/irisstand/controlplane/singletons/rate_placement.py
@@ -72,4 +72,4 @@
     def listed(self, role: str) -> dict[str, str]:
         """Sites by name of the members that are not suspected."""
         updates = self.context.members_of(role)
-        return {update.identity.name: update.card.site for update in updates if not update.state}
+        return {update.identity.name: update.node_info.site for update in updates if not update.state}
--- a/src/irisstand/dataplane/cache/object_holders.py
+++ b/src/irisstand/dataplane/cache/object_holders.py
@@ -37,14 +37,14 @@
         if not self.origins.uses_holders():
             return None
         if context.role != "holder":
-            near = [update for update in self.usable() if update.card.site == context.settings.site]
+            near = [update for update in self.usable() if update.node_info.site == context.settings.site]
             return self.draw(key, near) if self.origins.may_hold(route) else None
         # A holder fetches by itself while the service has room: that is the shorter way. Where its rate is
         # scarce, each object is fetched by one holder of all, and the others have it from there.
         if not self.origins.is_scarce(service):
             return None
         everywhere = not route.regions
-        home = [update for update in self.usable() if everywhere or update.card.region in route.regions]
+        home = [update for update in self.usable() if everywhere or update.node_info.region in route.regions]
         names = [(update.identity.name, 1.0) for update in home]
         if everywhere or context.settings.region in route.regions:
             names.append((context.settings.name, 1.0))
@@ -93,7 +93,7 @@
         )
         try:
             told, parts = await self.context.transport.call(
-                holder.card.address, holder.identity.name, "object", body, patience
+                holder.node_info.address, holder.identity.name, "object", body, patience
             )
         except errors.IrisError as error:
             self.context.counters.add("holder_failures", code=error.code)
--- a/src/irisstand/dataplane/nodes/edge.py
+++ b/src/irisstand/dataplane/nodes/edge.py
@@ -190,7 +190,7 @@
         if not self.heat.note(key) or len(shields) < 2:
             return shields
         second = shields[1]
-        if second.state or not self.view.has_share(second.card.machine, service):
+        if second.state or not self.view.has_share(second.node_info.machine, service):
             return shields
         self.context.counters.add("hot_fetches")
         if self.context.randomness.random() < 0.5:
@@ -230,10 +230,10 @@
     # -- towards shields -----------------------------------------------------------------------------
     async def ask(self, shield: typing.Any, kind: str, body: tuple, remaining: float) -> tuple:
         # A read is answered as well by a shield that was started anew; a write is meant for the one chosen.
-        life = shield.identity.life if kind == "write" else ""
+        life = shield.identity.incarnation_id if kind == "write" else ""
         try:
             reply = await self.context.transport.call(
-                shield.card.address, shield.identity.name, kind, body, remaining, life
+                shield.node_info.address, shield.identity.name, kind, body, remaining, life
             )
             return ("result", reply)
         except errors.IrisError as error:
--- a/src/irisstand/dataplane/nodes/idempotency_keys.py
+++ b/src/irisstand/dataplane/nodes/idempotency_keys.py
@@ -92,12 +92,12 @@
         """Any control plane node takes it; this machine's own first, as its answer has the shortest way."""
         control_nodes = self.context.members_of("agency")
         control_nodes.sort(
-            key=lambda update: (update.state, update.card.machine != self.context.settings.machine)
+            key=lambda update: (update.state, update.node_info.machine != self.context.settings.machine)
         )
         for update in control_nodes[:3]:
             try:
                 reply = await self.context.transport.call(
-                    update.card.address, update.identity.name, "order", (kind, "", payload), PATIENCE
+                    update.node_info.address, update.identity.name, "order", (kind, "", payload), PATIENCE
                 )
                 return submitter.unwrap(reply)
             except (errors.NotSentError, errors.NotBootstrappedError):
--- a/src/irisstand/dataplane/nodes/shield.py
+++ b/src/irisstand/dataplane/nodes/shield.py
@@ -122,7 +122,11 @@
         asked_at = self.context.clock.now()
         try:
             parts = await self.context.transport.call(
-                store.card.address, store.identity.name, "look", (key, path, tuple(floor)), STORE_PATIENCE
+                store.node_info.address,
+                store.identity.name,
+                "look",
+                (key, path, tuple(floor)),
+                STORE_PATIENCE,
             )
             if parts:
                 thing = objects.decode(parts, asked_at)
@@ -136,7 +140,7 @@
     async def keep(self, store: typing.Any, key: str, thing: objects.Object) -> None:
         body = (key, objects.encode(thing, self.context.clock.now()))
         try:
-            await self.context.transport.call(store.card.address, store.identity.name, "keep", body, 1.0)
+            await self.context.transport.call(store.node_info.address, store.identity.name, "keep", body, 1.0)
         except errors.IrisError:
             self.context.counters.add("store_failed")
 
--- a/src/irisstand/dataplane/nodes/suspicion_watcher.py
+++ b/src/irisstand/dataplane/nodes/suspicion_watcher.py
@@ -7,7 +7,7 @@
 
 
 class Doubts:
-    def __init__(self, detector: detecting.Detector) -> None:
+    def __init__(self, detector: detecting.FailureDetector) -> None:
         self.waiting: dict[updates.Identity, dict[asyncio.Future, None]] = {}
         detector.listeners.append(self.hear)
 
@@ -25,7 +25,7 @@
             self.waiting.pop(identity, None)
 
     def hear(self, update: updates.Update) -> None:
-        if update.state is not updates.State.ALIVE:
+        if update.state is not updates.MemberState.ALIVE:
             for future in list(self.waiting.get(update.identity, {})):
                 if not future.done():
                     future.set_result(None)
--- a/src/irisstand/dataplane/ratelimit/token_leases.py
+++ b/src/irisstand/dataplane/ratelimit/token_leases.py
@@ -102,13 +102,13 @@
         now, units = self.context.clock.now(), self.own.units()
         found = [
             update
-            for update in self.context.detector.roster.members.values()
+            for update in self.context.detector.member_list.members.values()
             if units.get(update.identity.name)
             and not update.state
             and now >= self.left_alone.get((update.identity.name, name), -1e9)
             and now >= self.left_alone.get((update.identity.name, ""), -1e9)
         ]
-        near = [update for update in found if update.card.site == self.context.settings.site]
+        near = [update for update in found if update.node_info.site == self.context.settings.site]
         return self.context.randomness.choice(near or found) if found else None
 
     async def borrow_from(self, owner: typing.Any, name: str, patience: float) -> bool:
@@ -116,7 +116,7 @@
         wanted = max(1, min(MOST_PLACES, self.waiting[name]))
         try:
             _, *waits = await self.context.transport.call(
-                owner.card.address, lender, "rate-places", (name, wanted, patience), GOOD_FOR
+                owner.node_info.address, lender, "rate-places", (name, wanted, patience), GOOD_FOR
             )
         except errors.IrisError as error:
             self.context.counters.add("rate_owners_failed", code=error.code)
--- a/src/irisstand/dataplane/routing/snapshot.py
+++ b/src/irisstand/dataplane/routing/snapshot.py
@@ -131,10 +131,10 @@
         found = {update.identity.name: update for update in self.context.members_of("shield")}
         candidates = []
         for name, update in found.items():
-            row = self.context.configuration.value(f"shield/{update.card.machine}") or {}
-            site = self.context.configuration.value(f"site/{update.card.site}") or {}
+            row = self.context.configuration.value(f"shield/{update.node_info.machine}") or {}
+            site = self.context.configuration.value(f"site/{update.node_info.site}") or {}
             weight = row.get("weight", 1) * site.get("weight", 1)
-            if not self.is_evacuated(update.card.site) and not self.is_resting(update.card.machine):
+            if not self.is_evacuated(update.node_info.site) and not self.is_resting(update.node_info.machine):
                 candidates.append((name, weight))
         slot = rendezvous.slot_of(key)
         owner = self.slot_owner(slot)
@@ -143,7 +143,7 @@
         # The recorded owner first, but after it whoever may talk to the service's origins at all. A suspected
         # shield last: its reads move at once, before it is declared failed.
         def rank(update: updates.Update) -> tuple:
-            machine = update.card.machine
+            machine = update.node_info.machine
             return (update.state, not self.has_share(machine, service), machine != owner)
 
         return sorted(ordered, key=rank)
--- a/src/irisstand/dataplane/upstream/endpoint_pool.py
+++ b/src/irisstand/dataplane/upstream/endpoint_pool.py
@@ -96,7 +96,8 @@
             holders = [update for update in self.context.members_of("holder") if not update.state]
             found = [*self.context.members_of("direct"), *holders]
             named = {
-                u.identity.name: fleet_limits.Member(u.identity.name, u.card.role, u.card.site) for u in found
+                u.identity.name: fleet_limits.Member(u.identity.name, u.node_info.role, u.node_info.site)
+                for u in found
             }
             named[settings.name] = fleet_limits.Member(settings.name, self.context.role, settings.site)
             self.members_at = now
--- a/src/irisstand/errors.py
+++ b/src/irisstand/errors.py
@@ -40,6 +40,7 @@
 
 class MalformedFrameError(IrisError):
     code, status, remedy = "bad-frame", 400, "speak this protocol's version, within the size limit"
+    drop_reason = "BadFrame"
 
 
 class NotSentError(IrisError):
--- a/src/irisstand/membership/joining.py
+++ b/src/irisstand/membership/joining.py
@@ -7,14 +7,14 @@
 from irisstand.membership import updates
 from irisstand.transport import network, peers
 
-COMPARE_PERIODS = 10
+EXCHANGE_INTERVAL_PERIODS = 10
 # Seconds between rounds of the seeds while nobody at all is known.
-FIRST_PAUSE = 0.08
+SEED_RETRY_SECONDS = 0.08
 
 
 class Joiner:
     def __init__(
-        self, detector: detecting.Detector, transport: peers.Transport, seeds: list[network.Address]
+        self, detector: detecting.FailureDetector, transport: peers.Transport, seeds: list[network.Address]
     ) -> None:
         self.detector, self.transport = detector, transport
         self.seeds: list[network.Address] = []
@@ -25,41 +25,41 @@
     async def on_roster(self, _: str, body: list) -> tuple:
         digest, given = body
         for parts in given:
-            self.detector.learn(updates.decode(parts))
+            self.detector.apply_update(updates.decode(parts))
         # Equal lists need no copy; the asker's own digest says whether they are.
-        if digest == self.detector.roster.digest(self.detector.own_update()):
+        if digest == self.detector.member_list.digest(self.detector.own_update()):
             return ()
-        everything = [self.detector.own_update(), *self.detector.roster.everything()]
+        everything = [self.detector.own_update(), *self.detector.member_list.all_updates()]
         return tuple(updates.encode(update) for update in everything)
 
     async def compare(self, address: network.Address, name: str, whole: bool) -> None:
         detector = self.detector
         given = [detector.own_update()]
         if whole:
-            given += detector.roster.everything()
-        digest = "" if whole else detector.roster.digest(detector.own_update())
+            given += detector.member_list.all_updates()
+        digest = "" if whole else detector.member_list.digest(detector.own_update())
         body = (digest, tuple(updates.encode(u) for u in given))
         reply = await self.transport.call(address, name, "roster", body, 2.0)
         for parts in reply:
-            detector.learn(updates.decode(parts))
+            detector.apply_update(updates.decode(parts))
 
     def set_seeds(self, seeds: list[network.Address]) -> None:
-        own = (self.detector.card.host, self.detector.card.port)
+        own = (self.detector.node_info.host, self.detector.node_info.port)
         self.seeds = [tuple(seed) for seed in seeds if tuple(seed) != own]
 
     async def run(self) -> None:
         while True:
-            period = self.detector.tuning.period
-            members = list(self.detector.roster.members.values())
+            period = self.detector.parameters.period_seconds
+            members = list(self.detector.member_list.members.values())
             if not members:
                 await self.ask_seeds()
-            if self.detector.roster.members or not self.seeds:
+            if self.detector.member_list.members or not self.seeds:
                 self.joined.set()
             if not members:
                 # All may have been started at this moment: whoever is first up should not wait for long.
-                await asyncio.sleep(FIRST_PAUSE if not self.detector.roster.members else period)
+                await asyncio.sleep(SEED_RETRY_SECONDS if not self.detector.member_list.members else period)
                 continue
-            await asyncio.sleep(COMPARE_PERIODS * period)
+            await asyncio.sleep(EXCHANGE_INTERVAL_PERIODS * period)
             await self.compare_once(members)
 
     async def ask_seeds(self) -> None:
@@ -68,7 +68,7 @@
         asking = {loop.create_task(self.compare(seed, "", whole=True)): None for seed in self.seeds}
         left = set(asking)
         try:
-            while left and not self.detector.roster.members:
+            while left and not self.detector.member_list.members:
                 done, left = await asyncio.wait(left, return_when=asyncio.FIRST_COMPLETED)
                 for task in done:
                     error = task.exception()
@@ -85,7 +85,7 @@
             address, name = seed, ""
         else:
             draw = self.detector.randomness.choice(members)
-            address, name = draw.card.address, draw.identity.name
+            address, name = draw.node_info.address, draw.identity.name
         try:
             await self.compare(address, name, whole=False)
         except (errors.IrisError, ValueError, TypeError):
--- a/src/irisstand/membership/updates.py
+++ b/src/irisstand/membership/updates.py
@@ -8,7 +8,7 @@
     """A node and one life of it: every start is a new life, so Confirm is final for the old one."""
 
     name: str
-    life: str
+    incarnation_id: str
 
 
 class NodeInfo(typing.NamedTuple):
@@ -27,18 +27,18 @@
         return (self.host, self.port)
 
 
-class State(enum.IntEnum):
+class MemberState(enum.IntEnum):
     ALIVE = 0
     SUSPECT = 1
     CONFIRM = 2
 
 
 class Update(typing.NamedTuple):
-    state: State
+    state: MemberState
     identity: Identity
-    incarnation: int
-    card: NodeInfo
-    left: bool = False
+    incarnation_number: int
+    node_info: NodeInfo
+    has_left: bool = False
 
 
 def overrides(new: Update, old: Update) -> bool:
@@ -51,30 +51,32 @@
     >>> overrides(Update(State.ALIVE, me, 1, card), Update(State.SUSPECT, me, 1, card))
     False
     """
-    if old.state is State.CONFIRM:
+    if old.state is MemberState.CONFIRM:
         return False
-    if new.state is State.CONFIRM:
+    if new.state is MemberState.CONFIRM:
         return True
-    if new.state is State.SUSPECT and old.state is State.ALIVE:
-        return new.incarnation >= old.incarnation
-    return new.incarnation > old.incarnation
+    if new.state is MemberState.SUSPECT and old.state is MemberState.ALIVE:
+        return new.incarnation_number >= old.incarnation_number
+    return new.incarnation_number > old.incarnation_number
 
 
 def encode(update: Update) -> tuple:
-    state, identity, incarnation, card, left = update
-    return (int(state), tuple(identity), incarnation, tuple(card), left)
+    state, identity, incarnation_number, node_info, has_left = update
+    return (int(state), tuple(identity), incarnation_number, tuple(node_info), has_left)
 
 
 def decode(parts: typing.Any) -> Update:
     """Raises ValueError or TypeError on anything that is not an update."""
-    state, (name, life), incarnation, card, left = parts
-    role, machine, site, region, host, port, http_port = card
+    state, (name, life), incarnation_number, node_info, has_left = parts
+    role, machine, site, region, host, port, http_port = node_info
     words = (name, life, role, machine, site, region, host)
     if not all(isinstance(word, str) and len(word) <= 128 for word in words):
         raise ValueError("a word of an update is not a short string")
-    if not all(type(number) is int and 0 <= number < 2**53 for number in (incarnation, port, http_port)):
+    if not all(
+        type(number) is int and 0 <= number < 2**53 for number in (incarnation_number, port, http_port)
+    ):
         raise ValueError("a number of an update is not one")
-    if not 0 < port < 65536 or http_port >= 65536 or type(left) is not bool or not name:
+    if not 0 < port < 65536 or http_port >= 65536 or type(has_left) is not bool or not name:
         raise ValueError("an update names no member")
     place = NodeInfo(role, machine, site, region, host, port, http_port)
-    return Update(State(state), Identity(name, life), incarnation, place, left)
+    return Update(MemberState(state), Identity(name, life), incarnation_number, place, has_left)
--- a/src/irisstand/modelcheck/node.py
+++ b/src/irisstand/modelcheck/node.py
@@ -59,7 +59,9 @@
             card = updates.NodeInfo("agency", other.name, other.site, "region", other.name, PORT, PORT + 1)
             identity = updates.Identity(other.name, "1")
             if other is not self:
-                context.detector.roster.apply(updates.Update(updates.State.ALIVE, identity, 1, card))
+                context.detector.member_list.apply(
+                    updates.Update(updates.MemberState.ALIVE, identity, 1, card)
+                )
         self.transport = events.ModelTransport(self.world, self)
         context.transport = self.transport
         self.core = cores.Core(context, self.disk)
--- a/src/irisstand/node_context.py
+++ b/src/irisstand/node_context.py
@@ -41,10 +41,10 @@
             settings.port,
             settings.http_port,
         )
-        self.detector = detecting.Detector(settings.name, card, clock, randomness, self.counters)
+        self.detector = detecting.FailureDetector(settings.name, card, clock, randomness, self.counters)
         self.load_gauge = counting.LoadGauge(clock)
         self.transport = peers.Transport(net, self.counters, settings.name)
-        self.transport.own_incarnation_id = lambda: self.detector.identity.life
+        self.transport.own_incarnation_id = lambda: self.detector.identity.incarnation_id
         self.transport.handlers["gauge"] = self.on_gauge
         self.transport.handlers["tips"] = self.on_applied_versions
         self.joiner = joining.Joiner(self.detector, self.transport, settings.seeds)
@@ -120,7 +120,7 @@
 
     def region_by_site(self) -> dict[str, str]:
         """Regions by site, as the members' cards tell them."""
-        cards = [update.card for update in self.detector.roster.members.values()]
+        cards = [update.node_info for update in self.detector.member_list.members.values()]
         told = {card.site: card.region for card in cards}
         return {
             self.settings.site: self.settings.region,
@@ -130,7 +130,9 @@
 
     def members_of(self, role: str) -> list[updates.Update]:
         """Members of a role not declared failed, this node left out; those not suspected come first."""
-        found = [update for update in self.detector.roster.members.values() if update.card.role == role]
+        found = [
+            update for update in self.detector.member_list.members.values() if update.node_info.role == role
+        ]
         return sorted(found, key=lambda update: (update.state, update.identity))
 
     @contextlib.contextmanager
@@ -201,9 +203,9 @@
             "role": self.role,
             "machine": self.settings.machine,
             "site": self.settings.site,
-            "life": self.detector.identity.life,
+            "life": self.detector.identity.incarnation_id,
             "draining": self.is_draining,
             "under_way": self.in_flight,
             "tables": copies,
-            "members": len(self.detector.roster.members) + 1,
+            "members": len(self.detector.member_list.members) + 1,
         }
--- a/src/irisstand/simulator/detection.py
+++ b/src/irisstand/simulator/detection.py
@@ -8,7 +8,7 @@
 from irisstand.simulator import virtual_time as virtual
 from irisstand.simulator import world as worlds
 
-PERIOD = detector.Tuning.period
+PERIOD = detector.Parameters.period_seconds
 
 
 def spread(values: list[float]) -> str:
@@ -22,7 +22,7 @@
     def __init__(self, seed: int, loss: float) -> None:
         self.world = worlds.World(seed, fleet.SHAPES["karbes"])
         self.loss = loss
-        self.first: dict[updates.State, float] = {}
+        self.first: dict[updates.MemberState, float] = {}
         self.last = 0.0
         self.victim = ""
 
@@ -33,16 +33,16 @@
                 listeners.append(self.heard)
 
     def heard(self, update: updates.Update) -> None:
-        if update.identity.name == self.victim and update.state is not updates.State.ALIVE:
+        if update.identity.name == self.victim and update.state is not updates.MemberState.ALIVE:
             now = asyncio.get_running_loop().time()
             self.first.setdefault(update.state, now)
-            if update.state is updates.State.CONFIRM:
+            if update.state is updates.MemberState.CONFIRM:
                 self.last = now
 
     def is_known(self) -> bool:
         others = [node for name, node in self.world.nodes.items() if name != self.victim]
         return all(
-            all(who.name != self.victim for who in node.body.context.detector.roster.members)
+            all(who.name != self.victim for who in node.body.context.detector.member_list.members)
             for node in others
         )
 
@@ -63,9 +63,9 @@
             node.kill(reset=False)
             killed = asyncio.get_running_loop().time()
             await world.until(self.is_known, 120)
-            suspicions.append((self.first[updates.State.SUSPECT] - killed) / PERIOD)
-            confirms.append((self.first[updates.State.CONFIRM] - killed) / PERIOD)
-            spreads.append((self.last - self.first[updates.State.CONFIRM]) / PERIOD)
+            suspicions.append((self.first[updates.MemberState.SUSPECT] - killed) / PERIOD)
+            confirms.append((self.first[updates.MemberState.CONFIRM] - killed) / PERIOD)
+            spreads.append((self.last - self.first[updates.MemberState.CONFIRM]) / PERIOD)
             self.victim = ""
             await node.start()
         members = len(world.nodes)
@@ -77,7 +77,8 @@
         lines.append(f"the paper expects a first suspicion after {expected:.2f} periods, section 3.1")
         contexts = [node.body.context for node in world.nodes.values()]
         lines.append(
-            f"a suspicion ripens after {max(context.detector.limit() for context in contexts)} periods"
+            "a suspicion ripens after "
+            f"{max(context.detector.transmission_limit() for context in contexts)} periods"
         )
         lives = sum(context.counters.get("swim_lives") for context in contexts)
         lines.append(f"living members that were declared failed: {lives:.0f}")
--- a/src/irisstand/simulator/sizes.py
+++ b/src/irisstand/simulator/sizes.py
@@ -18,7 +18,7 @@
     name = f"edge-zone-{number % 25}-{number}"
     zone, region = f"zone-{number % 25}", f"region-{number % 10}"
     place = updates.NodeInfo("direct", name, zone, region, "10.100.100.100", 7661, 8140)
-    return updates.Update(updates.State.ALIVE, updates.Identity(name, f"{number:016x}"), 0, place)
+    return updates.Update(updates.MemberState.ALIVE, updates.Identity(name, f"{number:016x}"), 0, place)
 
 
 def grown(make: typing.Callable[[int], object], count: int) -> float:
@@ -33,8 +33,8 @@
 
 def member_bytes(members: int) -> float:
     clock, counters = clocks.MonotonicClock(), counting.Counters()
-    found = detector.Detector("own", card(0).card, clock, random.Random(1), counters)
-    return grown(lambda number: found.learn(card(number + 1)), members)
+    found = detector.FailureDetector("own", card(0).node_info, clock, random.Random(1), counters)
+    return grown(lambda number: found.apply_update(card(number + 1)), members)
 
 
 def row_bytes(prefix: str, value: typing.Any, rows: int) -> float:
--- a/src/irisstand/state/replication/refresher.py
+++ b/src/irisstand/state/replication/refresher.py
@@ -29,13 +29,13 @@
         """
         context = self.context
         core, others = [], []
-        for update in context.detector.roster.members.values():
-            (core if update.card.role == "agency" else others).append(update)
+        for update in context.detector.member_list.members.values():
+            (core if update.node_info.role == "agency" else others).append(update)
         context.randomness.shuffle(core)
         context.randomness.shuffle(others)
-        core.sort(key=lambda update: (update.state, update.card.site != context.settings.site))
-        found = [(update.card.address, update.identity.name) for update in core]
-        aside = [(update.card.address, update.identity.name) for update in others[:2]]
+        core.sort(key=lambda update: (update.state, update.node_info.site != context.settings.site))
+        found = [(update.node_info.address, update.identity.name) for update in core]
+        aside = [(update.node_info.address, update.identity.name) for update in others[:2]]
         if self.answered_last in found[1:]:
             found.remove(self.answered_last)
             found.insert(1, self.answered_last)
--- a/src/irisstand/transport/codec.py
+++ b/src/irisstand/transport/codec.py
@@ -16,6 +16,16 @@
     """A frame of a protocol that this version neither speaks nor is a neighbour of."""
 
     code, remedy = "unknown-version", "upgrade this node or its peer to neighbouring versions"
+    drop_reason = "UnknownVersion"
+
+
+def drop_reason(error: Exception) -> str:
+    """Return what metric labels and messages call the kind of an error; class names may change, this may not.
+
+    >>> drop_reason(UnknownProtocolError()), drop_reason(ValueError())
+    ('UnknownVersion', 'ValueError')
+    """
+    return error.drop_reason if isinstance(error, errors.MalformedFrameError) else type(error).__name__
 
 
 class Hello(typing.NamedTuple):
--- a/src/irisstand/transport/peers.py
+++ b/src/irisstand/transport/peers.py
@@ -55,7 +55,7 @@
         except OSError:
             pass
         except errors.MalformedFrameError as error:
-            self.counters.add("frames_dropped", reason=type(error).__name__)
+            self.counters.add("frames_dropped", reason=codec.drop_reason(error))
         finally:
             self.close()
 
@@ -149,7 +149,7 @@
             async with asyncio.timeout(timeout_seconds):
                 connection = await self.connect(address, name)
         except (OSError, TimeoutError, errors.MalformedFrameError, ValueError, TypeError) as error:
-            raise errors.NotSentError(f"{name or address}: {type(error).__name__}") from None
+            raise errors.NotSentError(f"{name or address}: {codec.drop_reason(error)}") from None
         # Nothing is awaited between this check and the write, so a closed link is known as such.
         if not connection.open:
             raise errors.NotSentError(f"{name or address}: the connection was closed")
@@ -227,7 +227,7 @@
             pass
         except (errors.MalformedFrameError, ValueError, TypeError, IndexError, KeyError) as error:
             # A malformed stream cannot be trusted to be in step again, so it is closed and counted.
-            self.counters.add("frames_dropped", reason=type(error).__name__)
+            self.counters.add("frames_dropped", reason=codec.drop_reason(error))
         finally:
             self.serving_tasks.pop(task, None)
             stream.close()
--- a/tests/controlplane/test_rate_quota.py
+++ b/tests/controlplane/test_rate_quota.py
@@ -44,7 +44,7 @@
         self.placement, self.duty = rate_placement.RatePlacement(self.context), Writer(self, delay)
 
     def lose(self, name):
-        members = self.context.detector.roster.members
+        members = self.context.detector.member_list.members
         for identity in [identity for identity in members if identity.name == name]:
             del members[identity]
 
--- a/tests/dataplane/test_token_leases.py
+++ b/tests/dataplane/test_token_leases.py
@@ -59,7 +59,7 @@
 
     def forget(self, name, other):
         """`name`'s list of members holds `other` no more."""
-        members = self.nodes[name].context.detector.roster.members
+        members = self.nodes[name].context.detector.member_list.members
         for identity in [key for key in members if key == other or getattr(key, "name", "") == other]:
             del members[identity]
 
--- a/tests/membership/test_membership_faults.py
+++ b/tests/membership/test_membership_faults.py
@@ -7,7 +7,7 @@
 import irisstand.membership.detector as detector
 import irisstand.membership.updates as updates
 
-PERIOD = detector.Tuning.period
+PERIOD = detector.Parameters.period_seconds
 
 
 def states(day, about):
@@ -23,18 +23,18 @@
 def test_a_paused_process_is_suspected_then_refutes_it_and_is_never_declared_failed():
     async def scene(day):
         node = day.world.nodes["edge-1"]
-        life = node.body.context.detector.identity.life
+        life = node.body.context.detector.identity.incarnation_id
         node.freeze()
         seen = set()
-        await day.world.until(lambda: updates.State.SUSPECT in states(day, "edge-1").values(), 10)
+        await day.world.until(lambda: updates.MemberState.SUSPECT in states(day, "edge-1").values(), 10)
         node.thaw()
         for _ in range(int(20 * PERIOD / 0.1)):
             seen |= set(states(day, "edge-1").values())
             await asyncio.sleep(0.1)
         assert None not in seen
-        assert set(states(day, "edge-1").values()) == {updates.State.ALIVE}
+        assert set(states(day, "edge-1").values()) == {updates.MemberState.ALIVE}
         own = node.body.context.detector
-        assert own.incarnation >= 1 and own.identity.life == life
+        assert own.incarnation_number >= 1 and own.identity.incarnation_id == life
 
     cluster.play(scene)
 
@@ -42,16 +42,16 @@
 def test_a_dead_node_is_failed_everywhere_within_the_papers_bounds_and_returns_as_a_new_life():
     async def scene(day):
         node = day.world.nodes["store-1"]
-        life = node.body.context.detector.identity.life
+        life = node.body.context.detector.identity.incarnation_id
         members = len(day.world.nodes)
         node.kill()
         took = await day.world.until(lambda: set(states(day, "store-1").values()) == {None}, 60)
-        limit = node.body.context.detector.limit()
+        limit = node.body.context.detector.transmission_limit()
         # 2n-1 periods until some node probes it, the suspicion's time-out, and the spread of the news.
         assert took <= (2 * members - 1 + 2 * limit) * PERIOD
         await node.start()
-        await day.world.until(lambda: set(states(day, "store-1").values()) == {updates.State.ALIVE}, 20)
-        assert node.body.context.detector.identity.life != life
+        await day.world.until(lambda: set(states(day, "store-1").values()) == {updates.MemberState.ALIVE}, 20)
+        assert node.body.context.detector.identity.incarnation_id != life
 
     cluster.play(scene)
 
@@ -65,9 +65,9 @@
         # Cut off, it has kept the others on its list: it hears nobody, so it is the one that is ill.
         assert len(cluster.members(day, "edge-2")) == len(day.world.nodes) - 1
         day.world.wires.heal()
-        await day.world.until(lambda: set(states(day, "edge-2").values()) == {updates.State.ALIVE}, 30)
+        await day.world.until(lambda: set(states(day, "edge-2").values()) == {updates.MemberState.ALIVE}, 30)
         assert node.body.context.detector.identity.name == identity.name
-        assert node.body.context.detector.identity.life != identity.life
+        assert node.body.context.detector.identity.incarnation_id != identity.incarnation_id
         # And it has not taken anybody else down with it.
         for name in day.world.nodes:
             if name != "edge-2":
@@ -119,7 +119,7 @@
     async def scene(day):
         await day.world.nodes["edge-1"].stop()
         await day.world.until(lambda: set(states(day, "edge-1").values()) == {None}, 10 * PERIOD)
-        seen = cluster.context(day, "agency-1").detector.roster.failed.values()
-        assert [update.left for update in seen if update.identity.name == "edge-1"] == [True]
+        seen = cluster.context(day, "agency-1").detector.member_list.failed.values()
+        assert [update.has_left for update in seen if update.identity.name == "edge-1"] == [True]
 
     cluster.play(scene)
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -10,7 +10,11 @@
 import irisstand.membership.updates as updates
 
 CARD = updates.NodeInfo("edge", "machine", "site", "region", "127.0.0.1", 1, 2)
-STATES = {"alive": updates.State.ALIVE, "suspect": updates.State.SUSPECT, "confirm": updates.State.CONFIRM}
+STATES = {
+    "alive": updates.MemberState.ALIVE,
+    "suspect": updates.MemberState.SUSPECT,
+    "confirm": updates.MemberState.CONFIRM,
+}
 
 # (new, old) -> by which relation of incarnations the new one wins, as section 4.2 of the paper lists it.
 TABLE = {
@@ -33,28 +37,28 @@
 @pytest.mark.parametrize(("new", "old"), TABLE)
 def test_override_order(new, old):
     for mine, theirs in itertools.product(range(3), repeat=2):
-        roster = irisstand.membership.member_list.Roster(random.Random(1))
-        roster.apply(update("a", old, theirs))
-        wins = roster.apply(update("a", new, mine))
+        member_list = irisstand.membership.member_list.MemberList(random.Random(1))
+        member_list.apply(update("a", old, theirs))
+        wins = member_list.apply(update("a", new, mine))
         assert wins == TABLE[(new, old)](mine, theirs), (new, mine, old, theirs)
         expected = update("a", new, mine) if wins else update("a", old, theirs)
-        assert roster.get(updates.Identity("a", "1")) == expected
+        assert member_list.get(updates.Identity("a", "1")) == expected
 
 
 def test_piggyback_is_bounded_least_sent_first_and_drawn_from_both_lists():
-    buffer = irisstand.membership.dissemination_buffer.Buffer()
-    limit = irisstand.membership.dissemination_buffer.sending_limit(3, 20)
+    buffer = irisstand.membership.dissemination_buffer.DisseminationBuffer()
+    limit = irisstand.membership.dissemination_buffer.transmission_limit(3, 20)
     for number in range(10):
-        buffer.put(update(f"present-{number}"))
-        buffer.put(update(f"failed-{number}", "confirm"))
+        buffer.add(update(f"present-{number}"))
+        buffer.add(update(f"failed-{number}", "confirm"))
     sent = {}
-    while picked := buffer.pick(6, limit):
+    while picked := buffer.select(6, limit):
         assert len(picked) <= 6
         before = dict(sent)
         for one in picked:
             sent[one.identity] = sent.get(one.identity, 0) + 1
         for kind in ("present", "failed"):
-            waiting = [identity for identity in buffer.recent if identity.name.startswith(kind)]
+            waiting = [identity for identity in buffer.updates if identity.name.startswith(kind)]
             chosen = [one.identity for one in picked if one.identity.name.startswith(kind)]
             # Nothing that was left waiting had been sent less often than what was chosen of its list.
             left = [before.get(identity, 0) for identity in waiting if identity not in chosen]
@@ -67,12 +71,12 @@
 
 def test_successive_probes_of_a_member_are_at_most_2n_minus_1_periods_apart():
     for seed in range(20):
-        roster = irisstand.membership.member_list.Roster(random.Random(seed))
+        member_list = irisstand.membership.member_list.MemberList(random.Random(seed))
         for number in range(9):
-            roster.apply(update(f"m{number}"))
+            member_list.apply(update(f"m{number}"))
         last, gap = {}, 0
         for period in range(400):
-            target = roster.next_target().identity.name
+            target = member_list.next_ping_target().identity.name
             gap = max(gap, period - last.get(target, period))
             last[target] = period
         assert 9 <= gap <= 2 * 9 - 1
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -37,4 +37,6 @@
 
 def members(day, name):
     """Living members by name, as `name` sees them."""
-    return {update.identity.name: update for update in context(day, name).detector.roster.members.values()}
+    return {
+        update.identity.name: update for update in context(day, name).detector.member_list.members.values()
+    }
--- a/tests/support/direct_edge.py
+++ b/tests/support/direct_edge.py
@@ -99,8 +99,8 @@
 
     def member(self, name, role, site="north", region="one"):
         card = updates.NodeInfo(role, f"m-{name}", site, region, f"10.0.1.{len(name)}", 7000, 8000)
-        update = updates.Update(updates.State.ALIVE, updates.Identity(name, "a"), 0, card)
-        self.context.detector.learn(update)
+        update = updates.Update(updates.MemberState.ALIVE, updates.Identity(name, "a"), 0, card)
+        self.context.detector.apply_update(update)
 
     def confirm_current(self, for_seconds=1e6):
         for copy in self.context.replicas.values():
--- a/tests/transport/test_fuzz.py
+++ b/tests/transport/test_fuzz.py
@@ -33,7 +33,9 @@
 def detector():
     card = updates.NodeInfo("edge", "m", "s", "r", "127.0.0.1", 1, 2)
     counters = irisstand.counters.Counters()
-    return irisstand.membership.detector.Detector("a", card, StoppedClock(), random.Random(1), counters)
+    return irisstand.membership.detector.FailureDetector(
+        "a", card, StoppedClock(), random.Random(1), counters
+    )
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -69,7 +71,7 @@
         one.on_datagram(randomness.randbytes(40), ("127.0.0.1", 9))
         dropped += 1
     assert one.counters.get("datagrams_dropped") >= dropped
-    assert not one.roster.members
+    assert not one.member_list.members
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -80,7 +82,7 @@
     for _ in range(300):
         given = [
             updates.Update(
-                updates.State(randomness.choice((0, 0, 0, 1, 1, 1, 2))),
+                updates.MemberState(randomness.choice((0, 0, 0, 1, 1, 1, 2))),
                 updates.Identity(f"n{randomness.randrange(3)}", "1"),
                 randomness.randrange(4),
                 card,
@@ -89,16 +91,16 @@
         ]
         one = detector()
         for update in given:
-            one.learn(updates.decode(ormsgpack.unpackb(ormsgpack.packb(updates.encode(update)))))
+            one.apply_update(updates.decode(ormsgpack.unpackb(ormsgpack.packb(updates.encode(update)))))
         for name in {update.identity.name for update in given}:
             about = [update for update in given if update.identity.name == name]
-            failed = [update for update in about if update.state is updates.State.CONFIRM]
-            found = one.roster.get(updates.Identity(name, "1"))
+            failed = [update for update in about if update.state is updates.MemberState.CONFIRM]
+            found = one.member_list.get(updates.Identity(name, "1"))
             if failed:
-                assert found.state is updates.State.CONFIRM
+                assert found.state is updates.MemberState.CONFIRM
             else:
-                best = max(about, key=lambda update: (update.incarnation, update.state))
-                assert (found.incarnation, found.state) == (best.incarnation, best.state)
+                best = max(about, key=lambda update: (update.incarnation_number, update.state))
+                assert (found.incarnation_number, found.state) == (best.incarnation_number, best.state)
 
 
 @pytest.mark.parametrize("seed", range(5))
