--- a/src/irisstand/errors.py
+++ b/src/irisstand/errors.py
@@ -10,7 +10,7 @@
     code = "irisstand"
     status = 500
     remedy = "look at the log ring of the node that answered"
-    # After how many seconds it is worth asking again, where the raiser knows no better.
+    # Seconds to Retry-After, where the raiser knows no better.
     default_retry_after = 0.0
 
     def __init__(self, message: str = "", remedy: str = "", retry_after: float = 0.0) -> None:
@@ -87,7 +87,7 @@
 
 
 class SlowStartError(IrisError):
-    """All origins that are left are cold: what they may get is taken up."""
+    """All origins that are left are in slow start, and what they may get is taken up."""
 
     code, status, remedy = "warming-up", 503, "wait for Retry-After seconds; the origins take more by and by"
     default_retry_after = 1.0
--- a/src/irisstand/membership/dissemination_buffer.py
+++ b/src/irisstand/membership/dissemination_buffer.py
@@ -8,7 +8,7 @@
 def transmission_limit(factor: float, members: int) -> int:
     """At most lambda times log n sendings of one update, as the prototype rounds it.
 
-    >>> sending_limit(3, 20)
+    >>> transmission_limit(3, 20)
     12
     """
     return max(1, math.ceil(factor * math.ceil(math.log(members + 1))))
--- a/src/irisstand/membership/updates.py
+++ b/src/irisstand/membership/updates.py
@@ -44,11 +44,11 @@
 def overrides(new: Update, old: Update) -> bool:
     """The paper's order of preference, whoever sent either.
 
-    >>> card = Card("edge", "m", "s", "r", "127.0.0.1", 1, 2)
+    >>> node_info = NodeInfo("edge", "m", "s", "r", "127.0.0.1", 1, 2)
     >>> me = Identity("a", "1")
-    >>> overrides(Update(State.ALIVE, me, 1, card), Update(State.SUSPECT, me, 0, card))
+    >>> overrides(Update(MemberState.ALIVE, me, 1, node_info), Update(MemberState.SUSPECT, me, 0, node_info))
     True
-    >>> overrides(Update(State.ALIVE, me, 1, card), Update(State.SUSPECT, me, 1, card))
+    >>> overrides(Update(MemberState.ALIVE, me, 1, node_info), Update(MemberState.SUSPECT, me, 1, node_info))
     False
     """
     if old.state is MemberState.CONFIRM:
--- a/src/irisstand/transport/codec.py
+++ b/src/irisstand/transport/codec.py
@@ -67,8 +67,8 @@
 
 def encode(message: Message) -> bytes:
     """
-    >>> decode(encode(Ask(7, "read", ("x",), "l1")))
-    Ask(number=7, kind='read', body=['x'], life='l1')
+    >>> decode(encode(Request(7, "read", ("x",), "l1")))
+    Request(number=7, kind='read', body=['x'], incarnation_id='l1')
     """
     if isinstance(message, Hello):
         return pack(("hello", 0, tuple(message)))
