--- a/src/irisstand/modelcheck/__init__.py
+++ b/src/irisstand/modelcheck/__init__.py
@@ -1,1 +1,4 @@
-"""A model check of the decision code: the real coroutines under a scheduler that chooses every step."""
+"""Model check of the decision code: the real coroutines under a deterministic scheduler.
+
+See docs/control/model.md.
+"""
--- a/src/irisstand/modelcheck/check.py
+++ b/src/irisstand/modelcheck/check.py
@@ -1,35 +1,63 @@
-"""The command: explore or walk one scenario, and say what was covered and what broke."""
+"""The command `check-model`: explore or walk one scenario and print what was covered and what broke."""
 
+import collections.abc
 import time
-import typing
 
-from irisstand.modelcheck import explore, scenarios, walk
+from irisstand.modelcheck import exploration, random_walk, reports, runs, scenarios
 
-Say = typing.Callable[[str], None]
+Print = collections.abc.Callable[[str], None]
+RESULTS_SHOWN_LIMIT = 5
 
 
-def check(name: str, deviations: int, workers: int, seeds: range, say: Say) -> int:
-    scenario, started = scenarios.REGISTRY[name], time.monotonic()
+def check(name: str, deviations: int, workers: int, seeds: range, print_line: Print) -> int:
+    """Explore a scenario, or walk it where there are seeds.
+
+    Args:
+        name: The scenario's name.
+        deviations: The most deviations in one explored run.
+        workers: Number of processes that explore.
+        seeds: Seeds of random walks; empty to explore.
+        print_line: Prints one line.
+
+    Returns:
+        The exit status: 1 if an invariant is broken.
+    """
+    scenario = scenarios.REGISTRY[name]
+    started = time.monotonic()
     if seeds:
-        report, what = walk.walk(scenario, seeds), f"{len(seeds)} walks"
+        report = random_walk.walk(scenario, seeds)
+        extent = f"{len(seeds)} walks"
     else:
-        report, what = explore.explore(scenario, deviations, workers), f"{deviations} deviations"
-    took = time.monotonic() - started
-    say(
-        f"{name}, {what}: {report.states} states, {report.runs} runs ({report.pruned} cut short at a known"
-        f" state), {report.steps} steps, {took:.0f} s with {workers} worker(s), {len(report.broken)} broken"
+        report = exploration.explore(scenario, deviations, workers)
+        extent = f"{deviations} deviations"
+    seconds = time.monotonic() - started
+    broken = len(report.broken)
+    print_line(
+        f"{name}, {extent}: {report.states} states, {report.runs} runs ({report.pruned} cut short at a known"
+        f" state), {report.steps} steps, {seconds:.0f} s with {workers} worker(s), {broken} broken"
     )
-    for told, count in sorted(report.results.items(), key=lambda entry: -entry[1])[:5]:
-        say(f"  {count:7d} ended: {told}")
-    for choices, rule in report.broken:
-        say(f"  BROKEN: {rule}")
-        say(f"  check-model --scenarios {name} --replay {','.join(map(str, choices)) or '0'}")
+    print_results(report, print_line)
     return 1 if report.broken else 0
 
 
-def replay(name: str, choices: explore.Choices, say: Say) -> int:
-    world, broken = explore.replay(scenarios.REGISTRY[name], choices)
-    for line in world.trace:
-        say(line)
-    say(f"broken: {broken}" if broken else f"nothing broken: {world.results}")
-    return 1 if broken else 0
+def print_results(report: reports.Report, print_line: Print) -> None:
+    """Print the most frequent results, and how to replay the runs that broke an invariant."""
+    by_count = sorted(report.results.items(), key=lambda entry: -entry[1])
+    for results, count in by_count[:RESULTS_SHOWN_LIMIT]:
+        print_line(f"  {count:7d} ended: {results}")
+    for run in report.broken:
+        choices = ",".join(map(str, run.choices)) or "0"
+        print_line(f"  BROKEN: {run.violation}")
+        print_line(f"  check-model --scenarios {report.scenario} --replay {choices}")
+
+
+def replay(name: str, choices: runs.Choices, print_line: Print) -> int:
+    """Run one list of choices and print each step; return the exit status."""
+    result = runs.replay(scenarios.REGISTRY[name], choices)
+    for line in result.cluster.trace:
+        print_line(line)
+    if result.violation:
+        print_line(f"broken: {result.violation}")
+        return 1
+    print_line(f"nothing broken: {result.cluster.clients.results_text()}")
+    return 0
--- a/src/irisstand/modelcheck/scenarios.py
+++ b/src/irisstand/modelcheck/scenarios.py
@@ -1,89 +1,126 @@
-"""The sizes that are checked: who votes, what clients order and read, and what may go wrong."""
+"""Scenarios of the model check: who votes, what clients order and read, and which faults may happen."""
 
+import enum
 import typing
 
-from irisstand.controlplane.changes import orders
+from irisstand.controlplane.changes import overlay
 
-ORDER, READ, ENROL = "order", "read", "enrol"
 
+class StepKind(enum.StrEnum):
+    """What a client asks of a node."""
 
-class Step(typing.NamedTuple):
-    """A client's step at a node, begun once step `after` is over, or at once."""
+    ORDER = "order"
+    READ = "read"
+    ENROL = "enrol"
 
-    kind: str
+
+class StepResult(enum.StrEnum):
+    """How a client's step ended; LOST: the node crashed before it could say."""
+
+    YES = "yes"
+    NO = "no"
+    UNKNOWN = "unknown"
+    LOST = "lost"
+    READ = "read"
+
+
+class ClientStep(typing.NamedTuple):
+    """One request of a client.
+
+    Attributes:
+        kind: What is asked.
+        node: The node that is asked.
+        order: The order, for an order.
+        after: Number of the step that must be over before; None: at once.
+        newcomer: The node that becomes a voter, for an enrolment; None: the scenario's spare.
+    """
+
+    kind: StepKind
     node: str
-    order: orders.Order | None = None
+    order: overlay.Order | None = None
     after: int | None = None
+    newcomer: str | None = None
 
 
 class Scenario(typing.NamedTuple):
-    """`faults`: crashes and wipes that a run may have; `wiped`: whose disk may go, within what a majority
-    bears; `leaves`: the voter whose place `d` takes.
+    """What one model check runs.
+
+    Attributes:
+        name: The name on the command line.
+        steps: What clients do.
+        sites: The site of each node, in the order of their names.
+        faults: Number of crashes and wipes that a run may have.
+        leaves: The voter that the spare replaces.
+        wiped: Nodes whose disk may be lost, within what a majority survives.
     """
 
     name: str
-    steps: tuple[Step, ...]
+    steps: tuple[ClientStep, ...]
     sites: tuple[str, ...] = ("one", "two", "three", "four")
     faults: int = 1
     leaves: str = "c"
     wiped: tuple[str, ...] = ("a", "b", "c")
 
 
-def site(change: str, weight: int, name: str = "north", **more: typing.Any) -> orders.Order:
-    row = {"kind": "site", "name": name, "value": {"weight": weight}, **more}
-    return orders.Order("change", change, [row])
+def site_order(change: str, weight: int, name: str = "north", **fields: typing.Any) -> overlay.Order:
+    """Return an order that sets a site's weight under a change id."""
+    row = {"kind": "site", "name": name, "value": {"weight": weight}, **fields}
+    return overlay.Order("change", change, [row])
 
 
-def limits(version: int, size: int) -> orders.Order:
-    value = {"version": version, "item": {"version": version, "header_bytes": size}}
-    return orders.Order("amend", "", [("limits/all", value)])
+def limits_order(version: int, header_bytes: int) -> overlay.Order:
+    """Return an order that amends the limits under a version number."""
+    value = {"version": version, "item": {"version": version, "header_bytes": header_bytes}}
+    return overlay.Order("amend", "", [("limits/all", value)])
 
 
 # The smallest: one order, and a majority check after it.
-SINGLE = Scenario("single", (Step(ORDER, "a", site("x", 1)), Step(READ, "c", after=0)))
+SINGLE = Scenario(
+    "single", (ClientStep(StepKind.ORDER, "a", site_order("x", 1)), ClientStep(StepKind.READ, "c", after=0))
+)
 # Two orders that expect the same version: one may win, and whoever reads after the yes sees it.
 RACE = Scenario(
     "race",
     (
-        Step(ORDER, "a", site("x", 1, expected="0@")),
-        Step(ORDER, "b", site("y", 2, expected="0@")),
-        Step(READ, "c", after=0),
+        ClientStep(StepKind.ORDER, "a", site_order("x", 1, expected="0@")),
+        ClientStep(StepKind.ORDER, "b", site_order("y", 2, expected="0@")),
+        ClientStep(StepKind.READ, "c", after=0),
     ),
 )
 # One order sent to two proposers: both name one result.
 TWICE = Scenario(
     "twice",
     (
-        Step(ORDER, "a", site("x", 1)),
-        Step(ORDER, "b", site("x", 1)),
-        Step(READ, "d", after=0),
+        ClientStep(StepKind.ORDER, "a", site_order("x", 1)),
+        ClientStep(StepKind.ORDER, "b", site_order("x", 1)),
+        ClientStep(StepKind.READ, "d", after=0),
     ),
 )
 # The second order comes when the first is over, however it ended, perhaps with its proposer.
 HANDOVER = Scenario(
     "handover",
     (
-        Step(ORDER, "a", site("x", 1)),
-        Step(ORDER, "b", site("y", 2), after=0),
-        Step(READ, "c", after=0),
+        ClientStep(StepKind.ORDER, "a", site_order("x", 1)),
+        ClientStep(StepKind.ORDER, "b", site_order("y", 2), after=0),
+        ClientStep(StepKind.READ, "c", after=0),
     ),
 )
 # A change of voters beside an order.
 VOTERS = Scenario(
     "voters",
     (
-        Step(ORDER, "a", site("x", 1)),
-        Step(ENROL, "b"),
-        Step(ORDER, "a", site("y", 2), after=1),
-        Step(READ, "d", after=2),
+        ClientStep(StepKind.ORDER, "a", site_order("x", 1)),
+        ClientStep(StepKind.ENROL, "b"),
+        ClientStep(StepKind.ORDER, "a", site_order("y", 2), after=1),
+        ClientStep(StepKind.READ, "d", after=2),
     ),
 )
 # Two of three voters in one site: that majority alone decides nothing.
 SITES = Scenario(
     "sites",
     (
-        Step(ORDER, "a", site("x", 1)),
-        Step(ORDER, "b", site("y", 2)),
+        ClientStep(StepKind.ORDER, "a", site_order("x", 1)),
+        ClientStep(StepKind.ORDER, "b", site_order("y", 2)),
     ),
     sites=("one", "one", "two", "two"),
     wiped=("a", "b"),
@@ -92,11 +129,12 @@
 CONTENTS = Scenario(
     "contents",
     (
-        Step(ORDER, "a", limits(3, 1000)),
-        Step(ORDER, "b", limits(3, 2000)),
-        Step(READ, "c", after=0),
+        ClientStep(StepKind.ORDER, "a", limits_order(3, 1000)),
+        ClientStep(StepKind.ORDER, "b", limits_order(3, 2000)),
+        ClientStep(StepKind.READ, "c", after=0),
     ),
 )
 
-# Plug-in point: a scenario is an entry here.
-REGISTRY = {one.name: one for one in (SINGLE, RACE, TWICE, HANDOVER, VOTERS, SITES, CONTENTS)}
+# Scenarios by name; a new one is an entry here.
+ALL = (SINGLE, RACE, TWICE, HANDOVER, VOTERS, SITES, CONTENTS)
+REGISTRY = {scenario.name: scenario for scenario in ALL}
--- a/tests/modelcheck/test_model_check.py
+++ b/tests/modelcheck/test_model_check.py
@@ -4,9 +4,8 @@
 
 import pytest
 
-import irisstand.modelcheck.explore as explore
-import irisstand.modelcheck.scenarios as scenarios
-import irisstand.modelcheck.walk as walk
+from irisstand.controlplane.consensus import heartbeat, proposer
+from irisstand.modelcheck import exploration, random_walk, runs, scenarios
 
 # Two contents under one version stand in a test of their own, below.
 NAMES = [name for name in scenarios.REGISTRY if name != "contents"]
@@ -14,65 +13,72 @@
 
 @pytest.mark.parametrize("name", NAMES)
 def test_every_run_with_one_deviation_keeps_all_rules(name):
-    report = explore.explore(scenarios.REGISTRY[name], deviations=1)
+    report = exploration.explore(scenarios.REGISTRY[name], deviations=1)
     assert not report.broken
     # A model in which nothing happens would keep all rules as well.
     assert report.runs > 100
-    assert any("lost" in told for told in report.results)
+    assert any("lost" in results for results in report.results)
 
 
 @pytest.mark.parametrize("name", NAMES)
 def test_random_walks_with_links_in_trouble_keep_all_rules(name):
-    report = walk.walk(scenarios.REGISTRY[name], range(1, 41))
+    report = random_walk.walk(scenarios.REGISTRY[name], range(1, 41))
     assert not report.broken
     assert report.runs == 40
 
 
 def test_the_same_choices_give_the_same_run():
     choices = (0, 0, 1, 0, 0, 3, 0, 0, 0, 4, 0, 0, 0, 0, 2)
-    runs = [explore.replay(scenarios.REGISTRY["voters"], choices) for _ in range(2)]
-    assert runs[0][0].trace == runs[1][0].trace
-    assert runs[0][0].results == runs[1][0].results
-    assert any("cut" in line for line in runs[0][0].trace)
+    first, second = (runs.replay(scenarios.REGISTRY["voters"], choices).cluster for _ in range(2))
+    assert first.trace == second.trace
+    assert first.clients.results == second.clients.results
+    assert any("cut" in line for line in first.trace)
 
 
 def directed(steps, *rules):
-    """One run in which each event whose label matches a rule's pattern has that done to it.
+    """One run in which each event whose label matches a rule's pattern has that action applied to it.
 
-    A rule is (pattern, option, whether only until the first batch is decided).
+    A rule is (pattern, action, whether only until the first batch is decided).
     """
 
-    def choose(world, names):
-        for pattern, option, until_decided in rules if names else ():
-            # The founding batch is among the decided ones.
-            is_over = until_decided and len(world.oracle.decided) > 1
-            if option in names and not is_over and re.search(pattern, world.pending[0].label):
-                return names.index(option)
+    def choose(model, actions):
+        for pattern, action, until_decided in rules if actions else ():
+            # The bootstrap batch is among the decided ones.
+            is_over = until_decided and len(model.checker.history.batches) > 1
+            if action in actions and not is_over and re.search(pattern, model.scheduler.pending[0].label):
+                return actions.index(action)
         return 0
 
-    return explore.run(scenarios.Scenario("directed", steps, faults=0), choose)
+    return runs.run(scenarios.Scenario("directed", steps, faults=0), choose)
 
 
-X, Y = scenarios.site("x", 1), scenarios.site("y", 2)
+X = scenarios.site_order("x", 1)
+Y = scenarios.site_order("y", 2)
 
 
 def test_a_proposer_that_hears_no_promises_proposes_nothing():
     """Its accepts would get through, to a voter that holds another proposer's decided batch as pending."""
-    steps = (scenarios.Step(scenarios.ORDER, "b", X), scenarios.Step(scenarios.ORDER, "a", Y))
-    world, broken, _ = directed(
+    steps = (
+        scenarios.ClientStep(scenarios.StepKind.ORDER, "b", X),
+        scenarios.ClientStep(scenarios.StepKind.ORDER, "a", Y),
+    )
+    result = directed(
         steps,
         ("^start 1", "hold", False),
         (r"^b\.1#\d+>a", "drop", False),
         (r"^b\.1#\d+>c commit", "hold", False),
         (r"^a\.1#\d+>[bc] promise", "drop", False),
     )
-    assert not broken
-    assert world.results[0] == "yes"
+    assert not result.violation
+    assert result.cluster.clients.results[0] == "yes"
 
 
 def test_of_two_pending_batches_the_one_accepted_under_the_higher_ballot_is_finished():
-    steps = (scenarios.Step(scenarios.ORDER, "a", X), scenarios.Step(scenarios.ORDER, "b", Y))
-    world, broken, _ = directed(
+    steps = (
+        scenarios.ClientStep(scenarios.StepKind.ORDER, "a", X),
+        scenarios.ClientStep(scenarios.StepKind.ORDER, "b", Y),
+    )
+    result = directed(
         steps,
         ("^start 1", "hold", False),
         (r"^a\.1#\d+>[bc] accept", "drop", True),
@@ -82,26 +88,45 @@
         (r"^b\.1#\d+>a", "drop", False),
         (r"^b\.1#\d+>c commit", "hold", False),
     )
-    assert not broken
-    assert world.results[1] == "yes"
+    assert not result.violation
+    assert result.cluster.clients.results[1] == "yes"
     # The first stood against it: its proposer's accepts were dropped, on the way to both others.
-    assert sum("drop: a.1" in line and "accept" in line for line in world.trace) >= 2
+    assert sum("drop: a.1" in line and "accept" in line for line in result.cluster.trace) >= 2
 
 
 def test_a_majority_check_after_a_yes_does_not_rest_on_a_batch_that_is_only_pending_where_it_asks():
-    steps = (scenarios.Step(scenarios.ORDER, "b", X), scenarios.Step(scenarios.READ, "a", after=0))
-    world, broken, _ = directed(
+    steps = (
+        scenarios.ClientStep(scenarios.StepKind.ORDER, "b", X),
+        scenarios.ClientStep(scenarios.StepKind.READ, "a", after=0),
+    )
+    result = directed(
         steps,
         (r"^b\.1#\d+>a", "drop", False),
         (r"^b\.1#\d+>c commit", "hold", False),
         (r"^a\.1#\d+>b stand", "drop", False),
     )
-    assert not broken
-    assert world.results[0] == "yes"
+    assert not result.violation
+    assert result.cluster.clients.results[0] == "yes"
     # One check may end without a word, as here, where it lost its ballot; its loop begins another.
-    assert world.results[1] in ("read", "no")
+    assert result.cluster.clients.results[1] in ("read", "no")
 
 
 def test_no_two_contents_are_confirmed_under_one_version():
-    report = explore.explore(scenarios.REGISTRY["contents"], deviations=1)
+    report = exploration.explore(scenarios.REGISTRY["contents"], deviations=1)
     assert not report.broken
+
+
+def test_a_read_that_loses_its_ballot_ends_with_no_and_breaks_nothing(monkeypatch):
+    beat = heartbeat.MajorityCheck.beat
+    # Only the client's read fails; those at the end of the run bring what every replica must have.
+    failures = iter([proposer.BallotLostError()])
+
+    async def lose_first_ballot(self):
+        if error := next(failures, None):
+            raise error
+        return await beat(self)
+
+    monkeypatch.setattr(heartbeat.MajorityCheck, beat.__name__, lose_first_ballot)
+    result = runs.replay(scenarios.REGISTRY["single"], ())
+    assert not result.violation
+    assert result.cluster.clients.results[1] == "no"
