--- a/src/irisstand/control_errors.py
+++ b/src/irisstand/control_errors.py
@@ -15,11 +15,11 @@
         super().__init__(self.summary)
         self.details = details
 
-    def __init_subclass__(cls) -> None:
+    def __init_subclass__(cls, *, is_registered: bool = True) -> None:
         DETAILED[cls.code] = cls
 
-    def as_object(self) -> dict:
-        return {**super().as_object(), self.details_name: self.details}
+    def to_json(self) -> dict:
+        return {**super().to_json(), self.details_name: self.details}
 
 
 DETAILED: dict[str, type[DetailedError]] = {}
@@ -51,7 +51,7 @@
 def rebuild(code: str, details: typing.Any) -> DetailedError | None:
     """A detailed refusal as a peer sent it; None if the code is none.
 
-    >>> rebuild("version-taken", [{"item": "route/a"}]).as_object()["conflicts"]
+    >>> rebuild("version-taken", [{"item": "route/a"}]).to_json()["conflicts"]
     [{'item': 'route/a'}]
     """
     kind = DETAILED.get(code)
--- a/src/irisstand/controlplane/api/operator_orders.py
+++ b/src/irisstand/controlplane/api/operator_orders.py
@@ -51,7 +51,7 @@
         try:
             result = await self.submitter.answer(orders.Order(kind, change, payload))
         except errors.ChangeOutcomeUnknownError as error:
-            return web.as_json({**error.as_object(), "change": change}, error.status, {"Retry-After": "1"})
+            return web.as_json({**error.to_json(), "change": change}, error.status, {"Retry-After": "1"})
         return web.as_json({"change": change, "confirmed": True, **result})
 
     async def post_change(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
--- a/src/irisstand/dataplane/http/listener.py
+++ b/src/irisstand/dataplane/http/listener.py
@@ -149,7 +149,7 @@
         # Told at once when to come back, to a part of a second.
         if error.retry_after:
             headers["Retry-After"] = f"{error.retry_after:.2f}"
-        return sanic.response.json(error.as_object(), error.status, headers)
+        return sanic.response.json(error.to_json(), error.status, headers)
 
     def on_error(self, request: sanic.request.Request, error: Exception) -> sanic.response.HTTPResponse:
         status = getattr(error, "status_code", None) or 500
--- a/src/irisstand/modelcheck/model_network.py
+++ b/src/irisstand/modelcheck/model_network.py
@@ -74,9 +74,9 @@
         try:
             reply = ("result", await self.callee.transport.handlers[kind](self.caller.name, body))
         except errors.IrisError as error:
-            reply = ("fault", error.as_tuple())
+            reply = ("fault", tuple(error.to_wire()))
         except (ValueError, TypeError, IndexError, KeyError) as error:
-            reply = ("fault", errors.BadRequestError(repr(error)).as_tuple())
+            reply = ("fault", tuple(errors.BadRequestError(repr(error)).to_wire()))
         if self in self.callee.calls_in_service:
             self.callee.calls_in_service.remove(self)
         self.post_reply(codec.pack(reply))
@@ -102,7 +102,7 @@
         if status == "result":
             self.future.set_result(content)
         else:
-            self.future.set_exception(errors.from_tuple(tuple(content)))
+            self.future.set_exception(errors.from_wire(errors.WireError.from_wire(content)))
 
 
 class ModelTransport:
--- a/src/irisstand/transport/codec.py
+++ b/src/irisstand/transport/codec.py
@@ -50,10 +50,10 @@
 
 
 class ErrorResponse(typing.NamedTuple):
-    """`parts` as errors.IrisError.as_tuple gives them."""
+    """The error that the request raised."""
 
     number: int
-    parts: tuple
+    error: errors.WireError
 
 
 class Cancel(typing.NamedTuple):
@@ -79,7 +79,7 @@
     if isinstance(message, Response):
         return pack(("result", message.number, message.body))
     if isinstance(message, ErrorResponse):
-        return pack(("fault", message.number, message.parts))
+        return pack(("fault", message.number, tuple(message.error)))
     return pack(("withdraw", message.number, ()))
 
 
@@ -97,8 +97,7 @@
         if kind == "result":
             return Response(number, body)
         if kind == "fault":
-            code, text, remedy, retry_after = body
-            return ErrorResponse(number, (str(code), str(text), str(remedy), float(retry_after)))
+            return ErrorResponse(number, errors.WireError.from_wire(body))
         if kind == "withdraw":
             return Cancel(number)
     except (ValueError, TypeError, IndexError) as error:
--- a/src/irisstand/transport/peers.py
+++ b/src/irisstand/transport/peers.py
@@ -51,7 +51,7 @@
                     if isinstance(message, codec.Response):
                         future.set_result(message.body)
                     else:
-                        future.set_exception(errors.from_tuple(message.parts))
+                        future.set_exception(errors.from_wire(message.error))
         except OSError:
             pass
         except errors.MalformedFrameError as error:
@@ -246,16 +246,16 @@
                 raise errors.UnknownNameError(f"no handler for {ask.kind}")
             reply: codec.Message = codec.Response(number, await handler(sender, ask.body))
         except errors.IrisError as error:
-            reply = codec.ErrorResponse(number, error.as_tuple())
+            reply = codec.ErrorResponse(number, error.to_wire())
         except (ValueError, TypeError, IndexError, KeyError) as error:
             self.counters.add("frames_dropped", reason="malformed-ask")
             event_log.record("malformed-ask", error=repr(error), sender=sender)
-            reply = codec.ErrorResponse(number, errors.BadRequestError(repr(error)).as_tuple())
+            reply = codec.ErrorResponse(number, errors.BadRequestError(repr(error)).to_wire())
         except Exception as error:
             # The asker must not wait for its deadline because of a fault of this node's own.
             self.counters.add("asks_crashed")
             event_log.record("ask-crashed", error=repr(error), sender=sender)
-            reply = codec.ErrorResponse(number, errors.IrisError(repr(error)).as_tuple())
+            reply = codec.ErrorResponse(number, errors.IrisError(repr(error)).to_wire())
         try:
             stream.write(codec.encode(reply))
             await stream.flush()
--- a/src/irisstand/web.py
+++ b/src/irisstand/web.py
@@ -29,7 +29,7 @@
     # Told at once when to come back, instead of being kept waiting until it could.
     if error.retry_after:
         headers["Retry-After"] = str(max(1, math.ceil(error.retry_after)))
-    return as_json(error.as_object(), error.status, headers)
+    return as_json(error.to_json(), error.status, headers)
 
 
 class Web:
--- a/tests/controlplane/test_idempotent_changes.py
+++ b/tests/controlplane/test_idempotent_changes.py
@@ -57,7 +57,7 @@
     with pytest.raises(errors.IrisError) as raised:
         amend(table, call)
     assert raised.value.status == 409 and raised.value.code == "version-taken"
-    assert raised.value.remedy and raised.value.as_object()["conflicts"]
+    assert raised.value.remedy and raised.value.to_json()["conflicts"]
     assert table.root() == before
 
 
--- a/tests/transport/test_incarnations.py
+++ b/tests/transport/test_incarnations.py
@@ -103,7 +103,7 @@
         codec.Request(1, "read", ["x"], "l"),
         codec.Request(1, "read", ["x"]),
         codec.Response(2, ["x"]),
-        codec.ErrorResponse(3, ("unreached", "text", "remedy", 1.0)),
+        codec.ErrorResponse(3, errors.WireError("unreached", "text", "remedy", 1.0)),
         codec.Cancel(4),
     ):
         assert codec.decode(codec.encode(message)) == message
