--- a/tests/docs/test_pages.py
+++ b/tests/docs/test_pages.py
@@ -16,6 +16,12 @@
 FILE_ENDINGS = {"py", "md", "toml", "txt", "yaml", "json", "sh"}
 PAGES = sorted([*ROOT.glob("*.md"), *(ROOT / "docs").rglob("*.md")])
 
+# Records of days that are past keep the names of their time.
+RECORDS = {"measurements.md", "brief.md", "kildespor-inc-6c41.md", "toopaik-inc-ce9d.md"}
+NOT_RECORDS = [page for page in PAGES if page.name not in RECORDS]
+TEST_NAME = re.compile(r"\btest_[a-z_]*[a-z]\b(?!\.toml)")
+PYTHON_FILE = re.compile(r"(?<![*\w/.-])[\w/-]+\.py\b")
+
 
 def find_missing(dotted: str) -> str:
     """The part of `package.module.Name` that does not exist, or nothing."""
@@ -73,3 +79,17 @@
     targets = [target for target in LINK.findall(FENCE.sub("", page.read_text())) if "://" not in target]
     broken = [target for target in targets if not (page.parent / target.split("#")[0]).exists()]
     assert not broken
+
+
+@pytest.mark.parametrize("page", NOT_RECORDS, ids=lambda page: str(page.relative_to(ROOT)))
+def test_every_test_and_python_file_that_a_page_names_exists(page: pathlib.Path) -> None:
+    text = page.read_text()
+    files = list((ROOT / "tests").rglob("test_*.py"))
+    functions = {
+        name for file in files for name in re.findall(r"^def (test_\w+)", file.read_text(), re.MULTILINE)
+    }
+    known = functions | {file.stem for file in files}
+    assert sorted(set(TEST_NAME.findall(text)) - known) == []
+    named = set(PYTHON_FILE.findall(text)) - {f"{file.name}" for file in files}
+    folders = (ROOT, SOURCE, ROOT / "platform", ROOT / "tests")
+    assert sorted(name for name in named if not any((folder / name).is_file() for folder in folders)) == []
