--- a/tests/docs/test_pages.py
+++ b/tests/docs/test_pages.py
@@ -61,10 +61,10 @@
     ]
 
 
-@pytest.mark.parametrize("page", ["docs/architecture.md", "docs/glossary.md"])
-def test_every_module_and_class_that_a_page_names_exists(page: str) -> None:
-    names = module_names((ROOT / page).read_text())
-    assert len(names) > 20
+@pytest.mark.parametrize("page", NOT_RECORDS, ids=lambda page: str(page.relative_to(ROOT)))
+def test_every_module_and_class_that_a_page_names_exists(page: pathlib.Path) -> None:
+    names = module_names(page.read_text())
+    assert len(names) > 20 or page.name not in ("architecture.md", "glossary.md")
     missing = {name: part for name in names if (part := find_missing(name))}
     assert not missing
 
