--- a/src/irisstand/controlplane/api/operator_reads.py
+++ b/src/irisstand/controlplane/api/operator_reads.py
@@ -42,7 +42,7 @@
         copy = self.context.configuration
         rows = []
         for kind in schema.REGISTRY:
-            for item in copy.under(kind + "/"):
+            for item in copy.items_with_prefix(kind + "/"):
                 name = item.key.removeprefix(kind + "/")
                 rows.append({"kind": kind, "name": name, "serial": str(item.version), "value": item.value})
         return web.as_json({"tip": str(copy.applied), "rows": rows})
@@ -65,7 +65,7 @@
         copy = self.context.ledger
         rows = [
             {"key": item.key, "serial": str(item.version), "value": item.value}
-            for item in copy.under("")
+            for item in copy.items_with_prefix("")
             if not item.key.startswith("~change/")
         ]
         return web.as_json({"tip": str(copy.applied), "rows": rows})
@@ -105,5 +105,5 @@
             entry["evacuated"] = self.context.is_evacuated(entry["site"])
             saved = ledger.value(f"saved/{name}") or {"seconds": 0}
             entry["hours_saved"] = round(saved["seconds"] / 3600, 2)
-        total = sum(item.value["seconds"] for item in ledger.under("saved/")) / 3600
+        total = sum(item.value["seconds"] for item in ledger.items_with_prefix("saved/")) / 3600
         return web.as_json({"machines": machines, "machine_hours_saved": round(total, 2)})
--- a/src/irisstand/controlplane/changes/amendment.py
+++ b/src/irisstand/controlplane/changes/amendment.py
@@ -39,7 +39,7 @@
         return {}
     standing: dict[str, Stored] = {}
     for prefix in ("route/", "upstream/"):
-        standing.update(overlay.under(prefix))
+        standing.update(overlay.items_with_prefix(prefix))
     standing.update(judged.newer)
     faults = versioned.faults_of(standing) if judged.newer else []
     faults += versioned.faults_of_late(judged.late, standing)
@@ -81,7 +81,11 @@
 def as_amendment(copy: replica.Replica) -> dict[str, typing.Any]:
     """All items that stand, laid out as a call that would put them."""
     found: dict[str, typing.Any] = {
-        name: [item.value["item"] for item in copy.under(f"{kind}/") if item.value["item"] is not None]
+        name: [
+            item.value["item"]
+            for item in copy.items_with_prefix(f"{kind}/")
+            if item.value["item"] is not None
+        ]
         for kind, name in versioned.LISTS.items()
     }
     limits = copy.value(versioned_items.LIMITS)
--- a/src/irisstand/controlplane/changes/change_status.py
+++ b/src/irisstand/controlplane/changes/change_status.py
@@ -46,7 +46,7 @@
 
     def seconds_ago(self, copy: typing.Any, version: versions.Version) -> float:
         """At the least, by the table's own time, which stands still while nobody keeps it."""
-        return round(table_time.TableTime(copy.value(items.TIME)).stood(version), 1)
+        return round(table_time.TableTime(copy.value(items.TABLE_TIME_KEY)).stood(version), 1)
 
     async def nodes(self, table: str, version: versions.Version) -> dict[str, str]:
         """Asked now of every member: in force, behind, stale (it answers nobody by its table), or silent."""
@@ -71,7 +71,7 @@
     def state(self, applied_versions: typing.Iterable, table: str, version: versions.Version) -> str:
         for name, applied, is_current in applied_versions:
             if name == table:
-                if versions.decode(applied) < version:
+                if versions.Version.from_wire(applied) < version:
                     return "behind"
                 return "in force" if is_current else "stale"
         return "silent"
--- a/src/irisstand/controlplane/changes/evacuation_check.py
+++ b/src/irisstand/controlplane/changes/evacuation_check.py
@@ -21,7 +21,9 @@
         """Sites that this node has heard of: from settings, members and rows."""
         found = {update.node_info.site for update in self.context.detector.member_list.members.values()}
         found |= {self.context.settings.site, *node_settings.pairs(self.context.settings.region_by_site)}
-        return found | {item.key.split("/", 1)[1] for item in self.context.configuration.under("site/")}
+        return found | {
+            item.key.split("/", 1)[1] for item in self.context.configuration.items_with_prefix("site/")
+        }
 
     async def on_sites(self, _: str, body: list) -> tuple:
         return tuple(sorted(self.sites()))
@@ -47,7 +49,7 @@
         raise errors.UnknownNameError(f"no site {site!r}", f"use one of {', '.join(sorted(known))}")
 
     def other_voters(self) -> list[quorum.Voter]:
-        voters = quorum.decode(self.context.ledger.value(items.VOTERS))
+        voters = quorum.voters_from_wire(self.context.ledger.value(items.VOTERS_KEY))
         return [voter for voter in voters if voter.name != self.context.settings.name]
 
     async def ask_sites(self, voter: quorum.Voter) -> tuple | None:
@@ -107,10 +109,12 @@
 
     def core_notes(self, site: str) -> list[str]:
         """An evacuation moves work, not voters; but whoever evacuates may be about to switch off."""
-        voters = quorum.decode(self.context.ledger.value(items.VOTERS))
+        voters = quorum.voters_from_wire(self.context.ledger.value(items.VOTERS_KEY))
         up = {update.identity.name for update in self.context.members_of("agency") if not update.state}
         up.add(self.context.settings.name)
-        gone = {item.key.split("/", 1)[1] for item in self.context.ledger.under("evacuated/")} | {site}
+        gone = {item.key.split("/", 1)[1] for item in self.context.ledger.items_with_prefix("evacuated/")} | {
+            site
+        }
         left = sum(voter.name in up and voter.site not in gone for voter in voters)
         if 2 * left > len(voters):
             return []
--- a/src/irisstand/controlplane/changes/orders.py
+++ b/src/irisstand/controlplane/changes/orders.py
@@ -53,7 +53,7 @@
     faults = []
     standing: rules.Rows = {}
     for kind in schema.REGISTRY:
-        for key, value in overlay.under(kind + "/").items():
+        for key, value in overlay.items_with_prefix(kind + "/").items():
             standing[(kind, key.removeprefix(kind + "/"))] = value
     seen = set()
     for place, row in enumerate(payload):
@@ -148,20 +148,20 @@
     "return": (items.LEDGER, plan_return),
     "enrol-blueprint": (items.CONFIGURATION, voter_changes.plan_enrol),
     "enrol-ledger": (items.LEDGER, voter_changes.plan_enrol),
-    "enrol-claims": (items.CLAIMS, voter_changes.plan_enrol),
+    "enrol-claims": (items.IDEMPOTENCY_KEYS, voter_changes.plan_enrol),
     "retire-blueprint": (items.CONFIGURATION, voter_changes.plan_retire),
     "retire-ledger": (items.LEDGER, voter_changes.plan_retire),
-    "retire-claims": (items.CLAIMS, voter_changes.plan_retire),
+    "retire-claims": (items.IDEMPOTENCY_KEYS, voter_changes.plan_retire),
     "voters-blueprint": (items.CONFIGURATION, voter_changes.plan_voter_set),
     "voters-ledger": (items.LEDGER, voter_changes.plan_voter_set),
-    "voters-claims": (items.CLAIMS, voter_changes.plan_voter_set),
-    "claim": (items.CLAIMS, plan_claim),
-    "settle": (items.CLAIMS, plan_result),
+    "voters-claims": (items.IDEMPOTENCY_KEYS, voter_changes.plan_voter_set),
+    "claim": (items.IDEMPOTENCY_KEYS, plan_claim),
+    "settle": (items.IDEMPOTENCY_KEYS, plan_result),
     "term": (items.LEDGER, plan_lease),
     "fenced": (items.LEDGER, plan_fenced_write),
     "tick-blueprint": (items.CONFIGURATION, table_time.plan_time_advance),
     "tick-ledger": (items.LEDGER, table_time.plan_time_advance),
-    "tick-claims": (items.CLAIMS, table_time.plan_time_advance),
+    "tick-claims": (items.IDEMPOTENCY_KEYS, table_time.plan_time_advance),
 }
 
 
@@ -181,7 +181,7 @@
     if order.change:
         table_time.check_capacity(overlay, "~change", CHANGES_LIMIT)
     planned = REGISTRY[order.kind][1](overlay, order.payload)
-    keys = [key for key in planned if not key.startswith(items.RESERVED)]
+    keys = [key for key in planned if not key.startswith(items.RESERVED_PREFIX)]
     for key, value in planned.items():
         overlay.put(key, value)
     if order.change:
--- a/src/irisstand/controlplane/changes/table_time.py
+++ b/src/irisstand/controlplane/changes/table_time.py
@@ -72,31 +72,33 @@
 def plan_time_advance(overlay: overlays.Overlay, payload: typing.Any) -> dict[str, typing.Any]:
     """Raise the table's time from the version that the holder saw, and forget what is old enough."""
     expected, elapsed, rules, tombstones = payload
-    if str(overlay.version(items.TIME)) != expected:
-        raise errors.StaleVersionError([{"time": expected, "in_force": str(overlay.version(items.TIME))}])
-    time = TableTime(overlay.value(items.TIME))
+    if str(overlay.version(items.TABLE_TIME_KEY)) != expected:
+        raise errors.StaleVersionError(
+            [{"time": expected, "in_force": str(overlay.version(items.TABLE_TIME_KEY))}]
+        )
+    time = TableTime(overlay.value(items.TABLE_TIME_KEY))
     time.seconds += min(max(0.0, float(elapsed)), STEP_LIMIT_SECONDS)
     # All that stands at this moment is marked by the applied version that it stands under.
     time.marks = thin_marks([*time.marks, [time.seconds, *overlay.copy.applied]], time.seconds)
     remove_expired(overlay, time, [RetentionRule(*rule) for rule in rules], float(tombstones))
     kept = [list(rule) for rule in rules]
-    return {items.TIME: {"seconds": time.seconds, "marks": time.marks, "rules": kept}}
+    return {items.TABLE_TIME_KEY: {"seconds": time.seconds, "marks": time.marks, "rules": kept}}
 
 
 def remove_expired(
     overlay: overlays.Overlay, time: TableTime, rules: list[RetentionRule], tombstones: float
 ) -> None:
     cuts = {rule.prefix: (time.older_than(rule.keep), time.older_than(rule.must)) for rule in rules}
-    over = {rule.prefix: overlay.copy.counts[rule.prefix] - rule.number for rule in rules}
+    over = {rule.prefix: overlay.copy.counts_by_prefix[rule.prefix] - rule.number for rule in rules}
     dead = time.older_than(tombstones)
     newest = max([dead, *(cut for pair in cuts.values() for cut in pair)])
     purged = versions.NONE
     gone = 0
     # From the oldest on, so that what is left over for the next step is the newest.
-    for version, key in overlay.copy.by_version:
+    for version, key in overlay.copy.keys_by_version:
         if version > newest or gone >= REMOVALS_LIMIT:
             break
-        prefix = replica.prefix_of(key)
+        prefix = replica.key_prefix(key)
         old, oldest = cuts.get(prefix, (versions.NONE, versions.NONE))
         # Copies are carried by applied versions and whole, so a copy that lacks a tombstone cannot bring its
         # row back.
@@ -111,17 +113,17 @@
         gone += 1
         if prefix == "purge":
             purged = max(purged, version)
-    before = versions.decode(overlay.value(items.PURGED) or versions.NONE)
+    before = versions.Version.from_wire(overlay.value(items.FORGOTTEN_PURGES_KEY) or versions.NONE)
     if purged > before:
-        overlay.put(items.PURGED, tuple(purged))
+        overlay.put(items.FORGOTTEN_PURGES_KEY, tuple(purged))
 
 
 def check_capacity(overlay: overlays.Overlay, prefix: str, limit: int) -> None:
     """Rather than forget what is still to be known, new ones wait until the oldest have stood long enough."""
     if overlay.count(prefix) < limit:
         return
-    row = overlay.value(items.TIME) or {"seconds": 0.0, "marks": [], "rules": []}
+    row = overlay.value(items.TABLE_TIME_KEY) or {"seconds": 0.0, "marks": [], "rules": []}
     keep = next((rule[2] for rule in row["rules"] if rule[0] == prefix), STEP_LIMIT_SECONDS)
-    oldest = next(s for s, key in overlay.copy.by_version if key.startswith(prefix + "/"))
+    oldest = next(s for s, key in overlay.copy.keys_by_version if key.startswith(prefix + "/"))
     wait = TableTime(row).left(oldest, keep)
     raise errors.TableFullError(f"{limit} of {prefix} are remembered", retry_after=min(600.0, wait))
--- a/src/irisstand/controlplane/consensus/acceptor.py
+++ b/src/irisstand/controlplane/consensus/acceptor.py
@@ -62,7 +62,7 @@
 
     def check_vote(self) -> None:
         """A disk that was wiped or found damaged does not vote."""
-        if self.record.applied == versions.NONE or not self.store.sound[self.table]:
+        if self.record.applied == versions.NONE or not self.store.intact[self.table]:
             raise errors.NotBootstrappedError("this node has not learnt the table yet and has no vote")
 
     async def promise(self, ballot: versions.Version) -> tuple:
@@ -71,7 +71,7 @@
         if ballot <= record.promised:
             return ("lost", tuple(record.promised))
         await self.store.save_record(self.table, record._replace(promised=ballot))
-        pending = None if record.pending is None else items.encode_batch(record.pending)
+        pending = None if record.pending is None else record.pending.to_wire()
         return ("promised", tuple(record.applied), tuple(record.accepted), pending)
 
     async def accept(self, ballot: versions.Version, batch: items.Batch, sender: str) -> tuple:
@@ -79,7 +79,7 @@
         if batch.version <= batch.base:
             return ("moved", tuple(batch.base))
         # A voter behind the base learns the table first: it must never skip a decided batch.
-        if self.record.applied < batch.base or not self.store.sound[self.table]:
+        if self.record.applied < batch.base or not self.store.intact[self.table]:
             if self.live.applied < batch.base:
                 await self.catch_up(self.table, sender)
             await self.keep()
@@ -102,7 +102,7 @@
 
     async def keep(self) -> tuple:
         """Bring the disk up to the live copy, which only ever holds decided batches."""
-        sound = self.store.sound[self.table]
+        sound = self.store.intact[self.table]
         if self.live.applied > self.record.applied or (
             not sound and self.live.applied >= self.record.applied
         ):
@@ -111,7 +111,7 @@
             # way it went.
             if record.pending is not None and record.pending.base < self.live.applied:
                 record = record._replace(pending=None, accepted=versions.NONE)
-            await self.store.save_copy(self.table, self.live, record)
+            await self.store.save_replica(self.table, self.live, record)
         return ()
 
     async def found(self, batch: items.Batch) -> tuple:
--- a/src/irisstand/controlplane/consensus/bootstrap.py
+++ b/src/irisstand/controlplane/consensus/bootstrap.py
@@ -25,9 +25,9 @@
         """A voter to be: all tables are current, no older than the asker's, and on its disk before it says
         who it is."""
         for table, parts in body:
-            if self.context.replicas[table].applied < versions.decode(parts):
+            if self.context.replicas[table].applied < versions.Version.from_wire(parts):
                 await self.core.catch_up(table, sender)
-            if self.context.replicas[table].applied < versions.decode(parts):
+            if self.context.replicas[table].applied < versions.Version.from_wire(parts):
                 raise errors.NotBootstrappedError("this node is behind the one that asks")
         if self.context.is_lame_duck:
             raise errors.NotBootstrappedError("this node is about to end")
@@ -83,8 +83,8 @@
             )
         if not is_complete or voters[0].name != settings.name:
             return
-        rows = ((items.VOTERS, [tuple(voter) for voter in voters], False),)
-        batch = items.encode_batch(items.Batch(FIRST, versions.NONE, rows))
+        rows = (items.Row(items.VOTERS_KEY, [tuple(voter) for voter in voters], False),)
+        batch = items.Batch(FIRST, versions.NONE, rows).to_wire()
         body = tuple((table, batch) for table in items.TABLES)
         for voter in voters:
             await self.core.ask_voter(voter, "found", body)
--- a/src/irisstand/controlplane/consensus/heartbeat.py
+++ b/src/irisstand/controlplane/consensus/heartbeat.py
@@ -78,9 +78,12 @@
         if not self.is_enough(voters, replies):
             return False
         true = {disk_id: reply for disk_id, reply in replies.items() if reply[0] == disk_id}
-        applied, holder = max((versions.decode(reply[1]), disk_id) for disk_id, reply in true.items())
+        applied, holder = max(
+            (versions.Version.from_wire(reply[1]), disk_id) for disk_id, reply in true.items()
+        )
         pending = any(
-            reply[2] is not None and versions.decode(reply[2]) == applied for reply in true.values()
+            reply[2] is not None and versions.Version.from_wire(reply[2]) == applied
+            for reply in true.values()
         )
         name = next(voter.name for voter in voters if voter.disk_id == holder)
         for attempt in range(TRIES):
@@ -111,7 +114,7 @@
         owner = self.core.owners[self.table]
         record = self.core.store.records[self.table]
         if owner.queue.empty() and (
-            record.applied < self.copy.applied or not self.core.store.sound[self.table]
+            record.applied < self.copy.applied or not self.core.store.intact[self.table]
         ):
             self.context.start_task(self.keep(), f"keep {self.table}")
 
--- a/src/irisstand/controlplane/consensus/participant.py
+++ b/src/irisstand/controlplane/consensus/participant.py
@@ -38,8 +38,8 @@
         for table in items.TABLES:
             live = self.context.replicas[table]
             # A copy whose files do not add up is not read from, and so never spreads.
-            if self.store.sound[table]:
-                live.take(self.store.copies[table].clone())
+            if self.store.intact[table]:
+                live.replace_content(self.store.replicas[table].clone())
             self.owners[table] = acceptor.Owner(self.store, live, self.catch_up)
             self.context.start_task(self.owners[table].run(), f"owner of {table}")
 
@@ -52,39 +52,39 @@
             await self.replicator.pull(places[name], name, (table,))
 
     def voters(self, table: str) -> list[quorum.Voter]:
-        return quorum.decode(self.context.replicas[table].value(items.VOTERS))
+        return quorum.voters_from_wire(self.context.replicas[table].value(items.VOTERS_KEY))
 
     def own_voter(self) -> quorum.Voter:
         settings = self.context.settings
         return quorum.Voter(
-            settings.name, self.store.identity, settings.site, settings.host, settings.port, settings.machine
+            settings.name, self.store.disk_id, settings.site, settings.host, settings.port, settings.machine
         )
 
     def votes(self, table: str) -> bool:
-        return any(voter.disk_id == self.store.identity for voter in self.voters(table))
+        return any(voter.disk_id == self.store.disk_id for voter in self.voters(table))
 
     # -- what peers ask -------------------------------------------------------------------------
     async def on_promise(self, _: str, body: list) -> tuple:
         table, ballot, disk_id = body
         self.check_disk_id(disk_id)
-        return await self.owners[table].order("promise", versions.decode(ballot))
+        return await self.owners[table].order("promise", versions.Version.from_wire(ballot))
 
     async def on_accept(self, sender: str, body: list) -> tuple:
         table, ballot, batch, disk_id = body
         self.check_disk_id(disk_id)
-        decoded = items.decode_batch(batch)
-        return await self.owners[table].order("accept", versions.decode(ballot), decoded, sender)
+        decoded = items.Batch.from_wire(batch)
+        return await self.owners[table].order("accept", versions.Version.from_wire(ballot), decoded, sender)
 
     def check_disk_id(self, disk_id: str) -> None:
-        if disk_id != self.store.identity:
+        if disk_id != self.store.disk_id:
             raise errors.NotBootstrappedError("the disk that was asked for is not this node's any more")
 
     async def on_commit(self, _: str, body: list) -> tuple:
         table, batch = body
-        return await self.owners[table].order("commit", items.decode_batch(batch))
+        return await self.owners[table].order("commit", items.Batch.from_wire(batch))
 
     async def on_found(self, _: str, body: list) -> tuple:
-        return tuple([await self.owners[table].order("found", items.decode_batch(b)) for table, b in body])
+        return tuple([await self.owners[table].order("found", items.Batch.from_wire(b)) for table, b in body])
 
     async def on_stand(self, _: str, body: list) -> tuple:
         """Where this node stands, from memory: it must answer even while its disk is stalled."""
@@ -93,12 +93,12 @@
         record = self.store.records[table]
         pending = None if record.pending is None else tuple(record.pending.base)
         applied = max(record.applied, self.context.replicas[table].applied)
-        return (self.store.identity, tuple(applied), pending, tuple(record.promised))
+        return (self.store.disk_id, tuple(applied), pending, tuple(record.promised))
 
     async def on_hears(self, _: str, body: list) -> tuple:
         """Its disk, and for how many seconds each voter's disk has not been heard here."""
         self.note_awake()
-        now, own = self.context.clock.now(), self.store.identity
+        now, own = self.context.clock.now(), self.store.disk_id
         voting = {voter.disk_id for table in items.TABLES for voter in self.voters(table)}
         silent = [(disk_id, now - since) for disk_id, since in self.heard.items() if disk_id in voting]
         return (own, tuple(entry for entry in silent if entry[0] != own))
@@ -113,7 +113,7 @@
 
     # -- asking the voters ---------------------------------------------------------------------------
     async def ask_voter(self, voter: quorum.Voter, kind: str, body: tuple) -> typing.Any:
-        if voter.disk_id == self.store.identity:
+        if voter.disk_id == self.store.disk_id:
             handler = self.context.transport.handlers[kind]
             return await handler(self.context.settings.name, list(body))
         self.note_awake()
--- a/src/irisstand/controlplane/consensus/proposer.py
+++ b/src/irisstand/controlplane/consensus/proposer.py
@@ -135,7 +135,7 @@
         record = self.core.store.records[self.table]
         seen = max(self.highest, record.promised, self.copy.applied)
         # The durable store's id is in the name: a wiped disk must not draw its predecessor's numbers again.
-        self.highest = seen.after(f"{self.context.settings.name}~{self.core.store.identity}")
+        self.highest = seen.successor(f"{self.context.settings.name}~{self.core.store.disk_id}")
         return self.highest
 
     def plan(self, overlay: orders.Overlay, waiting: list[Waiting]) -> Plan:
@@ -169,7 +169,7 @@
         """Promises from a majority; brings the copy to the newest applied version and returns what is
         pending on it.
         """
-        own = next(voter for voter in voters if voter.disk_id == self.core.store.identity)
+        own = next(voter for voter in voters if voter.disk_id == self.core.store.disk_id)
         body = (self.table, tuple(ballot))
         # Its own promise is synced first: after a crash this number must not be drawn again.
         first = await self.core.ask_voter(own, "promise", (*body, own.disk_id))
@@ -186,7 +186,9 @@
         if not quorum.is_majority(voters, self.won(replies, "promised")):
             raise BallotLostError("no majority promised")
         promised = {disk_id: reply for disk_id, reply in replies.items() if reply[0] == "promised"}
-        applied, holder = max((versions.decode(reply[1]), disk_id) for disk_id, reply in promised.items())
+        applied, holder = max(
+            (versions.Version.from_wire(reply[1]), disk_id) for disk_id, reply in promised.items()
+        )
         if self.copy.applied < applied:
             name = next(voter.name for voter in voters if voter.disk_id == holder)
             await self.core.catch_up(self.table, name)
@@ -200,18 +202,18 @@
         pending = []
         for reply in promised.values():
             if reply[3] is not None:
-                batch = items.decode_batch(reply[3])
+                batch = items.Batch.from_wire(reply[3])
                 if batch.base == self.copy.applied:
-                    pending.append((versions.decode(reply[2]), batch))
+                    pending.append((versions.Version.from_wire(reply[2]), batch))
         return max(pending, key=lambda entry: entry[0])[1] if pending else None
 
     async def propose(self, voters: list[quorum.Voter], ballot: versions.Version, batch: items.Batch) -> None:
-        body = (self.table, tuple(ballot), items.encode_batch(batch))
+        body = (self.table, tuple(ballot), batch.to_wire())
         sets = [voters]
         for key, value, _ in batch.rows:
             # A new voter set must hold the change too, or it could lose what the old one confirmed.
-            if key == items.VOTERS:
-                sets.append(quorum.decode(value))
+            if key == items.VOTERS_KEY:
+                sets.append(quorum.voters_from_wire(value))
         everyone = list({voter.disk_id: voter for members in sets for voter in members}.values())
         replies = await self.core.gather(
             everyone,
@@ -227,7 +229,7 @@
         if self.copy.applied == batch.base:
             self.copy.apply(batch)
         self.context.counters.add("batches_confirmed", table=self.table)
-        commit = (self.table, items.encode_batch(batch))
+        commit = (self.table, batch.to_wire())
         await self.core.gather(everyone, "commit", lambda voter: commit, lambda replies: True)
 
     def won(self, replies: dict, word: str) -> set[str]:
@@ -236,4 +238,4 @@
     def note_higher(self, replies: dict) -> None:
         for reply in replies.values():
             if reply[0] in ("lost", "moved"):
-                self.highest = max(self.highest, versions.decode(reply[1]))
+                self.highest = max(self.highest, versions.Version.from_wire(reply[1]))
--- a/src/irisstand/controlplane/consensus/submitter.py
+++ b/src/irisstand/controlplane/consensus/submitter.py
@@ -74,7 +74,7 @@
             raise errors.NoQuorumError("this node has lost the majority of the voters")
         own = self.core.votes(table)
         for voter in self.in_order(table):
-            if voter.disk_id == self.core.store.identity:
+            if voter.disk_id == self.core.store.disk_id:
                 break
             try:
                 patience = FORWARD_PATIENCE if own else ONLY_PATIENCE
@@ -129,7 +129,7 @@
             is_last = voter.name == last and voter.name in well
             return (
                 not is_last,
-                voter.disk_id != self.core.store.identity,
+                voter.disk_id != self.core.store.disk_id,
                 voter.name not in well,
                 voter.name,
             )
--- a/src/irisstand/controlplane/consensus/voter_administration.py
+++ b/src/irisstand/controlplane/consensus/voter_administration.py
@@ -19,7 +19,7 @@
         self.view = fleet_view.FleetView(context)
 
     def of(self, table: str) -> list[quorum.Voter]:
-        return quorum.decode(self.context.replicas[table].value(items.VOTERS))
+        return quorum.voters_from_wire(self.context.replicas[table].value(items.VOTERS_KEY))
 
     async def show(self) -> dict[str, typing.Any]:
         """Each table's voters, which of them answer now, and who could take a place."""
@@ -44,8 +44,8 @@
         up = await self.up(list({v.disk_id: v for v in [*present, *following]}.values()), table)
 
         majority = 2 * sum(voter.name in up for voter in following) > len(following)
-        carried = standby_planning.core_carries(quorum.places(present), up)
-        worse = carried and not standby_planning.core_carries(quorum.places(following), up)
+        carried = standby_planning.core_carries(quorum.placements(present), up)
+        worse = carried and not standby_planning.core_carries(quorum.placements(following), up)
         if not majority or worse or not following:
             figures = {
                 "table": table,
--- a/src/irisstand/controlplane/consensus/voter_planner.py
+++ b/src/irisstand/controlplane/consensus/voter_planner.py
@@ -66,7 +66,7 @@
 
     async def try_handing_over(self, patience: float) -> bool:
         """Whether there is nothing more to be done."""
-        own = self.core.store.identity
+        own = self.core.store.disk_id
         try:
             async with asyncio.timeout(patience):
                 await self.improve({own})
@@ -84,7 +84,7 @@
 
     def is_quiet(self) -> bool:
         now = self.context.clock.now()
-        voting = {voter.disk_id for voter in self.core.voters(items.LEDGER)} - {self.core.store.identity}
+        voting = {voter.disk_id for voter in self.core.voters(items.LEDGER)} - {self.core.store.disk_id}
         heard = all(now - self.core.heard.get(disk_id, now) < SILENCE for disk_id in voting)
         return heard and now - self.looked_at < LOOK_ANYWAY and self.best_of == self.standing()
 
@@ -107,7 +107,7 @@
     def is_settling(self, current: list[quorum.Voter], target: list[quorum.Voter], gone: set[str]) -> bool:
         """A set just changed is left alone for a moment, unless somebody of it is to be replaced."""
         now = self.context.clock.now()
-        version = str(self.context.replicas[items.LEDGER].version(items.VOTERS))
+        version = str(self.context.replicas[items.LEDGER].version(items.VOTERS_KEY))
         if version != self.seen:
             self.seen, self.changed_at = version, now
         taken = {voter.disk_id for voter in target}
@@ -123,7 +123,7 @@
         known = {voter.disk_id for voter in current}
         if known == {voter.disk_id for voter in target} or not self.core.votes(table):
             return
-        expected = str(self.context.replicas[table].version(items.VOTERS))
+        expected = str(self.context.replicas[table].version(items.VOTERS_KEY))
         newcomers = [voter for voter in target if voter.disk_id not in known]
         await asyncio.gather(*(self.hold(voter) for voter in newcomers))
         payload = (expected, tuple(tuple(voter) for voter in target))
@@ -140,7 +140,7 @@
         """Everything up to what is known here is on its disk before it is named."""
         tips = tuple((table, tuple(self.context.replicas[table].applied)) for table in items.TABLES)
         address = (voter.host, voter.port)
-        if voter.disk_id == self.core.store.identity:
+        if voter.disk_id == self.core.store.disk_id:
             held = await self.context.transport.handlers["hold"](voter.name, tips)
         else:
             held = await self.context.transport.call(address, voter.name, "hold", tips, HOLDING)
--- a/src/irisstand/controlplane/singletons/capacity_scaling.py
+++ b/src/irisstand/controlplane/singletons/capacity_scaling.py
@@ -69,7 +69,7 @@
         rows = [(f"rest/{name}", {"role": role}) for name in sorted(rest - resting)]
         rows += [(f"rest/{name}", None) for name in sorted(resting - rest)]
         # What is gone from the fleet, or evacuated, rests no more: it has to earn its rest again.
-        for item in self.context.ledger.under("rest/"):
+        for item in self.context.ledger.items_with_prefix("rest/"):
             name = item.key.removeprefix("rest/")
             if item.value.get("role") == role and name not in names:
                 rows.append((item.key, None))
@@ -79,7 +79,7 @@
 
     def saved_rows(self, now: float) -> list:
         """Seconds at rest, added up in the ledger, as no clock is common to two holders."""
-        resting = {item.key.removeprefix("rest/") for item in self.context.ledger.under("rest/")}
+        resting = {item.key.removeprefix("rest/") for item in self.context.ledger.items_with_prefix("rest/")}
         rows = []
         for name in sorted(resting | set(self.resting_since)):
             since = self.resting_since.setdefault(name, now)
--- a/src/irisstand/controlplane/singletons/fleet_view.py
+++ b/src/irisstand/controlplane/singletons/fleet_view.py
@@ -50,7 +50,10 @@
         return owners
 
     def shares(self) -> dict[str, dict[str, list[int]]]:
-        return {item.key.removeprefix("share/"): item.value for item in self.context.ledger.under("share/")}
+        return {
+            item.key.removeprefix("share/"): item.value
+            for item in self.context.ledger.items_with_prefix("share/")
+        }
 
     def machines(
         self, role: str, heard: collections.abc.Container[str] | None = None
@@ -74,10 +77,10 @@
         return all(await asyncio.gather(*(self.voters_carry(table) for table in items.TABLES)))
 
     async def voters_carry(self, table: str) -> bool:
-        voters = quorum.decode(self.context.replicas[table].value(items.VOTERS))
+        voters = quorum.voters_from_wire(self.context.replicas[table].value(items.VOTERS_KEY))
         heard = await asyncio.gather(*(self.stands(voter, table) for voter in voters))
         up = {voter.name for voter, stands in zip(voters, heard, strict=True) if stands}
-        return bool(voters) and standby_planning.core_carries(quorum.places(voters), up)
+        return bool(voters) and standby_planning.core_carries(quorum.placements(voters), up)
 
     async def stands(self, voter: quorum.Voter, table: str) -> bool:
         try:
--- a/src/irisstand/controlplane/singletons/origin_discovery.py
+++ b/src/irisstand/controlplane/singletons/origin_discovery.py
@@ -178,7 +178,7 @@
         """Services that would lose most of their origins at once, or all of them to an empty list."""
         before = collections.Counter(
             item.value["service"]
-            for item in self.context.ledger.under("origin/")
+            for item in self.context.ledger.items_with_prefix("origin/")
             if item.value["state"] != "leaving"
         )
         after = collections.Counter(value["service"] for value in origins.values())
@@ -193,7 +193,7 @@
         rows = [(key, value) for key, value in origins.items() if copy.value(key) != value]
         gone = [
             item.key
-            for item in copy.under("origin/")
+            for item in copy.items_with_prefix("origin/")
             if item.key not in origins and item.value["service"] not in held
         ]
         return rows + [(key, None) for key in gone]
--- a/src/irisstand/controlplane/singletons/placement.py
+++ b/src/irisstand/controlplane/singletons/placement.py
@@ -62,7 +62,7 @@
     # -- shares --------------------------------------------------------------------------------------
     def ceilings(self) -> dict[str, tuple[int, int]]:
         found = {}
-        for item in self.context.configuration.under("service/"):
+        for item in self.context.configuration.items_with_prefix("service/"):
             ceiling = item.value["ceiling"]
             found[item.key.removeprefix("service/")] = (ceiling["rate"], ceiling["inflight"])
         return found
--- a/src/irisstand/controlplane/singletons/retention.py
+++ b/src/irisstand/controlplane/singletons/retention.py
@@ -25,7 +25,7 @@
 
     async def tick(self, duty: lease.SingletonTask, table: str) -> None:
         now = self.context.clock.now()
-        expected = str(self.context.replicas[table].version(items.TIME))
+        expected = str(self.context.replicas[table].version(items.TABLE_TIME_KEY))
         # Counted from when this node saw the version, which is later than when it was written.
         version, since = self.seen.get(table, ("", now))
         if version != expected:
@@ -42,12 +42,12 @@
 
     def rules(self, table: str) -> list[tuple]:
         """What is kept for how long. That nothing is served for it is seen to by versions, not by times."""
-        lives = [item.value.get("life", 0) for item in self.context.configuration.under("path/")]
+        lives = [item.value.get("life", 0) for item in self.context.configuration.items_with_prefix("path/")]
         life = max(lives, default=0) + OBJECT_TTL_MARGIN_SECONDS
         keys = self.context.settings.keys_kept
         found = {
             items.CONFIGURATION: [CHANGE_RECORD_RULE],
             items.LEDGER: [CHANGE_RECORD_RULE, table_time.RetentionRule("purge", life, 0.0, PURGES_LIMIT)],
-            items.CLAIMS: [table_time.RetentionRule("claim", keys, keys, orders.CLAIMS_LIMIT)],
+            items.IDEMPOTENCY_KEYS: [table_time.RetentionRule("claim", keys, keys, orders.CLAIMS_LIMIT)],
         }
         return [tuple(rule) for rule in found[table]]
--- a/src/irisstand/dataplane/cache/object_holders.py
+++ b/src/irisstand/dataplane/cache/object_holders.py
@@ -107,7 +107,9 @@
             return None
         if told == "same" and known is not None:
             applied, age, life = parts
-            return known._replace(applied=versions.decode(applied), age=age, at=asked_at, life=life)
+            return known._replace(
+                applied=versions.Version.from_wire(applied), age=age, at=asked_at, life=life
+            )
         return objects.decode(parts, asked_at)
 
     # -- answering -----------------------------------------------------------------------------------
@@ -121,13 +123,13 @@
         if self.context.is_draining:
             raise errors.DrainingError("this holder is shutting down")
         request = client.Request("GET", bytes(target), str(host), dict(headers), b"")
-        await self.catch_up(versions.decode(applied))
+        await self.catch_up(versions.Version.from_wire(applied))
         route = self.table.match(request.host, request.path)
         # Judged by another version than the edge's, its request could go where that one does not allow.
         if route.name != name or not self.table.still_allows(route, service):
             raise errors.StaleConfigurationError("the route is another one here")
         asked = object_reader.Asked(route, str(service), request, float(remaining), bool(is_last))
-        thing = await self.reading.read(asked, versions.decode(floor))
+        thing = await self.reading.read(asked, versions.Version.from_wire(floor))
         now = self.context.clock.now()
         if known_tag and thing.life > 0 and object_reader.tag_of(thing) == known_tag:
             return ("same", (tuple(thing.applied), thing.age_now(now), thing.life))
--- a/src/irisstand/dataplane/cache/objects.py
+++ b/src/irisstand/dataplane/cache/objects.py
@@ -42,7 +42,7 @@
     """The age is added up hop by hop, each hop counted from when its question was sent."""
     status, headers, body, applied, age, life, tags = parts
     pairs = tuple((name, value) for name, value in headers)
-    return Object(status, pairs, body, versions.decode(applied), age, asked_at, life, tuple(tags))
+    return Object(status, pairs, body, versions.Version.from_wire(applied), age, asked_at, life, tuple(tags))
 
 
 def digest_header(body: bytes) -> str:
--- a/src/irisstand/dataplane/nodes/shield.py
+++ b/src/irisstand/dataplane/nodes/shield.py
@@ -46,10 +46,10 @@
     # -- reads ---------------------------------------------------------------------------------------
     async def on_read(self, _: str, body: list) -> tuple:
         request_id, method, path, query, headers, floor, remaining, shared, applied = body
-        remaining = await self.check_open(versions.decode(applied), float(remaining))
+        remaining = await self.check_open(versions.Version.from_wire(applied), float(remaining))
         granted = self.view.grant(method, path, query)
         with self.context.count_in_flight():
-            work = (str(request_id), path, query, dict(headers), versions.decode(floor))
+            work = (str(request_id), path, query, dict(headers), versions.Version.from_wire(floor))
             thing = await self.read(granted, work, min(remaining, granted.deadline), bool(shared))
             return (granted.service, objects.encode(thing, self.context.clock.now()))
 
@@ -169,7 +169,7 @@
     # -- writes --------------------------------------------------------------------------------------
     async def on_write(self, _: str, body: list) -> tuple:
         request_id, method, path, query, headers, content, remaining, applied = body
-        remaining = await self.check_open(versions.decode(applied), float(remaining))
+        remaining = await self.check_open(versions.Version.from_wire(applied), float(remaining))
         granted = self.view.grant(method, path, query)
         with self.context.count_in_flight():
             decision = forwarding_policies.ShieldWrite(self.context.clock, granted, remaining)
--- a/src/irisstand/dataplane/nodes/store.py
+++ b/src/irisstand/dataplane/nodes/store.py
@@ -24,7 +24,7 @@
         if found is None:
             self.context.counters.add("cache", at="store", result="miss")
             return ()
-        if not forwarding_policies.is_usable(found, path, self.view, versions.decode(floor), now):
+        if not forwarding_policies.is_usable(found, path, self.view, versions.Version.from_wire(floor), now):
             self.cache.drop(key)
             self.context.counters.add("cache", at="store", result="outlived")
             return ()
--- a/src/irisstand/dataplane/routing/routes.py
+++ b/src/irisstand/dataplane/routing/routes.py
@@ -94,13 +94,13 @@
         self.limits = as_limits(copy.value(versioned_items.LIMITS))
 
     def take_changes(self, copy: replica.Replica) -> None:
-        changed, forgotten = copy.after(self.applied)
+        changed, forgotten = copy.changes_since(self.applied)
         for item in changed:
             self.take(item.key, item)
         for key in forgotten:
             self.take(key, None)
         # More may have been forgotten than the copy remembers by name.
-        if len(self.compiled) != copy.counts["route"] + copy.counts["upstream"]:
+        if len(self.compiled) != copy.counts_by_prefix["route"] + copy.counts_by_prefix["upstream"]:
             self.compare_all(copy)
 
     def compare_all(self, copy: replica.Replica) -> None:
@@ -108,7 +108,7 @@
         for key in [key for key in self.compiled if key not in copy.items]:
             self.take(key, None)
         for prefix in (ROUTE, UPSTREAM):
-            for key in copy.items.irange(prefix, prefix + replica.LAST):
+            for key in copy.items.irange(prefix, prefix + replica.KEY_UPPER_BOUND):
                 item, known = copy.items[key], self.compiled.get(key)
                 if known is None or known.item != item:
                     self.take(key, item)
--- a/src/irisstand/dataplane/routing/snapshot.py
+++ b/src/irisstand/dataplane/routing/snapshot.py
@@ -46,7 +46,7 @@
         """The row with the longest name that the path begins with."""
         copy = self.context.configuration
         if self.lengths_applied != copy.applied:
-            names = {len(item.key) for item in copy.under("path/")}
+            names = {len(item.key) for item in copy.items_with_prefix("path/")}
             self.lengths, self.lengths_applied = sorted(names, reverse=True), copy.applied
         whole = "path/" + path
         for length in self.lengths:
@@ -90,7 +90,7 @@
         keys = [f"purge/path/{path}", *(f"purge/tag/{tag}" for tag in tags)]
         # Purges as old as this may be forgotten, so what was fetched before them counts as struck by one:
         # a node that comes back from long ago may still hold what they were meant for.
-        forgotten = versions.decode(copy.value(items.PURGED) or versions.NONE)
+        forgotten = versions.Version.from_wire(copy.value(items.FORGOTTEN_PURGES_KEY) or versions.NONE)
         return max(forgotten, *(copy.version(key) for key in keys))
 
     def is_evacuated(self, site: str) -> bool:
@@ -108,7 +108,7 @@
                 item.value["warmup"],
                 item.value.get("slots", 0),
             )
-            for item in self.context.ledger.under("origin/")
+            for item in self.context.ledger.items_with_prefix("origin/")
         ]
 
     def is_resting(self, machine: str) -> bool:
--- a/src/irisstand/dataplane/upstream/endpoint_pool.py
+++ b/src/irisstand/dataplane/upstream/endpoint_pool.py
@@ -73,7 +73,7 @@
         prefix = "evacuated/"
         copy = self.context.ledger
         now = self.context.clock.now()
-        current = {item.key.removeprefix(prefix) for item in copy.under(prefix)}
+        current = {item.key.removeprefix(prefix) for item in copy.items_with_prefix(prefix)}
         returned = self.evacuated - current
         # A node just started cannot tell how long ago a site was taken back.
         if now - self.opened_at < SETTLING:
--- a/src/irisstand/modelcheck/bootstrap_image.py
+++ b/src/irisstand/modelcheck/bootstrap_image.py
@@ -41,11 +41,11 @@
     """Bootstrap the cluster on empty disks."""
     nodes = {name: await open_store(name) for name in NAMES}
     voters = [
-        quorum.Voter(name, nodes[name].store.identity, site, name, model_node.PORT, name)
+        quorum.Voter(name, nodes[name].store.disk_id, site, name, model_node.PORT, name)
         for name, site in zip(NAMES, sites, strict=True)
         if name in VOTERS
     ]
-    rows = ((items.VOTERS, [list(voter) for voter in voters], False),)
+    rows = (items.Row(items.VOTERS_KEY, [list(voter) for voter in voters], False),)
     batch = items.Batch(bootstrap.FIRST, versions.NONE, rows)
     for node in nodes.values():
         owner = acceptor.Owner(node.store, replica.Replica(model_node.TABLE), refuse_catch_up)
--- a/src/irisstand/modelcheck/cluster.py
+++ b/src/irisstand/modelcheck/cluster.py
@@ -164,7 +164,7 @@
     def rest_hash(self) -> int:
         """Return a hash that is equal for two finished runs with equal disks, replicas and results."""
         tables = [
-            (node.core.store.records[model_node.TABLE], node.table_replica.root())
+            (node.core.store.records[model_node.TABLE], node.table_replica.root_digest())
             for node in self.nodes.values()
         ]
         highest = tuple(node.proposer.highest for node in self.nodes.values())
@@ -183,6 +183,6 @@
         """Return the last of the newest voters whose disk is still the one that was voted in."""
         replicas = [node.table_replica for node in self.nodes.values()]
         newest = max(replicas, key=lambda replica: replica.applied)
-        voters = quorum.decode(newest.value(items.VOTERS))
-        disk_ids = {node.core.store.identity for node in self.nodes.values()}
+        voters = quorum.voters_from_wire(newest.value(items.VOTERS_KEY))
+        disk_ids = {node.core.store.disk_id for node in self.nodes.values()}
         return [voter.name for voter in voters if voter.disk_id in disk_ids][-1]
--- a/src/irisstand/modelcheck/durability.py
+++ b/src/irisstand/modelcheck/durability.py
@@ -28,8 +28,8 @@
     """Return whether a restart from these files would find the version applied or accepted."""
     # Reading draws nothing; the store asks for a source of randomness all the same.
     store = durable_store.DurableStore(memory_disk.MemoryDisk(random.Random(1)), random.Random(1))
-    store.load_table(table, {name: disk.unseal(content) for name, content in files.items()})
-    record = store.records.get(table, durable_store.BLANK)
+    store.load_table(table, {name: disk.strip_checksum(content) for name, content in files.items()})
+    record = store.records.get(table, durable_store.BLANK_RECORD)
     is_accepted = record.pending is not None and record.pending.version == version
     return record.applied >= version or is_accepted
 
@@ -41,7 +41,7 @@
         state: The items of the table, the voters among them.
         holding: Ids of the disks that hold the version.
     """
-    voters = quorum.decode(state[items.VOTERS].value) if items.VOTERS in state else []
+    voters = quorum.voters_from_wire(state[items.VOTERS_KEY].value) if items.VOTERS_KEY in state else []
     held_by = [voter for voter in voters if voter.disk_id in holding]
     sites = {voter.site for voter in voters}
     if 2 * len(held_by) <= len(voters) and voters:
--- a/src/irisstand/modelcheck/history.py
+++ b/src/irisstand/modelcheck/history.py
@@ -93,9 +93,9 @@
 
 def as_on_wire(batch: items.Batch) -> items.Batch:
     """Return the batch as it is decoded from the wire, where a tuple and a list are the same."""
-    return items.decode_batch(ormsgpack.unpackb(ormsgpack.packb(items.encode_batch(batch))))
+    return items.Batch.from_wire(ormsgpack.unpackb(ormsgpack.packb(batch.to_wire())))
 
 
 def packed(content: typing.Mapping[str, items.Item]) -> bytes:
     """Return the items as bytes, which are equal for a tuple and a list."""
-    return ormsgpack.packb([items.encode(content[key]) for key in sorted(content)])
+    return ormsgpack.packb([content[key].to_wire() for key in sorted(content)])
--- a/src/irisstand/modelcheck/invariants.py
+++ b/src/irisstand/modelcheck/invariants.py
@@ -87,7 +87,7 @@
             applied: The applied version of the node that says so.
             disks: Synced files by disk id.
         """
-        version = versions.parse(result["serial"])
+        version = versions.Version.parse(result["serial"])
         rows = tuple(result["rows"])
         self.check_one_result(order, version, rows)
         entry = history.ConfirmedOrder(order, version, rows, asyncio.get_running_loop().time())
--- a/src/irisstand/modelcheck/model_disk.py
+++ b/src/irisstand/modelcheck/model_disk.py
@@ -41,7 +41,7 @@
 
         def sync() -> None:
             for name, content in written:
-                self.files[name] = disk.seal(content)
+                self.files[name] = disk.add_checksum(content)
             if not synced.done():
                 synced.set_result(None)
 
--- a/src/irisstand/modelcheck/model_node.py
+++ b/src/irisstand/modelcheck/model_node.py
@@ -129,7 +129,7 @@
     def wipe(self) -> None:
         """Crash and lose the disk."""
         self.crash()
-        self.cluster.checker.keep_wiped_disk(self.core.store.identity, self.disk.files)
+        self.cluster.checker.keep_wiped_disk(self.core.store.disk_id, self.disk.files)
         self.disk.files.clear()
         self.is_rejoining = True
         self.record("wipe")
@@ -137,4 +137,4 @@
 
 def disk_files(nodes: collections.abc.Iterable[ModelNode]) -> dict[str, dict[str, bytes]]:
     """Return the synced files of each node by the id of its disk."""
-    return {node.core.store.identity: node.disk.files for node in nodes}
+    return {node.core.store.disk_id: node.disk.files for node in nodes}
--- a/src/irisstand/node_context.py
+++ b/src/irisstand/node_context.py
@@ -30,7 +30,7 @@
         self.role = role
         self.started_at = clock.now()
         self.counters = counting.Counters()
-        held = items.TABLES if role == "agency" else items.CARRIED
+        held = items.TABLES if role == "agency" else items.REPLICATED_TABLES
         self.replicas = {name: replica.Replica(name) for name in held}
         card = updates.NodeInfo(
             role,
--- a/src/irisstand/simulator/big_configurations.py
+++ b/src/irisstand/simulator/big_configurations.py
@@ -31,31 +31,32 @@
 def filled(count: int) -> replica.Replica:
     """A table to which one change has brought so many routes."""
     copy = replica.Replica(items.CONFIGURATION)
-    rows = [(f"route/extra-{n:05d}", {"version": 1, "item": route(n)}, False) for n in range(count)]
+    rows = [items.Row(f"route/extra-{n:05d}", {"version": 1, "item": route(n)}, False) for n in range(count)]
     copy.apply(items.Batch(versions.Version(1, "core-1"), copy.applied, tuple(rows)))
     return copy
 
 
 def change_one(copy: replica.Replica) -> items.Item:
     version = versions.Version(copy.applied.counter + 1, "core-1")
-    row = ("route/extra-00007", {"version": version.counter, "item": route(7, version.counter)}, False)
+    value = {"version": version.counter, "item": route(7, version.counter)}
+    row = items.Row("route/extra-00007", value, False)
     copy.apply(items.Batch(version, copy.applied, (row,)))
-    return copy.items[row[0]]
+    return copy.items[row.key]
 
 
-def parts_of(copy: replica.Replica) -> list[chunk_transfer.Part]:
-    cursor, found = chunk_transfer.Cursor(versions.NONE, replica.LAST), []
+def parts_of(copy: replica.Replica) -> list[chunk_transfer.Chunk]:
+    cursor, found = chunk_transfer.Cursor(versions.NONE, replica.KEY_UPPER_BOUND), []
     while not found or found[-1].end is not None:
-        found.append(chunk_transfer.cut_part(copy, cursor))
+        found.append(chunk_transfer.cut_chunk(copy, cursor))
         cursor = found[-1].end or cursor
     return found
 
 
-def take(parts: list[chunk_transfer.Part], applied: versions.Version, root: bytes) -> replica.Replica:
+def take(parts: list[chunk_transfer.Chunk], applied: versions.Version, root: bytes) -> replica.Replica:
     """What an edge does with the parts."""
     copy = replica.Replica(items.CONFIGURATION)
     rows = [item for part in parts for item in chunk_transfer.unpack_rows(part.rows)]
-    if not copy.advance(applied, root, rows, []):
+    if not copy.apply_changes(applied, root, rows, []):
         raise ValueError("the parts do not add up")
     return copy
 
@@ -86,7 +87,7 @@
 def measure(count: int) -> list[Figure]:
     copy = filled(count)
     parts = parts_of(copy)
-    plain = sum(len(ormsgpack.packb(items.encode(item))) for item in copy.items.values())
+    plain = sum(len(ormsgpack.packb(item.to_wire())) for item in copy.items.values())
     table = compiled(copy)
     listed = {"put": {"routes": [route(number) for number in range(count)]}}
     standing = {item.key: item.value for item in copy.items.values()}
@@ -97,7 +98,7 @@
         Figure("the largest part", "kB", max(len(part.rows) for part in parts) / 1000),
         Figure("parts", "parts", len(parts)),
         Figure("a core node cuts all parts, once for all askers", "ms", timed(lambda: parts_of(copy))),
-        Figure("an edge takes all rows", "ms", timed(lambda: take(parts, copy.applied, copy.root()))),
+        Figure("an edge takes all rows", "ms", timed(lambda: take(parts, copy.applied, copy.root_digest()))),
         Figure("an edge compiles all rows", "ms", timed(lambda: compiled(copy))),
         Figure("a core node checks a call with all rows", "ms", timed(lambda: versioned_items.read(listed))),
         Figure(
@@ -108,7 +109,7 @@
         Figure("memory of rows and routes", "MB", memory(count)),
     ]
     changed = change_one(copy)
-    figures.append(Figure("a changed row on its way", "bytes", len(ormsgpack.packb(items.encode(changed)))))
+    figures.append(Figure("a changed row on its way", "bytes", len(ormsgpack.packb(changed.to_wire()))))
     figures.append(Figure("an edge compiles a changed row", "ms", timed(table.refresh)))
     path = f"/extra/{count - 1}/x"
     lookup = sizes.seconds(lambda: table.match("api.example", path), LOOKUPS)
--- a/src/irisstand/simulator/day.py
+++ b/src/irisstand/simulator/day.py
@@ -119,7 +119,9 @@
         self.watching.confirmed_rows(values, result["serial"])
         await self.world.until_ready()
         ledger = self.world.nodes["agency-1"].body.context.ledger
-        await self.world.until(lambda: len(list(ledger.under("origin/"))) == len(self.stage.origins), 10)
+        await self.world.until(
+            lambda: len(list(ledger.items_with_prefix("origin/"))) == len(self.stage.origins), 10
+        )
         await asyncio.sleep(2)
 
     async def run(self) -> None:
--- a/src/irisstand/simulator/hostile_scripts.py
+++ b/src/irisstand/simulator/hostile_scripts.py
@@ -58,7 +58,7 @@
         self.counter += 1
         copy.put(items.Item(key, versions.Version(self.counter, "n"), value))
         copy.applied = versions.Version(self.counter, "n")
-        copy.changed()
+        copy.notify_watchers()
 
     async def connect(self, host: str, port: int) -> exchange.Exchange:
         made = exchange.Exchange(hostile_origin.ID)
--- a/src/irisstand/simulator/invariants.py
+++ b/src/irisstand/simulator/invariants.py
@@ -35,7 +35,7 @@
     # -- rows ----------------------------------------------------------------------------------------
     def confirmed_rows(self, values: dict[str, typing.Any], version: str) -> None:
         for name, value in values.items():
-            self.offers[name].append(Offer(value, self.now(), self.now(), versions.parse(version)))
+            self.offers[name].append(Offer(value, self.now(), self.now(), versions.Version.parse(version)))
 
     async def change(self, control_node: str, number: int, row: dict) -> None:
         name = f"path/{row['name']}"
@@ -67,7 +67,7 @@
                 control_node = self.another(control_node)
                 continue
             self.judge.results["change confirmed"] += 1
-            version = versions.parse(result["serial"])
+            version = versions.Version.parse(result["serial"])
             taken = any(
                 other.version == version and other.value != row["value"] for other in self.offers[name]
             )
@@ -157,7 +157,7 @@
         context = node.body.context
         if node.plan.role != "shield" or not all(map(context.is_current, context.replicas.values())):
             return
-        for item in node.body.context.configuration.under("service/"):
+        for item in node.body.context.configuration.items_with_prefix("service/"):
             ceiling = item.value["ceiling"]
             service = item.key.removeprefix("service/")
             rate, _ = node.body.view.share(service, (ceiling["rate"], ceiling["inflight"]))
@@ -184,6 +184,6 @@
         for table in items.TABLES:
             # Terms are renewed all the time, so copies are compared with those at the same applied version.
             copies = [context.replicas[table] for context in contexts.values() if table in context.replicas]
-            kinds = {(copy.applied, copy.root()) for copy in copies}
+            kinds = {(copy.applied, copy.root_digest()) for copy in copies}
             alike = len(kinds) == len({applied for applied, _ in kinds})
             self.judge.check("all copies come out alike", alike, f"{table}: {kinds}")
--- a/src/irisstand/simulator/memory_disk.py
+++ b/src/irisstand/simulator/memory_disk.py
@@ -14,7 +14,7 @@
     def __init__(self, randomness: random.Random) -> None:
         self.randomness = randomness
         self.files: dict[str, bytes] = {}
-        self.put_aside: list[str] = []
+        self.quarantined: list[str] = []
         self.stalled = False
         self.full = False
         self.slowness = 0.002
@@ -31,7 +31,7 @@
             await self.turn()
             if self.full:
                 raise errors.DiskFullError("the simulated disk is full")
-            self.files[name] = disks.seal(content)
+            self.files[name] = disks.add_checksum(content)
             self.writes += 1
         await self.turn()
 
@@ -47,7 +47,7 @@
         torn: list[str] = []
         for name in sorted(self.files):
             try:
-                sound[name] = disks.unseal(self.files[name])
+                sound[name] = disks.strip_checksum(self.files[name])
             except errors.TornFileError:
                 torn.append(name)
                 del self.files[name]
--- a/src/irisstand/simulator/rest_judge.py
+++ b/src/irisstand/simulator/rest_judge.py
@@ -24,7 +24,7 @@
     def look(self, now: float) -> None:
         contexts = [node.body.context for node in self.world.nodes.values() if node.body is not None]
         ledger = max((context.ledger for context in contexts), key=lambda copy: copy.applied)
-        voters = quorum.decode(ledger.value(items.VOTERS))
+        voters = quorum.voters_from_wire(ledger.value(items.VOTERS_KEY))
         up = {n.plan.name for n in self.world.nodes.values() if n.is_up and self.reaches_core(n, voters)}
         # Whatever was there at the last look and is not now was lost since.
         if self.up - up:
@@ -84,11 +84,11 @@
         return node is not None and node.is_up
 
     def core_is_short(self, ledger: typing.Any) -> str:
-        voters = quorum.decode(ledger.value(items.VOTERS))
+        voters = quorum.voters_from_wire(ledger.value(items.VOTERS_KEY))
         up = [voter for voter in voters if voter.name in self.up]
         # A full or stalled disk answers questions, but decides nothing.
         able = [voter for voter in up if not self.is_stuck(voter.name)]
         if not quorum.is_durable(voters, {voter.disk_id for voter in able}):
             return "majority"
-        carried = standby_planning.core_carries(quorum.places(voters), {voter.name for voter in up})
+        carried = standby_planning.core_carries(quorum.placements(voters), {voter.name for voter in up})
         return "" if carried else "core"
--- a/src/irisstand/simulator/restart_measurement.py
+++ b/src/irisstand/simulator/restart_measurement.py
@@ -35,8 +35,8 @@
     key = f"path/{randomness.randrange(KEYS)}"
     is_removal = key in live.items and randomness.random() < REMOVALS
     value = None if is_removal else {"grants": [{"service": "content"}], "life": randomness.random()}
-    row = (key, value, is_removal)
-    live.apply(items.Batch(live.applied.after("core-1~ab"), live.applied, (row,)))
+    row = items.Row(key, value, is_removal)
+    live.apply(items.Batch(live.applied.successor("core-1~ab"), live.applied, (row,)))
 
 
 async def opened(folder: simulated_folder.SimulatedFolder) -> durable_store.DurableStore:
@@ -52,16 +52,16 @@
     store = await opened(folder)
     for _ in range(changes):
         change(live, randomness)
-        await store.save_copy(table, live, store.records[table])
+        await store.save_replica(table, live, store.records[table])
     files, held = len(folder.entries), sum(folder.size(name) for name in folder.entries)
     started = time.process_time()
     again = await opened(folder)
     loading = time.process_time() - started
-    assert again.sound[table] and again.copies[table].root() == live.root()
+    assert again.intact[table] and again.replicas[table].root_digest() == live.root_digest()
     empty = simulated_folder.SimulatedFolder(random.Random(3))
     wiped = await opened(empty)
     started, syncs, written = time.process_time(), empty.syncs, empty.written
-    await wiped.save_copy(table, live, wiped.records[table])
+    await wiped.save_replica(table, live, wiped.records[table])
     took = time.process_time() - started
     return Measured(
         changes, len(live.items), files, held, loading, empty.syncs - syncs, empty.written - written, took
--- a/src/irisstand/state/quorum.py
+++ b/src/irisstand/state/quorum.py
@@ -1,10 +1,13 @@
-"""Which sets of voters decide."""
+"""Voters, and which sets of them make a majority that survives the loss of a site."""
 
 import typing
 
 
 class Voter(typing.NamedTuple):
-    """A core node as voters know it; `durable store` is its disk's id, so a wiped disk is another voter."""
+    """A control plane node that votes on a table.
+
+    `disk_id` identifies the durable store: a node whose disk was replaced is another voter.
+    """
 
     name: str
     disk_id: str
@@ -13,22 +16,33 @@
     port: int
     machine: str
 
+    @classmethod
+    def from_wire(cls, fields: typing.Any) -> "Voter":
+        """Decode a voter.
+
+        Raises:
+            TypeError: There is another number of fields.
+        """
+        return cls(*fields)
 
-def decode(value: typing.Any) -> list[Voter]:
-    return [Voter(*parts) for parts in value or []]
 
+def voters_from_wire(value: typing.Any) -> list[Voter]:
+    """Decode the value of `items.VOTERS_KEY`; None, as before bootstrap, gives no voters."""
+    return [Voter.from_wire(fields) for fields in value or []]
 
-def places(voters: list[Voter]) -> list[tuple[str, str, str]]:
-    """Names, machines and sites, which is what a loss is judged by."""
+
+def placements(voters: list[Voter]) -> list[tuple[str, str, str]]:
+    """Return name, machine and site of each voter, for judging the loss of a machine or a site."""
     return [(voter.name, voter.machine, voter.site) for voter in voters]
 
 
 def is_majority(voters: list[Voter], disk_ids: set[str]) -> bool:
+    """Return whether the voters with these disks are more than half of all."""
     return 2 * sum(voter.disk_id in disk_ids for voter in voters) > len(voters)
 
 
 def is_durable(voters: list[Voter], disk_ids: set[str]) -> bool:
-    """A majority which, where the layout has more than one site, does not lie in one alone.
+    """Return whether these disks are a majority and, if the voters have several sites, span more than one.
 
     >>> a, b, c = (Voter(name, name, site, "", 0, name) for name, site in ("as", "bs", "ct"))
     >>> is_durable([a, b, c], {"a", "b"}), is_durable([a, b, c], {"a", "c"})
@@ -39,13 +53,12 @@
     return is_majority(voters, disk_ids) and (len(sites) == 1 or len(holding) > 1)
 
 
-def outlives_any_site(voters: list[Voter]) -> bool:
-    """Whether a majority is left when any one site is lost.
+def survives_any_site_loss(voters: list[Voter]) -> bool:
+    """Return whether a majority is left when any one site is lost.
 
     >>> made = [Voter(name, name, site, "", 0, name) for name, site in ("as", "bt", "cu", "du")]
-    >>> outlives_any_site(made[:3]), outlives_any_site(made)
+    >>> survives_any_site_loss(made[:3]), survives_any_site_loss(made)
     (True, False)
     """
-    return all(
-        2 * sum(voter.site != site for voter in voters) > len(voters) for site in {v.site for v in voters}
-    )
+    sites = {voter.site for voter in voters}
+    return all(2 * sum(voter.site != site for voter in voters) > len(voters) for site in sites)
--- a/src/irisstand/state/replication/chunk_transfer.py
+++ b/src/irisstand/state/replication/chunk_transfer.py
@@ -31,7 +31,7 @@
     key: str
 
 
-class Part(typing.NamedTuple):
+class Chunk(typing.NamedTuple):
     """Rows behind a cursor, compressed, and the place where they end; None if nothing is left behind them."""
 
     rows: bytes
@@ -47,13 +47,13 @@
     rows: dict[str, items.Item]
 
 
-class PartCarrier:
+class ChunkTransfer:
     """Answers and asks for parts; a table has at most one carrying under way."""
 
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
         self.staged: dict[str, Staged] = {}
-        self.kept: dict[tuple[str, Cursor], Part] = {}
+        self.kept: dict[tuple[str, Cursor], Chunk] = {}
         self.kept_of: dict[str, versions.Version] = {}
         context.transport.handlers["part"] = self.on_part
         for copy in context.replicas.values():
@@ -65,24 +65,24 @@
         forgotten.
         """
         name, base_parts, (version_parts, key) = body
-        copy, base = self.context.replicas[name], versions.decode(base_parts)
-        cursor = Cursor(versions.decode(version_parts), str(key))
+        copy, base = self.context.replicas[name], versions.Version.from_wire(base_parts)
+        cursor = Cursor(versions.Version.from_wire(version_parts), str(key))
         if copy.applied < max(base, cursor.version):
             raise errors.StaleConfigurationError(f"the {name} table is older here than the asker's")
         part = self.part(copy, cursor)
-        forgotten = tuple(copy.after(base)[1]) if part.end is None else ()
+        forgotten = tuple(copy.changes_since(base)[1]) if part.end is None else ()
         end = None if part.end is None else (tuple(part.end.version), part.end.key)
         age = copy.age(self.context.clock.now())
-        return (tuple(copy.applied), age, copy.root(), part.rows, end, forgotten)
+        return (tuple(copy.applied), age, copy.root_digest(), part.rows, end, forgotten)
 
-    def part(self, copy: replica.Replica, cursor: Cursor) -> Part:
+    def part(self, copy: replica.Replica, cursor: Cursor) -> Chunk:
         """The part behind the cursor, worked out once for all who ask for it."""
         if self.kept_of.get(copy.name) != copy.applied or len(self.kept) >= KEPT_PARTS:
             self.kept = {place: part for place, part in self.kept.items() if place[0] != copy.name}
             self.kept_of[copy.name] = copy.applied
         place = (copy.name, cursor)
         if place not in self.kept:
-            self.kept[place] = cut_part(copy, cursor)
+            self.kept[place] = cut_chunk(copy, cursor)
         return self.kept[place]
 
     # -- asking --------------------------------------------------------------------------------------
@@ -109,7 +109,7 @@
                 staged.cursor = next_cursor(staged.cursor, end)
                 continue
             self.staged.pop(copy.name, None)
-            if not self.take(copy, staged, versions.decode(applied_parts), root, forgotten):
+            if not self.take(copy, staged, versions.Version.from_wire(applied_parts), root, forgotten):
                 return False
             if age is not None:
                 copy.confirm_current(sent - age)
@@ -120,7 +120,7 @@
         """What came so far for this very copy, from whichever peer."""
         staged = self.staged.get(copy.name)
         if staged is None or staged.base != copy.applied:
-            staged = Staged(copy.applied, Cursor(copy.applied, replica.LAST), {})
+            staged = Staged(copy.applied, Cursor(copy.applied, replica.KEY_UPPER_BOUND), {})
             self.staged[copy.name] = staged
         return staged
 
@@ -129,24 +129,24 @@
     ) -> bool:
         gone = {str(key) for key in forgotten}
         changed = [item for item in staged.rows.values() if item.key not in gone]
-        taken = copy.advance(applied, root, changed, sorted(gone))
+        taken = copy.apply_changes(applied, root, changed, sorted(gone))
         if taken:
             self.context.counters.add("rows_carried", len(changed), table=copy.name)
         return taken
 
 
-def cut_part(copy: replica.Replica, cursor: Cursor) -> Part:
+def cut_chunk(copy: replica.Replica, cursor: Cursor) -> Chunk:
     """Rows behind the cursor in the order of their versions, as many as a part has room for."""
     packed: list[bytes] = []
     size = 0
     end = cursor
-    for version, key in copy.by_version.irange(tuple(cursor), inclusive=(False, True)):
+    for version, key in copy.keys_by_version.irange(tuple(cursor), inclusive=(False, True)):
         if size >= PART_BYTES:
-            return Part(pack_rows(packed), end)
-        packed.append(ormsgpack.packb(items.encode(copy.items[key])))
+            return Chunk(pack_rows(packed), end)
+        packed.append(ormsgpack.packb(copy.items[key].to_wire()))
         size += len(packed[-1])
         end = Cursor(version, key)
-    return Part(pack_rows(packed), None)
+    return Chunk(pack_rows(packed), None)
 
 
 def pack_rows(packed: list[bytes]) -> bytes:
@@ -162,12 +162,12 @@
         raise ValueError(f"not a part: {error}") from None
     if not unpacker.eof:
         raise ValueError("a part larger than a frame")
-    return [items.decode(ormsgpack.unpackb(one)) for one in ormsgpack.unpackb(plain)]
+    return [items.Item.from_wire(ormsgpack.unpackb(one)) for one in ormsgpack.unpackb(plain)]
 
 
 def next_cursor(before: Cursor, end: typing.Any) -> Cursor:
     """Each part ends behind the one before, or asking for parts would never end."""
-    cursor = Cursor(versions.decode(end[0]), str(end[1]))
+    cursor = Cursor(versions.Version.from_wire(end[0]), str(end[1]))
     if cursor <= before:
         raise ValueError("a part that does not lead on")
     return cursor
--- a/src/irisstand/state/replication/quorum_loss.py
+++ b/src/irisstand/state/replication/quorum_loss.py
@@ -13,7 +13,7 @@
 DOUBT = 0.6
 
 
-class OutageWatch:
+class QuorumLossDetector:
     """Asks the voters of a table that grows old, and notes when more than half cannot confirm anything.
 
     A voter counts if its port refuses connections, so that it does not run; or if it answers that it has no
@@ -38,7 +38,7 @@
         """One round of questions about one table."""
         # The evidence counts from here: a voter may have come back after it was asked.
         started = self.context.clock.now()
-        voters = quorum.decode(copy.value(items.VOTERS))
+        voters = quorum.voters_from_wire(copy.value(items.VOTERS_KEY))
         loop = asyncio.get_running_loop()
         asking = {loop.create_task(self.cannot_confirm(voter, copy)): voter for voter in voters}
         unable: set[str] = set()
@@ -73,10 +73,10 @@
         # One that says nothing about the table may well be able to confirm it.
         is_current = {name: current for name, _, current in told}.get(copy.name, True)
         disk_id, applied, pending, _ = stand
-        if disk_id != voter.disk_id or is_current or versions.decode(applied) > copy.applied:
+        if disk_id != voter.disk_id or is_current or versions.Version.from_wire(applied) > copy.applied:
             return False
         # A yes may have been given for what is pending.
-        return pending is None or versions.decode(pending) < copy.applied
+        return pending is None or versions.Version.from_wire(pending) < copy.applied
 
     async def is_refused(self, voter: quorum.Voter) -> bool:
         """Its machine answers that nobody listens there: the process does not run, and so accepts nothing."""
--- a/src/irisstand/state/replication/refresher.py
+++ b/src/irisstand/state/replication/refresher.py
@@ -79,7 +79,7 @@
     async def run(self) -> None:
         context = self.context
         if context.settings.outage_bound:
-            context.start_task(quorum_loss.OutageWatch(context).run(), "outage watch")
+            context.start_task(quorum_loss.QuorumLossDetector(context).run(), "outage watch")
         while True:
             started = context.clock.now()
             await self.refresh()
--- a/src/irisstand/state/replication/replicator.py
+++ b/src/irisstand/state/replication/replicator.py
@@ -24,7 +24,7 @@
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
         self.mending: set[str] = set()
-        self.parts = chunk_transfer.PartCarrier(context)
+        self.parts = chunk_transfer.ChunkTransfer(context)
         context.transport.handlers["after"] = self.on_after
         context.transport.handlers["ranges"] = self.on_ranges
 
@@ -36,8 +36,8 @@
         now = self.context.clock.now()
         replies = []
         for name, applied_parts, root in body:
-            copy, applied = self.context.replicas[name], versions.decode(applied_parts)
-            own_root = copy.root()
+            copy, applied = self.context.replicas[name], versions.Version.from_wire(applied_parts)
+            own_root = copy.root_digest()
             told = ("same",)
             # An asker that is ahead is not sent anything: it would have to throw it away.
             if copy.applied < applied or copy.applied == versions.NONE:
@@ -48,49 +48,51 @@
         return tuple(replies)
 
     def above(self, copy: replica.Replica, applied: versions.Version) -> tuple:
-        changed, forgotten = copy.after(applied)
+        changed, forgotten = copy.changes_since(applied)
         # Equal applied versions that do not add up are damage, and more than fits a frame is carried in
         # parts.
         if copy.applied == applied or size_of(changed, ROWS_LIMIT) > ROWS_LIMIT:
             return ("mend",)
-        return ("rows", tuple(items.encode(item) for item in changed), tuple(forgotten))
+        return ("rows", tuple(item.to_wire() for item in changed), tuple(forgotten))
 
     async def on_ranges(self, _: str, body: list) -> tuple:
         """Items of ranges whose digests differ from the asker's, as many as fit."""
         name, digests = body
         copy = self.context.replicas[name]
-        if len(digests) != replica.RANGES:
+        if len(digests) != replica.RANGE_COUNT:
             raise ValueError("another number of ranges")
-        own = copy.digests()
-        differing = {number for number in range(replica.RANGES) if own[number] != digests[number]}
+        own = copy.range_digests()
+        differing = {number for number in range(replica.RANGE_COUNT) if own[number] != digests[number]}
         grouped: dict[int, list] = {number: [] for number in differing}
-        for item in copy.range_items(differing):
-            grouped[replica.range_of(item.key)].append(item)
+        for item in copy.items_in_ranges(differing):
+            grouped[replica.range_number(item.key)].append(item)
         parts, size = [], 0
         for number, held in grouped.items():
             if size > PART_LIMIT:
                 break
             size += size_of(held)
-            parts.append((number, tuple(items.encode(item) for item in held)))
-        return (tuple(copy.applied), copy.age(self.context.clock.now()), copy.root(), tuple(parts))
+            parts.append((number, tuple(item.to_wire() for item in held)))
+        return (tuple(copy.applied), copy.age(self.context.clock.now()), copy.root_digest(), tuple(parts))
 
     # -- asking --------------------------------------------------------------------------------------
     async def pull(self, address: network.Address, name: str, tables_asked: tuple = ()) -> bool:
         """One question for all tables. True if every one is now known to be current well within the bound."""
         context = self.context
         copies = [context.replicas[table] for table in tables_asked or context.replicas]
-        asked = tuple((copy.name, tuple(copy.applied), copy.root()) for copy in copies)
+        asked = tuple((copy.name, tuple(copy.applied), copy.root_digest()) for copy in copies)
         # The age counts from here: whatever changed after the question was sent is not confirmed for.
         sent = context.clock.now()
         replies = await context.transport.call(address, name, "after", asked, PATIENCE)
         all_current = True
         for copy, question, (applied_parts, age, root, told) in zip(copies, asked, replies, strict=True):
-            applied = versions.decode(applied_parts)
+            applied = versions.Version.from_wire(applied_parts)
             # A copy that moved under the question has been told of rows above an applied version that it has
             # left.
             if tuple(copy.applied) == question[1] and told[0] in ("rows", "mend"):
-                changed = [items.decode(parts) for parts in told[1]] if told[0] == "rows" else []
-                if told[0] == "rows" and copy.advance(applied, root, changed, [str(key) for key in told[2]]):
+                changed = [items.Item.from_wire(parts) for parts in told[1]] if told[0] == "rows" else []
+                if told[0] == "rows" and copy.apply_changes(
+                    applied, root, changed, [str(key) for key in told[2]]
+                ):
                     context.counters.add("rows_carried", len(changed), table=copy.name)
                 else:
                     await self.mend(address, name, copy, told[0] == "mend" and applied > copy.applied)
@@ -128,17 +130,17 @@
         aside, overtaken = copy.clone(), 0
         for _ in range(PARTS_LIMIT):
             sent = self.context.clock.now()
-            body = (copy.name, aside.digests())
+            body = (copy.name, aside.range_digests())
             applied_parts, age, root, parts = await self.context.transport.call(
                 address, name, "ranges", body, PATIENCE
             )
-            ranges = {int(number): [items.decode(one) for one in held] for number, held in parts}
-            aside.install(ranges)
-            aside.applied = versions.decode(applied_parts)
+            ranges = {int(number): [items.Item.from_wire(one) for one in held] for number, held in parts}
+            aside.replace_ranges(ranges)
+            aside.applied = versions.Version.from_wire(applied_parts)
             self.context.counters.add("ranges_mended", len(ranges), table=copy.name)
-            if aside.root() != root:
+            if aside.root_digest() != root:
                 continue
-            if copy.adopt(aside):
+            if copy.replace_unless_older(aside):
                 if age is not None:
                     copy.confirm_current(sent - age)
                 return
--- a/src/irisstand/state/storage/disk.py
+++ b/src/irisstand/state/storage/disk.py
@@ -18,14 +18,14 @@
 SPARE_BYTES = 64 * 1024
 
 
-def seal(content: bytes) -> bytes:
+def add_checksum(content: bytes) -> bytes:
     return HEAD.pack(len(content), hashlib.sha256(content).digest()[:16]) + content
 
 
-def unseal(sealed: bytes) -> bytes:
+def strip_checksum(sealed: bytes) -> bytes:
     """What lies behind the content is left over from the file's earlier use.
 
-    >>> unseal(seal(b"x") + b"older")
+    >>> strip_checksum(add_checksum(b"x") + b"older")
     b'x'
     """
     if len(sealed) >= HEAD.size:
@@ -112,7 +112,7 @@
 
 class Disk(typing.Protocol):
     # Names of files that an earlier load has found torn.
-    put_aside: list[str]
+    quarantined: list[str]
 
     async def write(self, files: collections.abc.Sequence[tuple[str, bytes]]) -> None:
         """All durable when it returns; raises DiskFull with none of them counted on."""
@@ -135,7 +135,7 @@
         self.files = files or RealFolder(folder)
         self.spares: list[str] = []
         self.spare_number = 0
-        self.put_aside: list[str] = []
+        self.quarantined: list[str] = []
         self.thread = concurrent.futures.ThreadPoolExecutor(1, "disk")
 
     async def write(self, files: collections.abc.Sequence[tuple[str, bytes]]) -> None:
@@ -154,7 +154,7 @@
                 aside.append(name + ".aside")
                 if self.spares:
                     self.files.rename(self.spares.pop(), aside[-1])
-                self.files.write(aside[-1], seal(content))
+                self.files.write(aside[-1], add_checksum(content))
             for name in aside:
                 self.files.rename(name, name.removesuffix(".aside"))
             self.files.sync()
@@ -184,16 +184,16 @@
         self.files.make()
         sound: dict[str, bytes] = {}
         torn: list[str] = []
-        self.put_aside = []
+        self.quarantined = []
         for name in self.files.names():
             # What was only written aside was never promised to anybody.
             if name.endswith((".aside", ".spare")):
                 self.files.rename(name, f"{name}.old")
             elif name.endswith(".torn"):
-                self.put_aside.append(name.removesuffix(".torn"))
+                self.quarantined.append(name.removesuffix(".torn"))
             elif not name.endswith(".old"):
                 try:
-                    sound[name] = unseal(self.files.read(name))
+                    sound[name] = strip_checksum(self.files.read(name))
                 except errors.TornFileError:
                     self.files.rename(name, name + ".torn")
                     torn.append(name)
--- a/src/irisstand/state/storage/durable_store.py
+++ b/src/irisstand/state/storage/durable_store.py
@@ -22,7 +22,7 @@
 
     promised: versions.Version
     applied: versions.Version
-    root: bytes
+    root_digest: bytes
     accepted: versions.Version
     pending: items.Batch | None
     gone: tuple[str, ...] = ()
@@ -33,12 +33,12 @@
 # What is out of date stays until there is this much of it, and then goes to the disk's spares all at once.
 GARBAGE_LIMIT = 32
 
-BLANK = Record(versions.NONE, versions.NONE, b"", versions.NONE, None)
+BLANK_RECORD = Record(versions.NONE, versions.NONE, b"", versions.NONE, None)
 
 
 def encode_record(record: Record) -> bytes:
-    pending = None if record.pending is None else items.encode_batch(record.pending)
-    numbers = (tuple(record.promised), tuple(record.applied), record.root, tuple(record.accepted))
+    pending = None if record.pending is None else record.pending.to_wire()
+    numbers = (tuple(record.promised), tuple(record.applied), record.root_digest, tuple(record.accepted))
     forgotten = tuple((key, tuple(version)) for key, version in record.forgotten)
     return ormsgpack.packb((*numbers, pending, record.gone, record.segments, forgotten))
 
@@ -48,26 +48,26 @@
     promised, applied, root, accepted, pending, gone, *more = ormsgpack.unpackb(content)
     segments, forgotten = more or ((), ())
     return Record(
-        versions.decode(promised),
-        versions.decode(applied),
+        versions.Version.from_wire(promised),
+        versions.Version.from_wire(applied),
         root,
-        versions.decode(accepted),
-        None if pending is None else items.decode_batch(pending),
+        versions.Version.from_wire(accepted),
+        None if pending is None else items.Batch.from_wire(pending),
         tuple(gone),
         tuple(segments),
-        tuple((key, versions.decode(version)) for key, version in forgotten),
+        tuple((key, versions.Version.from_wire(version)) for key, version in forgotten),
     )
 
 
 class DurableStore:
     def __init__(self, disk: disks.Disk, randomness: random.Random) -> None:
         self.disk, self.randomness = disk, randomness
-        self.identity = ""
+        self.disk_id = ""
         self.numbers: dict[str, int] = {}
         self.records: dict[str, Record] = {}
-        self.copies: dict[str, replica.Replica] = {}
+        self.replicas: dict[str, replica.Replica] = {}
         self.layouts: dict[str, item_files.Layout] = {}
-        self.sound: dict[str, bool] = {}
+        self.intact: dict[str, bool] = {}
         self.garbage: dict[str, list[str]] = {}
         # Written for a record that never came: on the disk, perhaps, and not to be counted.
         self.strays: dict[str, set[str]] = {table: set() for table in items.TABLES}
@@ -77,43 +77,43 @@
         if torn:
             event_log.record("torn-files", names=torn)
         # Put aside by a start that power was lost in, before this disk had a new id to show for it.
-        torn = [*torn, *self.disk.put_aside]
+        torn = [*torn, *self.disk.quarantined]
         damaged = "vault" in torn
         for table in items.TABLES:
             # An older record in place of a torn newer one would take promises back: that disk has no vote.
             # A torn older one is a file written anew that a loss of power has left under its earlier name.
             self.load_table(table, files)
             voters = [name for name in torn if name.startswith(f"{table}.voter.")]
-            damaged = damaged or any(item_files.number_of(name) > self.numbers[table] for name in voters)
+            damaged = damaged or any(item_files.file_number(name) > self.numbers[table] for name in voters)
             used = [name for name in (*files, *torn) if name.startswith((f"{table}.voter.", f"{table}.seg"))]
-            self.numbers[table] = max([self.numbers[table], *map(item_files.number_of, used)])
+            self.numbers[table] = max([self.numbers[table], *map(item_files.file_number, used)])
         if "vault" in files and not damaged:
-            self.identity = files["vault"].decode()
+            self.disk_id = files["vault"].decode()
         else:
-            self.identity = f"{self.randomness.getrandbits(48):012x}"
+            self.disk_id = f"{self.randomness.getrandbits(48):012x}"
             self.records.clear()
-            await self.disk.write([("vault", self.identity.encode())])
+            await self.disk.write([("vault", self.disk_id.encode())])
         for table in items.TABLES:
-            self.records.setdefault(table, BLANK)
+            self.records.setdefault(table, BLANK_RECORD)
 
     def load_table(self, table: str, files: dict[str, bytes]) -> None:
         copy = replica.Replica(table)
-        self.copies[table] = copy
+        self.replicas[table] = copy
         self.numbers[table] = 0
         layout = self.layouts[table] = item_files.Layout()
         names = sorted(name for name in files if name.startswith(f"{table}.voter."))
-        record = BLANK
+        record = BLANK_RECORD
         if names:
             record = self.records[table] = decode_record(files[names[-1]])
-            self.numbers[table] = item_files.number_of(names[-1])
+            self.numbers[table] = item_files.file_number(names[-1])
             copy.applied = record.applied
         layout.forgotten = dict(record.forgotten)
         item_files.load(copy, layout, files, record.segments, set(record.gone))
         # Left over from the last run: all but the newest record and what it rests on.
         counted = layout.names() | set(names[-1:])
         self.garbage[table] = [n for n in files if n.startswith(f"{table}.") and n not in counted]
-        roots = (copy.root(), replica.first_root(copy))
-        self.sound[table] = not names or record.root in roots
+        roots = (copy.root_digest(), replica.legacy_root_digest(copy))
+        self.intact[table] = not names or record.root_digest in roots
 
     async def save_record(self, table: str, record: Record) -> None:
         await self.write_record(table, record)
@@ -133,22 +133,22 @@
 
     def behind(self, table: str, live: replica.Replica) -> dict[str, items.Item | None]:
         """Keys whose file is out of date, with what they hold now; None where nothing is left."""
-        kept = self.copies[table]
-        changed, forgotten = live.after(kept.applied)
+        kept = self.replicas[table]
+        changed, forgotten = live.changes_since(kept.applied)
         keys = {item.key for item in changed} | set(forgotten)
         # A forgetting that the live copy no longer remembers shows in the root: then all are compared.
-        if not self.sound[table] or kept.sums_with(keys, live) != live.sums:
+        if not self.intact[table] or kept.range_sums_with(keys, live) != live.range_sums:
             keys = set(kept.items) | set(live.items)
         wanted = {key: live.items.get(key) for key in keys}
         return {key: item for key, item in wanted.items() if item != kept.items.get(key)}
 
-    async def save_copy(self, table: str, live: replica.Replica, record: Record) -> None:
+    async def save_replica(self, table: str, live: replica.Replica, record: Record) -> None:
         """Items first, then the record that confirms for them, and only then the old versions go."""
         # Taken all at once: the live copy moves on while the disk is waited for.
-        wanted, applied, root = self.behind(table, live), live.applied, live.root()
-        kept, old, strays = self.copies[table], self.layouts[table], self.strays[table]
+        wanted, applied, root = self.behind(table, live), live.applied, live.root_digest()
+        kept, old, strays = self.replicas[table], self.layouts[table], self.strays[table]
         segment = item_files.segment_file(table, self.numbers[table] + 1)
-        layout, files = item_files.plan(kept, old, wanted, not self.sound[table], segment)
+        layout, files = item_files.plan(kept, old, wanted, not self.intact[table], segment)
         strays |= {name for name, _ in files}
         if files:
             await self.disk.write(files)
@@ -158,7 +158,7 @@
         # Still on the disk, but never to be read again: a forgotten key must not come back with a restart.
         changed = record._replace(
             applied=applied,
-            root=root,
+            root_digest=root,
             gone=tuple(name for name in garbage if ".item." in name),
             segments=tuple(layout.segments),
             forgotten=tuple(layout.forgotten.items()),
@@ -174,5 +174,5 @@
         kept.applied = applied
         self.layouts[table] = layout
         strays.clear()
-        self.sound[table] = kept.root() == root
+        self.intact[table] = kept.root_digest() == root
         await self.sweep(table)
--- a/src/irisstand/state/storage/item_files.py
+++ b/src/irisstand/state/storage/item_files.py
@@ -32,7 +32,7 @@
     return f"{table}.segment.{number:012d}"
 
 
-def number_of(name: str) -> int:
+def file_number(name: str) -> int:
     return int(name.rsplit(".", 1)[1])
 
 
@@ -60,11 +60,11 @@
 
 def read_items(content: bytes, is_segment: bool) -> list[items.Item]:
     unpacked = ormsgpack.unpackb(content)
-    return [items.decode(parts) for parts in (unpacked if is_segment else [unpacked])]
+    return [items.Item.from_wire(parts) for parts in (unpacked if is_segment else [unpacked])]
 
 
 def pack_segment(held: typing.Iterable[items.Item]) -> bytes:
-    return ormsgpack.packb(tuple(items.encode(item) for item in held))
+    return ormsgpack.packb(tuple(item.to_wire() for item in held))
 
 
 def load(
@@ -122,7 +122,7 @@
         bundle = {key: kept.items[key] for key in left} | fresh
         return gathered(layout.segments, forgotten, bundle, segment)
     names = {key: item_file(kept.name, item) for key, item in fresh.items()}
-    packed = [(names[key], ormsgpack.packb(items.encode(item))) for key, item in fresh.items()]
+    packed = [(names[key], ormsgpack.packb(item.to_wire())) for key, item in fresh.items()]
     return Plan(Layout(left | names, dict(layout.segments), forgotten), packed)
 
 
--- a/tests/controlplane/test_ballots.py
+++ b/tests/controlplane/test_ballots.py
@@ -117,14 +117,14 @@
 
     async def scene():
         disk = irisstand.simulator.memory_disk.MemoryDisk(random.Random(1))
-        disk_id = irisstand.state.storage.durable_store.DurableStore(disk, random.Random(1))
-        await disk_id.open()
+        store = irisstand.state.storage.durable_store.DurableStore(disk, random.Random(1))
+        await store.open()
         live = replica.Replica(items.LEDGER)
-        owner = irisstand.controlplane.consensus.acceptor.Owner(disk_id, live, None)
+        owner = irisstand.controlplane.consensus.acceptor.Owner(store, live, None)
         task = asyncio.create_task(owner.run())
-        voter = quorum.Voter("a", disk_id.identity, "s", "h", 1, "m")
+        voter = quorum.Voter("a", store.disk_id, "s", "h", 1, "m")
         base = versions.Version(22, "b")
-        first = items.Batch(base, versions.NONE, ((items.VOTERS, [tuple(voter)], False),))
+        first = items.Batch(base, versions.NONE, ((items.VOTERS_KEY, [tuple(voter)], False),))
         await owner.order("found", first)
         low = items.Batch(versions.Version(21, "c"), base, (("row", 1, False),))
         assert (await owner.order("accept", versions.Version(30, "c"), low, "c"))[0] == "moved"
--- a/tests/controlplane/test_bootstrap.py
+++ b/tests/controlplane/test_bootstrap.py
@@ -30,7 +30,7 @@
     """The voters in force, as the newest copy of a living core node has them."""
     cores = [node for node in world.role("agency") if node.is_up]
     newest = max((node.body.context.replicas[table] for node in cores), key=lambda copy: copy.applied)
-    return quorum.decode(newest.value(items.VOTERS))
+    return quorum.voters_from_wire(newest.value(items.VOTERS_KEY))
 
 
 def all_vote(world, names):
@@ -48,8 +48,10 @@
         async def look():
             while True:
                 for node in world.role("agency"):
-                    known = quorum.decode(node.body.context.replicas[items.CONFIGURATION].value(items.VOTERS))
-                    if known and not quorum.outlives_any_site(known):
+                    known = quorum.voters_from_wire(
+                        node.body.context.replicas[items.CONFIGURATION].value(items.VOTERS_KEY)
+                    )
+                    if known and not quorum.survives_any_site_loss(known):
                         worst.append(known)
                 await asyncio.sleep(0.01)
 
@@ -80,11 +82,11 @@
     async def scene(world):
         await world.until(lambda: all_vote(world, FIVE), 10)
         node = world.nodes["agency-1"]
-        old = node.body.core.store.identity
+        old = node.body.core.store.disk_id
         node.kill()
         node.wipe()
         await node.start()
-        await world.until(lambda: any(v.disk_id == node.body.core.store.identity for v in voters(world)), 4)
+        await world.until(lambda: any(v.disk_id == node.body.core.store.disk_id for v in voters(world)), 4)
         assert old not in {voter.disk_id for voter in voters(world)}
 
     play(scene)
--- a/tests/controlplane/test_capacity_scaling.py
+++ b/tests/controlplane/test_capacity_scaling.py
@@ -10,7 +10,10 @@
 
 
 def resting(day, name="agency-2"):
-    return {item.key.removeprefix("rest/") for item in cluster.context(day, name).ledger.under("rest/")}
+    return {
+        item.key.removeprefix("rest/")
+        for item in cluster.context(day, name).ledger.items_with_prefix("rest/")
+    }
 
 
 async def settle(day, condition, patience=60):
@@ -38,7 +41,7 @@
         )
         assert took < 10
         saved = cluster.context(day, "agency-2").ledger
-        await settle(day, lambda: any(True for _ in saved.under("saved/shield")), 90)
+        await settle(day, lambda: any(True for _ in saved.items_with_prefix("saved/shield")), 90)
 
     cluster.play(scene)
 
--- a/tests/controlplane/test_guard_scenarios.py
+++ b/tests/controlplane/test_guard_scenarios.py
@@ -16,7 +16,7 @@
     """A proposer had its batch accepted by three of five, so a yes may be out, and died before any commit."""
     core = day.world.nodes["agency-1"].body.core
     applied = core.context.configuration.applied
-    ballot = versions.Version(applied.counter + 5, f"agency-1~{core.store.identity}")
+    ballot = versions.Version(applied.counter + 5, f"agency-1~{core.store.disk_id}")
     batch = items.Batch(ballot, applied, (("site/south", {"weight": 9}, False),))
     day.world.nodes["agency-1"].kill()
     for name in ("agency-2", "agency-3", "agency-4"):
@@ -80,7 +80,7 @@
 def test_a_disk_asked_for_under_its_predecessors_id_has_no_vote_though_it_has_learnt_everything():
     async def scene(day):
         node = day.world.nodes["agency-4"]
-        old = node.body.core.store.identity
+        old = node.body.core.store.disk_id
         node.kill()
         node.wipe()
         await node.start()
@@ -88,7 +88,7 @@
         ballot = (10**6, "x")
         with pytest.raises(errors.NotBootstrappedError):
             await node.do(node.body.core.on_promise("x", [items.CONFIGURATION, ballot, old]), 1)
-        batch = items.encode_batch(items.Batch(versions.Version(10**6, "x"), versions.NONE, ()))
+        batch = items.Batch(versions.Version(10**6, "x"), versions.NONE, ()).to_wire()
         with pytest.raises(errors.NotBootstrappedError):
             await node.do(node.body.core.on_accept("x", [items.CONFIGURATION, ballot, batch, old]), 1)
 
--- a/tests/controlplane/test_idempotent_changes.py
+++ b/tests/controlplane/test_idempotent_changes.py
@@ -37,7 +37,7 @@
 
 def amend(table, call):
     """Play one call on a table, as a ballot would; the rows that it writes."""
-    overlay = overlays.Overlay(table, table.applied.after("n"))
+    overlay = overlays.Overlay(table, table.applied.successor("n"))
     payload = amendment.parse_amendment(json.dumps(call).encode())
     orders.plan(overlay, orders.Order("amend", "", payload))
     written = list(overlay.rows)
@@ -53,12 +53,12 @@
 
 
 def refused(table, call):
-    before = table.root()
+    before = table.root_digest()
     with pytest.raises(errors.IrisError) as raised:
         amend(table, call)
     assert raised.value.status == 409 and raised.value.code == "version-taken"
     assert raised.value.remedy and raised.value.to_json()["conflicts"]
-    assert table.root() == before
+    assert table.root_digest() == before
 
 
 def test_other_content_under_the_version_in_force_is_refused_whole():
@@ -136,11 +136,11 @@
 def test_what_can_never_be_valid_is_refused_also_when_it_comes_late():
     table = fresh()
     amend(table, put(route(9)))
-    before = table.root()
+    before = table.root_digest()
     for fields in ({"target": 99}, {"service": "nowhere"}, {"split": [{"service": "s1", "weight": 0}]}):
         with pytest.raises(errors.InvalidChangeError):
             amend(table, put(route(6, **fields)))
-    assert table.root() == before
+    assert table.root_digest() == before
 
 
 def test_both_versions_of_an_item_in_one_call_are_confirmed():
@@ -177,11 +177,11 @@
 @pytest.mark.parametrize("part", ["put", "drop"])
 def test_a_version_that_is_no_whole_number_within_bounds_is_a_typed_refusal(part, version):
     table = fresh()
-    before = table.root()
+    before = table.root_digest()
     item = route(version) if part == "put" else {"name": "r1", "version": version}
     with pytest.raises((errors.InvalidChangeError, errors.BadRequestError)):
         amend(table, {part: {"routes": [item]}})
-    assert table.root() == before
+    assert table.root_digest() == before
 
 
 @pytest.mark.parametrize(
@@ -204,7 +204,7 @@
 
 
 def change(table, kind, change_id, payload):
-    overlay = overlays.Overlay(table, table.applied.after("n"))
+    overlay = overlays.Overlay(table, table.applied.successor("n"))
     result = orders.plan(overlay, orders.Order(kind, change_id, payload))
     table.apply(overlay.batch())
     return result
@@ -217,11 +217,11 @@
     change(table, "change", "other", [{**row, "value": {"weight": 6}}])
     same = {"value": {"weight": 5.0}, "expected": None, "name": "north", "kind": "site"}
     assert change(table, "change", "mine", [same]) == first
-    before = table.root()
+    before = table.root_digest()
     with pytest.raises(errors.IrisError) as raised:
         change(table, "change", "mine", [{**row, "value": {"weight": 7}}])
     assert raised.value.status == 409 and raised.value.code == "change-id-taken"
-    assert table.root() == before
+    assert table.root_digest() == before
 
 
 def test_a_record_of_the_version_before_without_a_digest_still_reads():
@@ -236,8 +236,8 @@
     amend(table, {"drop": {"routes": [{"name": "r1", "version": 9}]}})
     table.put(items.Item("site/gone", table.applied, None))
     for _ in range(40):
-        overlay = overlays.Overlay(table, table.applied.after("n"))
-        payload = (str(table.version(items.TIME)), 60.0, [["~change", 1.0, 1.0, 1]], 1.0)
+        overlay = overlays.Overlay(table, table.applied.successor("n"))
+        payload = (str(table.version(items.TABLE_TIME_KEY)), 60.0, [["~change", 1.0, 1.0, 1]], 1.0)
         orders.plan(overlay, orders.Order("tick-blueprint", "", payload))
         table.apply(overlay.batch())
     assert "site/gone" not in table.items
--- a/tests/controlplane/test_origin_discovery.py
+++ b/tests/controlplane/test_origin_discovery.py
@@ -13,7 +13,7 @@
 
 
 def listed(day):
-    return {item.key for item in cluster.context(day, "edge-1").ledger.under("origin/")}
+    return {item.key for item in cluster.context(day, "edge-1").ledger.items_with_prefix("origin/")}
 
 
 def says(day, revision=None, age=0.0, without=()):
--- a/tests/controlplane/test_origin_roster.py
+++ b/tests/controlplane/test_origin_roster.py
@@ -12,7 +12,10 @@
 
 
 def listed(day, name="agency-1"):
-    return {item.key: item.value["state"] for item in cluster.context(day, name).ledger.under("origin/")}
+    return {
+        item.key: item.value["state"]
+        for item in cluster.context(day, name).ledger.items_with_prefix("origin/")
+    }
 
 
 async def reads(day, count, mark):
--- a/tests/controlplane/test_partitioned_nodes.py
+++ b/tests/controlplane/test_partitioned_nodes.py
@@ -83,7 +83,7 @@
     async def scene(day):
         core = day.world.nodes["agency-1"].body.core
         applied = core.context.configuration.applied
-        ballot = versions.Version(applied.counter + 5, f"agency-1~{core.store.identity}")
+        ballot = versions.Version(applied.counter + 5, f"agency-1~{core.store.disk_id}")
         batch = items.Batch(ballot, applied, (("site/south", {"weight": 9}, False),))
         day.world.nodes["agency-1"].kill()
         for name in ("agency-2", "agency-3", "agency-4"):
--- a/tests/controlplane/test_placement.py
+++ b/tests/controlplane/test_placement.py
@@ -13,7 +13,10 @@
 
 
 def resting(day, name="agency-2"):
-    return {item.key.removeprefix("rest/") for item in cluster.context(day, name).ledger.under("rest/")}
+    return {
+        item.key.removeprefix("rest/")
+        for item in cluster.context(day, name).ledger.items_with_prefix("rest/")
+    }
 
 
 async def settle(day, condition, patience=60):
--- a/tests/controlplane/test_retention.py
+++ b/tests/controlplane/test_retention.py
@@ -26,14 +26,14 @@
         self.seen = versions.NONE
 
     def order(self, kind, payload, change=""):
-        overlay = orders.Overlay(self.copy, self.copy.applied.after("n"))
+        overlay = orders.Overlay(self.copy, self.copy.applied.successor("n"))
         result = orders.plan(overlay, orders.Order(kind, change, payload))
         if overlay.rows:
             self.copy.apply(overlay.batch())
         return result
 
     def tick(self, elapsed, *rules):
-        expected = str(self.copy.version(items.TIME))
+        expected = str(self.copy.version(items.TABLE_TIME_KEY))
         self.order(f"tick-{self.copy.name}", (expected, elapsed, [list(rule) for rule in rules], 600.0))
 
 
@@ -51,7 +51,7 @@
     # Four hours: as many rows after the fourth as after the first, and hardly more than must be kept.
     assert max(sizes[-240:]) <= max(sizes[:240]) < 1100, (max(sizes[:240]), max(sizes[-240:]))
     assert number == 7680
-    assert len(json.dumps(ledger.copy.value(items.TIME))) < 4000
+    assert len(json.dumps(ledger.copy.value(items.TABLE_TIME_KEY))) < 4000
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -71,12 +71,12 @@
         else:
             fetched.append((f"/p{randomness.randrange(40)}", ledger.copy.applied))
         path, applied = randomness.choice(fetched or [("/p0", ledger.copy.applied)])
-        forgotten = versions.decode(ledger.copy.value(items.PURGED) or versions.NONE)
+        forgotten = versions.Version.from_wire(ledger.copy.value(items.FORGOTTEN_PURGES_KEY) or versions.NONE)
         purged = max(forgotten, ledger.copy.version(f"purge/path/{path}"))
         if newest.get(path, versions.NONE) > applied:
             refused += 1
             assert applied < purged
-    assert refused > 100 and ledger.copy.value(items.PURGED)
+    assert refused > 100 and ledger.copy.value(items.FORGOTTEN_PURGES_KEY)
 
 
 def test_a_node_cut_off_past_the_horizon_serves_nothing_that_a_forgotten_purge_struck():
@@ -93,7 +93,7 @@
         rule = [list(table_time.RetentionRule("purge", 1.0, 0.0, 0))]
         for _ in range(3):
             await asyncio.sleep(2)
-            expected = str(cluster.context(day, "agency-2").ledger.version(items.TIME))
+            expected = str(cluster.context(day, "agency-2").ledger.version(items.TABLE_TIME_KEY))
             await day.stage.order("agency-2", "tick-ledger", (expected, 2.0, rule, 600.0))
         assert cluster.context(day, "agency-2").ledger.value(f"purge/path/{path}") is None
         day.world.wires.heal()
@@ -116,7 +116,7 @@
         await day.stage.order("agency-1", "change", [{**cluster.site_row("north"), "value": None}])
         for _ in range(3):
             await asyncio.sleep(1)
-            expected = str(cluster.context(day, "agency-2").configuration.version(items.TIME))
+            expected = str(cluster.context(day, "agency-2").configuration.version(items.TABLE_TIME_KEY))
             await day.stage.order("agency-2", "tick-blueprint", (expected, 2.0, [], 1.0))
         assert "site/north" not in cluster.context(day, "agency-2").configuration.items
         await node.start()
@@ -124,7 +124,7 @@
         await asyncio.sleep(2)
         for name in ("agency-4", "agency-1", "edge-1"):
             assert "site/north" not in cluster.context(day, name).configuration.items
-        roots = {cluster.context(day, f"agency-{n}").configuration.root() for n in range(1, 6)}
+        roots = {cluster.context(day, f"agency-{n}").configuration.root_digest() for n in range(1, 6)}
         assert len(roots) == 1
 
     cluster.play(scene)
@@ -132,17 +132,17 @@
 
 def test_time_is_never_raised_twice_for_the_same_stretch_and_never_by_a_long_sleep():
     ledger = Table(items.LEDGER)
-    first = str(ledger.copy.version(items.TIME))
+    first = str(ledger.copy.version(items.TABLE_TIME_KEY))
     ledger.tick(15, PURGE)
     with pytest.raises(errors.StaleVersionError):
         ledger.order("tick-ledger", (first, 15.0, [], 600.0))
     ledger.tick(4000, PURGE)
-    assert ledger.copy.value(items.TIME)["seconds"] == 15 + table_time.STEP_LIMIT_SECONDS
+    assert ledger.copy.value(items.TABLE_TIME_KEY)["seconds"] == 15 + table_time.STEP_LIMIT_SECONDS
 
 
 def test_keys_are_kept_for_their_time_and_a_full_store_refuses_new_ones_with_when_to_come_back(monkeypatch):
     monkeypatch.setattr(orders, "CLAIMS_LIMIT", 100)
-    claims = Table(items.CLAIMS)
+    claims = Table(items.IDEMPOTENCY_KEYS)
     rule = table_time.RetentionRule("claim", 600.0, 600.0, 100)
     claims.tick(15, rule)
     for number in range(100):
@@ -158,7 +158,7 @@
         claims.order("claim", ("k0", "b", "print"))
     for _ in range(29):
         claims.tick(15, rule)
-    assert claims.copy.counts["claim"] == 100
+    assert claims.copy.counts_by_prefix["claim"] == 100
     for _ in range(8):
         claims.tick(15, rule)
     claims.order("claim", ("another", "a", "print"))
@@ -171,7 +171,11 @@
         ask = ("POST", "/applications", body)
         assert (await day.stage.ask("edge-1", *ask, idempotency_key="once"))[0] == 200
         await asyncio.sleep(40)
-        before = cluster.context(day, "agency-1").replicas[items.CLAIMS].value(items.TIME)["seconds"]
+        before = (
+            cluster.context(day, "agency-1")
+            .replicas[items.IDEMPOTENCY_KEYS]
+            .value(items.TABLE_TIME_KEY)["seconds"]
+        )
         assert 15 <= before <= 50
         for node in day.world.nodes.values():
             node.kill(reset=False)
@@ -180,7 +184,11 @@
             await node.start()
         await day.world.until_ready()
         await asyncio.sleep(40)
-        after = cluster.context(day, "agency-1").replicas[items.CLAIMS].value(items.TIME)["seconds"]
+        after = (
+            cluster.context(day, "agency-1")
+            .replicas[items.IDEMPOTENCY_KEYS]
+            .value(items.TABLE_TIME_KEY)["seconds"]
+        )
         # Hours in the dark are not counted: nobody could have asked again meanwhile.
         assert before < after < before + 45
         status, _, result = await day.stage.ask("edge-2", *ask, idempotency_key="once")
--- a/tests/controlplane/test_voter_target.py
+++ b/tests/controlplane/test_voter_target.py
@@ -41,11 +41,11 @@
         await world.until(lambda: is_whole(world), BUILT)
         await asyncio.sleep(2)
         node = world.nodes[voters(world)[0].name]
-        copy = node.body.context.replicas[items.CLAIMS]
+        copy = node.body.context.replicas[items.IDEMPOTENCY_KEYS]
         fewer = tuple(tuple(voter) for voter in {voter.site: voter for voter in voters(world)}.values())
-        payload = (str(copy.version(items.VOTERS)), fewer)
+        payload = (str(copy.version(items.VOTERS_KEY)), fewer)
         await node.do(node.body.submitter.submit(orders.Order("voters-claims", "", payload)), 3)
-        assert len(voters(world, items.CLAIMS)) == 3
+        assert len(voters(world, items.IDEMPOTENCY_KEYS)) == 3
         await world.until(lambda: is_whole(world), CATCH_UP)
 
     play(scene, "abcabc")
@@ -55,7 +55,7 @@
     async def scene(world):
         await world.until(lambda: is_whole(world), BUILT)
         node = world.nodes[voters(world)[0].name]
-        version = str(node.body.context.replicas[items.LEDGER].version(items.VOTERS))
+        version = str(node.body.context.replicas[items.LEDGER].version(items.VOTERS_KEY))
         in_force = [tuple(voter) for voter in voters(world)]
         one_zone = [voter for voter in in_force if voter[2] == "a"]
         for payload, kind in (
@@ -84,7 +84,7 @@
         pool = made(zones)
         for seeds in (pool[:3], pool[-3:], []):
             found = voter_target.target_voters(pool, seeds, set(), 5)
-            assert quorum.outlives_any_site(found) and len(found) == min(5, len(pool)), zones
+            assert quorum.survives_any_site_loss(found) and len(found) == min(5, len(pool)), zones
             # Reached once, it is left alone, in whatever order the candidates are told.
             assert voter_target.target_voters(pool[::-1], found, set(), 5) == found
     five = made("abcab")
--- a/tests/dataplane/test_large_configurations.py
+++ b/tests/dataplane/test_large_configurations.py
@@ -132,7 +132,7 @@
 def plainly(copy, host, path):
     """The route that a request meets, by a walk through all rows."""
     names = (host.lower(), host.lower().rpartition(":")[0])
-    rows = [item.value["item"] for item in copy.under("route/") if item.value["item"] is not None]
+    rows = [item.value["item"] for item in copy.items_with_prefix("route/") if item.value["item"] is not None]
     for name in names:
         found = [row for row in rows if row["host"].lower() == name and path.startswith(row["prefix"])]
         if found:
@@ -171,7 +171,7 @@
             aside.put(item._replace(value={"version": 1, "item": spoilt}))
         else:
             aside.remove(key)
-    copy.adopt(aside)
+    copy.replace_unless_older(aside)
 
 
 def contents(table):
@@ -208,7 +208,9 @@
 
 def test_rows_forgotten_beyond_what_the_copy_remembers_are_gone_from_the_routes():
     async def scene(stage):
-        stage.context.configuration.forgotten = type(stage.context.configuration.forgotten)(maxlen=3)
+        stage.context.configuration.removal_records = type(stage.context.configuration.removal_records)(
+            maxlen=3
+        )
         names = many(stage, 20)
         stage.part.table.refresh()
         put_at_once(stage, [(f"route/{name}", None, True) for name in names])
--- a/tests/mutation/consensus_mutations.py
+++ b/tests/mutation/consensus_mutations.py
@@ -10,7 +10,7 @@
     ),
     (
         "controlplane/consensus/participant.py",
-        "        if disk_id != self.store.identity:",
+        "        if disk_id != self.store.disk_id:",
         "        if False:",
         "controlplane/test_guard_scenarios.py::test_a_disk_asked_for_under_its_predecessors_id_has_no_vote_though_it_has_learnt_everything",
     ),
@@ -112,7 +112,7 @@
     ),
     (
         "controlplane/changes/voter_changes.py",
-        "    if str(overlay.version(items.VOTERS)) != expected:",
+        "    if str(overlay.version(items.VOTERS_KEY)) != expected:",
         "    if False:",
         "controlplane/test_voter_target.py::test_a_change_planned_from_an_older_set_or_into_a_weaker_one_is_refused",
     ),
@@ -130,7 +130,7 @@
     ),
     (
         "controlplane/consensus/participant.py",
-        "        if disk_id != self.store.identity:",
+        "        if disk_id != self.store.disk_id:",
         "        if False:",
         "modelcheck/test_model_check.py::test_random_walks_with_links_in_trouble_keep_all_rules[race]",
     ),
@@ -166,7 +166,7 @@
     ),
     (
         "controlplane/consensus/proposer.py",
-        "            if key == items.VOTERS:\n",
+        "            if key == items.VOTERS_KEY:\n",
         "            if False:\n",
         "modelcheck/test_model_check.py::test_random_walks_with_links_in_trouble_keep_all_rules[voters]",
     ),
--- a/tests/mutation/controlplane_mutations.py
+++ b/tests/mutation/controlplane_mutations.py
@@ -16,7 +16,7 @@
     ),
     (
         "controlplane/changes/table_time.py",
-        "    if str(overlay.version(items.TIME)) != expected:",
+        "    if str(overlay.version(items.TABLE_TIME_KEY)) != expected:",
         "    if False:",
         "controlplane/test_retention.py::test_time_is_never_raised_twice_for_the_same_stretch_and_never_by_a_long_sleep",
     ),
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -142,7 +142,7 @@
     ),
     (
         "dataplane/routing/routes.py",
-        '        if len(self.compiled) != copy.counts["route"] + copy.counts["upstream"]:',
+        '        if len(self.compiled) != copy.counts_by_prefix["route"] + copy.counts_by_prefix["upstream"]:',
         "        if False:",
         "dataplane/test_large_configurations.py::test_rows_forgotten_beyond_what_the_copy_remembers_are_gone_from_the_routes",
     ),
--- a/tests/mutation/state_mutations.py
+++ b/tests/mutation/state_mutations.py
@@ -28,7 +28,7 @@
     ),
     (
         "controlplane/consensus/acceptor.py",
-        "        if self.record.applied == versions.NONE or not self.store.sound[self.table]:\n",
+        "        if self.record.applied == versions.NONE or not self.store.intact[self.table]:\n",
         "        if False:\n",
         "state/test_disk_faults.py::test_a_damaged_file_is_put_aside_and_neither_served_nor_voted_from",
     ),
@@ -46,7 +46,7 @@
     ),
     (
         "state/storage/durable_store.py",
-        "any(item_files.number_of(name) > self.numbers[table] for name in voters)",
+        "any(item_files.file_number(name) > self.numbers[table] for name in voters)",
         "bool(voters)",
         "state/test_power_loss.py",
     ),
@@ -64,8 +64,8 @@
     ),
     (
         "state/storage/durable_store.py",
-        "if not self.sound[table] or kept.sums_with(keys, live) != live.sums:",
-        "if not self.sound[table]:",
+        "if not self.intact[table] or kept.range_sums_with(keys, live) != live.range_sums:",
+        "if not self.intact[table]:",
         "state/test_restart_after_changes.py::test_more_forgotten_at_once_than_is_remembered_still_leaves_the_disk_with_its_vote",
     ),
     (
@@ -76,7 +76,7 @@
     ),
     (
         "state/replication/quorum_loss.py",
-        "        return pending is None or versions.decode(pending) < copy.applied",
+        "        return pending is None or versions.Version.from_wire(pending) < copy.applied",
         "        return True",
         "state/test_quorum_loss.py::test_a_batch_that_may_have_been_confirmed_is_no_evidence",
     ),
@@ -94,7 +94,7 @@
     ),
     (
         "state/replica.py",
-        "        if root_of(sums) != root:\n            return False",
+        "        if root_digest_of(sums) != root:\n            return False",
         "",
         "state/test_replication.py::test_rows_above_a_applied_are_taken_only_if_the_outcome_is_the_peers_copy",
     ),
--- a/tests/state/test_chunk_transfer.py
+++ b/tests/state/test_chunk_transfer.py
@@ -106,7 +106,7 @@
 def test_a_big_change_reaches_a_node_on_a_slow_link_that_asks_several_peers():
     async def scene():
         edge, cores = far_behind(rate=LINK // 2)
-        while edge.copy.root() != cores[0].copy.root():
+        while edge.copy.root_digest() != cores[0].copy.root_digest():
             await edge.round(list(edge.peers))
             assert edge.context.clock.now() < 60
         return edge.context.clock.now(), max(size for *_, size in edge.replies)
@@ -136,7 +136,11 @@
         await edge.pull("core-1")
         parts = [entry for entry in edge.replies[before:] if entry[1] == "part"]
         whole = len(chunk_transfer.unpack_rows(given[0][3]))
-        return edge.copy.root() == cores[1].copy.root(), len(parts), -(-(ROUTES - 3 * whole) // whole)
+        return (
+            edge.copy.root_digest() == cores[1].copy.root_digest(),
+            len(parts),
+            -(-(ROUTES - 3 * whole) // whole),
+        )
 
     is_same, parts, wanted = virtual.run(scene())
     assert is_same and parts <= wanted + 1
@@ -148,14 +152,14 @@
         core = Node("core")
         core.apply(1, [row(number) for number in range(ROUTES)])
         cut = []
-        plain = chunk_transfer.cut_part
+        plain = chunk_transfer.cut_chunk
         monkeypatch.setattr(
-            chunk_transfer, "cut_part", lambda copy, cursor: cut.append(cursor) or plain(copy, cursor)
+            chunk_transfer, "cut_chunk", lambda copy, cursor: cut.append(cursor) or plain(copy, cursor)
         )
         for edge in edges:
             edge.peers["core"] = core
             await edge.pull("core")
-            assert edge.copy.root() == core.copy.root()
+            assert edge.copy.root_digest() == core.copy.root_digest()
         return len(cut), len([1 for _, kind, _ in edges[0].replies if kind == "part"])
 
     cut, parts = virtual.run(scene())
@@ -181,7 +185,11 @@
         for _ in range(12):
             await edge.pull("core-0")
         kinds = {kind for _, kind, _ in edge.replies}
-        return edge.copy.root() == core.copy.root(), dict(edge.copy.items) == dict(core.copy.items), kinds
+        return (
+            edge.copy.root_digest() == core.copy.root_digest(),
+            dict(edge.copy.items) == dict(core.copy.items),
+            kinds,
+        )
 
     is_same, are_equal, kinds = virtual.run(scene())
     assert is_same and are_equal and "ranges" not in kinds
@@ -192,7 +200,7 @@
         edge, (core,) = far_behind(peers=1, rate=None)
         del core.handlers["part"]
         await edge.pull("core-0")
-        return edge.copy.root() == core.copy.root(), edge.replies[-1][1]
+        return edge.copy.root_digest() == core.copy.root_digest(), edge.replies[-1][1]
 
     assert virtual.run(scene()) == (True, "ranges")
 
@@ -200,14 +208,14 @@
 def test_a_peer_that_is_older_than_what_came_is_not_taken_for_the_truth():
     async def scene():
         edge, cores = far_behind(peers=2, rate=None)
-        cores[1].copy.take(replica.Replica(items.CONFIGURATION))
+        cores[1].copy.replace_content(replica.Replica(items.CONFIGURATION))
         cores[1].apply(1, [row(100_000)])
-        before = edge.copy.root()
+        before = edge.copy.root_digest()
         cursor = chunk_transfer.Cursor(versions.Version(2, "n"), "route/extra-00100")
         edge.replicator.parts.staged_for(edge.copy).cursor = cursor
         with pytest.raises(errors.StaleConfigurationError):
             await edge.replicator.parts.carry(("", 0), "core-1", edge.copy)
-        return edge.copy.root() == before
+        return edge.copy.root_digest() == before
 
     assert virtual.run(scene())
 
@@ -221,7 +229,7 @@
         taken = await edge.replicator.parts.carry(("", 0), "core-0", edge.copy)
         untouched = edge.copy.applied == versions.Version(1, "n")
         await edge.pull("core-0")
-        return taken, untouched, edge.copy.root() == core.copy.root()
+        return taken, untouched, edge.copy.root_digest() == core.copy.root_digest()
 
     assert virtual.run(scene()) == (False, True, True)
 
--- a/tests/state/test_disk_faults.py
+++ b/tests/state/test_disk_faults.py
@@ -43,7 +43,7 @@
     async def scene(day):
         result = await day.stage.order(victim, "change", [cluster.site_row(weight=3)])
         node = day.world.nodes[victim]
-        old = node.body.core.store.identity
+        old = node.body.core.store.disk_id
         node.kill()
         node.wipe()
         await node.start()
@@ -52,7 +52,7 @@
         with pytest.raises(errors.NotBootstrappedError):
             await node.do(node.body.core.on_promise("x", [items.CONFIGURATION, (999, "x"), old]), 1)
         await day.world.until(lambda: votes(day, victim), 10)
-        assert node.body.core.store.identity != old
+        assert node.body.core.store.disk_id != old
         for table in items.TABLES:
             assert len(day.world.nodes["agency-2"].body.core.voters(table)) == 5
         assert str(cluster.context(day, victim).configuration.version("site/north")) == result["serial"]
@@ -102,7 +102,7 @@
         await day.stage.order("agency-1", "change", [cluster.site_row(weight=2)])
         await asyncio.sleep(1)
         node = day.world.nodes["agency-3"]
-        before = node.body.core.store.identity
+        before = node.body.core.store.disk_id
         node.kill()
         assert node.disk.corrupt(part)
         # Alone, it must not serve or vote from what it finds.
@@ -116,13 +116,15 @@
                 await node.do(core.owners[items.CONFIGURATION].order("promise", (10**6, "x")), 1)
             assert core.context.configuration.value("site/north") is None
         else:
-            assert core.store.identity != before
+            assert core.store.disk_id != before
         day.world.wires.heal()
         await day.world.until(lambda: votes(day, "agency-3") and day.world.is_ready(node), 15)
         await asyncio.sleep(1)
         assert core.context.configuration.value("site/north") == {"weight": 2}
-        assert all(core.store.sound.values())
-        assert core.store.copies[items.CONFIGURATION].root() == core.context.configuration.root()
+        assert all(core.store.intact.values())
+        assert (
+            core.store.replicas[items.CONFIGURATION].root_digest() == core.context.configuration.root_digest()
+        )
 
     cluster.play(scene)
 
@@ -200,16 +202,16 @@
         await day.stage.order("agency-1", "change", [cluster.site_row(weight=7)])
         await asyncio.sleep(1)
         for node in day.world.role("agency"):
-            disk_id = node.body.core.store
+            store = node.body.core.store
             for table in items.TABLES:
-                record = disk_id.records[table]
-                old_root = replica.first_root(disk_id.copies[table])
-                assert old_root != record.root
-                await disk_id.save_record(table, record._replace(root=old_root))
+                record = store.records[table]
+                old_root = replica.legacy_root_digest(store.replicas[table])
+                assert old_root != record.root_digest
+                await store.save_record(table, record._replace(root_digest=old_root))
             node.kill()
         for node in day.world.role("agency"):
             await node.start()
-            assert all(node.body.core.store.sound.values())
+            assert all(node.body.core.store.intact.values())
         await day.world.until_ready()
         assert cluster.context(day, "edge-1").configuration.value("site/north") == {"weight": 7}
         await day.stage.order("agency-3", "change", [cluster.site_row(weight=8)])
--- a/tests/state/test_power_loss.py
+++ b/tests/state/test_power_loss.py
@@ -42,13 +42,13 @@
         record = self.store.records[table]
         draw = self.randomness.random()
         if draw < 0.4 and record.applied != versions.NONE:
-            changed = record._replace(promised=record.promised.after("n"))
+            changed = record._replace(promised=record.promised.successor("n"))
             self.sent[table] = changed
             await self.store.save_record(table, changed)
         else:
             self.decide(table, 200 if draw > 0.97 else self.randomness.randrange(1, 6))
             self.sent[table] = record._replace(applied=self.live[table].applied)
-            await self.store.save_copy(table, self.live[table], record)
+            await self.store.save_replica(table, self.live[table], record)
         self.acknowledged[table] = self.store.records[table]
 
     def decide(self, table, count):
@@ -56,15 +56,15 @@
         rows = []
         for key in {f"key/{self.randomness.randrange(40)}" for _ in range(count)}:
             rows.append((key, self.randomness.random(), key in live.items and self.randomness.random() < 0.4))
-        live.apply(items.Batch(live.applied.after("n"), live.applied, tuple(rows)))
+        live.apply(items.Batch(live.applied.successor("n"), live.applied, tuple(rows)))
 
     def check(self):
-        assert self.store.identity == self.identity, "the disk has lost its vote"
+        assert self.store.disk_id == self.identity, "the disk has lost its vote"
         for table, record in self.acknowledged.items():
             found = self.store.records[table]
             assert (found.promised, found.applied) >= (record.promised, record.applied)
             assert found.promised >= record.promised and found.applied >= record.applied
-            assert self.store.sound[table], f"{table} does not add up"
+            assert self.store.intact[table], f"{table} does not add up"
             # One record more than was acknowledged may have reached the disk, and nothing else.
             assert (found.promised, found.applied) in (
                 (record.promised, record.applied),
@@ -75,7 +75,7 @@
 async def live_and_lose_power(seed, full=False):
     voter = Voter(seed)
     await voter.start()
-    voter.identity = voter.store.identity
+    voter.identity = voter.store.disk_id
     for _ in range(LIVES):
         if full:
             start = voter.folder.operations + voter.randomness.randrange(100)
@@ -126,12 +126,12 @@
         table, live = items.LEDGER, voter.live[items.LEDGER]
         for number, row in enumerate([("a", 1, False), ("b", 2, False), ("a", None, True)], 1):
             live.apply(items.Batch(versions.Version(number, "n"), live.applied, (row,)))
-            await voter.store.save_copy(table, live, voter.store.records[table])
+            await voter.store.save_replica(table, live, voter.store.records[table])
         removed = items.Item("a", versions.Version(1, "n"), 1)
-        content = ormsgpack.packb(items.encode(removed))
+        content = ormsgpack.packb(removed.to_wire())
         other = items.Item("c", versions.Version(1, "n"), 1)
         await voter.store.disk.write([(irisstand.state.storage.item_files.item_file(table, other), content)])
         await voter.start()
-        assert voter.store.sound[table] and set(voter.store.copies[table].items) == {"b"}
+        assert voter.store.intact[table] and set(voter.store.replicas[table].items) == {"b"}
 
     asyncio.run(scene())
--- a/tests/state/test_quorum_loss.py
+++ b/tests/state/test_quorum_loss.py
@@ -130,7 +130,7 @@
             store = world.nodes[name].body.core.store
             record = store.records[items.CONFIGURATION]
             store.records[items.CONFIGURATION] = record._replace(
-                pending=items.Batch(copy.applied.after("x"), copy.applied, ())
+                pending=items.Batch(copy.applied.successor("x"), copy.applied, ())
             )
         assert await seconds_in_use(world) <= BOUND + 0.1
         await stays_out(world)
--- a/tests/state/test_recorded_data_folder.py
+++ b/tests/state/test_recorded_data_folder.py
@@ -27,19 +27,19 @@
 
 
 def test_disk_id_is_kept(store):
-    assert store.identity == RECORDED["expected"]["disk_id"]
+    assert store.disk_id == RECORDED["expected"]["disk_id"]
 
 
 @pytest.mark.parametrize("table", items.TABLES)
 def test_records_and_items_are_read_back(store, table):
     expected = RECORDED["expected"][table]
     record = store.records[table]
-    assert record.applied == versions.decode(expected["recorded_applied"])
-    assert record.promised == versions.decode(expected["promised"])
-    assert record.accepted == versions.decode(expected["accepted"])
-    assert record.root.hex() == expected["recorded_root"]
+    assert record.applied == versions.Version.from_wire(expected["recorded_applied"])
+    assert record.promised == versions.Version.from_wire(expected["promised"])
+    assert record.accepted == versions.Version.from_wire(expected["accepted"])
+    assert record.root_digest.hex() == expected["recorded_root"]
     assert list(record.segments) == expected["segments"]
-    assert store.sound[table]
-    replica = store.copies[table]
-    assert replica.root() == record.root
+    assert store.intact[table]
+    replica = store.replicas[table]
+    assert replica.root_digest() == record.root_digest
     assert sorted(replica.items)[:5] == expected["keys"]
--- a/tests/state/test_replication.py
+++ b/tests/state/test_replication.py
@@ -52,8 +52,8 @@
         node.wipe()
         await node.start()
         await day.world.until(lambda: all(node.body.core.votes(table) for table in items.TABLES), 60)
-        copies = [cluster.context(day, f"agency-{n}").replicas[items.CLAIMS] for n in (1, 4)]
-        assert len(copies[1].items) > 2750 and copies[1].counts == copies[0].counts
+        copies = [cluster.context(day, f"agency-{n}").replicas[items.IDEMPOTENCY_KEYS] for n in (1, 4)]
+        assert len(copies[1].items) > 2750 and copies[1].counts_by_prefix == copies[0].counts_by_prefix
 
     cluster.play(scene)
 
@@ -62,15 +62,18 @@
     one, other = filled(20), filled(20)
     # More is forgotten than is remembered, so that a peer that is behind cannot be told all of it.
     one.apply(items.Batch(versions.Version(21, "n"), one.applied, (("k3", None, True), ("k4", 5, False))))
-    one.forgotten.clear()
-    changed, forgotten = one.after(other.applied)
+    one.removal_records.clear()
+    changed, forgotten = one.changes_since(other.applied)
     assert [item.key for item in changed] == ["k4"] and not forgotten
-    before = other.root()
-    assert not other.advance(one.applied, one.root(), changed, forgotten)
-    assert other.root() == before and other.applied == versions.Version(20, "n")
-    changed, _ = one.after(other.applied)
-    assert other.advance(one.applied, one.root(), changed, ["k3"]) and other.root() == one.root()
-    assert not other.advance(versions.Version(5, "n"), one.root(), [], [])
+    before = other.root_digest()
+    assert not other.apply_changes(one.applied, one.root_digest(), changed, forgotten)
+    assert other.root_digest() == before and other.applied == versions.Version(20, "n")
+    changed, _ = one.changes_since(other.applied)
+    assert (
+        other.apply_changes(one.applied, one.root_digest(), changed, ["k3"])
+        and other.root_digest() == one.root_digest()
+    )
+    assert not other.apply_changes(versions.Version(5, "n"), one.root_digest(), [], [])
 
 
 def test_a_copy_damaged_in_memory_is_mended_range_by_range():
@@ -80,7 +83,7 @@
         copy.put(good._replace(value={"spoilt": True}))
         copy.remove("path/vacancies/")
         await day.world.until(lambda: copy.items["service/content"] == good, 3)
-        assert copy.root() == cluster.context(day, "agency-1").configuration.root()
+        assert copy.root_digest() == cluster.context(day, "agency-1").configuration.root_digest()
         assert cluster.context(day, "store-1").counters.total("ranges_mended") <= 4
 
     cluster.play(scene)
@@ -89,16 +92,18 @@
 def test_the_order_by_version_the_counts_and_the_digests_follow_every_change():
     copy = filled(30)
     for number in range(0, 30, 3):
-        copy.forget(f"k{number}", versions.Version(40 + number, "n"))
+        copy.remove_and_record(f"k{number}", versions.Version(40 + number, "n"))
     copy.put(items.Item("a/b", versions.Version(90, "n"), None))
     fresh = replica.Replica("t")
     for item in copy.items.values():
         fresh.merge(item)
-    assert fresh.root() == copy.root() and list(fresh.by_version) == list(copy.by_version)
-    assert copy.counts["a"] == 1 and sum(copy.counts.values()) == len(copy.items)
+    assert fresh.root_digest() == copy.root_digest() and list(fresh.keys_by_version) == list(
+        copy.keys_by_version
+    )
+    assert copy.counts_by_prefix["a"] == 1 and sum(copy.counts_by_prefix.values()) == len(copy.items)
     twin = copy.clone()
     twin.put(items.Item("z", versions.Version(99, "n"), 1))
-    assert twin.root() != copy.root() and "z" not in copy.items
+    assert twin.root_digest() != copy.root_digest() and "z" not in copy.items
 
 
 @pytest.mark.parametrize(
@@ -107,14 +112,14 @@
 def test_a_malformed_reply_changes_nothing(answer):
     async def scene(day):
         node = day.world.nodes["store-1"]
-        before = {name: copy.root() for name, copy in node.body.context.replicas.items()}
+        before = {name: copy.root_digest() for name, copy in node.body.context.replicas.items()}
 
         async def reply(*_):
             return answer
 
         ask, node.body.context.transport.call = node.body.context.transport.call, reply
         await asyncio.sleep(1)
-        assert {name: copy.root() for name, copy in node.body.context.replicas.items()} == before
+        assert {name: copy.root_digest() for name, copy in node.body.context.replicas.items()} == before
         assert not node.actor.dead and node.body.context.counters.total("sync_failed") > 0
         node.body.context.transport.call = ask
         await day.world.until_ready()
--- a/tests/state/test_restart_after_changes.py
+++ b/tests/state/test_restart_after_changes.py
@@ -31,7 +31,7 @@
         row = (key, {"grants": [{"service": "content"}], "life": randomness.random()}, False)
         if key in live.items and randomness.random() < removals:
             row = (key, None, True)
-        live.apply(items.Batch(live.applied.after("core-1~ab"), live.applied, (row,)))
+        live.apply(items.Batch(live.applied.successor("core-1~ab"), live.applied, (row,)))
 
 
 async def store_on(folder, seed=5):
@@ -53,10 +53,10 @@
         live = replica.Replica(items.CONFIGURATION)
         grow(live, changes, random.Random(1))
         started, syncs = time.process_time(), folder.syncs
-        await store.save_copy(items.CONFIGURATION, live, store.records[items.CONFIGURATION])
+        await store.save_replica(items.CONFIGURATION, live, store.records[items.CONFIGURATION])
         took = (time.process_time() - started) / PROCESSOR_SHARE + (folder.syncs - syncs) * SYNC_SECONDS
         assert took < CATCH_UP / 10, took
-        assert store.sound[items.CONFIGURATION]
+        assert store.intact[items.CONFIGURATION]
 
     asyncio.run(scene())
 
@@ -68,14 +68,14 @@
         randomness = random.Random(2)
         for _ in range(3000):
             grow(live, 1, randomness, keys=400)
-            await store.save_copy(items.LEDGER, live, store.records[items.LEDGER])
+            await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
         assert len([name for name in folder.entries if not name.endswith(".spare")]) < 256
         folder.lose_power()
         started = time.process_time()
         again = await store_on(folder)
         assert (time.process_time() - started) / PROCESSOR_SHARE < CATCH_UP / 10
-        assert again.identity == store.identity and again.sound[items.LEDGER]
-        assert again.copies[items.LEDGER].root() == live.root()
+        assert again.disk_id == store.disk_id and again.intact[items.LEDGER]
+        assert again.replicas[items.LEDGER].root_digest() == live.root_digest()
 
     asyncio.run(scene())
 
@@ -88,14 +88,14 @@
         store = await store_on(folder)
         fill = tuple((f"key/{number}", number, False) for number in range(2500))
         live.apply(items.Batch(versions.Version(1, "n"), versions.NONE, fill))
-        await store.save_copy(items.LEDGER, live, store.records[items.LEDGER])
+        await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
         gone = tuple((f"key/{number}", None, True) for number in range(2400))
         live.apply(items.Batch(versions.Version(2, "n"), live.applied, gone))
-        assert len(live.forgotten) == replica.FORGOTTEN_KEPT
-        await store.save_copy(items.LEDGER, live, store.records[items.LEDGER])
-        assert store.sound[items.LEDGER]
+        assert len(live.removal_records) == replica.REMOVAL_RECORDS_LIMIT
+        await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
+        assert store.intact[items.LEDGER]
         again = await store_on(folder)
-        assert again.sound[items.LEDGER] and len(again.copies[items.LEDGER].items) == 100
+        assert again.intact[items.LEDGER] and len(again.replicas[items.LEDGER].items) == 100
 
     asyncio.run(scene())
 
@@ -112,7 +112,7 @@
             # The commit of the next batch comes in before the answer, three times over.
             if peer.applied.counter < 53:
                 key = f"late/{peer.applied.counter}"
-                batch = items.Batch(peer.applied.after("n"), peer.applied, ((key, 1, False),))
+                batch = items.Batch(peer.applied.successor("n"), peer.applied, ((key, 1, False),))
                 peer.apply(batch)
                 copy.apply(batch)
             return reply
@@ -128,7 +128,7 @@
         answering = replicator.Replicator(context(peer))
         asking = replicator.Replicator(context(copy))
         await asking.mend(("h", 1), "peer", copy, False)
-        assert copy.root() == peer.root() and copy.applied == peer.applied
+        assert copy.root_digest() == peer.root_digest() and copy.applied == peer.applied
 
     asyncio.run(scene())
 
@@ -143,7 +143,7 @@
         async def change(number):
             name = f"agency-{number % 3 + 1}"
             result = await day.stage.order(name, "change", [cluster.site_row(weight=number % 90 + 1)])
-            confirmed.append(versions.parse(result["serial"]))
+            confirmed.append(versions.Version.parse(result["serial"]))
 
         async def keep_changing():
             for number in range(450):
@@ -188,24 +188,24 @@
         files = [
             (
                 item_files.item_file(items.LEDGER, item),
-                ormsgpack.packb(items.encode(item)),
+                ormsgpack.packb(item.to_wire()),
             )
             for item in live.items.values()
         ]
         number = tuple(live.applied)
-        record = ((number[0] + 5, "n"), number, live.root(), (0, ""), None, ("ledger.item.gone",))
+        record = ((number[0] + 5, "n"), number, live.root_digest(), (0, ""), None, ("ledger.item.gone",))
         await disk.write(
             [*files, ("vault", b"its-id"), ("ledger.voter.000000000007", ormsgpack.packb(record))]
         )
         store = await store_on(folder)
-        assert store.identity == "its-id" and store.sound[items.LEDGER]
-        assert store.copies[items.LEDGER].root() == live.root()
+        assert store.disk_id == "its-id" and store.intact[items.LEDGER]
+        assert store.replicas[items.LEDGER].root_digest() == live.root_digest()
         assert store.records[items.LEDGER].promised == versions.Version(number[0] + 5, "n")
         grow(live, 300, random.Random(5))
-        await store.save_copy(items.LEDGER, live, store.records[items.LEDGER])
+        await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
         again = await store_on(folder)
-        assert again.identity == "its-id" and again.sound[items.LEDGER]
-        assert again.copies[items.LEDGER].root() == live.root()
+        assert again.disk_id == "its-id" and again.intact[items.LEDGER]
+        assert again.replicas[items.LEDGER].root_digest() == live.root_digest()
 
     asyncio.run(scene())
 
@@ -216,19 +216,19 @@
         folder, live = new_folder(), replica.Replica(items.LEDGER)
         store = await store_on(folder)
         grow(live, 300, random.Random(6))
-        await store.save_copy(items.LEDGER, live, store.records[items.LEDGER])
+        await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
         (segment,) = store.records[items.LEDGER].segments
         content = folder.contents[folder.entries[segment]]
         altered = content[:-1] + bytes([content[-1] ^ 0xFF])
         folder.contents[folder.entries[segment]] = content[: len(content) // 2] if is_cut_short else altered
         again = await store_on(folder)
         # The record is whole, so its promises hold; what it rests on is not, so there is no vote yet.
-        assert again.identity == store.identity and not again.sound[items.LEDGER]
-        assert not again.copies[items.LEDGER].items
-        await again.save_copy(items.LEDGER, live, again.records[items.LEDGER])
-        assert again.sound[items.LEDGER]
+        assert again.disk_id == store.disk_id and not again.intact[items.LEDGER]
+        assert not again.replicas[items.LEDGER].items
+        await again.save_replica(items.LEDGER, live, again.records[items.LEDGER])
+        assert again.intact[items.LEDGER]
         last = await store_on(folder)
-        assert last.sound[items.LEDGER] and last.copies[items.LEDGER].root() == live.root()
+        assert last.intact[items.LEDGER] and last.replicas[items.LEDGER].root_digest() == live.root_digest()
 
     asyncio.run(scene())
 
@@ -238,7 +238,7 @@
         folder, live = new_folder(), replica.Replica(items.LEDGER)
         store = await store_on(folder)
         grow(live, 5, random.Random(6))
-        await store.save_copy(items.LEDGER, live, store.records[items.LEDGER])
+        await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
         record = store.records[items.LEDGER]
         await store.save_record(items.LEDGER, record._replace(promised=versions.Version(99, "n")))
         newest = max(name for name in folder.entries if ".voter." in name)
@@ -247,6 +247,6 @@
         folder.rename(newest, newest + ".torn")
         folder.sync()
         again = await store_on(folder, seed=6)
-        assert again.identity != store.identity
+        assert again.disk_id != store.disk_id
 
     asyncio.run(scene())
--- a/tests/support/direct_edge.py
+++ b/tests/support/direct_edge.py
@@ -111,7 +111,7 @@
         self.counter += 1
         copy.put(items.Item(key, versions.Version(self.counter, "n"), value))
         copy.applied = versions.Version(self.counter, "n")
-        copy.changed()
+        copy.notify_watchers()
 
     def route(self, name, **fields):
         item = {
--- a/tests/support/voter_cluster.py
+++ b/tests/support/voter_cluster.py
@@ -30,11 +30,11 @@
 def voters(world, table=items.LEDGER):
     cores = [node for node in world.role("agency") if node.is_up]
     newest = max((node.body.context.replicas[table] for node in cores), key=lambda copy: copy.applied)
-    return quorum.decode(newest.value(items.VOTERS))
+    return quorum.voters_from_wire(newest.value(items.VOTERS_KEY))
 
 
 def up_voters(world, table):
-    up = {node.body.core.store.identity for node in world.role("agency") if node.is_up}
+    up = {node.body.core.store.disk_id for node in world.role("agency") if node.is_up}
     return [voter for voter in voters(world, table) if voter.disk_id in up]
 
 
@@ -44,7 +44,7 @@
     in_force = voters(world)
     same = all(one == sets[0] for one in sets)
     is_up = all(len(up_voters(world, table)) == len(in_force) for table in items.TABLES)
-    return same and is_up and len(in_force) >= size and quorum.outlives_any_site(in_force)
+    return same and is_up and len(in_force) >= size and quorum.survives_any_site_loss(in_force)
 
 
 async def confirm(world, number):
--- a/tests/transport/test_fuzz.py
+++ b/tests/transport/test_fuzz.py
@@ -124,11 +124,13 @@
             randomness.shuffle(shuffled)
             copy = replica.Replica("t")
             for item in shuffled:
-                copy.merge(items.decode(ormsgpack.unpackb(ormsgpack.packb(items.encode(item)))))
+                copy.merge(items.Item.from_wire(ormsgpack.unpackb(ormsgpack.packb(item.to_wire()))))
             copies.append(copy)
         assert dict(copies[0].items) == dict(copies[1].items) == oracle
-        assert copies[0].root() == copies[1].root()
+        assert copies[0].root_digest() == copies[1].root_digest()
         changed = randomness.choice(list(oracle))
         copies[1].put(oracle[changed]._replace(value="damaged"))
-        differing = [a != b for a, b in zip(copies[0].digests(), copies[1].digests(), strict=True)]
-        assert differing.index(True) == replica.range_of(changed) and sum(differing) == 1
+        differing = [
+            a != b for a, b in zip(copies[0].range_digests(), copies[1].range_digests(), strict=True)
+        ]
+        assert differing.index(True) == replica.range_number(changed) and sum(differing) == 1
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -57,7 +57,7 @@
         asked = 0
         for name in ("agency-3", "shield-1", "store-1", "edge-2"):
             node = day.world.nodes[name]
-            before = {table: copy.root() for table, copy in node.body.context.replicas.items()}
+            before = {table: copy.root_digest() for table, copy in node.body.context.replicas.items()}
             applied_versions = {table: copy.applied for table, copy in node.body.context.replicas.items()}
             kinds = [kind for kind in node.body.context.transport.handlers if kind not in ("roster", "order")]
             for kind in [*kinds, "no-such-kind"]:
@@ -73,7 +73,7 @@
             assert not node.body.context.crashed.done()
             for table, copy in node.body.context.replicas.items():
                 if copy.applied == applied_versions[table]:
-                    assert copy.root() == before[table]
+                    assert copy.root_digest() == before[table]
         assert asked > 80
         await day.world.until_ready()
         assert await day.stage.order("agency-3", "change", [cluster.site_row(weight=4)])
--- a/tests/validation/test_versioned_items.py
+++ b/tests/validation/test_versioned_items.py
@@ -29,7 +29,7 @@
 
 def amend(table, call):
     """Play one call on a table, as a ballot would."""
-    overlay = overlays.Overlay(table, table.applied.after("n"))
+    overlay = overlays.Overlay(table, table.applied.successor("n"))
     planned = amendment.plan_amend(overlay, amendment.parse_amendment(json.dumps(call).encode()))
     for key, value in planned.items():
         overlay.put(key, value)
@@ -76,10 +76,10 @@
 )
 def test_an_invalid_call_changes_nothing(fields):
     table = fresh()
-    before = table.root()
+    before = table.root_digest()
     with pytest.raises(errors.InvalidChangeError) as raised:
         amend(table, changed(**fields))
-    assert raised.value.faults and table.root() == before
+    assert raised.value.faults and table.root_digest() == before
 
 
 @pytest.mark.parametrize(
@@ -114,10 +114,10 @@
     amend(table, changed(version=5, timeout=1))
     assert in_force(table) == before
     assert amend(table, seven) == {}
-    root = table.root()
+    root = table.root_digest()
     with pytest.raises(control_errors.VersionTakenError):
         amend(table, changed(version=7, timeout=1))
-    assert table.root() == root and in_force(table) == before
+    assert table.root_digest() == root and in_force(table) == before
     assert amendment.as_amendment(table)["routes"][0]["timeout"] == 4
 
 
