--- a/src/irisstand/errors/__init__.py
+++ b/src/irisstand/errors/__init__.py
@@ -13,6 +13,7 @@
 
 MalformedFrameError = calls.MalformedFrameError
 NotSentError = calls.NotSentError
+IncarnationEndedError = calls.IncarnationEndedError
 UnansweredError = calls.UnansweredError
 UnknownNameError = calls.UnknownNameError
 BadRequestError = calls.BadRequestError
--- a/src/irisstand/errors/calls.py
+++ b/src/irisstand/errors/calls.py
@@ -21,6 +21,12 @@
     default_retry_after = 1.0
 
 
+class IncarnationEndedError(NotSentError):
+    """Certain: the request was not carried out. It was meant for an earlier incarnation of the peer."""
+
+    code, remedy = "life-ended", "ask another colleague; the one that was meant has ended"
+
+
 class UnansweredError(base.IrisError):
     """The request was sent and no response came: it is not known whether it was carried out."""
 
--- a/src/irisstand/state/replication/chunk_transfer.py
+++ b/src/irisstand/state/replication/chunk_transfer.py
@@ -157,7 +157,7 @@
     """Never more than a frame may have, whatever the peer sent."""
     unpacker = zlib.decompressobj()
     try:
-        plain = unpacker.decompress(rows, codec.FRAME_LIMIT)
+        plain = unpacker.decompress(rows, codec.FRAME_LIMIT_BYTES)
     except zlib.error as error:
         raise ValueError(f"not a part: {error}") from None
     if not unpacker.eof:
--- a/src/irisstand/transport/__init__.py
+++ b/src/irisstand/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Frames, codec and connections between peers."""
+"""Messages between nodes: frames, codec, connections, and calls of peers (docs/control/connections.md)."""
--- a/src/irisstand/transport/codec.py
+++ b/src/irisstand/transport/codec.py
@@ -1,5 +1,10 @@
-"""Messages to bytes and back. The protocol number stands first in everything that leaves a process."""
+"""Messages to bytes and back.
 
+A frame is a msgpack array: protocol number, kind, call number, body. The protocol number stands first in
+everything that leaves a process, so that a receiver can refuse a version that it does not know.
+"""
+
+import enum
 import typing
 
 import ormsgpack
@@ -7,57 +12,90 @@
 from irisstand import errors
 
 PROTOCOL = 1
-# Neighbours one version apart work together during a rolling upgrade; further apart they part company.
-ACCEPTED = (PROTOCOL - 1, PROTOCOL, PROTOCOL + 1)
-FRAME_LIMIT = 8 * 1024 * 1024
+# Versions that differ by one work together during a rolling upgrade; others refuse one another.
+ACCEPTED_PROTOCOLS = (PROTOCOL - 1, PROTOCOL, PROTOCOL + 1)
+FRAME_LIMIT_BYTES = 8 * 1024 * 1024
+# Of a hello, which belongs to no call.
+NO_CALL_NUMBER = 0
 
 
 class UnknownProtocolError(errors.MalformedFrameError):
-    """A frame of a protocol that this version neither speaks nor is a neighbour of."""
+    """A frame of a protocol that is not compatible with this version."""
 
     code, remedy = "unknown-version", "upgrade this node or its peer to neighbouring versions"
     drop_reason = "UnknownVersion"
 
 
-def drop_reason(error: Exception) -> str:
-    """Return what metric labels and messages call the kind of an error; class names may change, this may not.
+class MessageKind(enum.StrEnum):
+    """The kinds of message as they stand on the wire."""
 
-    >>> drop_reason(UnknownProtocolError()), drop_reason(ValueError())
-    ('UnknownVersion', 'ValueError')
-    """
-    return error.drop_reason if isinstance(error, errors.MalformedFrameError) else type(error).__name__
+    HELLO = "hello"
+    REQUEST = "ask"
+    RESPONSE = "result"
+    ERROR = "fault"
+    CANCEL = "withdraw"
 
 
 class Hello(typing.NamedTuple):
-    """The first message of each end. A version before this one tells no life."""
+    """The first message of each end of a connection.
+
+    Attributes:
+        name: The sender's node name.
+        incarnation_id: The sender's incarnation; "" from the version before, which did not send it.
+    """
 
     name: str
     incarnation_id: str = ""
 
+    @classmethod
+    def from_wire(cls, body: typing.Any) -> "Hello":
+        """Check the decoded body of a hello; raises ValueError or TypeError if it is none."""
+        return cls(*map(str, body[:2]))
+
 
 class Request(typing.NamedTuple):
-    """`life` is the receiver's, by its hello: empty where that told none."""
+    """A call of a peer's handler.
+
+    Attributes:
+        number: The number of the call, unique on its connection.
+        kind: The name of the handler.
+        body: What the handler is given.
+        incarnation_id: The incarnation of the receiver that may answer; "" for any.
+    """
 
     number: int
     kind: str
     body: typing.Any
     incarnation_id: str = ""
 
+    def to_wire(self) -> tuple[typing.Any, ...]:
+        """Return the body of the frame; an empty incarnation is left out, as the version before does."""
+        incarnation = (self.incarnation_id,) if self.incarnation_id else ()
+        return (self.kind, self.body, *incarnation)
+
+    @classmethod
+    def from_wire(cls, number: int, body: typing.Any) -> "Request":
+        """Check the decoded body of a request; raises ValueError or TypeError if it is none."""
+        kind, inner, *incarnation = body
+        return cls(number, str(kind), inner, str(incarnation[0]) if incarnation else "")
+
 
 class Response(typing.NamedTuple):
+    """What the handler of the request of that number returned."""
+
     number: int
     body: typing.Any
 
 
 class ErrorResponse(typing.NamedTuple):
-    """The error that the request raised."""
+    """The error that the request of that number raised."""
 
     number: int
     error: errors.WireError
 
 
 class Cancel(typing.NamedTuple):
-    """The asker of that number has gone: what is still queued for it is dropped."""
+    """The caller no longer waits for the request of that number: its work is to be stopped."""
 
     number: int
 
@@ -65,66 +103,91 @@
 Message = Hello | Request | Response | ErrorResponse | Cancel
 
 
-def encode(message: Message) -> bytes:
+def drop_reason(error: Exception) -> str:
+    """Return what metric labels and messages call the kind of an error; class names may change, this may not.
+
+    >>> drop_reason(UnknownProtocolError()), drop_reason(ValueError())
+    ('UnknownVersion', 'ValueError')
     """
+    return error.drop_reason if isinstance(error, errors.MalformedFrameError) else type(error).__name__
+
+
+def encode(message: Message) -> bytes:
+    """Return the payload of a frame.
+
     >>> decode(encode(Request(7, "read", ("x",), "l1")))
     Request(number=7, kind='read', body=['x'], incarnation_id='l1')
     """
-    if isinstance(message, Hello):
-        return pack(("hello", 0, tuple(message)))
-    if isinstance(message, Request):
-        # A receiver of the version before, which told no life, knows no third part.
-        told = (message.incarnation_id,) if message.incarnation_id else ()
-        return pack(("ask", message.number, (message.kind, message.body, *told)))
-    if isinstance(message, Response):
-        return pack(("result", message.number, message.body))
-    if isinstance(message, ErrorResponse):
-        return pack(("fault", message.number, tuple(message.error)))
-    return pack(("withdraw", message.number, ()))
+    match message:
+        case Hello():
+            return pack((MessageKind.HELLO.value, NO_CALL_NUMBER, tuple(message)))
+        case Request():
+            return pack((MessageKind.REQUEST.value, message.number, message.to_wire()))
+        case Response():
+            return pack((MessageKind.RESPONSE.value, message.number, message.body))
+        case ErrorResponse():
+            return pack((MessageKind.ERROR.value, message.number, tuple(message.error)))
+        case Cancel():
+            return pack((MessageKind.CANCEL.value, message.number, ()))
 
 
 def decode(payload: bytes) -> Message:
-    """The message of a frame, or BadFrame; never another exception."""
+    """Return the message of a frame.
+
+    Raises:
+        MalformedFrameError: The payload is not a message of an accepted protocol. Nothing else is raised.
+    """
     try:
         kind, number, body = unpack(payload)
+        # bool is an int to Python, and True would pass for the number 1.
         if type(number) is not int:
             raise errors.MalformedFrameError("no number")
-        if kind == "hello":
-            return Hello(*map(str, body[:2]))
-        if kind == "ask":
-            asked, inner, *life = body
-            return Request(number, str(asked), inner, str(life[0]) if life else "")
-        if kind == "result":
+        return _message_of(kind, number, body)
+    except (ValueError, TypeError, IndexError) as error:
+        raise errors.MalformedFrameError(f"not a whole message: {type(error).__name__}") from None
+
+
+def _message_of(kind: str, number: int, body: typing.Any) -> Message:
+    match kind:
+        case MessageKind.HELLO:
+            return Hello.from_wire(body)
+        case MessageKind.REQUEST:
+            return Request.from_wire(number, body)
+        case MessageKind.RESPONSE:
             return Response(number, body)
-        if kind == "fault":
+        case MessageKind.ERROR:
             return ErrorResponse(number, errors.WireError.from_wire(body))
-        if kind == "withdraw":
+        case MessageKind.CANCEL:
             return Cancel(number)
-    except (ValueError, TypeError, IndexError) as error:
-        raise errors.MalformedFrameError(f"not a whole message: {type(error).__name__}") from None
     raise errors.MalformedFrameError(f"{kind} is no kind of message")
 
 
-def pack(message: tuple) -> bytes:
-    """
+def pack(message: tuple[typing.Any, ...]) -> bytes:
+    """Encode the fields of a message, with the protocol number before them.
+
     >>> unpack(pack(("ask", 7, ("x",))))
     ('ask', 7, ['x'])
     """
     return ormsgpack.packb((PROTOCOL, *message))
 
 
-def unpack(payload: bytes) -> tuple:
-    """The message without its protocol number, or BadFrame; never another exception."""
-    if len(payload) > FRAME_LIMIT:
-        raise errors.MalformedFrameError(f"{len(payload)} bytes are over the limit of {FRAME_LIMIT}")
+def unpack(payload: bytes) -> tuple[typing.Any, ...]:
+    """Return the fields of a message without its protocol number; the first is its kind, a str.
+
+    Raises:
+        MalformedFrameError: The payload is not a message of an accepted protocol. Nothing else is raised.
+    """
+    if len(payload) > FRAME_LIMIT_BYTES:
+        raise errors.MalformedFrameError(f"{len(payload)} bytes are over the limit of {FRAME_LIMIT_BYTES}")
     try:
         message = ormsgpack.unpackb(payload)
     except Exception as error:
+        # Hostile bytes: whatever the decoder makes of them must not end the reading task.
         raise errors.MalformedFrameError(f"not decodable: {type(error).__name__}") from None
-    if not isinstance(message, list) or len(message) < 2:
+    if not isinstance(message, list) or len(message) < 2:  # noqa: PLR2004 - protocol number and kind
         raise errors.MalformedFrameError("not a message")
     # bool is an int to Python, and True would pass for protocol 1.
-    if type(message[0]) is not int or message[0] not in ACCEPTED:
+    if type(message[0]) is not int or message[0] not in ACCEPTED_PROTOCOLS:
         raise UnknownProtocolError("unknown protocol number")
     if not isinstance(message[1], str):
         raise errors.MalformedFrameError("no kind")
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -219,9 +219,9 @@
         "dataplane/test_endpoint_pool.py::test_an_origin_that_was_slow_once_is_asked_again_though_another_is_quicker",
     ),
     (
-        "transport/peers.py",
-        "            if not self.is_own_incarnation(ask.incarnation_id):",
-        "            if False:",
+        "transport/request_server.py",
+        "        if not self.is_own_incarnation(request.incarnation_id):",
+        "        if False:",
         "transport/test_incarnations.py",
     ),
     ("process_runner.py", "    bound_end(context.settings)\n", "", "programs/test_shutdown.py"),
--- a/tests/transport/test_incarnations.py
+++ b/tests/transport/test_incarnations.py
@@ -42,7 +42,7 @@
         return ("ran",)
 
     async def scene(asker, asked):
-        with pytest.raises(peers.IncarnationEndedError) as raised:
+        with pytest.raises(errors.IncarnationEndedError) as raised:
             await asker.call(PLACE, "peer", "do", (), 1.0, "first")
         # Certainly not carried out, as every other kind that lets a caller ask elsewhere.
         assert isinstance(raised.value, errors.NotSentError) and not runs
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -30,7 +30,7 @@
             codec.pack(("hello", 0, ())),
             codec.pack(("nonsense", 0, ())),
             b"\x93\x09" + b"x" * 30,
-            b"x" * (codec.FRAME_LIMIT + 1),
+            b"x" * (codec.FRAME_LIMIT_BYTES + 1),
         ]
         for name in ("agency-2", "edge-1"):
             context = cluster.context(day, name)
