--- a/src/irisstand/balancing/fleet_limits.py
+++ b/src/irisstand/balancing/fleet_limits.py
@@ -13,14 +13,14 @@
 from irisstand.balancing import rendezvous
 
 # Of a bound over all: the rest is for lists that differ and for requests that do not travel equally long.
-PRUDENCE = 0.85
+USABLE_FRACTION = 0.85
 # Of an origin's connections, what holders have of those that they use. Fewer than two are not worth having:
 # one is busy while the next is needed.
-HELD_CONNECTIONS, FEWEST = 0.86, 2
+HOLDER_FRACTION, MIN_CONNECTIONS = 0.86, 2
 # Seconds of a rate that may be used at once; and the least: ten of these make up the slack of five.
-BURST, BURST_LEAST = 0.2, 0.5
+BURST_SECONDS, MIN_BURST_TOKENS = 0.2, 0.5
 # Below this part of the burst a rate is scarce, and counts as such for some seconds.
-SCARCE, SCARCE_FOR = 0.3, 6.0
+SCARCE_FRACTION, SCARCE_SECONDS = 0.3, 6.0
 
 
 class Member(typing.NamedTuple):
@@ -31,7 +31,7 @@
     site: str
 
 
-def connections(own: str, members: list[Member], origin: str, limit: int, is_held: bool) -> int:
+def connection_limit(own: str, members: list[Member], origin: str, limit: int, is_held: bool) -> int:
     """How many connections this node may have to an origin that accepts `limit` from all; 0 for none.
 
     What is held belongs mostly to the holders. Where there are too few for all, an order of the origin's own
@@ -45,21 +45,21 @@
     """
     holders = [member.name for member in members if member.role == "holder"]
     edges = [member.name for member in members if member.role != "holder"]
-    total = math.floor(limit * PRUDENCE)
+    total = math.floor(limit * USABLE_FRACTION)
     group = holders if own in holders else edges
     if holders and is_held:
-        kept = math.floor(total * HELD_CONNECTIONS)
+        kept = math.floor(total * HOLDER_FRACTION)
         total = kept if own in holders else total - kept
     elif own in holders:
         return 0
     each = total // len(group)
-    if each >= FEWEST:
+    if each >= MIN_CONNECTIONS:
         return each
-    first = rendezvous.order(origin, [(name, 1.0) for name in group])[: max(1, total // FEWEST)]
-    return FEWEST if own in first else 0
+    first = rendezvous.ranked(origin, [(name, 1.0) for name in group])[: max(1, total // MIN_CONNECTIONS)]
+    return MIN_CONNECTIONS if own in first else 0
 
 
-class Window:
+class SlidingWindow:
     """How much was sent in the last `seconds`."""
 
     def __init__(self, clock: clocks.Clock, seconds: float) -> None:
@@ -71,11 +71,11 @@
             self.moments.popleft()
         return len(self.moments)
 
-    def note(self) -> None:
+    def record(self) -> None:
         self.moments.append(self.clock.now())
 
 
-class Ceiling:
+class RateLimiter:
     """A part of a rate, with a burst so short that no window of five seconds goes over.
 
     It begins with nothing at `opened_at`, when this process did: what the forerunner used up just before is
@@ -88,26 +88,26 @@
         self.scarce_at = -1e9
 
     def is_scarce(self) -> bool:
-        return self.clock.now() - self.scarce_at < SCARCE_FOR
+        return self.clock.now() - self.scarce_at < SCARCE_SECONDS
 
-    def wait(self, rate: float) -> float | None:
+    def seconds_until_token(self, rate: float) -> float | None:
         """Seconds until the next request might leave; None if there is no rate."""
         now = self.clock.now()
         if rate <= 0.0:
             # What was saved up belongs to the part, and goes with it.
             self.tokens, self.at = min(0.0, self.tokens), now
             return None
-        most = max(BURST_LEAST, rate * BURST)
+        most = max(MIN_BURST_TOKENS, rate * BURST_SECONDS)
         self.tokens, self.at = min(most, self.tokens + rate * (now - self.at)), now
         # What is borrowed from the next moments is waited for.
         return max(0.0, (1.0 - self.tokens) / rate)
 
     def take(self, rate: float, patience: float = 0.0) -> float | None:
         """Seconds until a request may leave, which then has its place; None if that is over `patience`."""
-        wait = self.wait(rate)
+        wait = self.seconds_until_token(rate)
         if wait is None:
             return None
-        if self.tokens < SCARCE * max(BURST_LEAST, rate * BURST):
+        if self.tokens < SCARCE_FRACTION * max(MIN_BURST_TOKENS, rate * BURST_SECONDS):
             self.scarce_at = self.clock.now()
         if wait > patience:
             return None
--- a/src/irisstand/balancing/popularity.py
+++ b/src/irisstand/balancing/popularity.py
@@ -4,12 +4,12 @@
 
 from irisstand import clocks
 
-WINDOW = 2.0
+WINDOW_SECONDS = 2.0
 # Fetches a second by one edge; eight edges at this rate are more than a shield is counted on for.
-HOT = 25.0
+POPULAR_REQUESTS_PER_SECOND = 25.0
 
 
-class Heat:
+class PopularityCounter:
     """Counts by key over one window and the one before it; nothing is kept of older ones.
 
     >>> class Stopped:
@@ -21,16 +21,16 @@
 
     def __init__(self, clock: clocks.Clock) -> None:
         self.clock = clock
-        self.began = clock.now()
+        self.window_started_at = clock.now()
         self.counts: collections.Counter[str] = collections.Counter()
-        self.before: collections.Counter[str] = collections.Counter()
+        self.previous_counts: collections.Counter[str] = collections.Counter()
 
-    def note(self, key: str) -> bool:
+    def record(self, key: str) -> bool:
         """Count one fetch; True if the key is hot."""
-        elapsed = self.clock.now() - self.began
-        if elapsed >= WINDOW:
-            self.before = self.counts if elapsed < 2 * WINDOW else collections.Counter()
+        elapsed = self.clock.now() - self.window_started_at
+        if elapsed >= WINDOW_SECONDS:
+            self.previous_counts = self.counts if elapsed < 2 * WINDOW_SECONDS else collections.Counter()
             self.counts = collections.Counter()
-            self.began = self.clock.now()
+            self.window_started_at = self.clock.now()
         self.counts[key] += 1
-        return max(self.counts[key], self.before[key]) > HOT * WINDOW
+        return max(self.counts[key], self.previous_counts[key]) > POPULAR_REQUESTS_PER_SECOND * WINDOW_SECONDS
--- a/src/irisstand/balancing/quota_shares.py
+++ b/src/irisstand/balancing/quota_shares.py
@@ -6,8 +6,8 @@
 
 import typing
 
-Ceiling = tuple[int, int]
-Shares = dict[str, dict[str, list[int]]]
+ServiceLimit = tuple[int, int]
+ShareRows = dict[str, dict[str, list[int]]]
 
 
 def split(total: int, weights: dict[str, float]) -> dict[str, int]:
@@ -27,7 +27,7 @@
     return parts
 
 
-def effective(entry: list[int] | None, ceiling: Ceiling) -> Ceiling:
+def effective_limit(entry: list[int] | None, ceiling: ServiceLimit) -> ServiceLimit:
     """What a shield may use of its share under the ceiling now in force.
 
     >>> effective([10, 4, 50, 20], (25, 20)), effective(None, (25, 20))
@@ -43,8 +43,11 @@
 
 
 def plan(
-    rows: Shares, ceilings: dict[str, Ceiling], weights: dict[str, float], frozen: typing.Container[str]
-) -> tuple[Shares, set[str]]:
+    rows: ShareRows,
+    ceilings: dict[str, ServiceLimit],
+    weights: dict[str, float],
+    frozen: typing.Container[str],
+) -> tuple[ShareRows, set[str]]:
     """The next rows, and the services of which something was taken away.
 
     Taking away comes first. What was taken is given to others only when `frozen`, which holds the services
@@ -60,12 +63,14 @@
     [10, 4, 10, 4]
     """
     machines = sorted(set(rows) | set(weights))
-    planned: Shares = {machine: {} for machine in machines}
+    planned: ShareRows = {machine: {} for machine in machines}
     reduced: set[str] = set()
     for machine in machines:
         reduced |= {service for service in rows.get(machine, {}) if service not in ceilings}
     for service, ceiling in ceilings.items():
-        current = {machine: effective(rows.get(machine, {}).get(service), ceiling) for machine in machines}
+        current = {
+            machine: effective_limit(rows.get(machine, {}).get(service), ceiling) for machine in machines
+        }
         targets = [split(total, {m: weights.get(m, 0) for m in machines}) for total in ceiling]
         lowered = {m: tuple(min(current[m][i], targets[i][m]) for i in (0, 1)) for m in machines}
         if lowered != current:
@@ -74,16 +79,16 @@
         elif service in frozen:
             following = current
         else:
-            following = raise_to(current, targets, ceiling)
+            following = raise_towards(current, targets, ceiling)
         for machine, (rate, inflight) in following.items():
             if rate or inflight:
                 planned[machine][service] = [rate, inflight, *ceiling]
     return planned, reduced
 
 
-def raise_to(
-    current: dict[str, Ceiling], targets: list[dict[str, int]], ceiling: Ceiling
-) -> dict[str, Ceiling]:
+def raise_towards(
+    current: dict[str, ServiceLimit], targets: list[dict[str, int]], ceiling: ServiceLimit
+) -> dict[str, ServiceLimit]:
     """Towards the targets, by no more than what nobody holds."""
     free = [ceiling[i] - sum(held[i] for held in current.values()) for i in (0, 1)]
     following = {}
--- a/src/irisstand/balancing/rate_quota.py
+++ b/src/irisstand/balancing/rate_quota.py
@@ -7,19 +7,19 @@
 
 from irisstand.balancing import quota_shares
 
-KEY = "rate-parts"
-WHOLE = 1000
+ITEM_KEY = "rate-parts"
+TOTAL_UNITS = 1000
 # Longer than any freshness bound: while the core restarts, what was recorded goes on being used.
-USED_FOR = 6.0
+USABLE_SECONDS = 6.0
 # Longer than `USED_FOR` by a window of five seconds, so that no window sees both owners; and for clocks.
-LAPSE = 12.0
+REASSIGNMENT_DELAY_SECONDS = 12.0
 # Each owner may use a little at once; with more owners these little bursts would add up.
-MOST_OWNERS = 10
+OWNER_LIMIT = 10
 # Units taken for newcomers at a time, and a difference that is left alone.
-STEP, TOLERATED = 125, 10
+STEP_UNITS, TOLERATED_UNITS = 125, 10
 
 
-def choose(holders: list[tuple[str, str]], edges: list[tuple[str, str]]) -> dict[str, float]:
+def choose_owners(holders: list[tuple[str, str]], edges: list[tuple[str, str]]) -> dict[str, float]:
     """Who should own parts, with weights: holders by (name, site), or edges where there are none.
 
     Sites count alike, as clients live beside all of them.
@@ -33,7 +33,7 @@
         by_site.setdefault(site, []).append(name)
     # In turns among the sites, so that none is left out where there are more than may own.
     turns = sorted((place, site, name) for site, names in by_site.items() for place, name in enumerate(names))
-    kept = turns[:MOST_OWNERS]
+    kept = turns[:OWNER_LIMIT]
     counts = {site: sum(entry[1] == site for entry in kept) for site in by_site}
     return {name: 1.0 / counts[site] for _, site, name in sorted(kept, key=lambda entry: entry[2])}
 
@@ -58,14 +58,14 @@
         return kept, True
     if is_frozen:
         return units, False
-    target = quota_shares.split(WHOLE, weights)
+    target = quota_shares.split(TOTAL_UNITS, weights)
     lacking = {name: target[name] - kept.get(name, 0) for name in target}
-    free = WHOLE - sum(kept.values())
+    free = TOTAL_UNITS - sum(kept.values())
     if free > 0:
-        return give(kept, lacking, free), False
-    if max(lacking.values()) <= TOLERATED:
+        return distribute(kept, lacking, free), False
+    if max(lacking.values()) <= TOLERATED_UNITS:
         return units, False
-    left = STEP
+    left = STEP_UNITS
     for name in sorted(kept):
         taken = min(left, max(0, -lacking[name]))
         kept[name] -= taken
@@ -73,7 +73,7 @@
     return {name: share for name, share in kept.items() if share}, True
 
 
-def give(units: dict[str, int], lacking: dict[str, int], free: int) -> dict[str, int]:
+def distribute(units: dict[str, int], lacking: dict[str, int], free: int) -> dict[str, int]:
     """Units with what is free added, to those who lack most first."""
     given = dict(units)
     for name in sorted(lacking, key=lambda name: (-lacking[name], name)):
--- a/src/irisstand/balancing/slot_assignment.py
+++ b/src/irisstand/balancing/slot_assignment.py
@@ -2,16 +2,16 @@
 
 from irisstand.balancing import rendezvous
 
-ROWS = 16
-PER_ROW = rendezvous.SLOTS // ROWS
+ITEM_COUNT = 16
+SLOTS_PER_ITEM = rendezvous.SLOT_COUNT // ITEM_COUNT
 
 
-def row_key(slot: int) -> str:
-    return f"slots/{slot // PER_ROW:02d}"
+def item_key(slot: int) -> str:
+    return f"slots/{slot // SLOTS_PER_ITEM:02d}"
 
 
-def wanted(slot: int, weights: dict[str, float]) -> str:
-    names = rendezvous.order(str(slot), sorted(weights.items()))
+def preferred_machine(slot: int, weights: dict[str, float]) -> str:
+    names = rendezvous.ranked(str(slot), sorted(weights.items()))
     return names[0] if names else ""
 
 
@@ -30,7 +30,7 @@
     """
     planned, moved, voluntary = list(owners), 0, 0
     for slot, owner in enumerate(owners):
-        target = wanted(slot, weights)
+        target = preferred_machine(slot, weights)
         if not target or target == owner:
             continue
         lost = not owner or owner in given_up
--- a/src/irisstand/balancing/slow_start.py
+++ b/src/irisstand/balancing/slow_start.py
@@ -3,17 +3,17 @@
 from irisstand import clocks
 
 # Of an origin's even share, from the start on; all of it when it is warm.
-COLDEST = 0.05
+MIN_WARM_FRACTION = 0.05
 
 
-def warmth(elapsed: float, warmup: float) -> float:
+def warm_fraction(elapsed: float, warmup: float) -> float:
     """
     >>> warmth(0, 10), warmth(5, 10), warmth(99, 10), warmth(3, 0)
     (0.05, 0.5, 1.0, 1.0)
     """
     if warmup <= 0:
         return 1.0
-    return min(1.0, max(COLDEST, elapsed / warmup))
+    return min(1.0, max(MIN_WARM_FRACTION, elapsed / warmup))
 
 
 def allowed_rate(even: float, warm: float, share: float) -> float:
@@ -24,7 +24,7 @@
     return even * warm * share
 
 
-class Bucket:
+class PacingBucket:
     """Paces requests: at the most one at once, and the allowed rate over time."""
 
     def __init__(self, clock: clocks.Clock) -> None:
--- a/src/irisstand/balancing/standby_planning.py
+++ b/src/irisstand/balancing/standby_planning.py
@@ -10,7 +10,7 @@
     pinned: bool
 
 
-def carries(awake: list[Machine], load: float) -> str:
+def uncovered_loss(awake: list[Machine], load: float) -> str:
     """Empty if the loss of any one machine and of any one site is carried, else the loss that is not.
 
     >>> a, b = Machine("a", "x", 10, False), Machine("b", "y", 10, False)
@@ -43,7 +43,7 @@
     # Wake, the largest first, until every single loss is carried again.
     for machine in sorted(machines, key=lambda m: (-m.capacity, m.name)):
         awake = [m for m in machines if m.name not in rest]
-        if machine.name in rest and carries(awake, load * 1.2):
+        if machine.name in rest and uncovered_loss(awake, load * 1.2):
             rest.discard(machine.name)
     woken = resting - rest
     for machine in sorted(machines, key=lambda m: (m.capacity, m.name)):
@@ -55,7 +55,7 @@
             reasons[machine.name] = "awake: the core could not lose one more machine or site"
         else:
             awake = [m for m in machines if m.name not in rest and m is not machine]
-            loss = carries(awake, load * margin)
+            loss = uncovered_loss(awake, load * margin)
             if loss:
                 reasons[machine.name] = f"awake: without it the loss of {loss} would not be carried"
             elif len(rest) > len(resting - woken) or woken:
@@ -66,7 +66,7 @@
     return rest, reasons
 
 
-def core_carries(voters: list[tuple[str, str, str]], up: set[str]) -> bool:
+def core_survives_any_loss(voters: list[tuple[str, str, str]], up: set[str]) -> bool:
     """Whether the voters that are up keep a majority after any one machine, and any one site, is lost.
 
     Voters are (name, machine, site).
--- a/src/irisstand/controlplane/consensus/voter_administration.py
+++ b/src/irisstand/controlplane/consensus/voter_administration.py
@@ -44,8 +44,8 @@
         up = await self.up(list({v.disk_id: v for v in [*present, *following]}.values()), table)
 
         majority = 2 * sum(voter.name in up for voter in following) > len(following)
-        carried = standby_planning.core_carries(quorum.placements(present), up)
-        worse = carried and not standby_planning.core_carries(quorum.placements(following), up)
+        carried = standby_planning.core_survives_any_loss(quorum.placements(present), up)
+        worse = carried and not standby_planning.core_survives_any_loss(quorum.placements(following), up)
         if not majority or worse or not following:
             figures = {
                 "table": table,
--- a/src/irisstand/controlplane/singletons/fleet_view.py
+++ b/src/irisstand/controlplane/singletons/fleet_view.py
@@ -44,9 +44,9 @@
 
     def slot_owners(self) -> list[str]:
         owners: list[str] = []
-        for number in range(0, rendezvous.SLOTS, slot_assignment.PER_ROW):
-            row = self.context.ledger.value(slot_assignment.row_key(number))
-            owners += row["owners"] if row else [""] * slot_assignment.PER_ROW
+        for number in range(0, rendezvous.SLOT_COUNT, slot_assignment.SLOTS_PER_ITEM):
+            row = self.context.ledger.value(slot_assignment.item_key(number))
+            owners += row["owners"] if row else [""] * slot_assignment.SLOTS_PER_ITEM
         return owners
 
     def shares(self) -> dict[str, dict[str, list[int]]]:
@@ -80,7 +80,7 @@
         voters = quorum.voters_from_wire(self.context.replicas[table].value(items.VOTERS_KEY))
         heard = await asyncio.gather(*(self.stands(voter, table) for voter in voters))
         up = {voter.name for voter, stands in zip(voters, heard, strict=True) if stands}
-        return bool(voters) and standby_planning.core_carries(quorum.placements(voters), up)
+        return bool(voters) and standby_planning.core_survives_any_loss(quorum.placements(voters), up)
 
     async def stands(self, voter: quorum.Voter, table: str) -> bool:
         try:
--- a/src/irisstand/controlplane/singletons/placement.py
+++ b/src/irisstand/controlplane/singletons/placement.py
@@ -53,10 +53,10 @@
             return []
         self.context.counters.add("slots_moved", moved)
         rows = []
-        for number in range(0, rendezvous.SLOTS, slot_assignment.PER_ROW):
-            part = planned[number : number + slot_assignment.PER_ROW]
-            if part != current[number : number + slot_assignment.PER_ROW]:
-                rows.append((slot_assignment.row_key(number), {"owners": part}))
+        for number in range(0, rendezvous.SLOT_COUNT, slot_assignment.SLOTS_PER_ITEM):
+            part = planned[number : number + slot_assignment.SLOTS_PER_ITEM]
+            if part != current[number : number + slot_assignment.SLOTS_PER_ITEM]:
+                rows.append((slot_assignment.item_key(number), {"owners": part}))
         return rows
 
     # -- shares --------------------------------------------------------------------------------------
@@ -73,7 +73,7 @@
             # Requests that the last holder began run until their deadline, and an origin may work on at those
             # that were abandoned for as long again.
             self.frozen_until[service] = (
-                now + FRESHNESS_BOUND_SECONDS + service_limits.works_for(row["deadline"])
+                now + FRESHNESS_BOUND_SECONDS + service_limits.origin_work_seconds(row["deadline"])
             )
 
     def share_rows(self, weights: dict[str, float], now: float) -> list:
--- a/src/irisstand/controlplane/singletons/rate_placement.py
+++ b/src/irisstand/controlplane/singletons/rate_placement.py
@@ -31,7 +31,7 @@
             self.began_at = now
             self.seen_at = dict.fromkeys(units, now)
             # What an earlier holder of the duty took away just before is not known here.
-            self.frozen_until = now + rate_quota.LAPSE if units else now
+            self.frozen_until = now + rate_quota.REASSIGNMENT_DELAY_SECONDS if units else now
         self.worked_at = now
         weights = self.weights(units, now)
         if weights != self.standing:
@@ -41,18 +41,18 @@
         planned, is_reduced = rate_quota.plan(units, weights, now < self.frozen_until)
         if planned != units and duty.holds_lease():
             if is_reduced:
-                self.frozen_until = now + rate_quota.LAPSE
-            await duty.write_fenced([(rate_quota.KEY, {"units": planned})])
+                self.frozen_until = now + rate_quota.REASSIGNMENT_DELAY_SECONDS
+            await duty.write_fenced([(rate_quota.ITEM_KEY, {"units": planned})])
             if is_reduced:
                 # Counted from when it was decided, not from when it was asked for.
-                self.frozen_until = self.context.clock.now() + rate_quota.LAPSE
+                self.frozen_until = self.context.clock.now() + rate_quota.REASSIGNMENT_DELAY_SECONDS
             self.context.counters.add("rate_parts_moved")
 
     def is_filling(self, now: float) -> bool:
         return now - self.still_since < STABLE_SECONDS and now - self.began_at < STABLE_WAIT_LIMIT_SECONDS
 
     def units(self) -> dict[str, int]:
-        row = self.context.ledger.value(rate_quota.KEY)
+        row = self.context.ledger.value(rate_quota.ITEM_KEY)
         return dict(row["units"]) if row else {}
 
     def weights(self, units: dict[str, int], now: float) -> dict[str, float]:
@@ -67,7 +67,7 @@
         # Where edges fetch for themselves, they own the parts: no place has to be asked for.
         if len(edges) < self.context.settings.holder_edges * len(set(edges.values())):
             holders = {}
-        return rate_quota.choose(sorted(holders.items()), sorted(edges.items()))
+        return rate_quota.choose_owners(sorted(holders.items()), sorted(edges.items()))
 
     def listed(self, role: str) -> dict[str, str]:
         """Sites by name of the members that are not suspected."""
--- a/src/irisstand/dataplane/assembly.py
+++ b/src/irisstand/dataplane/assembly.py
@@ -32,18 +32,18 @@
         connect: typing.Any = None,
     ) -> None:
         self.context = node_context.NodeContext(settings, settings.role, clock, randomness, net)
-        self.view = snapshot.Views(self.context)
+        self.view = snapshot.ConfigurationSnapshot(self.context)
         self.replicator = replicator.Replicator(self.context)
         self.refresher = refresher.Refresher(self.context, self.replicator)
-        self.part: typing.Any = importlib.import_module(REGISTRY[settings.role]).part(
+        self.role_node: typing.Any = importlib.import_module(REGISTRY[settings.role]).create(
             self.context, self.view, connect
         )
 
     async def open(self) -> None:
         await self.context.open()
         self.context.start_task(self.refresher.run(), "refresher")
-        if hasattr(self.part, "run"):
-            self.context.start_task(self.part.run(), f"part of a {self.context.role}")
+        if hasattr(self.role_node, "run"):
+            self.context.start_task(self.role_node.run(), f"part of a {self.context.role}")
 
     async def close(self) -> None:
         await self.context.close()
--- a/src/irisstand/dataplane/cache/object_cache.py
+++ b/src/irisstand/dataplane/cache/object_cache.py
@@ -7,10 +7,10 @@
 
 from irisstand.dataplane.cache import objects
 
-OVERHEAD = 300
+ENTRY_OVERHEAD_BYTES = 300
 
 
-class Cache:
+class ObjectCache:
     """
     >>> from irisstand.state import versions
     >>> cache = Cache(1000)
@@ -21,41 +21,41 @@
 
     def __init__(self, limit: int) -> None:
         self.limit, self.size = limit, 0
-        self.entries: collections.OrderedDict[str, objects.Object] = collections.OrderedDict()
+        self.entries: collections.OrderedDict[str, objects.CachedObject] = collections.OrderedDict()
 
-    def get(self, key: str) -> objects.Object | None:
+    def get(self, key: str) -> objects.CachedObject | None:
         found = self.entries.get(key)
         if found is not None:
             self.entries.move_to_end(key)
         return found
 
-    def put(self, key: str, thing: objects.Object) -> None:
+    def put(self, key: str, thing: objects.CachedObject) -> None:
         self.drop(key)
         self.entries[key] = thing
-        self.size += len(thing.body) + OVERHEAD
+        self.size += len(thing.body) + ENTRY_OVERHEAD_BYTES
         while self.size > self.limit:
             self.drop(next(iter(self.entries)))
 
     def drop(self, key: str) -> None:
         thing = self.entries.pop(key, None)
         if thing is not None:
-            self.size -= len(thing.body) + OVERHEAD
+            self.size -= len(thing.body) + ENTRY_OVERHEAD_BYTES
 
 
-class Collapse:
+class RequestCoalescer:
     """Identical reads share one fetch. It ends with its last waiter, not with its first."""
 
     def __init__(self) -> None:
-        self.under_way: dict[typing.Hashable, tuple[asyncio.Task, list[int]]] = {}
+        self.in_flight: dict[typing.Hashable, tuple[asyncio.Task, list[int]]] = {}
 
-    async def share(
+    async def join(
         self, key: typing.Hashable, fetch: collections.abc.Callable[[], collections.abc.Coroutine]
     ) -> typing.Any:
-        if key not in self.under_way:
+        if key not in self.in_flight:
             task = asyncio.get_running_loop().create_task(fetch())
-            self.under_way[key] = (task, [0])
+            self.in_flight[key] = (task, [0])
             task.add_done_callback(lambda done: self.ended(key, done))
-        task, waiters = self.under_way[key]
+        task, waiters = self.in_flight[key]
         waiters[0] += 1
         try:
             return await asyncio.shield(task)
@@ -72,5 +72,5 @@
             task.exception()
 
     def forget(self, key: typing.Hashable, task: asyncio.Task) -> None:
-        if key in self.under_way and self.under_way[key][0] is task:
-            del self.under_way[key]
+        if key in self.in_flight and self.in_flight[key][0] is task:
+            del self.in_flight[key]
--- a/src/irisstand/dataplane/cache/object_holders.py
+++ b/src/irisstand/dataplane/cache/object_holders.py
@@ -15,20 +15,20 @@
 from irisstand.state import versions
 
 # Of the time that is left, what a holder gets, and the most in seconds: an origin may be asked after it.
-PART, LONGEST = 0.4, 0.6
+TIME_FRACTION, LONGEST_WAIT_SECONDS = 0.4, 0.6
 # Seconds for which a holder that did not answer is left alone.
-AVOIDED = 2.0
+AVOIDANCE_SECONDS = 2.0
 # Seconds that a holder waits for the version of the configuration by which an edge has judged.
-CATCH_UP = 0.3
+CATCH_UP_TIMEOUT_SECONDS = 0.3
 
 
-class Holders:
+class ObjectHolders:
     def __init__(
-        self, context: node_context.NodeContext, table: routes.Routes, origins: endpoint_pool.EndpointPool
+        self, context: node_context.NodeContext, table: routes.RouteTable, origins: endpoint_pool.EndpointPool
     ) -> None:
         self.context, self.table, self.origins = context, table, origins
         self.avoided = origins.avoided
-        self.reading: object_reader.Reading | None = None
+        self.reader: object_reader.ObjectReader | None = None
 
     # -- asking --------------------------------------------------------------------------------------
     def pick(self, route: routes.Route, service: str, key: str) -> updates.Update | None:
@@ -48,7 +48,7 @@
         names = [(update.identity.name, 1.0) for update in home]
         if everywhere or context.settings.region in route.regions:
             names.append((context.settings.name, 1.0))
-        order = rendezvous.order(key, names)
+        order = rendezvous.ranked(key, names)
         return next((u for u in home if u.identity.name == order[0]), None) if order else None
 
     def usable(self) -> list[updates.Update]:
@@ -61,24 +61,24 @@
 
     def draw(self, key: str, found: list[updates.Update]) -> updates.Update | None:
         named = {update.identity.name: update for update in found}
-        names = rendezvous.order(key, [(name, 1.0) for name in named])
+        names = rendezvous.ranked(key, [(name, 1.0) for name in named])
         return named[names[0]] if names else None
 
-    async def ask(
+    async def fetch_from_holder(
         self,
-        asked: object_reader.Asked,
+        asked: object_reader.ReadRequest,
         floor: versions.Version,
         remaining: float,
-        known: objects.Object | None,
-    ) -> objects.Object | None:
+        known: objects.CachedObject | None,
+    ) -> objects.CachedObject | None:
         # Whoever was asked by another holder is the last in the row.
-        holder = None if asked.is_last else self.pick(asked.route, asked.service, asked.key)
+        holder = None if asked.is_forwarded else self.pick(asked.route, asked.service, asked.key)
         if holder is None:
             return None
         request = asked.request
-        known_tag = object_reader.tag_of(known) or ""
+        known_tag = object_reader.etag_of(known) or ""
         asked_at = self.context.clock.now()
-        patience = min(LONGEST, PART * remaining)
+        patience = min(LONGEST_WAIT_SECONDS, TIME_FRACTION * remaining)
         body = (
             asked.route.name,
             asked.service,
@@ -98,7 +98,7 @@
         except errors.IrisError as error:
             self.context.counters.add("holder_failures", code=error.code)
             if error.code in ("unreached", "unanswered", "draining"):
-                self.avoided[holder.identity.name] = self.context.clock.now() + AVOIDED
+                self.avoided[holder.identity.name] = self.context.clock.now() + AVOIDANCE_SECONDS
             # A holder without a place has asked the owners of all: an edge's own fetch would take one of
             # theirs, and bring the object to that edge alone. Another holder may have a place of its own.
             if error.code == errors.LimitExceededError.code and self.context.role != "holder":
@@ -108,14 +108,14 @@
         if told == "same" and known is not None:
             applied, age, life = parts
             return known._replace(
-                applied=versions.Version.from_wire(applied), age=age, at=asked_at, life=life
+                applied=versions.Version.from_wire(applied), age=age, as_of=asked_at, ttl=life
             )
-        return objects.decode(parts, asked_at)
+        return objects.from_wire(parts, asked_at)
 
     # -- answering -----------------------------------------------------------------------------------
-    def answer(self, own: object_reader.Reading) -> None:
+    def serve(self, own: object_reader.ObjectReader) -> None:
         """Answer edges out of this reading."""
-        self.reading = own
+        self.reader = own
         self.context.transport.handlers["object"] = self.on_object
 
     async def on_object(self, _: str, body: list) -> tuple:
@@ -128,17 +128,17 @@
         # Judged by another version than the edge's, its request could go where that one does not allow.
         if route.name != name or not self.table.still_allows(route, service):
             raise errors.StaleConfigurationError("the route is another one here")
-        asked = object_reader.Asked(route, str(service), request, float(remaining), bool(is_last))
-        thing = await self.reading.read(asked, versions.Version.from_wire(floor))
+        asked = object_reader.ReadRequest(route, str(service), request, float(remaining), bool(is_last))
+        thing = await self.reader.read(asked, versions.Version.from_wire(floor))
         now = self.context.clock.now()
-        if known_tag and thing.life > 0 and object_reader.tag_of(thing) == known_tag:
-            return ("same", (tuple(thing.applied), thing.age_now(now), thing.life))
-        return ("object", objects.encode(thing, now))
+        if known_tag and thing.ttl > 0 and object_reader.etag_of(thing) == known_tag:
+            return ("same", (tuple(thing.applied), thing.age_now(now), thing.ttl))
+        return ("object", objects.to_wire(thing, now))
 
     async def catch_up(self, applied: versions.Version) -> None:
         started = self.context.clock.now()
         while self.context.configuration.applied < applied:
-            if self.context.clock.now() - started > CATCH_UP:
+            if self.context.clock.now() - started > CATCH_UP_TIMEOUT_SECONDS:
                 raise errors.StaleConfigurationError("this holder is behind the edge")
             await asyncio.sleep(0.01)
         if not all(map(self.context.is_current, self.context.replicas.values())):
--- a/src/irisstand/dataplane/cache/object_reader.py
+++ b/src/irisstand/dataplane/cache/object_reader.py
@@ -12,7 +12,7 @@
 from irisstand.state import versions
 
 # What must not reach an origin when the whole object is wanted for all.
-CONDITIONS = frozenset(
+CONDITIONAL_HEADERS = frozenset(
     (
         "range",
         "if-range",
@@ -24,10 +24,10 @@
     )
 )
 # Of a deadline: what is left when nothing is asked for again.
-TOO_LATE = 0.02
+MIN_REMAINING_SECONDS = 0.02
 
 
-class Asked(typing.NamedTuple):
+class ReadRequest(typing.NamedTuple):
     """One reading of one object. `service` is the one that the route gave; `remaining` in seconds.
 
     `is_last` is set where another holder asks: nobody else is asked then but an origin.
@@ -37,46 +37,48 @@
     service: str
     request: client.Request
     remaining: float
-    is_last: bool = False
+    is_forwarded: bool = False
 
     @property
     def key(self) -> str:
         return f"{self.service} {self.request.host}{self.request.target.decode('latin-1')}"
 
     @property
-    def place(self) -> str:
+    def purge_path(self) -> str:
         return f"{self.request.host}{self.request.path}"
 
 
-class Reading:
+class ObjectReader:
     """`ask_holder` is asked before an origin: the object, or None where nobody else holds it or answers."""
 
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: snapshot.Views,
+        view: snapshot.ConfigurationSnapshot,
         origins: client.UpstreamClient,
         ask_holder: typing.Any,
     ) -> None:
         self.context, self.view, self.origins, self.ask_holder = context, view, origins, ask_holder
-        self.words = origins.words
-        self.cache = object_cache.Cache(context.settings.cache_bytes)
-        self.collapse = object_cache.Collapse()
+        self.header_names = origins.header_names
+        self.cache = object_cache.ObjectCache(context.settings.cache_bytes)
+        self.coalescer = object_cache.RequestCoalescer()
 
-    async def read(self, asked: Asked, floor: versions.Version = versions.NONE) -> objects.Object:
+    async def read(self, asked: ReadRequest, floor: versions.Version = versions.NONE) -> objects.CachedObject:
         """The whole object, good to be given out now; a purge up to `floor` is known to whoever asks."""
         deadline = self.context.clock.now() + asked.remaining
-        floor = max(floor, self.view.purged_at(asked.place, ()))
+        floor = max(floor, self.view.purged_at(asked.purge_path, ()))
         found = self.cached(asked)
         if found is not None:
-            if forwarding_policies.is_usable(found, asked.place, self.view, floor, self.context.clock.now()):
+            if forwarding_policies.is_usable(
+                found, asked.purge_path, self.view, floor, self.context.clock.now()
+            ):
                 self.context.counters.add("cache", at=self.context.role, result="hit")
                 return found
         self.context.counters.add("cache", at=self.context.role, result="miss")
         while True:
             left = deadline - self.context.clock.now()
-            obtain = self.collapse.share(
-                (asked.key, floor, asked.is_last),
+            obtain = self.coalescer.join(
+                (asked.key, floor, asked.is_forwarded),
                 lambda left=left, floor=floor: self.obtain(asked, floor, left),
             )
             try:
@@ -85,21 +87,23 @@
             except TimeoutError:
                 raise errors.DeadlineExceededError("no origin gave a whole answer in time") from None
             is_good = thing.applied >= floor and forwarding_policies.is_fit(
-                thing, asked.place, self.view, self.context.clock.now()
+                thing, asked.purge_path, self.view, self.context.clock.now()
             )
-            if thing.life <= 0 or is_good:
+            if thing.ttl <= 0 or is_good:
                 return thing
             # Struck by a purge while it was under way: fetched again, within the one deadline.
-            floor = max(floor, self.view.purged_at(asked.place, thing.tags))
-            if deadline - self.context.clock.now() < TOO_LATE:
+            floor = max(floor, self.view.purged_at(asked.purge_path, thing.tags))
+            if deadline - self.context.clock.now() < MIN_REMAINING_SECONDS:
                 raise errors.DeadlineExceededError("no answer was still good by the time that it came")
 
-    def cached(self, asked: Asked) -> objects.Object | None:
+    def cached(self, asked: ReadRequest) -> objects.CachedObject | None:
         found = self.cache.get(asked.key)
         # The row's own life, should it have been shortened since.
-        return None if found is None else found._replace(life=min(found.life, asked.route.cache_life))
+        return None if found is None else found._replace(ttl=min(found.ttl, asked.route.cache_life))
 
-    async def obtain(self, asked: Asked, floor: versions.Version, remaining: float) -> objects.Object:
+    async def obtain(
+        self, asked: ReadRequest, floor: versions.Version, remaining: float
+    ) -> objects.CachedObject:
         started = self.context.clock.now()
         known = self.cache.get(asked.key)
         with self.context.count_in_flight():
@@ -107,18 +111,22 @@
             if thing is None:
                 left = remaining - (self.context.clock.now() - started)
                 thing = await self.fetch(asked, floor, left, known)
-        if thing.life > 0:
+        if thing.ttl > 0:
             self.cache.put(asked.key, thing)
         return thing
 
     async def fetch(
-        self, asked: Asked, floor: versions.Version, remaining: float, known: objects.Object | None
-    ) -> objects.Object:
+        self,
+        asked: ReadRequest,
+        floor: versions.Version,
+        remaining: float,
+        known: objects.CachedObject | None,
+    ) -> objects.CachedObject:
         given = asked.request.headers.items()
-        headers = [(n, v) for n, v in given if n not in client.HOP and n not in CONDITIONS]
+        headers = [(n, v) for n, v in given if n not in client.HOP and n not in CONDITIONAL_HEADERS]
         # What has outlived its life, or was struck by a purge, may still be the newest there is: then only
         # a word of that comes back, and no bytes.
-        known_tag = tag_of(known)
+        known_tag = etag_of(known)
         if known_tag:
             headers.append(("if-none-match", known_tag))
         # Fetched from now on, so at least as new as everything that this node, or who asks it, has heard of.
@@ -127,13 +135,13 @@
         life = asked.route.cache_life
         if answer.status == 304 and known is not None and known_tag:
             self.context.counters.add("cache", at=self.context.role, result="revalidated")
-            return known._replace(applied=applied, age=0.0, at=asked_at, life=life)
-        kept = tuple((n, v) for n, v in answer.headers.items() if n != self.words.request_id)
-        tags = vocabularies.split_tags(self.words, answer.headers.get(self.words.tags, ""))
+            return known._replace(applied=applied, age=0.0, as_of=asked_at, ttl=life)
+        kept = tuple((n, v) for n, v in answer.headers.items() if n != self.header_names.request_id)
+        tags = vocabularies.split_tags(self.header_names, answer.headers.get(self.header_names.tags, ""))
         if answer.status != 200 or "set-cookie" in answer.headers:
             life = 0.0
-        return objects.Object(answer.status, kept, answer.body, applied, 0.0, asked_at, life, tags)
+        return objects.CachedObject(answer.status, kept, answer.body, applied, 0.0, asked_at, life, tags)
 
 
-def tag_of(thing: objects.Object | None) -> str | None:
+def etag_of(thing: objects.CachedObject | None) -> str | None:
     return None if thing is None else dict(thing.headers).get("etag")
--- a/src/irisstand/dataplane/cache/objects.py
+++ b/src/irisstand/dataplane/cache/objects.py
@@ -8,7 +8,7 @@
 from irisstand.state import versions
 
 
-class Object(typing.NamedTuple):
+class CachedObject(typing.NamedTuple):
     """`applied version` is the ledger applied version known when the fetch began; `age` is how old it was
     at the moment `at`.
     """
@@ -18,31 +18,33 @@
     body: bytes
     applied: versions.Version
     age: float
-    at: float
-    life: float
+    as_of: float
+    ttl: float
     tags: tuple[str, ...]
 
     def age_now(self, now: float) -> float:
-        return self.age + now - self.at
+        return self.age + now - self.as_of
 
 
-def encode(thing: Object, now: float) -> tuple:
+def to_wire(thing: CachedObject, now: float) -> tuple:
     return (
         thing.status,
         thing.headers,
         thing.body,
         tuple(thing.applied),
         thing.age_now(now),
-        thing.life,
+        thing.ttl,
         thing.tags,
     )
 
 
-def decode(parts: typing.Any, asked_at: float) -> Object:
+def from_wire(parts: typing.Any, asked_at: float) -> CachedObject:
     """The age is added up hop by hop, each hop counted from when its question was sent."""
     status, headers, body, applied, age, life, tags = parts
     pairs = tuple((name, value) for name, value in headers)
-    return Object(status, pairs, body, versions.Version.from_wire(applied), age, asked_at, life, tuple(tags))
+    return CachedObject(
+        status, pairs, body, versions.Version.from_wire(applied), age, asked_at, life, tuple(tags)
+    )
 
 
 def digest_header(body: bytes) -> str:
@@ -64,7 +66,7 @@
         raise errors.UnsealedResultError("the answer names another request")
 
 
-PASSED_ON = (
+FORWARDED_HEADERS = (
     "content-type",
     "content-digest",
     "cache-control",
@@ -79,13 +81,13 @@
 
 def from_origin(
     status: int, headers: dict[str, str], body: bytes, applied: versions.Version, asked_at: float, life: float
-) -> Object:
+) -> CachedObject:
     tags = tuple(tag.strip() for tag in headers.get("cache-tag", "").split(",") if tag.strip())
-    kept = tuple((name, headers[name]) for name in PASSED_ON if name in headers)
-    return Object(status, kept, body, applied, 0.0, asked_at, allowed_life(status, headers, life), tags)
+    kept = tuple((name, headers[name]) for name in FORWARDED_HEADERS if name in headers)
+    return CachedObject(status, kept, body, applied, 0.0, asked_at, allowed_ttl(status, headers, life), tags)
 
 
-def allowed_life(status: int, headers: dict[str, str], life: float) -> float:
+def allowed_ttl(status: int, headers: dict[str, str], life: float) -> float:
     """The configuration's life, shortened by what the origin says; 0 for what is not to be shared.
 
     >>> allowed_life(200, {"cache-control": "max-age=5"}, 30)
--- a/src/irisstand/dataplane/cache/ranges.py
+++ b/src/irisstand/dataplane/cache/ranges.py
@@ -4,7 +4,7 @@
 
 from irisstand.dataplane.upstream import exchange
 
-SINGLE = re.compile(r"^bytes=(\d{1,18})-(\d{0,18})$")
+SINGLE_RANGE = re.compile(r"^bytes=(\d{1,18})-(\d{0,18})$")
 
 
 def apply(whole: exchange.Answer, headers: dict[str, str]) -> exchange.Answer:
@@ -16,7 +16,7 @@
     >>> apply(whole, {"range": "bytes=9-"}).status, apply(whole, {"range": "lines=1-"}).status
     (416, 200)
     """
-    asked = SINGLE.match(headers.get("range", "").strip())
+    asked = SINGLE_RANGE.match(headers.get("range", "").strip())
     if asked is None or headers.get("if-range", whole.headers.get("etag")) != whole.headers.get("etag"):
         return whole
     size, first = len(whole.body), int(asked[1])
--- a/src/irisstand/dataplane/http/header_names.py
+++ b/src/irisstand/dataplane/http/header_names.py
@@ -6,7 +6,7 @@
 import typing
 
 
-class Vocabulary(typing.NamedTuple):
+class HeaderNames(typing.NamedTuple):
     """Header names in lower case; times are whole milliseconds, tags are separated by `separator`.
 
     `request_id` names one try of a client, `remaining` how long it still waits, `seal` confirms for a
@@ -26,8 +26,8 @@
 
 
 # Plug-in point.
-REGISTRY: dict[str, Vocabulary] = {
-    "irisstand": Vocabulary(
+REGISTRY: dict[str, HeaderNames] = {
+    "irisstand": HeaderNames(
         "x-request-id",
         "x-remaining-ms",
         "content-digest",
@@ -41,7 +41,7 @@
 }
 
 
-def split_tags(words: Vocabulary, text: str) -> tuple[str, ...]:
+def split_tags(words: HeaderNames, text: str) -> tuple[str, ...]:
     """
     >>> split_tags(REGISTRY["irisstand"], "a, b")
     ('a', 'b')
--- a/src/irisstand/dataplane/http/listener.py
+++ b/src/irisstand/dataplane/http/listener.py
@@ -11,12 +11,12 @@
 
 METHODS = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"]
 # Sanic writes these itself.
-OWN = frozenset(("connection", "keep-alive", "content-length", "transfer-encoding", "content-type"))
+SANIC_HEADERS = frozenset(("connection", "keep-alive", "content-length", "transfer-encoding", "content-type"))
 
 
-class FrontListener:
+class ClientListener:
     def __init__(
-        self, context: node_context.NodeContext, part: direct.Direct, address: node_settings.Address
+        self, context: node_context.NodeContext, part: direct.DirectNode, address: node_settings.Address
     ) -> None:
         self.context, self.part, self.address = context, part, address
         name = "irisstand_front_" + "".join(c if c.isalnum() else "_" for c in context.settings.name)
@@ -140,7 +140,7 @@
             event_log.record("crash", error=repr(error))
             self.context.counters.add("requests_crashed")
             return self.as_fault(errors.OutcomeUnknownError("an error of this node's own"))
-        kept = {name: value for name, value in headers.items() if name not in OWN}
+        kept = {name: value for name, value in headers.items() if name not in SANIC_HEADERS}
         content_type = headers.get("content-type", "application/octet-stream")
         return sanic.response.HTTPResponse(body, status, kept, content_type)
 
--- a/src/irisstand/dataplane/http/sanic_adapter.py
+++ b/src/irisstand/dataplane/http/sanic_adapter.py
@@ -13,7 +13,7 @@
 METHODS = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"]
 
 
-class Front:
+class SanicAdapter:
     def __init__(self, server: web.Web, edge: edges.Edge) -> None:
         self.edge, self.web = edge, server
         server.app.add_route(self.serve, "/", methods=METHODS, name="root")
--- a/src/irisstand/dataplane/nodes/direct.py
+++ b/src/irisstand/dataplane/nodes/direct.py
@@ -11,18 +11,21 @@
 Request = client.Request
 
 
-class Direct:
+class DirectNode:
     def __init__(
-        self, context: node_context.NodeContext, view: snapshot.Views, connect: exchange.Connect
+        self,
+        context: node_context.NodeContext,
+        view: snapshot.ConfigurationSnapshot,
+        connect: exchange.Connect,
     ) -> None:
         self.context, self.view = context, view
-        self.words = vocabularies.REGISTRY[context.settings.vocabulary]
-        self.table = routes.Routes(context)
-        self.endpoints = endpoint_pool.EndpointPool(context, view, self.table, self.words, connect)
+        self.header_names = vocabularies.REGISTRY[context.settings.vocabulary]
+        self.table = routes.RouteTable(context)
+        self.endpoints = endpoint_pool.EndpointPool(context, view, self.table, self.header_names, connect)
         self.origins = client.UpstreamClient(context, view, self.table, self.endpoints)
-        self.holders = object_holders.Holders(context, self.table, self.endpoints)
-        self.reading = object_reader.Reading(context, view, self.origins, self.holders.ask)
-        self.holders.answer(self.reading)
+        self.holders = object_holders.ObjectHolders(context, self.table, self.endpoints)
+        self.reader = object_reader.ObjectReader(context, view, self.origins, self.holders.fetch_from_holder)
+        self.holders.serve(self.reader)
 
     async def run(self) -> None:
         await self.endpoints.run()
@@ -32,28 +35,28 @@
         self.view.check_current()
         route = self.table.match(request.host, request.path)
         self.context.counters.add("requests", route=route.name)
-        given = request.headers.get(self.words.remaining, "")
+        given = request.headers.get(self.header_names.remaining, "")
         remaining = min(route.timeout, int(given) / 1000) if given.isdigit() else route.timeout
         if route.is_cacheable and request.method == "GET":
             service = routes.pick_service(route, request.target.decode("latin-1"))
-            asked = object_reader.Asked(route, service, request, remaining)
-            return self.give(request, await self.reading.read(asked))
-        service = routes.pick_service(route, request.headers.get(self.words.request_id, request.path))
+            asked = object_reader.ReadRequest(route, service, request, remaining)
+            return self.give(request, await self.reader.read(asked))
+        service = routes.pick_service(route, request.headers.get(self.header_names.request_id, request.path))
         headers = [(name, value) for name, value in request.headers.items() if name not in client.HOP]
         with self.context.count_in_flight():
             return await self.origins.fetch(route, service, request, headers, remaining)
 
-    def give(self, request: Request, thing: objects.Object) -> exchange.Answer:
+    def give(self, request: Request, thing: objects.CachedObject) -> exchange.Answer:
         # This node may have been paused or cut off while the answer was on its way.
         self.view.check_current()
         headers = dict(thing.headers)
-        if self.words.request_id in request.headers:
-            headers[self.words.request_id] = request.headers[self.words.request_id]
+        if self.header_names.request_id in request.headers:
+            headers[self.header_names.request_id] = request.headers[self.header_names.request_id]
         whole = exchange.Answer(thing.status, headers, thing.body)
         given = ranges.apply(whole, request.headers) if thing.status == 200 else whole
         if given.status == 416:
             # This node's own refusal: the origin sealed another status.
-            given.headers.pop(self.words.seal, None)
+            given.headers.pop(self.header_names.seal, None)
         return given
 
 
@@ -61,5 +64,7 @@
     return exchange.connector(vocabularies.REGISTRY[settings.vocabulary].request_id)
 
 
-def part(context: node_context.NodeContext, view: snapshot.Views, connect: typing.Any) -> Direct:
-    return Direct(context, view, connect or connector(context.settings))
+def create(
+    context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot, connect: typing.Any
+) -> DirectNode:
+    return DirectNode(context, view, connect or connector(context.settings))
--- a/src/irisstand/dataplane/nodes/edge.py
+++ b/src/irisstand/dataplane/nodes/edge.py
@@ -52,13 +52,13 @@
 
 
 class Edge:
-    def __init__(self, context: node_context.NodeContext, view: snapshot.Views) -> None:
+    def __init__(self, context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot) -> None:
         self.context, self.view = context, view
-        self.cache = object_cache.Cache(context.settings.cache_bytes)
-        self.collapse = object_cache.Collapse()
-        self.heat = popularity.Heat(context.clock)
-        self.budget = budgets.Budget(context.clock, 0.07, 1)
-        self.doubts = suspicion_watcher.Doubts(context.detector)
+        self.cache = object_cache.ObjectCache(context.settings.cache_bytes)
+        self.coalescer = object_cache.RequestCoalescer()
+        self.popularity = popularity.PopularityCounter(context.clock)
+        self.budget = budgets.RetryBudget(context.clock, 0.07, 1)
+        self.suspicion_watcher = suspicion_watcher.SuspicionWatcher(context.detector)
 
     async def handle(self, request: Request) -> Result:
         """The result for the client, or a typed error to be shown as JSON."""
@@ -67,7 +67,7 @@
         if self.view.is_evacuated(self.context.settings.site):
             raise errors.SiteEvacuatedError(f"site {self.context.settings.site} takes no new work")
         self.context.load_gauge.record()
-        granted = self.view.grant(request.method, request.path, request.query)
+        granted = self.view.authorize(request.method, request.path, request.query)
         self.context.counters.add("requests", method=request.method)
         try:
             with self.context.count_in_flight():
@@ -79,7 +79,7 @@
             raise
 
     # -- reads ---------------------------------------------------------------------------------------
-    async def read(self, granted: snapshot.Granted, request: Request) -> Result:
+    async def read(self, granted: snapshot.AllowedRequest, request: Request) -> Result:
         shared = not any(name in request.headers for name in CREDENTIALS)
         giving = forwarding_policies.Giving(self.context.clock, self.view, granted, request.path)
         floor = self.view.purged_at(request.path, ())
@@ -106,7 +106,7 @@
             fetch = functools.partial(self.fetch, granted, request, sent, floor, shared, giving.deadline)
             try:
                 # An answer that may be meant for one alone is fetched for one alone.
-                service, thing = await (self.collapse.share((key, floor), fetch) if shared else fetch())
+                service, thing = await (self.coalescer.join((key, floor), fetch) if shared else fetch())
                 action = giving.ask(("object", thing))
             except errors.IrisError as error:
                 action = giving.ask(("failed", error))
@@ -116,7 +116,7 @@
                 break
             self.context.counters.add("fetched_again")
             floor = max(floor, action[1])
-        if shared and thing.life > 0:
+        if shared and thing.ttl > 0:
             # Under the service that answered: the shield may have heard of a change before this node.
             self.cache.put(self.key(service, request, sent), thing)
         return self.result(request, thing)
@@ -124,22 +124,22 @@
     def key(self, service: str, request: Request, varied: dict[str, str]) -> str:
         return repr((service, request.path, request.query, sorted(varied.items())))
 
-    def result(self, request: Request, thing: objects.Object) -> Result:
+    def result(self, request: Request, thing: objects.CachedObject) -> Result:
         # This node may have been paused or cut off while the answer was on its way.
         self.view.check_current()
-        self.view.grant(request.method, request.path, request.query)
+        self.view.authorize(request.method, request.path, request.query)
         return Result(thing.status, thing.headers, thing.body, thing.age_now(self.context.clock.now()))
 
     async def fetch(
         self,
-        granted: snapshot.Granted,
+        granted: snapshot.AllowedRequest,
         request: Request,
         headers: dict[str, str],
         floor: versions.Version,
         shared: bool,
         deadline: float,
-    ) -> tuple[str, objects.Object]:
-        self.budget.note_first()
+    ) -> tuple[str, objects.CachedObject]:
+        self.budget.record_first_attempt()
         shields = self.spread(granted.service, f"{request.path}?{request.query}")
         decision = forwarding_policies.EdgeRead(self.context.clock, granted, shields, self.budget, deadline)
         # One id for all tries, so that an origin's record shows second tries for what they are.
@@ -167,13 +167,13 @@
             happened = await self.ask_watched(decision, shield, body, remaining)
             if happened[0] == "result":
                 service, parts = happened[1]
-                happened = ("object", (service, objects.decode(parts, asked_at)))
+                happened = ("object", (service, objects.from_wire(parts, asked_at)))
 
     async def ask_watched(
         self, decision: forwarding_policies.EdgeRead, shield: typing.Any, body: tuple, remaining: float
     ) -> tuple:
         """A shield that lost its power closes no connection: its reads go on once it is suspected."""
-        doubt = self.doubts.watch(shield.identity)
+        doubt = self.suspicion_watcher.watch(shield.identity)
         asking = asyncio.get_running_loop().create_task(self.ask(shield, "read", body, remaining))
         try:
             await asyncio.wait([asking, doubt], return_when=asyncio.FIRST_COMPLETED)
@@ -187,10 +187,10 @@
     def spread(self, service: str, key: str) -> list:
         """The shields in order; for a hot object the first two take turns, if both can."""
         shields = self.view.shields(service, key)
-        if not self.heat.note(key) or len(shields) < 2:
+        if not self.popularity.record(key) or len(shields) < 2:
             return shields
         second = shields[1]
-        if second.state or not self.view.has_share(second.node_info.machine, service):
+        if second.state or not self.view.has_quota_share(second.node_info.machine, service):
             return shields
         self.context.counters.add("hot_fetches")
         if self.context.randomness.random() < 0.5:
@@ -198,7 +198,7 @@
         return shields
 
     # -- writes --------------------------------------------------------------------------------------
-    async def write(self, granted: snapshot.Granted, request: Request) -> Result:
+    async def write(self, granted: snapshot.AllowedRequest, request: Request) -> Result:
         request_id = self.request_id()
         key = request.headers.get("idempotency-key", request_id)
         shields = self.view.shields(granted.service, key)
@@ -244,5 +244,7 @@
         return f"{self.context.settings.name}-{self.context.randomness.getrandbits(64):016x}"
 
 
-def part(context: node_context.NodeContext, view: snapshot.Views, connect: typing.Any) -> Edge:
+def create(
+    context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot, connect: typing.Any
+) -> Edge:
     return Edge(context, view)
--- a/src/irisstand/dataplane/nodes/idempotency_keys.py
+++ b/src/irisstand/dataplane/nodes/idempotency_keys.py
@@ -11,18 +11,18 @@
 from irisstand.controlplane.consensus import submitter
 from irisstand.dataplane.routing import snapshot
 
-PATIENCE = 1.5
+ORDER_TIMEOUT_SECONDS = 1.5
 # A larger result is not kept with the claim: the second asker learns only that the first one ran.
-RESULT_LIMIT = 4 * 1024
+RESULT_LIMIT_BYTES = 4 * 1024
 
 Work = collections.abc.Callable[[], collections.abc.Awaitable[tuple]]
 
 
-class Claims:
+class IdempotencyKeys:
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
 
-    async def once(self, granted: snapshot.Granted, request: tuple, work: Work) -> tuple:
+    async def run_once(self, granted: snapshot.AllowedRequest, request: tuple, work: Work) -> tuple:
         method, target, headers, body, request_id = request
         given = headers.get("idempotency-key")
         # Without a key there is nothing to tell a repetition by; the write is sent at most once all the same.
@@ -52,7 +52,7 @@
 
     def kept(self, result: tuple) -> list:
         status, headers, body = result
-        return [status, list(headers), body if len(body) <= RESULT_LIMIT else None]
+        return [status, list(headers), body if len(body) <= RESULT_LIMIT_BYTES else None]
 
     def replay(self, claim: dict, fingerprint: str) -> tuple:
         """What the second asker gets: the first one's result, as far as it is known."""
@@ -97,7 +97,11 @@
         for update in control_nodes[:3]:
             try:
                 reply = await self.context.transport.call(
-                    update.node_info.address, update.identity.name, "order", (kind, "", payload), PATIENCE
+                    update.node_info.address,
+                    update.identity.name,
+                    "order",
+                    (kind, "", payload),
+                    ORDER_TIMEOUT_SECONDS,
                 )
                 return submitter.unwrap(reply)
             except (errors.NotSentError, errors.NotBootstrappedError):
--- a/src/irisstand/dataplane/nodes/shield.py
+++ b/src/irisstand/dataplane/nodes/shield.py
@@ -29,17 +29,17 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: snapshot.Views,
+        view: snapshot.ConfigurationSnapshot,
         open_line: connections.ConnectionOpener,
     ) -> None:
         self.context, self.view = context, view
-        self.cache = object_cache.Cache(context.settings.cache_bytes)
-        self.collapse = object_cache.Collapse()
+        self.cache = object_cache.ObjectCache(context.settings.cache_bytes)
+        self.coalescer = object_cache.RequestCoalescer()
         self.origins = origin_pool.OriginPool(context, view, open_line)
         # With the edges' share this stays under the fifth of the traffic that is allowed fleet-wide.
-        self.budget = budgets.Budget(context.clock, 0.10, 1)
-        self.claims = idempotency_keys.Claims(context)
-        self.shares: dict[str, service_limits.Share] = {}
+        self.budget = budgets.RetryBudget(context.clock, 0.10, 1)
+        self.idempotency_keys = idempotency_keys.IdempotencyKeys(context)
+        self.shares: dict[str, service_limits.QuotaShareLimiter] = {}
         self.opened_at = context.clock.now()
         context.transport.handlers.update({"read": self.on_read, "write": self.on_write})
 
@@ -47,11 +47,11 @@
     async def on_read(self, _: str, body: list) -> tuple:
         request_id, method, path, query, headers, floor, remaining, shared, applied = body
         remaining = await self.check_open(versions.Version.from_wire(applied), float(remaining))
-        granted = self.view.grant(method, path, query)
+        granted = self.view.authorize(method, path, query)
         with self.context.count_in_flight():
             work = (str(request_id), path, query, dict(headers), versions.Version.from_wire(floor))
             thing = await self.read(granted, work, min(remaining, granted.deadline), bool(shared))
-            return (granted.service, objects.encode(thing, self.context.clock.now()))
+            return (granted.service, objects.to_wire(thing, self.context.clock.now()))
 
     async def check_open(self, applied: versions.Version, remaining: float) -> float:
         """Fit to work on a request that an edge judged by a configuration at `applied version`; what is
@@ -71,8 +71,8 @@
         return remaining - (self.context.clock.now() - started)
 
     async def read(
-        self, granted: snapshot.Granted, work: tuple, remaining: float, shared: bool
-    ) -> objects.Object:
+        self, granted: snapshot.AllowedRequest, work: tuple, remaining: float, shared: bool
+    ) -> objects.CachedObject:
         request_id, path, query, headers, floor = work
         if not shared:
             return await self.fetch(granted, work, remaining)
@@ -87,13 +87,13 @@
             self.cache.drop(key)
         self.context.counters.add("cache", at="shield", result="miss")
         work = (request_id, path, query, headers, floor)
-        return await self.collapse.share(
+        return await self.coalescer.join(
             (key, floor), lambda: self.look_and_fetch(key, granted, work, remaining)
         )
 
     async def look_and_fetch(
-        self, key: str, granted: snapshot.Granted, work: tuple, remaining: float
-    ) -> objects.Object:
+        self, key: str, granted: snapshot.AllowedRequest, work: tuple, remaining: float
+    ) -> objects.CachedObject:
         floor = work[4]
         store = self.store_for(key)
         started = self.context.clock.now()
@@ -104,7 +104,7 @@
                 return found
         remaining -= self.context.clock.now() - started
         thing = await self.fetch(granted, work, remaining)
-        if thing.life > 0:
+        if thing.ttl > 0:
             self.cache.put(key, thing)
             if store is not None:
                 self.context.start_task(self.keep(store, key, thing), "keep in store")
@@ -113,12 +113,12 @@
     def store_for(self, key: str) -> typing.Any:
         stores = self.context.members_of("store")
         found = {update.identity.name: update for update in stores if not update.state}
-        names = rendezvous.order(key, [(name, 1.0) for name in found])
+        names = rendezvous.ranked(key, [(name, 1.0) for name in found])
         return found[names[0]] if names else None
 
     async def look(
         self, store: typing.Any, key: str, path: str, floor: versions.Version
-    ) -> objects.Object | None:
+    ) -> objects.CachedObject | None:
         asked_at = self.context.clock.now()
         try:
             parts = await self.context.transport.call(
@@ -129,7 +129,7 @@
                 STORE_PATIENCE,
             )
             if parts:
-                thing = objects.decode(parts, asked_at)
+                thing = objects.from_wire(parts, asked_at)
                 if forwarding_policies.is_usable(thing, path, self.view, floor, self.context.clock.now()):
                     return thing
         except errors.IrisError:
@@ -137,14 +137,16 @@
             self.context.counters.add("store_failed")
         return None
 
-    async def keep(self, store: typing.Any, key: str, thing: objects.Object) -> None:
-        body = (key, objects.encode(thing, self.context.clock.now()))
+    async def keep(self, store: typing.Any, key: str, thing: objects.CachedObject) -> None:
+        body = (key, objects.to_wire(thing, self.context.clock.now()))
         try:
             await self.context.transport.call(store.node_info.address, store.identity.name, "keep", body, 1.0)
         except errors.IrisError:
             self.context.counters.add("store_failed")
 
-    async def fetch(self, granted: snapshot.Granted, work: tuple, remaining: float) -> objects.Object:
+    async def fetch(
+        self, granted: snapshot.AllowedRequest, work: tuple, remaining: float
+    ) -> objects.CachedObject:
         request_id, path, query, headers, floor = work
         decision = forwarding_policies.ShieldRead(self.context.clock, granted, remaining, self.budget)
         happened: tuple = ("started",)
@@ -161,7 +163,7 @@
             outcome = await self.try_origin(granted, request, decision, action[1])
             if outcome[0] == "answer":
                 _, (status, kept, body), origin = outcome
-                thing = objects.from_origin(status, kept, body, applied, asked_at, granted.life)
+                thing = objects.from_origin(status, kept, body, applied, asked_at, granted.ttl)
                 happened = ("object", thing, origin)
             else:
                 happened = outcome
@@ -170,15 +172,17 @@
     async def on_write(self, _: str, body: list) -> tuple:
         request_id, method, path, query, headers, content, remaining, applied = body
         remaining = await self.check_open(versions.Version.from_wire(applied), float(remaining))
-        granted = self.view.grant(method, path, query)
+        granted = self.view.authorize(method, path, query)
         with self.context.count_in_flight():
             decision = forwarding_policies.ShieldWrite(self.context.clock, granted, remaining)
             request = (method, f"{path}?{query}" if query else path, dict(headers), content, request_id)
-            return await self.claims.once(granted, request, lambda: self.write(granted, decision, request))
+            return await self.idempotency_keys.run_once(
+                granted, request, lambda: self.write(granted, decision, request)
+            )
 
     async def write(
         self,
-        granted: snapshot.Granted,
+        granted: snapshot.AllowedRequest,
         decision: forwarding_policies.ShieldWrite,
         request: tuple,
     ) -> tuple:
@@ -196,7 +200,7 @@
     # -- towards origins -----------------------------------------------------------------------------
     async def try_origin(
         self,
-        granted: snapshot.Granted,
+        granted: snapshot.AllowedRequest,
         request: tuple,
         decision: forwarding_policies.ShieldWork,
         tried: set[str],
@@ -230,7 +234,9 @@
         except (TimeoutError, asyncio.CancelledError) as error:
             # Nobody waits any more, but the origin may work on: its place is kept for as long as it could.
             touched = line is not None and line.touched
-            works_until = entered_at + service_limits.works_for(granted.deadline) if touched else 0.0
+            works_until = (
+                entered_at + service_limits.origin_work_seconds(granted.deadline) if touched else 0.0
+            )
             if isinstance(error, asyncio.CancelledError):
                 raise
             self.context.counters.add("origin_failures", service=granted.service, touched=str(touched))
@@ -250,18 +256,20 @@
             if line is not None:
                 await pool.give_back(line)
 
-    def recheck(self, granted: snapshot.Granted, method: str, target: str) -> None:
+    def recheck(self, granted: snapshot.AllowedRequest, method: str, target: str) -> None:
         path, _, query = target.partition("?")
-        if self.view.grant(method, path, query).service != granted.service:
+        if self.view.authorize(method, path, query).service != granted.service:
             raise errors.StaleConfigurationError("the blueprint changed while the request waited")
 
     async def enter(
-        self, granted: snapshot.Granted, decision: forwarding_policies.ShieldWork
-    ) -> tuple[service_limits.Share, float]:
+        self, granted: snapshot.AllowedRequest, decision: forwarding_policies.ShieldWork
+    ) -> tuple[service_limits.QuotaShareLimiter, float]:
         """A place under this shield's part of the ceiling, waited for briefly, then said no to at once."""
-        rate, inflight = self.view.share(granted.service, granted.ceiling)
+        rate, inflight = self.view.quota_share(granted.service, granted.limit)
         if granted.service not in self.shares:
-            self.shares[granted.service] = service_limits.Share(self.context.clock, self.opened_at)
+            self.shares[granted.service] = service_limits.QuotaShareLimiter(
+                self.context.clock, self.opened_at
+            )
         share = self.shares[granted.service]
         wait_until = self.context.clock.now() + min(QUEUE_LIMIT, decision.remaining() / 3)
         if not rate or not inflight or share.is_opening(granted.deadline):
@@ -273,5 +281,7 @@
         return share, self.context.clock.now()
 
 
-def part(context: node_context.NodeContext, view: snapshot.Views, connect: typing.Any) -> Shield:
+def create(
+    context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot, connect: typing.Any
+) -> Shield:
     return Shield(context, view, connect or connections.open_http)
--- a/src/irisstand/dataplane/nodes/store.py
+++ b/src/irisstand/dataplane/nodes/store.py
@@ -9,10 +9,10 @@
 from irisstand.state import versions
 
 
-class Store:
-    def __init__(self, context: node_context.NodeContext, view: snapshot.Views) -> None:
+class StoreNode:
+    def __init__(self, context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot) -> None:
         self.context, self.view = context, view
-        self.cache = object_cache.Cache(context.settings.cache_bytes)
+        self.cache = object_cache.ObjectCache(context.settings.cache_bytes)
         context.transport.handlers["look"] = self.on_look
         context.transport.handlers["keep"] = self.on_keep
 
@@ -29,11 +29,11 @@
             self.context.counters.add("cache", at="store", result="outlived")
             return ()
         self.context.counters.add("cache", at="store", result="hit")
-        return objects.encode(found, now)
+        return objects.to_wire(found, now)
 
     async def on_keep(self, _: str, body: list) -> tuple:
         key, parts = body
-        thing = objects.decode(parts, self.context.clock.now())
+        thing = objects.from_wire(parts, self.context.clock.now())
         known = self.cache.get(str(key))
         # Two shields may have fetched it: what was fetched under the newer applied version stays.
         if known is None or known.applied <= thing.applied:
@@ -41,5 +41,7 @@
         return ()
 
 
-def part(context: node_context.NodeContext, view: snapshot.Views, connect: typing.Any) -> Store:
-    return Store(context, view)
+def create(
+    context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot, connect: typing.Any
+) -> StoreNode:
+    return StoreNode(context, view)
--- a/src/irisstand/dataplane/retry/attempt_policy.py
+++ b/src/irisstand/dataplane/retry/attempt_policy.py
@@ -21,7 +21,7 @@
     """What all requests have in common: one deadline, and a number of origins that one try may go to."""
 
     def __init__(
-        self, clock: clocks.Clock, route: routes.Route, remaining: float, budget: budgets.Budget
+        self, clock: clocks.Clock, route: routes.Route, remaining: float, budget: budgets.RetryBudget
     ) -> None:
         self.clock, self.route, self.budget = clock, route, budget
         self.deadline = clock.now() + min(remaining, route.timeout) - WAY_BACK
@@ -36,7 +36,7 @@
         return getattr(self, "on_" + happened[0])(*happened[1:])
 
     def on_started(self) -> Action:
-        self.budget.note_first()
+        self.budget.record_first_attempt()
         if self.remaining() <= 0.005:
             return (
                 "reject",
@@ -53,7 +53,7 @@
     """A request that may run more than once: asked again elsewhere when it fails, or is slow in coming."""
 
     def __init__(
-        self, clock: clocks.Clock, route: routes.Route, remaining: float, budget: budgets.Budget
+        self, clock: clocks.Clock, route: routes.Route, remaining: float, budget: budgets.RetryBudget
     ) -> None:
         super().__init__(clock, route, remaining, budget)
         self.hedge_at: float | None = None
@@ -156,7 +156,7 @@
 
 
 def for_route(
-    clock: clocks.Clock, route: routes.Route, remaining: float, budget: budgets.Budget
+    clock: clocks.Clock, route: routes.Route, remaining: float, budget: budgets.RetryBudget
 ) -> IdempotentAttemptPolicy | SingleAttemptPolicy:
     return (IdempotentAttemptPolicy if route.is_repeatable else SingleAttemptPolicy)(
         clock, route, remaining, budget
--- a/src/irisstand/dataplane/retry/forwarding_policies.py
+++ b/src/irisstand/dataplane/retry/forwarding_policies.py
@@ -38,20 +38,24 @@
 
 
 def is_usable(
-    thing: objects.Object, path: str, view: snapshot.Views, floor: versions.Version, now: float
+    thing: objects.CachedObject,
+    path: str,
+    view: snapshot.ConfigurationSnapshot,
+    floor: versions.Version,
+    now: float,
 ) -> bool:
     """Not outlived, and fetched after the newest purge that anybody on the way knows of."""
     purged = max(floor, view.purged_at(path, thing.tags))
-    return thing.age_now(now) < thing.life and thing.applied >= purged
+    return thing.age_now(now) < thing.ttl and thing.applied >= purged
 
 
 # How far past its life an answer may be that was fetched for this very request; the bound is about 2 s.
 OUTLIVED = 1.0
 
 
-def is_fit(thing: objects.Object, path: str, view: snapshot.Views, now: float) -> bool:
+def is_fit(thing: objects.CachedObject, path: str, view: snapshot.ConfigurationSnapshot, now: float) -> bool:
     """Whether a fetched answer may be given out now: purges and life go on while it is under way."""
-    outlived = thing.life > 0 and thing.age_now(now) > thing.life + OUTLIVED
+    outlived = thing.ttl > 0 and thing.age_now(now) > thing.ttl + OUTLIVED
     return thing.applied >= view.purged_at(path, thing.tags) and not outlived
 
 
@@ -61,8 +65,8 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        view: snapshot.Views,
-        granted: snapshot.Granted,
+        view: snapshot.ConfigurationSnapshot,
+        granted: snapshot.AllowedRequest,
         path: str,
     ) -> None:
         self.clock, self.view, self.path = clock, view, path
@@ -97,7 +101,7 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        granted: snapshot.Granted,
+        granted: snapshot.AllowedRequest,
         shields: list,
         deadline: float | None = None,
     ) -> None:
@@ -132,9 +136,9 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        granted: snapshot.Granted,
+        granted: snapshot.AllowedRequest,
         shields: list,
-        budget: budgets.Budget,
+        budget: budgets.RetryBudget,
         deadline: float,
     ) -> None:
         super().__init__(clock, granted, shields, deadline)
@@ -178,7 +182,7 @@
 class ShieldWork:
     """What reads and writes at a shield have in common: origins tried, and a deadline."""
 
-    def __init__(self, clock: clocks.Clock, granted: snapshot.Granted, remaining: float) -> None:
+    def __init__(self, clock: clocks.Clock, granted: snapshot.AllowedRequest, remaining: float) -> None:
         self.clock, self.granted = clock, granted
         self.deadline = clock.now() + min(remaining, granted.deadline)
         self.tried: set[str] = set()
@@ -199,14 +203,14 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        granted: snapshot.Granted,
+        granted: snapshot.AllowedRequest,
         remaining: float,
-        budget: budgets.Budget,
+        budget: budgets.RetryBudget,
     ) -> None:
         super().__init__(clock, granted, remaining)
         self.budget = budget
         self.last: errors.IrisError | None = None
-        self.fault: objects.Object | None = None
+        self.fault: objects.CachedObject | None = None
         self.counted = False
 
     def ask(self, happened: tuple) -> Action:
@@ -217,9 +221,9 @@
         # shield to shield for want of an origin would each earn second tries.
         if not self.counted and (happened[0] == "object" or happened[3]):
             self.counted = True
-            self.budget.note_first()
+            self.budget.record_first_attempt()
         if happened[0] == "object":
-            thing: objects.Object = happened[1]
+            thing: objects.CachedObject = happened[1]
             # An origin's own fault is worth a second try, but it is still its answer if there is no other.
             if thing.status >= 500 and self.may_try_again(happened[2]):
                 self.fault = thing
--- a/src/irisstand/dataplane/routing/prefix_map.py
+++ b/src/irisstand/dataplane/routing/prefix_map.py
@@ -3,10 +3,10 @@
 import collections
 import typing
 
-Thing = typing.TypeVar("Thing")
+Value = typing.TypeVar("Value")
 
 
-class Prefixes(typing.Generic[Thing]):
+class PrefixMap(typing.Generic[Value]):
     """A lookup costs one step for each length that prefixes have, however many there are.
 
     >>> found = Prefixes()
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         # Things of one prefix by their names: two spellings of a host may each have one.
-        self.by_prefix: dict[str, dict[str, Thing]] = {}
+        self.by_prefix: dict[str, dict[str, Value]] = {}
         self.counts: collections.Counter[int] = collections.Counter()
         # The longest first.
         self.lengths: list[int] = []
@@ -26,7 +26,7 @@
     def is_empty(self) -> bool:
         return not self.by_prefix
 
-    def add(self, prefix: str, name: str, thing: Thing) -> None:
+    def add(self, prefix: str, name: str, thing: Value) -> None:
         named = self.by_prefix.get(prefix)
         if named is None:
             named = self.by_prefix[prefix] = {}
@@ -49,7 +49,7 @@
         if 0 in (before, before + change):
             self.lengths = sorted(self.counts, reverse=True)
 
-    def longest(self, path: str) -> Thing | None:
+    def longest_match(self, path: str) -> Value | None:
         """What has the longest prefix that the path begins with; of several, the first by name."""
         for length in self.lengths:
             named = self.by_prefix.get(path[:length])
--- a/src/irisstand/dataplane/routing/routes.py
+++ b/src/irisstand/dataplane/routing/routes.py
@@ -7,8 +7,8 @@
 from irisstand.dataplane.routing import prefix_map
 from irisstand.state import items, replica, versioned_items, versions
 
-ATTEMPTS = 2
-ROUTE, UPSTREAM = "route/", "upstream/"
+DEFAULT_ATTEMPT_LIMIT = 2
+ROUTE_PREFIX, UPSTREAM_PREFIX = "route/", "upstream/"
 
 
 class Route(typing.NamedTuple):
@@ -45,7 +45,7 @@
     rate: float | None
 
 
-class Limits(typing.NamedTuple):
+class ClientLimits(typing.NamedTuple):
     """What a client may send, in bytes, and how long it may take, in seconds."""
 
     header_bytes: int = 16384
@@ -54,7 +54,7 @@
     idle: float = 30.0
 
 
-class Compiled(typing.NamedTuple):
+class CompiledItem(typing.NamedTuple):
     """A row as it was last read; `route` is None for a service, and where the row says it is dropped."""
 
     item: items.Item
@@ -62,21 +62,21 @@
     route: Route | None
 
 
-class Routes:
+class RouteTable:
     """Compiled from the configuration row by row: a change costs what it changed and no more."""
 
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
         self.applied = versions.NONE
-        self.hosts: dict[str, prefix_map.Prefixes[Route]] = {}
+        self.hosts: dict[str, prefix_map.PrefixMap[Route]] = {}
         self.upstreams: dict[str, Upstream] = {}
-        self.limits = Limits()
+        self.limits = ClientLimits()
         self.by_name: dict[str, Route] = {}
         # Services of which holders fetch objects, with one route for each set of regions that these have.
-        self.held: dict[str, list[Route]] = {}
+        self.services_at_holders: dict[str, list[Route]] = {}
         self.held_names: dict[str, dict[tuple[str, ...], dict[str, Route]]] = {}
         # All rows of routes and services by key, the dropped ones too, and the container they were read from.
-        self.compiled: dict[str, Compiled] = {}
+        self.compiled: dict[str, CompiledItem] = {}
         self.read_from: object = None
 
     # -- following the configuration -----------------------------------------------------------------
@@ -107,7 +107,7 @@
         """Look at every row, and compile those that are others than before."""
         for key in [key for key in self.compiled if key not in copy.items]:
             self.take(key, None)
-        for prefix in (ROUTE, UPSTREAM):
+        for prefix in (ROUTE_PREFIX, UPSTREAM_PREFIX):
             for key in copy.items.irange(prefix, prefix + replica.KEY_UPPER_BOUND):
                 item, known = copy.items[key], self.compiled.get(key)
                 if known is None or known.item != item:
@@ -115,9 +115,9 @@
 
     def take(self, key: str, item: items.Item | None) -> None:
         """Take in one row as it stands now; None is a row that is gone."""
-        if key.startswith(ROUTE):
+        if key.startswith(ROUTE_PREFIX):
             self.take_route(key, item)
-        elif key.startswith(UPSTREAM):
+        elif key.startswith(UPSTREAM_PREFIX):
             self.take_upstream(key, item)
 
     def take_route(self, key: str, item: items.Item | None) -> None:
@@ -129,23 +129,23 @@
         if route is not None:
             self.add(host, route)
         if item is not None:
-            self.compiled[key] = Compiled(item, host, route)
+            self.compiled[key] = CompiledItem(item, host, route)
 
     def take_upstream(self, key: str, item: items.Item | None) -> None:
         self.compiled.pop(key, None)
-        self.upstreams.pop(key.removeprefix(UPSTREAM), None)
+        self.upstreams.pop(key.removeprefix(UPSTREAM_PREFIX), None)
         content = content_of(item)
         if content is not None:
-            self.upstreams[key.removeprefix(UPSTREAM)] = as_upstream(content)
+            self.upstreams[key.removeprefix(UPSTREAM_PREFIX)] = as_upstream(content)
         if item is not None:
-            self.compiled[key] = Compiled(item, "", None)
+            self.compiled[key] = CompiledItem(item, "", None)
 
     def add(self, host: str, route: Route) -> None:
         if host not in self.hosts:
-            self.hosts[host] = prefix_map.Prefixes()
+            self.hosts[host] = prefix_map.PrefixMap()
         self.hosts[host].add(route.prefix, route.name, route)
         self.by_name[route.name] = route
-        for service in services_held(route):
+        for service in services_at_holders(route):
             named = self.held_names.setdefault(service, {}).setdefault(route.regions, {})
             named[route.name] = route
             if len(named) == 1:
@@ -156,7 +156,7 @@
         if self.hosts[host].is_empty():
             del self.hosts[host]
         del self.by_name[route.name]
-        for service in services_held(route):
+        for service in services_at_holders(route):
             named = self.held_names[service][route.regions]
             del named[route.name]
             if not named:
@@ -167,9 +167,9 @@
         """One route for each set of regions: whether holders may have its objects hangs on these alone."""
         by_regions = self.held_names[service]
         if by_regions:
-            self.held[service] = [next(iter(named.values())) for named in by_regions.values()]
+            self.services_at_holders[service] = [next(iter(named.values())) for named in by_regions.values()]
         else:
-            del self.held[service], self.held_names[service]
+            del self.services_at_holders[service], self.held_names[service]
 
     # -- asking --------------------------------------------------------------------------------------
     def match(self, host: str, path: str) -> Route:
@@ -179,7 +179,7 @@
         name = host.lower()
         for candidate in (name, name.rpartition(":")[0]):
             routes = self.hosts.get(candidate)
-            route = None if routes is None else routes.longest(path)
+            route = None if routes is None else routes.longest_match(path)
             if route is not None:
                 return route
         raise errors.UnknownPathError(
@@ -198,13 +198,13 @@
     return None if item is None or item.value is None else item.value["item"]
 
 
-def services_held(route: Route) -> set[str]:
+def services_at_holders(route: Route) -> set[str]:
     return {name for name, _ in route.splits} if route.is_cacheable else set()
 
 
-def as_limits(stored: dict[str, typing.Any] | None) -> Limits:
+def as_limits(stored: dict[str, typing.Any] | None) -> ClientLimits:
     fields = (stored or {}).get("item") or {}
-    return Limits(**{name: fields[name] for name in Limits._fields if name in fields})
+    return ClientLimits(**{name: fields[name] for name in ClientLimits._fields if name in fields})
 
 
 def as_route(item: dict[str, typing.Any]) -> Route:
@@ -220,7 +220,7 @@
         float(item["timeout"]),
         float(target),
         item.get("priority") or 0,
-        item.get("attempts") or ATTEMPTS,
+        item.get("attempts") or DEFAULT_ATTEMPT_LIMIT,
         float(item.get("cache_life") or 0),
         tuple(item.get("regions") or ()),
         tuple(versioned_items.splits(item)),
--- a/src/irisstand/dataplane/routing/snapshot.py
+++ b/src/irisstand/dataplane/routing/snapshot.py
@@ -8,15 +8,15 @@
 from irisstand.state import items, versions
 
 
-class Granted(typing.NamedTuple):
+class AllowedRequest(typing.NamedTuple):
     """A request that the configuration allows, and on what conditions."""
 
     path: str
     service: str
     deadline: float
-    life: float
+    ttl: float
     vary: tuple[str, ...]
-    ceiling: tuple[int, int]
+    limit: tuple[int, int]
     probe: str
 
 
@@ -31,7 +31,7 @@
     slots: int = 0
 
 
-class Views:
+class ConfigurationSnapshot:
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
         self.lengths: list[int] = []
@@ -42,7 +42,7 @@
             if not self.context.is_current(copy):
                 raise errors.StaleConfigurationError(f"the {copy.name} table is not known to be current here")
 
-    def path_row(self, path: str) -> tuple[str, dict] | None:
+    def path_item(self, path: str) -> tuple[str, dict] | None:
         """The row with the longest name that the path begins with."""
         copy = self.context.configuration
         if self.lengths_applied != copy.applied:
@@ -54,9 +54,9 @@
                 return whole[len("path/") : length], value
         return None
 
-    def grant(self, method: str, path: str, query: str) -> Granted:
+    def authorize(self, method: str, path: str, query: str) -> AllowedRequest:
         """Which service answers, by the grant entries in force; whatever they do not name goes nowhere."""
-        found = self.path_row(path)
+        found = self.path_item(path)
         if found is None:
             raise errors.UnknownPathError(f"no path of the blueprint covers {path}")
         name, row = found
@@ -74,7 +74,7 @@
         if value is None:
             raise errors.UnknownPathError(f"service {service} has no row")
         ceiling = (value["ceiling"]["rate"], value["ceiling"]["inflight"])
-        return Granted(
+        return AllowedRequest(
             name,
             service,
             value["deadline"],
@@ -114,16 +114,16 @@
     def is_resting(self, machine: str) -> bool:
         return self.context.is_standby(machine)
 
-    def share(self, service: str, ceiling: tuple[int, int]) -> tuple[int, int]:
+    def quota_share(self, service: str, ceiling: tuple[int, int]) -> tuple[int, int]:
         """This machine's recorded part of a service's ceiling; nothing recorded is nothing."""
         row = self.context.ledger.value(f"share/{self.context.settings.machine}") or {}
-        return quota_shares.effective(row.get(service), ceiling)
+        return quota_shares.effective_limit(row.get(service), ceiling)
 
     def slot_owner(self, slot: int) -> str:
-        row = self.context.ledger.value(slot_assignment.row_key(slot))
-        return row["owners"][slot % slot_assignment.PER_ROW] if row else ""
+        row = self.context.ledger.value(slot_assignment.item_key(slot))
+        return row["owners"][slot % slot_assignment.SLOTS_PER_ITEM] if row else ""
 
-    def has_share(self, machine: str, service: str) -> bool:
+    def has_quota_share(self, machine: str, service: str) -> bool:
         return service in (self.context.ledger.value(f"share/{machine}") or {})
 
     def shields(self, service: str, key: str) -> list:
@@ -138,12 +138,12 @@
                 candidates.append((name, weight))
         slot = rendezvous.slot_of(key)
         owner = self.slot_owner(slot)
-        ordered = [found[name] for name in rendezvous.order(str(slot), candidates)]
+        ordered = [found[name] for name in rendezvous.ranked(str(slot), candidates)]
 
         # The recorded owner first, but after it whoever may talk to the service's origins at all. A suspected
         # shield last: its reads move at once, before it is declared failed.
         def rank(update: updates.Update) -> tuple:
             machine = update.node_info.machine
-            return (update.state, not self.has_share(machine, service), machine != owner)
+            return (update.state, not self.has_quota_share(machine, service), machine != owner)
 
         return sorted(ordered, key=rank)
--- a/src/irisstand/dataplane/upstream/client.py
+++ b/src/irisstand/dataplane/upstream/client.py
@@ -55,20 +55,20 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: snapshot.Views,
-        table: routes.Routes,
+        view: snapshot.ConfigurationSnapshot,
+        table: routes.RouteTable,
         origins: endpoint_pool.EndpointPool,
     ) -> None:
         self.context, self.view, self.table, self.endpoints = context, view, table, origins
-        self.words = origins.words
-        self.budgets: dict[str, budgets.Budget] = {}
+        self.header_names = origins.header_names
+        self.budgets: dict[str, budgets.RetryBudget] = {}
         self.attempts: set[asyncio.Task] = set()
 
-    def budget(self, service: str) -> budgets.Budget:
+    def budget(self, service: str) -> budgets.RetryBudget:
         """This edge's part of the second tries that the service may get from all."""
         settings = self.context.settings
         if service not in self.budgets:
-            self.budgets[service] = budgets.Budget(self.context.clock, USED * settings.second_share, 0)
+            self.budgets[service] = budgets.RetryBudget(self.context.clock, USED * settings.second_share, 0)
         found = self.budgets[service]
         found.allowance = USED * settings.second_allowance / len(self.endpoints.edges())
         return found
@@ -163,13 +163,13 @@
         try:
             if wait:
                 await asyncio.sleep(wait)
-            request_id = "" if anonymous else request.headers.get(self.words.request_id, "")
+            request_id = "" if anonymous else request.headers.get(self.header_names.request_id, "")
             # Without an id nothing would tell a surplus answer to an earlier request from this one's.
             line = await target.take(max(0.01, decision.remaining()), is_fresh=not request_id)
             left = max(1, int(decision.remaining() * 1000))
-            left_out = (self.words.remaining, self.words.request_id if anonymous else "")
+            left_out = (self.header_names.remaining, self.header_names.request_id if anonymous else "")
             sent = [("host", request.host), *((n, v) for n, v in headers if n not in left_out)]
-            sent += [(self.words.remaining, str(left)), (self.words.expected, target.instance)]
+            sent += [(self.header_names.remaining, str(left)), (self.header_names.expected, target.instance)]
             # The decision has its own deadline; this one is for what goes on after it.
             async with asyncio.timeout(decision.remaining() + 1.0):
                 answer = await line.send(request.method, request.target, sent, request.body, request_id)
@@ -187,7 +187,7 @@
 
     def judge(self, target: targeting.Endpoint, answer: exchange.Answer, request_id: str) -> tuple:
         """What an origin's whole answer means for the request."""
-        words, instance = self.words, target.instance
+        words, instance = self.header_names, target.instance
         if answer.status == 421:
             # Another instance has the address: nothing more goes there until the list says so.
             target.fail("another instance answers")
--- a/src/irisstand/dataplane/upstream/endpoint_pool.py
+++ b/src/irisstand/dataplane/upstream/endpoint_pool.py
@@ -19,13 +19,13 @@
 # What a request waits for at an origin that far from here, in seconds a request at rest.
 OTHER_SITE, OTHER_REGION = 0.010, 0.060
 # Seconds for which origins of a site just taken back count as cold, beside the platform's lag.
-SETTLING = quota_share.SETTLING
+SETTLING = quota_share.SETTLING_SECONDS
 FAILURES = (OSError, TimeoutError, ValueError, errors.IrisError)
 
 
 def cold_name(target: targeting.Endpoint) -> str:
     """The name of the bound on what a cold origin may get."""
-    return quota_share.COLD + target.instance
+    return quota_share.COLD_PREFIX + target.instance
 
 
 class EndpointPool:
@@ -34,12 +34,18 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: snapshot.Views,
-        table: routes.Routes,
-        words: header_names.Vocabulary,
+        view: snapshot.ConfigurationSnapshot,
+        table: routes.RouteTable,
+        words: header_names.HeaderNames,
         connect: exchange.Connect,
     ) -> None:
-        self.context, self.view, self.table, self.words, self.connect = context, view, table, words, connect
+        self.context, self.view, self.table, self.header_names, self.connect = (
+            context,
+            view,
+            table,
+            words,
+            connect,
+        )
         self.all: dict[str, targeting.Endpoint] = {}
         self.evacuated: set[str] = set()
         self.opened_at = context.clock.now()
@@ -49,7 +55,7 @@
         # Connections by origin, worked out anew when the members change.
         self.most_members: list[fleet_limits.Member] = []
         self.most_known: dict[tuple, int] = {}
-        self.grants = token_leases.RateGrants(context, self.whole)
+        self.token_leases = token_leases.TokenLeases(context, self.limit_of)
         self.site_regions: dict[str, str] = {}
         context.ledger.watchers.append(self.follow)
 
@@ -142,7 +148,9 @@
         # Cold ones only while no other is left, and no more than their part.
         warm = [target for target in free if not target.is_cold()]
         sure = [target for target in warm if not target.is_doubtful()]
-        found = sure or warm or [target for target in free if self.grants.has_place(cold_name(target), 0.0)]
+        found = (
+            sure or warm or [target for target in free if self.token_leases.has_token(cold_name(target), 0.0)]
+        )
         if not found:
             raise errors.SlowStartError(f"the origins of {upstream.name} are warming up", retry_after=0.4)
         return min(found, key=self.cost)
@@ -150,13 +158,15 @@
     def most(self, target: targeting.Endpoint, upstream: routes.Upstream) -> int:
         """How many connections this node may have to the origin."""
         members = self.members()
-        is_held = upstream.name in self.table.held and self.uses_holders()
+        is_held = upstream.name in self.table.services_at_holders and self.uses_holders()
         key = (target.instance, upstream.connections, is_held)
         if self.most_members is not members:
             self.most_members, self.most_known = members, {}
         if key not in self.most_known:
             own = self.context.settings.name
-            self.most_known[key] = fleet_limits.connections(own, members, target.instance, key[1], is_held)
+            self.most_known[key] = fleet_limits.connection_limit(
+                own, members, target.instance, key[1], is_held
+            )
         return self.most_known[key]
 
     def uses_holders(self) -> bool:
@@ -185,13 +195,13 @@
         # A little luck, so that edges that know the same do not all choose the same.
         return target.expected() * (1 + queued + busy) * self.context.randomness.uniform(0.8, 1.25) + way
 
-    def whole(self, name: str) -> float | None:
+    def limit_of(self, name: str) -> float | None:
         """The bound over all nodes by its name: of a service's rate, or of what a cold origin gets."""
         self.table.refresh()
-        if not name.startswith(quota_share.COLD):
+        if not name.startswith(quota_share.COLD_PREFIX):
             upstream = self.table.upstreams.get(name)
             return None if upstream is None else upstream.rate
-        target = self.all.get(f"origin/{name.removeprefix(quota_share.COLD)}")
+        target = self.all.get(f"origin/{name.removeprefix(quota_share.COLD_PREFIX)}")
         upstream = None if target is None else self.table.upstreams.get(target.origin.service)
         settings = self.context.settings
         return None if upstream is None else upstream.cold_rate * settings.cold_factor + settings.cold_burst
@@ -200,7 +210,7 @@
         """Before `draw`: places under a rate that this node lacks are borrowed from nodes that own some."""
         upstream = self.table.upstreams.get(service)
         if upstream is not None and upstream.rate is not None:
-            await self.grants.ready(service, patience)
+            await self.token_leases.wait_for_token(service, patience)
 
     async def ready_cold(self, route: routes.Route, service: str, tried: typing.Container[str]) -> None:
         """After a draw that found only cold origins: a place for one of them is borrowed."""
@@ -209,19 +219,19 @@
         except (errors.IrisError, KeyError):
             # The next draw will say so.
             return
-        await self.grants.ready(cold_name(self.context.randomness.choice(found)), 0.0)
+        await self.token_leases.wait_for_token(cold_name(self.context.randomness.choice(found)), 0.0)
 
     def enter(self, upstream: routes.Upstream, patience: float) -> float:
         """A place under the service's rate: seconds until it may be used, or OverCeiling."""
-        return 0.0 if upstream.rate is None else self.grants.enter(upstream.name, patience)
+        return 0.0 if upstream.rate is None else self.token_leases.acquire(upstream.name, patience)
 
     def enter_cold(self, target: targeting.Endpoint) -> None:
         """Take up the place that the draw has seen, if it chose the origin as a cold one."""
-        self.grants.enter(cold_name(target), 0.0)
+        self.token_leases.acquire(cold_name(target), 0.0)
 
     def is_scarce(self, service: str) -> bool:
         """Whether this node's part of the service's rate was all but used up in the last seconds."""
-        return self.grants.own.ceiling(service).is_scarce()
+        return self.token_leases.own_quota.rate_limiter(service).is_scarce()
 
     # -- probes --------------------------------------------------------------------------------------
     async def run(self) -> None:
@@ -241,11 +251,11 @@
             async with asyncio.timeout(PROBE_PATIENCE):
                 line = await target.take(PROBE_PATIENCE)
                 host = f"{target.origin.host}:{target.origin.port}"
-                headers = [("host", host), (self.words.expected, target.instance)]
+                headers = [("host", host), (self.header_names.expected, target.instance)]
                 path = upstream.probe if upstream else "/health"
                 answer = await line.send("GET", path.encode(), headers, b"", "")
             target.give_back(line)
-            named = answer.headers.get(self.words.instance)
+            named = answer.headers.get(self.header_names.instance)
             if answer.status != 200 or (named and named != target.instance):
                 raise errors.NoOriginError(f"the probe was answered {answer.status} by {named}")
         except FAILURES as error:
--- a/src/irisstand/dataplane/upstream/origin_pool.py
+++ b/src/irisstand/dataplane/upstream/origin_pool.py
@@ -37,7 +37,7 @@
         # Since when it warms up: from the first sight of a cold one, and from every return.
         self.first_seen = context.clock.now()
         self.has_returned, self.was_seen = False, False
-        self.bucket = slow_start.Bucket(context.clock)
+        self.bucket = slow_start.PacingBucket(context.clock)
         self.probe = "/health"
         self.closing = False
         self.evacuated = False
@@ -50,10 +50,10 @@
     def warmth(self) -> float:
         """From a twentieth to one: over the warm-up of a cold origin, and after its site's evacuation."""
         now = self.context.clock.now()
-        found = slow_start.warmth(now - self.returned_at, RETURN_RAMP)
+        found = slow_start.warm_fraction(now - self.returned_at, RETURN_RAMP)
         # The platform lags: an origin that went away and came back is cold whatever it still says.
         if self.origin.state == "cold" or self.has_returned:
-            found = min(found, slow_start.warmth(now - self.first_seen, self.origin.warmup))
+            found = min(found, slow_start.warm_fraction(now - self.first_seen, self.origin.warmup))
         return found
 
     def note_evacuation(self, evacuated: bool) -> None:
@@ -139,7 +139,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: snapshot.Views,
+        view: snapshot.ConfigurationSnapshot,
         open_line: connections.ConnectionOpener,
     ) -> None:
         self.context, self.view, self.open_line = context, view, open_line
@@ -165,7 +165,7 @@
     def place(self, origin: snapshot.Origin) -> snapshot.Origin:
         return origin._replace(state="", warmup=0, slots=0)
 
-    def draw(self, granted: snapshot.Granted, tried: typing.Container[str]) -> OriginConnections:
+    def draw(self, granted: snapshot.AllowedRequest, tried: typing.Container[str]) -> OriginConnections:
         """Of two drawn at random by warmth, the less busy: good spread without a view of the others."""
         listed = [
             pool
@@ -179,7 +179,7 @@
         ]
         if not usable:
             raise errors.NoOriginError(f"no origin of {granted.service} is usable just now")
-        even, part = granted.ceiling[0] / len(listed), self.part(granted)
+        even, part = granted.limit[0] / len(listed), self.part(granted)
         open_ones = [pool for pool in usable if pool.has_room(even, part)]
         # All that are left are warming up: more than they may get is refused, not poured over them.
         if not open_ones:
@@ -197,6 +197,6 @@
             drawn.bucket.take()
         return drawn
 
-    def part(self, granted: snapshot.Granted) -> float:
+    def part(self, granted: snapshot.AllowedRequest) -> float:
         """This shield's part of the service's ceiling, from 0 to 1."""
-        return self.view.share(granted.service, granted.ceiling)[0] / granted.ceiling[0]
+        return self.view.quota_share(granted.service, granted.limit)[0] / granted.limit[0]
--- a/src/irisstand/simulator/big_configurations.py
+++ b/src/irisstand/simulator/big_configurations.py
@@ -61,8 +61,8 @@
     return copy
 
 
-def compiled(copy: replica.Replica) -> routes.Routes:
-    table = routes.Routes(types.SimpleNamespace(configuration=copy))
+def compiled(copy: replica.Replica) -> routes.RouteTable:
+    table = routes.RouteTable(types.SimpleNamespace(configuration=copy))
     table.refresh()
     return table
 
--- a/src/irisstand/simulator/hostile_scripts.py
+++ b/src/irisstand/simulator/hostile_scripts.py
@@ -39,7 +39,9 @@
         clock = clocks.LoopClock()
         self.context = node_context.NodeContext(SETTINGS, "direct", clock, self.randomness, None)
         self.context.drain_ending = asyncio.get_running_loop().create_future()
-        self.part = direct.Direct(self.context, snapshot.Views(self.context), self.connect)
+        self.part = direct.DirectNode(
+            self.context, snapshot.ConfigurationSnapshot(self.context), self.connect
+        )
         self.counter = 0
         for name, kind in KINDS.items():
             route = {"name": name, "version": 1, "host": "h", "prefix": f"/{name}/", "kind": kind}
--- a/src/irisstand/simulator/invariants.py
+++ b/src/irisstand/simulator/invariants.py
@@ -160,7 +160,7 @@
         for item in node.body.context.configuration.items_with_prefix("service/"):
             ceiling = item.value["ceiling"]
             service = item.key.removeprefix("service/")
-            rate, _ = node.body.view.share(service, (ceiling["rate"], ceiling["inflight"]))
+            rate, _ = node.body.view.quota_share(service, (ceiling["rate"], ceiling["inflight"]))
             used[service].append((name, rate, ceiling["rate"]))
 
     # -- the end -------------------------------------------------------------------------------------
--- a/src/irisstand/simulator/origin_judge.py
+++ b/src/irisstand/simulator/origin_judge.py
@@ -53,7 +53,7 @@
             for place in range(first, bisect.bisect_left(moments, began + lasts)):
                 moment = moments[place]
                 count = place + 1 - bisect.bisect_right(moments, max(began, moment - 1.0))
-                limit = even * slow_start.warmth(moment - began, lasts) + self.world.shape.shields
+                limit = even * slow_start.warm_fraction(moment - began, lasts) + self.world.shape.shields
                 rule = "a cold origin gets no more than its warmth allows"
                 example = f"{origin.instance}: {count} over {limit:.1f} at {moment:.3f}"
                 self.judge.check(rule, count <= limit, f"{example}, cold since {began:.3f}")
--- a/src/irisstand/simulator/rest_judge.py
+++ b/src/irisstand/simulator/rest_judge.py
@@ -48,7 +48,7 @@
                 limit = row.get("limit", fleet_view.DEFAULT_CAPACITY_BY_ROLE[role])
                 awake.append(standby_planning.Machine(node.plan.machine, node.plan.site, limit, False))
         load = sum(node.body.context.load_gauge.per_second() for node in nodes)
-        short = standby_planning.carries(awake, load)
+        short = standby_planning.uncovered_loss(awake, load)
         # By the row itself: a machine that comes back may find an older rest of its own still recorded.
         recorded = {(name, ledger.version(f"rest/{name}")) for name in resting}
         fresh = recorded - self.recorded
@@ -90,5 +90,7 @@
         able = [voter for voter in up if not self.is_stuck(voter.name)]
         if not quorum.is_durable(voters, {voter.disk_id for voter in able}):
             return "majority"
-        carried = standby_planning.core_carries(quorum.placements(voters), {voter.name for voter in up})
+        carried = standby_planning.core_survives_any_loss(
+            quorum.placements(voters), {voter.name for voter in up}
+        )
         return "" if carried else "core"
--- a/src/irisstand/simulator/simulated_actors.py
+++ b/src/irisstand/simulator/simulated_actors.py
@@ -100,11 +100,11 @@
         actor = node.actor
         actor.asks += 1
         try:
-            result = await node.do(node.body.part.handle(request), 8.0)
+            result = await node.do(node.body.role_node.handle(request), 8.0)
             return result.status, "", result
         except errors.IrisError as error:
             if error.code == "over-ceiling":
-                granted = node.body.part.view.grant(method, path, "")
+                granted = node.body.role_node.view.authorize(method, path, "")
                 room = "had room" if self.has_room(granted) else "had none"
                 self.judge.results[f"over-ceiling while another shield {room}"] += 1
             return error.status, error.code, None
@@ -113,14 +113,14 @@
         finally:
             actor.asks -= 1
 
-    def has_room(self, granted: snapshot.Granted) -> bool:
+    def has_room(self, granted: snapshot.AllowedRequest) -> bool:
         """Whether some shield that is up could have sent one more request of the service just now."""
         now = asyncio.get_running_loop().time()
         for node in self.world.role("shield"):
-            share = node.body.part.shares.get(granted.service) if node.is_up else None
+            share = node.body.role_node.shares.get(granted.service) if node.is_up else None
             if share is not None:
-                rate, inflight = node.body.part.view.share(granted.service, granted.ceiling)
-                if sum(moment > now - 1 for moment in share.started) < rate and share.inflight() < inflight:
+                rate, inflight = node.body.role_node.view.quota_share(granted.service, granted.limit)
+                if sum(moment > now - 1 for moment in share.started) < rate and share.in_flight() < inflight:
                     return True
         return False
 
--- a/src/irisstand/simulator/sizes.py
+++ b/src/irisstand/simulator/sizes.py
@@ -44,12 +44,14 @@
 
 
 def object_bytes(body: int, count: int) -> float:
-    kept = object_cache.Cache(1 << 40)
+    kept = object_cache.ObjectCache(1 << 40)
     head = (("etag", '"v1"'), ("content-type", "text/html"))
 
     def put(number: int) -> None:
         applied = versions.Version(number, "n")
-        kept.put(f"s h/{number}", objects.Object(200, head, bytes(body), applied, 0.0, 0.0, 20.0, ("t",)))
+        kept.put(
+            f"s h/{number}", objects.CachedObject(200, head, bytes(body), applied, 0.0, 0.0, 20.0, ("t",))
+        )
 
     return grown(put, count) - body
 
@@ -83,6 +85,6 @@
     for members in (50, 200, 800, 2100):
         found.append((f"a member, of {members}", "bytes", member_bytes(members)))
         listed = [fleet_limits.Member(f"e{number}", "direct", f"z{number % 25}") for number in range(members)]
-        spent = seconds(lambda listed=listed: fleet_limits.connections("e1", listed, "o", 58, False))
+        spent = seconds(lambda listed=listed: fleet_limits.connection_limit("e1", listed, "o", 58, False))
         found.append((f"an origin's connections split over {members}", "ms", spent * 1000))
     return found
--- a/src/irisstand/standins/upstream.py
+++ b/src/irisstand/standins/upstream.py
@@ -23,8 +23,8 @@
 class Upstream:
     """One origin. `faults` by name: full, lost, slow (seconds), wrong (another instance has the address)."""
 
-    def __init__(self, service: str, instance: str, site: str, words: vocabularies.Vocabulary) -> None:
-        self.service, self.instance, self.site, self.words = service, instance, site, words
+    def __init__(self, service: str, instance: str, site: str, words: vocabularies.HeaderNames) -> None:
+        self.service, self.instance, self.site, self.header_names = service, instance, site, words
         self.state, self.cold = "ready", 0.0
         self.faults: dict[str, float] = {}
         self.versions: collections.Counter[str] = collections.Counter()
@@ -49,12 +49,15 @@
 
     async def health(self, request: aiohttp.web.Request) -> aiohttp.web.Response:
         self.probes += 1
-        headers = {self.words.instance: self.instance, self.words.cold: str(int(self.cold * 1000))}
+        headers = {
+            self.header_names.instance: self.instance,
+            self.header_names.cold: str(int(self.cold * 1000)),
+        }
         return aiohttp.web.Response(status=200, headers=headers)
 
     async def serve(self, request: aiohttp.web.Request) -> aiohttp.web.StreamResponse:
         self.arrivals += 1
-        words = self.words
+        words = self.header_names
         # Every answer names its request, those to what did not run among them.
         request_id = request.headers.get(words.request_id, "")
         expected = request.headers.get(words.expected, self.instance)
@@ -84,6 +87,6 @@
         return aiohttp.web.Response(body=content, headers=headers)
 
 
-def is_whole(words: vocabularies.Vocabulary, headers: typing.Mapping[str, str], body: bytes) -> bool:
+def is_whole(words: vocabularies.HeaderNames, headers: typing.Mapping[str, str], body: bytes) -> bool:
     """Whether an answer is what the origin sealed."""
     return headers.get(words.seal) == hashlib.sha256(body).hexdigest()[:16]
--- a/tests/controlplane/test_guard_scenarios.py
+++ b/tests/controlplane/test_guard_scenarios.py
@@ -141,7 +141,7 @@
 def test_a_claim_given_back_late_takes_nothing_from_the_shield_that_was_asked_next():
     async def scene(day):
         first, second, third = (day.world.nodes[f"shield-{n}"] for n in (1, 2, 3))
-        granted = first.body.view.grant("POST", "/applications", "")
+        granted = first.body.view.authorize("POST", "/applications", "")
         request = ("POST", "/applications", {"idempotency-key": "k"}, b"x", "request-1")
         runs = []
 
@@ -152,7 +152,7 @@
             runs.append(1)
             return (200, (), b"done")
 
-        claims = first.body.part.claims
+        claims = first.body.role_node.idempotency_keys
         settle = claims.settle
 
         async def late(*arguments, **keywords):
@@ -164,15 +164,15 @@
 
         claims.settle = late
         with pytest.raises(errors.NoOriginError):
-            await first.do(claims.once(granted, request, nothing), 3)
-        second.body.part.claims.settle = late
+            await first.do(claims.run_once(granted, request, nothing), 3)
+        second.body.role_node.idempotency_keys.settle = late
         for node in (second, third):
             with pytest.raises(errors.OutcomeUnknownError):
-                await node.do(node.body.part.claims.once(granted, request, run), 3)
+                await node.do(node.body.role_node.idempotency_keys.run_once(granted, request, run), 3)
         await asyncio.sleep(1.5)
         again = (*request[:4], "request-2")
         for node in (third, second):
-            await node.do(node.body.part.claims.once(granted, again, run), 3)
+            await node.do(node.body.role_node.idempotency_keys.run_once(granted, again, run), 3)
             await asyncio.sleep(1.5)
         assert len(runs) == 1
 
--- a/tests/controlplane/test_operations.py
+++ b/tests/controlplane/test_operations.py
@@ -216,11 +216,11 @@
         for number in range(300):
             await day.stage.ask(f"edge-{number % 2 + 1}", "GET", f"/shortlists/{number}")
         for name in ("shield-1", "shield-2", "shield-3", "shield-4", "shield-5"):
-            part = day.world.nodes[name].body.part
-            granted = part.view.grant("GET", "/shortlists/1", "")
+            part = day.world.nodes[name].body.role_node
+            granted = part.view.authorize("GET", "/shortlists/1", "")
             sites = {"north": "one", "south": "one", "east": "two", "west": "two"}
             for _ in range(200):
-                if part.view.share("application", granted.ceiling)[0]:
+                if part.view.quota_share("application", granted.limit)[0]:
                     pool = part.origins.draw(granted, ())
                     counts[sites[pool.origin.site] == part.context.settings.region] += 1
         # Two draws, each three to one for the near: rather more than three quarters where both exist.
--- a/tests/controlplane/test_rate_quota.py
+++ b/tests/controlplane/test_rate_quota.py
@@ -12,7 +12,7 @@
 import irisstand.state.items as items
 
 # For so long after its last row an owner may still start requests that one window of five seconds counts.
-STILL_COUNTS = rate_quota.USED_FOR + 5.0
+STILL_COUNTS = rate_quota.USABLE_SECONDS + 5.0
 
 
 class Writer:
@@ -36,7 +36,7 @@
 
     def __init__(self):
         super().__init__()
-        self.put(items.LEDGER, rate_quota.KEY, None)
+        self.put(items.LEDGER, rate_quota.ITEM_KEY, None)
         self.history = []
         self.change_holder()
 
@@ -55,7 +55,7 @@
             await asyncio.sleep(0.2)
 
     def units(self):
-        row = self.context.ledger.value(rate_quota.KEY)
+        row = self.context.ledger.value(rate_quota.ITEM_KEY)
         return row["units"] if row else {}
 
 
@@ -107,7 +107,7 @@
 
     history = play(scene)
     assert [units for _, units in history] == [{"h1": 500, "h2": 500}, {"h1": 500}, {"h1": 1000}]
-    assert history[2][0] - history[1][0] >= rate_quota.LAPSE
+    assert history[2][0] - history[1][0] >= rate_quota.REASSIGNMENT_DELAY_SECONDS
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -130,8 +130,8 @@
 
     history = play(scene)
     assert len(history) > 3
-    assert all(sum(units.values()) <= rate_quota.WHOLE for _, units in history)
-    assert most_counted(history) <= rate_quota.WHOLE
+    assert all(sum(units.values()) <= rate_quota.TOTAL_UNITS for _, units in history)
+    assert most_counted(history) <= rate_quota.TOTAL_UNITS
 
 
 def test_all_is_not_given_to_the_first_few_while_the_members_list_still_fills():
--- a/tests/dataplane/test_final_answers.py
+++ b/tests/dataplane/test_final_answers.py
@@ -100,7 +100,7 @@
         for number in range(60):
             await day.stage.ask("edge-1", "GET", f"/vacancies/{number}")
         path = "/vacancies/77"
-        edge = day.world.nodes["edge-1"].body.part
+        edge = day.world.nodes["edge-1"].body.role_node
         first = edge.view.shields("content", f"{path}?")[0].identity.name
         day.world.nodes[first].kill(reset=False)
         (code, took) = await timed(day.stage.ask("edge-1", "GET", path))
--- a/tests/dataplane/test_large_configurations.py
+++ b/tests/dataplane/test_large_configurations.py
@@ -175,7 +175,10 @@
 
 
 def contents(table):
-    held = {service: sorted({one.regions for one in routes}) for service, routes in table.held.items()}
+    held = {
+        service: sorted({one.regions for one in routes})
+        for service, routes in table.services_at_holders.items()
+    }
     return table.by_name, table.upstreams, table.limits, held
 
 
@@ -196,7 +199,7 @@
             if randomness.random() < 0.3:
                 continue
             table.refresh()
-            anew = routing.Routes(stage.context)
+            anew = routing.RouteTable(stage.context)
             anew.refresh()
             assert contents(table) == contents(anew)
             for host in ("a.example", "A.EXAMPLE:80", "b.example:80", "b.example", "h"):
--- a/tests/dataplane/test_listener.py
+++ b/tests/dataplane/test_listener.py
@@ -30,7 +30,7 @@
             probe.bind(("127.0.0.1", 0))
             self.address = probe.getsockname()
         self.part = stage.part
-        self.listener = listener.FrontListener(self.context, stage.part, self.address)
+        self.listener = listener.ClientListener(self.context, stage.part, self.address)
 
     async def connect(self):
         return await asyncio.open_connection(*self.address)
--- a/tests/dataplane/test_origin_limits.py
+++ b/tests/dataplane/test_origin_limits.py
@@ -88,7 +88,7 @@
         await set_ceiling(day, "application", 15, 60)
         connects = []
         for node in day.world.role("shield"):
-            opener = node.body.part.origins.open_line
+            opener = node.body.role_node.origins.open_line
 
             async def slow(host, port, opener=opener):
                 line = await opener(host, port)
@@ -98,8 +98,8 @@
                 connects.append(now)
                 return line
 
-            node.body.part.origins.open_line = slow
-            for pool in node.body.part.origins.pools.values():
+            node.body.role_node.origins.open_line = slow
+            for pool in node.body.role_node.origins.pools.values():
                 pool.open_line = slow
                 pool.idle.clear()
         await ask_steadily(day, 30, 10)
@@ -113,13 +113,13 @@
     async def scene(day):
         await asyncio.sleep(20)
         shields = day.world.role("shield")
-        node = next(n for n in shields if n.body.part.view.share("application", (200, 100))[0])
+        node = next(n for n in shields if n.body.role_node.view.quota_share("application", (200, 100))[0])
         await restart(node)
         await day.world.until_ready()
-        part = node.body.part
-        granted = part.view.grant("GET", "/shortlists/1", "")
+        part = node.body.role_node
+        granted = part.view.authorize("GET", "/shortlists/1", "")
         began = part.opened_at
-        assert part.view.share("application", granted.ceiling)[0] > 0
+        assert part.view.quota_share("application", granted.limit)[0] > 0
         while day.watching.now() < began + granted.deadline:
             decision = forwarding_policies.ShieldWrite(part.context.clock, granted, 3.0)
             with pytest.raises(errors.NoQuotaShareError):
@@ -143,12 +143,12 @@
             return self.moment
 
     clock = Clock()
-    budget = budgets.Budget(clock, 0.1, 1)
+    budget = budgets.RetryBudget(clock, 0.1, 1)
     first, second = [], []
     for _ in range(3000):
         clock.moment += randomness.expovariate(20)
         first.append(clock.moment)
-        budget.note_first()
+        budget.record_first_attempt()
         if randomness.random() < 0.5 and budget.take():
             second.append(clock.moment)
             recent = [sum(m > clock.moment - 10 for m in moments) for moments in (first, second)]
--- a/tests/dataplane/test_token_leases.py
+++ b/tests/dataplane/test_token_leases.py
@@ -164,13 +164,13 @@
         owner = fleet.nodes["holder-1"]
         owner.context.ledger.current_as_of = now
         await asyncio.sleep(5)
-        grants = owner.part.endpoints.grants
-        early = await grants.on_places("edge-1", ["s", 1, 0.1])
-        used = grants.enter("s", 0.1)
+        grants = owner.part.endpoints.token_leases
+        early = await grants.on_lease_request("edge-1", ["s", 1, 0.1])
+        used = grants.acquire("s", 0.1)
         await asyncio.sleep(1.5)
         with pytest.raises(errors.LimitExceededError):
-            grants.enter("s", 0.1)
-        return early, used, await grants.on_places("edge-1", ["s", 1, 0.1])
+            grants.acquire("s", 0.1)
+        return early, used, await grants.on_lease_request("edge-1", ["s", 1, 0.1])
 
     early, used, late = play(scene)
     assert early == ("places", 0.0) and used == 0.0 and late == ("places",)
@@ -178,14 +178,14 @@
 
 def test_a_lent_place_is_good_for_a_moment_only():
     async def scene(fleet):
-        grants = fleet.nodes["edge-1"].part.endpoints.grants
+        grants = fleet.nodes["edge-1"].part.endpoints.token_leases
         await asyncio.sleep(1)
-        await grants.ready("s", 0.1)
-        await asyncio.sleep(token_leases.GOOD_FOR + 0.01)
+        await grants.wait_for_token("s", 0.1)
+        await asyncio.sleep(token_leases.LEASE_SECONDS + 0.01)
         with pytest.raises(errors.LimitExceededError):
-            grants.enter("s", 0.1)
-        await grants.ready("s", 0.1)
-        return grants.enter("s", 0.1)
+            grants.acquire("s", 0.1)
+        await grants.wait_for_token("s", 0.1)
+        return grants.acquire("s", 0.1)
 
     assert play(scene) == 0.0
 
@@ -198,7 +198,7 @@
             await asyncio.sleep(0.05)
             for _ in range(20):
                 try:
-                    fleet.nodes["holder-1"].part.endpoints.grants.enter("s", 0.0)
+                    fleet.nodes["holder-1"].part.endpoints.token_leases.acquire("s", 0.0)
                 except errors.LimitExceededError:
                     break
                 used += 1
--- a/tests/mutation/dataplane_mutations.py
+++ b/tests/mutation/dataplane_mutations.py
@@ -64,7 +64,7 @@
     ),
     (
         "dataplane/retry/forwarding_policies.py",
-        "    return thing.age_now(now) < thing.life and thing.applied >= purged",
+        "    return thing.age_now(now) < thing.ttl and thing.applied >= purged",
         "    return thing.applied >= purged",
         "dataplane/test_reads.py::test_a_cache_life_is_one_life_over_all_hops",
     ),
@@ -76,7 +76,7 @@
     ),
     (
         "balancing/standby_planning.py",
-        "        if machine.name in rest and carries(awake, load * 1.2):",
+        "        if machine.name in rest and uncovered_loss(awake, load * 1.2):",
         "        if False:",
         "controlplane/test_capacity_scaling.py",
     ),
@@ -112,7 +112,7 @@
     ),
     (
         "balancing/service_limits.py",
-        "        return self.clock.now() - self.opened < max(WORKS, deadline)",
+        "        return self.clock.now() - self.opened_at < max(MIN_ORIGIN_WORK_SECONDS, deadline)",
         "        return False",
         "dataplane/test_origin_limits.py::test_a_shield_just_started_uses_no_share_that_its_forerunner_may_have_filled",
     ),
@@ -136,7 +136,7 @@
     ),
     (
         "balancing/retry_budget.py",
-        "        if len(self.second) + 1 > self.share * len(self.first) + self.allowance:",
+        "        if len(self.retries) + 1 > self.share * len(self.first_attempts) + self.allowance:",
         "        if False:",
         "dataplane/test_origin_limits.py::test_the_budget_of_second_tries_holds_in_any_ten_seconds",
     ),
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -34,7 +34,7 @@
     ),
     (
         "dataplane/upstream/client.py",
-        "(self.words.expected, target.instance)]",
+        "(self.header_names.expected, target.instance)]",
         "]",
         "dataplane/test_direct_edge.py",
     ),
@@ -76,7 +76,7 @@
     ),
     (
         "dataplane/upstream/endpoint_pool.py",
-        "        self.grants.enter(cold_name(target), 0.0)",
+        "        self.token_leases.acquire(cold_name(target), 0.0)",
         "        pass",
         "dataplane/test_endpoint_pool.py",
     ),
@@ -88,8 +88,8 @@
     ),
     (
         "dataplane/ratelimit/token_leases.py",
-        "        wait = self.own.take(name, patience)\n        if wait is None:\n",
-        "        wait = self.own.take(name, patience)\n        if False:\n",
+        "        wait = self.own_quota.take(name, patience)\n        if wait is None:\n",
+        "        wait = self.own_quota.take(name, patience)\n        if False:\n",
         "dataplane/test_token_leases.py",
     ),
     (
@@ -154,7 +154,7 @@
     ),
     (
         "dataplane/ratelimit/quota_share.py",
-        "        if whole is None or age is None or age > rate_quota.USED_FOR:",
+        "        if whole is None or age is None or age > rate_quota.USABLE_SECONDS:",
         "        if whole is None:",
         "dataplane/test_token_leases.py::test_an_owner_whose_ledger_is_old_neither_uses_nor_lends_its_part",
     ),
@@ -172,7 +172,7 @@
     ),
     (
         "controlplane/singletons/rate_placement.py",
-        "            self.frozen_until = now + rate_quota.LAPSE if units else now",
+        "            self.frozen_until = now + rate_quota.REASSIGNMENT_DELAY_SECONDS if units else now",
         "            self.frozen_until = now",
         "controlplane/test_rate_quota.py",
     ),
--- a/tests/support/direct_edge.py
+++ b/tests/support/direct_edge.py
@@ -83,8 +83,8 @@
         self.play = lambda key, headers, body: whole(headers.get("x-request-id", ""))
         for number in range(2, edges + 1):
             self.member(f"edge-{number}", "direct")
-        self.view = snapshot.Views(self.context)
-        self.part = direct.Direct(self.context, self.view, self.connect)
+        self.view = snapshot.ConfigurationSnapshot(self.context)
+        self.part = direct.DirectNode(self.context, self.view, self.connect)
         for name, kind in KINDS.items():
             self.route(name, kind=kind)
         self.put(items.CONFIGURATION, "upstream/s", {"version": 1, "item": UPSTREAM})
