--- a/src/irisstand/controlplane/api/operator_orders.py
+++ b/src/irisstand/controlplane/api/operator_orders.py
@@ -21,7 +21,7 @@
         self,
         context: node_context.NodeContext,
         submitter: submitting.Submitter,
-        members: voter_administration.Voters,
+        members: voter_administration.VoterAdministration,
         server: web.Web,
     ) -> None:
         self.context, self.submitter, self.voters = context, submitter, members
@@ -49,7 +49,7 @@
         if self.context.is_draining:
             raise errors.DrainingError("this node is shutting down")
         try:
-            result = await self.submitter.answer(orders.Order(kind, change, payload))
+            result = await self.submitter.submit_for_operator(orders.Order(kind, change, payload))
         except errors.ChangeOutcomeUnknownError as error:
             return web.as_json({**error.to_json(), "change": change}, error.status, {"Retry-After": "1"})
         return web.as_json({"change": change, "confirmed": True, **result})
--- a/src/irisstand/controlplane/api/operator_reads.py
+++ b/src/irisstand/controlplane/api/operator_reads.py
@@ -21,7 +21,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        members: voter_administration.Voters,
+        members: voter_administration.VoterAdministration,
         read_index: heartbeat.ReadIndex,
         server: web.Web,
     ) -> None:
@@ -58,7 +58,7 @@
 
     async def get_voters(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         await self.read_index.confirm(*items.TABLES)
-        return web.as_json(await self.voters.show())
+        return web.as_json(await self.voters.describe())
 
     async def get_ledger(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         await self.read_index.confirm(items.LEDGER)
--- a/src/irisstand/controlplane/api/operators.py
+++ b/src/irisstand/controlplane/api/operators.py
@@ -16,6 +16,6 @@
         read_index: heartbeat.ReadIndex,
         server: web.Web,
     ) -> None:
-        members = voter_administration.Voters(context, submitter)
+        members = voter_administration.VoterAdministration(context, submitter)
         self.reads = operator_reads.OperatorReads(context, members, read_index, server)
         self.orders = operator_orders.OperatorOrders(context, submitter, members, server)
--- a/src/irisstand/controlplane/assembly.py
+++ b/src/irisstand/controlplane/assembly.py
@@ -30,15 +30,16 @@
         ask_platform: watch.FetchOrigins | None,
     ) -> None:
         self.context = node_context.NodeContext(settings, "agency", clock, randomness, net)
-        self.core = cores.Core(self.context, disk)
-        self.proposers = {table: proposers.Proposer(self.core, table) for table in items.TABLES}
-        self.checks = {
-            table: heartbeat.MajorityCheck(self.core, proposer) for table, proposer in self.proposers.items()
+        self.participant = cores.Participant(self.context, disk)
+        self.proposers = {table: proposers.Proposer(self.participant, table) for table in items.TABLES}
+        self.heartbeats = {
+            table: heartbeat.Heartbeat(self.participant, proposer)
+            for table, proposer in self.proposers.items()
         }
-        self.read_index = heartbeat.ReadIndex(self.checks)
-        self.submitter = submitter.Submitter(self.core, self.proposers)
-        self.founding = founding.Bootstrap(self.core, self.submitter)
-        self.planner = voter_planner.VoterPlanner(self.core, self.submitter)
+        self.read_index = heartbeat.ReadIndex(self.heartbeats)
+        self.submitter = submitter.Submitter(self.participant, self.proposers)
+        self.founding = founding.Bootstrap(self.participant, self.submitter)
+        self.planner = voter_planner.VoterPlanner(self.participant, self.submitter)
         self.singleton_tasks: list[lease.SingletonTask] = []
         if ask_platform is not None:
             watcher = watch.OriginDiscovery(self.context, ask_platform)
@@ -64,11 +65,11 @@
 
     async def open(self) -> None:
         # The disk is read before any port opens: no peer may hear a voter that does not know its word.
-        await self.core.open()
+        await self.participant.open()
         await self.context.open()
         for table in items.TABLES:
             self.context.start_task(self.proposers[table].run(), f"taker of {table}")
-            self.context.start_task(self.checks[table].run(), f"pulse of {table}")
+            self.context.start_task(self.heartbeats[table].run(), f"pulse of {table}")
         self.context.start_task(self.founding.run(), "founding")
         self.context.start_task(self.planner.run(), "voter planner")
         for duty in self.singleton_tasks:
--- a/src/irisstand/controlplane/consensus/acceptor.py
+++ b/src/irisstand/controlplane/consensus/acceptor.py
@@ -8,12 +8,12 @@
 from irisstand.state import items, replica, versions
 from irisstand.state.storage import durable_store
 
-SLOW = 0.2
+SLOW_COMMAND_SECONDS = 0.2
 
 CatchUp = collections.abc.Callable[[str, str], collections.abc.Awaitable[None]]
 
 
-class Owner:
+class Acceptor:
     """Promises, acceptances and commits, each synced before its reply goes out."""
 
     def __init__(self, store: durable_store.DurableStore, live: replica.Replica, catch_up: CatchUp) -> None:
@@ -44,7 +44,7 @@
                 result = await self.registry[command](*arguments)
                 took = asyncio.get_running_loop().time() - started
                 # One slow command holds up every ballot on the table, so it is worth an event.
-                if took > SLOW:
+                if took > SLOW_COMMAND_SECONDS:
                     event_log.record("slow-command", table=self.table, command=command, seconds=took)
                 if not future.done():
                     future.set_result(result)
--- a/src/irisstand/controlplane/consensus/bootstrap.py
+++ b/src/irisstand/controlplane/consensus/bootstrap.py
@@ -8,25 +8,25 @@
 from irisstand.controlplane.consensus import submitter as submitting
 from irisstand.state import items, quorum, versions
 
-FIRST = versions.Version(1, "founding")
+FIRST_VERSION = versions.Version(1, "founding")
 
 
 class Bootstrap:
-    def __init__(self, core: cores.Core, submitter: submitting.Submitter) -> None:
-        self.core, self.context, self.submitter = core, core.context, submitter
+    def __init__(self, core: cores.Participant, submitter: submitting.Submitter) -> None:
+        self.participant, self.context, self.submitter = core, core.context, submitter
         self.missing_since: dict[str, float] = {}
         self.context.transport.handlers["core-state"] = self.on_core_state
         self.context.transport.handlers["hold"] = self.on_hold
 
     async def on_core_state(self, _: str, body: list) -> tuple:
-        return (tuple(self.core.own_voter()), self.is_empty(), self.context.is_lame_duck)
+        return (tuple(self.participant.own_voter()), self.is_empty(), self.context.is_lame_duck)
 
     async def on_hold(self, sender: str, body: list) -> tuple:
         """A voter to be: all tables are current, no older than the asker's, and on its disk before it says
         who it is."""
         for table, parts in body:
             if self.context.replicas[table].applied < versions.Version.from_wire(parts):
-                await self.core.catch_up(table, sender)
+                await self.participant.catch_up(table, sender)
             if self.context.replicas[table].applied < versions.Version.from_wire(parts):
                 raise errors.NotBootstrappedError("this node is behind the one that asks")
         if self.context.is_lame_duck:
@@ -34,11 +34,11 @@
         for table in items.TABLES:
             if not self.context.is_current(self.context.replicas[table]):
                 raise errors.NotBootstrappedError("this node has not learnt the tables yet")
-            await self.core.owners[table].order("keep")
-        return tuple(self.core.own_voter())
+            await self.participant.acceptors[table].order("keep")
+        return tuple(self.participant.own_voter())
 
     def is_empty(self) -> bool:
-        records = self.core.store.records
+        records = self.participant.store.records
         return all(
             records[table].applied == versions.NONE and self.context.replicas[table].applied == versions.NONE
             for table in items.TABLES
@@ -61,7 +61,7 @@
         if not settings.may_found:
             await self.learn()
             return
-        states = [(self.core.own_voter(), True)]
+        states = [(self.participant.own_voter(), True)]
         for address, name in self.founders():
             try:
                 voter, empty, *_ = await self.context.transport.call(address, name, "core-state", (), 1.0)
@@ -84,10 +84,10 @@
         if not is_complete or voters[0].name != settings.name:
             return
         rows = (items.Row(items.VOTERS_KEY, [tuple(voter) for voter in voters], False),)
-        batch = items.Batch(FIRST, versions.NONE, rows).to_wire()
+        batch = items.Batch(FIRST_VERSION, versions.NONE, rows).to_wire()
         body = tuple((table, batch) for table in items.TABLES)
         for voter in voters:
-            await self.core.ask_voter(voter, "found", body)
+            await self.participant.ask_voter(voter, "found", body)
         event_log.record("founded", voters=[voter.name for voter in voters])
 
     def founders(self) -> list[tuple]:
@@ -101,10 +101,10 @@
     async def learn(self) -> None:
         # Other roles do not hold all tables; one peer's refusal must not end the round before the next.
         cores_known = {update.identity.name for update in self.context.members_of("agency")}
-        sources = self.core.refresher.sources()
+        sources = self.participant.refresher.sources()
         for address, name in [source for source in sources if source[1] in cores_known]:
             try:
-                await self.core.replicator.pull(address, name)
+                await self.participant.replicator.pull(address, name)
             except (errors.IrisError, ValueError, TypeError):
                 continue
             # Another empty node has answered, too, and taught nothing.
@@ -120,21 +120,21 @@
             # Where the seeds found the core, the voters plan who votes: see voter_planner.
             if self.context.settings.found_by_seeds:
                 continue
-            if self.core.votes(table) or not self.context.is_current(copy):
+            if self.participant.is_voter(table) or not self.context.is_current(copy):
                 continue
             leaves = self.replaceable(table)
             # A spare core node: it knows everything, and waits until a voter is gone.
             if not leaves:
                 continue
-            await self.core.owners[table].order("keep")
-            payload = (tuple(self.core.own_voter()), leaves)
+            await self.participant.acceptors[table].order("keep")
+            payload = (tuple(self.participant.own_voter()), leaves)
             await self.submitter.submit(orders.Order(f"enrol-{table}", "", payload))
             event_log.record("enrolled", table=table, leaves=leaves)
 
     def replaceable(self, table: str) -> str:
         """The voter whose place this node may take: its own older self, or one that is long gone."""
         now = self.context.clock.now()
-        voters = self.core.voters(table)
+        voters = self.participant.voters(table)
         if any(voter.name == self.context.settings.name for voter in voters):
             return self.context.settings.name
         present = {update.identity.name for update in self.context.members_of("agency")}
--- a/src/irisstand/controlplane/consensus/heartbeat.py
+++ b/src/irisstand/controlplane/consensus/heartbeat.py
@@ -18,10 +18,10 @@
 READ_PATIENCE = 0.75
 
 
-class MajorityCheck:
-    def __init__(self, core: cores.Core, proposer: proposers.Proposer) -> None:
-        self.core, self.proposer, self.context = core, proposer, core.context
-        self.table, self.copy = proposer.table, proposer.copy
+class Heartbeat:
+    def __init__(self, core: cores.Participant, proposer: proposers.Proposer) -> None:
+        self.participant, self.proposer, self.context = core, proposer, core.context
+        self.table, self.replica = proposer.table, proposer.replica
         # Of the rounds for reads: the one under way, and the one that has not begun, which reads may join.
         self.read_round: asyncio.Task | None = None
         self.next_read_round: asyncio.Task | None = None
@@ -43,7 +43,7 @@
         """
         # Without the voters for longer than the bound, this node will not find them within any patience.
         is_confirmed = False
-        if self.context.is_fresh(self.copy):
+        if self.context.is_fresh(self.replica):
             if self.next_read_round is None:
                 self.next_read_round = asyncio.get_running_loop().create_task(self.run_read_round())
             joined = self.next_read_round
@@ -68,11 +68,11 @@
 
     async def beat(self) -> bool:
         """One round; whether it proved that the copy holds all that was confirmed before the round began."""
-        voters = self.core.voters(self.table)
+        voters = self.participant.voters(self.table)
         if not voters:
             return False
         asked_at = self.context.clock.now()
-        replies = await self.core.gather(
+        replies = await self.participant.gather(
             voters, "stand", lambda voter: (self.table,), lambda replies: self.is_enough(voters, replies)
         )
         if not self.is_enough(voters, replies):
@@ -87,20 +87,20 @@
         )
         name = next(voter.name for voter in voters if voter.disk_id == holder)
         for attempt in range(TRIES):
-            if self.copy.applied < applied or attempt:
-                await self.core.catch_up(self.table, name)
+            if self.replica.applied < applied or attempt:
+                await self.participant.catch_up(self.table, name)
             # The voters may have been changed by what was just learnt: then another set must be asked.
-            if self.core.voters(self.table) != voters:
+            if self.participant.voters(self.table) != voters:
                 return False
             # A yes may have been given for a batch seen pending: only an applied version beyond it proves the
             # outcome.
-            if self.copy.applied > applied or (self.copy.applied == applied and not pending):
-                self.copy.confirm_current(asked_at)
+            if self.replica.applied > applied or (self.replica.applied == applied and not pending):
+                self.replica.confirm_current(asked_at)
                 await self.keep_up()
                 return True
             await asyncio.sleep(0.04)
             # Its proposer had time to finish; perhaps it died, so finish in its place.
-            if attempt >= 2 and self.core.votes(self.table):
+            if attempt >= 2 and self.participant.is_voter(self.table):
                 await self.proposer.finish_pending()
         return False
 
@@ -111,16 +111,16 @@
 
     async def keep_up(self) -> None:
         """A voter that missed commits brings its disk up to what it knows; readers do not wait for it."""
-        owner = self.core.owners[self.table]
-        record = self.core.store.records[self.table]
+        owner = self.participant.acceptors[self.table]
+        record = self.participant.store.records[self.table]
         if owner.queue.empty() and (
-            record.applied < self.copy.applied or not self.core.store.intact[self.table]
+            record.applied < self.replica.applied or not self.participant.store.intact[self.table]
         ):
             self.context.start_task(self.keep(), f"keep {self.table}")
 
     async def keep(self) -> None:
         try:
-            await self.core.owners[self.table].order("keep")
+            await self.participant.acceptors[self.table].order("keep")
         except errors.IrisError:
             self.context.counters.add("keep_failed", table=self.table)
 
@@ -128,9 +128,9 @@
 class ReadIndex:
     """Proves tables current for one read, by a round to a majority for each."""
 
-    def __init__(self, checks: dict[str, MajorityCheck]) -> None:
-        self.checks = checks
+    def __init__(self, checks: dict[str, Heartbeat]) -> None:
+        self.heartbeats = checks
 
     async def confirm(self, *tables: str) -> None:
         """StaleConfiguration unless every table holds all that was confirmed before this call."""
-        await asyncio.gather(*(self.checks[table].confirm_read() for table in tables))
+        await asyncio.gather(*(self.heartbeats[table].confirm_read() for table in tables))
--- a/src/irisstand/controlplane/consensus/participant.py
+++ b/src/irisstand/controlplane/consensus/participant.py
@@ -17,13 +17,13 @@
 STOOD_STILL = 0.8
 
 
-class Core:
+class Participant:
     def __init__(self, context: node_context.NodeContext, disk: disks.Disk) -> None:
         self.context = context
         self.store = durable_store.DurableStore(disk, context.randomness)
         self.replicator = replicators.Replicator(context)
         self.refresher = refresher.Refresher(context, self.replicator)
-        self.owners: dict[str, acceptor.Owner] = {}
+        self.acceptors: dict[str, acceptor.Acceptor] = {}
         self.asking: set[asyncio.Task] = set()
         # When each voter's disk last said where it stands, or was first asked.
         self.heard: dict[str, float] = {}
@@ -40,8 +40,8 @@
             # A copy whose files do not add up is not read from, and so never spreads.
             if self.store.intact[table]:
                 live.replace_content(self.store.replicas[table].clone())
-            self.owners[table] = acceptor.Owner(self.store, live, self.catch_up)
-            self.context.start_task(self.owners[table].run(), f"owner of {table}")
+            self.acceptors[table] = acceptor.Acceptor(self.store, live, self.catch_up)
+            self.context.start_task(self.acceptors[table].run(), f"owner of {table}")
 
     async def catch_up(self, table: str, name: str) -> None:
         """Take the table from that very peer."""
@@ -60,20 +60,22 @@
             settings.name, self.store.disk_id, settings.site, settings.host, settings.port, settings.machine
         )
 
-    def votes(self, table: str) -> bool:
+    def is_voter(self, table: str) -> bool:
         return any(voter.disk_id == self.store.disk_id for voter in self.voters(table))
 
     # -- what peers ask -------------------------------------------------------------------------
     async def on_promise(self, _: str, body: list) -> tuple:
         table, ballot, disk_id = body
         self.check_disk_id(disk_id)
-        return await self.owners[table].order("promise", versions.Version.from_wire(ballot))
+        return await self.acceptors[table].order("promise", versions.Version.from_wire(ballot))
 
     async def on_accept(self, sender: str, body: list) -> tuple:
         table, ballot, batch, disk_id = body
         self.check_disk_id(disk_id)
         decoded = items.Batch.from_wire(batch)
-        return await self.owners[table].order("accept", versions.Version.from_wire(ballot), decoded, sender)
+        return await self.acceptors[table].order(
+            "accept", versions.Version.from_wire(ballot), decoded, sender
+        )
 
     def check_disk_id(self, disk_id: str) -> None:
         if disk_id != self.store.disk_id:
@@ -81,10 +83,12 @@
 
     async def on_commit(self, _: str, body: list) -> tuple:
         table, batch = body
-        return await self.owners[table].order("commit", items.Batch.from_wire(batch))
+        return await self.acceptors[table].order("commit", items.Batch.from_wire(batch))
 
     async def on_found(self, _: str, body: list) -> tuple:
-        return tuple([await self.owners[table].order("found", items.Batch.from_wire(b)) for table, b in body])
+        return tuple(
+            [await self.acceptors[table].order("found", items.Batch.from_wire(b)) for table, b in body]
+        )
 
     async def on_stand(self, _: str, body: list) -> tuple:
         """Where this node stands, from memory: it must answer even while its disk is stalled."""
--- a/src/irisstand/controlplane/consensus/proposer.py
+++ b/src/irisstand/controlplane/consensus/proposer.py
@@ -8,26 +8,26 @@
 from irisstand.controlplane.consensus import participant as cores
 from irisstand.state import items, quorum, versions
 
-PATIENCE = 4.0
-BATCH_LIMIT = 64
-BATCH_BYTES = 2 * 1024 * 1024
+ORDER_TIMEOUT_SECONDS = 4.0
+BATCH_ORDERS_LIMIT = 64
+BATCH_BYTES_LIMIT = 2 * 1024 * 1024
 
 
-class Waiting(typing.NamedTuple):
+class PendingOrder(typing.NamedTuple):
     order: orders.Order
     future: asyncio.Future
     give_up_at: float
     proposed: list
 
 
-class Plan(typing.NamedTuple):
+class BallotPlan(typing.NamedTuple):
     """What one ballot can settle, and `undecided`: whether a refusal has to wait for this base to be decided.
 
     `refused` was judged with rows of this very batch in place, and is told only once these are decided.
     """
 
-    accepted: list[tuple[Waiting, tuple[versions.Version, list[str]]]]
-    refused: list[tuple[Waiting, errors.IrisError]]
+    accepted: list[tuple[PendingOrder, tuple[versions.Version, list[str]]]]
+    refused: list[tuple[PendingOrder, errors.IrisError]]
     undecided: bool
 
 
@@ -36,27 +36,27 @@
 
 
 class Proposer:
-    def __init__(self, core: cores.Core, table: str) -> None:
-        self.core, self.table, self.context = core, table, core.context
-        self.copy = core.context.replicas[table]
-        self.queue: asyncio.Queue[Waiting] = asyncio.Queue()
+    def __init__(self, core: cores.Participant, table: str) -> None:
+        self.participant, self.table, self.context = core, table, core.context
+        self.replica = core.context.replicas[table]
+        self.queue: asyncio.Queue[PendingOrder] = asyncio.Queue()
         self.highest = versions.NONE
-        self.holding = asyncio.Lock()
+        self.ballot_lock = asyncio.Lock()
 
-    async def decide(self, order: orders.Order, patience: float = PATIENCE) -> dict:
+    async def submit(self, order: orders.Order, patience: float = ORDER_TIMEOUT_SECONDS) -> dict:
         """The order's result once it is confirmed, or the typed error that says what is known."""
         future = asyncio.get_running_loop().create_future()
-        self.queue.put_nowait(Waiting(order, future, self.context.clock.now() + patience, []))
+        self.queue.put_nowait(PendingOrder(order, future, self.context.clock.now() + patience, []))
         return await future
 
     async def run(self) -> None:
         while True:
             waiting = [await self.queue.get()]
-            while not self.queue.empty() and len(waiting) < BATCH_LIMIT:
+            while not self.queue.empty() and len(waiting) < BATCH_ORDERS_LIMIT:
                 waiting.append(self.queue.get_nowait())
             await self.work_through(waiting)
 
-    async def work_through(self, waiting: list[Waiting]) -> None:
+    async def work_through(self, waiting: list[PendingOrder]) -> None:
         attempts = 0
         while waiting := [entry for entry in waiting if not entry.future.done()]:
             attempts += 1
@@ -74,7 +74,7 @@
                 await asyncio.sleep(0.05)
             self.give_up(waiting)
 
-    def give_up(self, waiting: list[Waiting]) -> None:
+    def give_up(self, waiting: list[PendingOrder]) -> None:
         now = self.context.clock.now()
         for entry in waiting:
             if not entry.future.done() and now >= entry.give_up_at:
@@ -86,7 +86,7 @@
                 else:
                     entry.future.set_exception(errors.NoQuorumError("no majority of the voters answered"))
 
-    def refuse_unproposed(self, waiting: list[Waiting], error: errors.IrisError) -> None:
+    def refuse_unproposed(self, waiting: list[PendingOrder], error: errors.IrisError) -> None:
         """A full disk will not empty within the order's patience: say so at once."""
         for entry in waiting:
             if not entry.future.done() and not entry.proposed:
@@ -96,12 +96,12 @@
         """Hold a ballot with no orders: what is half accepted gets decided, one way or the other."""
         await self.hold_ballot([])
 
-    async def hold_ballot(self, waiting: list[Waiting]) -> None:
-        async with self.holding:
-            voters = self.core.voters(self.table)
+    async def hold_ballot(self, waiting: list[PendingOrder]) -> None:
+        async with self.ballot_lock:
+            voters = self.participant.voters(self.table)
             if not voters:
                 raise errors.NotBootstrappedError("no core has been founded yet")
-            if not self.core.votes(self.table):
+            if not self.participant.is_voter(self.table):
                 raise BallotLostError("this node has no vote yet")
             ballot = self.draw()
             pending = await self.prepare(voters, ballot)
@@ -112,17 +112,17 @@
                 if waiting:
                     raise BallotLostError("finished a pending batch first")
                 return
-            overlay = orders.Overlay(self.copy, ballot)
+            overlay = orders.Overlay(self.replica, ballot)
             plan = self.plan(overlay, waiting)
             # A batch without rows moves the applied version, which settles that an earlier proposal never
             # counts.
             if overlay.rows or plan.undecided:
                 for entry, (_, keys) in plan.accepted:
-                    entry.proposed.append((self.copy.applied, ballot, keys))
+                    entry.proposed.append((self.replica.applied, ballot, keys))
                 await self.propose(voters, ballot, overlay.batch())
             self.tell(plan)
 
-    def tell(self, plan: Plan) -> None:
+    def tell(self, plan: BallotPlan) -> None:
         """The results of a batch that is decided, or that needed no rows."""
         for entry, (version, keys) in plan.accepted:
             if not entry.future.done():
@@ -132,22 +132,22 @@
                 entry.future.set_exception(error)
 
     def draw(self) -> versions.Version:
-        record = self.core.store.records[self.table]
-        seen = max(self.highest, record.promised, self.copy.applied)
+        record = self.participant.store.records[self.table]
+        seen = max(self.highest, record.promised, self.replica.applied)
         # The durable store's id is in the name: a wiped disk must not draw its predecessor's numbers again.
-        self.highest = seen.successor(f"{self.context.settings.name}~{self.core.store.disk_id}")
+        self.highest = seen.successor(f"{self.context.settings.name}~{self.participant.store.disk_id}")
         return self.highest
 
-    def plan(self, overlay: orders.Overlay, waiting: list[Waiting]) -> Plan:
+    def plan(self, overlay: orders.Overlay, waiting: list[PendingOrder]) -> BallotPlan:
         """Put on the overlay what can be proposed; refuse at once only what the decided base refuses."""
         accepted, refused, undecided = [], [], False
         for entry in waiting:
             # What is too much for one frame is left for the next ballot.
-            if entry.future.done() or overlay.size > BATCH_BYTES:
+            if entry.future.done() or overlay.size > BATCH_BYTES_LIMIT:
                 continue
             # Another proposer may have finished an earlier proposal of it: then it is done, not stale.
             for _, version, keys in entry.proposed:
-                if any(self.copy.version(key) == version for key in keys):
+                if any(self.replica.version(key) == version for key in keys):
                     entry.future.set_result({"serial": str(version), "rows": keys})
             if entry.future.done():
                 continue
@@ -156,26 +156,26 @@
             except errors.IrisError as error:
                 # Proposed on this very base, it may lie accepted with a voter that did not answer, and
                 # another proposer may yet finish it: only a decision on the base makes a refusal true.
-                if any(base == self.copy.applied for base, _, _ in entry.proposed):
+                if any(base == self.replica.applied for base, _, _ in entry.proposed):
                     undecided = True
                 elif overlay.rows:
                     # It may rest on rows of this very batch, which count only once they are decided.
                     refused.append((entry, error))
                 else:
                     entry.future.set_exception(error)
-        return Plan(accepted, refused, undecided)
+        return BallotPlan(accepted, refused, undecided)
 
     async def prepare(self, voters: list[quorum.Voter], ballot: versions.Version) -> items.Batch | None:
         """Promises from a majority; brings the copy to the newest applied version and returns what is
         pending on it.
         """
-        own = next(voter for voter in voters if voter.disk_id == self.core.store.disk_id)
+        own = next(voter for voter in voters if voter.disk_id == self.participant.store.disk_id)
         body = (self.table, tuple(ballot))
         # Its own promise is synced first: after a crash this number must not be drawn again.
-        first = await self.core.ask_voter(own, "promise", (*body, own.disk_id))
+        first = await self.participant.ask_voter(own, "promise", (*body, own.disk_id))
         if first[0] != "promised":
             raise BallotLostError("promised higher itself")
-        replies = await self.core.gather(
+        replies = await self.participant.gather(
             [voter for voter in voters if voter is not own],
             "promise",
             lambda voter: (*body, voter.disk_id),
@@ -189,21 +189,21 @@
         applied, holder = max(
             (versions.Version.from_wire(reply[1]), disk_id) for disk_id, reply in promised.items()
         )
-        if self.copy.applied < applied:
+        if self.replica.applied < applied:
             name = next(voter.name for voter in voters if voter.disk_id == holder)
-            await self.core.catch_up(self.table, name)
-        if self.copy.applied < applied or self.core.voters(self.table) != voters:
+            await self.participant.catch_up(self.table, name)
+        if self.replica.applied < applied or self.participant.voters(self.table) != voters:
             raise BallotLostError("was behind the voters")
         # The applied version may have moved past this ballot's number while the promises came in. A batch
         # numbered below
         # its own base would be taken for an older table by everybody who compares applied versions.
-        if ballot <= self.copy.applied:
+        if ballot <= self.replica.applied:
             raise BallotLostError("the tip overtook the ballot")
         pending = []
         for reply in promised.values():
             if reply[3] is not None:
                 batch = items.Batch.from_wire(reply[3])
-                if batch.base == self.copy.applied:
+                if batch.base == self.replica.applied:
                     pending.append((versions.Version.from_wire(reply[2]), batch))
         return max(pending, key=lambda entry: entry[0])[1] if pending else None
 
@@ -215,7 +215,7 @@
             if key == items.VOTERS_KEY:
                 sets.append(quorum.voters_from_wire(value))
         everyone = list({voter.disk_id: voter for members in sets for voter in members}.values())
-        replies = await self.core.gather(
+        replies = await self.participant.gather(
             everyone,
             "accept",
             lambda voter: (*body, voter.disk_id),
@@ -226,11 +226,11 @@
         self.note_higher(replies)
         if not all(quorum.is_durable(members, self.won(replies, "accepted")) for members in sets):
             raise BallotLostError("no durable majority accepted")
-        if self.copy.applied == batch.base:
-            self.copy.apply(batch)
+        if self.replica.applied == batch.base:
+            self.replica.apply(batch)
         self.context.counters.add("batches_confirmed", table=self.table)
         commit = (self.table, batch.to_wire())
-        await self.core.gather(everyone, "commit", lambda voter: commit, lambda replies: True)
+        await self.participant.gather(everyone, "commit", lambda voter: commit, lambda replies: True)
 
     def won(self, replies: dict, word: str) -> set[str]:
         return {disk_id for disk_id, reply in replies.items() if reply[0] == word}
--- a/src/irisstand/controlplane/consensus/submitter.py
+++ b/src/irisstand/controlplane/consensus/submitter.py
@@ -21,19 +21,19 @@
 
 
 class Submitter:
-    def __init__(self, core: cores.Core, taken: dict[str, proposers.Proposer]) -> None:
-        self.core, self.context, self.proposers = core, core.context, taken
+    def __init__(self, core: cores.Participant, taken: dict[str, proposers.Proposer]) -> None:
+        self.participant, self.context, self.proposers = core, core.context, taken
         self.context.transport.handlers["order"] = self.on_order
 
     async def on_order(self, _: str, body: list) -> tuple:
         """A peer's order; typed refusals keep their details on the way back."""
         order = orders.Order(*body)
         table = orders.table_of(order.kind)
-        if not self.core.votes(table):
+        if not self.participant.is_voter(table):
             raise errors.NotBootstrappedError("this node has no vote either")
         try:
             with self.context.count_in_flight():
-                return ("done", await self.proposers[table].decide(order))
+                return ("done", await self.proposers[table].submit(order))
         except errors.InvalidChangeError as error:
             return ("bad-change", error.faults)
         except errors.StaleVersionError as error:
@@ -45,7 +45,7 @@
         except control_errors.DetailedError as error:
             return (error.code, error.details)
 
-    async def answer(self, order: orders.Order) -> dict:
+    async def submit_for_operator(self, order: orders.Order) -> dict:
         """The result for an operator, who gets an answer also when this node has to go before it is known."""
         with self.context.count_in_flight():
             task = asyncio.get_running_loop().create_task(self.submit(order))
@@ -72,9 +72,9 @@
         # Without the voters for longer than the bound, this node will not find them within any patience.
         if not self.context.is_current(self.context.replicas[table]):
             raise errors.NoQuorumError("this node has lost the majority of the voters")
-        own = self.core.votes(table)
+        own = self.participant.is_voter(table)
         for voter in self.in_order(table):
-            if voter.disk_id == self.core.store.disk_id:
+            if voter.disk_id == self.participant.store.disk_id:
                 break
             try:
                 patience = FORWARD_PATIENCE if own else ONLY_PATIENCE
@@ -100,7 +100,7 @@
             return unwrap(reply)
         if not own:
             raise errors.NoQuorumError("no voter can be reached from here")
-        return await self.proposers[table].decide(order)
+        return await self.proposers[table].submit(order)
 
     async def ask_voter(
         self, voter: quorum.Voter, order: orders.Order, patience: float, is_watched: bool
@@ -129,12 +129,12 @@
             is_last = voter.name == last and voter.name in well
             return (
                 not is_last,
-                voter.disk_id != self.core.store.disk_id,
+                voter.disk_id != self.participant.store.disk_id,
                 voter.name not in well,
                 voter.name,
             )
 
-        return sorted(self.core.voters(table), key=rank)
+        return sorted(self.participant.voters(table), key=rank)
 
 
 def unwrap(reply: typing.Any) -> dict:
--- a/src/irisstand/controlplane/consensus/voter_administration.py
+++ b/src/irisstand/controlplane/consensus/voter_administration.py
@@ -13,7 +13,7 @@
 PATIENCE = 5.0
 
 
-class Voters:
+class VoterAdministration:
     def __init__(self, context: node_context.NodeContext, submitter: submitting.Submitter) -> None:
         self.context, self.submitter = context, submitter
         self.view = fleet_view.FleetView(context)
@@ -21,7 +21,7 @@
     def of(self, table: str) -> list[quorum.Voter]:
         return quorum.voters_from_wire(self.context.replicas[table].value(items.VOTERS_KEY))
 
-    async def show(self) -> dict[str, typing.Any]:
+    async def describe(self) -> dict[str, typing.Any]:
         """Each table's voters, which of them answer now, and who could take a place."""
         found: dict[str, typing.Any] = {}
         for table in items.TABLES:
@@ -73,7 +73,7 @@
             if len(following) < len(self.of(table)):
                 await self.check(table, following)
         for table in items.TABLES:
-            await self.submitter.answer(orders.Order(f"retire-{table}", "", name))
+            await self.submitter.submit_for_operator(orders.Order(f"retire-{table}", "", name))
         return {"retired": name, "voters": sorted(voter.name for voter in left[items.LEDGER])}
 
     async def replace(self, old: str, new: str) -> dict[str, typing.Any]:
@@ -97,5 +97,5 @@
             await self.check(table, [*kept, newcomer])
         for table in items.TABLES:
             payload = (tuple(newcomer), old)
-            await self.submitter.answer(orders.Order(f"enrol-{table}", "", payload))
+            await self.submitter.submit_for_operator(orders.Order(f"enrol-{table}", "", payload))
         return {"replaced": old, "by": new, "voters": sorted({*known, new} - {old})}
--- a/src/irisstand/controlplane/consensus/voter_planner.py
+++ b/src/irisstand/controlplane/consensus/voter_planner.py
@@ -23,8 +23,8 @@
 
 
 class VoterPlanner:
-    def __init__(self, core: cores.Core, submitter: submitting.Submitter) -> None:
-        self.core, self.context, self.submitter = core, core.context, submitter
+    def __init__(self, core: cores.Participant, submitter: submitting.Submitter) -> None:
+        self.participant, self.context, self.submitter = core, core.context, submitter
         self.changed_at, self.seen = 0.0, ""
         # What was the case when nothing better was to be had, and when that was.
         self.best_of: tuple = ()
@@ -66,34 +66,36 @@
 
     async def try_handing_over(self, patience: float) -> bool:
         """Whether there is nothing more to be done."""
-        own = self.core.store.disk_id
+        own = self.participant.store.disk_id
         try:
             async with asyncio.timeout(patience):
                 await self.improve({own})
         except (errors.IrisError, ValueError, TypeError, IndexError, TimeoutError) as error:
             event_log.record("vote-not-handed-over", error=str(error))
             return False
-        if any(self.core.votes(table) for table in items.TABLES):
+        if any(self.participant.is_voter(table) for table in items.TABLES):
             event_log.record("vote-kept", why="no other core node can take it")
         return True
 
     def standing(self) -> tuple:
         """What a target hangs on, as far as it is known here without asking anybody."""
         members = tuple((update.identity, update.state) for update in self.context.members_of("agency"))
-        return (members, tuple(tuple(self.core.voters(table)) for table in items.TABLES))
+        return (members, tuple(tuple(self.participant.voters(table)) for table in items.TABLES))
 
     def is_quiet(self) -> bool:
         now = self.context.clock.now()
-        voting = {voter.disk_id for voter in self.core.voters(items.LEDGER)} - {self.core.store.disk_id}
-        heard = all(now - self.core.heard.get(disk_id, now) < SILENCE for disk_id in voting)
+        voting = {voter.disk_id for voter in self.participant.voters(items.LEDGER)} - {
+            self.participant.store.disk_id
+        }
+        heard = all(now - self.participant.heard.get(disk_id, now) < SILENCE for disk_id in voting)
         return heard and now - self.looked_at < LOOK_ANYWAY and self.best_of == self.standing()
 
     # -- one look ------------------------------------------------------------------------------------
     async def improve(self, leaving: frozenset[str] | set[str] = frozenset()) -> None:
         """One target for all tables, worked out from the ledger's set."""
-        if not any(self.core.votes(table) for table in items.TABLES):
+        if not any(self.participant.is_voter(table) for table in items.TABLES):
             return
-        current = self.core.voters(items.LEDGER)
+        current = self.participant.voters(items.LEDGER)
         gone = await self.missing(current) | set(leaving)
         candidates = [voter for voter in await self.candidates() if voter.disk_id not in gone]
         wanted = self.context.settings.voters
@@ -119,9 +121,9 @@
         return not is_repair and target != current and now - self.changed_at < SETTLING
 
     async def change(self, table: str, target: list[quorum.Voter]) -> None:
-        current = self.core.voters(table)
+        current = self.participant.voters(table)
         known = {voter.disk_id for voter in current}
-        if known == {voter.disk_id for voter in target} or not self.core.votes(table):
+        if known == {voter.disk_id for voter in target} or not self.participant.is_voter(table):
             return
         expected = str(self.context.replicas[table].version(items.VOTERS_KEY))
         newcomers = [voter for voter in target if voter.disk_id not in known]
@@ -133,14 +135,14 @@
             await self.submitter.submit(order)
         else:
             # Decided here, as who decided last may be the very voter that is gone.
-            await self.submitter.proposers[table].decide(order, DECIDING)
+            await self.submitter.proposers[table].submit(order, DECIDING)
         event_log.record("voters-changed", table=table, voters=[voter.name for voter in target])
 
     async def hold(self, voter: quorum.Voter) -> None:
         """Everything up to what is known here is on its disk before it is named."""
         tips = tuple((table, tuple(self.context.replicas[table].applied)) for table in items.TABLES)
         address = (voter.host, voter.port)
-        if voter.disk_id == self.core.store.disk_id:
+        if voter.disk_id == self.participant.store.disk_id:
             held = await self.context.transport.handlers["hold"](voter.name, tips)
         else:
             held = await self.context.transport.call(address, voter.name, "hold", tips, HOLDING)
@@ -161,7 +163,7 @@
             return None if is_empty or (more and more[0]) else quorum.Voter(*voter)
 
         told = await asyncio.gather(*(ask(update) for update in self.context.members_of("agency")))
-        return [voter for voter in [*told, self.core.own_voter()] if voter is not None]
+        return [voter for voter in [*told, self.participant.own_voter()] if voter is not None]
 
     async def missing(self, voters: list[quorum.Voter]) -> set[str]:
         """Disks that a majority of the voters has not heard for the time; one bad link proves nothing."""
@@ -169,7 +171,7 @@
         async def ask(voter: quorum.Voter) -> tuple:
             try:
                 async with asyncio.timeout(HEARING):
-                    return tuple(await self.core.ask_voter(voter, "hears", ()))
+                    return tuple(await self.participant.ask_voter(voter, "hears", ()))
             except (errors.IrisError, TimeoutError):
                 return ("", ())
 
--- a/src/irisstand/modelcheck/bootstrap_image.py
+++ b/src/irisstand/modelcheck/bootstrap_image.py
@@ -46,9 +46,9 @@
         if name in VOTERS
     ]
     rows = (items.Row(items.VOTERS_KEY, [list(voter) for voter in voters], False),)
-    batch = items.Batch(bootstrap.FIRST, versions.NONE, rows)
+    batch = items.Batch(bootstrap.FIRST_VERSION, versions.NONE, rows)
     for node in nodes.values():
-        owner = acceptor.Owner(node.store, replica.Replica(model_node.TABLE), refuse_catch_up)
+        owner = acceptor.Acceptor(node.store, replica.Replica(model_node.TABLE), refuse_catch_up)
         task = asyncio.get_running_loop().create_task(owner.run())
         await owner.order("found", batch)
         task.cancel()
--- a/src/irisstand/modelcheck/clients.py
+++ b/src/irisstand/modelcheck/clients.py
@@ -100,7 +100,7 @@
     async def submit(self, number: int, order: overlay.Order, node: model_node.ModelNode) -> None:
         """Have an order decided, and check what the client is told."""
         try:
-            result = await node.proposer.decide(order)
+            result = await node.proposer.submit(order)
         except errors.IrisError as error:
             self.checker.on_refused(order, error)
             is_unknown = isinstance(error, errors.ChangeOutcomeUnknownError)
@@ -115,7 +115,7 @@
         if step.order is not None:
             return step.order
         newcomer = step.newcomer or SPARE
-        voter = self.nodes[newcomer].core.own_voter()
+        voter = self.nodes[newcomer].participant.own_voter()
         return overlay.Order("enrol-blueprint", "", (tuple(voter), step.newcomer or self.leaves, 0))
 
     def lose_steps_at(self, node: str) -> None:
--- a/src/irisstand/modelcheck/cluster.py
+++ b/src/irisstand/modelcheck/cluster.py
@@ -103,9 +103,9 @@
         while node.table_replica.applied == versions.NONE:
             for peer in peers:
                 with contextlib.suppress(errors.IrisError):
-                    await node.core.replicator.pull((peer, model_node.PORT), peer, (model_node.TABLE,))
+                    await node.participant.replicator.pull((peer, model_node.PORT), peer, (model_node.TABLE,))
             await asyncio.sleep(PAUSE_SECONDS)
-        await node.core.owners[model_node.TABLE].order("keep")
+        await node.participant.acceptors[model_node.TABLE].order("keep")
         node.is_rejoining = False
         self.clients.add(scenarios.ClientStep(scenarios.StepKind.ENROL, peers[0], newcomer=node.name))
 
@@ -164,7 +164,7 @@
     def rest_hash(self) -> int:
         """Return a hash that is equal for two finished runs with equal disks, replicas and results."""
         tables = [
-            (node.core.store.records[model_node.TABLE], node.table_replica.root_digest())
+            (node.participant.store.records[model_node.TABLE], node.table_replica.root_digest())
             for node in self.nodes.values()
         ]
         highest = tuple(node.proposer.highest for node in self.nodes.values())
@@ -184,5 +184,5 @@
         replicas = [node.table_replica for node in self.nodes.values()]
         newest = max(replicas, key=lambda replica: replica.applied)
         voters = quorum.voters_from_wire(newest.value(items.VOTERS_KEY))
-        disk_ids = {node.core.store.disk_id for node in self.nodes.values()}
+        disk_ids = {node.participant.store.disk_id for node in self.nodes.values()}
         return [voter.name for voter in voters if voter.disk_id in disk_ids][-1]
--- a/src/irisstand/modelcheck/model_node.py
+++ b/src/irisstand/modelcheck/model_node.py
@@ -91,11 +91,11 @@
         self.transport = model_network.ModelTransport(self.cluster.scheduler, self.cluster.nodes, self)
         # The participant uses only the registry of handlers and `call`, which the model's transport has.
         context.transport = typing.cast(typing.Any, self.transport)
-        self.core = participant.Core(context, self.disk)
-        await self.core.open()
+        self.participant = participant.Participant(context, self.disk)
+        await self.participant.open()
         self.table_replica = context.replicas[TABLE]
-        self.proposer = proposer.Proposer(self.core, TABLE)
-        self.heartbeat = heartbeat.MajorityCheck(self.core, self.proposer)
+        self.proposer = proposer.Proposer(self.participant, TABLE)
+        self.heartbeat = heartbeat.Heartbeat(self.participant, self.proposer)
         self.cluster.checker.observe(self.name, self.table_replica)
         context.start_task(self.proposer.run(), "proposer")
         self.is_open = True
@@ -129,7 +129,7 @@
     def wipe(self) -> None:
         """Crash and lose the disk."""
         self.crash()
-        self.cluster.checker.keep_wiped_disk(self.core.store.disk_id, self.disk.files)
+        self.cluster.checker.keep_wiped_disk(self.participant.store.disk_id, self.disk.files)
         self.disk.files.clear()
         self.is_rejoining = True
         self.record("wipe")
@@ -137,4 +137,4 @@
 
 def disk_files(nodes: collections.abc.Iterable[ModelNode]) -> dict[str, dict[str, bytes]]:
     """Return the synced files of each node by the id of its disk."""
-    return {node.core.store.disk_id: node.disk.files for node in nodes}
+    return {node.participant.store.disk_id: node.disk.files for node in nodes}
--- a/src/irisstand/simulator/faults.py
+++ b/src/irisstand/simulator/faults.py
@@ -134,7 +134,7 @@
         await self.with_node("wipe", node, trouble, 0.2, 4, lambda: self.revive(node))
 
     def is_voter(self, node: typing.Any) -> bool:
-        return all(node.body.core.votes(table) for table in node.body.context.replicas)
+        return all(node.body.participant.is_voter(table) for table in node.body.context.replicas)
 
     async def freeze(self) -> None:
         node = self.pick()
--- a/src/irisstand/simulator/simulated_actors.py
+++ b/src/irisstand/simulator/simulated_actors.py
@@ -84,7 +84,7 @@
         actor = node.actor
         actor.asks += 1
         try:
-            return await node.do(node.body.submitter.answer(order), 8.0)
+            return await node.do(node.body.submitter.submit_for_operator(order), 8.0)
         finally:
             actor.asks -= 1
 
--- a/tests/controlplane/test_ballots.py
+++ b/tests/controlplane/test_ballots.py
@@ -120,7 +120,7 @@
         store = irisstand.state.storage.durable_store.DurableStore(disk, random.Random(1))
         await store.open()
         live = replica.Replica(items.LEDGER)
-        owner = irisstand.controlplane.consensus.acceptor.Owner(store, live, None)
+        owner = irisstand.controlplane.consensus.acceptor.Acceptor(store, live, None)
         task = asyncio.create_task(owner.run())
         voter = quorum.Voter("a", store.disk_id, "s", "h", 1, "m")
         base = versions.Version(22, "b")
--- a/tests/controlplane/test_bootstrap.py
+++ b/tests/controlplane/test_bootstrap.py
@@ -82,11 +82,13 @@
     async def scene(world):
         await world.until(lambda: all_vote(world, FIVE), 10)
         node = world.nodes["agency-1"]
-        old = node.body.core.store.disk_id
+        old = node.body.participant.store.disk_id
         node.kill()
         node.wipe()
         await node.start()
-        await world.until(lambda: any(v.disk_id == node.body.core.store.disk_id for v in voters(world)), 4)
+        await world.until(
+            lambda: any(v.disk_id == node.body.participant.store.disk_id for v in voters(world)), 4
+        )
         assert old not in {voter.disk_id for voter in voters(world)}
 
     play(scene)
--- a/tests/controlplane/test_capacity_scaling.py
+++ b/tests/controlplane/test_capacity_scaling.py
@@ -28,7 +28,7 @@
         assert len({node.plan.site for node in awake}) == 2
         # A resting machine stays a member and its control plane node a voter.
         assert len(cluster.members(day, "edge-1")) == len(day.world.nodes) - 1
-        assert all(node.body.core.votes("ledger") for node in day.world.role("agency"))
+        assert all(node.body.participant.is_voter("ledger") for node in day.world.role("agency"))
         for number in range(10):
             assert (await day.stage.ask("edge-1", "GET", f"/vacancies/r{number}"))[0] == 200
         # One of the two is lost: somebody is woken, and reads go on meanwhile.
--- a/tests/controlplane/test_guard_scenarios.py
+++ b/tests/controlplane/test_guard_scenarios.py
@@ -14,14 +14,14 @@
 
 async def accept_by_majority(day):
     """A proposer had its batch accepted by three of five, so a yes may be out, and died before any commit."""
-    core = day.world.nodes["agency-1"].body.core
+    core = day.world.nodes["agency-1"].body.participant
     applied = core.context.configuration.applied
     ballot = versions.Version(applied.counter + 5, f"agency-1~{core.store.disk_id}")
     batch = items.Batch(ballot, applied, (("site/south", {"weight": 9}, False),))
     day.world.nodes["agency-1"].kill()
     for name in ("agency-2", "agency-3", "agency-4"):
         node = day.world.nodes[name]
-        owner = node.body.core.owners[items.CONFIGURATION]
+        owner = node.body.participant.acceptors[items.CONFIGURATION]
         assert (await node.do(owner.order("promise", ballot), 1))[0] == "promised"
         assert (await node.do(owner.order("accept", ballot, batch, "agency-1"), 1))[0] == "accepted"
     return batch
@@ -63,7 +63,7 @@
 def test_a_voter_takes_no_batch_that_stands_on_another_base_than_its_own_applied():
     async def scene(day):
         node = day.world.nodes["agency-2"]
-        owner = node.body.core.owners[items.CONFIGURATION]
+        owner = node.body.participant.acceptors[items.CONFIGURATION]
         await day.stage.order("agency-1", "change", [cluster.site_row()])
         await asyncio.sleep(1)
         applied = owner.record.applied
@@ -80,17 +80,17 @@
 def test_a_disk_asked_for_under_its_predecessors_id_has_no_vote_though_it_has_learnt_everything():
     async def scene(day):
         node = day.world.nodes["agency-4"]
-        old = node.body.core.store.disk_id
+        old = node.body.participant.store.disk_id
         node.kill()
         node.wipe()
         await node.start()
-        await day.world.until(lambda: node.body.core.votes(items.CONFIGURATION), 20)
+        await day.world.until(lambda: node.body.participant.is_voter(items.CONFIGURATION), 20)
         ballot = (10**6, "x")
         with pytest.raises(errors.NotBootstrappedError):
-            await node.do(node.body.core.on_promise("x", [items.CONFIGURATION, ballot, old]), 1)
+            await node.do(node.body.participant.on_promise("x", [items.CONFIGURATION, ballot, old]), 1)
         batch = items.Batch(versions.Version(10**6, "x"), versions.NONE, ()).to_wire()
         with pytest.raises(errors.NotBootstrappedError):
-            await node.do(node.body.core.on_accept("x", [items.CONFIGURATION, ballot, batch, old]), 1)
+            await node.do(node.body.participant.on_accept("x", [items.CONFIGURATION, ballot, batch, old]), 1)
 
     cluster.play(scene)
 
--- a/tests/controlplane/test_idempotent_changes_racing.py
+++ b/tests/controlplane/test_idempotent_changes_racing.py
@@ -24,7 +24,7 @@
 async def amend(day, name, payload):
     """As the operators' page hands it on, without a change id."""
     node = day.world.nodes[name]
-    return await node.do(node.body.submitter.answer(orders.Order("amend", "", payload)), 8.0)
+    return await node.do(node.body.submitter.submit_for_operator(orders.Order("amend", "", payload)), 8.0)
 
 
 async def insist(day, payload, places):
@@ -130,7 +130,7 @@
     async def scene(day):
         node = day.world.nodes["agency-1"]
         proposer = node.body.submitter.proposers[items.CONFIGURATION]
-        before = str(proposer.copy.version("site/north"))
+        before = str(proposer.replica.version("site/north"))
         rows = [[cluster.site_row(weight=weight, expected=before)] for weight in (1, 2)]
         futures = [asyncio.get_running_loop().create_future() for _ in rows]
         give_up_at = node.body.context.clock.now() + 8.0
@@ -147,10 +147,10 @@
         monkeypatch.setattr(proposers.Proposer, "propose", propose)
         for number, future in enumerate(futures):
             order = orders.Order("change", f"c-{number}", rows[number])
-            proposer.queue.put_nowait(proposers.Waiting(order, future, give_up_at, []))
+            proposer.queue.put_nowait(proposers.PendingOrder(order, future, give_up_at, []))
         done = await asyncio.gather(*futures, return_exceptions=True)
         assert lost and isinstance(done[1], dict), done
-        assert proposer.copy.value("site/north") == {"weight": 2}
+        assert proposer.replica.value("site/north") == {"weight": 2}
 
     cluster.play(scene)
 
--- a/tests/controlplane/test_operations.py
+++ b/tests/controlplane/test_operations.py
@@ -62,19 +62,19 @@
 
 
 def voter_names(day, table=items.LEDGER):
-    return {voter.name for voter in day.world.nodes["agency-5"].body.core.voters(table)}
+    return {voter.name for voter in day.world.nodes["agency-5"].body.participant.voters(table)}
 
 
 def keeper(day, name="agency-5"):
     node = day.world.nodes[name]
-    return node, voter_administration.Voters(node.body.context, node.body.submitter)
+    return node, voter_administration.VoterAdministration(node.body.context, node.body.submitter)
 
 
 def test_a_voter_is_replaced_by_hand_and_twice_is_the_same_as_once():
     async def scene(day):
         await spare(day, "agency-7", "north", "one")
         node, hand = keeper(day)
-        assert (await node.do(hand.show(), 3))["spares"] == ["agency-7"]
+        assert (await node.do(hand.describe(), 3))["spares"] == ["agency-7"]
         for _ in range(2):
             await node.do(hand.replace("agency-1", "agency-7"), 8)
             await asyncio.sleep(1)
--- a/tests/controlplane/test_partitioned_nodes.py
+++ b/tests/controlplane/test_partitioned_nodes.py
@@ -28,7 +28,7 @@
     """The operators' pages of one node, without the listener before them."""
     body = day.world.nodes[name].body
     server = types.SimpleNamespace(app=types.SimpleNamespace(add_route=lambda *_, **__: None))
-    members = voter_administration.Voters(body.context, body.submitter)
+    members = voter_administration.VoterAdministration(body.context, body.submitter)
     return operator_reads.OperatorReads(body.context, members, body.read_index, server)
 
 
@@ -81,14 +81,14 @@
 
 def test_a_read_settles_a_batch_that_a_majority_accepted_or_is_put_off():
     async def scene(day):
-        core = day.world.nodes["agency-1"].body.core
+        core = day.world.nodes["agency-1"].body.participant
         applied = core.context.configuration.applied
         ballot = versions.Version(applied.counter + 5, f"agency-1~{core.store.disk_id}")
         batch = items.Batch(ballot, applied, (("site/south", {"weight": 9}, False),))
         day.world.nodes["agency-1"].kill()
         for name in ("agency-2", "agency-3", "agency-4"):
             node = day.world.nodes[name]
-            owner = node.body.core.owners[items.CONFIGURATION]
+            owner = node.body.participant.acceptors[items.CONFIGURATION]
             await node.do(owner.order("promise", ballot), 1)
             await node.do(owner.order("accept", ballot, batch, "agency-1"), 1)
         # Its proposer may have said yes to its operator a moment ago.
@@ -117,7 +117,7 @@
 def test_a_read_does_not_join_a_round_that_began_before_it_came():
     async def scene(day):
         node = day.world.nodes["agency-1"]
-        check = node.body.checks[items.LEDGER]
+        check = node.body.heartbeats[items.LEDGER]
 
         async def slow_beat():
             await asyncio.sleep(0.2)
@@ -154,7 +154,7 @@
             await proposing(*arguments)
 
         proposer.propose = cut_before_accept
-        decided = [proposer.decide(orders.Order("change", f"c{n}", rows[n])) for n in range(2)]
+        decided = [proposer.submit(orders.Order("change", f"c{n}", rows[n])) for n in range(2)]
         told = await node.do(asyncio.wait_for(gather_all(decided), 20), 30)
         # No majority heard of either: neither may be told that another change came first.
         assert all(isinstance(result, NOT_REFUSED) for result in told), told
@@ -172,7 +172,9 @@
         node = day.world.nodes["agency-1"]
         day.world.cut_off(["agency-1"])
         answering = node.actor.start(
-            node.body.submitter.answer(orders.Order("change", "left", [cluster.site_row(weight=8)]))
+            node.body.submitter.submit_for_operator(
+                orders.Order("change", "left", [cluster.site_row(weight=8)])
+            )
         )
         await asyncio.sleep(0.3)
         # The listener cancels what a closed connection asked for.
@@ -192,8 +194,8 @@
         frozen.freeze()
         evacuate, back = orders.Order("evacuate", "", "north"), orders.Order("return", "", "north")
         node = day.world.nodes["agency-1"]
-        await node.do(node.body.submitter.answer(evacuate), 8)
-        await node.do(node.body.submitter.answer(back), 8)
+        await node.do(node.body.submitter.submit_for_operator(evacuate), 8)
+        await node.do(node.body.submitter.submit_for_operator(back), 8)
         frozen.thaw()
         await asyncio.sleep(6)
         assert not cluster.context(day, "agency-3").is_evacuated("north")
--- a/tests/modelcheck/test_model_check.py
+++ b/tests/modelcheck/test_model_check.py
@@ -117,7 +117,7 @@
 
 
 def test_a_read_that_loses_its_ballot_ends_with_no_and_breaks_nothing(monkeypatch):
-    beat = heartbeat.MajorityCheck.beat
+    beat = heartbeat.Heartbeat.beat
     # Only the client's read fails; those at the end of the run bring what every replica must have.
     failures = iter([proposer.BallotLostError()])
 
@@ -126,7 +126,7 @@
             raise error
         return await beat(self)
 
-    monkeypatch.setattr(heartbeat.MajorityCheck, beat.__name__, lose_first_ballot)
+    monkeypatch.setattr(heartbeat.Heartbeat, beat.__name__, lose_first_ballot)
     result = runs.replay(scenarios.REGISTRY["single"], ())
     assert not result.violation
     assert result.cluster.clients.results[1] == "no"
--- a/tests/mutation/consensus_mutations.py
+++ b/tests/mutation/consensus_mutations.py
@@ -4,7 +4,7 @@
 GUARDS = [
     (
         "controlplane/consensus/proposer.py",
-        "                if any(base == self.copy.applied for base, _, _ in entry.proposed):",
+        "                if any(base == self.replica.applied for base, _, _ in entry.proposed):",
         "                if False:",
         "simulator/test_simulated_days.py",
     ),
@@ -58,8 +58,8 @@
     ),
     (
         "controlplane/consensus/heartbeat.py",
-        "            if self.copy.applied > applied or (self.copy.applied == applied and not pending):",
-        "            if self.copy.applied >= applied:",
+        "            if self.replica.applied > applied or (self.replica.applied == applied and not pending):",
+        "            if self.replica.applied >= applied:",
         "controlplane/test_partitioned_nodes.py::test_a_read_settles_a_batch_that_a_majority_accepted_or_is_put_off",
     ),
     (
@@ -124,8 +124,8 @@
     ),
     (
         "controlplane/consensus/bootstrap.py",
-        "        for address, name in [source for source in sources if source[1] in cores_known]:\n            try:\n                await self.core.replicator.pull(address, name)\n            except (errors.IrisError, ValueError, TypeError):",
-        "        for address, name in sources:\n            try:\n                await self.core.replicator.pull(address, name)\n            except (errors.NotSentError, errors.UnansweredError):",
+        "        for address, name in [source for source in sources if source[1] in cores_known]:\n            try:\n                await self.participant.replicator.pull(address, name)\n            except (errors.IrisError, ValueError, TypeError):",
+        "        for address, name in sources:\n            try:\n                await self.participant.replicator.pull(address, name)\n            except (errors.NotSentError, errors.UnansweredError):",
         "controlplane/test_voter_sets.py::test_a_lost_zone_is_repaired_within_catch_up_so_that_the_next_may_go",
     ),
     (
@@ -148,13 +148,13 @@
     ),
     (
         "controlplane/consensus/proposer.py",
-        "        if self.copy.applied < applied or self.core.voters(self.table) != voters:\n",
+        "        if self.replica.applied < applied or self.participant.voters(self.table) != voters:\n",
         "        if False:\n",
         "modelcheck/test_model_check.py::test_every_run_with_one_deviation_keeps_all_rules[voters]",
     ),
     (
         "controlplane/consensus/proposer.py",
-        " or self.core.voters(self.table) != voters:\n",
+        " or self.participant.voters(self.table) != voters:\n",
         ":\n",
         "modelcheck/test_model_check.py::test_every_run_with_one_deviation_keeps_all_rules[voters]",
     ),
@@ -178,8 +178,8 @@
     ),
     (
         "controlplane/consensus/heartbeat.py",
-        "(self.copy.applied == applied and not pending)",
-        "(self.copy.applied == applied)",
+        "(self.replica.applied == applied and not pending)",
+        "(self.replica.applied == applied)",
         "modelcheck/test_model_check.py::test_a_majority_check_after_a_yes_does_not_rest_on_a_batch_that_is_only_pending_where_it_asks",
     ),
 ]
--- a/tests/state/test_disk_faults.py
+++ b/tests/state/test_disk_faults.py
@@ -13,7 +13,7 @@
 
 
 def votes(day, name):
-    return all(day.world.nodes[name].body.core.votes(table) for table in items.TABLES)
+    return all(day.world.nodes[name].body.participant.is_voter(table) for table in items.TABLES)
 
 
 def test_after_the_loss_of_everything_the_disks_bring_all_confirmed_rows_back_within_15_seconds():
@@ -43,18 +43,18 @@
     async def scene(day):
         result = await day.stage.order(victim, "change", [cluster.site_row(weight=3)])
         node = day.world.nodes[victim]
-        old = node.body.core.store.disk_id
+        old = node.body.participant.store.disk_id
         node.kill()
         node.wipe()
         await node.start()
         assert not votes(day, victim)
         # Asked under its old disk's name it has no vote, whatever its memory holds.
         with pytest.raises(errors.NotBootstrappedError):
-            await node.do(node.body.core.on_promise("x", [items.CONFIGURATION, (999, "x"), old]), 1)
+            await node.do(node.body.participant.on_promise("x", [items.CONFIGURATION, (999, "x"), old]), 1)
         await day.world.until(lambda: votes(day, victim), 10)
-        assert node.body.core.store.disk_id != old
+        assert node.body.participant.store.disk_id != old
         for table in items.TABLES:
-            assert len(day.world.nodes["agency-2"].body.core.voters(table)) == 5
+            assert len(day.world.nodes["agency-2"].body.participant.voters(table)) == 5
         assert str(cluster.context(day, victim).configuration.version("site/north")) == result["serial"]
         # Its vote counts again: with two others gone it makes up the majority.
         others = [name for name in ("agency-2", "agency-3", "agency-5") if name != victim][:2]
@@ -102,18 +102,18 @@
         await day.stage.order("agency-1", "change", [cluster.site_row(weight=2)])
         await asyncio.sleep(1)
         node = day.world.nodes["agency-3"]
-        before = node.body.core.store.disk_id
+        before = node.body.participant.store.disk_id
         node.kill()
         assert node.disk.corrupt(part)
         # Alone, it must not serve or vote from what it finds.
         day.world.cut_off(["agency-3"])
         await node.start()
         await asyncio.sleep(3)
-        core = node.body.core
+        core = node.body.participant
         assert not day.world.is_ready(node)
         if part == ".item.":
             with pytest.raises(errors.NotBootstrappedError):
-                await node.do(core.owners[items.CONFIGURATION].order("promise", (10**6, "x")), 1)
+                await node.do(core.acceptors[items.CONFIGURATION].order("promise", (10**6, "x")), 1)
             assert core.context.configuration.value("site/north") is None
         else:
             assert core.store.disk_id != before
@@ -136,10 +136,12 @@
         for node in control_nodes[:4]:
             await node.start()
         await asyncio.sleep(8)
-        assert all(not node.body.core.voters(items.LEDGER) for node in control_nodes[:4])
+        assert all(not node.body.participant.voters(items.LEDGER) for node in control_nodes[:4])
         await control_nodes[4].start()
-        await world.until(lambda: all(node.body.core.votes(items.LEDGER) for node in control_nodes), 10)
-        voters = control_nodes[0].body.core.voters(items.LEDGER)
+        await world.until(
+            lambda: all(node.body.participant.is_voter(items.LEDGER) for node in control_nodes), 10
+        )
+        voters = control_nodes[0].body.participant.voters(items.LEDGER)
         for node in control_nodes[1:]:
             node.kill()
             node.wipe()
@@ -148,7 +150,7 @@
         await asyncio.sleep(10)
         # Four empty disks and one founded: nobody founds again, and nobody votes from an empty memory.
         for node in control_nodes:
-            assert node.body.core.voters(items.LEDGER) == voters
+            assert node.body.participant.voters(items.LEDGER) == voters
             assert not world.is_ready(node)
 
     irisstand.simulator.virtual_time.run(scene())
@@ -168,7 +170,7 @@
         took = await world.until(lambda: votes(day, "agency-9"), 90)
         assert took > 20
         for table in items.TABLES:
-            names = {voter.name for voter in world.nodes["agency-1"].body.core.voters(table)}
+            names = {voter.name for voter in world.nodes["agency-1"].body.participant.voters(table)}
             assert names == {"agency-1", "agency-3", "agency-4", "agency-5", "agency-9"}
         assert str(cluster.context(day, "agency-9").configuration.version("site/north")) == result["serial"]
         # The old one returns with its disk: it has no vote any more, and takes nobody's place.
@@ -184,13 +186,13 @@
 
 def test_a_voter_set_that_one_lost_site_would_rob_of_its_majority_is_refused_whole():
     async def scene(day):
-        voters = day.world.nodes["agency-1"].body.core.voters(items.LEDGER)
+        voters = day.world.nodes["agency-1"].body.participant.voters(items.LEDGER)
         newcomer = ("agency-9", "vault", "north", "10.0.0.99", 7000, "m")
         assert [voter.site for voter in voters].count("north") == 2
         with pytest.raises(errors.InvalidChangeError) as raised:
             await day.stage.order("agency-1", "enrol-ledger", (newcomer, "agency-2"))
         assert "one site" in raised.value.faults[0]["message"]
-        assert day.world.nodes["agency-3"].body.core.voters(items.LEDGER) == voters
+        assert day.world.nodes["agency-3"].body.participant.voters(items.LEDGER) == voters
 
     cluster.play(scene)
 
@@ -202,7 +204,7 @@
         await day.stage.order("agency-1", "change", [cluster.site_row(weight=7)])
         await asyncio.sleep(1)
         for node in day.world.role("agency"):
-            store = node.body.core.store
+            store = node.body.participant.store
             for table in items.TABLES:
                 record = store.records[table]
                 old_root = replica.legacy_root_digest(store.replicas[table])
@@ -211,7 +213,7 @@
             node.kill()
         for node in day.world.role("agency"):
             await node.start()
-            assert all(node.body.core.store.intact.values())
+            assert all(node.body.participant.store.intact.values())
         await day.world.until_ready()
         assert cluster.context(day, "edge-1").configuration.value("site/north") == {"weight": 7}
         await day.stage.order("agency-3", "change", [cluster.site_row(weight=8)])
--- a/tests/state/test_quorum_loss.py
+++ b/tests/state/test_quorum_loss.py
@@ -127,7 +127,7 @@
             cut(world, [name], [other for other in cores(world) if other != name])
         copy = world.nodes["edge-1"].body.context.configuration
         for name in cores(world, 1, 2, 3):
-            store = world.nodes[name].body.core.store
+            store = world.nodes[name].body.participant.store
             record = store.records[items.CONFIGURATION]
             store.records[items.CONFIGURATION] = record._replace(
                 pending=items.Batch(copy.applied.successor("x"), copy.applied, ())
--- a/tests/state/test_replication.py
+++ b/tests/state/test_replication.py
@@ -51,7 +51,9 @@
         node.kill()
         node.wipe()
         await node.start()
-        await day.world.until(lambda: all(node.body.core.votes(table) for table in items.TABLES), 60)
+        await day.world.until(
+            lambda: all(node.body.participant.is_voter(table) for table in items.TABLES), 60
+        )
         copies = [cluster.context(day, f"agency-{n}").replicas[items.IDEMPOTENCY_KEYS] for n in (1, 4)]
         assert len(copies[1].items) > 2750 and copies[1].counts_by_prefix == copies[0].counts_by_prefix
 
--- a/tests/state/test_restart_after_changes.py
+++ b/tests/state/test_restart_after_changes.py
@@ -161,7 +161,9 @@
         await node.start()
 
         def serves():
-            return all(node.body.core.votes(table) for table in items.TABLES) and day.world.is_ready(node)
+            return all(
+                node.body.participant.is_voter(table) for table in items.TABLES
+            ) and day.world.is_ready(node)
 
         def never_old():
             # Whatever it calls current holds all that was confirmed before it started.
--- a/tests/state/test_slow_disks.py
+++ b/tests/state/test_slow_disks.py
@@ -46,11 +46,11 @@
         await day.stage.order("agency-1", "change", [{**cluster.site_row(), "value": None}])
         await asyncio.sleep(1)
         assert node.disk.writes - before[0] > 200 and node.disk.removals - before[1] <= 20
-        root = node.body.core.store.replicas[items.CONFIGURATION].root_digest()
+        root = node.body.participant.store.replicas[items.CONFIGURATION].root_digest()
         node.kill()
         await node.start()
-        assert node.body.core.store.intact[items.CONFIGURATION]
-        assert node.body.core.store.replicas[items.CONFIGURATION].root_digest() == root
+        assert node.body.participant.store.intact[items.CONFIGURATION]
+        assert node.body.participant.store.replicas[items.CONFIGURATION].root_digest() == root
         assert node.body.context.configuration.value("site/north") is None
 
     cluster.play(scene)
--- a/tests/support/voter_cluster.py
+++ b/tests/support/voter_cluster.py
@@ -34,7 +34,7 @@
 
 
 def up_voters(world, table):
-    up = {node.body.core.store.disk_id for node in world.role("agency") if node.is_up}
+    up = {node.body.participant.store.disk_id for node in world.role("agency") if node.is_up}
     return [voter for voter in voters(world, table) if voter.disk_id in up]
 
 
--- a/tests/transport/test_incarnations.py
+++ b/tests/transport/test_incarnations.py
@@ -120,7 +120,7 @@
         before = node.body.context.configuration.value("site/north")
         order = orders.Order("change", "", [cluster.site_row(weight=9)])
         # A ballot goes on for so long that the order is still queued when its asker gives up.
-        async with proposer.holding:
+        async with proposer.ballot_lock:
             ask = asker.body.context.transport.call(
                 (node.plan.host, 7000), "agency-2", "order", tuple(order), 0.3
             )
