--- a/tests/docs/test_pages.py
+++ b/tests/docs/test_pages.py
@@ -1,5 +1,6 @@
 """The pages name modules, classes and files that exist."""
 
+import ast
 import importlib.util
 import pathlib
 import re
@@ -74,6 +75,35 @@
     assert [name for name in PACKAGES if f"`irisstand.{name}`" not in text] == []
 
 
+def imported_packages(path: pathlib.Path) -> set[str]:
+    """First parts, below the product's name, of what a module imports."""
+    found = set()
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.ImportFrom) and node.module is not None:
+            names = [node.module] if "." in node.module else [f"{node.module}.{a.name}" for a in node.names]
+        elif isinstance(node, ast.Import):
+            names = [alias.name for alias in node.names]
+        else:
+            continue
+        found |= {name.split(".")[1] for name in names if name.startswith("irisstand.")}
+    return found
+
+
+def test_imports_point_downwards_in_the_table_of_packages() -> None:
+    section = (ROOT / "docs" / "architecture.md").read_text().split("\n## Packages\n")[1].split("\n## ")[0]
+    rows = re.findall(r"^\| (`irisstand[^|]*) \|", section, re.MULTILINE)
+    level = {name: row for row, cell in enumerate(rows) for name in re.findall(r"`irisstand\.(\w+)`", cell)}
+    assert set(PACKAGES) <= set(level)
+    upwards = [
+        (str(path.relative_to(SOURCE)), name)
+        for package, row in level.items()
+        for path in [*(SOURCE / package).rglob("*.py"), *SOURCE.glob(f"{package}.py")]
+        for name in imported_packages(path)
+        if level.get(name, row) < row
+    ]
+    assert upwards == []
+
+
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: str(page.relative_to(ROOT)))
 def test_relative_links_resolve(page: pathlib.Path) -> None:
     targets = [target for target in LINK.findall(FENCE.sub("", page.read_text())) if "://" not in target]
