--- a/src/irisstand/membership/__init__.py
+++ b/src/irisstand/membership/__init__.py
@@ -1,1 +1,1 @@
-"""SWIM membership: who is there."""
+"""SWIM membership: failure detector, dissemination, joining (docs/swim.md)."""
--- a/src/irisstand/membership/member_list.py
+++ b/src/irisstand/membership/member_list.py
@@ -1,67 +1,90 @@
-"""The list of members and the round-robin order in which they are probed (paper, section 4.3)."""
+"""The member list and the round-robin order in which members are pinged (SWIM paper, section 4.3)."""
 
 import hashlib
 import random
 
 from irisstand.membership import updates
 
+# How many failed incarnations are remembered, so that old Alive messages do not bring them back.
 FAILED_MEMBERS_LIMIT = 512
+DIGEST_CHARACTERS = 16
 
 
 class MemberList:
+    """The members that one node knows, itself not counted.
+
+    Attributes:
+        members: Alive and suspected members.
+        failed: Incarnations that were declared failed, the oldest first.
+    """
+
     def __init__(self, randomness: random.Random) -> None:
         self.randomness = randomness
         self.members: dict[updates.Identity, updates.Update] = {}
         self.failed: dict[updates.Identity, updates.Update] = {}
-        self.probe_order: list[updates.Identity] = []
-        self.probe_position = 0
+        self.ping_order: list[updates.Identity] = []
+        self.ping_position = 0
 
     def get(self, identity: updates.Identity) -> updates.Update | None:
+        """Return the newest update about an incarnation of a member, failed or not."""
         return self.members.get(identity) or self.failed.get(identity)
 
     def apply(self, update: updates.Update) -> bool:
-        """Take an update if it overrides what is known; True if it did."""
+        """Take an update if it overrides what is known; return whether it did."""
         known = self.get(update.identity)
         if known is not None and not updates.overrides(update, known):
             return False
         if update.state is updates.MemberState.CONFIRM:
-            self.members.pop(update.identity, None)
-            self.failed[update.identity] = update
-            # Oldest first out: a failed life is remembered to keep old Alive messages from reviving it.
-            while len(self.failed) > FAILED_MEMBERS_LIMIT:
-                del self.failed[next(iter(self.failed))]
-            if update.identity in self.probe_order:
-                place = self.probe_order.index(update.identity)
-                del self.probe_order[place]
-                self.probe_position -= place < self.probe_position
+            self._move_to_failed(update)
         else:
-            if update.identity not in self.members:
-                self.probe_order.insert(self.randomness.randint(0, len(self.probe_order)), update.identity)
-            self.members[update.identity] = update
+            self._put_member(update)
         return True
 
+    def _put_member(self, update: updates.Update) -> None:
+        if update.identity not in self.members:
+            position = self.randomness.randint(0, len(self.ping_order))
+            self.ping_order.insert(position, update.identity)
+        self.members[update.identity] = update
+
+    def _move_to_failed(self, update: updates.Update) -> None:
+        self.members.pop(update.identity, None)
+        self.failed[update.identity] = update
+        while len(self.failed) > FAILED_MEMBERS_LIMIT:
+            del self.failed[next(iter(self.failed))]
+        if update.identity in self.ping_order:
+            position = self.ping_order.index(update.identity)
+            del self.ping_order[position]
+            self.ping_position -= position < self.ping_position
+
     def next_ping_target(self) -> updates.Update | None:
-        """Every member once in each traversal, then a new random order."""
-        if not self.probe_order:
+        """Return the next member in turn: each once in a traversal, then again in a new random order."""
+        if not self.ping_order:
             return None
-        if self.probe_position >= len(self.probe_order):
-            self.randomness.shuffle(self.probe_order)
-            self.probe_position = 0
-        identity = self.probe_order[self.probe_position]
-        self.probe_position += 1
+        if self.ping_position >= len(self.ping_order):
+            self.randomness.shuffle(self.ping_order)
+            self.ping_position = 0
+        identity = self.ping_order[self.ping_position]
+        self.ping_position += 1
         return self.members[identity]
 
-    def random_members(self, count: int, target: updates.Identity) -> list[updates.Update]:
-        others = [update for update in self.members.values() if update.identity != target]
+    def random_members(self, count: int, excluded: updates.Identity) -> list[updates.Update]:
+        """Return `count` random members, or all if there are fewer, without the excluded one."""
+        others = [update for update in self.members.values() if update.identity != excluded]
         return self.randomness.sample(others, min(count, len(others)))
 
     def all_updates(self) -> list[updates.Update]:
+        """Return the updates about all members, those declared failed included."""
         return [*self.members.values(), *self.failed.values()]
 
     def digest(self, own: updates.Update) -> str:
-        """Equal digests mean equal lists of members not declared failed, the owner counted in."""
-        present = [own, *self.members.values()]
-        lines = sorted(
-            f"{u.identity.name}/{u.identity.incarnation_id}/{u.incarnation_number}" for u in present
-        )
-        return hashlib.sha256("\n".join(lines).encode()).hexdigest()[:16]
+        """Return a digest; equal ones mean equal lists of members not declared failed.
+
+        Args:
+            own: What the node that has this list says of itself, which is counted in.
+        """
+        lines = sorted(_digest_line(update) for update in [own, *self.members.values()])
+        return hashlib.sha256("\n".join(lines).encode()).hexdigest()[:DIGEST_CHARACTERS]
+
+
+def _digest_line(update: updates.Update) -> str:
+    return f"{update.identity.name}/{update.identity.incarnation_id}/{update.incarnation_number}"
--- a/src/irisstand/simulator/sizes.py
+++ b/src/irisstand/simulator/sizes.py
@@ -70,7 +70,7 @@
     question = (("blueprint", applied, bytes(16)), ("ledger", applied, bytes(16)))
     same = ((applied, 0.12, bytes(16), ("same",)),) * 2
     purge = ("purge/path/host.example/objects/1234", applied, {"purge": "path"})
-    riding = tuple(updates.encode(card(number)) for number in range(6))
+    riding = tuple(card(number).to_wire() for number in range(6))
     ping = ("ping", 123456, ("edge-zone-1-1", "0" * 16), ("edge-zone-2-2", "0" * 16), riding)
     found: list[tuple[str, str, float]] = [
         ("a question for two tables", "bytes", len(codec.pack(("ask", 1234, ("after", question))))),
--- a/tests/transport/test_fuzz.py
+++ b/tests/transport/test_fuzz.py
@@ -91,7 +91,7 @@
         ]
         one = detector()
         for update in given:
-            one.apply_update(updates.decode(ormsgpack.unpackb(ormsgpack.packb(updates.encode(update)))))
+            one.apply_update(updates.Update.from_wire(ormsgpack.unpackb(ormsgpack.packb(update.to_wire()))))
         for name in {update.identity.name for update in given}:
             about = [update for update in given if update.identity.name == name]
             failed = [update for update in about if update.state is updates.MemberState.CONFIRM]
