--- a/src/irisstand/controlplane/changes/amendment.py
+++ b/src/irisstand/controlplane/changes/amendment.py
@@ -88,7 +88,7 @@
         ]
         for kind, name in versioned.LISTS.items()
     }
-    limits = copy.value(versioned_items.LIMITS)
+    limits = copy.value(versioned_items.LIMITS_KEY)
     if limits is not None:
         found["limits"] = limits["item"]
     return found
--- a/src/irisstand/controlplane/changes/table_time.py
+++ b/src/irisstand/controlplane/changes/table_time.py
@@ -11,7 +11,7 @@
 
 from irisstand import errors
 from irisstand.controlplane.changes import overlay as overlays
-from irisstand.state import items, replica, versions
+from irisstand.state import item_table, items, versions
 
 # A step longer than this is a holder that slept; counting less is always safe.
 STEP_LIMIT_SECONDS = 60.0
@@ -98,7 +98,7 @@
     for version, key in overlay.copy.keys_by_version:
         if version > newest or gone >= REMOVALS_LIMIT:
             break
-        prefix = replica.key_prefix(key)
+        prefix = item_table.key_prefix(key)
         old, oldest = cuts.get(prefix, (versions.NONE, versions.NONE))
         # Copies are carried by applied versions and whole, so a copy that lacks a tombstone cannot bring its
         # row back.
--- a/src/irisstand/dataplane/routing/routes.py
+++ b/src/irisstand/dataplane/routing/routes.py
@@ -91,7 +91,7 @@
         else:
             self.compare_all(copy)
         self.applied, self.read_from = copy.applied, copy.items
-        self.limits = as_limits(copy.value(versioned_items.LIMITS))
+        self.limits = as_limits(copy.value(versioned_items.LIMITS_KEY))
 
     def take_changes(self, copy: replica.Replica) -> None:
         changed, forgotten = copy.changes_since(self.applied)
@@ -223,7 +223,7 @@
         item.get("attempts") or DEFAULT_ATTEMPT_LIMIT,
         float(item.get("cache_life") or 0),
         tuple(item.get("regions") or ()),
-        tuple(versioned_items.splits(item)),
+        tuple(versioned_items.weighted_services(item)),
     )
 
 
--- /dev/null
+++ b/src/irisstand/state/digests.py
@@ -0,0 +1,78 @@
+"""Digests that tell whether two replicas hold the same items, and in which ranges of keys they differ.
+
+A range is the set of keys with the same checksum modulo `RANGE_COUNT`. Its digest is the sum of the digests
+of its items, so that one changed item costs the same whatever the size of the table.
+"""
+
+import collections.abc
+import hashlib
+import zlib
+
+import ormsgpack
+
+from irisstand.state import items
+
+RANGE_COUNT = 256
+DIGEST_BYTES = 16
+DIGEST_MODULUS = 2 ** (8 * DIGEST_BYTES)
+# Of each range digest, the low bytes that are sent to a peer.
+SHORT_DIGEST_BYTES = 8
+LEGACY_RANGE_COUNT = 16
+
+
+def range_number(key: str) -> int:
+    """Return the range that a key belongs to."""
+    return zlib.crc32(key.encode()) % RANGE_COUNT
+
+
+def item_digest(item: items.Item) -> int:
+    """Return the digest of one item, as a number below `DIGEST_MODULUS`."""
+    packed = ormsgpack.packb(item.to_wire(), option=ormsgpack.OPT_SORT_KEYS)
+    return int.from_bytes(hashlib.sha256(packed).digest()[:DIGEST_BYTES])
+
+
+class RangeDigests:
+    """The digest of each range of one replica."""
+
+    def __init__(self, sums: list[int] | None = None) -> None:
+        self.sums = [0] * RANGE_COUNT if sums is None else sums
+
+    def __eq__(self, other: object) -> bool:
+        return isinstance(other, RangeDigests) and self.sums == other.sums
+
+    def add(self, key: str, digest: int) -> None:
+        """Count an item in."""
+        number = range_number(key)
+        self.sums[number] = (self.sums[number] + digest) % DIGEST_MODULUS
+
+    def subtract(self, key: str, digest: int) -> None:
+        """Take an item out."""
+        number = range_number(key)
+        self.sums[number] = (self.sums[number] - digest) % DIGEST_MODULUS
+
+    def copy(self) -> "RangeDigests":
+        """Return digests that change independently of these."""
+        return RangeDigests(list(self.sums))
+
+    def shortened(self) -> tuple[bytes, ...]:
+        """Return the digest of each range in the form that is sent to a peer."""
+        return tuple(total.to_bytes(DIGEST_BYTES)[-SHORT_DIGEST_BYTES:] for total in self.sums)
+
+    def root(self) -> bytes:
+        """Return one digest over all ranges, equal for replicas with equal items."""
+        packed = b"".join(total.to_bytes(DIGEST_BYTES) for total in self.sums)
+        return hashlib.sha256(packed).digest()[:DIGEST_BYTES]
+
+
+def legacy_root_digest(held: collections.abc.Iterable[items.Item]) -> bytes:
+    """Return the root digest that the first version wrote to disk, over sixteen ranges.
+
+    Args:
+        held: The items of the table in the order of their keys.
+    """
+    hashes = [hashlib.sha256() for _ in range(LEGACY_RANGE_COUNT)]
+    for item in held:
+        packed = ormsgpack.packb(item.to_wire(), option=ormsgpack.OPT_SORT_KEYS)
+        hashes[zlib.crc32(item.key.encode()) % LEGACY_RANGE_COUNT].update(packed)
+    shortened = b"".join(one.digest()[:SHORT_DIGEST_BYTES] for one in hashes)
+    return hashlib.sha256(shortened).digest()[:DIGEST_BYTES]
--- /dev/null
+++ b/src/irisstand/state/item_table.py
@@ -0,0 +1,120 @@
+"""Items by key and by version, with their digests and numbers kept up to date."""
+
+import collections
+import collections.abc
+import typing
+
+import sortedcontainers
+
+from irisstand.state import digests, items, versions
+
+
+class ItemTable:
+    """A sorted map of items.
+
+    Attributes:
+        items: The items by key, sorted.
+        keys_by_version: Pairs of version and key, sorted.
+        item_digests: The digest of each item by key.
+        digests: The digests of all ranges.
+        counts_by_prefix: The number of items by the part of their keys before the first slash.
+    """
+
+    def __init__(self) -> None:
+        self.items: sortedcontainers.SortedDict = sortedcontainers.SortedDict()
+        self.keys_by_version: sortedcontainers.SortedList = sortedcontainers.SortedList()
+        self.item_digests: dict[str, int] = {}
+        self.digests = digests.RangeDigests()
+        self.counts_by_prefix: collections.Counter[str] = collections.Counter()
+
+    # -- reading -------------------------------------------------------------------------------------
+    def value(self, key: str) -> typing.Any:
+        """Return the value of a key, or None if the key is absent or holds a tombstone."""
+        item = self.items.get(key)
+        return None if item is None else item.value
+
+    def version(self, key: str) -> versions.Version:
+        """Return the version of a key, or `versions.NONE` if the key is absent."""
+        item: items.Item | None = self.items.get(key)
+        return versions.NONE if item is None else item.version
+
+    def items_with_prefix(self, prefix: str) -> collections.abc.Iterator[items.Item]:
+        """Yield the items, but no tombstones, whose keys begin with the prefix, in the order of keys."""
+        for key in self.items.irange(prefix):
+            if not key.startswith(prefix):
+                return
+            if self.items[key].value is not None:
+                yield self.items[key]
+
+    def items_in_ranges(self, numbers: set[int]) -> list[items.Item]:
+        """Return the items of these ranges, in the order of their keys."""
+        return [item for key, item in self.items.items() if digests.range_number(key) in numbers]
+
+    def range_digests(self) -> tuple[bytes, ...]:
+        """Return the digest of each range in the form that is sent to a peer."""
+        return self.digests.shortened()
+
+    def root_digest(self) -> bytes:
+        """Return one digest over all items."""
+        return self.digests.root()
+
+    def digests_with(self, keys: collections.abc.Iterable[str], other: "ItemTable") -> digests.RangeDigests:
+        """Return the digests that this table would have with these keys as they are in the other one."""
+        changed = self.digests.copy()
+        for key in keys:
+            changed.subtract(key, self.item_digests.get(key, 0))
+            changed.add(key, other.item_digests.get(key, 0))
+        return changed
+
+    # -- changing ------------------------------------------------------------------------------------
+    def put(self, item: items.Item, known_digest: int | None = None) -> None:
+        """Store an item, whatever version its key holds.
+
+        Args:
+            item: The item.
+            known_digest: Its digest, if the caller has worked it out already.
+        """
+        self.remove(item.key)
+        self.items[item.key] = item
+        self.keys_by_version.add((item.version, item.key))
+        digest = digests.item_digest(item) if known_digest is None else known_digest
+        self.item_digests[item.key] = digest
+        self.digests.add(item.key, digest)
+        self.counts_by_prefix[key_prefix(item.key)] += 1
+
+    def remove(self, key: str) -> bool:
+        """Remove a key. Return whether it was there."""
+        item = self.items.pop(key, None)
+        if item is None:
+            return False
+        self.keys_by_version.remove((item.version, key))
+        self.digests.subtract(key, self.item_digests.pop(key))
+        self.counts_by_prefix[key_prefix(key)] -= 1
+        return True
+
+    def merge(self, item: items.Item) -> bool:
+        """Store an item unless its key holds the same or a higher version. Return whether it was stored."""
+        known = self.items.get(item.key)
+        if known is not None and known.version >= item.version:
+            return False
+        self.put(item)
+        return True
+
+    def replace_ranges(self, ranges: dict[int, list[items.Item]]) -> None:
+        """Make whole ranges equal to a peer's: what the peer lacks was removed, or is damage."""
+        kept = {item.key for held in ranges.values() for item in held}
+        for key in [key for key in self.items if digests.range_number(key) in ranges and key not in kept]:
+            self.remove(key)
+        for held in ranges.values():
+            for item in held:
+                if self.items.get(item.key) != item:
+                    self.put(item)
+
+
+def key_prefix(key: str) -> str:
+    """Return the part of a key before the first slash.
+
+    >>> key_prefix("claim/7f"), key_prefix("~voters")
+    ('claim', '~voters')
+    """
+    return key.partition("/")[0]
--- a/src/irisstand/state/replication/replicator.py
+++ b/src/irisstand/state/replication/replicator.py
@@ -3,7 +3,7 @@
 """
 
 from irisstand import errors, node_context
-from irisstand.state import items, replica, versions
+from irisstand.state import digests, items, replica, versions
 from irisstand.state.replication import chunk_transfer
 from irisstand.transport import network
 
@@ -57,15 +57,15 @@
 
     async def on_ranges(self, _: str, body: list) -> tuple:
         """Items of ranges whose digests differ from the asker's, as many as fit."""
-        name, digests = body
+        name, asked = body
         copy = self.context.replicas[name]
-        if len(digests) != replica.RANGE_COUNT:
+        if len(asked) != digests.RANGE_COUNT:
             raise ValueError("another number of ranges")
         own = copy.range_digests()
-        differing = {number for number in range(replica.RANGE_COUNT) if own[number] != digests[number]}
+        differing = {number for number in range(digests.RANGE_COUNT) if own[number] != asked[number]}
         grouped: dict[int, list] = {number: [] for number in differing}
         for item in copy.items_in_ranges(differing):
-            grouped[replica.range_number(item.key)].append(item)
+            grouped[digests.range_number(item.key)].append(item)
         parts, size = [], 0
         for number, held in grouped.items():
             if size > PART_LIMIT:
--- a/src/irisstand/state/storage/durable_store.py
+++ b/src/irisstand/state/storage/durable_store.py
@@ -8,7 +8,7 @@
 import ormsgpack
 
 from irisstand import event_log
-from irisstand.state import items, replica, versions
+from irisstand.state import digests, items, replica, versions
 from irisstand.state.storage import disk as disks
 from irisstand.state.storage import item_files
 
@@ -112,7 +112,7 @@
         # Left over from the last run: all but the newest record and what it rests on.
         counted = layout.names() | set(names[-1:])
         self.garbage[table] = [n for n in files if n.startswith(f"{table}.") and n not in counted]
-        roots = (copy.root_digest(), replica.legacy_root_digest(copy))
+        roots = (copy.root_digest(), digests.legacy_root_digest(copy.items.values()))
         self.intact[table] = not names or record.root_digest in roots
 
     async def save_record(self, table: str, record: Record) -> None:
@@ -137,7 +137,7 @@
         changed, forgotten = live.changes_since(kept.applied)
         keys = {item.key for item in changed} | set(forgotten)
         # A forgetting that the live copy no longer remembers shows in the root: then all are compared.
-        if not self.intact[table] or kept.range_sums_with(keys, live) != live.range_sums:
+        if not self.intact[table] or kept.digests_with(keys, live) != live.digests:
             keys = set(kept.items) | set(live.items)
         wanted = {key: live.items.get(key) for key in keys}
         return {key: item for key, item in wanted.items() if item != kept.items.get(key)}
--- a/src/irisstand/state/versioned_items.py
+++ b/src/irisstand/state/versioned_items.py
@@ -1,11 +1,13 @@
-"""How items with their senders' own versions lie in the configuration table."""
+"""How the items that operators version themselves are stored in the configuration table."""
 
-# Routes are route/NAME and services upstream/NAME; limits are one item without a name.
-LIMITS = "limits/all"
+import typing
 
+# Routes are stored as route/NAME and services as upstream/NAME; the limits are one item without a name.
+LIMITS_KEY = "limits/all"
 
-def splits(route: dict) -> list[tuple[str, float]]:
-    """The services of a route with their weights: its split, or its one service."""
+
+def weighted_services(route: dict[str, typing.Any]) -> list[tuple[str, float]]:
+    """Return the services of a route with their weights; a route without a split has one, or none."""
     if route.get("split"):
         return [(part["service"], part["weight"]) for part in route["split"]]
     return [(route["service"], 1.0)] if route.get("service") else []
--- a/src/irisstand/validation/versioned_items.py
+++ b/src/irisstand/validation/versioned_items.py
@@ -124,7 +124,7 @@
     if limits is not None:
         check("limits", limits, fault)
         if not faults:
-            entries.append((versioned_items.LIMITS, stored(limits)))
+            entries.append((versioned_items.LIMITS_KEY, stored(limits)))
     return unique(entries, fault), faults
 
 
@@ -202,7 +202,7 @@
 def faults_of_route(key: str, route: dict, services: set[str]) -> list[dict[str, str]]:
     """What is wrong with a route beside the keys of the services that it may name."""
     found: list[dict[str, str]] = []
-    parts = versioned_items.splits(route)
+    parts = versioned_items.weighted_services(route)
     for service, _ in parts:
         if f"upstream/{service}" not in services:
             message = f"service {service!r} has no item; send it too, or name another"
--- a/tests/mutation/state_mutations.py
+++ b/tests/mutation/state_mutations.py
@@ -64,7 +64,7 @@
     ),
     (
         "state/storage/durable_store.py",
-        "if not self.intact[table] or kept.range_sums_with(keys, live) != live.range_sums:",
+        "if not self.intact[table] or kept.digests_with(keys, live) != live.digests:",
         "if not self.intact[table]:",
         "state/test_restart_after_changes.py::test_more_forgotten_at_once_than_is_remembered_still_leaves_the_disk_with_its_vote",
     ),
@@ -94,14 +94,14 @@
     ),
     (
         "state/replica.py",
-        "        if root_digest_of(sums) != root:\n            return False",
+        "        if expected.root() != root_digest:\n            return False",
         "",
         "state/test_replication.py::test_rows_above_a_applied_are_taken_only_if_the_outcome_is_the_peers_copy",
     ),
     (
         "state/replica.py",
-        "        if applied < self.applied:\n            return False\n        sums",
-        "        sums",
+        "        if applied < self.applied:\n            return False\n        expected",
+        "        expected",
         "state/test_replication.py::test_rows_above_a_applied_are_taken_only_if_the_outcome_is_the_peers_copy",
     ),
     (
--- a/tests/state/test_disk_faults.py
+++ b/tests/state/test_disk_faults.py
@@ -8,8 +8,8 @@
 import irisstand.errors as errors
 import irisstand.simulator.virtual_time
 import irisstand.simulator.world
+import irisstand.state.digests as digests
 import irisstand.state.items as items
-import irisstand.state.replica as replica
 
 
 def votes(day, name):
@@ -207,7 +207,7 @@
             store = node.body.participant.store
             for table in items.TABLES:
                 record = store.records[table]
-                old_root = replica.legacy_root_digest(store.replicas[table])
+                old_root = digests.legacy_root_digest(store.replicas[table].items.values())
                 assert old_root != record.root_digest
                 await store.save_record(table, record._replace(root_digest=old_root))
             node.kill()
--- a/tests/transport/test_fuzz.py
+++ b/tests/transport/test_fuzz.py
@@ -10,6 +10,7 @@
 import irisstand.errors as errors
 import irisstand.membership.detector
 import irisstand.membership.updates as updates
+import irisstand.state.digests as digests
 import irisstand.state.items as items
 import irisstand.state.replica as replica
 import irisstand.state.versions as versions
@@ -133,4 +134,4 @@
         differing = [
             a != b for a, b in zip(copies[0].range_digests(), copies[1].range_digests(), strict=True)
         ]
-        assert differing.index(True) == replica.range_number(changed) and sum(differing) == 1
+        assert differing.index(True) == digests.range_number(changed) and sum(differing) == 1
