--- a/src/irisstand/controlplane/api/operator_orders.py
+++ b/src/irisstand/controlplane/api/operator_orders.py
@@ -113,7 +113,7 @@
             return await self.submit("return", change, site)
         notes: list[str] = []
         if not only_origins:
-            notes = await self.evacuation.judge(site, request.args.get("insist") == "true")
+            notes = await self.evacuation.check_once(site, insist=request.args.get("insist") == "true")
         response = await self.submit("evacuate", change, site)
         if notes and response.status == 200:
             response = web.as_json({**json.loads(response.body), "notes": notes})
@@ -121,7 +121,8 @@
 
     async def post_amendment(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         """Items with their senders' own versions: each alone is its own id, so a call may come again."""
-        return await self.submit("amend", "", amendment.parse_amendment(request.body))
+        entries = amendment.parse_amendment(request.body)
+        return await self.submit("amend", "", [entry.to_wire() for entry in entries])
 
     async def put_voter(self, request: sanic.request.Request, name: str) -> sanic.response.HTTPResponse:
         """PUT {"replaces": OLD} votes a spare in for a voter; DELETE retires a voter without another."""
--- a/src/irisstand/controlplane/assembly.py
+++ b/src/irisstand/controlplane/assembly.py
@@ -9,8 +9,15 @@
 from irisstand.controlplane.consensus import heartbeat, submitter, voter_planner
 from irisstand.controlplane.consensus import participant as cores
 from irisstand.controlplane.consensus import proposer as proposers
-from irisstand.controlplane.singletons import capacity_scaling, lease, placement, rate_placement, retention
-from irisstand.controlplane.singletons import origin_discovery as watch
+from irisstand.controlplane.singletons import (
+    capacity_scaling,
+    lease,
+    origin_discovery,
+    origin_source,
+    placement,
+    rate_placement,
+    retention,
+)
 from irisstand.state import items
 from irisstand.state.storage import disk as disks
 from irisstand.transport import network
@@ -27,7 +34,7 @@
         randomness: random.Random,
         net: network.Network,
         disk: disks.Disk,
-        ask_platform: watch.FetchOrigins | None,
+        ask_platform: origin_source.FetchOrigins | None,
     ) -> None:
         self.context = node_context.NodeContext(settings, "agency", clock, randomness, net)
         self.participant = cores.Participant(self.context, disk)
@@ -42,7 +49,7 @@
         self.planner = voter_planner.VoterPlanner(self.participant, self.submitter)
         self.singleton_tasks: list[lease.SingletonTask] = []
         if ask_platform is not None:
-            watcher = watch.OriginDiscovery(self.context, ask_platform)
+            watcher = origin_discovery.OriginDiscovery(self.context, ask_platform)
             self.singleton_tasks.append(
                 lease.SingletonTask(self.submitter, "platform-watch", watcher.work, PLATFORM_LEASE)
             )
--- a/src/irisstand/controlplane/changes/change_status.py
+++ b/src/irisstand/controlplane/changes/change_status.py
@@ -1,33 +1,68 @@
-"""What became of a change: its rows, their versions, what superseded them, and who has it in force."""
+"""What became of a change: its rows, what superseded them, and which nodes have it in force."""
 
 import asyncio
+import collections.abc
+import enum
 import typing
 
 from irisstand import errors, node_context
 from irisstand.controlplane.changes import table_time
 from irisstand.membership import updates
-from irisstand.state import items, versions
+from irisstand.state import items, replica, versions
 
 CALL_TIMEOUT_SECONDS = 0.6
+# The tables whose changes have ids that operators know.
+TABLES_WITH_CHANGES = (items.CONFIGURATION, items.LEDGER)
+
+
+class NodeState(enum.StrEnum):
+    """How far a node is with a change, in the words that operators read."""
+
+    IN_FORCE = "in force"
+    BEHIND = "behind"
+    # It has the change, but answers nobody by its table, which may be old.
+    STALE = "stale"
+    SILENT = "silent"
+
+
+class TableReport(typing.NamedTuple):
+    """What a node says of one of its tables: the applied version, and whether it answers by the table."""
+
+    table: str
+    applied: versions.Version
+    is_current: bool
+
+    @classmethod
+    def from_wire(cls, parts: typing.Any) -> "TableReport":
+        """Read one table's part of a node's answer; raise ValueError or TypeError if it has another form."""
+        table, applied, is_current = parts
+        return cls(table, versions.Version.from_wire(applied), is_current)
 
 
 class ChangeStatus:
+    """Looks up changes by their ids, and asks all members how far they are with them."""
+
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
 
     async def show(self, change: str) -> dict[str, typing.Any]:
-        for table in (items.CONFIGURATION, items.LEDGER):
+        """Return what became of a change, as operators read it.
+
+        Raises:
+            UnknownNameError: No change of this id is known.
+        """
+        for table in TABLES_WITH_CHANGES:
             copy = self.context.replicas[table]
             record = copy.items.get(f"~change/{change}")
             if record is not None and record.value is not None:
-                rows = [self.row(copy, key, record.version) for key in record.value["rows"]]
+                rows = [self.row_status(copy, key, record.version) for key in record.value["rows"]]
                 return {
                     "change": change,
                     "table": table,
                     "serial": str(record.version),
                     "rows": rows,
                     "seconds_ago": self.seconds_ago(copy, record.version),
-                    "nodes": await self.nodes(table, record.version),
+                    "nodes": await self.node_states(table, record.version),
                 }
         raise errors.UnknownNameError(
             f"no change {change!r} is known here",
@@ -35,43 +70,51 @@
             "unknown, send the change again under the same id",
         )
 
-    def row(self, copy: typing.Any, key: str, version: versions.Version) -> dict[str, typing.Any]:
-        """In force as long as the row still bears the change's own version."""
-        now = copy.version(key)
-        found: dict[str, typing.Any] = {"row": key, "in_force": now == version}
-        if now != version:
-            found["superseded_by"] = str(now) if now != versions.NONE else "a removal long ago"
-            found["superseded_seconds_ago"] = self.seconds_ago(copy, now)
+    def row_status(
+        self, table: replica.Replica, key: str, version: versions.Version
+    ) -> dict[str, typing.Any]:
+        """Return whether a row still has the version of its change, and else what superseded it."""
+        in_force = table.version(key)
+        found: dict[str, typing.Any] = {"row": key, "in_force": in_force == version}
+        if in_force != version:
+            is_known = in_force != versions.NONE
+            found["superseded_by"] = str(in_force) if is_known else "a removal long ago"
+            found["superseded_seconds_ago"] = self.seconds_ago(table, in_force)
         return found
 
-    def seconds_ago(self, copy: typing.Any, version: versions.Version) -> float:
-        """At the least, by the table's own time, which stands still while nobody keeps it."""
-        return round(table_time.TableTime(copy.value(items.TABLE_TIME_KEY)).stood(version), 1)
+    def seconds_ago(self, table: replica.Replica, version: versions.Version) -> float:
+        """Return how long ago, at least, a version was written, in seconds of the table's own time."""
+        return round(table_time.TableTime(table.value(items.TABLE_TIME_KEY)).age_of(version), 1)
 
-    async def nodes(self, table: str, version: versions.Version) -> dict[str, str]:
-        """Asked now of every member: in force, behind, stale (it answers nobody by its table), or silent."""
+    async def node_states(self, table: str, version: versions.Version) -> dict[str, str]:
+        """Ask every member now, and return by name how far it is with a version of a table."""
         members = list(self.context.detector.member_list.members.values())
-        told = await asyncio.gather(*(self.ask(update) for update in members))
+        answers = await asyncio.gather(*(self.ask_applied_versions(member) for member in members))
         own = await self.context.on_applied_versions("", [])
-        found = {self.context.settings.name: self.state(own, table, version)}
-        for update, applied_versions in zip(members, told, strict=True):
-            found[update.identity.name] = (
-                "silent" if applied_versions is None else self.state(applied_versions, table, version)
-            )
-        return dict(sorted(found.items()))
+        found = {self.context.settings.name: self.state_of(own, table, version)}
+        for member, answer in zip(members, answers, strict=True):
+            found[member.identity.name] = self.state_of(answer, table, version)
+        return {name: str(state) for name, state in sorted(found.items())}
 
-    async def ask(self, update: updates.Update) -> tuple | None:
+    async def ask_applied_versions(self, member: updates.Update) -> typing.Any:
+        """Return a member's answer as it came from the wire, None if there is none."""
         try:
             return await self.context.transport.call(
-                update.node_info.address, update.identity.name, "tips", (), CALL_TIMEOUT_SECONDS
+                member.node_info.address, member.identity.name, "tips", (), CALL_TIMEOUT_SECONDS
             )
         except errors.IrisError:
             return None
 
-    def state(self, applied_versions: typing.Iterable, table: str, version: versions.Version) -> str:
-        for name, applied, is_current in applied_versions:
-            if name == table:
-                if versions.Version.from_wire(applied) < version:
-                    return "behind"
-                return "in force" if is_current else "stale"
-        return "silent"
+    def state_of(
+        self, answer: collections.abc.Iterable[typing.Any] | None, table: str, version: versions.Version
+    ) -> NodeState:
+        """Return how far a node is with a version, by what it said of its tables."""
+        for parts in answer or ():
+            name, *_ = parts
+            if name != table:
+                continue
+            report = TableReport.from_wire(parts)
+            if report.applied < version:
+                return NodeState.BEHIND
+            return NodeState.IN_FORCE if report.is_current else NodeState.STALE
+        return NodeState.SILENT
--- a/src/irisstand/controlplane/changes/confirmed_versions.py
+++ b/src/irisstand/controlplane/changes/confirmed_versions.py
@@ -1,48 +1,82 @@
-"""The versions of an item that were confirmed before, each with the digest of its one content.
+"""The stored row of a versioned item, with the versions that were confirmed before the one in force.
 
-They lie in the item's own row under `seen`, so they are decided, carried, stored and snapshotted with it,
-and last as long as the row: a dropped item's row (`item` None) is no tombstone and is never forgotten. Rows
-of earlier software have none and read as if nothing were remembered.
+Earlier versions stand in the item's own row under `seen`, each with the digest of its content. So they are
+decided, replicated and stored together with the item and last as long as its row: the row of a dropped item
+(`item` None) is no tombstone and never expires. Rows of earlier software have no `seen`.
 """
 
+import dataclasses
 import typing
 
-from irisstand.validation import canonical_content
+from irisstand.validation import canonical_content, item_entries
 
-# So many of the highest versions beside the one in force are remembered; lower ones are confirmed unseen.
+# How many versions beside the one in force are remembered, the highest first. A lower version that comes
+# again is confirmed without a check of its content.
 REMEMBERED_VERSIONS_LIMIT = 32
-Stored = dict[str, typing.Any]
 
 
-def is_taken(known: Stored, value: Stored) -> bool | None:
-    """Whether another content has the version of `value`: None if this version is not remembered.
+class SeenVersion(typing.NamedTuple):
+    """A version that was confirmed before, and the digest of its content."""
 
-    >>> known = {"version": 5, "item": {"a": 1}, "seen": [[3, one_content.digest(None)]]}
-    >>> asked = [(5, {"a": 1.0}), (5, None), (3, None), (4, 1)]
-    >>> [is_taken(known, {"version": version, "item": item}) for version, item in asked]
-    [False, True, False, None]
+    version: int
+    digest: str
+
+
+@dataclasses.dataclass(frozen=True)
+class VersionedRow:
+    """The stored row of a versioned item.
+
+    Attributes:
+        version: The version in force, as its sender numbered it.
+        item: The content in force, None if the item was dropped.
+        seen: Earlier versions from the highest on; None in rows that have none.
     """
-    if known["version"] == value["version"]:
-        return not canonical_content.is_same(known["item"], value["item"])
-    for version, digest in known.get("seen", ()):
-        if version == value["version"]:
-            return digest != canonical_content.digest(value["item"])
-    return None
 
+    version: int
+    item: typing.Any
+    seen: tuple[SeenVersion, ...] | None = None
+
+    @classmethod
+    def from_value(cls, value: dict[str, typing.Any] | None) -> "VersionedRow | None":
+        """Read a stored row, None if there is none."""
+        if value is None:
+            return None
+        if "seen" not in value:
+            return cls(value["version"], value["item"])
+        seen = tuple(SeenVersion(*pair) for pair in value["seen"])
+        return cls(value["version"], value["item"], seen)
+
+    def to_value(self) -> dict[str, typing.Any]:
+        """Return the row to store."""
+        value = {"version": self.version, "item": self.item}
+        if self.seen is None:
+            return value
+        return {**value, "seen": [list(seen) for seen in self.seen]}
 
-def overtake(known: Stored | None, value: Stored) -> Stored:
-    """The row with `value` in force, and what stood before among the versions seen."""
-    if known is None:
-        return {"version": value["version"], "item": value["item"]}
-    return {"version": value["version"], "item": value["item"], "seen": with_version(known, known)}
+    def is_taken(self, entry: item_entries.ItemEntry) -> bool | None:
+        """Return whether the entry's version was confirmed with another content; None if it is not known.
 
+        >>> row = VersionedRow(5, {"a": 1}, (SeenVersion(3, canonical_content.digest(None)),))
+        >>> asked = [(5, {"a": 1.0}), (5, None), (3, None), (4, 1)]
+        >>> [row.is_taken(item_entries.ItemEntry("route/a", version, item)) for version, item in asked]
+        [False, True, False, None]
+        """
+        if self.version == entry.version:
+            return not canonical_content.is_same(self.item, entry.item)
+        for seen in self.seen or ():
+            if seen.version == entry.version:
+                return seen.digest != canonical_content.digest(entry.item)
+        return None
 
-def remember(known: Stored, value: Stored) -> Stored:
-    """The row as it stands, with an older version that came late among the versions seen."""
-    return {**known, "seen": with_version(known, value)}
+    def overtaken_by(self, entry: item_entries.ItemEntry) -> "VersionedRow":
+        """Return the row with a higher version in force, and the present one among those seen."""
+        return VersionedRow(entry.version, entry.item, self.seen_with(self.version, self.item))
 
+    def remembering(self, entry: item_entries.ItemEntry) -> "VersionedRow":
+        """Return the row as it stands, with a lower version that came late among those seen."""
+        return dataclasses.replace(self, seen=self.seen_with(entry.version, entry.item))
 
-def with_version(known: Stored, value: Stored) -> list[list]:
-    entry = [value["version"], canonical_content.digest(value["item"])]
-    seen = [list(pair) for pair in known.get("seen", ())]
-    return sorted([*seen, entry], reverse=True)[:REMEMBERED_VERSIONS_LIMIT]
+    def seen_with(self, version: int, item: typing.Any) -> tuple[SeenVersion, ...]:
+        """Return the versions seen with one more, from the highest on, as many as are remembered."""
+        seen = [*(self.seen or ()), SeenVersion(version, canonical_content.digest(item))]
+        return tuple(sorted(seen, reverse=True)[:REMEMBERED_VERSIONS_LIMIT])
--- /dev/null
+++ b/src/irisstand/controlplane/changes/order_planning.py
@@ -0,0 +1,116 @@
+"""Planning of orders: each order adds rows to a table's overlay, or is refused and adds none."""
+
+import collections.abc
+import typing
+
+from irisstand import control_errors
+from irisstand.controlplane.changes import (
+    amendment,
+    idempotency_claims,
+    lease_changes,
+    operator_changes,
+    orders,
+    table_overlay,
+    table_time,
+    voter_changes,
+)
+from irisstand.state import items, versions
+from irisstand.validation import canonical_content
+
+# Change ids that are remembered; at the limit new orders are refused until the oldest ids expire.
+CHANGES_LIMIT = 50_000
+CHANGE_PREFIX = "~change"
+
+Planner = collections.abc.Callable[[table_overlay.Overlay, typing.Any], table_overlay.PlannedRows]
+
+# Plug-in point: a kind of order is an entry here, and one in `orders.TABLE_BY_KIND`.
+PLANNERS: dict[str, Planner] = {
+    orders.OrderKind.CHANGE: operator_changes.plan_change,
+    orders.OrderKind.AMEND: amendment.plan_amend,
+    orders.OrderKind.PURGE: operator_changes.plan_purge,
+    orders.OrderKind.EVACUATE: operator_changes.plan_evacuate,
+    orders.OrderKind.RETURN: operator_changes.plan_return,
+    orders.OrderKind.ENROL_CONFIGURATION: voter_changes.plan_enrol,
+    orders.OrderKind.ENROL_LEDGER: voter_changes.plan_enrol,
+    orders.OrderKind.ENROL_CLAIMS: voter_changes.plan_enrol,
+    orders.OrderKind.RETIRE_CONFIGURATION: voter_changes.plan_retire,
+    orders.OrderKind.RETIRE_LEDGER: voter_changes.plan_retire,
+    orders.OrderKind.RETIRE_CLAIMS: voter_changes.plan_retire,
+    orders.OrderKind.VOTERS_CONFIGURATION: voter_changes.plan_voter_set,
+    orders.OrderKind.VOTERS_LEDGER: voter_changes.plan_voter_set,
+    orders.OrderKind.VOTERS_CLAIMS: voter_changes.plan_voter_set,
+    orders.OrderKind.CLAIM_KEY: idempotency_claims.plan_claim,
+    orders.OrderKind.SETTLE_KEY: idempotency_claims.plan_result,
+    orders.OrderKind.LEASE: lease_changes.plan_lease,
+    orders.OrderKind.FENCED_WRITE: lease_changes.plan_fenced_write,
+    orders.OrderKind.ADVANCE_CONFIGURATION_TIME: table_time.plan_time_advance,
+    orders.OrderKind.ADVANCE_LEDGER_TIME: table_time.plan_time_advance,
+    orders.OrderKind.ADVANCE_CLAIMS_TIME: table_time.plan_time_advance,
+}
+
+
+class PlannedOrder(typing.NamedTuple):
+    """The result that an order will have once its batch is decided.
+
+    Attributes:
+        version: The version of the rows that the order wrote, now or when it came first.
+        keys: The keys of these rows, without the system's own.
+    """
+
+    version: versions.Version
+    keys: list[str]
+
+
+class ChangeRecord(typing.NamedTuple):
+    """What is remembered of a change id: the keys that it wrote and the digest of its order."""
+
+    keys: list[str]
+    # Records of earlier software have none.
+    digest: str | None
+
+    @classmethod
+    def from_value(cls, value: dict[str, typing.Any]) -> "ChangeRecord":
+        """Read a stored row."""
+        return cls(value["rows"], value.get("digest"))
+
+    def to_value(self) -> dict[str, typing.Any]:
+        """Return the row to store."""
+        return {"rows": self.keys, "digest": self.digest}
+
+
+def plan(overlay: table_overlay.Overlay, order: orders.Order) -> PlannedOrder:
+    """Add the rows of an order to an overlay.
+
+    Raises:
+        IrisError: The order is refused; the overlay is as it was before.
+    """
+    record_key = f"{CHANGE_PREFIX}/{order.change}"
+    stored = overlay.value(record_key) if order.change else None
+    if stored is not None:
+        record = ChangeRecord.from_value(stored)
+        check_same_order(order, record)
+        return PlannedOrder(overlay.version(record_key), record.keys)
+    if order.change:
+        table_time.check_capacity(overlay, CHANGE_PREFIX, CHANGES_LIMIT)
+    planned = PLANNERS[order.kind](overlay, order.payload)
+    keys = [key for key in planned if not key.startswith(items.RESERVED_PREFIX)]
+    for key, value in planned.items():
+        overlay.put(key, value)
+    if order.change:
+        overlay.put(record_key, ChangeRecord(keys, digest_of(order)).to_value())
+    return PlannedOrder(overlay.new_version, keys)
+
+
+def digest_of(order: orders.Order) -> str:
+    """Return the digest by which two orders under one change id are compared."""
+    return canonical_content.digest([order.kind, order.payload])
+
+
+def check_same_order(order: orders.Order, record: ChangeRecord) -> None:
+    """Refuse an order whose change id was used for another order.
+
+    Raises:
+        ChangeIdTakenError: The digests differ.
+    """
+    if record.digest is not None and record.digest != digest_of(order):
+        raise control_errors.ChangeIdTakenError([{"change": order.change, "rows": record.keys}])
--- a/src/irisstand/controlplane/changes/table_time.py
+++ b/src/irisstand/controlplane/changes/table_time.py
@@ -1,129 +1,237 @@
-"""Each table's own time, and what has stood in it for long enough to be forgotten.
+"""Table time, and the removal of rows that are older than they need to be kept.
 
-Table time is a row that a holder of a duty raises by what went by on its monotonic clock since it saw the
-row's last version. It never runs faster than real time, whoever raises it, and stands still while nobody
-does.
-So what is to be kept for an hour of it is kept for an hour at the least, through changes of holder and total
-loss.
+Each table has a row with its own time in seconds. The holder of the retention task advances it by what went
+by on its monotonic clock since it saw the row's last version. So table time never runs faster than real time,
+whoever advances it, and stands still while nobody does: a row that is to be kept for an hour of it is kept
+for an hour at least, through changes of holder and loss of power.
 """
 
 import typing
 
 from irisstand import errors
-from irisstand.controlplane.changes import overlay as overlays
-from irisstand.state import item_table, items, versions
+from irisstand.controlplane.changes import orders, table_overlay
+from irisstand.state import item_table, items, replica, versions
 
-# A step longer than this is a holder that slept; counting less is always safe.
+# A longer step comes from a holder that was suspended; to count less than went by is always safe.
 STEP_LIMIT_SECONDS = 60.0
-# How much closer than their age marks may lie together.
+# Marks are thinned to a distance of this share of their age.
 MARK_SPACING_RATIO = 0.1
+# Rows removed in one step, so that a batch stays small.
 REMOVALS_LIMIT = 2000
+RETRY_LIMIT_SECONDS = 600.0
+PURGE_PREFIX = "purge"
 
 
 class RetentionRule(typing.NamedTuple):
-    """Rows under `prefix` go when older than `keep`, or than `must` where there are more than `number`."""
+    """How long the rows under a prefix are kept.
+
+    Attributes:
+        prefix: The first part of the rows' keys, without the slash.
+        keep_seconds: Older rows are removed.
+        minimum_seconds: With more rows than `number`, rows older than this are removed, too.
+        number: The number of rows from which `minimum_seconds` applies.
+    """
 
     prefix: str
-    keep: float
-    must: float
+    keep_seconds: float
+    minimum_seconds: float
     number: int
 
 
-def thin_marks(marks: list, now: float) -> list:
-    """Marks close together when young and far apart when old, so that a day of them stays short.
+class Mark(typing.NamedTuple):
+    """The applied version that a table had at a moment of its time."""
+
+    seconds: float
+    counter: int
+    node: str
+
+    @property
+    def version(self) -> versions.Version:
+        """The applied version."""
+        return versions.Version(self.counter, self.node)
+
+
+def thin_marks(marks: list[Mark], now: float) -> list[Mark]:
+    """Return the marks without those that lie closer together than their age calls for.
+
+    A day of marks stays short: young ones are close together, old ones far apart.
 
     >>> marks = []
-    >>> for second in range(0, 100000, 15): marks = thin([*marks, [second, second, "n"]], second)
-    >>> len(marks) < 120, max(b[0] - a[0] for a, b in zip(marks, marks[1:])) < 30000
+    >>> for second in range(0, 100000, 15): marks = thin_marks([*marks, Mark(second, second, "n")], second)
+    >>> len(marks) < 120, max(b.seconds - a.seconds for a, b in zip(marks, marks[1:])) < 30000
     (True, True)
     """
     kept = list(marks)
-    place = 1
-    while place < len(kept) - 1:
-        if kept[place + 1][0] - kept[place - 1][0] <= MARK_SPACING_RATIO * (now - kept[place + 1][0]):
-            del kept[place]
+    index = 1
+    while index < len(kept) - 1:
+        gap = kept[index + 1].seconds - kept[index - 1].seconds
+        if gap <= MARK_SPACING_RATIO * (now - kept[index + 1].seconds):
+            del kept[index]
         else:
-            place += 1
+            index += 1
     return kept
 
 
 class TableTime:
-    """Table time as a table says it is."""
+    """The stored row of a table's time.
+
+    Attributes:
+        seconds: For how long the table has been kept, by its own time.
+        marks: Applied versions and when they stood, from the oldest on.
+        rules: The retention rules with which the time was advanced last.
+    """
+
+    def __init__(self, value: dict[str, typing.Any] | None) -> None:
+        value = value or {"seconds": 0.0, "marks": [], "rules": []}
+        self.seconds = float(value["seconds"])
+        self.marks = [Mark(*mark) for mark in value["marks"]]
+        self.rules = [RetentionRule(*rule) for rule in value.get("rules", [])]
+
+    def to_value(self) -> dict[str, typing.Any]:
+        """Return the row to store."""
+        return {
+            "seconds": self.seconds,
+            "marks": [list(mark) for mark in self.marks],
+            "rules": [list(rule) for rule in self.rules],
+        }
+
+    def advance(self, elapsed_seconds: float, applied: versions.Version) -> None:
+        """Advance the time and mark the applied version that the table has at the new moment."""
+        self.seconds += min(max(0.0, elapsed_seconds), STEP_LIMIT_SECONDS)
+        self.marks = thin_marks([*self.marks, Mark(self.seconds, *applied)], self.seconds)
+
+    def older_than(self, seconds: float) -> versions.Version:
+        """Return the version up to which rows have stood for at least so many seconds."""
+        found = [mark for mark in self.marks if mark.seconds <= self.seconds - seconds]
+        return found[-1].version if found else versions.NONE
+
+    def age_of(self, version: versions.Version) -> float:
+        """Return for how many seconds, at least, a row of this version has stood."""
+        after = [mark for mark in self.marks if mark.version >= version]
+        return self.seconds - after[0].seconds if after else 0.0
+
+    def seconds_until(self, version: versions.Version, age_seconds: float) -> float:
+        """Return in about how many seconds a row of this version will have stood for so long."""
+        return max(1.0, age_seconds - self.age_of(version))
+
+
+class TimeAdvance(typing.NamedTuple):
+    """A request to advance a table's time.
+
+    Attributes:
+        expected: The version of the time's row that the holder saw.
+        elapsed_seconds: What went by since it saw it.
+        rules: What is kept for how long.
+        tombstone_seconds: How long tombstones are kept.
+    """
 
-    def __init__(self, row: dict | None) -> None:
-        row = row or {"seconds": 0.0, "marks": []}
-        self.seconds, self.marks = float(row["seconds"]), list(row["marks"])
+    expected: str
+    elapsed_seconds: float
+    rules: list[RetentionRule]
+    tombstone_seconds: float
 
-    def older_than(self, keep: float) -> versions.Version:
-        """Rows up to this version have stood for at least `keep` seconds."""
-        found = [mark for mark in self.marks if mark[0] <= self.seconds - keep]
-        return versions.Version(found[-1][1], found[-1][2]) if found else versions.NONE
+    @classmethod
+    def from_wire(cls, payload: typing.Any) -> "TimeAdvance":
+        """Read an order's payload; raise ValueError or TypeError if it has another form."""
+        expected, elapsed, rules, tombstones = payload
+        return cls(expected, float(elapsed), [RetentionRule(*rule) for rule in rules], float(tombstones))
 
-    def stood(self, version: versions.Version) -> float:
-        """Seconds for which a row of this version has stood, at the least."""
-        after = [mark[0] for mark in self.marks if (mark[1], mark[2]) >= tuple(version)]
-        return self.seconds - after[0] if after else 0.0
+    def to_order(self, table: str) -> orders.Order:
+        """Return the order that asks for this."""
+        rules = [tuple(rule) for rule in self.rules]
+        payload = (self.expected, self.elapsed_seconds, rules, self.tombstone_seconds)
+        return orders.Order(f"tick-{table}", "", payload)
 
-    def left(self, version: versions.Version, keep: float) -> float:
-        """Seconds until a row of this version will have stood for `keep`, about."""
-        return max(1.0, keep - self.stood(version))
 
+def plan_time_advance(overlay: table_overlay.Overlay, payload: typing.Any) -> table_overlay.PlannedRows:
+    """Plan a table's time and the removal of expired rows.
 
-def plan_time_advance(overlay: overlays.Overlay, payload: typing.Any) -> dict[str, typing.Any]:
-    """Raise the table's time from the version that the holder saw, and forget what is old enough."""
-    expected, elapsed, rules, tombstones = payload
+    Raises:
+        StaleVersionError: The time's row has another version than its holder saw.
+    """
+    advance = TimeAdvance.from_wire(payload)
+    expected = advance.expected
     if str(overlay.version(items.TABLE_TIME_KEY)) != expected:
         raise errors.StaleVersionError(
             [{"time": expected, "in_force": str(overlay.version(items.TABLE_TIME_KEY))}]
         )
     time = TableTime(overlay.value(items.TABLE_TIME_KEY))
-    time.seconds += min(max(0.0, float(elapsed)), STEP_LIMIT_SECONDS)
-    # All that stands at this moment is marked by the applied version that it stands under.
-    time.marks = thin_marks([*time.marks, [time.seconds, *overlay.copy.applied]], time.seconds)
-    remove_expired(overlay, time, [RetentionRule(*rule) for rule in rules], float(tombstones))
-    kept = [list(rule) for rule in rules]
-    return {items.TABLE_TIME_KEY: {"seconds": time.seconds, "marks": time.marks, "rules": kept}}
-
-
-def remove_expired(
-    overlay: overlays.Overlay, time: TableTime, rules: list[RetentionRule], tombstones: float
-) -> None:
-    cuts = {rule.prefix: (time.older_than(rule.keep), time.older_than(rule.must)) for rule in rules}
-    over = {rule.prefix: overlay.copy.counts_by_prefix[rule.prefix] - rule.number for rule in rules}
-    dead = time.older_than(tombstones)
-    newest = max([dead, *(cut for pair in cuts.values() for cut in pair)])
+    time.advance(advance.elapsed_seconds, overlay.replica.applied)
+    time.rules = advance.rules
+    remove_expired(overlay, time, advance.tombstone_seconds)
+    return {items.TABLE_TIME_KEY: time.to_value()}
+
+
+class Expiry:
+    """Which rows of a table have expired, and how many of each prefix are above its number."""
+
+    def __init__(self, table: replica.Replica, time: TableTime, tombstone_seconds: float) -> None:
+        self.table = table
+        self.tombstones = time.older_than(tombstone_seconds)
+        self.kept = {rule.prefix: time.older_than(rule.keep_seconds) for rule in time.rules}
+        self.surplus = {rule.prefix: time.older_than(rule.minimum_seconds) for rule in time.rules}
+        self.surplus_rows = {
+            rule.prefix: table.counts_by_prefix[rule.prefix] - rule.number for rule in time.rules
+        }
+
+    @property
+    def newest(self) -> versions.Version:
+        """The version above which no row can have expired."""
+        return max([self.tombstones, *self.kept.values(), *self.surplus.values()])
+
+    def has_expired(self, key: str, version: versions.Version) -> bool:
+        """Return whether the row may go.
+
+        Replicas are carried whole, by applied versions: one that lacks a tombstone cannot bring its row back.
+        """
+        prefix = item_table.key_prefix(key)
+        if version <= self.tombstones and self.table.items[key].value is None:
+            return True
+        if version <= self.kept.get(prefix, versions.NONE):
+            return True
+        is_surplus = self.surplus_rows.get(prefix, 0) > 0
+        return is_surplus and version <= self.surplus.get(prefix, versions.NONE)
+
+    def count_removal(self, key: str) -> None:
+        """Take one row off the surplus of its prefix."""
+        prefix = item_table.key_prefix(key)
+        self.surplus_rows[prefix] = self.surplus_rows.get(prefix, 0) - 1
+
+
+def remove_expired(overlay: table_overlay.Overlay, time: TableTime, tombstone_seconds: float) -> None:
+    """Plan the removal of expired rows, from the oldest on, so that what waits for the next step is newer."""
+    expiry = Expiry(overlay.replica, time, tombstone_seconds)
+    newest = expiry.newest
     purged = versions.NONE
-    gone = 0
-    # From the oldest on, so that what is left over for the next step is the newest.
-    for version, key in overlay.copy.keys_by_version:
-        if version > newest or gone >= REMOVALS_LIMIT:
+    removals = 0
+    for version, key in overlay.replica.keys_by_version:
+        if version > newest or removals >= REMOVALS_LIMIT:
             break
-        prefix = item_table.key_prefix(key)
-        old, oldest = cuts.get(prefix, (versions.NONE, versions.NONE))
-        # Copies are carried by applied versions and whole, so a copy that lacks a tombstone cannot bring its
-        # row back.
-        is_dead = version <= dead and overlay.copy.items[key].value is None
-        if not is_dead and version > old and not (version <= oldest and over.get(prefix, 0) > 0):
-            continue
-        # Changed in this very batch, it is no longer old.
-        if key in overlay.rows:
+        # A row that this very batch changes is no longer old.
+        if not expiry.has_expired(key, version) or key in overlay.rows:
             continue
-        overlay.put(key, None, True)
-        over[prefix] = over.get(prefix, 0) - 1
-        gone += 1
-        if prefix == "purge":
+        overlay.remove(key)
+        expiry.count_removal(key)
+        removals += 1
+        if item_table.key_prefix(key) == PURGE_PREFIX:
             purged = max(purged, version)
     before = versions.Version.from_wire(overlay.value(items.FORGOTTEN_PURGES_KEY) or versions.NONE)
     if purged > before:
         overlay.put(items.FORGOTTEN_PURGES_KEY, tuple(purged))
 
 
-def check_capacity(overlay: overlays.Overlay, prefix: str, limit: int) -> None:
-    """Rather than forget what is still to be known, new ones wait until the oldest have stood long enough."""
+def check_capacity(overlay: table_overlay.Overlay, prefix: str, limit: int) -> None:
+    """Refuse one more row under a prefix at its limit: nothing is removed that is still to be remembered.
+
+    Raises:
+        TableFullError: There are as many rows as may be; the error says when the oldest expires.
+    """
     if overlay.count(prefix) < limit:
         return
-    row = overlay.value(items.TABLE_TIME_KEY) or {"seconds": 0.0, "marks": [], "rules": []}
-    keep = next((rule[2] for rule in row["rules"] if rule[0] == prefix), STEP_LIMIT_SECONDS)
-    oldest = next(s for s, key in overlay.copy.keys_by_version if key.startswith(prefix + "/"))
-    wait = TableTime(row).left(oldest, keep)
-    raise errors.TableFullError(f"{limit} of {prefix} are remembered", retry_after=min(600.0, wait))
+    time = TableTime(overlay.value(items.TABLE_TIME_KEY))
+    keep_seconds = next((r.minimum_seconds for r in time.rules if r.prefix == prefix), STEP_LIMIT_SECONDS)
+    oldest = next(version for version, key in overlay.replica.keys_by_version if key.startswith(prefix + "/"))
+    wait = time.seconds_until(oldest, keep_seconds)
+    raise errors.TableFullError(
+        f"{limit} of {prefix} are remembered", retry_after=min(RETRY_LIMIT_SECONDS, wait)
+    )
--- a/src/irisstand/controlplane/changes/voter_changes.py
+++ b/src/irisstand/controlplane/changes/voter_changes.py
@@ -1,69 +1,127 @@
-"""Orders that change which core nodes vote on a table."""
+"""Orders that change which control plane nodes vote on a table."""
 
 import typing
 
 from irisstand import errors
-from irisstand.controlplane.changes import overlay as overlays
+from irisstand.controlplane.changes import table_overlay
 from irisstand.state import items, quorum
 
-Overlay = overlays.Overlay
-Planned = dict[str, typing.Any]
+# With fewer voters no single loss is survived; sets that are smaller already may stay so.
+RETIRE_MINIMUM_VOTERS = 3
 
 
-def plan_enrol(overlay: Overlay, payload: typing.Any) -> Planned:
-    """Vote a core node in, one change of the voters at a time.
+class VoterEnrolment(typing.NamedTuple):
+    """A request to let a node vote.
 
-    Under a known name it replaces that node's lost disk; under a new name, the voter that it says is gone, or
-    nobody, as long as there are fewer voters than there is room for.
+    Attributes:
+        newcomer: The node; under a known name it takes the place of that node's lost disk.
+        replaced: The name of the voter that it takes the place of, empty if of none.
+        voters_limit: Up to how many voters it may join without taking anybody's place.
     """
-    newcomer, replaced = quorum.Voter(*payload[0]), payload[1]
-    room = payload[2] if len(payload) > 2 else 0
+
+    newcomer: quorum.Voter
+    replaced: str
+    voters_limit: int
+
+    @classmethod
+    def from_wire(cls, payload: typing.Any) -> "VoterEnrolment":
+        """Read an order's payload; earlier software sends no limit."""
+        newcomer, replaced, *more = payload
+        return cls(quorum.Voter(*newcomer), replaced, more[0] if more else 0)
+
+
+class VoterSetChange(typing.NamedTuple):
+    """A request to install a whole set of voters, planned from the version `expected` of the present set."""
+
+    expected: str
+    voters: list[quorum.Voter]
+
+    @classmethod
+    def from_wire(cls, payload: typing.Any) -> "VoterSetChange":
+        """Read an order's payload."""
+        expected, voters, *_ = payload
+        return cls(expected, [quorum.Voter(*parts) for parts in voters])
+
+
+def plan_enrol(overlay: table_overlay.Overlay, payload: typing.Any) -> table_overlay.PlannedRows:
+    """Plan the voters with one more, or with one in the place of another. Twice is the same as once.
+
+    Raises:
+        StaleVersionError: The voter to replace does not vote, and there is no room for one more.
+        InvalidChangeError: The loss of one site would end the new set's majority but not the present one's.
+    """
+    enrolment = VoterEnrolment.from_wire(payload)
+    newcomer = enrolment.newcomer
     voters = quorum.voters_from_wire(overlay.value(items.VOTERS_KEY))
     if any(voter.disk_id == newcomer.disk_id for voter in voters):
         return {}
-    known = [voter.name for voter in voters]
-    leaves = newcomer.name if newcomer.name in known else replaced
-    grows = not leaves and len(voters) < room
-    if leaves not in known and not grows:
-        raise errors.StaleVersionError(
-            [{"voter": leaves, "in_force": str(overlay.version(items.VOTERS_KEY))}]
-        )
-    following = [voter for voter in voters if voter.name != leaves] + [newcomer]
-    # Refused whole: a set that one lost site could rob of its majority, where the present one could not.
-    if quorum.survives_any_site_loss(voters) and not quorum.survives_any_site_loss(following):
-        message = f"with {newcomer.name} for {leaves}, the loss of one site would end the majority"
-        raise errors.InvalidChangeError([{"row": None, "field": "voters", "message": message}])
-    return {items.VOTERS_KEY: [tuple(voter) for voter in following]}
-
-
-def plan_retire(overlay: Overlay, payload: typing.Any) -> Planned:
-    """One voter less. Twice is the same as once; the last three stay."""
+    names = [voter.name for voter in voters]
+    replaced = newcomer.name if newcomer.name in names else enrolment.replaced
+    is_addition = not replaced and len(voters) < enrolment.voters_limit
+    if replaced not in names and not is_addition:
+        in_force = str(overlay.version(items.VOTERS_KEY))
+        raise errors.StaleVersionError([{"voter": replaced, "in_force": in_force}])
+    following = [voter for voter in voters if voter.name != replaced] + [newcomer]
+    if loses_site_tolerance(voters, following):
+        message = f"with {newcomer.name} for {replaced}, the loss of one site would end the majority"
+        raise invalid_voters(message)
+    return voter_rows(following)
+
+
+def plan_retire(overlay: table_overlay.Overlay, payload: typing.Any) -> table_overlay.PlannedRows:
+    """Plan the voters without the one that the payload names. Twice is the same as once.
+
+    Raises:
+        InvalidChangeError: Too few voters would be left, or the loss of one site would end their majority.
+    """
     voters = quorum.voters_from_wire(overlay.value(items.VOTERS_KEY))
     following = [voter for voter in voters if voter.name != payload]
     if len(following) == len(voters):
         return {}
-    loses = quorum.survives_any_site_loss(voters) and not quorum.survives_any_site_loss(following)
-    if loses or len(following) < min(3, len(voters)):
+    minimum = min(RETIRE_MINIMUM_VOTERS, len(voters))
+    if loses_site_tolerance(voters, following) or len(following) < minimum:
         message = f"without {payload} the loss of one site would end the majority; replace it instead"
-        raise errors.InvalidChangeError([{"row": None, "field": "voters", "message": message}])
-    return {items.VOTERS_KEY: [tuple(voter) for voter in following]}
+        raise invalid_voters(message)
+    return voter_rows(following)
+
 
+def plan_voter_set(overlay: table_overlay.Overlay, payload: typing.Any) -> table_overlay.PlannedRows:
+    """Plan a whole set of voters at once; the present and the new set both have to accept it.
 
-def plan_voter_set(overlay: Overlay, payload: typing.Any) -> Planned:
-    """The whole set at once, agreed by old and new set; only from the version that its planner saw."""
-    expected, decoded = payload[0], [quorum.Voter(*parts) for parts in payload[1]]
-    if str(overlay.version(items.VOTERS_KEY)) != expected:
-        raise errors.StaleVersionError(
-            [{"voters": expected, "in_force": str(overlay.version(items.VOTERS_KEY))}]
-        )
+    Raises:
+        StaleVersionError: The voters have changed since the set was planned.
+        InvalidChangeError: The set is empty, has a node or disk twice, or would not survive a site's loss.
+    """
+    change = VoterSetChange.from_wire(payload)
+    in_force = str(overlay.version(items.VOTERS_KEY))
+    if in_force != change.expected:
+        raise errors.StaleVersionError([{"voters": change.expected, "in_force": in_force}])
     voters = quorum.voters_from_wire(overlay.value(items.VOTERS_KEY))
-    alike = len(decoded) != len({v.name for v in decoded}) or len(decoded) != len(
-        {v.disk_id for v in decoded}
-    )
-    loses = quorum.survives_any_site_loss(voters) and not quorum.survives_any_site_loss(decoded)
-    if not decoded or alike or loses:
+    if not change.voters or has_duplicates(change.voters) or loses_site_tolerance(voters, change.voters):
         message = "the set is empty, names one twice, or the loss of one site would end its majority"
-        raise errors.InvalidChangeError([{"row": None, "field": "voters", "message": message}])
-    if {voter.disk_id for voter in voters} == {voter.disk_id for voter in decoded}:
+        raise invalid_voters(message)
+    if {voter.disk_id for voter in voters} == {voter.disk_id for voter in change.voters}:
         return {}
-    return {items.VOTERS_KEY: [tuple(voter) for voter in decoded]}
+    return voter_rows(change.voters)
+
+
+def has_duplicates(voters: list[quorum.Voter]) -> bool:
+    """Return whether two voters have the same name or the same disk."""
+    names = {voter.name for voter in voters}
+    disk_ids = {voter.disk_id for voter in voters}
+    return len(names) < len(voters) or len(disk_ids) < len(voters)
+
+
+def loses_site_tolerance(voters: list[quorum.Voter], following: list[quorum.Voter]) -> bool:
+    """Return whether the present voters survive the loss of any site, and the following ones do not."""
+    return quorum.survives_any_site_loss(voters) and not quorum.survives_any_site_loss(following)
+
+
+def voter_rows(voters: list[quorum.Voter]) -> table_overlay.PlannedRows:
+    """Return the row that installs these voters."""
+    return {items.VOTERS_KEY: [tuple(voter) for voter in voters]}
+
+
+def invalid_voters(message: str) -> errors.InvalidChangeError:
+    """Return the refusal of a set of voters."""
+    return errors.InvalidChangeError([{"row": None, "field": "voters", "message": message}])
--- a/src/irisstand/controlplane/consensus/proposer.py
+++ b/src/irisstand/controlplane/consensus/proposer.py
@@ -4,7 +4,7 @@
 import typing
 
 from irisstand import errors, event_log
-from irisstand.controlplane.changes import orders
+from irisstand.controlplane.changes import order_planning, orders, table_overlay
 from irisstand.controlplane.consensus import participant as cores
 from irisstand.state import items, quorum, versions
 
@@ -26,7 +26,7 @@
     `refused` was judged with rows of this very batch in place, and is told only once these are decided.
     """
 
-    accepted: list[tuple[PendingOrder, tuple[versions.Version, list[str]]]]
+    accepted: list[tuple[PendingOrder, order_planning.PlannedOrder]]
     refused: list[tuple[PendingOrder, errors.IrisError]]
     undecided: bool
 
@@ -112,7 +112,7 @@
                 if waiting:
                     raise BallotLostError("finished a pending batch first")
                 return
-            overlay = orders.Overlay(self.replica, ballot)
+            overlay = table_overlay.Overlay(self.replica, ballot)
             plan = self.plan(overlay, waiting)
             # A batch without rows moves the applied version, which settles that an earlier proposal never
             # counts.
@@ -138,7 +138,7 @@
         self.highest = seen.successor(f"{self.context.settings.name}~{self.participant.store.disk_id}")
         return self.highest
 
-    def plan(self, overlay: orders.Overlay, waiting: list[PendingOrder]) -> BallotPlan:
+    def plan(self, overlay: table_overlay.Overlay, waiting: list[PendingOrder]) -> BallotPlan:
         """Put on the overlay what can be proposed; refuse at once only what the decided base refuses."""
         accepted, refused, undecided = [], [], False
         for entry in waiting:
@@ -152,7 +152,7 @@
             if entry.future.done():
                 continue
             try:
-                accepted.append((entry, orders.plan(overlay, entry.order)))
+                accepted.append((entry, order_planning.plan(overlay, entry.order)))
             except errors.IrisError as error:
                 # Proposed on this very base, it may lie accepted with a voter that did not answer, and
                 # another proposer may yet finish it: only a decision on the base makes a refusal true.
--- a/src/irisstand/controlplane/consensus/voter_administration.py
+++ b/src/irisstand/controlplane/consensus/voter_administration.py
@@ -35,7 +35,7 @@
         return {"voters": found, "spares": sorted(spares)}
 
     async def up(self, voters: list[quorum.Voter], table: str) -> set[str]:
-        heard = await asyncio.gather(*(self.view.stands(voter, table) for voter in voters))
+        heard = await asyncio.gather(*(self.view.is_voting(voter, table) for voter in voters))
         return {voter.name for voter, stands in zip(voters, heard, strict=True) if stands}
 
     async def check(self, table: str, following: list[quorum.Voter]) -> None:
--- a/src/irisstand/controlplane/program.py
+++ b/src/irisstand/controlplane/program.py
@@ -8,7 +8,7 @@
 
 from irisstand import clocks, errors, event_log, node_settings, process_runner
 from irisstand.controlplane import assembly
-from irisstand.controlplane.singletons import origin_discovery as watch
+from irisstand.controlplane.singletons import origin_source
 from irisstand.state.storage import disk as disks
 from irisstand.transport import network
 
@@ -17,12 +17,12 @@
 
 
 async def assemble(settings: node_settings.Settings, log_ring: event_log.EventLog) -> process_runner.Opened:
-    ask = watch.http_origin_source(settings.platform) if settings.platform is not None else None
+    ask = origin_source.http_origin_source(settings.platform) if settings.platform is not None else None
     return await assemble_with(ask, settings, log_ring)
 
 
 async def assemble_with(
-    ask: watch.FetchOrigins | None, settings: node_settings.Settings, log_ring: event_log.EventLog
+    ask: origin_source.FetchOrigins | None, settings: node_settings.Settings, log_ring: event_log.EventLog
 ) -> process_runner.Opened:
     """With another way of asking the platform for its origins."""
     control_node = assembly.ControlNode(
--- a/src/irisstand/controlplane/singletons/origin_discovery.py
+++ b/src/irisstand/controlplane/singletons/origin_discovery.py
@@ -1,185 +1,184 @@
-"""The platform watch: the duty of asking the platform for its origins and recording changes."""
+"""Origin discovery: asks the platform for its origins and records what has changed in the ledger."""
 
 import collections
 import collections.abc
-import functools
-import importlib
-import json
+import enum
 import typing
 
 from irisstand import errors, event_log, node_context
-from irisstand.controlplane.singletons import lease
-from irisstand.validation import lazy_jsonschema
-
-ORIGIN_SCHEMA = {
-    "type": "object",
-    "required": ["id", "service", "host", "port", "site", "state"],
-    "properties": {
-        "id": {"type": "string", "pattern": r"^[A-Za-z0-9._-]{1,64}$"},
-        "service": {"type": "string"},
-        "host": {"type": "string"},
-        "port": {"type": "integer", "minimum": 1, "maximum": 65535},
-        "site": {"type": "string"},
-        "state": {"enum": ["cold", "ready", "leaving"]},
-        "warmup": {"type": "number", "minimum": 0},
-        "slots": {"type": "integer", "minimum": 0},
-    },
-}
-ANSWER_SCHEMA = {
-    "type": "object",
-    "required": ["origins"],
-    "properties": {
-        "origins": {"type": "array", "items": ORIGIN_SCHEMA},
-        "revision": {"type": "integer", "minimum": 0},
-    },
-}
-# An answer older than this is recorded as lagging; so many failures in a row, as silence.
+from irisstand.controlplane.singletons import lease, origin_source
+
+# An older answer is recorded as lagging.
 LAG_LIMIT_SECONDS = 10.0
+# So many failures in a row are recorded as silence.
 SILENT_AFTER_FAILURES = 5
-# A list that loses most of a service at once is held back for so many answers, in case it is a fault.
+# Where a service would lose most of its origins at once, for so many answers it loses none: the platform's
+# list may be at fault.
 SHRINK_HOLD_ANSWERS = 5
+# Services with fewer origins may lose them at once, unless the list is empty.
 SHRINK_MINIMUM_ORIGINS = 3
+# After so many answers of older revisions in a row the platform is taken to count anew.
 OLDER_ANSWERS_LIMIT = 30
+REASON_LIMIT = 200
+PLATFORM_KEY = "platform"
+ORIGIN_PREFIX = "origin/"
+COLD = "cold"
+LEAVING = "leaving"
 
 
-class PlatformAnswer(typing.NamedTuple):
-    """The platform's answer and how old it says to be (the Age header of HTTP caches, RFC 9111)."""
-
-    content: bytes
-    age: float
-
-
-# Raises an IrisError, an OSError, a ValueError or a TimeoutError where the platform gives no list.
-FetchOrigins = collections.abc.Callable[[], collections.abc.Awaitable[PlatformAnswer]]
-
+class PlatformState(enum.StrEnum):
+    """How far the platform's answers can be followed, with the words that the ledger's row uses."""
 
-@functools.cache
-def answer_validator() -> typing.Any:
-    return lazy_jsonschema.compiled(ANSWER_SCHEMA)
+    WELL = "well"
+    LAGGING = "lagging"
+    SILENT = "silent"
+    SHRUNK = "shrunk"
 
 
-async def http_get(url: str, patience: float = 2.0) -> tuple[bytes, typing.Any]:
-    """Body and headers of a 200, on a connection of its own; BadRequest for anything else."""
-    # Imported by the one node that asks: the others are back sooner without it after a kill.
-    aiohttp = importlib.import_module("aiohttp")
-    timeout, connector = aiohttp.ClientTimeout(total=patience), aiohttp.TCPConnector(force_close=True)
-    try:
-        async with aiohttp.ClientSession(timeout=timeout, connector=connector) as session:
-            async with session.get(url) as response:
-                if response.status != 200:
-                    raise errors.BadRequestError(f"the platform answered {response.status}")
-                return await response.read(), response.headers
-    except aiohttp.ClientError as error:
-        raise errors.BadRequestError(f"the platform cannot be asked: {error!r}") from None
+class PlatformRecord(typing.NamedTuple):
+    """The ledger's row on the platform, from which operators see why the list of origins does not change.
 
+    Attributes:
+        state: How far its answers can be followed; empty if nothing is recorded.
+        reason: Why, in words.
+        revision: The newest revision that was followed, None if the platform does not number its lists.
+    """
 
-def http_origin_source(address: tuple[str, int]) -> FetchOrigins:
-    """Ask the platform over HTTP, each time on a connection of its own."""
+    state: str
+    reason: str
+    revision: int | None
 
-    async def ask() -> PlatformAnswer:
-        content, headers = await http_get(f"http://{address[0]}:{address[1]}/origins")
-        age = headers.get("Age", "0")
-        return PlatformAnswer(content, float(age) if age.isdigit() else 0.0)
+    @classmethod
+    def from_value(cls, value: dict[str, typing.Any] | None) -> "PlatformRecord":
+        """Read the stored row; None if there is none."""
+        value = value or {}
+        return cls(value.get("state", ""), value.get("why", ""), value.get("revision"))
 
-    return ask
+    def to_value(self) -> dict[str, typing.Any]:
+        """Return the row to store."""
+        return {"state": str(self.state), "why": self.reason, "revision": self.revision}
 
 
 class OriginDiscovery:
-    def __init__(self, context: node_context.NodeContext, ask: FetchOrigins) -> None:
-        self.context, self.ask = context, ask
+    """The work of the origin discovery task on one node.
+
+    Attributes:
+        context: The node.
+        fetch_origins: How the platform is asked.
+        asked_at: When it was asked last.
+        failures: How many times in a row it gave no list.
+        held_answers: How many answers in a row were held back because services shrank.
+        older_answers: How many answers in a row were of an older revision than recorded.
+    """
+
+    def __init__(self, context: node_context.NodeContext, fetch_origins: origin_source.FetchOrigins) -> None:
+        self.context = context
+        self.fetch_origins = fetch_origins
         self.asked_at = -1e9
         self.failures = 0
-        self.held, self.older = 0, 0
+        self.held_answers = 0
+        self.older_answers = 0
 
-    async def work(self, duty: lease.SingletonTask) -> None:
+    async def work(self, task: lease.SingletonTask) -> None:
+        """Ask the platform once an interval, and write what has changed."""
         now = self.context.clock.now()
         if now - self.asked_at < self.context.settings.platform_interval:
             return
         self.asked_at = now
         try:
-            rows = self.judge(await self.ask())
+            rows = self.rows_of(await self.fetch_origins())
             self.failures = 0
             self.context.counters.add("platform_asked")
         except (errors.IrisError, OSError, ValueError, TimeoutError) as error:
-            # The last good roster stays in force: a dead platform says nothing about its origins.
-            self.failures += 1
-            self.context.counters.add("platform_failed")
-            event_log.record("platform", error=repr(error))
-            rows = (
-                self.state_rows("silent", repr(error)[:200]) if self.failures >= SILENT_AFTER_FAILURES else []
-            )
-        if rows and duty.holds_lease():
-            await duty.write_fenced(rows)
-
-    def judge(self, heard: PlatformAnswer) -> list[tuple[str, typing.Any]]:
-        """The rows that the answer calls for. Old after new changes nothing; a sudden shrinking waits."""
-        answer = json.loads(heard.content)
-        fault = next(answer_validator().iter_errors(answer), None)
-        if fault is not None:
-            raise errors.BadRequestError(f"the platform's answer is malformed: {fault.message}")
-        revision, known = answer.get("revision"), self.state().get("revision")
-        # An older answer may come by another way, after a newer one: the platform is more than one machine.
-        is_older = revision is not None and known is not None and revision < known
-        self.older = self.older + 1 if is_older else 0
-        # Nothing but older ones for long: it counts anew, as after a loss of its own.
-        if is_older and self.older <= OLDER_ANSWERS_LIMIT:
+            # The last good list stays in force: a dead platform says nothing about its origins.
+            rows = self.rows_of_failure(error)
+        if rows and task.holds_lease():
+            await task.write_fenced(rows)
+
+    def rows_of_failure(self, error: Exception) -> list[lease.Row]:
+        """Count a failure, and return the row that records silence after some in a row."""
+        self.failures += 1
+        self.context.counters.add("platform_failed")
+        event_log.record("platform", error=repr(error))
+        if self.failures < SILENT_AFTER_FAILURES:
+            return []
+        return self.platform_rows(PlatformState.SILENT, repr(error)[:REASON_LIMIT])
+
+    def rows_of(self, answer: origin_source.PlatformAnswer) -> list[lease.Row]:
+        """Return the rows that an answer calls for.
+
+        An older revision after a newer one changes nothing; services that shrink suddenly are held back.
+
+        Raises:
+            ValueError: The answer is no JSON.
+            BadRequestError: The answer does not fit the schema.
+        """
+        listed = origin_source.parse(answer.content)
+        revision = listed.revision
+        known_revision = self.platform_record().revision
+        if self.is_outdated(revision, known_revision):
             self.context.counters.add("platform_old_answers")
-            return self.state_rows("lagging", f"revision {revision} after {known}")
-        origins = self.origins(answer)
-        shrunk = self.shrunk(origins)
-        if shrunk and self.held < SHRINK_HOLD_ANSWERS:
-            self.held += 1
-            # What it says of the others counts, and of this service, too, but for those that it leaves out.
-            rows = self.changes(origins, set(shrunk))
+            return self.platform_rows(PlatformState.LAGGING, f"revision {revision} after {known_revision}")
+        origins = {f"{ORIGIN_PREFIX}{origin['id']}": self.origin_value(origin) for origin in listed.origins}
+        shrunk = self.shrunk_services(origins)
+        if shrunk and self.held_answers < SHRINK_HOLD_ANSWERS:
+            self.held_answers += 1
+            # The rest of the answer counts, and so do this service's origins that it lists.
+            rows = self.changed_rows(origins, set(shrunk))
             names = ", ".join(shrunk)
-            why = f"most origins of {names} are gone at once: kept for {SHRINK_HOLD_ANSWERS} answers"
-            return rows + self.state_rows("shrunk", why, revision, bool(rows))
-        self.held = 0
-        rows = self.changes(origins, set())
-        if heard.age > LAG_LIMIT_SECONDS:
-            return rows + self.state_rows("lagging", f"its answer is {heard.age:.0f} s old", revision)
-        return rows + self.state_rows("well", "", revision, bool(rows))
-
-    def state(self) -> dict[str, typing.Any]:
-        return self.context.ledger.value("platform") or {}
-
-    def state_rows(
-        self, state: str, why: str, revision: int | None = None, changed: bool = False
-    ) -> list[tuple[str, typing.Any]]:
-        """The platform's state is a row, so that all can see why a roster does not move."""
-        known = self.state()
-        # Written when it says something new; figures that only tick on are no news.
-        if known.get("state") == state and not changed:
+            reason = f"most origins of {names} are gone at once: kept for {SHRINK_HOLD_ANSWERS} answers"
+            return rows + self.platform_rows(PlatformState.SHRUNK, reason, revision, has_changed=bool(rows))
+        self.held_answers = 0
+        rows = self.changed_rows(origins, set())
+        if answer.age > LAG_LIMIT_SECONDS:
+            reason = f"its answer is {answer.age:.0f} s old"
+            return rows + self.platform_rows(PlatformState.LAGGING, reason, revision)
+        return rows + self.platform_rows(PlatformState.WELL, "", revision, has_changed=bool(rows))
+
+    def is_outdated(self, revision: int | None, known_revision: int | None) -> bool:
+        """Return whether an answer is to be ignored for its revision, and count such answers.
+
+        The platform is more than one machine: an older answer may come after a newer one.
+        """
+        is_older = revision is not None and known_revision is not None and revision < known_revision
+        self.older_answers = self.older_answers + 1 if is_older else 0
+        return is_older and self.older_answers <= OLDER_ANSWERS_LIMIT
+
+    def platform_record(self) -> PlatformRecord:
+        """Return what the ledger has on the platform."""
+        return PlatformRecord.from_value(self.context.ledger.value(PLATFORM_KEY))
+
+    def platform_rows(
+        self, state: PlatformState, reason: str, revision: int | None = None, *, has_changed: bool = False
+    ) -> list[lease.Row]:
+        """Return the row on the platform if its state changes, or its revision together with origins.
+
+        A revision or an age that changes alone is not worth a write.
+        """
+        known = self.platform_record()
+        if known.state == state and not has_changed:
             return []
-        kept = known.get("revision") if revision is None else revision
-        return [("platform", {"state": state, "why": why, "revision": kept})]
-
-    def origins(self, answer: dict) -> dict[str, typing.Any]:
-        return {f"origin/{origin['id']}": self.row(origin) for origin in answer["origins"]}
-
-    def row(self, origin: dict) -> dict[str, typing.Any]:
-        found = {
-            "service": origin["service"],
-            "host": origin["host"],
-            "port": origin["port"],
-            "site": origin["site"],
-            "state": origin["state"],
-            "warmup": origin.get("warmup", 0),
-        }
+        kept_revision = known.revision if revision is None else revision
+        return [(PLATFORM_KEY, PlatformRecord(state, reason, kept_revision).to_value())]
+
+    def origin_value(self, origin: dict[str, typing.Any]) -> dict[str, typing.Any]:
+        """Return an origin's row as the platform lists it."""
+        value = {name: origin[name] for name in ("service", "host", "port", "site", "state")}
+        value["warmup"] = origin.get("warmup", 0)
         if "slots" in origin:
-            found["slots"] = origin["slots"]
-        known = self.context.ledger.value(f"origin/{origin['id']}")
-        # What is left of a warm-up ticks down with each answer: the row keeps what was left at first.
-        if known is not None and known["state"] == found["state"] == "cold":
-            found["warmup"] = max(found["warmup"], known["warmup"])
-        return found
-
-    def shrunk(self, origins: dict[str, typing.Any]) -> list[str]:
-        """Services that would lose most of their origins at once, or all of them to an empty list."""
+            value["slots"] = origin["slots"]
+        known = self.context.ledger.value(f"{ORIGIN_PREFIX}{origin['id']}")
+        # What is left of a warm-up becomes less with each answer: the row keeps what was left at first.
+        if known is not None and known["state"] == value["state"] == COLD:
+            value["warmup"] = max(value["warmup"], known["warmup"])
+        return value
+
+    def shrunk_services(self, origins: dict[str, typing.Any]) -> list[str]:
+        """Return the services that would lose most origins at once, or all of them to an empty list."""
         before = collections.Counter(
             item.value["service"]
-            for item in self.context.ledger.items_with_prefix("origin/")
-            if item.value["state"] != "leaving"
+            for item in self.context.ledger.items_with_prefix(ORIGIN_PREFIX)
+            if item.value["state"] != LEAVING
         )
         after = collections.Counter(value["service"] for value in origins.values())
         return sorted(
@@ -188,12 +187,15 @@
             if 2 * after[service] < count and (count >= SHRINK_MINIMUM_ORIGINS or not origins)
         )
 
-    def changes(self, origins: dict[str, typing.Any], held: set[str]) -> list[tuple[str, typing.Any]]:
-        copy = self.context.ledger
-        rows = [(key, value) for key, value in origins.items() if copy.value(key) != value]
+    def changed_rows(
+        self, origins: dict[str, typing.Any], held_services: collections.abc.Container[str]
+    ) -> list[lease.Row]:
+        """Return the rows of origins that changed, came or went; origins of held services do not go."""
+        ledger = self.context.ledger
+        rows: list[lease.Row] = [(key, value) for key, value in origins.items() if ledger.value(key) != value]
         gone = [
             item.key
-            for item in copy.items_with_prefix("origin/")
-            if item.key not in origins and item.value["service"] not in held
+            for item in ledger.items_with_prefix(ORIGIN_PREFIX)
+            if item.key not in origins and item.value["service"] not in held_services
         ]
         return rows + [(key, None) for key in gone]
--- /dev/null
+++ b/src/irisstand/controlplane/singletons/origin_source.py
@@ -0,0 +1,114 @@
+"""Where the list of origins comes from: the platform's answer, its schema, and its fetching over HTTP."""
+
+import collections.abc
+import functools
+import importlib
+import json
+import typing
+
+from irisstand import errors
+from irisstand.validation import lazy_jsonschema
+
+HTTP_TIMEOUT_SECONDS = 2.0
+HTTP_OK = 200
+ORIGIN_SCHEMA = {
+    "type": "object",
+    "required": ["id", "service", "host", "port", "site", "state"],
+    "properties": {
+        "id": {"type": "string", "pattern": r"^[A-Za-z0-9._-]{1,64}$"},
+        "service": {"type": "string"},
+        "host": {"type": "string"},
+        "port": {"type": "integer", "minimum": 1, "maximum": 65535},
+        "site": {"type": "string"},
+        "state": {"enum": ["cold", "ready", "leaving"]},
+        "warmup": {"type": "number", "minimum": 0},
+        "slots": {"type": "integer", "minimum": 0},
+    },
+}
+ANSWER_SCHEMA = {
+    "type": "object",
+    "required": ["origins"],
+    "properties": {
+        "origins": {"type": "array", "items": ORIGIN_SCHEMA},
+        "revision": {"type": "integer", "minimum": 0},
+    },
+}
+
+
+class PlatformAnswer(typing.NamedTuple):
+    """The platform's answer, and its age in seconds (the Age header of RFC 9111, section 5.1)."""
+
+    content: bytes
+    age: float
+
+
+class HttpAnswer(typing.NamedTuple):
+    """The body and the headers of a successful HTTP answer."""
+
+    body: bytes
+    headers: collections.abc.Mapping[str, str]
+
+
+class OriginList(typing.NamedTuple):
+    """The origins that the platform lists, and the revision of its list if it numbers them."""
+
+    origins: list[dict[str, typing.Any]]
+    revision: int | None
+
+
+# Raises an IrisError, an OSError, a ValueError or a TimeoutError where the platform gives no list.
+FetchOrigins = collections.abc.Callable[[], collections.abc.Awaitable[PlatformAnswer]]
+
+
+@functools.cache
+def answer_validator() -> typing.Any:
+    """Return the jsonschema validator of the platform's answers."""
+    return lazy_jsonschema.compiled(ANSWER_SCHEMA)
+
+
+def parse(content: bytes) -> OriginList:
+    """Read an answer's content.
+
+    Raises:
+        ValueError: It is no JSON.
+        BadRequestError: It does not fit the schema.
+    """
+    answer = json.loads(content)
+    fault = next(answer_validator().iter_errors(answer), None)
+    if fault is not None:
+        raise errors.BadRequestError(f"the platform's answer is malformed: {fault.message}")
+    return OriginList(answer["origins"], answer.get("revision"))
+
+
+async def http_get(url: str, timeout_seconds: float = HTTP_TIMEOUT_SECONDS) -> HttpAnswer:
+    """Get a URL on a connection of its own.
+
+    Raises:
+        BadRequestError: The answer has another status than 200, or there is none.
+        TimeoutError: It takes too long.
+    """
+    # Imported by the one node that asks: the others are back sooner without it after a kill.
+    aiohttp = importlib.import_module("aiohttp")
+    timeout = aiohttp.ClientTimeout(total=timeout_seconds)
+    connector = aiohttp.TCPConnector(force_close=True)
+    try:
+        async with (
+            aiohttp.ClientSession(timeout=timeout, connector=connector) as session,
+            session.get(url) as response,
+        ):
+            if response.status != HTTP_OK:
+                raise errors.BadRequestError(f"the platform answered {response.status}")
+            return HttpAnswer(await response.read(), response.headers)
+    except aiohttp.ClientError as error:
+        raise errors.BadRequestError(f"the platform cannot be asked: {error!r}") from None
+
+
+def http_origin_source(address: tuple[str, int]) -> FetchOrigins:
+    """Return a function that asks the platform over HTTP, each time on a connection of its own."""
+
+    async def fetch_origins() -> PlatformAnswer:
+        answer = await http_get(f"http://{address[0]}:{address[1]}/origins")
+        age = answer.headers.get("Age", "0")
+        return PlatformAnswer(answer.body, float(age) if age.isdigit() else 0.0)
+
+    return fetch_origins
--- a/src/irisstand/modelcheck/clients.py
+++ b/src/irisstand/modelcheck/clients.py
@@ -1,7 +1,7 @@
 """Clients of the model: they order, read and enrol voters at nodes, and note what they are told."""
 
 from irisstand import errors
-from irisstand.controlplane.changes import overlay
+from irisstand.controlplane.changes import orders
 from irisstand.controlplane.consensus import proposer
 from irisstand.modelcheck import events, invariants, model_node, scenarios, scheduler
 
@@ -97,7 +97,7 @@
             self.results.setdefault(number, scenarios.StepResult.NO)
             self.checker.fail(f"{step.kind} at {node.name} crashed: {error!r}")
 
-    async def submit(self, number: int, order: overlay.Order, node: model_node.ModelNode) -> None:
+    async def submit(self, number: int, order: orders.Order, node: model_node.ModelNode) -> None:
         """Have an order decided, and check what the client is told."""
         try:
             result = await node.proposer.submit(order)
@@ -110,13 +110,13 @@
         self.checker.on_confirmed(order, result, node.table_replica.applied, disks)
         self.results[number] = scenarios.StepResult.YES
 
-    def order_of(self, step: scenarios.ClientStep) -> overlay.Order:
+    def order_of(self, step: scenarios.ClientStep) -> orders.Order:
         """Return the order of a step; an enrolment's is made from the newcomer's disk id of now."""
         if step.order is not None:
             return step.order
         newcomer = step.newcomer or SPARE
         voter = self.nodes[newcomer].participant.own_voter()
-        return overlay.Order("enrol-blueprint", "", (tuple(voter), step.newcomer or self.leaves, 0))
+        return orders.Order("enrol-blueprint", "", (tuple(voter), step.newcomer or self.leaves, 0))
 
     def lose_steps_at(self, node: str) -> None:
         """Note the steps that were running at a node that crashed as lost."""
--- a/src/irisstand/modelcheck/history.py
+++ b/src/irisstand/modelcheck/history.py
@@ -4,7 +4,7 @@
 
 import ormsgpack
 
-from irisstand.controlplane.changes import overlay
+from irisstand.controlplane.changes import orders
 from irisstand.state import items, versions
 
 Content = dict[str, items.Item]
@@ -13,7 +13,7 @@
 class ConfirmedOrder(typing.NamedTuple):
     """An order that a client was told is in force; `confirmed_at` in virtual seconds."""
 
-    order: overlay.Order
+    order: orders.Order
     version: versions.Version
     rows: tuple[str, ...]
     confirmed_at: float
@@ -40,7 +40,7 @@
         self.batches: dict[versions.Version, items.Batch] = {}
         self.states: dict[versions.Version, Content] = {versions.NONE: {}}
         self.confirmed: list[ConfirmedOrder] = []
-        self.refused: list[overlay.Order] = []
+        self.refused: list[orders.Order] = []
 
     def add_batch(self, batch: items.Batch) -> items.Batch:
         """Add a decided batch; return the one that was decided first on the same base."""
--- a/src/irisstand/modelcheck/invariants.py
+++ b/src/irisstand/modelcheck/invariants.py
@@ -8,7 +8,7 @@
 import typing
 
 from irisstand import errors
-from irisstand.controlplane.changes import overlay
+from irisstand.controlplane.changes import orders
 from irisstand.modelcheck import durability, history
 from irisstand.state import items, replica, versions
 
@@ -74,7 +74,7 @@
     # -- what clients are told -----------------------------------------------------------------------
     def on_confirmed(
         self,
-        order: overlay.Order,
+        order: orders.Order,
         result: dict[str, typing.Any],
         applied: versions.Version,
         disks: DiskFiles,
@@ -98,16 +98,14 @@
             self.check_amended(order, self.history.states[applied])
         self.check_disks(version, disks)
 
-    def check_one_result(
-        self, order: overlay.Order, version: versions.Version, rows: tuple[str, ...]
-    ) -> None:
+    def check_one_result(self, order: orders.Order, version: versions.Version, rows: tuple[str, ...]) -> None:
         """Check that one change id has one result."""
         change = order.change
         earlier = [entry for entry in self.history.confirmed if change and entry.order.change == change]
         if earlier and (earlier[0].version, earlier[0].rows) != (version, rows):
             self.fail(f"{change} was confirmed as {earlier[0].version} and as {version}")
 
-    def check_amended(self, order: overlay.Order, content: history.Content) -> None:
+    def check_amended(self, order: orders.Order, content: history.Content) -> None:
         """Check that a version number has one content, in force or overwritten by a higher one."""
         for key, value in order.payload:
             known = self.amended.setdefault((key, value["version"]), value)
@@ -119,7 +117,7 @@
             elif standing["version"] == value["version"] and standing != value:
                 self.fail(f"{key} was confirmed at version {value['version']}, which has another content")
 
-    def on_refused(self, order: overlay.Order, error: errors.IrisError) -> None:
+    def on_refused(self, order: orders.Order, error: errors.IrisError) -> None:
         """Note an order that a client is told is not in force; an unknown outcome says nothing."""
         if not isinstance(error, errors.ChangeOutcomeUnknownError):
             self.history.refused.append(order)
--- a/src/irisstand/modelcheck/scenarios.py
+++ b/src/irisstand/modelcheck/scenarios.py
@@ -3,7 +3,7 @@
 import enum
 import typing
 
-from irisstand.controlplane.changes import overlay
+from irisstand.controlplane.changes import orders
 
 
 class StepKind(enum.StrEnum):
@@ -37,7 +37,7 @@
 
     kind: StepKind
     node: str
-    order: overlay.Order | None = None
+    order: orders.Order | None = None
     after: int | None = None
     newcomer: str | None = None
 
@@ -62,16 +62,16 @@
     wiped: tuple[str, ...] = ("a", "b", "c")
 
 
-def site_order(change: str, weight: int, name: str = "north", **fields: typing.Any) -> overlay.Order:
+def site_order(change: str, weight: int, name: str = "north", **fields: typing.Any) -> orders.Order:
     """Return an order that sets a site's weight under a change id."""
     row = {"kind": "site", "name": name, "value": {"weight": weight}, **fields}
-    return overlay.Order("change", change, [row])
+    return orders.Order("change", change, [row])
 
 
-def limits_order(version: int, header_bytes: int) -> overlay.Order:
+def limits_order(version: int, header_bytes: int) -> orders.Order:
     """Return an order that amends the limits under a version number."""
     value = {"version": version, "item": {"version": version, "header_bytes": header_bytes}}
-    return overlay.Order("amend", "", [("limits/all", value)])
+    return orders.Order("amend", "", [("limits/all", value)])
 
 
 # The smallest: one order, and a majority check after it.
--- a/src/irisstand/simulator/big_configurations.py
+++ b/src/irisstand/simulator/big_configurations.py
@@ -11,7 +11,7 @@
 from irisstand.simulator import sizes
 from irisstand.state import items, replica, versions
 from irisstand.state.replication import chunk_transfer
-from irisstand.validation import versioned_items
+from irisstand.validation import item_entries
 
 LOOKUPS = 5000
 
@@ -90,8 +90,8 @@
     plain = sum(len(ormsgpack.packb(item.to_wire())) for item in copy.items.values())
     table = compiled(copy)
     listed = {"put": {"routes": [route(number) for number in range(count)]}}
-    standing = {item.key: item.value for item in copy.items.values()}
-    standing["upstream/content"] = {"version": 1, "item": {"name": "content"}}
+    standing = {item.key: item.value["item"] for item in copy.items.values()}
+    standing["upstream/content"] = {"name": "content"}
     figures = [
         Figure("all rows, packed", "kB", plain / 1000),
         Figure("all rows in compressed parts", "kB", sum(len(part.rows) for part in parts) / 1000),
@@ -100,11 +100,11 @@
         Figure("a core node cuts all parts, once for all askers", "ms", timed(lambda: parts_of(copy))),
         Figure("an edge takes all rows", "ms", timed(lambda: take(parts, copy.applied, copy.root_digest()))),
         Figure("an edge compiles all rows", "ms", timed(lambda: compiled(copy))),
-        Figure("a core node checks a call with all rows", "ms", timed(lambda: versioned_items.read(listed))),
+        Figure("a core node checks a call with all rows", "ms", timed(lambda: item_entries.read(listed))),
         Figure(
             "a core node checks the table as it would stand",
             "ms",
-            timed(lambda: versioned_items.faults_of(standing)),
+            timed(lambda: item_entries.faults_of(standing)),
         ),
         Figure("memory of rows and routes", "MB", memory(count)),
     ]
--- a/src/irisstand/simulator/simulated_actors.py
+++ b/src/irisstand/simulator/simulated_actors.py
@@ -7,7 +7,7 @@
 
 from irisstand import errors
 from irisstand.controlplane.changes import orders
-from irisstand.controlplane.singletons import origin_discovery as watch
+from irisstand.controlplane.singletons import origin_source
 from irisstand.dataplane.nodes import edge as edges
 from irisstand.dataplane.routing import snapshot
 from irisstand.fleet import judge as judges
@@ -59,7 +59,7 @@
     def reaches(self, origin: simulated.SimulatedOrigin, address: tuple[str, int]) -> bool:
         return origin.up and self.at.get(address) is origin
 
-    async def ask_platform(self) -> watch.PlatformAnswer:
+    async def ask_platform(self) -> origin_source.PlatformAnswer:
         now = asyncio.get_running_loop().time()
         self.asked = [moment for moment in self.asked if moment > now - 10] + [now]
         rule = "the platform is asked no more often than it allows"
@@ -69,9 +69,9 @@
         if not self.platform_up:
             raise ConnectionRefusedError("the platform is down")
         if self.platform_says is not None:
-            return watch.PlatformAnswer(self.platform_says, 0.0)
+            return origin_source.PlatformAnswer(self.platform_says, 0.0)
         listed = [origin.listing() for origin in self.origins]
-        return watch.PlatformAnswer(json.dumps({"origins": listed}).encode(), 0.0)
+        return origin_source.PlatformAnswer(json.dumps({"origins": listed}).encode(), 0.0)
 
     # -- operators -----------------------------------------------------------------------------------
     async def order(self, name: str, kind: str, payload: typing.Any, change: str = "") -> dict:
--- /dev/null
+++ b/src/irisstand/validation/item_entries.py
@@ -0,0 +1,197 @@
+"""Items whose versions their senders give: routes, upstream services and limits, and the rules on them.
+
+An item is the row `kind/NAME` of the configuration, with {"version": number, "item": content, or None once
+dropped}. The highest version is in force; a lower one changes nothing.
+"""
+
+import collections.abc
+import typing
+
+from irisstand.state import versioned_items
+from irisstand.validation import canonical_content, item_schema
+
+# A latency target may be so far above the route's timeout; one beyond is taken for a mistake.
+TARGET_MARGIN_SECONDS = 60
+
+# The name of the list in a call's body for each kind; limits are one item without a name.
+LISTS = {"route": "routes", "upstream": "upstreams"}
+LIMITS_NAME = "limits"
+
+
+class ItemEntry(typing.NamedTuple):
+    """One item of a call.
+
+    Attributes:
+        key: The key of its row.
+        version: The version that its sender gave it.
+        item: Its content, None to drop it.
+    """
+
+    key: str
+    version: int
+    item: typing.Any
+
+    @classmethod
+    def from_item(cls, key: str, item: dict[str, typing.Any]) -> "ItemEntry":
+        """Return the entry that puts an item; its version is a whole number however it was spelt.
+
+        >>> ItemEntry.from_item("route/a", {"name": "a", "version": 3.0})
+        ItemEntry(key='route/a', version=3, item={'name': 'a', 'version': 3})
+        """
+        version = int(item["version"])
+        return cls(key, version, {**item, "version": version})
+
+    @classmethod
+    def from_wire(cls, parts: typing.Any) -> "ItemEntry":
+        """Read an entry of an order's payload, `(key, {"version": number, "item": content})`."""
+        key, value = parts
+        return cls(key, value["version"], value["item"])
+
+    def to_wire(self) -> tuple[str, dict[str, typing.Any]]:
+        """Return the entry as an order's payload has it."""
+        return (self.key, {"version": self.version, "item": self.item})
+
+
+class ParsedCall(typing.NamedTuple):
+    """The entries of a call and its faults; entries are complete only if there is no fault."""
+
+    entries: list[ItemEntry]
+    faults: list[item_schema.ItemFault]
+
+
+def read(body: dict[str, typing.Any]) -> ParsedCall:
+    """Read the JSON body of a call.
+
+    >>> read({"put": {"routes": []}, "drop": {"routes": [{"name": "a", "version": 3}]}}).entries
+    [ItemEntry(key='route/a', version=3, item=None)]
+    >>> read({"put": 7}).faults
+    [ItemFault(item='put', field='', message='not an object; send lists of items by kind')]
+    """
+    sections: dict[str, dict[str, typing.Any]] = {}
+    faults: list[item_schema.ItemFault] = []
+    for section in ("put", "drop"):
+        content = body.get(section) or {}
+        if not isinstance(content, dict):
+            faults.append(item_schema.ItemFault(section, "", "not an object; send lists of items by kind"))
+            return ParsedCall([], faults)
+        faults += unknown_lists(section, content)
+        sections[section] = content
+    entries: list[ItemEntry] = []
+    for kind, name in LISTS.items():
+        read_puts(kind, sections["put"].get(name), entries, faults)
+        read_drops(kind, sections["drop"].get(name), entries, faults)
+    limits = sections["put"].get(LIMITS_NAME)
+    if limits is not None:
+        faults += item_schema.schema_faults(LIMITS_NAME, limits)
+        if not faults:
+            entries.append(ItemEntry.from_item(versioned_items.LIMITS_KEY, limits))
+    unique = without_repeats(entries)
+    return ParsedCall(unique.entries, faults + unique.faults)
+
+
+def unknown_lists(section: str, content: dict[str, typing.Any]) -> list[item_schema.ItemFault]:
+    """Return a fault for each list of a section that is of no known kind."""
+    known = (*LISTS.values(), LIMITS_NAME)
+    message = f"no such list; use {', '.join(LISTS.values())} or {LIMITS_NAME}"
+    return [item_schema.ItemFault(section, name, message) for name in content if name not in known]
+
+
+def read_puts(
+    kind: str, content: typing.Any, entries: list[ItemEntry], faults: list[item_schema.ItemFault]
+) -> None:
+    """Add the entries of a list of items to put, and its faults."""
+    for item in items_of(kind, content, faults):
+        faults += item_schema.schema_faults(kind, item)
+        if not faults:
+            entries.append(ItemEntry.from_item(f"{kind}/{item['name']}", item))
+
+
+def read_drops(
+    kind: str, content: typing.Any, entries: list[ItemEntry], faults: list[item_schema.ItemFault]
+) -> None:
+    """Add the entries of a list of items to drop, and its faults."""
+    for item in items_of(kind, content, faults):
+        if item_schema.drop_validator().is_valid(item):
+            entries.append(ItemEntry(f"{kind}/{item['name']}", int(item["version"]), None))
+        else:
+            message = "to drop an item, give its name and a whole number as version"
+            faults.append(item_schema.ItemFault(LISTS[kind], "", message))
+
+
+def items_of(kind: str, content: typing.Any, faults: list[item_schema.ItemFault]) -> list[typing.Any]:
+    """Return the items of a list, none with a fault if it is no list."""
+    if content is None:
+        return []
+    if not isinstance(content, list):
+        faults.append(item_schema.ItemFault(LISTS[kind], "", "not a list; send a list of items"))
+        return []
+    return content
+
+
+def without_repeats(entries: list[ItemEntry]) -> ParsedCall:
+    """Return each version of an item once; two contents under one version are a fault.
+
+    >>> without_repeats([ItemEntry("route/a", 3, None), ItemEntry("route/a", 3, None)])
+    ParsedCall(entries=[ItemEntry(key='route/a', version=3, item=None)], faults=[])
+    """
+    found: dict[tuple[str, int], ItemEntry] = {}
+    faults: list[item_schema.ItemFault] = []
+    for entry in entries:
+        first = found.setdefault((entry.key, entry.version), entry)
+        if first is not entry and not canonical_content.is_same(first.item, entry.item):
+            message = "two contents under one version in one call; keep one"
+            faults.append(item_schema.ItemFault(entry.key, "version", message))
+    return ParsedCall(list(found.values()), faults)
+
+
+def faults_of(contents: collections.abc.Mapping[str, typing.Any]) -> list[item_schema.ItemFault]:
+    """Return what is wrong with the table as it would stand.
+
+    Args:
+        contents: The contents of routes and services by key, None for those that were dropped.
+    """
+    faults: list[item_schema.ItemFault] = []
+    key_by_location: dict[tuple[str, str], str] = {}
+    services = {key for key, item in contents.items() if item is not None}
+    for key, route in contents.items():
+        if route is None or not key.startswith("route/"):
+            continue
+        faults += faults_of_route(key, route, services)
+        location = (route["host"], route["prefix"])
+        if location in key_by_location:
+            message = f"{key_by_location[location]} has the same host and prefix; drop or change one"
+            faults.append(item_schema.ItemFault(key, "prefix", message))
+        key_by_location[location] = key
+    return faults
+
+
+def faults_of_late(
+    late: list[ItemEntry], known_keys: collections.abc.Container[str]
+) -> list[item_schema.ItemFault]:
+    """Return what could never have been valid of entries that are older than what is in force.
+
+    A service that was dropped since may have been there when the entry was sent; one that never had an item
+    cannot.
+    """
+    faults: list[item_schema.ItemFault] = []
+    for entry in late:
+        if entry.item is not None and entry.key.startswith("route/"):
+            faults += faults_of_route(entry.key, entry.item, known_keys)
+    return faults
+
+
+def faults_of_route(
+    key: str, route: dict[str, typing.Any], services: collections.abc.Container[str]
+) -> list[item_schema.ItemFault]:
+    """Return what is wrong with a route; `services` are the keys of the services that it may name."""
+    faults: list[item_schema.ItemFault] = []
+    splits = versioned_items.weighted_services(route)
+    for service, _ in splits:
+        if f"upstream/{service}" not in services:
+            message = f"service {service!r} has no item; send it too, or name another"
+            faults.append(item_schema.ItemFault(key, "service", message))
+    if not any(weight > 0 for _, weight in splits):
+        faults.append(item_schema.ItemFault(key, "split", "the weights add up to 0; raise one"))
+    if (route.get("target") or 0) >= route["timeout"] + TARGET_MARGIN_SECONDS:
+        faults.append(item_schema.ItemFault(key, "target", "far over the timeout; lower it"))
+    return faults
--- /dev/null
+++ b/src/irisstand/validation/item_schema.py
@@ -0,0 +1,101 @@
+"""The JSON schemas of versioned items and the faults that they find. Times are seconds, rates per second."""
+
+import functools
+import typing
+
+from irisstand.validation import lazy_jsonschema
+
+SECONDS = {"type": "number", "minimum": 0, "maximum": 86400}
+RATE = {"type": ["number", "null"], "exclusiveMinimum": 0}
+NAME = {"type": "string", "minLength": 1, "maxLength": 200}
+VERSION = {"type": "integer", "minimum": 0, "maximum": 2**53}
+# Longer messages of the schema checker are cut.
+MESSAGE_LIMIT = 300
+
+# Fields that are not named here are kept and read back, but decide nothing.
+SCHEMAS: dict[str, dict[str, typing.Any]] = {
+    "route": {
+        "type": "object",
+        "required": ["name", "version", "host", "prefix", "kind", "timeout"],
+        "properties": {
+            "name": NAME,
+            "version": VERSION,
+            "host": {"type": "string", "minLength": 1, "maxLength": 255},
+            "prefix": {"type": "string", "pattern": "^/", "maxLength": 1024},
+            "kind": {"enum": ["cacheable", "idempotent", "non_idempotent"]},
+            "timeout": {**SECONDS, "exclusiveMinimum": 0},
+            "target": {"type": ["number", "null"], "minimum": 0},
+            "priority": {"type": ["integer", "null"], "minimum": 0},
+            "attempts": {"type": ["integer", "null"], "minimum": 1, "maximum": 100},
+            "cache_life": {"type": ["number", "null"], "minimum": 0},
+            "regions": {"type": ["array", "null"], "items": {"type": "string"}},
+            "service": {"type": ["string", "null"]},
+            "split": {
+                "type": ["array", "null"],
+                "items": {
+                    "type": "object",
+                    "required": ["service", "weight"],
+                    "properties": {"service": NAME, "weight": {"type": "number", "minimum": 0}},
+                },
+            },
+        },
+    },
+    "upstream": {
+        "type": "object",
+        "required": ["name", "version"],
+        "properties": {
+            "name": NAME,
+            "version": VERSION,
+            "probe": {"type": ["string", "null"], "pattern": "^/"},
+            "connections": {"type": ["integer", "null"], "minimum": 1},
+            "warmup": {"type": ["number", "null"], "minimum": 0},
+            "cold_rate": RATE,
+            "rate": RATE,
+        },
+    },
+    "limits": {
+        "type": "object",
+        "required": ["version"],
+        "properties": {
+            "version": VERSION,
+            "header_bytes": {"type": "integer", "minimum": 1},
+            "body_bytes": {"type": "integer", "minimum": 0},
+            "header": SECONDS,
+            "idle": SECONDS,
+        },
+    },
+}
+DROP_SCHEMA = {
+    "type": "object",
+    "required": ["name", "version"],
+    "properties": {"name": NAME, "version": VERSION},
+}
+
+
+class ItemFault(typing.NamedTuple):
+    """What is wrong with one field of an item, and how to correct it."""
+
+    item: str
+    field: str
+    message: str
+
+
+@functools.cache
+def validator(kind: str) -> typing.Any:
+    """Return the jsonschema validator of a kind of item."""
+    return lazy_jsonschema.compiled(SCHEMAS[kind])
+
+
+@functools.cache
+def drop_validator() -> typing.Any:
+    """Return the jsonschema validator of an entry that drops an item."""
+    return lazy_jsonschema.compiled(DROP_SCHEMA)
+
+
+def schema_faults(kind: str, item: typing.Any) -> list[ItemFault]:
+    """Return what an item has against the schema of its kind."""
+    name = str(item.get("name", kind)) if isinstance(item, dict) else kind
+    return [
+        ItemFault(name, ".".join(map(str, error.absolute_path)), error.message[:MESSAGE_LIMIT])
+        for error in validator(kind).iter_errors(item)
+    ]
--- a/src/irisstand/validation/rules.py
+++ b/src/irisstand/validation/rules.py
@@ -1,22 +1,35 @@
-"""Rules across rows: what the whole table must keep to, once a change stands in it."""
+"""Rules across rows, which the configuration as a whole has to keep."""
 
 import collections.abc
 import typing
 
+# Values by kind and name.
 Rows = dict[tuple[str, str], typing.Any]
-Fault = tuple[str, str, str, str]
 
 
-def grants_name_services(rows: Rows) -> collections.abc.Iterator[Fault]:
+class TableFault(typing.NamedTuple):
+    """What is wrong with one field of a row beside the other rows."""
+
+    kind: str
+    name: str
+    field: str
+    message: str
+
+
+Faults = collections.abc.Iterator[TableFault]
+
+
+def check_services_of_grants(rows: Rows) -> Faults:
+    """Yield a fault for each grant of a path whose service has no row."""
     for (kind, name), value in rows.items():
         for grant in value["grants"] if kind == "path" else ():
             if ("service", grant["service"]) not in rows:
                 message = f"service {grant['service']!r} has no row; send its row too, or name another"
-                yield (kind, name, "grants", message)
+                yield TableFault(kind, name, "grants", message)
 
 
-def methods_granted_once_have_weight(rows: Rows) -> collections.abc.Iterator[Fault]:
-    """A method whose grant entries all weigh nothing could be drawn for no service."""
+def check_weights_of_grants(rows: Rows) -> Faults:
+    """Yield a fault for each method of a path whose grants all weigh 0: no service could be chosen."""
     for (kind, name), value in rows.items():
         if kind != "path":
             continue
@@ -26,22 +39,25 @@
                 weights[method] = weights.get(method, 0) + grant.get("weight", 1)
         for method, weight in weights.items():
             if weight <= 0:
-                yield (kind, name, "grants", f"no grant entry for {method} has a weight over 0; raise one")
+                message = f"no grant entry for {method} has a weight over 0; raise one"
+                yield TableFault(kind, name, "grants", message)
 
 
-def some_site_has_weight(rows: Rows) -> collections.abc.Iterator[Fault]:
+def check_weights_of_sites(rows: Rows) -> Faults:
+    """Yield a fault if every site weighs 0."""
     sites = {name: value.get("weight", 1) for (kind, name), value in rows.items() if kind == "site"}
     if sites and not any(sites.values()):
-        yield ("site", next(iter(sites)), "weight", "every site weighs 0; leave one above 0")
+        yield TableFault("site", next(iter(sites)), "weight", "every site weighs 0; leave one above 0")
 
 
 # Plug-in point: a rule is an entry here.
-REGISTRY: list[collections.abc.Callable[[Rows], collections.abc.Iterator[Fault]]] = [
-    grants_name_services,
-    methods_granted_once_have_weight,
-    some_site_has_weight,
+REGISTRY: list[collections.abc.Callable[[Rows], Faults]] = [
+    check_services_of_grants,
+    check_weights_of_grants,
+    check_weights_of_sites,
 ]
 
 
-def faults(rows: Rows) -> list[Fault]:
+def faults(rows: Rows) -> list[TableFault]:
+    """Return what is wrong with the configuration."""
     return [fault for rule in REGISTRY for fault in rule(rows)]
--- a/src/irisstand/validation/schema.py
+++ b/src/irisstand/validation/schema.py
@@ -1,4 +1,4 @@
-"""The schema of operators' rows, one for each kind, checked with jsonschema."""
+"""The JSON schemas of operators' rows, one for each kind."""
 
 import functools
 import typing
@@ -11,7 +11,22 @@
 METHODS = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"]
 
 
-def row(required: list[str], properties: dict) -> dict:
+class RowFault(typing.NamedTuple):
+    """What is wrong with one field of a row."""
+
+    field: str
+    message: str
+
+
+class KindSchema(typing.NamedTuple):
+    """The pattern of a kind's names and the JSON schema of its values."""
+
+    name_pattern: str
+    value_schema: dict[str, typing.Any]
+
+
+def object_schema(required: list[str], properties: dict[str, typing.Any]) -> dict[str, typing.Any]:
+    """Return the schema of an object that has no other fields than these."""
     return {
         "type": "object",
         "required": required,
@@ -21,14 +36,14 @@
 
 
 # Plug-in point: a new kind of row is an entry here, with the pattern of its names.
-REGISTRY: dict[str, tuple[str, dict]] = {
-    "service": (
+REGISTRY: dict[str, KindSchema] = {
+    "service": KindSchema(
         NAME,
-        row(
+        object_schema(
             ["deadline", "ceiling"],
             {
                 "deadline": {"type": "number", "exclusiveMinimum": 0, "maximum": 60},
-                "ceiling": row(
+                "ceiling": object_schema(
                     ["rate", "inflight"],
                     {
                         "rate": {"type": "integer", "minimum": 1, "maximum": 1000000},
@@ -39,16 +54,16 @@
             },
         ),
     ),
-    "path": (
+    "path": KindSchema(
         PATH,
-        row(
+        object_schema(
             ["grants"],
             {
                 "grants": {
                     "type": "array",
                     "minItems": 1,
                     "maxItems": 16,
-                    "items": row(
+                    "items": object_schema(
                         ["service", "methods"],
                         {
                             "service": {"type": "string", "pattern": NAME},
@@ -71,35 +86,40 @@
             },
         ),
     ),
-    "site": (NAME, row([], {"weight": WEIGHT})),
-    "machine": (NAME, row([], {"awake": {"type": "boolean"}})),
-    "shield": (NAME, row([], {"weight": WEIGHT, "limit": {"type": "integer", "minimum": 1}})),
+    "site": KindSchema(NAME, object_schema([], {"weight": WEIGHT})),
+    "machine": KindSchema(NAME, object_schema([], {"awake": {"type": "boolean"}})),
+    "shield": KindSchema(
+        NAME, object_schema([], {"weight": WEIGHT, "limit": {"type": "integer", "minimum": 1}})
+    ),
 }
 
 
 @functools.cache
-def validator(kind: str) -> typing.Any:
-    return lazy_jsonschema.compiled(REGISTRY[kind][1])
+def value_validator(kind: str) -> typing.Any:
+    """Return the jsonschema validator of a kind's values."""
+    return lazy_jsonschema.compiled(REGISTRY[kind].value_schema)
 
 
 @functools.cache
 def name_validator(kind: str) -> typing.Any:
-    return lazy_jsonschema.compiled({"type": "string", "pattern": REGISTRY[kind][0]})
+    """Return the jsonschema validator of a kind's names."""
+    return lazy_jsonschema.compiled({"type": "string", "pattern": REGISTRY[kind].name_pattern})
 
 
-def faults(kind: typing.Any, name: typing.Any, value: typing.Any) -> list[tuple[str, str]]:
-    """Faults of one row as (field, message).
+def faults(kind: typing.Any, name: typing.Any, value: typing.Any) -> list[RowFault]:
+    """Return what is wrong with one row; a value of None removes the row and needs no schema.
 
     >>> faults("site", "north", {"weight": -1})
-    [('weight', '-1 is less than the minimum of 0')]
-    >>> faults("zone", "north", {})[0][0]
+    [RowFault(field='weight', message='-1 is less than the minimum of 0')]
+    >>> faults("zone", "north", {})[0].field
     'kind'
     """
     if not isinstance(kind, str) or kind not in REGISTRY:
-        return [("kind", f"{kind!r} is not a kind of row; use one of {', '.join(sorted(REGISTRY))}")]
-    found = [("name", error.message) for error in name_validator(kind).iter_errors(name)]
-    # No value means that the row is removed, which needs no schema.
+        known = ", ".join(sorted(REGISTRY))
+        return [RowFault("kind", f"{kind!r} is not a kind of row; use one of {known}")]
+    found = [RowFault("name", error.message) for error in name_validator(kind).iter_errors(name)]
     if value is not None:
-        for error in validator(kind).iter_errors(value):
-            found.append((".".join(str(part) for part in error.absolute_path) or "value", error.message))
+        for error in value_validator(kind).iter_errors(value):
+            field = ".".join(map(str, error.absolute_path)) or "value"
+            found.append(RowFault(field, error.message))
     return found
--- a/tests/controlplane/test_idempotent_changes.py
+++ b/tests/controlplane/test_idempotent_changes.py
@@ -5,8 +5,9 @@
 import pytest
 
 import irisstand.controlplane.changes.amendment as amendment
+import irisstand.controlplane.changes.order_planning as order_planning
 import irisstand.controlplane.changes.orders as orders
-import irisstand.controlplane.changes.overlay as overlays
+import irisstand.controlplane.changes.table_overlay as table_overlay
 import irisstand.errors as errors
 import irisstand.state.items as items
 import irisstand.state.replica as replica
@@ -37,9 +38,10 @@
 
 def amend(table, call):
     """Play one call on a table, as a ballot would; the rows that it writes."""
-    overlay = overlays.Overlay(table, table.applied.successor("n"))
-    payload = amendment.parse_amendment(json.dumps(call).encode())
-    orders.plan(overlay, orders.Order("amend", "", payload))
+    overlay = table_overlay.Overlay(table, table.applied.successor("n"))
+    entries = amendment.parse_amendment(json.dumps(call).encode())
+    payload = [entry.to_wire() for entry in entries]
+    order_planning.plan(overlay, orders.Order("amend", "", payload))
     written = list(overlay.rows)
     table.apply(overlay.batch())
     return written
@@ -204,8 +206,8 @@
 
 
 def change(table, kind, change_id, payload):
-    overlay = overlays.Overlay(table, table.applied.successor("n"))
-    result = orders.plan(overlay, orders.Order(kind, change_id, payload))
+    overlay = table_overlay.Overlay(table, table.applied.successor("n"))
+    result = order_planning.plan(overlay, orders.Order(kind, change_id, payload))
     table.apply(overlay.batch())
     return result
 
@@ -236,9 +238,9 @@
     amend(table, {"drop": {"routes": [{"name": "r1", "version": 9}]}})
     table.put(items.Item("site/gone", table.applied, None))
     for _ in range(40):
-        overlay = overlays.Overlay(table, table.applied.successor("n"))
+        overlay = table_overlay.Overlay(table, table.applied.successor("n"))
         payload = (str(table.version(items.TABLE_TIME_KEY)), 60.0, [["~change", 1.0, 1.0, 1]], 1.0)
-        orders.plan(overlay, orders.Order("tick-blueprint", "", payload))
+        order_planning.plan(overlay, orders.Order("tick-blueprint", "", payload))
         table.apply(overlay.batch())
     assert "site/gone" not in table.items
     assert amend(table, FIRST) == []
--- a/tests/controlplane/test_idempotent_changes_racing.py
+++ b/tests/controlplane/test_idempotent_changes_racing.py
@@ -204,7 +204,7 @@
 
 
 def test_an_evacuation_again_is_not_refused_by_a_node_that_has_not_heard_of_it(monkeypatch):
-    async def cannot(self, site, insist):
+    async def cannot(self, site, *, insist):
         raise errors.InsufficientCapacityError("too small", {})
 
     async def scene(day):
@@ -212,20 +212,20 @@
         judge = evacuation_check.EvacuationCheck(node.body.context)
         day.world.cut_off(["agency-5"])
         await day.stage.order("agency-1", "evacuate", "north")
-        monkeypatch.setattr(evacuation_check.EvacuationCheck, "check", cannot)
+        monkeypatch.setattr(evacuation_check.EvacuationCheck, "check_capacity", cannot)
         # Cut off, it cannot know; back in touch, it learns before it speaks.
         with pytest.raises(errors.NoQuorumError):
-            await node.do(judge.judge("north", False), 8.0)
+            await node.do(judge.check_once("north", insist=False), 8.0)
         assert not judge.view.is_evacuated("north")
         day.world.wires.heal()
         for _ in range(20):
             try:
-                assert await node.do(judge.judge("north", False), 8.0) == []
+                assert await node.do(judge.check_once("north", insist=False), 8.0) == []
                 break
             except errors.NoQuorumError:
                 await asyncio.sleep(0.1)
         assert judge.view.is_evacuated("north")
         with pytest.raises(errors.InsufficientCapacityError):
-            await node.do(judge.judge("south", False), 8.0)
+            await node.do(judge.check_once("south", insist=False), 8.0)
 
     cluster.play(scene)
--- a/tests/controlplane/test_origin_discovery.py
+++ b/tests/controlplane/test_origin_discovery.py
@@ -5,7 +5,7 @@
 
 import cluster
 
-import irisstand.controlplane.singletons.origin_discovery as watch
+import irisstand.controlplane.singletons.origin_source as origin_source
 
 
 def state(day, name="edge-1"):
@@ -21,7 +21,7 @@
     content = {"origins": origins, **({} if revision is None else {"revision": revision})}
 
     async def ask():
-        return watch.PlatformAnswer(json.dumps(content).encode(), age)
+        return origin_source.PlatformAnswer(json.dumps(content).encode(), age)
 
     day.stage.ask_platform = ask
 
--- a/tests/controlplane/test_retention.py
+++ b/tests/controlplane/test_retention.py
@@ -7,7 +7,10 @@
 import cluster
 import pytest
 
+import irisstand.controlplane.changes.idempotency_claims as idempotency_claims
+import irisstand.controlplane.changes.order_planning as order_planning
 import irisstand.controlplane.changes.orders as orders
+import irisstand.controlplane.changes.table_overlay as table_overlay
 import irisstand.controlplane.changes.table_time as table_time
 import irisstand.controlplane.singletons.retention as retention
 import irisstand.errors as errors
@@ -26,8 +29,8 @@
         self.seen = versions.NONE
 
     def order(self, kind, payload, change=""):
-        overlay = orders.Overlay(self.copy, self.copy.applied.successor("n"))
-        result = orders.plan(overlay, orders.Order(kind, change, payload))
+        overlay = table_overlay.Overlay(self.copy, self.copy.applied.successor("n"))
+        result = order_planning.plan(overlay, orders.Order(kind, change, payload))
         if overlay.rows:
             self.copy.apply(overlay.batch())
         return result
@@ -67,7 +70,7 @@
             ledger.order("purge", [("path", path)])
             newest[path] = ledger.copy.applied
         elif draw < 0.5:
-            ledger.tick(randomness.uniform(1, 30), PURGE._replace(keep=randomness.choice((5, 75))))
+            ledger.tick(randomness.uniform(1, 30), PURGE._replace(keep_seconds=randomness.choice((5, 75))))
         else:
             fetched.append((f"/p{randomness.randrange(40)}", ledger.copy.applied))
         path, applied = randomness.choice(fetched or [("/p0", ledger.copy.applied)])
@@ -141,7 +144,7 @@
 
 
 def test_keys_are_kept_for_their_time_and_a_full_store_refuses_new_ones_with_when_to_come_back(monkeypatch):
-    monkeypatch.setattr(orders, "CLAIMS_LIMIT", 100)
+    monkeypatch.setattr(idempotency_claims, "CLAIMS_LIMIT", 100)
     claims = Table(items.IDEMPOTENCY_KEYS)
     rule = table_time.RetentionRule("claim", 600.0, 600.0, 100)
     claims.tick(15, rule)
--- a/tests/mutation/consensus_mutations.py
+++ b/tests/mutation/consensus_mutations.py
@@ -22,8 +22,8 @@
     ),
     (
         "controlplane/singletons/lease.py",
-        "                if self.context.is_lame_duck and self.fencing_token:",
-        "                if False:",
+        "        if self.context.is_lame_duck and self.fencing_token:",
+        "        if False:",
         "controlplane/test_graceful_shutdown.py::test_a_holder_that_goes_in_order_lays_its_duty_down_at_once",
     ),
     (
@@ -112,7 +112,7 @@
     ),
     (
         "controlplane/changes/voter_changes.py",
-        "    if str(overlay.version(items.VOTERS_KEY)) != expected:",
+        "    if in_force != change.expected:",
         "    if False:",
         "controlplane/test_voter_target.py::test_a_change_planned_from_an_older_set_or_into_a_weaker_one_is_refused",
     ),
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -100,13 +100,13 @@
     ),
     (
         "controlplane/changes/amendment.py",
-        '        if known is None or known["version"] < value["version"]:',
+        "        if row is None or row.version < entry.version:",
         "        if True:",
         "validation/test_versioned_items.py",
     ),
     (
         "controlplane/changes/amendment.py",
-        "    faults = versioned.faults_of(standing)",
+        "    faults = item_entries.faults_of(contents)",
         "    faults = []",
         "validation/test_versioned_items.py",
     ),
@@ -172,8 +172,8 @@
     ),
     (
         "controlplane/singletons/rate_placement.py",
-        "            self.frozen_until = now + rate_quota.REASSIGNMENT_DELAY_SECONDS if units else now",
-        "            self.frozen_until = now",
+        "        self.frozen_until = now + rate_quota.REASSIGNMENT_DELAY_SECONDS if units else now",
+        "        self.frozen_until = now",
         "controlplane/test_rate_quota.py",
     ),
     (
--- a/tests/validation/test_versioned_items.py
+++ b/tests/validation/test_versioned_items.py
@@ -7,7 +7,7 @@
 
 import irisstand.control_errors as control_errors
 import irisstand.controlplane.changes.amendment as amendment
-import irisstand.controlplane.changes.overlay as overlays
+import irisstand.controlplane.changes.table_overlay as table_overlay
 import irisstand.errors as errors
 import irisstand.state.items as items
 import irisstand.state.replica as replica
@@ -29,8 +29,9 @@
 
 def amend(table, call):
     """Play one call on a table, as a ballot would."""
-    overlay = overlays.Overlay(table, table.applied.successor("n"))
-    planned = amendment.plan_amend(overlay, amendment.parse_amendment(json.dumps(call).encode()))
+    overlay = table_overlay.Overlay(table, table.applied.successor("n"))
+    entries = amendment.parse_amendment(json.dumps(call).encode())
+    planned = amendment.plan_amend(overlay, [entry.to_wire() for entry in entries])
     for key, value in planned.items():
         overlay.put(key, value)
     table.apply(overlay.batch())
