--- a/src/irisstand/dataplane/messages.py
+++ b/src/irisstand/dataplane/messages.py
@@ -13,7 +13,7 @@
 HeaderPairs = tuple[tuple[str, str], ...]
 
 
-class MessageKind(enum.StrEnum):
+class RequestKind(enum.StrEnum):
     """The kinds of requests between the nodes of the data plane, as they stand on the wire."""
 
     READ = "read"
--- a/src/irisstand/dataplane/nodes/shield.py
+++ b/src/irisstand/dataplane/nodes/shield.py
@@ -62,8 +62,8 @@
         self.origin_client = origin_client.OriginClient(context, view, self.origins)
         self.budget = budgets.RetryBudget(context.clock, RETRY_SHARE, RETRY_ALLOWANCE)
         self.idempotency_keys = idempotency_keys.IdempotencyKeys(context)
-        context.transport.handlers[messages.MessageKind.READ] = self.on_read
-        context.transport.handlers[messages.MessageKind.WRITE] = self.on_write
+        context.transport.handlers[messages.RequestKind.READ] = self.on_read
+        context.transport.handlers[messages.RequestKind.WRITE] = self.on_write
 
     async def on_read(self, _: str, body: typing.Any) -> tuple[typing.Any, ...]:
         """Answer an edge's read."""
--- a/src/irisstand/dataplane/nodes/shield_client.py
+++ b/src/irisstand/dataplane/nodes/shield_client.py
@@ -109,7 +109,7 @@
         """Call a shield, but leave it when it is suspected: one that lost its power closes no connection."""
         suspicion = self.suspicion_watcher.watch(action.shield.identity)
         call = asyncio.get_running_loop().create_task(
-            self.call(action, messages.MessageKind.READ, request.to_wire())
+            self.call(action, messages.RequestKind.READ, request.to_wire())
         )
         try:
             await asyncio.wait([call, suspicion], return_when=asyncio.FIRST_COMPLETED)
@@ -169,7 +169,7 @@
         )
         # A write is meant for the process that was chosen: one started anew in its place rejects it.
         incarnation_id = action.shield.identity.incarnation_id
-        event = await self.call(action, messages.MessageKind.WRITE, current.to_wire(), incarnation_id)
+        event = await self.call(action, messages.RequestKind.WRITE, current.to_wire(), incarnation_id)
         if isinstance(event, events.AttemptFailed):
             return event
         result = messages.WriteResult.from_wire(event.response)
@@ -178,7 +178,7 @@
     async def call(
         self,
         action: actions.SendToShield,
-        kind: messages.MessageKind,
+        kind: messages.RequestKind,
         body: tuple[typing.Any, ...],
         incarnation_id: str = "",
     ) -> Event[typing.Any]:
--- a/src/irisstand/dataplane/nodes/store_client.py
+++ b/src/irisstand/dataplane/nodes/store_client.py
@@ -37,7 +37,7 @@
             parts = await self.context.transport.call(
                 store.node_info.address,
                 store.identity.name,
-                messages.MessageKind.STORE_GET,
+                messages.RequestKind.STORE_GET,
                 body,
                 GET_TIMEOUT_SECONDS,
             )
@@ -57,7 +57,7 @@
             await self.context.transport.call(
                 store.node_info.address,
                 store.identity.name,
-                messages.MessageKind.STORE_PUT,
+                messages.RequestKind.STORE_PUT,
                 body,
                 PUT_TIMEOUT_SECONDS,
             )
--- /dev/null
+++ b/tests/dataplane/test_retry_policies.py
@@ -0,0 +1,195 @@
+"""Playbooks of the retry policies: events in, actions out, in the time of a clock that the test sets."""
+
+import types
+import typing
+
+import pytest
+
+import irisstand.balancing.retry_budget as retry_budget
+import irisstand.dataplane.retry.actions as actions
+import irisstand.dataplane.retry.events as events
+import irisstand.dataplane.retry.idempotent_attempt_policy as idempotent_attempt_policy
+import irisstand.dataplane.retry.read_policy as read_policy
+import irisstand.dataplane.retry.single_attempt_policy as single_attempt_policy
+import irisstand.dataplane.retry.write_policy as write_policy
+import irisstand.errors as errors
+
+ROUTE = types.SimpleNamespace(timeout=2.0, target=0.2, attempts=2)
+GRANTED = types.SimpleNamespace(deadline=2.0)
+FAILED = errors.OriginFailedError("broken")
+
+
+class Clock:
+    def __init__(self):
+        self.moment = 100.0
+
+    def now(self):
+        return self.moment
+
+
+class Response(typing.NamedTuple):
+    status: int = 200
+
+
+@pytest.fixture
+def clock():
+    return Clock()
+
+
+def budget_of(clock, allowance=10):
+    return retry_budget.RetryBudget(clock, 0.0, allowance)
+
+
+def idempotent(clock, allowance=10):
+    return idempotent_attempt_policy.IdempotentAttemptPolicy(clock, ROUTE, 2.0, budget_of(clock, allowance))
+
+
+def single(clock):
+    return single_attempt_policy.SingleAttemptPolicy(clock, ROUTE, 2.0, budget_of(clock))
+
+
+def shield(name):
+    return types.SimpleNamespace(identity=types.SimpleNamespace(name=name))
+
+
+def edge_read(clock, count, allowance=10):
+    shields = [shield(f"shield-{number}") for number in range(count)]
+    return read_policy.EdgeReadPolicy(clock, GRANTED, shields, budget_of(clock, allowance), clock.now() + 2.0)
+
+
+def edge_write(clock, count):
+    return write_policy.EdgeWritePolicy(clock, GRANTED, [shield(f"shield-{n}") for n in range(count)])
+
+
+def decide(policy, *played):
+    """The actions that answer the events, `Started` before them."""
+    return [policy.decide(event) for event in (events.STARTED, *played)]
+
+
+@pytest.mark.parametrize("make", [idempotent, single])
+def test_first_attempt_is_sent_and_its_response_given(clock, make):
+    sent, waiting, answered = decide(
+        make(clock), events.AttemptSent("a", 0.1), events.ResponseReceived(Response(), "a")
+    )
+    assert isinstance(sent, actions.SendAttempt)
+    assert isinstance(waiting, actions.Wait)
+    assert answered == actions.Respond(Response())
+
+
+@pytest.mark.parametrize("make", [idempotent, single])
+def test_without_time_nothing_is_sent(clock, make):
+    policy = make(clock)
+    clock.moment += 1.99
+    rejected = policy.decide(events.STARTED)
+    assert type(rejected.error) is errors.DeadlineExceededError
+
+
+def test_slow_idempotent_attempt_is_hedged_at_another_endpoint(clock):
+    policy = idempotent(clock)
+    _, waiting = decide(policy, events.AttemptSent("a", 0.1))
+    assert waiting.seconds == pytest.approx(0.25)
+    clock.moment += waiting.seconds
+    hedged = policy.decide(events.TIMER_EXPIRED)
+    assert hedged == actions.SendAttempt({"a"})
+
+
+def test_without_retry_budget_a_slow_attempt_is_waited_for(clock):
+    policy = idempotent(clock, allowance=0)
+    _, waiting = decide(policy, events.AttemptSent("a", 0.1))
+    clock.moment += waiting.seconds
+    assert isinstance(policy.decide(events.TIMER_EXPIRED), actions.Wait)
+
+
+def test_failed_idempotent_attempt_is_retried_once(clock):
+    *_, retried, _, rejected = decide(
+        idempotent(clock),
+        events.AttemptSent("a", 0.1),
+        events.AttemptFailed(FAILED, "a"),
+        events.AttemptSent("b", 0.1),
+        events.AttemptFailed(FAILED, "b"),
+    )
+    assert retried == actions.SendAttempt({"a", "b"})
+    assert rejected == actions.Reject(FAILED)
+
+
+def test_attempt_that_was_not_sent_costs_no_retry(clock):
+    policy = idempotent(clock, allowance=0)
+    *_, resent = decide(
+        policy,
+        events.AttemptSent("a", 0.1),
+        events.AttemptFailed(errors.NotSentError(), "a", may_have_run=False, was_sent=False),
+    )
+    assert isinstance(resent, actions.SendAttempt)
+
+
+def test_server_error_is_given_when_no_other_endpoint_is_left(clock):
+    *_, retried, given = decide(
+        idempotent(clock),
+        events.AttemptSent("a", 0.1),
+        events.ResponseReceived(Response(500), "a"),
+        events.NoEndpoint(errors.NoOriginError()),
+    )
+    assert isinstance(retried, actions.SendAttempt)
+    assert given == actions.Respond(Response(500))
+
+
+def test_request_that_may_have_run_is_an_unknown_outcome_and_never_sent_again(clock):
+    *_, rejected = decide(single(clock), events.AttemptSent("a", 0.1), events.AttemptFailed(FAILED, "a"))
+    assert type(rejected.error) is errors.OutcomeUnknownError
+
+
+def test_request_that_did_not_run_is_sent_again(clock):
+    failed = events.AttemptFailed(errors.LimitExceededError(), "a", may_have_run=False)
+    *_, resent = decide(single(clock), events.AttemptSent("a", 0.1), failed)
+    assert isinstance(resent, actions.SendAttempt)
+
+
+def test_silent_request_that_is_not_idempotent_ends_as_an_unknown_outcome_at_its_deadline(clock):
+    policy = single(clock)
+    _, waiting = decide(policy, events.AttemptSent("a", 0.1))
+    clock.moment += waiting.seconds
+    assert type(policy.decide(events.TIMER_EXPIRED).error) is errors.OutcomeUnknownError
+
+
+def test_unanswered_read_goes_to_the_next_shield_within_the_budget(clock):
+    first, second = decide(edge_read(clock, 2), events.AttemptFailed(errors.UnansweredError(), "shield-0"))
+    assert (first.shield.identity.name, second.shield.identity.name) == ("shield-0", "shield-1")
+    policy = edge_read(clock, 2, allowance=0)
+    _, rejected = decide(policy, events.AttemptFailed(errors.UnansweredError(), "shield-0"))
+    assert type(rejected.error) is errors.UnansweredError
+
+
+def test_unanswered_write_is_an_unknown_outcome(clock):
+    _, rejected = decide(edge_write(clock, 2), events.AttemptFailed(errors.UnansweredError(), "shield-0"))
+    assert type(rejected.error) is errors.OutcomeUnknownError
+
+
+def test_write_for_an_ended_incarnation_is_not_sent_on(clock):
+    """Its error is a NotSentError with a code of its own, which edges do not take for that."""
+    ended = errors.IncarnationEndedError("gone")
+    _, rejected = decide(edge_write(clock, 2), events.AttemptFailed(ended, "shield-0"))
+    assert type(rejected.error) is errors.OutcomeUnknownError
+
+
+def test_request_over_the_limit_goes_to_two_more_shields_only(clock):
+    full = events.AttemptFailed(errors.LimitExceededError(), "")
+    *sent, rejected = decide(edge_write(clock, 5), full, full, full)
+    assert all(isinstance(action, actions.SendToShield) for action in sent)
+    assert len(sent) == 3
+    assert type(rejected.error) is errors.LimitExceededError
+
+
+def test_write_at_a_shield_goes_to_another_origin_only_if_untouched(clock):
+    untouched = events.AttemptFailed(errors.NotSentError(), "a", may_have_run=False, was_sent=False)
+    policy = write_policy.ShieldWritePolicy(clock, GRANTED, 2.0)
+    *_, resent, rejected = decide(policy, untouched, events.AttemptFailed(FAILED, "b"))
+    assert resent == actions.SendAttempt({"a"})
+    assert type(rejected.error) is errors.OutcomeUnknownError
+
+
+def test_read_at_a_shield_reports_the_first_origins_error_when_there_is_no_other(clock):
+    policy = read_policy.ShieldReadPolicy(clock, GRANTED, 2.0, budget_of(clock))
+    *_, rejected = decide(
+        policy, events.AttemptFailed(FAILED, "a"), events.NoEndpoint(errors.NoOriginError())
+    )
+    assert rejected == actions.Reject(FAILED)
