--- a/src/irisstand/dataplane/nodes/shield_client.py
+++ b/src/irisstand/dataplane/nodes/shield_client.py
@@ -124,7 +124,7 @@
     def shields_for_read(self, service: str, key: str) -> list[updates.Update]:
         """Return the shields in order; for a popular object the first two take turns, if both can."""
         shields = self.view.shields(service, key)
-        if not self.popularity.record(key) or len(shields) < 2:
+        if not self.popularity.record(key) or len(shields) <= 1:
             return shields
         second = shields[1]
         if second.state or not self.view.has_quota_share(second.node_info.machine, service):
--- a/tests/dataplane/test_direct_edge.py
+++ b/tests/dataplane/test_direct_edge.py
@@ -27,7 +27,7 @@
 
 # -- writes ------------------------------------------------------------------------------------------------
 @pytest.mark.parametrize("status", [408, 429, 503])
-def test_a_write_that_may_have_run_is_never_told_a_promise_and_never_sent_again(status):
+def test_write_that_may_have_run_is_not_reported_as_not_run_and_not_retried(status):
     async def scene(stage):
         stage.play = lambda key, headers, body: whole(headers["x-request-id"], status=status)
         await stage.ask("/writes/1", "POST")
@@ -36,7 +36,7 @@
     assert error.status not in (408, 421, 429, 503) and len(stage.sent) == 1
 
 
-def test_a_write_whose_answer_is_lost_is_not_sent_again():
+def test_write_with_lost_answer_is_not_retried():
     async def scene(stage):
         stage.play = lambda key, headers, body: BROKEN
         await stage.ask("/writes/1", "POST")
@@ -45,7 +45,7 @@
     assert len(stage.sent) == 1
 
 
-def test_a_write_that_did_not_run_goes_to_another_origin_and_then_back_with_a_promise():
+def test_write_that_did_not_run_goes_to_another_origin_and_is_then_reported_as_not_run():
     async def scene(stage):
         stage.play = lambda key, headers, body: FULL
         await stage.ask("/writes/1", "POST")
@@ -55,7 +55,7 @@
     assert sorted(stage.keys()) == ["a", "b"]
 
 
-def test_a_write_that_found_another_instance_has_not_run():
+def test_write_that_met_another_instance_has_not_run():
     async def scene(stage):
         stage.play = lambda key, headers, body: (
             whole("", b"", 421) if key == stage.keys()[0] else whole(headers["x-request-id"])
@@ -67,7 +67,7 @@
     assert all(entry[3]["x-expected-instance"] == entry[0] for entry in sent)
 
 
-def test_a_write_under_way_when_the_route_is_withdrawn_is_not_sent_on_to_the_old_service():
+def test_write_in_flight_when_the_route_is_withdrawn_is_not_sent_to_the_old_service():
     async def scene(stage):
         def origin(key, headers, body):
             stage.put(items.CONFIGURATION, "route/writes", {"version": 9, "item": None})
@@ -82,7 +82,7 @@
 
 # -- reads -------------------------------------------------------------------------------------------------
 @pytest.mark.parametrize("first", [BROKEN, FULL, whole("other"), whole("r1", content_digest=None)])
-def test_a_read_that_fails_is_answered_by_another_origin(first):
+def test_failed_read_is_answered_by_another_origin(first):
     async def scene(stage):
         stage.play = lambda key, headers, body: (
             first if len(stage.sent) == 1 else whole(headers["x-request-id"], b"good")
@@ -93,7 +93,7 @@
     assert (answer.status, answer.body) == (200, b"good") and sorted(keys) == ["a", "b"]
 
 
-def test_a_silent_origin_is_not_waited_for_alone_and_its_request_is_not_broken_off():
+def test_read_of_a_silent_origin_is_hedged_and_its_first_attempt_not_cancelled():
     async def scene(stage):
         async def silent():
             await asyncio.sleep(1.5)
@@ -111,7 +111,7 @@
     assert body == b"soon" and took < 0.5 and (left, in_the_end) == (1, 0)
 
 
-def test_second_tries_stay_within_this_edges_part_of_the_budget():
+def test_retries_stay_within_this_edges_part_of_the_budget():
     async def scene(stage):
         stage.play = lambda key, headers, body: whole(headers["x-request-id"], status=500)
         for number in range(200):
@@ -126,7 +126,7 @@
     )
 
 
-def test_an_origins_own_fault_is_passed_on_unchanged_when_the_second_has_none_better():
+def test_server_error_of_an_origin_is_passed_on_when_no_other_answers_better():
     async def scene(stage):
         stage.play = lambda key, headers, body: whole(headers["x-request-id"], b"sorry", 500)
         return await stage.ask("/reads/1")
@@ -135,7 +135,7 @@
     assert (answer.status, answer.body) == (500, b"sorry")
 
 
-def test_without_a_route_there_is_a_404_and_without_an_origin_a_503():
+def test_request_without_a_route_gets_404_and_without_an_origin_503():
     async def nowhere(stage):
         await stage.ask("/elsewhere/1")
 
@@ -149,7 +149,7 @@
     assert error.status == 503 and not stage.sent
 
 
-def test_stale_tables_serve_nothing():
+def test_node_with_stale_tables_serves_nothing():
     async def scene(stage):
         for copy in stage.context.replicas.values():
             copy.current_as_of = stage.context.clock.now() - 1.6
--- a/tests/dataplane/test_endpoint_pool.py
+++ b/tests/dataplane/test_endpoint_pool.py
@@ -22,7 +22,7 @@
     return found
 
 
-def test_a_route_goes_to_origins_of_its_own_regions_alone():
+def test_route_goes_to_origins_of_its_own_regions_only():
     async def scene(stage):
         stage.origin("c", site="east")
         stage.route("reads", kind="idempotent", regions=["two"])
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("state", ["leaving", "gone"])
-def test_an_origin_that_leaves_gets_nothing_more(state):
+def test_leaving_origin_gets_no_more_requests(state):
     async def scene(stage):
         if state == "leaving":
             stage.origin("a", state="leaving")
@@ -45,7 +45,7 @@
     assert play(scene) == {"b"}
 
 
-def test_an_evacuated_site_gets_nothing_and_its_origins_count_as_cold_when_it_is_taken_back():
+def test_evacuated_site_gets_nothing_and_its_origins_count_as_cold_on_return():
     async def scene(stage):
         async def origin(headers):
             await asyncio.sleep(0.08)
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("edges", [1, 4, 30])
-def test_where_all_are_cold_the_edges_together_send_no_more_than_a_cold_origin_bears(edges):
+def test_all_cold_origins_get_no_more_than_their_slow_start_allows_from_all_edges(edges):
     async def scene(stage):
         stage.put(items.LEDGER, "origin/b", None)
         stage.origin("a", state="cold", warmup=3)
@@ -82,7 +82,7 @@
     assert play(scene, edges=edges) * edges <= max(bound, edges)
 
 
-def test_a_service_gets_no_more_than_this_edges_part_of_its_rate_in_any_five_seconds():
+def test_service_gets_no_more_than_this_edges_quota_share_in_any_five_seconds():
     async def scene(stage):
         item = {**direct_edge.UPSTREAM, "version": 9, "rate": 40.0}
         stage.put(items.CONFIGURATION, "upstream/s", {"version": 9, "item": item})
@@ -96,7 +96,7 @@
     assert most <= 20 * 5 * 1.1 + 5 and statuses == {200, 503} and sent > 150
 
 
-def test_one_try_goes_to_no_more_origins_than_its_route_allows():
+def test_request_goes_to_no_more_origins_than_its_route_allows():
     async def scene(stage):
         stage.origin("c")
         stage.play = lambda key, headers, body: whole(headers["x-request-id"], status=500)
@@ -106,7 +106,7 @@
     assert play(scene) == 2
 
 
-def test_an_origin_that_takes_no_connection_is_left_alone_and_probed_until_it_does():
+def test_unreachable_origin_gets_only_probes_until_it_answers():
     async def scene(stage):
         stage.refused = {"a"}
         running = asyncio.get_running_loop().create_task(stage.part.run())
@@ -123,7 +123,7 @@
     assert 1 <= tried < 10 and is_back
 
 
-def test_an_origin_that_was_slow_once_is_asked_again_though_another_is_quicker():
+def test_origin_that_was_slow_once_is_used_again_though_another_is_faster():
     """Found by the test of the deployed programs: on a busy machine one was never asked again."""
 
     async def scene(stage):
--- a/tests/dataplane/test_exchange.py
+++ b/tests/dataplane/test_exchange.py
@@ -45,7 +45,7 @@
     return line.send("GET", b"/x", [("host", "h")], b"", request_id)
 
 
-def test_a_whole_answer_and_the_same_connection_again():
+def test_connection_carries_a_second_request_after_a_complete_answer():
     async def origin(number, reader, writer):
         writer.write(answer("ab"[number - 1], b"n%d" % number))
 
@@ -58,14 +58,14 @@
     assert (first.status, first.body, second.body) == (200, b"n1", b"n2")
 
 
-def test_a_late_answer_to_an_earlier_request_is_read_past():
+def test_late_answer_to_an_earlier_request_is_skipped():
     async def origin(number, reader, writer):
         writer.write(answer("earlier", b"not yours") + answer("a", b"yours"))
 
     assert talk(origin, ask).body == b"yours"
 
 
-def test_a_second_answer_behind_the_first_ends_the_connection():
+def test_second_answer_behind_the_first_ends_the_connection():
     async def origin(number, reader, writer):
         writer.write(answer("a", b"yours") + answer("a", b"surplus"))
 
@@ -76,7 +76,7 @@
     assert talk(origin, scene) == (b"yours", False)
 
 
-def test_bytes_on_an_idle_connection_end_it():
+def test_bytes_on_an_idle_connection_close_it():
     async def origin(number, reader, writer):
         writer.write(answer("a"))
         await writer.drain()
@@ -103,7 +103,7 @@
         b"",
     ],
 )
-def test_what_is_cut_off_or_no_answer_is_never_taken_for_one(sent):
+def test_truncated_or_malformed_answer_is_never_accepted(sent):
     async def origin(number, reader, writer):
         writer.write(sent)
         writer.close()
@@ -116,7 +116,7 @@
     assert talk(origin, scene) == (True, False)
 
 
-def test_a_connection_is_given_up_before_its_origin_closes_it():
+def test_connection_is_given_up_before_its_origin_closes_it():
     async def origin(number, reader, writer):
         writer.write(answer("a", more="keep-alive: timeout=1\r\n"))
 
@@ -127,7 +127,7 @@
     assert talk(origin, scene) is False
 
 
-def test_a_cancelled_request_leaves_no_connection_behind_for_the_next():
+def test_cancelled_request_leaves_no_connection_for_the_next():
     async def origin(number, reader, writer):
         await asyncio.sleep(0.05)
         writer.write(answer("a"))
--- a/tests/dataplane/test_exchange_hostile_origins.py
+++ b/tests/dataplane/test_exchange_hostile_origins.py
@@ -11,7 +11,7 @@
 NO_ID = b"HTTP/1.1 503 Busy\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n"
 
 
-def test_an_answer_without_an_id_on_a_used_connection_belongs_to_nobody():
+def test_answer_without_an_id_on_a_used_connection_is_not_accepted():
     """A surplus refusal in the place of the next answer would have an unrepeatable call sent twice."""
 
     async def origin(number, reader, writer):
@@ -26,7 +26,7 @@
     assert talk(origin, scene) == (True, False)
 
 
-def test_a_surplus_answer_that_lies_there_when_the_connection_is_taken_is_nobodys():
+def test_surplus_answer_on_an_idle_connection_is_not_accepted():
     async def origin(number, reader, writer):
         writer.write(answer("ab"[number - 1], b"n%d" % number))
         if number == 1:
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("found", ["other", None])
-def test_a_heads_answer_is_told_apart_by_its_id_too(found):
+def test_answer_to_a_head_request_is_matched_by_its_id(found):
     async def origin(number, reader, writer):
         if number == 1:
             writer.write(answer("a"))
@@ -64,7 +64,7 @@
     talk(origin, scene)
 
 
-def test_a_connection_whose_answer_came_before_the_request_was_written_is_not_used_again():
+def test_connection_answered_before_the_request_was_written_is_not_reused():
     async def origin(number, reader, writer):
         writer.write(answer("a"))
         await writer.drain()
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("status", ["204 No Content", "304 Not Modified"])
-def test_a_body_behind_an_answer_that_has_none_ends_the_connection(status):
+def test_body_behind_a_bodiless_answer_ends_the_connection(status):
     async def origin(number, reader, writer):
         writer.write(f"HTTP/1.1 {status}\r\n{ID}: a\r\n\r\nbytes of nobody".encode())
 
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("status", ["100 Continue", "103 Early Hints", "101 Switching Protocols"])
-def test_an_interim_answer_is_no_answer(status):
+def test_interim_answer_is_not_accepted(status):
     async def origin(number, reader, writer):
         writer.write(f"HTTP/1.1 {status}\r\n\r\n".encode() + answer("a"))
 
@@ -105,7 +105,7 @@
     assert talk(origin, scene) is False
 
 
-def test_a_second_try_at_an_object_bears_no_id_and_so_goes_on_a_connection_of_its_own():
+def test_retry_of_an_object_has_no_id_and_goes_on_a_fresh_connection():
     """A surplus answer without an id would be taken, and kept, for another object."""
 
     async def scene(stage):
@@ -129,7 +129,7 @@
     assert direct_edge.play(scene) == 1
 
 
-def test_a_part_that_does_not_exist_bears_no_seal_of_the_whole():
+def test_unsatisfiable_range_bears_no_seal_of_the_whole_object():
     async def scene(stage):
         return await stage.ask("/objects/1", range="bytes=999-")
 
@@ -137,7 +137,7 @@
     assert found.status == 416 and "content-digest" not in found.headers
 
 
-def test_a_request_without_an_id_goes_on_a_connection_that_carried_none_before():
+def test_request_without_an_id_goes_on_a_fresh_connection():
     async def scene(stage):
         for number in range(3):
             await stage.ask(f"/reads/{number}", request_id=f"r{number}")
--- a/tests/dataplane/test_final_answers.py
+++ b/tests/dataplane/test_final_answers.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("kind", sorted(set(kinds()), key=lambda kind: kind.__name__))
-def test_every_kind_of_error_has_a_code_a_remedy_and_where_it_makes_sense_a_time_to_come_back(kind):
+def test_every_error_has_a_code_a_remedy_and_where_it_makes_sense_retry_after(kind):
     error = kind(*ARGUMENTS.get(kind, ("what happened",)))
     response = web.as_fault(error)
     content = json.loads(response.body)
@@ -44,7 +44,7 @@
     return answer[1], asyncio.get_running_loop().time() - began
 
 
-def test_no_refusal_is_held_back_until_its_deadline():
+def test_rejections_come_before_the_deadline():
     """The deadline is three seconds; what cannot be helped is said at once, or after its queue."""
 
     async def scene(day):
@@ -82,7 +82,7 @@
     cluster.play(scene)
 
 
-def test_an_order_to_a_node_that_has_lost_the_voters_is_refused_at_once():
+def test_order_to_a_node_that_has_lost_the_voters_is_rejected_at_once():
     async def scene(day):
         day.world.cut_off(["agency-2"])
         await asyncio.sleep(2)
@@ -94,7 +94,7 @@
     cluster.play(scene)
 
 
-def test_a_read_leaves_a_shield_without_power_when_it_is_suspected_and_not_at_its_deadline():
+def test_read_leaves_a_shield_without_power_on_suspicion_and_before_its_deadline():
     async def scene(day):
         # First tries, so that there is a budget for second ones.
         for number in range(60):
--- a/tests/dataplane/test_hostile_origin_scripts.py
+++ b/tests/dataplane/test_hostile_origin_scripts.py
@@ -11,7 +11,7 @@
 import irisstand.standins.hostile_origin as hostile_origin
 
 
-def test_whatever_origins_do_each_client_gets_its_own_answer_and_no_write_runs_twice():
+def test_hostile_origins_give_each_client_its_own_answer_and_run_no_write_twice():
     figures = hostile_scripts.play(range(1, 301))
     assert not figures.broken, figures.broken[:5]
     # The scripts do reach answers, and runs beyond the answered ones.
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_on_real_sockets_an_answer_is_its_own_requests_or_none(seed):
+def test_hostile_origins_on_real_sockets_give_each_request_its_own_answer_or_none(seed):
     async def scene():
         randomness, record = random.Random(seed), hostile_origin.Record()
         loop = asyncio.get_running_loop()
--- a/tests/dataplane/test_origin_limits.py
+++ b/tests/dataplane/test_origin_limits.py
@@ -54,7 +54,7 @@
     await node.start()
 
 
-def test_a_shield_killed_and_started_at_once_never_uses_its_share_twice():
+def test_shield_restarted_at_once_never_uses_its_quota_share_twice():
     async def scene(day):
         await set_ceiling(day, "application", 30, 10)
         for origin in of(day, "application"):
@@ -70,7 +70,7 @@
     cluster.play(scene)
 
 
-def test_requests_that_nobody_waits_for_any_more_still_fill_their_place():
+def test_abandoned_requests_still_count_as_in_flight():
     async def scene(day):
         await set_ceiling(day, "application", 50, 10, deadline=1.0)
         # The origin works three times as long as anybody waits.
@@ -83,7 +83,7 @@
     cluster.play(scene)
 
 
-def test_a_line_that_took_long_to_get_is_counted_when_it_is_used():
+def test_request_whose_connection_took_long_is_counted_when_it_is_sent():
     async def scene(day):
         await set_ceiling(day, "application", 15, 60)
         connects = []
@@ -109,7 +109,7 @@
     cluster.play(scene)
 
 
-def test_a_shield_just_started_uses_no_share_that_its_forerunner_may_have_filled():
+def test_shield_just_started_uses_no_share_that_its_former_process_may_have_used():
     async def scene(day):
         await asyncio.sleep(20)
         shields = day.world.role("shield")
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_the_budget_of_second_tries_holds_in_any_ten_seconds(seed):
+def test_retry_budget_holds_in_any_ten_seconds(seed):
     """Against a count of everything that was ever taken, at random moments."""
     randomness = random.Random(seed)
 
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_ceilings_hold_at_the_origin_through_splits_pauses_rests_and_hand_over(seed):
+def test_limits_hold_at_the_origin_through_partitions_pauses_and_evacuations(seed):
     async def scene(day):
         randomness = random.Random(seed)
         await set_ceiling(day, "application", 25, 8)
@@ -191,7 +191,7 @@
     cluster.play(scene, seed + 1)
 
 
-def test_an_address_handed_to_another_service_gets_no_request_meant_for_the_old_one():
+def test_address_handed_to_another_service_gets_no_request_meant_for_the_old_one():
     async def scene(day):
         asking = ask_steadily(day, 60, 8, "/vacancies/")
         await asyncio.sleep(1)
--- a/tests/dataplane/test_reads.py
+++ b/tests/dataplane/test_reads.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("fault", ["wrong-digest", "no-seal", "short", "wrong-request", "lose-answer"])
-def test_an_answer_that_is_not_whole_and_sealed_is_never_a_success(fault):
+def test_read_fails_when_its_answer_is_incomplete_or_unsealed(fault):
     async def scene(day):
         bad, good = origins(day, "content")
         bad.faults.add(fault)
@@ -33,7 +33,7 @@
     cluster.play(scene)
 
 
-def test_second_tries_stay_within_their_budget_when_every_origin_fails():
+def test_retries_stay_within_budget_when_every_origin_fails():
     async def scene(day):
         for _ in range(100):
             await read(day, "/shortlists/1")
@@ -52,7 +52,7 @@
     cluster.play(scene)
 
 
-def test_a_purge_that_strikes_while_a_fetch_is_under_way_is_not_lost():
+def test_purge_during_a_fetch_is_not_lost():
     """The fetch began before the purge, so what it brings must not be served two seconds after it."""
 
     async def scene(day):
@@ -72,7 +72,7 @@
     cluster.play(scene)
 
 
-def test_purges_by_tag_reach_every_cache():
+def test_purge_by_tag_reaches_every_cache():
     async def scene(day):
         for number in range(5):
             for edge in ("edge-1", "edge-2"):
@@ -88,7 +88,7 @@
     cluster.play(scene)
 
 
-def test_a_cache_life_is_one_life_over_all_hops():
+def test_time_to_live_is_counted_once_over_all_hops():
     """Fetched once, an object may sit at shield, store and edge, but for five seconds in all."""
 
     async def scene(day):
@@ -106,7 +106,7 @@
     cluster.play(scene)
 
 
-def test_identical_reads_share_one_fetch():
+def test_identical_reads_in_flight_share_one_fetch():
     async def scene(day):
         before = day.stage.records.requests, sum(len(o.started) for o in origins(day, "content"))
         jobs = [read(day, "/vacancies/9", edge) for edge in ("edge-1", "edge-2") * 20]
@@ -116,7 +116,7 @@
     cluster.play(scene)
 
 
-def test_an_address_that_now_belongs_to_another_service_gets_nothing_of_the_old_ones():
+def test_address_that_now_belongs_to_another_service_gets_no_request_of_the_old_one():
     async def scene(day):
         old, other = origins(day, "content")
         stranger = day.stage.add_origin("payroll", "payroll-1", "north", "one")
@@ -133,7 +133,7 @@
     cluster.play(scene)
 
 
-def test_the_reads_of_a_failed_shield_move_at_once():
+def test_reads_leave_a_failed_shield_at_once():
     async def scene(day):
         for number in range(40):
             assert (await read(day, f"/vacancies/{number}"))[0] == 200
@@ -145,7 +145,7 @@
     cluster.play(scene)
 
 
-def test_answers_to_requests_with_credentials_are_shared_with_nobody():
+def test_answer_to_a_request_with_credentials_is_not_shared():
     async def scene(day):
         before = sum(len(o.started) for o in origins(day, "content"))
         for _ in range(3):
@@ -156,7 +156,7 @@
     cluster.play(scene)
 
 
-def test_no_request_goes_to_a_path_or_method_without_a_grant_entry():
+def test_request_without_a_grant_entry_is_rejected():
     async def scene(day):
         before = sum(day.stage.records.requests.values())
         assert (await day.stage.ask("edge-1", "GET", "/secret"))[:2] == (404, "unknown-path")
--- a/tests/dataplane/test_slow_start.py
+++ b/tests/dataplane/test_slow_start.py
@@ -25,7 +25,7 @@
     return fresh
 
 
-def test_origins_replaced_all_at_once_get_what_their_warmth_allows_and_all_in_the_end():
+def test_origins_replaced_all_at_once_get_what_slow_start_allows_and_all_in_the_end():
     async def scene(day):
         await set_ceiling(day, "content", 60, 60)
         fresh = make_cold(day, "content")
@@ -41,7 +41,7 @@
     cluster.play(scene)
 
 
-def test_a_cold_origin_is_not_flooded_by_shields_that_are_restarted_or_woken_half_way():
+def test_cold_origin_is_not_flooded_by_shields_restarted_or_resumed_meanwhile():
     async def scene(day):
         await set_ceiling(day, "content", 60, 60)
         make_cold(day, "content")
@@ -55,7 +55,7 @@
     cluster.play(scene)
 
 
-def test_an_origin_that_crashed_comes_back_cold_whatever_the_platform_still_says():
+def test_crashed_origin_returns_cold_whatever_the_platform_says():
     async def scene(day):
         await set_ceiling(day, "content", 60, 60)
         first, second = of(day, "content")
--- a/tests/dataplane/test_upstream_connections.py
+++ b/tests/dataplane/test_upstream_connections.py
@@ -11,7 +11,7 @@
 import irisstand.errors as errors
 
 
-def test_a_line_is_never_reopened_and_says_whether_a_byte_may_have_left():
+def test_connection_is_never_reopened_and_says_whether_a_byte_may_have_left():
     """aiohttp opens a dead connection again and resends by itself; a line must do neither."""
 
     async def scene():
@@ -65,7 +65,7 @@
     asyncio.run(scene())
 
 
-def test_an_endless_body_is_cut_off():
+def test_endless_body_is_cut_off():
     async def scene():
         async def answer(request):
             response = aiohttp.web.StreamResponse()
@@ -90,7 +90,7 @@
     asyncio.run(scene())
 
 
-def test_the_seal_covers_length_digest_and_request():
+def test_seal_covers_length_digest_and_request_id():
     body = b"content"
     good = {
         "content-length": "7",
--- a/tests/dataplane/test_writes.py
+++ b/tests/dataplane/test_writes.py
@@ -16,7 +16,7 @@
     return day.stage.records.executions[number]
 
 
-def test_a_lost_answer_is_an_unknown_outcome_and_never_a_second_try():
+def test_write_with_lost_answer_is_an_unknown_outcome_and_not_retried():
     async def scene(day):
         for origin in applications(day):
             origin.faults.add("lose-answer")
@@ -28,7 +28,7 @@
     cluster.play(scene)
 
 
-def test_a_write_is_passed_on_only_while_no_byte_of_it_has_gone_towards_an_origin():
+def test_write_is_forwarded_only_while_no_byte_has_gone_towards_an_origin():
     async def scene(day):
         first, second = applications(day)
         # Its connections are gone, but nobody has noticed yet: the write goes to the other origin.
@@ -41,7 +41,7 @@
     cluster.play(scene)
 
 
-def test_over_the_ceiling_writes_are_refused_at_once_with_a_time_to_come_back_and_never_run():
+def test_write_over_the_limit_is_rejected_at_once_with_retry_after_and_never_runs():
     async def scene(day):
         value = {"deadline": 3.0, "ceiling": {"rate": 10, "inflight": 100}}
         await day.stage.order(
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_shields_edges_and_origins_killed_under_writes_run_none_twice_and_none_refused(seed):
+def test_kills_during_writes_run_no_write_twice_and_no_rejected_write(seed):
     async def scene(day):
         randomness = random.Random(seed)
         jobs = []
@@ -85,7 +85,7 @@
     cluster.play(scene, seed + 1)
 
 
-def test_work_whose_client_left_is_dropped_before_it_is_sent():
+def test_request_whose_client_left_is_dropped_before_it_is_sent():
     async def scene(day):
         for origin in applications(day):
             origin.up = False
@@ -114,7 +114,7 @@
     return day.stage.ask(edge, "POST", path, body, idempotency_key=key)
 
 
-def test_the_same_key_at_two_edges_runs_once_and_both_get_the_one_result():
+def test_same_idempotency_key_at_two_edges_runs_once_with_one_result():
     async def scene(day):
         for round_number in range(5):
             key = f"key-{round_number}"
@@ -131,7 +131,7 @@
     cluster.play(scene)
 
 
-def test_a_key_whose_answer_was_lost_is_never_run_again_and_a_refused_one_may_be():
+def test_key_with_lost_answer_never_runs_again_and_a_rejected_one_may():
     async def scene(day):
         for origin in applications(day):
             origin.faults.add("lose-answer")
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_keyed_writes_sent_again_and_again_through_kills_run_once(seed):
+def test_keyed_writes_repeated_through_kills_run_once(seed):
     async def scene(day):
         randomness = random.Random(seed)
 
--- a/tests/mutation/controlplane_mutations.py
+++ b/tests/mutation/controlplane_mutations.py
@@ -6,7 +6,7 @@
         "controlplane/changes/idempotency_claims.py",
         "    if record is not None and record.attempt != claim.attempt:\n        raise errors.KeyClaimedError",
         "    if False:\n        raise errors.KeyClaimedError",
-        "dataplane/test_writes.py::test_the_same_key_at_two_edges_runs_once_and_both_get_the_one_result",
+        "dataplane/test_writes.py::test_same_idempotency_key_at_two_edges_runs_once_with_one_result",
     ),
     (
         "controlplane/changes/table_time.py",
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -30,7 +30,7 @@
         "dataplane/upstream/client.py",
         "        if upstream is None or not self.table.still_allows(call.route, call.service):",
         "        if False:",
-        "dataplane/test_direct_edge.py::test_a_write_under_way_when_the_route_is_withdrawn_is_not_sent_on_to_the_old_service",
+        "dataplane/test_direct_edge.py::test_write_in_flight_when_the_route_is_withdrawn_is_not_sent_to_the_old_service",
     ),
     (
         "dataplane/upstream/attempts.py",
@@ -216,7 +216,7 @@
         "dataplane/upstream/origin_endpoint.py",
         "        return self.usual_seconds * float(0.5 ** (idle / HALF_LIFE_SECONDS))",
         "        return self.usual_seconds",
-        "dataplane/test_endpoint_pool.py::test_an_origin_that_was_slow_once_is_asked_again_though_another_is_quicker",
+        "dataplane/test_endpoint_pool.py::test_origin_that_was_slow_once_is_used_again_though_another_is_faster",
     ),
     (
         "transport/request_server.py",
