--- a/src/irisstand/modelcheck/bootstrap_image.py
+++ b/src/irisstand/modelcheck/bootstrap_image.py
@@ -45,7 +45,7 @@
         for name, site in zip(NAMES, sites, strict=True)
         if name in VOTERS
     ]
-    rows = (items.Row(items.VOTERS_KEY, [list(voter) for voter in voters], False),)
+    rows = (items.Row(items.VOTERS_KEY, [list(voter) for voter in voters], is_removal=False),)
     batch = items.Batch(bootstrap.FIRST_VERSION, versions.NONE, rows)
     for node in nodes.values():
         owner = acceptor.Acceptor(node.store, replica.Replica(model_node.TABLE), refuse_catch_up)
--- a/src/irisstand/modelcheck/cluster.py
+++ b/src/irisstand/modelcheck/cluster.py
@@ -97,7 +97,7 @@
 
     async def rejoin(self, node: model_node.ModelNode) -> None:
         """Let a wiped voter learn the table and hold it durably before it asks to be voted in."""
-        while not node.is_open:
+        while not node.is_open:  # noqa: ASYNC110 - the model has virtual time, and its nodes no events for this
             await asyncio.sleep(SETTLE_SECONDS)
         peers = [name for name in bootstrap_image.VOTERS if name != node.name]
         while node.table_replica.applied == versions.NONE:
--- a/src/irisstand/transport/peers.py
+++ b/src/irisstand/transport/peers.py
@@ -49,7 +49,8 @@
                 stream.write(codec.encode(self.hello()))
                 hello = codec.decode(await stream.read())
                 if not isinstance(hello, codec.Hello) or (name and hello.name != name):
-                    raise errors.NotSentError(f"{address} is not {name} any more")
+                    # TRY301: raised here so that the handler below closes the stream.
+                    raise errors.NotSentError(f"{address} is not {name} any more")  # noqa: TRY301
             except BaseException:
                 # Also when the caller is cancelled: an open stream without an owner would leak.
                 stream.close()
