--- a/src/irisstand/cli/operate.py
+++ b/src/irisstand/cli/operate.py
@@ -20,8 +20,8 @@
     proposed = control_api.read_entries(file, form)
     table = control_api.call(core, "GET", "/rows")["rows"]
     members = control_api.call(core, "GET", "/members")["members"]
-    fleet = checker.fleet_from(members, control_api.call(core, "GET", "/ledger")["rows"])
-    findings = checker.vet(table, proposed, fleet)
+    fleet = checker.read_fleet(members, control_api.call(core, "GET", "/ledger")["rows"])
+    findings = checker.validate(table, proposed, fleet)
     for finding in findings:
         click.echo(f"{finding.level}: {finding.kind} {finding.name}: {finding.field}: {finding.message}")
     click.echo(f"{len(findings)} finding(s) for {len(proposed)} row(s); nothing was sent")
--- a/src/irisstand/controlplane/api/request_bodies.py
+++ b/src/irisstand/controlplane/api/request_bodies.py
@@ -28,7 +28,7 @@
         raise errors.BadRequestError("the body is not whole JSON, with each field once", OBJECT) from None
     if not isinstance(content, dict):
         raise errors.BadRequestError("the body is not a JSON object", OBJECT)
-    fault = canonical_content.fault_of(content)
+    fault = canonical_content.fault_in(content)
     if fault:
         raise errors.BadRequestError(
             f"the body holds {fault}", "send finite numbers and plain text, not too deep"
--- a/src/irisstand/controlplane/singletons/origin_source.py
+++ b/src/irisstand/controlplane/singletons/origin_source.py
@@ -63,7 +63,7 @@
 @functools.cache
 def answer_validator() -> typing.Any:
     """Return the jsonschema validator of the platform's answers."""
-    return lazy_jsonschema.compiled(ANSWER_SCHEMA)
+    return lazy_jsonschema.compile_schema(ANSWER_SCHEMA)
 
 
 def parse(content: bytes) -> OriginList:
--- a/src/irisstand/validation/__init__.py
+++ b/src/irisstand/validation/__init__.py
@@ -1,1 +1,1 @@
-"""Checks of configurations: schema and cross-row rules."""
+"""Checks of configurations: schemas, rules across rows, and the fleet as it runs."""
--- a/src/irisstand/validation/canonical_content.py
+++ b/src/irisstand/validation/canonical_content.py
@@ -1,36 +1,38 @@
-"""What is the same content: one canonical form of JSON, and its digest.
+"""Which JSON contents are the same: a canonical form, and its digest.
 
-Field order, a field that is absent or null, and the spelling of a number make no difference.
+The order of fields, a field that is absent or null, and the spelling of a number make no difference.
 """
 
+import collections.abc
 import hashlib
 import json
 import math
 import typing
 
 DIGEST_BYTES = 12
-# Deeper than any item, and far from what the packers of messages and snapshots take.
+# Deeper than any item, and far below what the packers of messages and snapshots can take.
 DEPTH_LIMIT = 32
-WHOLE_LIMIT = 2**63
+INTEGER_LIMIT = 2**63
 
 
 def canonical(value: typing.Any) -> typing.Any:
-    """The one form that stands for all spellings of a content.
+    """Return the form that all spellings of a content have in common.
 
     >>> canonical({"b": 5.0, "a": None, "c": (True, 2.5)})
     {'b': 5, 'c': [True, 2.5]}
     """
     if isinstance(value, dict):
-        return {key: canonical(part) for key, part in value.items() if part is not None}
+        return {key: canonical(member) for key, member in value.items() if member is not None}
     if isinstance(value, list | tuple):
-        return [canonical(part) for part in value]
+        return [canonical(member) for member in value]
     if isinstance(value, float) and value.is_integer():
         return int(value)
     return value
 
 
 def digest(value: typing.Any) -> str:
-    """
+    """Return the digest of a content's canonical form, in hexadecimal digits.
+
     >>> digest({"a": 1, "b": None}) == digest({"a": 1.0}), digest({"a": 1}) == digest({"a": True})
     (True, False)
     """
@@ -39,14 +41,15 @@
 
 
 def is_same(one: typing.Any, other: typing.Any) -> bool:
-    # Most repeats are the same to the letter, which is known for less than two digests.
+    """Return whether two contents are the same."""
+    # Most repeats are spelt the same, and to see that costs less than two digests.
     return repr(one) == repr(other) or digest(one) == digest(other)
 
 
-def fault_of(value: typing.Any, depth: int = 0) -> str:
-    """Why a JSON value could not be carried or stored; empty if it can.
+def fault_in(value: typing.Any, depth: int = 0) -> str:
+    """Return why a JSON value could not be carried or stored, empty if it can.
 
-    >>> fault_of({"a": [1, "x", None]}), fault_of([10**30]), fault_of({"a": float("inf")})
+    >>> fault_in({"a": [1, "x", None]}), fault_in([10**30]), fault_in({"a": float("inf")})
     ('', 'a number over 64 bits', 'a number that is not finite')
     """
     if depth > DEPTH_LIMIT:
@@ -55,24 +58,31 @@
         return first_fault([*value.keys(), *value.values()], depth)
     if isinstance(value, list):
         return first_fault(value, depth)
+    return scalar_fault(value)
+
+
+def scalar_fault(value: typing.Any) -> str:
+    """Return why a string, number, boolean or null could not be carried or stored, empty if it can."""
     if isinstance(value, str):
-        return "" if is_text(value) else "text that is not Unicode"
+        return "" if is_unicode(value) else "text that is not Unicode"
     if isinstance(value, float):
         return "" if math.isfinite(value) else "a number that is not finite"
-    if isinstance(value, int) and not -WHOLE_LIMIT <= value < WHOLE_LIMIT:
+    if isinstance(value, int) and not -INTEGER_LIMIT <= value < INTEGER_LIMIT:
         return "a number over 64 bits"
     return ""
 
 
-def first_fault(parts: list, depth: int) -> str:
-    for part in parts:
-        found = fault_of(part, depth + 1)
+def first_fault(members: collections.abc.Iterable[typing.Any], depth: int) -> str:
+    """Return the first fault in the members of an object or list, empty if there is none."""
+    for member in members:
+        found = fault_in(member, depth + 1)
         if found:
             return found
     return ""
 
 
-def is_text(value: str) -> bool:
+def is_unicode(value: str) -> bool:
+    """Return whether a string can be encoded: JSON may hold half of a surrogate pair."""
     try:
         value.encode()
     except UnicodeEncodeError:
--- a/src/irisstand/validation/item_schema.py
+++ b/src/irisstand/validation/item_schema.py
@@ -83,13 +83,13 @@
 @functools.cache
 def validator(kind: str) -> typing.Any:
     """Return the jsonschema validator of a kind of item."""
-    return lazy_jsonschema.compiled(SCHEMAS[kind])
+    return lazy_jsonschema.compile_schema(SCHEMAS[kind])
 
 
 @functools.cache
 def drop_validator() -> typing.Any:
     """Return the jsonschema validator of an entry that drops an item."""
-    return lazy_jsonschema.compiled(DROP_SCHEMA)
+    return lazy_jsonschema.compile_schema(DROP_SCHEMA)
 
 
 def schema_faults(kind: str, item: typing.Any) -> list[ItemFault]:
--- a/src/irisstand/validation/lazy_jsonschema.py
+++ b/src/irisstand/validation/lazy_jsonschema.py
@@ -1,13 +1,14 @@
-"""jsonschema, imported when the first thing is checked: a node that was killed is back sooner without it."""
+"""The jsonschema library, imported with the first check: a node that was killed is back sooner without it."""
 
+import collections.abc
 import importlib
 import typing
 
 
-def compiled(schema: dict) -> typing.Any:
-    """A validator of the schema (draft 2020-12).
+def compile_schema(schema: collections.abc.Mapping[str, typing.Any]) -> typing.Any:
+    """Return a validator of a schema (JSON Schema, draft 2020-12).
 
-    >>> [error.message for error in compiled({"type": "integer"}).iter_errors("x")]
+    >>> [error.message for error in compile_schema({"type": "integer"}).iter_errors("x")]
     ["'x' is not of type 'integer'"]
     """
     return importlib.import_module("jsonschema").Draft202012Validator(schema)
--- a/src/irisstand/validation/schema.py
+++ b/src/irisstand/validation/schema.py
@@ -97,13 +97,13 @@
 @functools.cache
 def value_validator(kind: str) -> typing.Any:
     """Return the jsonschema validator of a kind's values."""
-    return lazy_jsonschema.compiled(REGISTRY[kind].value_schema)
+    return lazy_jsonschema.compile_schema(REGISTRY[kind].value_schema)
 
 
 @functools.cache
 def name_validator(kind: str) -> typing.Any:
     """Return the jsonschema validator of a kind's names."""
-    return lazy_jsonschema.compiled({"type": "string", "pattern": REGISTRY[kind].name_pattern})
+    return lazy_jsonschema.compile_schema({"type": "string", "pattern": REGISTRY[kind].name_pattern})
 
 
 def faults(kind: typing.Any, name: typing.Any, value: typing.Any) -> list[RowFault]:
--- a/tests/validation/test_validation.py
+++ b/tests/validation/test_validation.py
@@ -13,7 +13,7 @@
     return {"key": f"origin/{service}", "value": {"service": service, "state": state}}
 
 
-FLEET = checker.fleet_from(SHIELDS, [origin("content"), origin("application")])
+FLEET = checker.read_fleet(SHIELDS, [origin("content"), origin("application")])
 
 
 def service(name, rate=100, inflight=30):
@@ -30,7 +30,7 @@
 
 
 def found(rows, proposed, fleet=FLEET):
-    return {(f.level, f.kind, f.name, f.field) for f in checker.vet(rows, proposed, fleet)}
+    return {(f.level, f.kind, f.name, f.field) for f in checker.validate(rows, proposed, fleet)}
 
 
 def test_faults_are_what_the_core_would_refuse_and_hide_the_rest():
@@ -48,7 +48,7 @@
 
 def test_the_fleet_as_it_is_gives_the_warnings():
     assert found([], [service("lonely")]) == {("warning", "service", "lonely", "name")}
-    leaving = checker.fleet_from(SHIELDS, [origin("content", "leaving")])
+    leaving = checker.read_fleet(SHIELDS, [origin("content", "leaving")])
     assert ("warning", "service", "content", "name") in found([], [service("content")], leaving)
     assert found([], [service("content", inflight=2)]) == {
         ("warning", "service", "content", "ceiling.inflight")
@@ -72,7 +72,7 @@
     members = [
         {"role": "shield", "machine": place.machine, "site": place.site, "state": "alive"} for place in places
     ]
-    fleet = checker.fleet_from(members, [origin("content"), origin("application")])
+    fleet = checker.read_fleet(members, [origin("content"), origin("application")])
     rows = load.configuration(shape)
     limits = [{"kind": "shield", "name": place.machine, "value": {"limit": 1000}} for place in places]
-    assert checker.vet([], [*rows, *limits], fleet) == []
+    assert checker.validate([], [*rows, *limits], fleet) == []
