--- a/src/irisstand/simulator/big_configurations.py
+++ b/src/irisstand/simulator/big_configurations.py
@@ -10,7 +10,7 @@
 from irisstand.dataplane.routing import routes
 from irisstand.simulator import sizes
 from irisstand.state import items, replica, versions
-from irisstand.state.replication import chunk_transfer
+from irisstand.state.replication import chunk_transfer, messages
 from irisstand.validation import item_entries
 
 LOOKUPS = 5000
@@ -45,7 +45,7 @@
 
 
 def parts_of(copy: replica.Replica) -> list[chunk_transfer.Chunk]:
-    cursor, found = chunk_transfer.Cursor(versions.NONE, replica.KEY_UPPER_BOUND), []
+    cursor, found = messages.Cursor(versions.NONE, replica.KEY_UPPER_BOUND), []
     while not found or found[-1].end is not None:
         found.append(chunk_transfer.cut_chunk(copy, cursor))
         cursor = found[-1].end or cursor
@@ -55,7 +55,7 @@
 def take(parts: list[chunk_transfer.Chunk], applied: versions.Version, root: bytes) -> replica.Replica:
     """What an edge does with the parts."""
     copy = replica.Replica(items.CONFIGURATION)
-    rows = [item for part in parts for item in chunk_transfer.unpack_rows(part.rows)]
+    rows = [item for part in parts for item in chunk_transfer.unpack_items(part.packed_items)]
     if not copy.apply_changes(applied, root, rows, []):
         raise ValueError("the parts do not add up")
     return copy
@@ -94,8 +94,8 @@
     standing["upstream/content"] = {"name": "content"}
     figures = [
         Figure("all rows, packed", "kB", plain / 1000),
-        Figure("all rows in compressed parts", "kB", sum(len(part.rows) for part in parts) / 1000),
-        Figure("the largest part", "kB", max(len(part.rows) for part in parts) / 1000),
+        Figure("all rows in compressed parts", "kB", sum(len(part.packed_items) for part in parts) / 1000),
+        Figure("the largest part", "kB", max(len(part.packed_items) for part in parts) / 1000),
         Figure("parts", "parts", len(parts)),
         Figure("a core node cuts all parts, once for all askers", "ms", timed(lambda: parts_of(copy))),
         Figure("an edge takes all rows", "ms", timed(lambda: take(parts, copy.applied, copy.root_digest()))),
--- a/src/irisstand/state/replication/chunk_transfer.py
+++ b/src/irisstand/state/replication/chunk_transfer.py
@@ -1,10 +1,11 @@
-"""Carrying many changed rows in small parts, compressed, for links that a whole table would fill.
+"""Transfer of many changed items in small compressed chunks, for links that a whole table would fill.
 
-A node far behind asks for one part after the other, from the oldest version on. Rows that came are kept
-aside, also when the peer falls silent: the next peer goes on behind them. They are taken all at once when the
-last part is there and the outcome is the peer's copy, so nobody ever reads a table that is half there.
+A node that is far behind asks for one chunk after the other, from the oldest version on. It stages what it
+received, also when the peer falls silent: the next peer goes on behind it. The staged items are applied at
+once when the last chunk is there and the outcome equals the peer's replica, so no reader sees half a table.
 """
 
+import collections.abc
 import dataclasses
 import typing
 import zlib
@@ -12,152 +13,167 @@
 import ormsgpack
 
 from irisstand import errors, node_context
-from irisstand.state import items, replica, versions
+from irisstand.state import items, versions
+from irisstand.state.replica import KEY_UPPER_BOUND, Replica
+from irisstand.state.replication.messages import ChunkReply, ChunkRequest, Cursor, MessageKind
 from irisstand.transport import codec, network
 
-PATIENCE = 0.6
-# Bytes of one part's rows before they are compressed.
-PART_BYTES = 64 * 1024
-PARTS_LIMIT = 1000
-# Compressed parts that are kept for the next askers: after a large change, all nodes ask for the same ones.
-KEPT_PARTS = 64
-QUICK = 1
-
-
-class Cursor(typing.NamedTuple):
-    """A place in the order by version: the row that came last."""
-
-    version: versions.Version
-    key: str
+REPLY_TIMEOUT_SECONDS = 0.6
+# The size of the items of one chunk before they are compressed.
+CHUNK_BYTES = 64 * 1024
+CHUNKS_LIMIT = 1000
+# Compressed chunks that are cached: after a large change, all nodes ask for the same ones.
+CACHED_CHUNKS_LIMIT = 64
+FASTEST_COMPRESSION = 1
 
 
 class Chunk(typing.NamedTuple):
-    """Rows behind a cursor, compressed, and the place where they end; None if nothing is left behind them."""
+    """Compressed items behind a cursor, and the cursor where they end; None if nothing is behind them."""
 
-    rows: bytes
+    packed_items: bytes
     end: Cursor | None
 
 
 @dataclasses.dataclass
-class Staged:
-    """Rows above `base` that came so far."""
+class StagedItems:
+    """Items above the applied version `base` that were received so far, the last one at `cursor`."""
 
     base: versions.Version
     cursor: Cursor
-    rows: dict[str, items.Item]
+    items: dict[str, items.Item]
 
 
 class ChunkTransfer:
-    """Answers and asks for parts; a table has at most one carrying under way."""
+    """Answers requests for chunks, and requests them; a table has at most one transfer at a time."""
 
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
-        self.staged: dict[str, Staged] = {}
-        self.kept: dict[tuple[str, Cursor], Chunk] = {}
-        self.kept_of: dict[str, versions.Version] = {}
-        context.transport.handlers["part"] = self.on_part
-        for copy in context.replicas.values():
-            copy.watchers.append(self.drop_outdated)
+        self.staged: dict[str, StagedItems] = {}
+        self.cached_chunks: dict[tuple[str, Cursor], Chunk] = {}
+        self.cached_at_version: dict[str, versions.Version] = {}
+        context.transport.handlers[MessageKind.CHUNK] = self.on_chunk_request
+        for replica in context.replicas.values():
+            replica.watchers.append(self.drop_outdated)
 
     # -- answering -----------------------------------------------------------------------------------
-    async def on_part(self, _: str, body: list) -> tuple:
-        """Applied version, age, root, rows behind the cursor, where they end, and at the end what was
-        forgotten.
+    async def on_chunk_request(self, _: str, body: typing.Any) -> tuple[typing.Any, ...]:
+        """Answer a `ChunkRequest` with a `ChunkReply`.
+
+        Raises:
+            StaleConfigurationError: The node that asks has newer items than this one.
         """
-        name, base_parts, (version_parts, key) = body
-        copy, base = self.context.replicas[name], versions.Version.from_wire(base_parts)
-        cursor = Cursor(versions.Version.from_wire(version_parts), str(key))
-        if copy.applied < max(base, cursor.version):
-            raise errors.StaleConfigurationError(f"the {name} table is older here than the asker's")
-        part = self.part(copy, cursor)
-        forgotten = tuple(copy.changes_since(base)[1]) if part.end is None else ()
-        end = None if part.end is None else (tuple(part.end.version), part.end.key)
-        age = copy.age(self.context.clock.now())
-        return (tuple(copy.applied), age, copy.root_digest(), part.rows, end, forgotten)
-
-    def part(self, copy: replica.Replica, cursor: Cursor) -> Chunk:
-        """The part behind the cursor, worked out once for all who ask for it."""
-        if self.kept_of.get(copy.name) != copy.applied or len(self.kept) >= KEPT_PARTS:
-            self.kept = {place: part for place, part in self.kept.items() if place[0] != copy.name}
-            self.kept_of[copy.name] = copy.applied
-        place = (copy.name, cursor)
-        if place not in self.kept:
-            self.kept[place] = cut_chunk(copy, cursor)
-        return self.kept[place]
+        request = ChunkRequest.from_wire(body)
+        replica = self.context.replicas[request.table]
+        if replica.applied < max(request.base, request.cursor.version):
+            raise errors.StaleConfigurationError(f"the {request.table} table is older here than the asker's")
+        chunk = self.chunk_behind(replica, request.cursor)
+        removed_keys = tuple(replica.changes_since(request.base).removed_keys) if chunk.end is None else ()
+        age = replica.age(self.context.clock.now())
+        root_digest = replica.root_digest()
+        reply = ChunkReply(replica.applied, age, root_digest, chunk.packed_items, chunk.end, removed_keys)
+        return reply.to_wire()
+
+    def chunk_behind(self, replica: Replica, cursor: Cursor) -> Chunk:
+        """Return the chunk behind a cursor, compressed once for all nodes that ask for it."""
+        is_outdated = self.cached_at_version.get(replica.name) != replica.applied
+        if is_outdated or len(self.cached_chunks) >= CACHED_CHUNKS_LIMIT:
+            self.cached_chunks = {
+                place: chunk for place, chunk in self.cached_chunks.items() if place[0] != replica.name
+            }
+            self.cached_at_version[replica.name] = replica.applied
+        place = (replica.name, cursor)
+        if place not in self.cached_chunks:
+            self.cached_chunks[place] = cut_chunk(replica, cursor)
+        return self.cached_chunks[place]
 
     # -- asking --------------------------------------------------------------------------------------
     def drop_outdated(self) -> None:
-        """Rows above a version that the copy has left by another way are of no use."""
+        """Drop items that were staged above a version which the replica has left in another way."""
         for name, staged in list(self.staged.items()):
             if staged.base != self.context.replicas[name].applied:
                 del self.staged[name]
 
-    async def carry(self, address: network.Address, name: str, copy: replica.Replica) -> bool:
-        """Ask one peer for part after part. False if the rows do not add up to its copy."""
-        staged = self.staged_for(copy)
-        for _ in range(PARTS_LIMIT):
-            sent = self.context.clock.now()
-            cursor = (tuple(staged.cursor.version), staged.cursor.key)
-            body = (copy.name, tuple(staged.base), cursor)
-            reply = await self.context.transport.call(address, name, "part", body, PATIENCE)
-            if copy.applied != staged.base:
-                # It moved on by another way, and the next round asks from where it stands.
+    async def transfer(self, address: network.Address, name: str, replica: Replica) -> bool:
+        """Request chunk after chunk from one peer and apply them at the end.
+
+        Args:
+            address: The address of the peer.
+            name: The node name of the peer.
+            replica: The replica to bring up to date.
+
+        Returns:
+            False if the outcome would not equal the peer's replica, or there are too many chunks.
+
+        Raises:
+            IrisError: The peer did not answer, or answered with an error.
+            ValueError, TypeError: The reply is malformed.
+        """
+        staged = self.staged_items(replica)
+        for _ in range(CHUNKS_LIMIT):
+            sent_at = self.context.clock.now()
+            request = ChunkRequest(replica.name, staged.base, staged.cursor)
+            fields = await self.context.transport.call(
+                address, name, MessageKind.CHUNK, request.to_wire(), REPLY_TIMEOUT_SECONDS
+            )
+            if replica.applied != staged.base:
+                # It was brought up to date in another way; the next round asks from there.
                 return True
-            applied_parts, age, root, rows, end, forgotten = reply
-            staged.rows.update({item.key: item for item in unpack_rows(rows)})
-            if end is not None:
-                staged.cursor = next_cursor(staged.cursor, end)
-                continue
-            self.staged.pop(copy.name, None)
-            if not self.take(copy, staged, versions.Version.from_wire(applied_parts), root, forgotten):
-                return False
-            if age is not None:
-                copy.confirm_current(sent - age)
-            return True
+            reply = ChunkReply.from_wire(fields)
+            staged.items.update({item.key: item for item in unpack_items(reply.packed_items)})
+            if reply.end is None:
+                return self.finish(replica, staged, reply, sent_at)
+            staged.cursor = checked_next(staged.cursor, reply.end)
         return False
 
-    def staged_for(self, copy: replica.Replica) -> Staged:
-        """What came so far for this very copy, from whichever peer."""
-        staged = self.staged.get(copy.name)
-        if staged is None or staged.base != copy.applied:
-            staged = Staged(copy.applied, Cursor(copy.applied, replica.KEY_UPPER_BOUND), {})
-            self.staged[copy.name] = staged
+    def staged_items(self, replica: Replica) -> StagedItems:
+        """Return what was received so far for the replica as it is now, from whichever peer."""
+        staged = self.staged.get(replica.name)
+        if staged is None or staged.base != replica.applied:
+            staged = StagedItems(replica.applied, Cursor(replica.applied, KEY_UPPER_BOUND), {})
+            self.staged[replica.name] = staged
         return staged
 
-    def take(
-        self, copy: replica.Replica, staged: Staged, applied: versions.Version, root: bytes, forgotten: list
-    ) -> bool:
-        gone = {str(key) for key in forgotten}
-        changed = [item for item in staged.rows.values() if item.key not in gone]
-        taken = copy.apply_changes(applied, root, changed, sorted(gone))
-        if taken:
-            self.context.counters.add("rows_carried", len(changed), table=copy.name)
-        return taken
-
-
-def cut_chunk(copy: replica.Replica, cursor: Cursor) -> Chunk:
-    """Rows behind the cursor in the order of their versions, as many as a part has room for."""
+    def finish(self, replica: Replica, staged: StagedItems, reply: ChunkReply, sent_at: float) -> bool:
+        """Apply the staged items after the last chunk. Return whether the outcome is the peer's replica."""
+        self.staged.pop(replica.name, None)
+        removed_keys = set(reply.removed_keys)
+        changed = [item for item in staged.items.values() if item.key not in removed_keys]
+        if not replica.apply_changes(reply.applied, reply.root_digest, changed, sorted(removed_keys)):
+            return False
+        self.context.counters.add("rows_carried", len(changed), table=replica.name)
+        if reply.age is not None:
+            replica.confirm_current(sent_at - reply.age)
+        return True
+
+
+def cut_chunk(replica: Replica, cursor: Cursor) -> Chunk:
+    """Return the items behind a cursor in the order of their versions, as many as a chunk has room for."""
     packed: list[bytes] = []
     size = 0
     end = cursor
-    for version, key in copy.keys_by_version.irange(tuple(cursor), inclusive=(False, True)):
-        if size >= PART_BYTES:
-            return Chunk(pack_rows(packed), end)
-        packed.append(ormsgpack.packb(copy.items[key].to_wire()))
+    for version, key in replica.keys_by_version.irange(tuple(cursor), inclusive=(False, True)):
+        if size >= CHUNK_BYTES:
+            return Chunk(pack_items(packed), end)
+        packed.append(ormsgpack.packb(replica.items[key].to_wire()))
         size += len(packed[-1])
         end = Cursor(version, key)
-    return Chunk(pack_rows(packed), None)
+    return Chunk(pack_items(packed), None)
+
 
+def pack_items(packed: collections.abc.Sequence[bytes]) -> bytes:
+    """Compress items that are packed one by one."""
+    return zlib.compress(ormsgpack.packb(packed), FASTEST_COMPRESSION)
 
-def pack_rows(packed: list[bytes]) -> bytes:
-    return zlib.compress(ormsgpack.packb(packed), QUICK)
 
+def unpack_items(packed_items: bytes) -> list[items.Item]:
+    """Decompress items, but never to more than a frame may have, whatever the peer sent.
 
-def unpack_rows(rows: bytes) -> list[items.Item]:
-    """Never more than a frame may have, whatever the peer sent."""
+    Raises:
+        ValueError: The bytes are no chunk, or one that is too large.
+    """
     unpacker = zlib.decompressobj()
     try:
-        plain = unpacker.decompress(rows, codec.FRAME_LIMIT_BYTES)
+        plain = unpacker.decompress(packed_items, codec.FRAME_LIMIT_BYTES)
     except zlib.error as error:
         raise ValueError(f"not a part: {error}") from None
     if not unpacker.eof:
@@ -165,9 +181,12 @@
     return [items.Item.from_wire(ormsgpack.unpackb(one)) for one in ormsgpack.unpackb(plain)]
 
 
-def next_cursor(before: Cursor, end: typing.Any) -> Cursor:
-    """Each part ends behind the one before, or asking for parts would never end."""
-    cursor = Cursor(versions.Version.from_wire(end[0]), str(end[1]))
-    if cursor <= before:
+def checked_next(before: Cursor, end: Cursor) -> Cursor:
+    """Return `end` if it lies behind `before`; otherwise requests for chunks would never come to an end.
+
+    Raises:
+        ValueError: The chunk does not lead on.
+    """
+    if end <= before:
         raise ValueError("a part that does not lead on")
-    return cursor
+    return end
--- a/src/irisstand/state/replication/quorum_loss.py
+++ b/src/irisstand/state/replication/quorum_loss.py
@@ -1,87 +1,96 @@
-"""Evidence that the core can confirm nothing: asked of its voters one by one, never read from a silence."""
+"""Detection of quorum loss: evidence, asked of each voter, that most of them cannot confirm anything.
+
+Nodes of the data plane may then use tables that are older than the freshness
+bound, up to a second bound. Silence is never taken for evidence.
+"""
 
 import asyncio
 
 from irisstand import errors, node_context
-from irisstand.state import items, quorum, replica, versions
+from irisstand.state import items, quorum
+from irisstand.state.replica import Replica
+from irisstand.state.replication import messages, status_messages
 
-# Seconds that one voter is waited for.
-PATIENCE = 0.4
-# Seconds between rounds while a table is in doubt.
-PAUSE = 0.1
-# Of the freshness bound, the age from which a table is in doubt.
-DOUBT = 0.6
+REPLY_TIMEOUT_SECONDS = 0.4
+ROUND_PAUSE_SECONDS = 0.1
+# The age, as a fraction of the freshness bound, from which a table is doubtful.
+DOUBTFUL_FRACTION = 0.6
 
 
 class QuorumLossDetector:
-    """Asks the voters of a table that grows old, and notes when more than half cannot confirm anything.
+    """Asks the voters of a table that grows old, and records when more than half cannot confirm anything.
 
     A voter counts if its port refuses connections, so that it does not run; or if it answers that it has no
     majority either, and knows of nothing newer than this node has, decided or pending. A voter that is
-    silent, frozen or not reached does not count: that may as well be this node's own trouble.
+    silent, frozen or not reached does not count: that may as well be a fault of this node.
     """
 
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
 
     async def run(self) -> None:
+        """Check all doubtful tables, round after round, for as long as the node runs."""
         while True:
-            doubtful = [copy for copy in self.context.replicas.values() if self.is_doubtful(copy)]
-            await asyncio.gather(*(self.probe(copy) for copy in doubtful))
-            await asyncio.sleep(PAUSE)
+            doubtful = [replica for replica in self.context.replicas.values() if self.is_doubtful(replica)]
+            await asyncio.gather(*(self.check_voters(replica) for replica in doubtful))
+            await asyncio.sleep(ROUND_PAUSE_SECONDS)
 
-    def is_doubtful(self, copy: replica.Replica) -> bool:
-        age = copy.age(self.context.clock.now())
-        return age is not None and age > DOUBT * self.context.settings.freshness_bound
+    def is_doubtful(self, replica: Replica) -> bool:
+        """Return whether a table that was confirmed once is near the freshness bound or beyond."""
+        age = replica.age(self.context.clock.now())
+        return age is not None and age > DOUBTFUL_FRACTION * self.context.settings.freshness_bound
 
-    async def probe(self, copy: replica.Replica) -> None:
-        """One round of questions about one table."""
+    async def check_voters(self, replica: Replica) -> None:
+        """Ask all voters of one table at once, and record a loss if a majority of them counts as lost."""
         # The evidence counts from here: a voter may have come back after it was asked.
         started = self.context.clock.now()
-        voters = quorum.voters_from_wire(copy.value(items.VOTERS_KEY))
+        voters = quorum.voters_from_wire(replica.value(items.VOTERS_KEY))
+        unable = await self.unable_voters(voters, replica)
+        if quorum.is_majority(voters, unable):
+            self.context.quorum_lost_as_of[replica.name] = started
+            self.context.counters.add("core_found_out", table=replica.name)
+
+    async def unable_voters(self, voters: list[quorum.Voter], replica: Replica) -> set[str]:
+        """Return the disk ids of voters that cannot confirm anything; stop once they are a majority."""
         loop = asyncio.get_running_loop()
-        asking = {loop.create_task(self.cannot_confirm(voter, copy)): voter for voter in voters}
+        voter_by_task = {loop.create_task(self.cannot_confirm(voter, replica)): voter for voter in voters}
         unable: set[str] = set()
-        left = set(asking)
+        pending = set(voter_by_task)
         try:
-            # Those that are silent are not waited for once the others are enough.
-            while left and not quorum.is_majority(voters, unable):
-                done, left = await asyncio.wait(left, return_when=asyncio.FIRST_COMPLETED)
-                unable |= {asking[task].disk_id for task in done if task.result()}
+            while pending and not quorum.is_majority(voters, unable):
+                done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
+                unable |= {voter_by_task[task].disk_id for task in done if task.result()}
         finally:
-            for task in left:
+            for task in pending:
                 task.cancel()
-        if quorum.is_majority(voters, unable):
-            self.context.quorum_lost_as_of[copy.name] = started
-            self.context.counters.add("core_found_out", table=copy.name)
+        return unable
 
-    async def cannot_confirm(self, voter: quorum.Voter, copy: replica.Replica) -> bool:
-        address, transport = (voter.host, voter.port), self.context.transport
+    async def cannot_confirm(self, voter: quorum.Voter, replica: Replica) -> bool:
+        """Return whether there is evidence that one voter cannot confirm anything."""
+        address = (voter.host, voter.port)
+        transport = self.context.transport
         try:
-            told = await transport.call(address, voter.name, "tips", (), PATIENCE)
-            stand = await transport.call(address, voter.name, "stand", (copy.name,), PATIENCE)
-            return self.is_without_majority(voter, copy, told, stand)
+            statuses = await transport.call(
+                address, voter.name, messages.MessageKind.APPLIED_VERSIONS, (), REPLY_TIMEOUT_SECONDS
+            )
+            state = await transport.call(
+                address, voter.name, messages.MessageKind.VOTER_STATE, (replica.name,), REPLY_TIMEOUT_SECONDS
+            )
+            return is_without_majority(
+                voter,
+                replica,
+                [status_messages.TableStatus.from_wire(fields) for fields in statuses],
+                status_messages.VoterState.from_wire(state),
+            )
         except errors.NotSentError:
-            return await self.is_refused(voter)
+            return await self.is_connection_refused(voter)
         except (errors.IrisError, ValueError, TypeError, IndexError):
             return False
 
-    def is_without_majority(
-        self, voter: quorum.Voter, copy: replica.Replica, told: list, stand: list
-    ) -> bool:
-        """By its own words; and nothing that it knows of has passed this node by."""
-        # One that says nothing about the table may well be able to confirm it.
-        is_current = {name: current for name, _, current in told}.get(copy.name, True)
-        disk_id, applied, pending, _ = stand
-        if disk_id != voter.disk_id or is_current or versions.Version.from_wire(applied) > copy.applied:
-            return False
-        # A yes may have been given for what is pending.
-        return pending is None or versions.Version.from_wire(pending) < copy.applied
-
-    async def is_refused(self, voter: quorum.Voter) -> bool:
-        """Its machine answers that nobody listens there: the process does not run, and so accepts nothing."""
+    async def is_connection_refused(self, voter: quorum.Voter) -> bool:
+        """Return whether the voter's machine answers that no process listens, so none accepts batches."""
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(REPLY_TIMEOUT_SECONDS):
                 stream = await self.context.net.connect((voter.host, voter.port))
         except (ConnectionRefusedError, ConnectionResetError):
             return True
@@ -89,3 +98,18 @@
             return False
         stream.close()
         return False
+
+
+def is_without_majority(
+    voter: quorum.Voter,
+    replica: Replica,
+    statuses: list[status_messages.TableStatus],
+    state: status_messages.VoterState,
+) -> bool:
+    """Return whether a voter says that it has no majority, and knows of nothing that this node lacks."""
+    # A voter that says nothing about the table may well be able to confirm it.
+    is_current = {status.table: status.is_current for status in statuses}.get(replica.name, True)
+    if state.disk_id != voter.disk_id or is_current or state.applied > replica.applied:
+        return False
+    # A pending batch on this node's applied version may have been confirmed to a client.
+    return state.pending_base is None or state.pending_base < replica.applied
--- a/src/irisstand/state/replication/refresher.py
+++ b/src/irisstand/state/replication/refresher.py
@@ -1,82 +1,104 @@
-"""Keeping a node's tables current: whom to ask, and how often."""
+"""Keeping the tables of a node current: which peers it asks, and how often."""
 
 import asyncio
+import typing
 
 from irisstand import errors, node_context
+from irisstand.membership import updates
 from irisstand.state.replication import quorum_loss
-from irisstand.state.replication import replicator as replicators
+from irisstand.state.replication.replicator import Replicator
 from irisstand.transport import network
 
-# Seconds after which the next peer is asked beside one that has not answered yet.
-STAGGER = 0.12
-# Seconds after which a round has found nobody.
-ROUND = 1.1
-# Seconds between rounds while a table is not fresh.
-STARTING = 0.06
+# The time after which the next peer is asked beside one that has not answered yet.
+STAGGER_SECONDS = 0.12
+ROUND_TIMEOUT_SECONDS = 1.1
+# The longest time from the start of one round to the next while a table is not fresh.
+UNFRESH_INTERVAL_SECONDS = 0.06
+PAUSE_LEAST_SECONDS = 0.01
+# A wait shorter than this might not move the clock, and a loop of such waits would never end.
+WAIT_LEAST_SECONDS = 0.001
+# Peers outside the control plane that are asked in one round, beside the one that answered last.
+OTHER_SOURCES_LIMIT = 2
+
+
+class Source(typing.NamedTuple):
+    """A peer to ask."""
+
+    address: network.Address
+    name: str
 
 
 class Refresher:
-    """Asks other nodes, round after round, for what this node's tables lack."""
+    """Asks other nodes, round after round, for what the tables of this node lack."""
 
-    def __init__(self, context: node_context.NodeContext, replicator: replicators.Replicator) -> None:
-        self.context, self.replicator = context, replicator
-        self.answered_last: tuple[network.Address, str] | None = None
+    def __init__(self, context: node_context.NodeContext, replicator: Replicator) -> None:
+        self.context = context
+        self.replicator = replicator
+        self.answered_last: Source | None = None
 
-    def sources(self) -> list[tuple[network.Address, str]]:
-        """Whom to ask, in order: the core, but soon also who answered last, and a few others.
+    def sources(self) -> list[Source]:
+        """Return the peers to ask, in order: the control plane first, but early on also some others.
 
-        A node that is cut off from the core, though not from its peers, learns through one of them.
+        A node that is cut off from the control plane, though not from its peers, learns through one of them.
         """
-        context = self.context
-        core, others = [], []
-        for update in context.detector.member_list.members.values():
+        core, others = self.shuffled_sources()
+        others = others[:OTHER_SOURCES_LIMIT]
+        if self.answered_last in core[1:]:
+            core.remove(self.answered_last)
+            core.insert(1, self.answered_last)
+        elif self.answered_last is not None and self.answered_last not in core:
+            others.insert(0, self.answered_last)
+        # Alternate, so that a node cut off from the control plane need not wait for all of its nodes.
+        for number, source in enumerate(dict.fromkeys(others)):
+            core.insert(1 + 2 * number, source)
+        return core
+
+    def shuffled_sources(self) -> tuple[list[Source], list[Source]]:
+        """Return the control plane nodes, the own site's first, and all others, each in random order."""
+        core: list[updates.Update] = []
+        others: list[updates.Update] = []
+        for update in self.context.detector.member_list.members.values():
             (core if update.node_info.role == "agency" else others).append(update)
-        context.randomness.shuffle(core)
-        context.randomness.shuffle(others)
-        core.sort(key=lambda update: (update.state, update.node_info.site != context.settings.site))
-        found = [(update.node_info.address, update.identity.name) for update in core]
-        aside = [(update.node_info.address, update.identity.name) for update in others[:2]]
-        if self.answered_last in found[1:]:
-            found.remove(self.answered_last)
-            found.insert(1, self.answered_last)
-        elif self.answered_last is not None and self.answered_last not in found:
-            aside.insert(0, self.answered_last)
-        # Between the core nodes, so that a node cut off from all of them has not to wait for each in vain.
-        for place, source in enumerate(dict.fromkeys(aside)):
-            found.insert(1 + 2 * place, source)
-        return found
+        self.context.randomness.shuffle(core)
+        self.context.randomness.shuffle(others)
+        core.sort(key=lambda update: (update.state, update.node_info.site != self.context.settings.site))
+        return (
+            [Source(update.node_info.address, update.identity.name) for update in core],
+            [Source(update.node_info.address, update.identity.name) for update in others],
+        )
 
-    async def try_source(self, address: network.Address, name: str) -> bool:
+    async def try_source(self, source: Source) -> bool:
+        """Ask one peer. Return whether all tables are now known to be current."""
         try:
-            if await self.replicator.pull(address, name):
-                self.answered_last = (address, name)
+            if await self.replicator.pull(source.address, source.name):
+                self.answered_last = source
                 return True
         except (errors.IrisError, ValueError, TypeError, KeyError, IndexError):
             self.context.counters.add("sync_failed")
         return False
 
     async def refresh(self) -> None:
-        """One round of questions, each begun a little after the last, until one has been answered."""
-        asking: set[asyncio.Task] = set()
-        started = self.context.clock.now()
+        """Ask one peer after the other, each a little after the last, until one answer makes all current."""
+        pending: set[asyncio.Task[bool]] = set()
+        ends_at = self.context.clock.now() + ROUND_TIMEOUT_SECONDS
         try:
-            for address, name in self.sources():
-                asking.add(asyncio.get_running_loop().create_task(self.try_source(address, name)))
-                done, asking = await asyncio.wait(
-                    asking, timeout=STAGGER, return_when=asyncio.FIRST_COMPLETED
+            for source in self.sources():
+                pending.add(asyncio.get_running_loop().create_task(self.try_source(source)))
+                done, pending = await asyncio.wait(
+                    pending, timeout=STAGGER_SECONDS, return_when=asyncio.FIRST_COMPLETED
                 )
                 if any(task.result() for task in done):
                     return
-            # A wait too short to move the clock would never end.
-            while asking and (left := started + ROUND - self.context.clock.now()) > 0.001:
-                done, asking = await asyncio.wait(asking, timeout=left, return_when=asyncio.FIRST_COMPLETED)
+            while pending and (left := ends_at - self.context.clock.now()) > WAIT_LEAST_SECONDS:
+                done, pending = await asyncio.wait(pending, timeout=left, return_when=asyncio.FIRST_COMPLETED)
                 if any(task.result() for task in done):
                     return
         finally:
-            for task in asking:
+            for task in pending:
                 task.cancel()
 
     async def run(self) -> None:
+        """Refresh the tables for as long as the node runs."""
         context = self.context
         if context.settings.outage_bound:
             context.start_task(quorum_loss.QuorumLossDetector(context).run(), "outage watch")
@@ -84,8 +106,8 @@
             started = context.clock.now()
             await self.refresh()
             interval = context.settings.freshness_interval
-            # A node that cannot serve yet asks at once again: the core may be back at this moment.
+            # A node that cannot serve yet asks again at once: the control plane may be back at this moment.
             if not all(map(context.is_fresh, context.replicas.values())):
-                interval = min(interval, STARTING)
+                interval = min(interval, UNFRESH_INTERVAL_SECONDS)
             pause = interval - (context.clock.now() - started)
-            await asyncio.sleep(max(0.01, pause))
+            await asyncio.sleep(max(PAUSE_LEAST_SECONDS, pause))
--- a/src/irisstand/state/replication/replicator.py
+++ b/src/irisstand/state/replication/replicator.py
@@ -1,160 +1,227 @@
-"""Carrying tables: a node asks a peer for what lies above its applied versions, and mends what does not add
-up.
+"""Replication of tables between nodes: a node asks a peer for changes, and repairs replicas that differ.
+
+A request names the applied version and the root digest of each table. The peer answers with the changes
+above that version. If they are too large for one reply they are transferred in chunks; if the outcome does
+not equal the peer's replica, the two are compared range by range (anti-entropy).
 """
 
+import collections.abc
+import typing
+
 from irisstand import errors, node_context
-from irisstand.state import digests, items, replica, versions
-from irisstand.state.replication import chunk_transfer
+from irisstand.state import digests, items, versions
+from irisstand.state.replica import Replica
+from irisstand.state.replication import chunk_transfer, messages
 from irisstand.transport import network
 
-PATIENCE = 0.6
-# Bytes of changed rows in one reply, about. Several peers are asked within one round, and each answers: large
-# replies together fill a slow link, none comes in time, and the next round asks for all of them again.
-ROWS_LIMIT = 32 * 1024
-# Bytes of one reply with whole ranges, about.
-PART_LIMIT = 1024 * 1024
-PARTS_LIMIT = 1000
-# How often a mend asks again because commits have carried the copy past the answer.
+REPLY_TIMEOUT_SECONDS = 0.6
+# Approximate size of the changes in one reply. Several peers are asked within one round, and each answers:
+# large replies together fill a slow link, none comes in time, and the next round asks for all of them again.
+CHANGES_LIMIT_BYTES = 32 * 1024
+# Approximate size of a reply with whole ranges.
+RANGES_LIMIT_BYTES = 1024 * 1024
+RANGES_REQUESTS_LIMIT = 1000
+# How often a repair asks again because commits have carried the replica past the answer.
 OVERTAKEN_LIMIT = 20
-# Of the freshness bound, what an answer may be old so that nobody else is asked.
-NEWS = 0.6
+# The age, as a fraction of the freshness bound, above which the answer of a peer does not end a round.
+RECENT_FRACTION = 0.6
+# What msgpack and the version add to a key and a value, approximately.
+ITEM_OVERHEAD_BYTES = 60
 
 
 class Replicator:
+    """Answers requests for the tables of this node, and requests those of a peer."""
+
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
-        self.mending: set[str] = set()
-        self.parts = chunk_transfer.ChunkTransfer(context)
-        context.transport.handlers["after"] = self.on_after
-        context.transport.handlers["ranges"] = self.on_ranges
+        # Tables under repair: a second repair at the same time would only transfer the same items twice.
+        self.repairing: set[str] = set()
+        self.chunks = chunk_transfer.ChunkTransfer(context)
+        context.transport.handlers[messages.MessageKind.CHANGES] = self.on_changes_request
+        context.transport.handlers[messages.MessageKind.RANGES] = self.on_ranges_request
 
     # -- answering -----------------------------------------------------------------------------------
-    async def on_after(self, _: str, body: list) -> tuple:
-        """For each table asked about: applied version, age, root, and the rows above the asker's applied
-        version.
-        """
+    async def on_changes_request(self, _: str, body: typing.Any) -> tuple[tuple[typing.Any, ...], ...]:
+        """Answer a `ChangesRequest` for each of several tables with a `ChangesReply` for each."""
         now = self.context.clock.now()
         replies = []
-        for name, applied_parts, root in body:
-            copy, applied = self.context.replicas[name], versions.Version.from_wire(applied_parts)
-            own_root = copy.root_digest()
-            told = ("same",)
-            # An asker that is ahead is not sent anything: it would have to throw it away.
-            if copy.applied < applied or copy.applied == versions.NONE:
-                told = ("behind",)
-            elif root != own_root or copy.applied > applied:
-                told = self.above(copy, applied)
-            replies.append((tuple(copy.applied), copy.age(now), own_root, told))
+        for fields in body:
+            request = messages.ChangesRequest.from_wire(fields)
+            replies.append(changes_reply(self.context.replicas[request.table], request, now).to_wire())
         return tuple(replies)
 
-    def above(self, copy: replica.Replica, applied: versions.Version) -> tuple:
-        changed, forgotten = copy.changes_since(applied)
-        # Equal applied versions that do not add up are damage, and more than fits a frame is carried in
-        # parts.
-        if copy.applied == applied or size_of(changed, ROWS_LIMIT) > ROWS_LIMIT:
-            return ("mend",)
-        return ("rows", tuple(item.to_wire() for item in changed), tuple(forgotten))
-
-    async def on_ranges(self, _: str, body: list) -> tuple:
-        """Items of ranges whose digests differ from the asker's, as many as fit."""
-        name, asked = body
-        copy = self.context.replicas[name]
-        if len(asked) != digests.RANGE_COUNT:
-            raise ValueError("another number of ranges")
-        own = copy.range_digests()
-        differing = {number for number in range(digests.RANGE_COUNT) if own[number] != asked[number]}
-        grouped: dict[int, list] = {number: [] for number in differing}
-        for item in copy.items_in_ranges(differing):
-            grouped[digests.range_number(item.key)].append(item)
-        parts, size = [], 0
-        for number, held in grouped.items():
-            if size > PART_LIMIT:
-                break
-            size += size_of(held)
-            parts.append((number, tuple(item.to_wire() for item in held)))
-        return (tuple(copy.applied), copy.age(self.context.clock.now()), copy.root_digest(), tuple(parts))
+    async def on_ranges_request(self, _: str, body: typing.Any) -> tuple[typing.Any, ...]:
+        """Answer a `RangesRequest` with a `RangesReply`."""
+        request = messages.RangesRequest.from_wire(body)
+        replica = self.context.replicas[request.table]
+        age = replica.age(self.context.clock.now())
+        ranges = differing_ranges(replica, request.range_digests)
+        return messages.RangesReply(replica.applied, age, replica.root_digest(), ranges).to_wire()
 
     # -- asking --------------------------------------------------------------------------------------
-    async def pull(self, address: network.Address, name: str, tables_asked: tuple = ()) -> bool:
-        """One question for all tables. True if every one is now known to be current well within the bound."""
-        context = self.context
-        copies = [context.replicas[table] for table in tables_asked or context.replicas]
-        asked = tuple((copy.name, tuple(copy.applied), copy.root_digest()) for copy in copies)
-        # The age counts from here: whatever changed after the question was sent is not confirmed for.
-        sent = context.clock.now()
-        replies = await context.transport.call(address, name, "after", asked, PATIENCE)
+    async def pull(self, address: network.Address, name: str, tables: tuple[str, ...] = ()) -> bool:
+        """Ask one peer, in one request, for the changes of all tables, and apply them.
+
+        Args:
+            address: The address of the peer.
+            name: The node name of the peer.
+            tables: The tables to ask for; all that this node holds if empty.
+
+        Returns:
+            Whether every table is now known to be current, well within the freshness bound.
+
+        Raises:
+            IrisError: The peer did not answer, or answered with an error.
+            ValueError, TypeError: The reply is malformed.
+        """
+        replicas = [self.context.replicas[table] for table in tables or self.context.replicas]
+        requests = [
+            messages.ChangesRequest(replica.name, replica.applied, replica.root_digest())
+            for replica in replicas
+        ]
+        # The age counts from here: what changed after the request was sent is not confirmed.
+        sent_at = self.context.clock.now()
+        body = tuple(request.to_wire() for request in requests)
+        replies = await self.context.transport.call(
+            address, name, messages.MessageKind.CHANGES, body, REPLY_TIMEOUT_SECONDS
+        )
         all_current = True
-        for copy, question, (applied_parts, age, root, told) in zip(copies, asked, replies, strict=True):
-            applied = versions.Version.from_wire(applied_parts)
-            # A copy that moved under the question has been told of rows above an applied version that it has
-            # left.
-            if tuple(copy.applied) == question[1] and told[0] in ("rows", "mend"):
-                changed = [items.Item.from_wire(parts) for parts in told[1]] if told[0] == "rows" else []
-                if told[0] == "rows" and copy.apply_changes(
-                    applied, root, changed, [str(key) for key in told[2]]
-                ):
-                    context.counters.add("rows_carried", len(changed), table=copy.name)
-                else:
-                    await self.mend(address, name, copy, told[0] == "mend" and applied > copy.applied)
-                    age = None
-            if age is not None and applied == copy.applied:
-                copy.confirm_current(sent - age)
-            # A peer that has heard nothing new for most of the bound is no source to rest on.
-            is_news = (
-                age is not None and sent - age > context.clock.now() - NEWS * context.settings.freshness_bound
-            )
-            all_current = all_current and is_news and context.is_fresh(copy)
+        for replica, request, fields in zip(replicas, requests, replies, strict=True):
+            reply = messages.ChangesReply.from_wire(fields)
+            age = reply.age
+            # A replica that changed meanwhile was sent the changes above a version that it has left.
+            if replica.applied == request.applied and not await self.apply_reply(
+                address, name, replica, reply
+            ):
+                age = None
+            if age is not None and reply.applied == replica.applied:
+                replica.confirm_current(sent_at - age)
+            is_recent = age is not None and self.is_recent(sent_at - age)
+            all_current = all_current and is_recent and self.context.is_fresh(replica)
         return all_current
 
-    async def mend(self, address: network.Address, name: str, copy: replica.Replica, in_parts: bool) -> None:
-        """Take what a peer has, part by part, or range by range if that does not add up."""
-        # One mending of a table at a time: two would only carry the same rows twice.
-        if copy.name in self.mending:
+    def is_recent(self, moment: float) -> bool:
+        """Return whether a peer that was current at `moment` need not be followed by another."""
+        bound_seconds = self.context.settings.freshness_bound
+        return moment > self.context.clock.now() - RECENT_FRACTION * bound_seconds
+
+    async def apply_reply(
+        self, address: network.Address, name: str, replica: Replica, reply: messages.ChangesReply
+    ) -> bool:
+        """Apply a reply, or repair the replica.
+
+        Returns:
+            False after a repair: the replies of the repair confirm the age.
+        """
+        match reply.kind:
+            case messages.ReplyKind.SAME | messages.ReplyKind.BEHIND:
+                return True
+            case messages.ReplyKind.CHANGES:
+                changed = list(reply.changed)
+                if replica.apply_changes(reply.applied, reply.root_digest, changed, list(reply.removed_keys)):
+                    self.context.counters.add("rows_carried", len(changed), table=replica.name)
+                    return True
+                await self.repair(address, name, replica, in_chunks=False)
+            case messages.ReplyKind.REPAIR:
+                await self.repair(address, name, replica, in_chunks=reply.applied > replica.applied)
+        return False
+
+    async def repair(self, address: network.Address, name: str, replica: Replica, *, in_chunks: bool) -> None:
+        """Make a replica equal to a peer's, chunk by chunk, or range by range where that does not succeed."""
+        if replica.name in self.repairing:
             return
-        self.mending.add(copy.name)
+        self.repairing.add(replica.name)
         try:
-            if not in_parts or not await self.carry_parts(address, name, copy):
-                await self.mend_ranges(address, name, copy)
+            if not in_chunks or not await self.transfer_chunks(address, name, replica):
+                await self.repair_ranges(address, name, replica)
         finally:
-            self.mending.discard(copy.name)
+            self.repairing.discard(replica.name)
 
-    async def carry_parts(self, address: network.Address, name: str, copy: replica.Replica) -> bool:
+    async def transfer_chunks(self, address: network.Address, name: str, replica: Replica) -> bool:
+        """Return whether the replica was brought up to date in chunks."""
         try:
-            return await self.parts.carry(address, name, copy)
+            return await self.chunks.transfer(address, name, replica)
         except errors.UnknownNameError:
-            # A peer of the version before has no parts to give.
+            # A peer of the version before sends no chunks.
             return False
 
-    async def mend_ranges(self, address: network.Address, name: str, copy: replica.Replica) -> None:
-        """Compare range by range with one peer, aside, until both are alike; then take it whole."""
-        aside, overtaken = copy.clone(), 0
-        for _ in range(PARTS_LIMIT):
-            sent = self.context.clock.now()
-            body = (copy.name, aside.range_digests())
-            applied_parts, age, root, parts = await self.context.transport.call(
-                address, name, "ranges", body, PATIENCE
-            )
-            ranges = {int(number): [items.Item.from_wire(one) for one in held] for number, held in parts}
-            aside.replace_ranges(ranges)
-            aside.applied = versions.Version.from_wire(applied_parts)
-            self.context.counters.add("ranges_mended", len(ranges), table=copy.name)
-            if aside.root_digest() != root:
+    async def repair_ranges(self, address: network.Address, name: str, replica: Replica) -> None:
+        """Make a clone equal to a peer's replica, range by range, then take it over at once."""
+        repaired = replica.clone()
+        overtaken = 0
+        for _ in range(RANGES_REQUESTS_LIMIT):
+            sent_at = self.context.clock.now()
+            reply = await self.request_ranges(address, name, repaired)
+            repaired.replace_ranges({content.number: list(content.held) for content in reply.ranges})
+            repaired.applied = reply.applied
+            self.context.counters.add("ranges_mended", len(reply.ranges), table=replica.name)
+            if repaired.root_digest() != reply.root_digest:
                 continue
-            if copy.replace_unless_older(aside):
-                if age is not None:
-                    copy.confirm_current(sent - age)
+            if replica.replace_unless_older(repaired):
+                if reply.age is not None:
+                    replica.confirm_current(sent_at - reply.age)
                 return
-            # A commit came in while the answer was on its way: what is aside is nearly all of it.
+            # A commit came in while the answer was on its way: the clone has nearly all of it.
             overtaken += 1
             if overtaken > OVERTAKEN_LIMIT:
                 return
 
+    async def request_ranges(
+        self, address: network.Address, name: str, repaired: Replica
+    ) -> messages.RangesReply:
+        """Ask a peer for the ranges in which its replica differs."""
+        request = messages.RangesRequest(repaired.name, repaired.range_digests())
+        fields = await self.context.transport.call(
+            address, name, messages.MessageKind.RANGES, request.to_wire(), REPLY_TIMEOUT_SECONDS
+        )
+        return messages.RangesReply.from_wire(fields)
+
+
+def changes_reply(replica: Replica, request: messages.ChangesRequest, now: float) -> messages.ChangesReply:
+    """Return the changes above the applied version of the node that asks, if they fit one reply."""
+    root_digest = replica.root_digest()
+    reply = messages.ChangesReply(replica.applied, replica.age(now), root_digest, messages.ReplyKind.SAME)
+    # A node that is ahead is sent nothing: it would have to throw it away.
+    if replica.applied < request.applied or replica.applied == versions.NONE:
+        return reply._replace(kind=messages.ReplyKind.BEHIND)
+    if request.root_digest == root_digest and replica.applied == request.applied:
+        return reply
+    changed, removed_keys = replica.changes_since(request.applied)
+    # Replicas that differ at the same applied version are damaged.
+    if (
+        replica.applied == request.applied
+        or estimated_size(changed, CHANGES_LIMIT_BYTES) > CHANGES_LIMIT_BYTES
+    ):
+        return reply._replace(kind=messages.ReplyKind.REPAIR)
+    return reply._replace(
+        kind=messages.ReplyKind.CHANGES, changed=tuple(changed), removed_keys=tuple(removed_keys)
+    )
+
+
+def differing_ranges(
+    replica: Replica, range_digests: collections.abc.Sequence[bytes]
+) -> tuple[messages.RangeContent, ...]:
+    """Return the ranges whose digests differ from the given ones, as many as fit one reply."""
+    own = replica.range_digests()
+    differing = {number for number in range(digests.RANGE_COUNT) if own[number] != range_digests[number]}
+    grouped: dict[int, list[items.Item]] = {number: [] for number in differing}
+    for item in replica.items_in_ranges(differing):
+        grouped[digests.range_number(item.key)].append(item)
+    ranges = []
+    size = 0
+    for number, held in grouped.items():
+        if size > RANGES_LIMIT_BYTES:
+            break
+        size += estimated_size(held, RANGES_LIMIT_BYTES)
+        ranges.append(messages.RangeContent(number, tuple(held)))
+    return tuple(ranges)
+
 
-def size_of(held: list[items.Item], limit: int = PART_LIMIT) -> int:
-    """About how many bytes items take up in a frame, counted no further than just over the limit."""
+def estimated_size(held: collections.abc.Iterable[items.Item], limit: int) -> int:
+    """Return about how many bytes items take up in a frame, counted no further than just over the limit."""
     size = 0
     for item in held:
-        size += len(item.key) + 60 + len(repr(item.value))
+        size += len(item.key) + ITEM_OVERHEAD_BYTES + len(repr(item.value))
         if size > limit:
             break
     return size
--- a/tests/mutation/state_mutations.py
+++ b/tests/mutation/state_mutations.py
@@ -76,8 +76,8 @@
     ),
     (
         "state/replication/quorum_loss.py",
-        "        return pending is None or versions.Version.from_wire(pending) < copy.applied",
-        "        return True",
+        "    return state.pending_base is None or state.pending_base < replica.applied",
+        "    return True",
         "state/test_quorum_loss.py::test_a_batch_that_may_have_been_confirmed_is_no_evidence",
     ),
     (
@@ -124,25 +124,25 @@
     ),
     (
         "state/replication/replicator.py",
-        "size_of(changed, ROWS_LIMIT) > ROWS_LIMIT:",
-        "size_of(changed) > PART_LIMIT:",
+        "estimated_size(changed, CHANGES_LIMIT_BYTES) > CHANGES_LIMIT_BYTES",
+        "estimated_size(changed, RANGES_LIMIT_BYTES) > RANGES_LIMIT_BYTES",
         "state/test_chunk_transfer.py::test_a_big_change_reaches_a_node_on_a_slow_link_that_asks_several_peers",
     ),
     (
         "state/replication/chunk_transfer.py",
-        "                staged.cursor = next_cursor(staged.cursor, end)\n",
-        "                self.staged.pop(copy.name, None)\n                staged.cursor = next_cursor(staged.cursor, end)\n",
+        "            staged.cursor = checked_next(staged.cursor, reply.end)\n",
+        "            self.staged.pop(replica.name, None)\n            staged.cursor = checked_next(staged.cursor, reply.end)\n",
         "state/test_chunk_transfer.py::test_what_came_from_a_peer_that_falls_silent_is_not_asked_for_again",
     ),
     (
         "state/replication/chunk_transfer.py",
-        "        if copy.applied < max(base, cursor.version):",
+        "        if replica.applied < max(request.base, request.cursor.version):",
         "        if False:",
         "state/test_chunk_transfer.py::test_a_peer_that_is_older_than_what_came_is_not_taken_for_the_truth",
     ),
     (
         "state/replication/chunk_transfer.py",
-        "        if place not in self.kept:",
+        "        if place not in self.cached_chunks:",
         "        if True:",
         "state/test_chunk_transfer.py::test_parts_are_worked_out_once_for_all_who_ask",
     ),
--- a/tests/state/test_chunk_transfer.py
+++ b/tests/state/test_chunk_transfer.py
@@ -12,6 +12,7 @@
 import irisstand.state.items as items
 import irisstand.state.replica as replica
 import irisstand.state.replication.chunk_transfer as chunk_transfer
+import irisstand.state.replication.messages as messages
 import irisstand.state.replication.replicator as replicator
 import irisstand.state.versions as versions
 import irisstand.transport.codec as codec
@@ -135,7 +136,7 @@
         before = len(edge.replies)
         await edge.pull("core-1")
         parts = [entry for entry in edge.replies[before:] if entry[1] == "part"]
-        whole = len(chunk_transfer.unpack_rows(given[0][3]))
+        whole = len(chunk_transfer.unpack_items(given[0][3]))
         return (
             edge.copy.root_digest() == cores[1].copy.root_digest(),
             len(parts),
@@ -211,10 +212,10 @@
         cores[1].copy.replace_content(replica.Replica(items.CONFIGURATION))
         cores[1].apply(1, [row(100_000)])
         before = edge.copy.root_digest()
-        cursor = chunk_transfer.Cursor(versions.Version(2, "n"), "route/extra-00100")
-        edge.replicator.parts.staged_for(edge.copy).cursor = cursor
+        cursor = messages.Cursor(versions.Version(2, "n"), "route/extra-00100")
+        edge.replicator.chunks.staged_items(edge.copy).cursor = cursor
         with pytest.raises(errors.StaleConfigurationError):
-            await edge.replicator.parts.carry(("", 0), "core-1", edge.copy)
+            await edge.replicator.chunks.transfer(("", 0), "core-1", edge.copy)
         return edge.copy.root_digest() == before
 
     assert virtual.run(scene())
@@ -223,10 +224,10 @@
 def test_rows_that_do_not_add_up_are_not_taken():
     async def scene():
         edge, (core,) = far_behind(peers=1, rate=None)
-        staged = edge.replicator.parts.staged_for(edge.copy)
+        staged = edge.replicator.chunks.staged_items(edge.copy)
         wrong = items.Item("route/other", versions.Version(2, "n"), {"version": 1, "item": None})
-        staged.rows["route/other"] = wrong
-        taken = await edge.replicator.parts.carry(("", 0), "core-0", edge.copy)
+        staged.items["route/other"] = wrong
+        taken = await edge.replicator.chunks.transfer(("", 0), "core-0", edge.copy)
         untouched = edge.copy.applied == versions.Version(1, "n")
         await edge.pull("core-0")
         return taken, untouched, edge.copy.root_digest() == core.copy.root_digest()
@@ -246,8 +247,8 @@
             return reply
 
         core.handlers["part"] = overtaken
-        settled = await edge.replicator.parts.carry(("", 0), "core-0", edge.copy)
-        kept = dict(edge.replicator.parts.staged)
+        settled = await edge.replicator.chunks.transfer(("", 0), "core-0", edge.copy)
+        kept = dict(edge.replicator.chunks.staged)
         await edge.pull("core-0")
         return settled, kept, edge.copy.applied, {kind for _, kind, _ in edge.replies}
 
--- a/tests/state/test_restart_after_changes.py
+++ b/tests/state/test_restart_after_changes.py
@@ -102,13 +102,13 @@
 
 def test_a_mend_that_is_overtaken_by_a_commit_goes_on_until_it_has_caught_up():
     async def scene():
-        peer, copy = replica.Replica("t"), replica.Replica("t")
+        peer, copy = replica.Replica(items.LEDGER), replica.Replica(items.LEDGER)
         grow(peer, 50, random.Random(1))
         grow(copy, 50, random.Random(1))
         copy.remove(next(iter(copy.items)))
 
         async def ask(address, name, kind, body, patience):
-            reply = await answering.on_ranges("", list(body))
+            reply = await answering.on_ranges_request("", list(body))
             # The commit of the next batch comes in before the answer, three times over.
             if peer.applied.counter < 53:
                 key = f"late/{peer.applied.counter}"
@@ -122,12 +122,12 @@
             clock = types.SimpleNamespace(now=lambda: 1.0)
             counted = irisstand.counters.Counters()
             return types.SimpleNamespace(
-                transport=transport, clock=clock, counters=counted, replicas={"t": table}
+                transport=transport, clock=clock, counters=counted, replicas={items.LEDGER: table}
             )
 
         answering = replicator.Replicator(context(peer))
         asking = replicator.Replicator(context(copy))
-        await asking.mend(("h", 1), "peer", copy, False)
+        await asking.repair(("h", 1), "peer", copy, in_chunks=False)
         assert copy.root_digest() == peer.root_digest() and copy.applied == peer.applied
 
     asyncio.run(scene())
