--- a/src/irisstand/control_errors.py
+++ b/src/irisstand/control_errors.py
@@ -1,30 +1,39 @@
-"""Typed errors of the control plane: orders that clash with what was decided before them."""
+"""Errors of the control plane that carry details: an order clashes with what was decided before it."""
 
 import typing
 
 from irisstand import errors
 
+Details = list[typing.Any]
+
+# The kinds below, by code.
+DETAILED: dict[str, type["DetailedError"]] = {}
+
 
 class DetailedError(errors.IrisError):
-    """A refusal with details, which it keeps on its way between nodes. `DETAILED` lists the kinds by code."""
+    """A refusal with details, which it keeps when it travels between nodes.
+
+    Attributes:
+        details_name: The key of the details in the JSON object.
+        summary: The message of the kind.
+    """
 
     details_name = "details"
     summary = "refused"
 
-    def __init__(self, details: list) -> None:
+    def __init__(self, details: Details) -> None:
         super().__init__(self.summary)
         self.details = details
 
     def __init_subclass__(cls, *, is_registered: bool = True) -> None:
-        DETAILED[cls.code] = cls
+        if is_registered:
+            DETAILED[cls.code] = cls
 
-    def to_json(self) -> dict:
+    def to_json(self) -> dict[str, typing.Any]:
+        """Add the details to the JSON object."""
         return {**super().to_json(), self.details_name: self.details}
 
 
-DETAILED: dict[str, type[DetailedError]] = {}
-
-
 class VersionTakenError(DetailedError):
     """Other content was confirmed under the version of an item in the call."""
 
@@ -48,8 +57,8 @@
     remedy = "ask another node, and look at the site's name"
 
 
-def rebuild(code: str, details: typing.Any) -> DetailedError | None:
-    """A detailed refusal as a peer sent it; None if the code is none.
+def rebuild(code: str, details: Details) -> DetailedError | None:
+    """Return a detailed refusal that a peer sent; None if the code is not one of them.
 
     >>> rebuild("version-taken", [{"item": "route/a"}]).to_json()["conflicts"]
     [{'item': 'route/a'}]
--- a/src/irisstand/controlplane/api/operator_orders.py
+++ b/src/irisstand/controlplane/api/operator_orders.py
@@ -22,7 +22,7 @@
         context: node_context.NodeContext,
         submitter: submitting.Submitter,
         members: voter_administration.VoterAdministration,
-        server: web.Web,
+        server: web.HttpServer,
     ) -> None:
         self.context, self.submitter, self.voters = context, submitter, members
         self.evacuation = evacuation_check.EvacuationCheck(context)
@@ -51,8 +51,10 @@
         try:
             result = await self.submitter.submit_for_operator(orders.Order(kind, change, payload))
         except errors.ChangeOutcomeUnknownError as error:
-            return web.as_json({**error.to_json(), "change": change}, error.status, {"Retry-After": "1"})
-        return web.as_json({"change": change, "confirmed": True, **result})
+            return web.json_response(
+                {**error.to_json(), "change": change}, error.status, {"Retry-After": "1"}
+            )
+        return web.json_response({"change": change, "confirmed": True, **result})
 
     async def post_change(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         content = self.body(request)
@@ -116,7 +118,7 @@
             notes = await self.evacuation.check_once(site, insist=request.args.get("insist") == "true")
         response = await self.submit("evacuate", change, site)
         if notes and response.status == 200:
-            response = web.as_json({**json.loads(response.body), "notes": notes})
+            response = web.json_response({**json.loads(response.body), "notes": notes})
         return response
 
     async def post_amendment(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
@@ -128,8 +130,8 @@
         """PUT {"replaces": OLD} votes a spare in for a voter; DELETE retires a voter without another."""
         self.context.check_current()
         if request.method == "DELETE":
-            return web.as_json(await self.voters.retire(name))
+            return web.json_response(await self.voters.retire(name))
         old = self.body(request).get("replaces")
         if not isinstance(old, str):
             raise errors.BadRequestError("replaces is not a name", 'send {"replaces": "the voter that goes"}')
-        return web.as_json(await self.voters.replace(old, name))
+        return web.json_response(await self.voters.replace(old, name))
--- a/src/irisstand/controlplane/api/operator_reads.py
+++ b/src/irisstand/controlplane/api/operator_reads.py
@@ -23,7 +23,7 @@
         context: node_context.NodeContext,
         members: voter_administration.VoterAdministration,
         read_index: heartbeat.ReadIndex,
-        server: web.Web,
+        server: web.HttpServer,
     ) -> None:
         self.context, self.voters, self.read_index = context, members, read_index
         self.changes = change_status.ChangeStatus(context)
@@ -45,20 +45,20 @@
             for item in copy.items_with_prefix(kind + "/"):
                 name = item.key.removeprefix(kind + "/")
                 rows.append({"kind": kind, "name": name, "serial": str(item.version), "value": item.value})
-        return web.as_json({"tip": str(copy.applied), "rows": rows})
+        return web.json_response({"tip": str(copy.applied), "rows": rows})
 
     async def get_items(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         """All versioned items that stand, laid out as an amendment that would put them."""
         await self.read_index.confirm(items.CONFIGURATION)
-        return web.as_json(amendment.as_amendment(self.context.configuration))
+        return web.json_response(amendment.as_amendment(self.context.configuration))
 
     async def get_change(self, request: sanic.request.Request, change: str) -> sanic.response.HTTPResponse:
         await self.read_index.confirm(items.CONFIGURATION, items.LEDGER)
-        return web.as_json(await self.changes.show(change))
+        return web.json_response(await self.changes.show(change))
 
     async def get_voters(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         await self.read_index.confirm(*items.TABLES)
-        return web.as_json(await self.voters.describe())
+        return web.json_response(await self.voters.describe())
 
     async def get_ledger(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         await self.read_index.confirm(items.LEDGER)
@@ -68,12 +68,12 @@
             for item in copy.items_with_prefix("")
             if not item.key.startswith("~change/")
         ]
-        return web.as_json({"tip": str(copy.applied), "rows": rows})
+        return web.json_response({"tip": str(copy.applied), "rows": rows})
 
     async def get_members(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
         detector = self.context.detector
         everybody = [detector.own_update(), *detector.member_list.all_updates()]
-        return web.as_json({"members": [self.member(update) for update in everybody]})
+        return web.json_response({"members": [self.member(update) for update in everybody]})
 
     def member(self, update: updates.Update) -> dict[str, typing.Any]:
         state = "left" if update.has_left else update.state.name.lower()
@@ -106,4 +106,4 @@
             saved = ledger.value(f"saved/{name}") or {"seconds": 0}
             entry["hours_saved"] = round(saved["seconds"] / 3600, 2)
         total = sum(item.value["seconds"] for item in ledger.items_with_prefix("saved/")) / 3600
-        return web.as_json({"machines": machines, "machine_hours_saved": round(total, 2)})
+        return web.json_response({"machines": machines, "machine_hours_saved": round(total, 2)})
--- a/src/irisstand/controlplane/api/operators.py
+++ b/src/irisstand/controlplane/api/operators.py
@@ -14,7 +14,7 @@
         context: node_context.NodeContext,
         submitter: submitting.Submitter,
         read_index: heartbeat.ReadIndex,
-        server: web.Web,
+        server: web.HttpServer,
     ) -> None:
         members = voter_administration.VoterAdministration(context, submitter)
         self.reads = operator_reads.OperatorReads(context, members, read_index, server)
--- a/src/irisstand/controlplane/changes/evacuation_check.py
+++ b/src/irisstand/controlplane/changes/evacuation_check.py
@@ -4,7 +4,7 @@
 import collections.abc
 import typing
 
-from irisstand import control_errors, errors, node_context, node_settings
+from irisstand import control_errors, errors, node_context, setting_parsers
 from irisstand.controlplane.singletons import fleet_view
 from irisstand.state import items, quorum
 
@@ -47,7 +47,10 @@
         """Return the sites that this node knows from settings, members and rows."""
         members = self.context.detector.member_list.members.values()
         found = {update.node_info.site for update in members}
-        found |= {self.context.settings.site, *node_settings.pairs(self.context.settings.region_by_site)}
+        found |= {
+            self.context.settings.site,
+            *setting_parsers.region_by_site(self.context.settings.region_by_site),
+        }
         return found | {
             item.key.split("/", 1)[1] for item in self.context.configuration.items_with_prefix("site/")
         }
@@ -68,7 +71,7 @@
         known = self.sites()
         if site in known:
             return
-        if not node_settings.pairs(self.context.settings.region_by_site):
+        if not setting_parsers.region_by_site(self.context.settings.region_by_site):
             voters = self.other_voters()
             replies = await asyncio.gather(*(self.ask_sites(voter) for voter in voters))
             answers = [reply for reply in replies if reply is not None]
--- a/src/irisstand/controlplane/program.py
+++ b/src/irisstand/controlplane/program.py
@@ -57,7 +57,7 @@
         await asyncio.sleep(PAUSE)
         web = importlib.import_module("irisstand.web")
         operators = importlib.import_module("irisstand.controlplane.api.operators")
-        self.server = web.Web(context, self.ring)
+        self.server = web.HttpServer(context, self.ring)
         node = self.control_node
         operators.Operators(context, node.submitter, node.read_index, self.server)
         try:
--- a/src/irisstand/counters.py
+++ b/src/irisstand/counters.py
@@ -1,32 +1,38 @@
-"""Counters in the text form that scrapers expect."""
+"""Counters and gauges, and the text form of them that scrapers read."""
 
 import collections
 
 from irisstand import clocks
 
+# A counter's name and its labels, sorted by name.
+Key = tuple[str, tuple[tuple[str, str], ...]]
+
 
 class LoadGauge:
-    """Events a second over the last few seconds."""
+    """Events per second over the last few seconds."""
 
-    def __init__(self, clock: clocks.Clock, window: float = 4.0) -> None:
-        self.clock, self.window = clock, window
+    def __init__(self, clock: clocks.Clock, window_seconds: float = 4.0) -> None:
+        self.clock = clock
+        self.window_seconds = window_seconds
         self.moments: collections.deque[float] = collections.deque()
 
     def record(self) -> None:
+        """Count one event at the present moment."""
         self.moments.append(self.clock.now())
-        self.trim()
-
-    def trim(self) -> None:
-        while self.moments and self.moments[0] <= self.clock.now() - self.window:
-            self.moments.popleft()
+        self._remove_old_moments()
 
     def per_second(self) -> float:
-        self.trim()
-        return len(self.moments) / self.window
+        """Return the rate over the window."""
+        self._remove_old_moments()
+        return len(self.moments) / self.window_seconds
+
+    def _remove_old_moments(self) -> None:
+        while self.moments and self.moments[0] <= self.clock.now() - self.window_seconds:
+            self.moments.popleft()
 
 
 class Counters:
-    """Names with a label or none; only ever raised, apart from gauges set whole.
+    """Counters by name and labels; `add` raises one, `put` sets a gauge.
 
     >>> counters = Counters()
     >>> counters.add("frames_dropped", reason="size")
@@ -36,27 +42,37 @@
     """
 
     def __init__(self) -> None:
-        self.values: dict[tuple, float] = collections.defaultdict(float)
+        self.values: dict[Key, float] = collections.defaultdict(float)
 
     def add(self, name: str, amount: float = 1, **labels: str) -> None:
-        self.values[(name, tuple(sorted(labels.items())))] += amount
+        """Add to a counter, which begins at zero."""
+        self.values[_key(name, labels)] += amount
 
     def put(self, name: str, value: float, **labels: str) -> None:
-        self.values[(name, tuple(sorted(labels.items())))] = value
+        """Set a gauge."""
+        self.values[_key(name, labels)] = value
 
     def get(self, name: str, **labels: str) -> float:
-        return self.values.get((name, tuple(sorted(labels.items()))), 0)
+        """Return the value with exactly these labels; zero if there is none."""
+        return self.values.get(_key(name, labels), 0)
 
     def total(self, name: str) -> float:
+        """Return the sum over all labels."""
         return sum(value for (key, _), value in self.values.items() if key == name)
 
     def text(self) -> str:
+        """Return all values in the Prometheus text format, version 0.0.4."""
         lines: list[str] = []
-        named: set[str] = set()
+        typed: set[str] = set()
         for (name, labels), value in sorted(self.values.items()):
-            if name not in named:
-                named.add(name)
+            if name not in typed:
+                typed.add(name)
                 lines.append(f"# TYPE irisstand_{name} untyped")
-            inside = ",".join(f'{key}="{label}"' for key, label in labels)
-            lines.append(f"irisstand_{name}{'{' + inside + '}' if inside else ''} {value:g}")
+            joined = ",".join(f'{key}="{label}"' for key, label in labels)
+            suffix = "{" + joined + "}" if joined else ""
+            lines.append(f"irisstand_{name}{suffix} {value:g}")
         return "\n".join(lines) + "\n"
+
+
+def _key(name: str, labels: dict[str, str]) -> Key:
+    return (name, tuple(sorted(labels.items())))
--- a/src/irisstand/dataplane/http/sanic_adapter.py
+++ b/src/irisstand/dataplane/http/sanic_adapter.py
@@ -14,7 +14,7 @@
 
 
 class SanicAdapter:
-    def __init__(self, server: web.Web, edge: edges.Edge) -> None:
+    def __init__(self, server: web.HttpServer, edge: edges.Edge) -> None:
         self.edge, self.web = edge, server
         server.app.add_route(self.serve, "/", methods=METHODS, name="root")
         server.app.add_route(self.serve, "/<rest:path>", methods=METHODS, name="rest")
@@ -31,7 +31,7 @@
         except asyncio.CancelledError:
             raise
         except errors.IrisError as error:
-            return web.as_fault(error)
+            return web.error_response(error)
         kept = dict(result.headers)
         content_type = kept.pop("content-type", "application/octet-stream")
         kept["age"] = str(int(result.age))
--- a/src/irisstand/dataplane/program.py
+++ b/src/irisstand/dataplane/program.py
@@ -17,17 +17,17 @@
     # Without a port for people's pages there are none, nor the library for them.
     if not settings.http_port:
         return data_node.context, nothing_listens
-    server = importlib.import_module("irisstand.web").Web(data_node.context, log_ring)
+    server = importlib.import_module("irisstand.web").HttpServer(data_node.context, log_ring)
     if settings.role == "direct":
         # Readiness has an address of its own, and tells from the start why there is none yet.
         await server.open()
         front_listener = importlib.import_module("irisstand.dataplane.http.listener")
-        face = front_listener.FrontListener(data_node.context, data_node.role_node, settings.front)
+        face = front_listener.ClientListener(data_node.context, data_node.role_node, settings.front)
         data_node.context.start_task(face.open_when_current(), "front")
         return data_node.context, lambda: stop_all([face.stop_listening, server.stop_listening])
     if settings.role == "edge":
         front = importlib.import_module("irisstand.dataplane.http.sanic_adapter")
-        front.Front(server, data_node.role_node)
+        front.SanicAdapter(server, data_node.role_node)
         data_node.context.start_task(server.open_when_current(), "listener")
     else:
         await server.open()
--- a/src/irisstand/event_log.py
+++ b/src/irisstand/event_log.py
@@ -1,4 +1,4 @@
-"""A ring of log events in memory, written out when something goes wrong and little else."""
+"""The event log: the newest events in memory, written out only when something goes wrong."""
 
 import collections
 import json
@@ -7,22 +7,34 @@
 
 import eliot
 
+Event = dict[str, typing.Any]
+EVENTS_LIMIT = 2000
+
 
 class EventLog:
     """An eliot destination that keeps the newest events and writes them out when asked."""
 
-    def __init__(self, size: int = 2000, target: typing.TextIO | None = None) -> None:
-        self.events: collections.deque = collections.deque(maxlen=size)
+    def __init__(self, size: int = EVENTS_LIMIT, target: typing.TextIO | None = None) -> None:
+        self.events: collections.deque[Event] = collections.deque(maxlen=size)
         self.target = target or sys.stderr
 
-    def __call__(self, message: dict) -> None:
+    def __call__(self, message: Event) -> None:
+        """Keep one event; the oldest is dropped if the log is full."""
         self.events.append(message)
 
     def attach(self) -> None:
+        """Receive the events of this process from now on."""
         eliot.add_destinations(self)
 
     def write_out(self, reason: str) -> int:
-        """Write and empty the ring, so that the next cause does not print this one again."""
+        """Write the events as JSON lines and empty the log, so that the next reason does not repeat them.
+
+        Args:
+            reason: Why they are written; it stands in the first line.
+
+        Returns:
+            The number of events.
+        """
         count = len(self.events)
         lines = [json.dumps({"ring": reason, "events": count})]
         while self.events:
@@ -33,5 +45,10 @@
 
 
 def record(kind: str, **fields: typing.Any) -> None:
-    """One event into the ring."""
+    """Record one event.
+
+    Args:
+        kind: The name of the kind of event, as docs/on-call.md lists them.
+        fields: What is known about it; a figure's name has its unit.
+    """
     eliot.log_message(message_type=kind, **fields)
--- a/src/irisstand/process_runner.py
+++ b/src/irisstand/process_runner.py
@@ -1,4 +1,4 @@
-"""Running a program: flags and file to settings, one uvloop, signals, drain, exit codes."""
+"""Running a program: command line and settings, event loop, signals, graceful shutdown, exit codes."""
 
 import asyncio
 import collections.abc
@@ -14,67 +14,86 @@
 import irisstand
 from irisstand import errors, event_log, node_context, node_settings, settings_reload
 
-# Seconds that the last steps of a planned end may take beyond the farewell and the drain.
+# What the last steps of a shutdown may take beyond the settings farewell and drain.
 END_MARGIN_SECONDS = 0.35
 
-Opened = tuple[node_context.NodeContext, collections.abc.Callable[[], collections.abc.Awaitable[None]]]
-Reread = collections.abc.Callable[[], node_settings.Settings]
+EXIT_OK = 0
+EXIT_CRASH = 1
+EXIT_USAGE = 2
+
+StopListening = collections.abc.Callable[[], collections.abc.Awaitable[None]]
+# An open node, and what closes its listeners.
+Opened = tuple[node_context.NodeContext, StopListening]
+ReadSettings = collections.abc.Callable[[], node_settings.Settings]
 Assemble = collections.abc.Callable[
     [node_settings.Settings, event_log.EventLog], collections.abc.Awaitable[Opened]
 ]
 
 
 def command(program: str, help_text: str, assemble: Assemble) -> click.Command:
-    """A click command with a flag for each setting of the registry."""
+    """Return a click command with a flag for each setting.
+
+    Args:
+        program: The name of the program without its prefix, as in "dataplane".
+        help_text: The first line of its help.
+        assemble: Opens the node by its settings.
+    """
 
     def callback(settings: str | None, **flags: typing.Any) -> None:
-        given = {key: value for key, value in flags.items() if value is not None}
-        try:
+        def read_settings() -> node_settings.Settings:
+            from_file = node_settings.read_file(settings) if settings else {}
             # Flags win over the file.
-            checked = node_settings.check(
-                {**(node_settings.read_file(settings) if settings else {}), **given}, program
-            )
+            from_flags = {key: value for key, value in flags.items() if value is not None}
+            return node_settings.check({**from_file, **from_flags}, program)
+
+        try:
+            checked = read_settings()
         except errors.SettingsError as error:
             for fault in error.faults:
                 click.echo(f"irisstand-{program}: {fault}", err=True)
-            sys.exit(2)
+            sys.exit(EXIT_USAGE)
+        sys.exit(run(checked, assemble, read_settings))
 
-        def read_again() -> node_settings.Settings:
-            return node_settings.check(
-                {**(node_settings.read_file(settings) if settings else {}), **given}, program
-            )
+    name = f"irisstand-{program}"
+    made = click.Command(name, callback=callback, params=_options(program), help=help_text)
+    return click.version_option(irisstand.VERSION, prog_name=name)(made)
 
-        sys.exit(run(checked, assemble, read_again))
 
-    parameters: list[click.Parameter] = [
+def _options(program: str) -> list[click.Parameter]:
+    options: list[click.Parameter] = [
         click.Option(["--settings"], metavar="FILE", help="a TOML file of settings; flags win over it")
     ]
-    for key, (_, about) in node_settings.REGISTRY.items():
-        if program == "controlplane" and key == "role":
+    for key, setting in node_settings.REGISTRY.items():
+        # The control plane has one role only.
+        if program == node_settings.CONTROL_PLANE_PROGRAM and key == "role":
             continue
-        parameters.append(click.Option(["--" + key.replace("_", "-")], metavar="VALUE", help=about))
-    made = click.Command(f"irisstand-{program}", callback=callback, params=parameters, help=help_text)
-    return click.version_option(irisstand.VERSION, prog_name=f"irisstand-{program}")(made)
+        flag = "--" + key.replace("_", "-")
+        options.append(click.Option([flag], metavar="VALUE", help=setting.help_text))
+    return options
 
 
-def run(settings: node_settings.Settings, assemble: Assemble, read_again: Reread | None = None) -> int:
-    log_ring = event_log.EventLog()
-    log_ring.attach()
+def run(
+    settings: node_settings.Settings, assemble: Assemble, read_settings: ReadSettings | None = None
+) -> int:
+    """Run a node until it is told to stop or crashes; return the exit code."""
+    log = event_log.EventLog()
+    log.attach()
     try:
-        return uvloop.run(serve(settings, assemble, log_ring, read_again))
+        return uvloop.run(serve(settings, assemble, log, read_settings))
     except Exception as error:
+        # Whatever it was, its cause is in the log, which would be lost with the process.
         event_log.record("crash", error=repr(error))
-        log_ring.write_out(f"crash: {error!r}")
-        return 1
+        log.write_out(f"crash: {error!r}")
+        return EXIT_CRASH
 
 
 def bound_end(settings: node_settings.Settings) -> None:
-    """End this process in its time, whatever still holds it: a thread in a stalled write, or a task.
+    """End this process in its time, whatever still keeps it: a thread in a stalled write, or a task.
 
     By then nothing is answered any more, and to the disk it is the same as a kill, which it withstands.
     """
-    allowed = settings.farewell + settings.drain + END_MARGIN_SECONDS
-    timer = threading.Timer(allowed, os._exit, (0,))
+    allowed_seconds = settings.farewell + settings.drain + END_MARGIN_SECONDS
+    timer = threading.Timer(allowed_seconds, os._exit, (EXIT_OK,))
     timer.daemon = True
     timer.start()
 
@@ -82,40 +101,51 @@
 async def serve(
     settings: node_settings.Settings,
     assemble: Assemble,
-    log_ring: event_log.EventLog,
-    read_again: Reread | None = None,
+    log: event_log.EventLog,
+    read_settings: ReadSettings | None = None,
 ) -> int:
-    stop, again = asyncio.Event(), asyncio.Event()
+    """Open a node, wait for a signal or a crash, and shut the node down; return the exit code."""
+    stop = asyncio.Event()
+    reload = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    loop.add_signal_handler(signal.SIGHUP, again.set)
+    loop.add_signal_handler(signal.SIGHUP, reload.set)
     try:
-        context, stop_listening = await assemble(settings, log_ring)
+        context, stop_listening = await assemble(settings, log)
     except OSError as error:
         print(f"irisstand: {error}; free the port or name another", file=sys.stderr)
-        return 2
+        return EXIT_USAGE
     except errors.IrisError as error:
         print(f"irisstand: {error.code}: {error}; {error.remedy}", file=sys.stderr)
-        return 2
-    if read_again is not None:
-        context.start_task(settings_reload.follow(context, again, read_again), "settings")
-    waiting = loop.create_task(stop.wait())
-    await asyncio.wait([waiting, context.crashed], return_when=asyncio.FIRST_COMPLETED)
-    if context.crashed.done():
-        error = context.crashed.exception()
-        if isinstance(error, errors.PortTakenError):
-            print(f"irisstand: {error}; {error.remedy}", file=sys.stderr)
-            return 2
-        log_ring.write_out(f"crash: {error!r}")
-        return 1
+        return EXIT_USAGE
+    if read_settings is not None:
+        context.start_task(settings_reload.follow(context, reload, read_settings), "settings")
+    crashed = context.crashed
+    assert crashed is not None, "an open node has this future"
+    ends: list[asyncio.Future[typing.Any]] = [loop.create_task(stop.wait()), crashed]
+    await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
+    if crashed.done():
+        return _report_crash(crashed.exception(), log)
+    await _shut_down(context, stop_listening)
+    log.write_out("SIGTERM")
+    return EXIT_OK
+
+
+def _report_crash(error: BaseException | None, log: event_log.EventLog) -> int:
+    if isinstance(error, errors.PortTakenError):
+        print(f"irisstand: {error}; {error.remedy}", file=sys.stderr)
+        return EXIT_USAGE
+    log.write_out(f"crash: {error!r}")
+    return EXIT_CRASH
+
+
+async def _shut_down(context: node_context.NodeContext, stop_listening: StopListening) -> None:
     # Balancers and peers first learn that this node leaves; until then it serves as before. A listener
-    # closed at once would reset connections that were made but not yet taken up.
+    # closed at once would reset connections that were made but not yet accepted.
     context.is_lame_duck = True
     bound_end(context.settings)
     await asyncio.sleep(context.settings.farewell)
     await stop_listening()
     await context.drain()
     await context.close()
-    log_ring.write_out("SIGTERM")
-    return 0
--- a/src/irisstand/settings_reload.py
+++ b/src/irisstand/settings_reload.py
@@ -1,4 +1,4 @@
-"""Settings that change while a process runs: taken up where that is possible, and named where it is not."""
+"""Settings that change while a process runs: applied where that is possible, reported where it is not."""
 
 import asyncio
 import collections.abc
@@ -9,41 +9,56 @@
 
 # The file may change without a signal; seeds are needed only when all peers are gone.
 RECHECK_INTERVAL_SECONDS = 10.0
+# Bootstrapping concerns only the next start, so a change of it needs no report.
+SILENT_SETTINGS = ("seeds", "may_found")
 
 
-def take_up(context: node_context.NodeContext, settings: node_settings.Settings) -> list[str]:
-    """Take up what can change; the names of settings that would need a new start."""
-    old = context.settings
+def apply_settings(context: node_context.NodeContext, settings: node_settings.Settings) -> list[str]:
+    """Apply the settings that can change; return the names of changed ones that need a restart."""
+    current = context.settings
     changed = [
-        name for name in node_settings.Settings._fields if getattr(old, name) != getattr(settings, name)
+        name for name in node_settings.Settings._fields if getattr(current, name) != getattr(settings, name)
     ]
     if "seeds" in changed:
         context.joiner.set_seeds(settings.seeds)
-        context.settings = old._replace(seeds=settings.seeds)
+        context.settings = current._replace(seeds=settings.seeds)
         event_log.record("settings", seeds=[list(seed) for seed in settings.seeds])
-    # Whether it may found concerns only the next start.
-    return [name for name in changed if name not in ("seeds", "may_found")]
+    return [name for name in changed if name not in SILENT_SETTINGS]
 
 
 async def follow(
     context: node_context.NodeContext,
     signalled: asyncio.Event,
-    read_again: collections.abc.Callable[[], node_settings.Settings],
+    read_settings: collections.abc.Callable[[], node_settings.Settings],
 ) -> None:
-    """On each signal, and now and then without one. A file that does not do changes nothing, and is told
-    of."""
-    told: list[str] = []
+    """Read the settings again on each signal and now and then; invalid ones are reported and change nothing.
+
+    Args:
+        context: The node whose settings are followed.
+        signalled: Set by the signal; cleared here.
+        read_settings: Reads and checks the settings; raises SettingsError.
+    """
+    reported: list[str] = []
     while True:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(RECHECK_INTERVAL_SECONDS):
                 await signalled.wait()
-        is_asked = signalled.is_set()
+        is_signalled = signalled.is_set()
         signalled.clear()
-        try:
-            left = [f"{name}: changed, which takes a new start" for name in take_up(context, read_again())]
-        except errors.SettingsError as error:
-            left = error.faults
-        # Said once for each change, and again to whoever asks by a signal.
-        if left and (is_asked or left != told):
-            print("\n".join(f"irisstand: settings: {fault}" for fault in left), file=sys.stderr, flush=True)
-        told = left
+        faults = _apply_again(context, read_settings)
+        # Reported once for each change, and again to whoever sends a signal.
+        if faults and (is_signalled or faults != reported):
+            lines = [f"irisstand: settings: {fault}" for fault in faults]
+            print("\n".join(lines), file=sys.stderr, flush=True)
+        reported = faults
+
+
+def _apply_again(
+    context: node_context.NodeContext,
+    read_settings: collections.abc.Callable[[], node_settings.Settings],
+) -> list[str]:
+    try:
+        needing_restart = apply_settings(context, read_settings())
+    except errors.SettingsError as error:
+        return error.faults
+    return [f"{name}: changed, which takes a new start" for name in needing_restart]
--- a/src/irisstand/web.py
+++ b/src/irisstand/web.py
@@ -1,6 +1,7 @@
-"""HTTP towards people and callers: one sanic application in this very process, with the common pages."""
+"""HTTP towards operators and clients: one sanic application in this very process, with the common pages."""
 
 import asyncio
+import collections.abc
 import json
 import math
 import typing
@@ -13,56 +14,71 @@
 from irisstand import errors, event_log, node_context
 
 BODY_LIMIT_BYTES = 4 * 1024 * 1024
+# An edge listens after that time even if its tables are not current.
 OPENING_LIMIT_SECONDS = 30.0
+OPENING_CHECK_SECONDS = 0.02
+SANIC_CONFIG = {
+    "MOTD": False,
+    "ACCESS_LOG": False,
+    "REQUEST_MAX_SIZE": BODY_LIMIT_BYTES,
+    "KEEP_ALIVE_TIMEOUT": 30,
+    "RESPONSE_TIMEOUT": 70,
+    "REQUEST_TIMEOUT": 30,
+    "FALLBACK_ERROR_FORMAT": "json",
+    "TOUCHUP": False,
+}
+
+STATUS_OK = 200
+STATUS_PAYLOAD_TOO_LARGE = 413
+STATUS_HEADERS_TOO_LARGE = 431
+STATUS_INTERNAL_ERROR = 500
+STATUSES_WITH_RETRY_AFTER = (502, 503, 504)
+STATUS_UNAVAILABLE = 503
+
+Response = sanic.response.HTTPResponse
+
+
+def json_response(
+    content: typing.Any, status: int = STATUS_OK, headers: dict[str, str] | None = None
+) -> Response:
+    """Return a response with a JSON body."""
+    return Response(json.dumps(content), status=status, headers=headers, content_type="application/json")
+
+
+def error_response(error: errors.IrisError) -> Response:
+    """Return the response that reports an error: JSON object, status, and Retry-After if it has one."""
+    headers = {"Cache-Control": "no-store"}
+    if error.retry_after:
+        headers["Retry-After"] = str(max(1, math.ceil(error.retry_after)))
+    return json_response(error.to_json(), error.status, headers)
 
 
-def as_json(
-    content: typing.Any, status: int = 200, headers: dict | None = None
-) -> sanic.response.HTTPResponse:
-    return sanic.response.HTTPResponse(
-        json.dumps(content), status=status, headers=headers, content_type="application/json"
-    )
+class HttpServer:
+    """The HTTP listener of a node, with its pages for liveness, readiness, status, counters and event log.
 
+    Attributes:
+        app: The sanic application, to which other modules add routes.
+    """
 
-def as_fault(error: errors.IrisError) -> sanic.response.HTTPResponse:
-    headers = {"Cache-Control": "no-store"}
-    # Told at once when to come back, instead of being kept waiting until it could.
-    if error.retry_after:
-        headers["Retry-After"] = str(max(1, math.ceil(error.retry_after)))
-    return as_json(error.to_json(), error.status, headers)
-
-
-class Web:
-    """`ready` tells whether this node should be sent work."""
-
-    def __init__(self, context: node_context.NodeContext, log_ring: event_log.EventLog) -> None:
-        self.context, self.ring = context, log_ring
-        name = "irisstand_" + "".join(letter if letter.isalnum() else "_" for letter in context.settings.name)
-        self.app = sanic.Sanic(name, configure_logging=False)
-        self.app.config.update(
-            {
-                "MOTD": False,
-                "ACCESS_LOG": False,
-                "REQUEST_MAX_SIZE": BODY_LIMIT_BYTES,
-                "KEEP_ALIVE_TIMEOUT": 30,
-                "RESPONSE_TIMEOUT": 70,
-                "REQUEST_TIMEOUT": 30,
-                "FALLBACK_ERROR_FORMAT": "json",
-                "TOUCHUP": False,
-            }
-        )
+    def __init__(self, context: node_context.NodeContext, log: event_log.EventLog) -> None:
+        self.context = context
+        self.log = log
+        name = "".join(letter if letter.isalnum() else "_" for letter in context.settings.name)
+        self.app = sanic.Sanic(f"irisstand_{name}", configure_logging=False)
+        self.app.config.update(SANIC_CONFIG)
         self.server: typing.Any = None
-        self.connections: set = set()
+        self.connections: collections.abc.Iterable[typing.Any] = ()
         context.close_callbacks.append(self.abort_connections)
         self.app.error_handler.add(Exception, self.on_error)
         self.app.add_route(self.live, "/_irisstand/live", methods=["GET"])
         self.app.add_route(self.ready, "/_irisstand/ready", methods=["GET"])
         self.app.add_route(self.status, "/_irisstand/status", methods=["GET"])
         self.app.add_route(self.counters, "/_irisstand/counters", methods=["GET"])
-        self.app.add_route(self.write_ring, "/_irisstand/ring", methods=["POST"])
-        self.app.on_response(self.on_response)
+        self.app.add_route(self.write_log, "/_irisstand/ring", methods=["POST"])
+        self.app.register_middleware(self.on_response, "response")
 
     async def open(self) -> None:
+        """Listen; raises OSError if the port is taken."""
         settings = self.context.settings
         self.server = await self.app.create_server(
             host=settings.host, port=settings.http_port, return_asyncio_server=True, access_log=False
@@ -72,13 +88,14 @@
         await self.server.start_serving()
 
     async def open_when_current(self) -> None:
-        """An edge just started would only turn clients away: it listens once it can answer them."""
-        clock, started = self.context.clock, self.context.clock.now()
+        """Listen once the tables are current: before that, an edge would only reject clients."""
+        clock = self.context.clock
+        started_at = clock.now()
         while not all(map(self.context.is_current, self.context.replicas.values())):
-            # A core that is away for long is no reason to be unreachable: people need to see why.
-            if clock.now() - started > OPENING_LIMIT_SECONDS:
+            # A long quorum loss is no reason to be unreachable: people need to see why.
+            if clock.now() - started_at > OPENING_LIMIT_SECONDS:
                 break
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(OPENING_CHECK_SECONDS)
         if not self.context.is_lame_duck:
             try:
                 await self.open()
@@ -86,67 +103,78 @@
                 raise errors.PortTakenError(str(error)) from None
 
     async def stop_listening(self) -> None:
+        """Accept no more connections; those that exist are served on."""
         if self.server is not None:
             self.server.close()
             self.server = None
 
     def abort_connections(self) -> None:
-        """The end: a client that does not read must not keep a connection's task, and so the process."""
+        """End all connections: a client that does not read must not keep the process alive."""
         for connection in list(self.connections):
             if connection.transport is not None:
                 connection.transport.abort()
 
     async def on_response(
-        self, request: sanic.request.Request, response: sanic.response.BaseHTTPResponse
+        self, _request: sanic.request.Request, response: sanic.response.BaseHTTPResponse
     ) -> None:
-        # A kept connection would bring more work to a node that is leaving.
+        """Close the connection after a response of a node that shuts down: it would bring more work."""
         if self.context.is_lame_duck or self.context.is_draining:
             response.headers["Connection"] = "close"
 
-    def on_error(self, request: sanic.request.Request, error: Exception) -> sanic.response.HTTPResponse:
+    def on_error(self, _request: sanic.request.Request, error: Exception) -> Response:
+        """Return the response for an error of a handler, of sanic or of this software."""
         if isinstance(error, errors.IrisError):
-            return as_fault(error)
+            return error_response(error)
         if isinstance(error, sanic.exceptions.SanicException):
-            status = error.status_code or 500
-            # Sanic calls an oversized head an oversized payload; HTTP has a status of its own for it.
-            if status == 413 and "header" in str(error).lower():
-                status = 431
-            remedy = "send what the operators' page describes, within its limits"
-            headers = {"Retry-After": "1"} if status in (502, 503, 504) else None
-            content = {"code": f"http-{status}", "message": str(error), "remedy": remedy}
-            return as_json(content, status, headers)
+            return _sanic_error_response(error)
         event_log.record("crash", error=repr(error))
-        self.ring.write_out(f"error in a request: {error!r}")
-        return as_fault(errors.IrisError("an error of this node's own"))
+        self.log.write_out(f"error in a request: {error!r}")
+        return error_response(errors.IrisError("an error of this node's own"))
 
-    def is_ready(self) -> tuple[bool, str]:
-        if self.context.is_lame_duck or self.context.is_draining:
+    def readiness(self) -> tuple[bool, str]:
+        """Return whether this node should be sent work, and why."""
+        context = self.context
+        if context.is_lame_duck or context.is_draining:
             return False, "draining"
-        for copy in self.context.replicas.values():
-            if not self.context.is_current(copy):
-                return False, f"the {copy.name} table is not known to be current"
-        settings = self.context.settings
-        # The core works on wherever it is; only clients' work is kept away.
-        if self.context.role == "edge" and self.context.is_evacuated(settings.site):
-            return False, f"site {settings.site} is evacuated"
-        if self.context.role == "edge" and self.context.is_standby(settings.machine):
-            return False, f"machine {settings.machine} rests"
+        for table in context.replicas.values():
+            if not context.is_current(table):
+                return False, f"the {table.name} table is not known to be current"
+        # The control plane works on wherever it is; only clients' work is kept away.
+        if context.role == "edge" and context.is_evacuated(context.settings.site):
+            return False, f"site {context.settings.site} is evacuated"
+        if context.role == "edge" and context.is_standby(context.settings.machine):
+            return False, f"machine {context.settings.machine} rests"
         return True, "ready"
 
-    async def live(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        return as_json({"live": True})
+    async def live(self, _request: sanic.request.Request) -> Response:
+        """Answer that the process runs."""
+        return json_response({"live": True})
 
-    async def ready(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        is_ready, why = self.is_ready()
-        return as_json({"ready": is_ready, "why": why}, 200 if is_ready else 503)
+    async def ready(self, _request: sanic.request.Request) -> Response:
+        """Answer whether this node should be sent work: status 200 or 503."""
+        is_ready, why = self.readiness()
+        return json_response({"ready": is_ready, "why": why}, STATUS_OK if is_ready else STATUS_UNAVAILABLE)
 
-    async def status(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        return as_json(self.context.status())
+    async def status(self, _request: sanic.request.Request) -> Response:
+        """Answer with the status of the node."""
+        return json_response(self.context.status())
 
-    async def counters(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
+    async def counters(self, _request: sanic.request.Request) -> Response:
+        """Answer with all counters in the Prometheus text format."""
         return sanic.response.text(
             self.context.counters.text(), content_type="text/plain; version=0.0.4; charset=utf-8"
         )
 
-    async def write_ring(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        return as_json({"written": self.ring.write_out("asked for by an operator")})
+    async def write_log(self, _request: sanic.request.Request) -> Response:
+        """Write the event log out."""
+        return json_response({"written": self.log.write_out("asked for by an operator")})
+
+
+def _sanic_error_response(error: sanic.exceptions.SanicException) -> Response:
+    status = error.status_code or STATUS_INTERNAL_ERROR
+    # Sanic calls an oversized head an oversized payload; HTTP has a status of its own (RFC 6585, section 5).
+    if status == STATUS_PAYLOAD_TOO_LARGE and "header" in str(error).lower():
+        status = STATUS_HEADERS_TOO_LARGE
+    remedy = "send what the operators' page describes, within its limits"
+    headers = {"Retry-After": "1"} if status in STATUSES_WITH_RETRY_AFTER else None
+    return json_response({"code": f"http-{status}", "message": str(error), "remedy": remedy}, status, headers)
--- a/tests/dataplane/test_final_answers.py
+++ b/tests/dataplane/test_final_answers.py
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("kind", sorted(set(kinds()), key=lambda kind: kind.__name__))
 def test_every_error_has_a_code_a_remedy_and_where_it_makes_sense_retry_after(kind):
     error = kind(*ARGUMENTS.get(kind, ("what happened",)))
-    response = web.as_fault(error)
+    response = web.error_response(error)
     content = json.loads(response.body)
     assert content["code"] == kind.code and len(content["remedy"]) > 10 and response.status == kind.status
     assert response.headers["Cache-Control"] == "no-store"
--- a/tests/mutation/consensus_mutations.py
+++ b/tests/mutation/consensus_mutations.py
@@ -39,8 +39,8 @@
         "controlplane/test_graceful_shutdown.py::test_a_change_that_cannot_be_settled_before_its_node_goes_is_answered_all_the_same",
     ),
     (
-        "node_context.py",
-        "        if age is None or table.current_as_of < self.started_at:",
+        "node_tables.py",
+        "        if age is None or table.current_as_of is None or table.current_as_of < self.started_at:",
         "        if age is None:",
         "state/test_restart_freshness.py",
     ),
--- a/tests/programs/test_shutdown.py
+++ b/tests/programs/test_shutdown.py
@@ -14,7 +14,7 @@
     loop.run_in_executor(None, threading.Event().wait, 20)
     loop.call_later(0.1, os.kill, os.getpid(), signal.SIGTERM)
     context = types.SimpleNamespace(
-        settings=settings, crashed=loop.create_future(), drain=nothing, close=nothing, leaving=False
+        settings=settings, crashed=loop.create_future(), drain=nothing, close=nothing, is_lame_duck=False
     )
     return context, nothing
 
