--- a/src/irisstand/membership/detector.py
+++ b/src/irisstand/membership/detector.py
@@ -3,8 +3,7 @@
 import asyncio
 import random
 
-from irisstand import clocks, errors
-from irisstand import counters as counting
+from irisstand import clocks, counters, errors
 from irisstand.membership import membership_state, messages, updates
 from irisstand.transport import network
 
@@ -27,7 +26,7 @@
         node_info: updates.NodeInfo,
         clock: clocks.Clock,
         randomness: random.Random,
-        counters: counting.Counters,
+        counters: counters.Counters,
     ) -> None:
         super().__init__(name, node_info, clock, randomness, counters)
         self.port: network.Port | None = None
--- a/src/irisstand/membership/joining.py
+++ b/src/irisstand/membership/joining.py
@@ -4,8 +4,7 @@
 import typing
 
 from irisstand import errors
-from irisstand.membership import detector as detecting
-from irisstand.membership import updates
+from irisstand.membership import detector, updates
 from irisstand.transport import network, peers
 
 # The kind of request on the wire.
@@ -47,7 +46,7 @@
 
     def __init__(
         self,
-        detector: detecting.FailureDetector,
+        detector: detector.FailureDetector,
         transport: peers.Transport,
         seeds: list[network.Address],
     ) -> None:
--- a/src/irisstand/membership/membership_state.py
+++ b/src/irisstand/membership/membership_state.py
@@ -4,8 +4,7 @@
 import dataclasses
 import random
 
-from irisstand import clocks, event_log
-from irisstand import counters as counting
+from irisstand import clocks, counters, event_log
 from irisstand.membership import dissemination_buffer, member_list, updates
 
 OnChange = collections.abc.Callable[[updates.Update], None]
@@ -46,7 +45,7 @@
         node_info: updates.NodeInfo,
         clock: clocks.Clock,
         randomness: random.Random,
-        counters: counting.Counters,
+        counters: counters.Counters,
     ) -> None:
         self.clock = clock
         self.randomness = randomness
--- a/src/irisstand/node_context.py
+++ b/src/irisstand/node_context.py
@@ -6,10 +6,8 @@
 import random
 import typing
 
-from irisstand import clocks, event_log, node_settings, node_tables, setting_parsers
-from irisstand import counters as counting
-from irisstand.membership import detector as detecting
-from irisstand.membership import joining, updates
+from irisstand import clocks, counters, event_log, node_settings, node_tables, setting_parsers
+from irisstand.membership import detector, joining, updates
 from irisstand.transport import network, peers
 
 # The end of a drain, in which work that cannot be finished is answered with an error that says so.
@@ -45,7 +43,7 @@
         super().__init__(settings, role, clock)
         self.randomness = randomness
         self.net = net
-        self.counters = counting.Counters()
+        self.counters = counters.Counters()
         node_info = updates.NodeInfo(
             role,
             settings.machine,
@@ -55,8 +53,8 @@
             settings.port,
             settings.http_port,
         )
-        self.detector = detecting.FailureDetector(settings.name, node_info, clock, randomness, self.counters)
-        self.load_gauge = counting.LoadGauge(clock)
+        self.detector = detector.FailureDetector(settings.name, node_info, clock, randomness, self.counters)
+        self.load_gauge = counters.LoadGauge(clock)
         self.transport = peers.Transport(net, self.counters, settings.name)
         self.transport.own_incarnation_id = lambda: self.detector.identity.incarnation_id
         self.transport.handlers["gauge"] = self.on_load
--- a/src/irisstand/transport/peer_connection.py
+++ b/src/irisstand/transport/peer_connection.py
@@ -4,8 +4,7 @@
 import contextlib
 import typing
 
-from irisstand import counters as counting
-from irisstand import errors
+from irisstand import counters, errors
 from irisstand.transport import codec, network
 
 
@@ -27,7 +26,7 @@
         last_received_at: The event loop's time when anything last came from the peer, in seconds.
     """
 
-    def __init__(self, stream: network.Stream, hello: codec.Hello, counters: counting.Counters) -> None:
+    def __init__(self, stream: network.Stream, hello: codec.Hello, counters: counters.Counters) -> None:
         self.stream = stream
         self.counters = counters
         self.name = hello.name
--- a/src/irisstand/transport/peers.py
+++ b/src/irisstand/transport/peers.py
@@ -3,8 +3,7 @@
 import asyncio
 import typing
 
-from irisstand import counters as counting
-from irisstand import errors
+from irisstand import counters, errors
 from irisstand.transport import codec, network, peer_connection, request_server
 
 # A connection on which a request went unanswered and nothing came for that long is given up.
@@ -14,7 +13,7 @@
 class Transport(request_server.RequestServer):
     """All messages between this node and its peers; docs/control/connections.md has the rules."""
 
-    def __init__(self, net: network.Network, counters: counting.Counters, name: str) -> None:
+    def __init__(self, net: network.Network, counters: counters.Counters, name: str) -> None:
         super().__init__(net, counters, name)
         self.connections: dict[network.Address, peer_connection.PeerConnection] = {}
         self.connect_locks: dict[network.Address, asyncio.Lock] = {}
--- a/src/irisstand/transport/request_server.py
+++ b/src/irisstand/transport/request_server.py
@@ -5,8 +5,7 @@
 import contextlib
 import typing
 
-from irisstand import counters as counting
-from irisstand import errors, event_log
+from irisstand import counters, errors, event_log
 from irisstand.transport import codec, network
 
 # Of one connection; a peer that sends more is cut off.
@@ -46,7 +45,7 @@
             the version before send "".
     """
 
-    def __init__(self, net: network.Network, counters: counting.Counters, name: str) -> None:
+    def __init__(self, net: network.Network, counters: counters.Counters, name: str) -> None:
         self.net = net
         self.counters = counters
         self.name = name
