--- a/src/irisstand/state/replication/chunk_transfer.py
+++ b/src/irisstand/state/replication/chunk_transfer.py
@@ -13,9 +13,8 @@
 import ormsgpack
 
 from irisstand import errors, node_context
-from irisstand.state import items, versions
-from irisstand.state.replica import KEY_UPPER_BOUND, Replica
-from irisstand.state.replication.messages import ChunkReply, ChunkRequest, Cursor, MessageKind
+from irisstand.state import items, replica, versions
+from irisstand.state.replication import messages
 from irisstand.transport import codec, network
 
 REPLY_TIMEOUT_SECONDS = 0.6
@@ -31,7 +30,7 @@
     """Compressed items behind a cursor, and the cursor where they end; None if nothing is behind them."""
 
     packed_items: bytes
-    end: Cursor | None
+    end: messages.Cursor | None
 
 
 @dataclasses.dataclass
@@ -39,7 +38,7 @@
     """Items above the applied version `base` that were received so far, the last one at `cursor`."""
 
     base: versions.Version
-    cursor: Cursor
+    cursor: messages.Cursor
     items: dict[str, items.Item]
 
 
@@ -49,11 +48,11 @@
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
         self.staged: dict[str, StagedItems] = {}
-        self.cached_chunks: dict[tuple[str, Cursor], Chunk] = {}
+        self.cached_chunks: dict[tuple[str, messages.Cursor], Chunk] = {}
         self.cached_at_version: dict[str, versions.Version] = {}
-        context.transport.handlers[MessageKind.CHUNK] = self.on_chunk_request
-        for replica in context.replicas.values():
-            replica.watchers.append(self.drop_outdated)
+        context.transport.handlers[messages.MessageKind.CHUNK] = self.on_chunk_request
+        for local in context.replicas.values():
+            local.watchers.append(self.drop_outdated)
 
     # -- answering -----------------------------------------------------------------------------------
     async def on_chunk_request(self, _: str, body: typing.Any) -> tuple[typing.Any, ...]:
@@ -62,28 +61,30 @@
         Raises:
             StaleConfigurationError: The node that asks has newer items than this one.
         """
-        request = ChunkRequest.from_wire(body)
-        replica = self.context.replicas[request.table]
-        if replica.applied < max(request.base, request.cursor.version):
+        request = messages.ChunkRequest.from_wire(body)
+        local = self.context.replicas[request.table]
+        if local.applied < max(request.base, request.cursor.version):
             raise errors.StaleConfigurationError(f"the {request.table} table is older here than the asker's")
-        chunk = self.chunk_behind(replica, request.cursor)
-        removed_keys = tuple(replica.changes_since(request.base).removed_keys) if chunk.end is None else ()
-        age = replica.age(self.context.clock.now())
-        root_digest = replica.root_digest()
-        reply = ChunkReply(replica.applied, age, root_digest, chunk.packed_items, chunk.end, removed_keys)
+        chunk = self.chunk_behind(local, request.cursor)
+        removed_keys = tuple(local.changes_since(request.base).removed_keys) if chunk.end is None else ()
+        age = local.age(self.context.clock.now())
+        root_digest = local.root_digest()
+        reply = messages.ChunkReply(
+            local.applied, age, root_digest, chunk.packed_items, chunk.end, removed_keys
+        )
         return reply.to_wire()
 
-    def chunk_behind(self, replica: Replica, cursor: Cursor) -> Chunk:
+    def chunk_behind(self, local: replica.Replica, cursor: messages.Cursor) -> Chunk:
         """Return the chunk behind a cursor, compressed once for all nodes that ask for it."""
-        is_outdated = self.cached_at_version.get(replica.name) != replica.applied
+        is_outdated = self.cached_at_version.get(local.name) != local.applied
         if is_outdated or len(self.cached_chunks) >= CACHED_CHUNKS_LIMIT:
             self.cached_chunks = {
-                place: chunk for place, chunk in self.cached_chunks.items() if place[0] != replica.name
+                place: chunk for place, chunk in self.cached_chunks.items() if place[0] != local.name
             }
-            self.cached_at_version[replica.name] = replica.applied
-        place = (replica.name, cursor)
+            self.cached_at_version[local.name] = local.applied
+        place = (local.name, cursor)
         if place not in self.cached_chunks:
-            self.cached_chunks[place] = cut_chunk(replica, cursor)
+            self.cached_chunks[place] = cut_chunk(local, cursor)
         return self.cached_chunks[place]
 
     # -- asking --------------------------------------------------------------------------------------
@@ -93,13 +94,13 @@
             if staged.base != self.context.replicas[name].applied:
                 del self.staged[name]
 
-    async def transfer(self, address: network.Address, name: str, replica: Replica) -> bool:
+    async def transfer(self, address: network.Address, name: str, local: replica.Replica) -> bool:
         """Request chunk after chunk from one peer and apply them at the end.
 
         Args:
             address: The address of the peer.
             name: The node name of the peer.
-            replica: The replica to bring up to date.
+            local: The replica to bring up to date.
 
         Returns:
             False if the outcome would not equal the peer's replica, or there are too many chunks.
@@ -108,55 +109,57 @@
             IrisError: The peer did not answer, or answered with an error.
             ValueError, TypeError: The reply is malformed.
         """
-        staged = self.staged_items(replica)
+        staged = self.staged_items(local)
         for _ in range(CHUNKS_LIMIT):
             sent_at = self.context.clock.now()
-            request = ChunkRequest(replica.name, staged.base, staged.cursor)
+            request = messages.ChunkRequest(local.name, staged.base, staged.cursor)
             fields = await self.context.transport.call(
-                address, name, MessageKind.CHUNK, request.to_wire(), REPLY_TIMEOUT_SECONDS
+                address, name, messages.MessageKind.CHUNK, request.to_wire(), REPLY_TIMEOUT_SECONDS
             )
-            if replica.applied != staged.base:
+            if local.applied != staged.base:
                 # It was brought up to date in another way; the next round asks from there.
                 return True
-            reply = ChunkReply.from_wire(fields)
+            reply = messages.ChunkReply.from_wire(fields)
             staged.items.update({item.key: item for item in unpack_items(reply.packed_items)})
             if reply.end is None:
-                return self.finish(replica, staged, reply, sent_at)
+                return self.finish(local, staged, reply, sent_at)
             staged.cursor = checked_next(staged.cursor, reply.end)
         return False
 
-    def staged_items(self, replica: Replica) -> StagedItems:
+    def staged_items(self, local: replica.Replica) -> StagedItems:
         """Return what was received so far for the replica as it is now, from whichever peer."""
-        staged = self.staged.get(replica.name)
-        if staged is None or staged.base != replica.applied:
-            staged = StagedItems(replica.applied, Cursor(replica.applied, KEY_UPPER_BOUND), {})
-            self.staged[replica.name] = staged
+        staged = self.staged.get(local.name)
+        if staged is None or staged.base != local.applied:
+            staged = StagedItems(local.applied, messages.Cursor(local.applied, replica.KEY_UPPER_BOUND), {})
+            self.staged[local.name] = staged
         return staged
 
-    def finish(self, replica: Replica, staged: StagedItems, reply: ChunkReply, sent_at: float) -> bool:
+    def finish(
+        self, local: replica.Replica, staged: StagedItems, reply: messages.ChunkReply, sent_at: float
+    ) -> bool:
         """Apply the staged items after the last chunk. Return whether the outcome is the peer's replica."""
-        self.staged.pop(replica.name, None)
+        self.staged.pop(local.name, None)
         removed_keys = set(reply.removed_keys)
         changed = [item for item in staged.items.values() if item.key not in removed_keys]
-        if not replica.apply_changes(reply.applied, reply.root_digest, changed, sorted(removed_keys)):
+        if not local.apply_changes(reply.applied, reply.root_digest, changed, sorted(removed_keys)):
             return False
-        self.context.counters.add("rows_carried", len(changed), table=replica.name)
+        self.context.counters.add("rows_carried", len(changed), table=local.name)
         if reply.age is not None:
-            replica.confirm_current(sent_at - reply.age)
+            local.confirm_current(sent_at - reply.age)
         return True
 
 
-def cut_chunk(replica: Replica, cursor: Cursor) -> Chunk:
+def cut_chunk(local: replica.Replica, cursor: messages.Cursor) -> Chunk:
     """Return the items behind a cursor in the order of their versions, as many as a chunk has room for."""
     packed: list[bytes] = []
     size = 0
     end = cursor
-    for version, key in replica.keys_by_version.irange(tuple(cursor), inclusive=(False, True)):
+    for version, key in local.keys_by_version.irange(tuple(cursor), inclusive=(False, True)):
         if size >= CHUNK_BYTES:
             return Chunk(pack_items(packed), end)
-        packed.append(ormsgpack.packb(replica.items[key].to_wire()))
+        packed.append(ormsgpack.packb(local.items[key].to_wire()))
         size += len(packed[-1])
-        end = Cursor(version, key)
+        end = messages.Cursor(version, key)
     return Chunk(pack_items(packed), None)
 
 
@@ -181,7 +184,7 @@
     return [items.Item.from_wire(ormsgpack.unpackb(one)) for one in ormsgpack.unpackb(plain)]
 
 
-def checked_next(before: Cursor, end: Cursor) -> Cursor:
+def checked_next(before: messages.Cursor, end: messages.Cursor) -> messages.Cursor:
     """Return `end` if it lies behind `before`; otherwise requests for chunks would never come to an end.
 
     Raises:
--- a/src/irisstand/state/replication/quorum_loss.py
+++ b/src/irisstand/state/replication/quorum_loss.py
@@ -7,8 +7,7 @@
 import asyncio
 
 from irisstand import errors, node_context
-from irisstand.state import items, quorum
-from irisstand.state.replica import Replica
+from irisstand.state import items, quorum, replica
 from irisstand.state.replication import messages, status_messages
 
 REPLY_TIMEOUT_SECONDS = 0.4
@@ -31,29 +30,29 @@
     async def run(self) -> None:
         """Check all doubtful tables, round after round, for as long as the node runs."""
         while True:
-            doubtful = [replica for replica in self.context.replicas.values() if self.is_doubtful(replica)]
-            await asyncio.gather(*(self.check_voters(replica) for replica in doubtful))
+            doubtful = [local for local in self.context.replicas.values() if self.is_doubtful(local)]
+            await asyncio.gather(*(self.check_voters(local) for local in doubtful))
             await asyncio.sleep(ROUND_PAUSE_SECONDS)
 
-    def is_doubtful(self, replica: Replica) -> bool:
+    def is_doubtful(self, local: replica.Replica) -> bool:
         """Return whether a table that was confirmed once is near the freshness bound or beyond."""
-        age = replica.age(self.context.clock.now())
+        age = local.age(self.context.clock.now())
         return age is not None and age > DOUBTFUL_FRACTION * self.context.settings.freshness_bound
 
-    async def check_voters(self, replica: Replica) -> None:
+    async def check_voters(self, local: replica.Replica) -> None:
         """Ask all voters of one table at once, and record a loss if a majority of them counts as lost."""
         # The evidence counts from here: a voter may have come back after it was asked.
         started = self.context.clock.now()
-        voters = quorum.voters_from_wire(replica.value(items.VOTERS_KEY))
-        unable = await self.unable_voters(voters, replica)
+        voters = quorum.voters_from_wire(local.value(items.VOTERS_KEY))
+        unable = await self.unable_voters(voters, local)
         if quorum.is_majority(voters, unable):
-            self.context.quorum_lost_as_of[replica.name] = started
-            self.context.counters.add("core_found_out", table=replica.name)
+            self.context.quorum_lost_as_of[local.name] = started
+            self.context.counters.add("core_found_out", table=local.name)
 
-    async def unable_voters(self, voters: list[quorum.Voter], replica: Replica) -> set[str]:
+    async def unable_voters(self, voters: list[quorum.Voter], local: replica.Replica) -> set[str]:
         """Return the disk ids of voters that cannot confirm anything; stop once they are a majority."""
         loop = asyncio.get_running_loop()
-        voter_by_task = {loop.create_task(self.cannot_confirm(voter, replica)): voter for voter in voters}
+        voter_by_task = {loop.create_task(self.cannot_confirm(voter, local)): voter for voter in voters}
         unable: set[str] = set()
         pending = set(voter_by_task)
         try:
@@ -65,7 +64,7 @@
                 task.cancel()
         return unable
 
-    async def cannot_confirm(self, voter: quorum.Voter, replica: Replica) -> bool:
+    async def cannot_confirm(self, voter: quorum.Voter, local: replica.Replica) -> bool:
         """Return whether there is evidence that one voter cannot confirm anything."""
         address = (voter.host, voter.port)
         transport = self.context.transport
@@ -74,11 +73,11 @@
                 address, voter.name, messages.MessageKind.APPLIED_VERSIONS, (), REPLY_TIMEOUT_SECONDS
             )
             state = await transport.call(
-                address, voter.name, messages.MessageKind.VOTER_STATE, (replica.name,), REPLY_TIMEOUT_SECONDS
+                address, voter.name, messages.MessageKind.VOTER_STATE, (local.name,), REPLY_TIMEOUT_SECONDS
             )
             return is_without_majority(
                 voter,
-                replica,
+                local,
                 [status_messages.TableStatus.from_wire(fields) for fields in statuses],
                 status_messages.VoterState.from_wire(state),
             )
@@ -102,14 +101,14 @@
 
 def is_without_majority(
     voter: quorum.Voter,
-    replica: Replica,
+    local: replica.Replica,
     statuses: list[status_messages.TableStatus],
     state: status_messages.VoterState,
 ) -> bool:
     """Return whether a voter says that it has no majority, and knows of nothing that this node lacks."""
     # A voter that says nothing about the table may well be able to confirm it.
-    is_current = {status.table: status.is_current for status in statuses}.get(replica.name, True)
-    if state.disk_id != voter.disk_id or is_current or state.applied > replica.applied:
+    is_current = {status.table: status.is_current for status in statuses}.get(local.name, True)
+    if state.disk_id != voter.disk_id or is_current or state.applied > local.applied:
         return False
     # A pending batch on this node's applied version may have been confirmed to a client.
-    return state.pending_base is None or state.pending_base < replica.applied
+    return state.pending_base is None or state.pending_base < local.applied
--- a/src/irisstand/state/replication/refresher.py
+++ b/src/irisstand/state/replication/refresher.py
@@ -5,8 +5,7 @@
 
 from irisstand import errors, node_context
 from irisstand.membership import updates
-from irisstand.state.replication import quorum_loss
-from irisstand.state.replication.replicator import Replicator
+from irisstand.state.replication import quorum_loss, replicator
 from irisstand.transport import network
 
 # The time after which the next peer is asked beside one that has not answered yet.
@@ -31,9 +30,9 @@
 class Refresher:
     """Asks other nodes, round after round, for what the tables of this node lack."""
 
-    def __init__(self, context: node_context.NodeContext, replicator: Replicator) -> None:
+    def __init__(self, context: node_context.NodeContext, table_replicator: replicator.Replicator) -> None:
         self.context = context
-        self.replicator = replicator
+        self.replicator = table_replicator
         self.answered_last: Source | None = None
 
     def sources(self) -> list[Source]:
--- a/src/irisstand/state/replication/replicator.py
+++ b/src/irisstand/state/replication/replicator.py
@@ -9,8 +9,7 @@
 import typing
 
 from irisstand import errors, node_context
-from irisstand.state import digests, items, versions
-from irisstand.state.replica import Replica
+from irisstand.state import digests, items, replica, versions
 from irisstand.state.replication import chunk_transfer, messages
 from irisstand.transport import network
 
@@ -53,10 +52,10 @@
     async def on_ranges_request(self, _: str, body: typing.Any) -> tuple[typing.Any, ...]:
         """Answer a `RangesRequest` with a `RangesReply`."""
         request = messages.RangesRequest.from_wire(body)
-        replica = self.context.replicas[request.table]
-        age = replica.age(self.context.clock.now())
-        ranges = differing_ranges(replica, request.range_digests)
-        return messages.RangesReply(replica.applied, age, replica.root_digest(), ranges).to_wire()
+        local = self.context.replicas[request.table]
+        age = local.age(self.context.clock.now())
+        ranges = differing_ranges(local, request.range_digests)
+        return messages.RangesReply(local.applied, age, local.root_digest(), ranges).to_wire()
 
     # -- asking --------------------------------------------------------------------------------------
     async def pull(self, address: network.Address, name: str, tables: tuple[str, ...] = ()) -> bool:
@@ -76,8 +75,7 @@
         """
         replicas = [self.context.replicas[table] for table in tables or self.context.replicas]
         requests = [
-            messages.ChangesRequest(replica.name, replica.applied, replica.root_digest())
-            for replica in replicas
+            messages.ChangesRequest(local.name, local.applied, local.root_digest()) for local in replicas
         ]
         # The age counts from here: what changed after the request was sent is not confirmed.
         sent_at = self.context.clock.now()
@@ -86,18 +84,16 @@
             address, name, messages.MessageKind.CHANGES, body, REPLY_TIMEOUT_SECONDS
         )
         all_current = True
-        for replica, request, fields in zip(replicas, requests, replies, strict=True):
+        for local, request, fields in zip(replicas, requests, replies, strict=True):
             reply = messages.ChangesReply.from_wire(fields)
             age = reply.age
             # A replica that changed meanwhile was sent the changes above a version that it has left.
-            if replica.applied == request.applied and not await self.apply_reply(
-                address, name, replica, reply
-            ):
+            if local.applied == request.applied and not await self.apply_reply(address, name, local, reply):
                 age = None
-            if age is not None and reply.applied == replica.applied:
-                replica.confirm_current(sent_at - age)
+            if age is not None and reply.applied == local.applied:
+                local.confirm_current(sent_at - age)
             is_recent = age is not None and self.is_recent(sent_at - age)
-            all_current = all_current and is_recent and self.context.is_fresh(replica)
+            all_current = all_current and is_recent and self.context.is_fresh(local)
         return all_current
 
     def is_recent(self, moment: float) -> bool:
@@ -106,7 +102,7 @@
         return moment > self.context.clock.now() - RECENT_FRACTION * bound_seconds
 
     async def apply_reply(
-        self, address: network.Address, name: str, replica: Replica, reply: messages.ChangesReply
+        self, address: network.Address, name: str, local: replica.Replica, reply: messages.ChangesReply
     ) -> bool:
         """Apply a reply, or repair the replica.
 
@@ -118,48 +114,50 @@
                 return True
             case messages.ReplyKind.CHANGES:
                 changed = list(reply.changed)
-                if replica.apply_changes(reply.applied, reply.root_digest, changed, list(reply.removed_keys)):
-                    self.context.counters.add("rows_carried", len(changed), table=replica.name)
+                if local.apply_changes(reply.applied, reply.root_digest, changed, list(reply.removed_keys)):
+                    self.context.counters.add("rows_carried", len(changed), table=local.name)
                     return True
-                await self.repair(address, name, replica, in_chunks=False)
+                await self.repair(address, name, local, in_chunks=False)
             case messages.ReplyKind.REPAIR:
-                await self.repair(address, name, replica, in_chunks=reply.applied > replica.applied)
+                await self.repair(address, name, local, in_chunks=reply.applied > local.applied)
         return False
 
-    async def repair(self, address: network.Address, name: str, replica: Replica, *, in_chunks: bool) -> None:
+    async def repair(
+        self, address: network.Address, name: str, local: replica.Replica, *, in_chunks: bool
+    ) -> None:
         """Make a replica equal to a peer's, chunk by chunk, or range by range where that does not succeed."""
-        if replica.name in self.repairing:
+        if local.name in self.repairing:
             return
-        self.repairing.add(replica.name)
+        self.repairing.add(local.name)
         try:
-            if not in_chunks or not await self.transfer_chunks(address, name, replica):
-                await self.repair_ranges(address, name, replica)
+            if not in_chunks or not await self.transfer_chunks(address, name, local):
+                await self.repair_ranges(address, name, local)
         finally:
-            self.repairing.discard(replica.name)
+            self.repairing.discard(local.name)
 
-    async def transfer_chunks(self, address: network.Address, name: str, replica: Replica) -> bool:
+    async def transfer_chunks(self, address: network.Address, name: str, local: replica.Replica) -> bool:
         """Return whether the replica was brought up to date in chunks."""
         try:
-            return await self.chunks.transfer(address, name, replica)
+            return await self.chunks.transfer(address, name, local)
         except errors.UnknownNameError:
             # A peer of the version before sends no chunks.
             return False
 
-    async def repair_ranges(self, address: network.Address, name: str, replica: Replica) -> None:
+    async def repair_ranges(self, address: network.Address, name: str, local: replica.Replica) -> None:
         """Make a clone equal to a peer's replica, range by range, then take it over at once."""
-        repaired = replica.clone()
+        repaired = local.clone()
         overtaken = 0
         for _ in range(RANGES_REQUESTS_LIMIT):
             sent_at = self.context.clock.now()
             reply = await self.request_ranges(address, name, repaired)
             repaired.replace_ranges({content.number: list(content.held) for content in reply.ranges})
             repaired.applied = reply.applied
-            self.context.counters.add("ranges_mended", len(reply.ranges), table=replica.name)
+            self.context.counters.add("ranges_mended", len(reply.ranges), table=local.name)
             if repaired.root_digest() != reply.root_digest:
                 continue
-            if replica.replace_unless_older(repaired):
+            if local.replace_unless_older(repaired):
                 if reply.age is not None:
-                    replica.confirm_current(sent_at - reply.age)
+                    local.confirm_current(sent_at - reply.age)
                 return
             # A commit came in while the answer was on its way: the clone has nearly all of it.
             overtaken += 1
@@ -167,7 +165,7 @@
                 return
 
     async def request_ranges(
-        self, address: network.Address, name: str, repaired: Replica
+        self, address: network.Address, name: str, repaired: replica.Replica
     ) -> messages.RangesReply:
         """Ask a peer for the ranges in which its replica differs."""
         request = messages.RangesRequest(repaired.name, repaired.range_digests())
@@ -177,21 +175,20 @@
         return messages.RangesReply.from_wire(fields)
 
 
-def changes_reply(replica: Replica, request: messages.ChangesRequest, now: float) -> messages.ChangesReply:
+def changes_reply(
+    local: replica.Replica, request: messages.ChangesRequest, now: float
+) -> messages.ChangesReply:
     """Return the changes above the applied version of the node that asks, if they fit one reply."""
-    root_digest = replica.root_digest()
-    reply = messages.ChangesReply(replica.applied, replica.age(now), root_digest, messages.ReplyKind.SAME)
+    root_digest = local.root_digest()
+    reply = messages.ChangesReply(local.applied, local.age(now), root_digest, messages.ReplyKind.SAME)
     # A node that is ahead is sent nothing: it would have to throw it away.
-    if replica.applied < request.applied or replica.applied == versions.NONE:
+    if local.applied < request.applied or local.applied == versions.NONE:
         return reply._replace(kind=messages.ReplyKind.BEHIND)
-    if request.root_digest == root_digest and replica.applied == request.applied:
+    if request.root_digest == root_digest and local.applied == request.applied:
         return reply
-    changed, removed_keys = replica.changes_since(request.applied)
+    changed, removed_keys = local.changes_since(request.applied)
     # Replicas that differ at the same applied version are damaged.
-    if (
-        replica.applied == request.applied
-        or estimated_size(changed, CHANGES_LIMIT_BYTES) > CHANGES_LIMIT_BYTES
-    ):
+    if local.applied == request.applied or estimated_size(changed, CHANGES_LIMIT_BYTES) > CHANGES_LIMIT_BYTES:
         return reply._replace(kind=messages.ReplyKind.REPAIR)
     return reply._replace(
         kind=messages.ReplyKind.CHANGES, changed=tuple(changed), removed_keys=tuple(removed_keys)
@@ -199,13 +196,13 @@
 
 
 def differing_ranges(
-    replica: Replica, range_digests: collections.abc.Sequence[bytes]
+    local: replica.Replica, range_digests: collections.abc.Sequence[bytes]
 ) -> tuple[messages.RangeContent, ...]:
     """Return the ranges whose digests differ from the given ones, as many as fit one reply."""
-    own = replica.range_digests()
+    own = local.range_digests()
     differing = {number for number in range(digests.RANGE_COUNT) if own[number] != range_digests[number]}
     grouped: dict[int, list[items.Item]] = {number: [] for number in differing}
-    for item in replica.items_in_ranges(differing):
+    for item in local.items_in_ranges(differing):
         grouped[digests.range_number(item.key)].append(item)
     ranges = []
     size = 0
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -124,8 +124,8 @@
     ),
     (
         "state/replication/replicator.py",
-        "            all_current = all_current and is_recent and self.context.is_fresh(replica)",
-        "            all_current = all_current and self.context.is_fresh(replica)",
+        "            all_current = all_current and is_recent and self.context.is_fresh(local)",
+        "            all_current = all_current and self.context.is_fresh(local)",
         "controlplane/test_bootstrap.py::test_while_the_whole_core_is_out_tables_are_used_for_as_long_as_the_settings_say",
     ),
     (
--- a/tests/mutation/state_mutations.py
+++ b/tests/mutation/state_mutations.py
@@ -76,7 +76,7 @@
     ),
     (
         "state/replication/quorum_loss.py",
-        "    return state.pending_base is None or state.pending_base < replica.applied",
+        "    return state.pending_base is None or state.pending_base < local.applied",
         "    return True",
         "state/test_quorum_loss.py::test_a_batch_that_may_have_been_confirmed_is_no_evidence",
     ),
@@ -131,12 +131,12 @@
     (
         "state/replication/chunk_transfer.py",
         "            staged.cursor = checked_next(staged.cursor, reply.end)\n",
-        "            self.staged.pop(replica.name, None)\n            staged.cursor = checked_next(staged.cursor, reply.end)\n",
+        "            self.staged.pop(local.name, None)\n            staged.cursor = checked_next(staged.cursor, reply.end)\n",
         "state/test_chunk_transfer.py::test_what_came_from_a_peer_that_falls_silent_is_not_asked_for_again",
     ),
     (
         "state/replication/chunk_transfer.py",
-        "        if replica.applied < max(request.base, request.cursor.version):",
+        "        if local.applied < max(request.base, request.cursor.version):",
         "        if False:",
         "state/test_chunk_transfer.py::test_a_peer_that_is_older_than_what_came_is_not_taken_for_the_truth",
     ),
