--- a/src/irisstand/balancing/__init__.py
+++ b/src/irisstand/balancing/__init__.py
@@ -1,1 +1,1 @@
-"""Draws: shields, origins, shares, retry budget."""
+"""How requests and limits are spread over nodes: hashing, slots, quota shares, slow start, budgets."""
--- a/src/irisstand/balancing/popularity.py
+++ b/src/irisstand/balancing/popularity.py
@@ -1,21 +1,21 @@
-"""Heat: which objects are asked for so often that one shield should not bear them alone."""
+"""Finds objects that are requested so often that more than one shield should serve them."""
 
 import collections
 
 from irisstand import clocks
 
 WINDOW_SECONDS = 2.0
-# Fetches a second by one edge; eight edges at this rate are more than a shield is counted on for.
+# Fetches by one edge; eight edges at this rate are more than the planned load of one shield.
 POPULAR_REQUESTS_PER_SECOND = 25.0
 
 
 class PopularityCounter:
-    """Counts by key over one window and the one before it; nothing is kept of older ones.
+    """Counts fetches by key over the present window and the one before it; older counts are dropped.
 
     >>> class Stopped:
     ...     def now(self): return 1.0
-    >>> heat = Heat(Stopped())
-    >>> [heat.note("a") for _ in range(60)].count(True), heat.note("b")
+    >>> counter = PopularityCounter(Stopped())
+    >>> [counter.record("a") for _ in range(60)].count(True), counter.record("b")
     (10, False)
     """
 
@@ -26,11 +26,17 @@
         self.previous_counts: collections.Counter[str] = collections.Counter()
 
     def record(self, key: str) -> bool:
-        """Count one fetch; True if the key is hot."""
+        """Count one fetch, and return whether the key is popular."""
         elapsed = self.clock.now() - self.window_started_at
         if elapsed >= WINDOW_SECONDS:
-            self.previous_counts = self.counts if elapsed < 2 * WINDOW_SECONDS else collections.Counter()
-            self.counts = collections.Counter()
-            self.window_started_at = self.clock.now()
+            self.start_window(elapsed)
         self.counts[key] += 1
-        return max(self.counts[key], self.previous_counts[key]) > POPULAR_REQUESTS_PER_SECOND * WINDOW_SECONDS
+        count = max(self.counts[key], self.previous_counts[key])
+        return count > POPULAR_REQUESTS_PER_SECOND * WINDOW_SECONDS
+
+    def start_window(self, elapsed: float) -> None:
+        """Begin a new window; counts of a window that ended longer ago are dropped."""
+        is_adjacent = elapsed < 2 * WINDOW_SECONDS
+        self.previous_counts = self.counts if is_adjacent else collections.Counter()
+        self.counts = collections.Counter()
+        self.window_started_at = self.clock.now()
--- a/src/irisstand/balancing/quota_shares.py
+++ b/src/irisstand/balancing/quota_shares.py
@@ -1,57 +1,98 @@
-"""Shares of each service's ceiling, recorded for each shield machine; their sum never passes the ceiling.
+"""Quota shares of each service's limits, recorded for each shield machine; their sum is never over the limit.
 
-A share row is {service: [rate, inflight, ceiling of rate, ceiling of inflight]}. The ceilings in it are those
-it was worked out for, so that a ceiling lowered later shrinks every share at once, before any row changes.
+A ledger item `share/<machine>` is {service: [rate, in flight, rate limit, concurrency limit]}. It names the
+limits for which it was planned, so that a limit that is lowered later reduces every share at once, before any
+item changes.
 """
 
 import typing
 
-ServiceLimit = tuple[int, int]
 ShareRows = dict[str, dict[str, list[int]]]
 
 
+class ServiceLimit(typing.NamedTuple):
+    """The limits of a service, or a share of them.
+
+    `rate` is in requests that start in one second, `concurrency` in requests in flight.
+    """
+
+    rate: int
+    concurrency: int
+
+
+NO_SHARE = ServiceLimit(0, 0)
+
+
+class RecordedShare(typing.NamedTuple):
+    """A share as the ledger has it, and the limits for which it was planned."""
+
+    rate: int
+    concurrency: int
+    rate_limit: int
+    concurrency_limit: int
+
+
 def split(total: int, weights: dict[str, float]) -> dict[str, int]:
-    """Whole parts by weight that add up to the total.
+    """Return whole numbers in proportion to the weights that add up to the total.
 
     >>> split(7, {"a": 1, "b": 1, "c": 0})
     {'a': 4, 'b': 3, 'c': 0}
     """
     names = sorted(weights)
-    whole = sum(weights.values())
-    if not whole:
+    weight_sum = sum(weights.values())
+    if not weight_sum:
         return dict.fromkeys(names, 0)
-    parts = {name: int(total * weights[name] / whole) for name in names}
-    left = total - sum(parts.values())
-    for name in [name for name in names if weights[name] > 0][:left]:
-        parts[name] += 1
-    return parts
+    shares = {name: int(total * weights[name] / weight_sum) for name in names}
+    remainder = total - sum(shares.values())
+    for name in [name for name in names if weights[name] > 0][:remainder]:
+        shares[name] += 1
+    return shares
 
 
-def effective_limit(entry: list[int] | None, ceiling: ServiceLimit) -> ServiceLimit:
-    """What a shield may use of its share under the ceiling now in force.
+def effective_limit(entry: list[int] | None, limit: tuple[int, int]) -> ServiceLimit:
+    """Return what a shield may use of its recorded share under the limits in force.
 
-    >>> effective([10, 4, 50, 20], (25, 20)), effective(None, (25, 20))
-    ((5, 4), (0, 0))
+    Args:
+        entry: The recorded share, None where nothing is recorded.
+        limit: The service's (rate, concurrency) as the configuration has it now.
+
+    >>> effective_limit([10, 4, 50, 20], (25, 20))
+    ServiceLimit(rate=5, concurrency=4)
+    >>> effective_limit(None, (25, 20))
+    ServiceLimit(rate=0, concurrency=0)
     """
     if entry is None:
-        return (0, 0)
-    rate, inflight, rate_ceiling, inflight_ceiling = entry
-    return (
-        rate if ceiling[0] >= rate_ceiling else rate * ceiling[0] // rate_ceiling,
-        inflight if ceiling[1] >= inflight_ceiling else inflight * ceiling[1] // inflight_ceiling,
+        return NO_SHARE
+    share = RecordedShare(*entry)
+    rate, concurrency = limit
+    return ServiceLimit(
+        scaled_down(share.rate, rate, share.rate_limit),
+        scaled_down(share.concurrency, concurrency, share.concurrency_limit),
     )
 
 
+def scaled_down(share: int, limit: int, planned_limit: int) -> int:
+    """Return the share, reduced in proportion where the limit is lower than the one it was planned for."""
+    return share if limit >= planned_limit else share * limit // planned_limit
+
+
 def plan(
     rows: ShareRows,
-    ceilings: dict[str, ServiceLimit],
+    limits: dict[str, tuple[int, int]],
     weights: dict[str, float],
     frozen: typing.Container[str],
 ) -> tuple[ShareRows, set[str]]:
-    """The next rows, and the services of which something was taken away.
+    """Plan the next shares: first reduce, later give to others what was taken.
 
-    Taking away comes first. What was taken is given to others only when `frozen`, which holds the services
-    taken from not long ago, names the service no more: its last holder may not have heard of it yet.
+    Args:
+        rows: The recorded shares by machine and service.
+        limits: The (rate, concurrency) of each service.
+        weights: The machines that should have shares, with their weights.
+        frozen: Services whose shares were reduced a short while ago. Nothing of them is given to others yet,
+            as the machine that had it may not know of the reduction.
+
+    Returns:
+        The next shares, and the services of which a share was reduced.
 
     >>> start, _ = plan({}, {"s": (10, 4)}, {"a": 1, "b": 1}, ())
     >>> start["a"]["s"], start["b"]["s"]
@@ -64,36 +105,52 @@
     """
     machines = sorted(set(rows) | set(weights))
     planned: ShareRows = {machine: {} for machine in machines}
-    reduced: set[str] = set()
-    for machine in machines:
-        reduced |= {service for service in rows.get(machine, {}) if service not in ceilings}
-    for service, ceiling in ceilings.items():
+    reduced = {service for row in rows.values() for service in row if service not in limits}
+    for service, limit in limits.items():
         current = {
-            machine: effective_limit(rows.get(machine, {}).get(service), ceiling) for machine in machines
+            machine: effective_limit(rows.get(machine, {}).get(service), limit) for machine in machines
         }
-        targets = [split(total, {m: weights.get(m, 0) for m in machines}) for total in ceiling]
-        lowered = {m: tuple(min(current[m][i], targets[i][m]) for i in (0, 1)) for m in machines}
+        targets = target_shares(limit, machines, weights)
+        lowered = {machine: lower_of(share, targets[machine]) for machine, share in current.items()}
         if lowered != current:
             reduced.add(service)
             following = lowered
         elif service in frozen:
             following = current
         else:
-            following = raise_towards(current, targets, ceiling)
-        for machine, (rate, inflight) in following.items():
-            if rate or inflight:
-                planned[machine][service] = [rate, inflight, *ceiling]
+            following = raise_towards(current, targets, limit)
+        for machine, share in following.items():
+            if share != NO_SHARE:
+                planned[machine][service] = [*share, *limit]
     return planned, reduced
 
 
+def target_shares(
+    limit: tuple[int, int], machines: list[str], weights: dict[str, float]
+) -> dict[str, ServiceLimit]:
+    """Return the shares that the weights ask for, by machine."""
+    all_weights = {machine: weights.get(machine, 0) for machine in machines}
+    rates, concurrencies = (split(total, all_weights) for total in limit)
+    return {machine: ServiceLimit(rates[machine], concurrencies[machine]) for machine in machines}
+
+
+def lower_of(first: ServiceLimit, second: ServiceLimit) -> ServiceLimit:
+    """Return the lower rate and the lower concurrency of two shares."""
+    return ServiceLimit(min(first.rate, second.rate), min(first.concurrency, second.concurrency))
+
+
 def raise_towards(
-    current: dict[str, ServiceLimit], targets: list[dict[str, int]], ceiling: ServiceLimit
+    current: dict[str, ServiceLimit], targets: dict[str, ServiceLimit], limit: tuple[int, int]
 ) -> dict[str, ServiceLimit]:
-    """Towards the targets, by no more than what nobody holds."""
-    free = [ceiling[i] - sum(held[i] for held in current.values()) for i in (0, 1)]
+    """Raise shares towards the targets, by no more than what belongs to no machine."""
+    free_rate = limit[0] - sum(share.rate for share in current.values())
+    free_concurrency = limit[1] - sum(share.concurrency for share in current.values())
     following = {}
-    for machine, held in current.items():
-        given = [min(free[i], max(0, targets[i][machine] - held[i])) for i in (0, 1)]
-        free = [free[i] - given[i] for i in (0, 1)]
-        following[machine] = (held[0] + given[0], held[1] + given[1])
+    for machine, share in current.items():
+        target = targets[machine]
+        added_rate = min(free_rate, max(0, target.rate - share.rate))
+        added_concurrency = min(free_concurrency, max(0, target.concurrency - share.concurrency))
+        free_rate -= added_rate
+        free_concurrency -= added_concurrency
+        following[machine] = ServiceLimit(share.rate + added_rate, share.concurrency + added_concurrency)
     return following
--- a/src/irisstand/balancing/rate_quota.py
+++ b/src/irisstand/balancing/rate_quota.py
@@ -1,48 +1,74 @@
-"""Parts of every service's rate, recorded in the ledger: their owners use them, or lend places out of them.
+"""Quota shares of every service's rate limit, recorded in the ledger item `rate-parts`.
 
-The recorded units never add up to more than the whole. What is taken from an owner is given to another only
-after the owner has certainly stopped: an owner uses its part for as long as its copy of the ledger was
-confirmed less than `USED_FOR` seconds ago, and the next owner waits for `LAPSE`.
+An owner uses its share, or lends tokens of it to other nodes. Shares are in units, which never add up to
+more than `TOTAL_UNITS`. What is taken from one owner is given to another only after the first has certainly
+stopped: an owner uses its share only while its replica of the ledger was confirmed less than `USABLE_SECONDS`
+ago, and the next owner gets it after `REASSIGNMENT_DELAY_SECONDS`. See docs/control/ceilings.md.
 """
 
+import typing
+
 from irisstand.balancing import quota_shares
 
 ITEM_KEY = "rate-parts"
 TOTAL_UNITS = 1000
-# Longer than any freshness bound: while the core restarts, what was recorded goes on being used.
+# Longer than any freshness bound: while the core restarts, recorded shares stay in use.
 USABLE_SECONDS = 6.0
-# Longer than `USED_FOR` by a window of five seconds, so that no window sees both owners; and for clocks.
+# `USABLE_SECONDS`, a window of five seconds, so that none counts both owners, and a second for clocks.
 REASSIGNMENT_DELAY_SECONDS = 12.0
-# Each owner may use a little at once; with more owners these little bursts would add up.
+# Each owner has a short burst; with more owners these bursts would add up.
 OWNER_LIMIT = 10
-# Units taken for newcomers at a time, and a difference that is left alone.
-STEP_UNITS, TOLERATED_UNITS = 125, 10
+# Units that are taken for new owners at a time.
+STEP_UNITS = 125
+# A difference from the target that is left alone.
+TOLERATED_UNITS = 10
+
+
+class Candidate(typing.NamedTuple):
+    """A node that could own a share; `position` counts the nodes of its site by name."""
+
+    position: int
+    site: str
+    name: str
 
 
 def choose_owners(holders: list[tuple[str, str]], edges: list[tuple[str, str]]) -> dict[str, float]:
-    """Who should own parts, with weights: holders by (name, site), or edges where there are none.
+    """Return who should own shares, with weights; each site has the same weight, as clients are beside all.
 
-    Sites count alike, as clients live beside all of them.
+    Args:
+        holders: Object holders as (name, site).
+        edges: Edges as (name, site); they own shares where there are no holders.
 
-    >>> choose([("h1", "n"), ("h2", "n"), ("h3", "s")], [("e", "n")])
+    >>> choose_owners([("h1", "n"), ("h2", "n"), ("h3", "s")], [("e", "n")])
     {'h1': 0.5, 'h2': 0.5, 'h3': 1.0}
     """
-    found = holders or edges
     by_site: dict[str, list[str]] = {}
-    for name, site in sorted(found):
+    for name, site in sorted(holders or edges):
         by_site.setdefault(site, []).append(name)
-    # In turns among the sites, so that none is left out where there are more than may own.
-    turns = sorted((place, site, name) for site, names in by_site.items() for place, name in enumerate(names))
-    kept = turns[:OWNER_LIMIT]
-    counts = {site: sum(entry[1] == site for entry in kept) for site in by_site}
-    return {name: 1.0 / counts[site] for _, site, name in sorted(kept, key=lambda entry: entry[2])}
+    # By position first, so that every site has owners where there are more nodes than may own shares.
+    candidates = sorted(
+        Candidate(position, site, name)
+        for site, names in by_site.items()
+        for position, name in enumerate(names)
+    )
+    owners = candidates[:OWNER_LIMIT]
+    counts = {site: sum(owner.site == site for owner in owners) for site in by_site}
+    return {owner.name: 1.0 / counts[owner.site] for owner in sorted(owners, key=lambda owner: owner.name)}
 
 
 def plan(units: dict[str, int], weights: dict[str, float], is_frozen: bool) -> tuple[dict[str, int], bool]:
-    """The next units, and whether something was taken from anybody; then nothing is given for `LAPSE`.
+    """Plan the next units of each owner.
 
-    Those who are gone lose all at once; for newcomers no more than `STEP` is taken at a time, as it is of use
-    to nobody until it can be given.
+    Owners that are gone lose all units at once. For new owners no more than `STEP_UNITS` are taken at a time,
+    as nobody can use them until they are given.
+
+    Args:
+        units: The recorded units by owner.
+        weights: Who should own shares, by `choose_owners`.
+        is_frozen: Whether units were taken less than `REASSIGNMENT_DELAY_SECONDS` ago; then none are given.
+
+    Returns:
+        The next units, and whether any were taken from an owner.
 
     >>> plan({}, {"a": 1, "b": 1}, False)
     ({'a': 500, 'b': 500}, False)
@@ -53,32 +79,38 @@
     >>> plan({"a": 1000}, {"a": 1, "b": 1}, False), plan({"a": 875}, {"a": 1, "b": 1}, False)
     (({'a': 875}, True), ({'a': 875, 'b': 125}, False))
     """
-    kept = {name: share for name, share in units.items() if name in weights}
-    if len(kept) < len(units):
-        return kept, True
+    remaining = {name: share for name, share in units.items() if name in weights}
+    if len(remaining) < len(units):
+        return remaining, True
     if is_frozen:
         return units, False
     target = quota_shares.split(TOTAL_UNITS, weights)
-    lacking = {name: target[name] - kept.get(name, 0) for name in target}
-    free = TOTAL_UNITS - sum(kept.values())
+    lacking = {name: target[name] - remaining.get(name, 0) for name in target}
+    free = TOTAL_UNITS - sum(remaining.values())
     if free > 0:
-        return distribute(kept, lacking, free), False
+        return distribute(remaining, lacking, free), False
     if max(lacking.values()) <= TOLERATED_UNITS:
         return units, False
+    return take_step(remaining, lacking), True
+
+
+def take_step(units: dict[str, int], lacking: dict[str, int]) -> dict[str, int]:
+    """Return the units after `STEP_UNITS` were taken from owners that have more than their target."""
+    following = dict(units)
     left = STEP_UNITS
-    for name in sorted(kept):
+    for name in sorted(units):
         taken = min(left, max(0, -lacking[name]))
-        kept[name] -= taken
+        following[name] -= taken
         left -= taken
-    return {name: share for name, share in kept.items() if share}, True
+    return {name: share for name, share in following.items() if share}
 
 
 def distribute(units: dict[str, int], lacking: dict[str, int], free: int) -> dict[str, int]:
-    """Units with what is free added, to those who lack most first."""
-    given = dict(units)
+    """Return the units with the free ones added, to the owners that lack most first."""
+    following = dict(units)
     for name in sorted(lacking, key=lambda name: (-lacking[name], name)):
         added = min(free, max(0, lacking[name]))
         free -= added
         if added:
-            given[name] = given.get(name, 0) + added
-    return given
+            following[name] = following.get(name, 0) + added
+    return following
--- a/src/irisstand/balancing/rendezvous.py
+++ b/src/irisstand/balancing/rendezvous.py
@@ -1,27 +1,38 @@
-"""Draws that every node makes alike from the same picture: weighted rendezvous."""
+"""Weighted rendezvous hashing: every node that knows the same candidates chooses the same one.
+
+Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998; weights by Schindelhauer and
+Schomaker, "Weighted Distributed Hash Tables", 2005.
+"""
 
 import collections.abc
 import hashlib
 import math
 
 SLOT_COUNT = 256
+HASH_BYTES = 8
 
 
 def hash_fraction(*words: str) -> float:
-    """A number above 0 and below 1 that only the words decide."""
-    number = int.from_bytes(hashlib.sha256("\0".join(words).encode()).digest()[:8])
+    """Return a number above 0 and below 1 that depends on the words alone."""
+    digest = hashlib.sha256("\0".join(words).encode()).digest()
+    number = int.from_bytes(digest[:HASH_BYTES])
     return (number + 1) / (2**64 + 2)
 
 
 def slot_of(key: str) -> int:
+    """Return the slot of an object's key, below `SLOT_COUNT`."""
     return int(hash_fraction("slot", key) * SLOT_COUNT)
 
 
 def ranked(key: str, candidates: collections.abc.Iterable[tuple[str, float]]) -> list[str]:
-    """Names in the order of their weighted scores; a name that goes away moves only its own keys.
+    """Return the names by falling score for the key; a name that goes away moves only its own keys.
+
+    Args:
+        key: What is to be assigned.
+        candidates: Names with weights; a weight of 0 leaves the name out.
 
     >>> names = [("a", 1.0), ("b", 1.0), ("c", 0.0)]
-    >>> order("7", names) == [name for name in order("7", [*names, ("d", 0.0)])]
+    >>> ranked("7", names) == [name for name in ranked("7", [*names, ("d", 0.0)])]
     True
     """
     scored = [
@@ -30,7 +41,6 @@
     return [name for _, name in sorted(scored, reverse=True)]
 
 
-def pick(key: str, candidates: list[tuple[str, float]]) -> str:
-    """One of the names, drawn by weight and by the key alone."""
-    found = ranked(key, candidates)
-    return found[0]
+def pick(key: str, candidates: collections.abc.Iterable[tuple[str, float]]) -> str:
+    """Return the name with the highest score for the key; there must be one with a weight."""
+    return ranked(key, candidates)[0]
--- a/src/irisstand/balancing/retry_budget.py
+++ b/src/irisstand/balancing/retry_budget.py
@@ -1,33 +1,36 @@
-"""The budget of second tries: a share of the first tries of the last ten seconds, and a small allowance."""
-
-import collections
+"""The retry budget: a fraction of the first attempts of the last ten seconds, and a few retries more."""
 
 from irisstand import clocks
+from irisstand.balancing import sliding_window
 
 WINDOW_SECONDS = 10.0
 
 
 class RetryBudget:
-    """The shares that edges and shields are given add up to less than the fifth that is allowed in all."""
+    """Counts first attempts and retries of one node.
 
-    def __init__(self, clock: clocks.Clock, share: float, allowance: float) -> None:
-        self.clock, self.share, self.allowance = clock, share, allowance
-        self.first_attempts: collections.deque[float] = collections.deque()
-        self.retries: collections.deque[float] = collections.deque()
+    The fractions that edges and shields are given add up to less than the fifth that is allowed in all.
 
-    def trim(self) -> None:
-        oldest = self.clock.now() - WINDOW_SECONDS
-        for times in (self.first_attempts, self.retries):
-            while times and times[0] <= oldest:
-                times.popleft()
+    Args:
+        clock: Moments in seconds.
+        share: Retries for each first attempt in the window.
+        allowance: Retries in the window beside these.
+    """
+
+    def __init__(self, clock: clocks.Clock, share: float, allowance: float) -> None:
+        self.share = share
+        self.allowance = allowance
+        self.first_attempts = sliding_window.SlidingWindow(clock, WINDOW_SECONDS)
+        self.retries = sliding_window.SlidingWindow(clock, WINDOW_SECONDS)
 
     def record_first_attempt(self) -> None:
-        self.first_attempts.append(self.clock.now())
+        """Count a request's first attempt."""
+        self.first_attempts.record()
 
     def take(self) -> bool:
-        """True if one more second try fits into the window, which it then takes up."""
-        self.trim()
-        if len(self.retries) + 1 > self.share * len(self.first_attempts) + self.allowance:
+        """Count one retry if it fits into the budget, and return whether it did."""
+        limit = self.share * self.first_attempts.count() + self.allowance
+        if self.retries.count() + 1 > limit:
             return False
-        self.retries.append(self.clock.now())
+        self.retries.record()
         return True
--- a/src/irisstand/balancing/service_limits.py
+++ b/src/irisstand/balancing/service_limits.py
@@ -1,61 +1,79 @@
-"""Shares of a service's ceiling: what one shield may have under way, and start in any one second."""
-
-import collections
+"""Holds a shield to its quota share of a service's rate limit and concurrency limit."""
 
 from irisstand import clocks
+from irisstand.balancing import sliding_window
 
-# A little over the second that is counted at the origin: two requests do not travel equally long.
+# Longer than the second in which the origin counts: two requests do not travel equally long.
 WINDOW_SECONDS = 1.05
-# A place is taken for now. Whoever needed longer to get a line asks for a place again.
+# A request that was admitted longer ago without being sent has to be admitted again.
 FRESH_SECONDS = 0.03
-# An origin may work on for this long at the least, however short the deadline of those who asked.
+# An origin may work on for at least this long, however short the deadline of the request.
 MIN_ORIGIN_WORK_SECONDS = 3.0
 
 
 def origin_work_seconds(deadline: float) -> float:
-    """For how long an origin is taken to work at a request, wanted or not."""
+    """Return how long an origin may work at a request, also at one that was abandoned.
+
+    Args:
+        deadline: The service's deadline, in seconds.
+    """
     return max(MIN_ORIGIN_WORK_SECONDS, 2 * deadline)
 
 
 class QuotaShareLimiter:
-    """`opened` is when this process began: what its forerunner left under way is not known to it."""
+    """Admits requests of one service at one shield, within the share that the caller hands in.
+
+    Args:
+        clock: Moments in seconds.
+        opened_at: When this process began; requests of an earlier process may be in flight still.
+    """
 
-    def __init__(self, clock: clocks.Clock, opened: float) -> None:
-        self.clock, self.opened_at = clock, opened
-        self.started: collections.deque[float] = collections.deque()
+    def __init__(self, clock: clocks.Clock, opened_at: float) -> None:
+        self.clock = clock
+        self.opened_at = opened_at
+        self.started = sliding_window.SlidingWindow(clock, WINDOW_SECONDS)
         self.active = 0
-        # Abandoned requests at which an origin may still be working, by when it no longer can be.
+        # For each abandoned request, the moment from which no origin works at it any more.
         self.abandoned_until: list[float] = []
 
     def is_opening(self, deadline: float) -> bool:
-        """A restarted shield's forerunner may have used all of the share until just now."""
+        """Tell whether an earlier process of this shield may still fill the share."""
         return self.clock.now() - self.opened_at < max(MIN_ORIGIN_WORK_SECONDS, deadline)
 
     def in_flight(self) -> int:
+        """Return the number of requests at which an origin may be working."""
         now = self.clock.now()
         self.abandoned_until = [until for until in self.abandoned_until if until > now]
         return self.active + len(self.abandoned_until)
 
-    def enter(self, rate: int, inflight: int) -> bool:
-        oldest = self.clock.now() - WINDOW_SECONDS
-        while self.started and self.started[0] <= oldest:
-            self.started.popleft()
-        if len(self.started) >= rate or self.in_flight() >= inflight:
+    def enter(self, rate: int, concurrency: int) -> bool:
+        """Admit one request if the share allows it, and return whether it does.
+
+        Args:
+            rate: Requests that may start within `WINDOW_SECONDS`.
+            concurrency: Requests that may be in flight.
+        """
+        if self.started.count() >= rate or self.in_flight() >= concurrency:
             return False
-        self.started.append(self.clock.now())
+        self.started.record()
         self.active += 1
         return True
 
     def is_fresh(self, entered_at: float) -> bool:
+        """Tell whether a request admitted at that moment may still be sent."""
         return self.clock.now() - entered_at <= FRESH_SECONDS
 
     def withdraw(self, entered_at: float) -> None:
-        """The place was not used: nothing was sent under it."""
+        """Take back the admission of a request that was not sent."""
         self.active -= 1
-        if entered_at in self.started:
-            self.started.remove(entered_at)
+        self.started.withdraw(entered_at)
 
     def leave(self, works_until: float = 0.0) -> None:
+        """End a request.
+
+        Args:
+            works_until: Of an abandoned request, until when an origin may work at it; 0 for others.
+        """
         self.active -= 1
         if works_until:
             self.abandoned_until.append(works_until)
--- /dev/null
+++ b/src/irisstand/balancing/sliding_window.py
@@ -0,0 +1,45 @@
+"""Counts events of the last seconds, one moment for each event."""
+
+import collections
+
+from irisstand import clocks
+
+
+class SlidingWindow:
+    """The moments of all events that are not older than the window.
+
+    Args:
+        clock: Gives the moment of each event.
+        seconds: Length of the window; an event exactly that old counts no more.
+
+    >>> class Clock:
+    ...     moment = 0.0
+    ...     def now(self): return self.moment
+    >>> clock = Clock()
+    >>> window = SlidingWindow(clock, 2.0)
+    >>> window.record(); clock.moment = 1.0; window.record(); clock.moment = 2.0
+    >>> window.count()
+    1
+    """
+
+    def __init__(self, clock: clocks.Clock, seconds: float) -> None:
+        self.clock = clock
+        self.seconds = seconds
+        self.moments: collections.deque[float] = collections.deque()
+
+    def count(self) -> int:
+        """Return the number of events in the window, and forget the older ones."""
+        oldest = self.clock.now() - self.seconds
+        moments = self.moments
+        while moments and moments[0] <= oldest:
+            moments.popleft()
+        return len(moments)
+
+    def record(self) -> None:
+        """Count one event now."""
+        self.moments.append(self.clock.now())
+
+    def withdraw(self, moment: float) -> None:
+        """Take back the event recorded at that moment, if it is still in the window."""
+        if moment in self.moments:
+            self.moments.remove(moment)
--- a/src/irisstand/balancing/slot_assignment.py
+++ b/src/irisstand/balancing/slot_assignment.py
@@ -1,4 +1,7 @@
-"""Slots recorded in the ledger: which shield machine holds which part of the objects, moved step by step."""
+"""Assigns slots, which are shards of the object space, to shield machines, a few at a time.
+
+The ledger records the owners in items `slots/<number>` of `SLOTS_PER_ITEM` slots each.
+"""
 
 from irisstand.balancing import rendezvous
 
@@ -7,10 +10,12 @@
 
 
 def item_key(slot: int) -> str:
+    """Return the key of the ledger item that records the slot's owner."""
     return f"slots/{slot // SLOTS_PER_ITEM:02d}"
 
 
 def preferred_machine(slot: int, weights: dict[str, float]) -> str:
+    """Return the machine that rendezvous hashing prefers for the slot; empty without candidates."""
     names = rendezvous.ranked(str(slot), sorted(weights.items()))
     return names[0] if names else ""
 
@@ -18,9 +23,19 @@
 def plan(
     owners: list[str], weights: dict[str, float], given_up: set[str], step: int
 ) -> tuple[list[str], int]:
-    """The next owners and how many slots move: all that lost their owner, and `step` more at the most.
+    """Plan the next owners: all slots that lost theirs move, and `step` others at most.
+
+    Weighted rendezvous hashing prefers another machine only for slots of a machine that went or came, so that
+    no other slot moves.
 
-    Weighted rendezvous wants only the slots of a machine that went or came, so nothing else ever moves.
+    Args:
+        owners: The machine of each slot, empty for none.
+        weights: The machines that are up, with their weights.
+        given_up: Machines that have been missing for so long that their slots move at once.
+        step: How many slots of machines that are up may move.
+
+    Returns:
+        The next owners, and how many slots move.
 
     >>> owners, moved = plan([""] * 256, {"a": 1, "b": 1}, set(), 0)
     >>> moved, sorted(set(owners))
@@ -28,18 +43,18 @@
     >>> plan(owners, {"a": 1, "b": 1}, set(), 9)[1]
     0
     """
-    planned, moved, voluntary = list(owners), 0, 0
+    planned = list(owners)
+    moved = 0
+    voluntary = 0
     for slot, owner in enumerate(owners):
         target = preferred_machine(slot, weights)
         if not target or target == owner:
             continue
-        lost = not owner or owner in given_up
-        # A machine that is missing but not yet given up may be back in a moment: its slots wait.
-        if not lost and owner not in weights:
-            continue
-        if not lost and voluntary >= step:
+        is_lost = not owner or owner in given_up
+        # A machine that is missing, but not given up, may be back in a moment: its slots wait.
+        if not is_lost and (owner not in weights or voluntary >= step):
             continue
-        voluntary += not lost
+        voluntary += not is_lost
         planned[slot] = target
         moved += 1
     return planned, moved
--- a/src/irisstand/balancing/slow_start.py
+++ b/src/irisstand/balancing/slow_start.py
@@ -1,14 +1,21 @@
-"""What a cold origin may get: a part of its even share of the ceiling that grows while it warms up."""
+"""Slow start: a cold origin gets a growing fraction of its even share of the rate limit."""
 
 from irisstand import clocks
+from irisstand.balancing import token_bucket
 
-# Of an origin's even share, from the start on; all of it when it is warm.
+# Of an origin's even share, from the start on.
 MIN_WARM_FRACTION = 0.05
+BUCKET_CAPACITY = 1.0
 
 
 def warm_fraction(elapsed: float, warmup: float) -> float:
-    """
-    >>> warmth(0, 10), warmth(5, 10), warmth(99, 10), warmth(3, 0)
+    """Return the fraction of its even share that an origin may get.
+
+    Args:
+        elapsed: Seconds since the origin was first seen.
+        warmup: Seconds that it takes to warm up.
+
+    >>> warm_fraction(0, 10), warm_fraction(5, 10), warm_fraction(99, 10), warm_fraction(3, 0)
     (0.05, 0.5, 1.0, 1.0)
     """
     if warmup <= 0:
@@ -17,25 +24,29 @@
 
 
 def allowed_rate(even: float, warm: float, share: float) -> float:
-    """Requests a second that one shield may send: its part of the ceiling is its part of the origin, too.
+    """Return the requests per second that one shield may send to an origin.
+
+    The quota shares add up to one at most, so all shields together send at most `even` times `warm`.
 
-    The shares add up to no more than one, so over the fleet an origin gets no more than `even` times `warm`.
+    Args:
+        even: The origin's even share of the service's rate limit, in requests per second.
+        warm: The fraction by `warm_fraction`.
+        share: This shield's quota share of the limit, as a fraction.
     """
     return even * warm * share
 
 
 class PacingBucket:
-    """Paces requests: at the most one at once, and the allowed rate over time."""
+    """A token bucket of one token: at most one request at once, and the allowed rate over time."""
 
     def __init__(self, clock: clocks.Clock) -> None:
-        self.clock = clock
-        self.tokens, self.at = 1.0, clock.now()
+        self.bucket = token_bucket.TokenBucket(clock, BUCKET_CAPACITY, clock.now())
 
     def has_room(self, rate: float) -> bool:
-        now = self.clock.now()
-        self.tokens = min(1.0, self.tokens + rate * (now - self.at))
-        self.at = now
-        return self.tokens >= 1.0
+        """Tell whether a request may leave now, at a rate in requests per second."""
+        self.bucket.refill(rate, BUCKET_CAPACITY)
+        return self.bucket.tokens >= 1.0
 
     def take(self) -> None:
-        self.tokens -= 1.0
+        """Count a request that leaves."""
+        self.bucket.tokens -= 1.0
--- a/src/irisstand/dataplane/ratelimit/__init__.py
+++ b/src/irisstand/dataplane/ratelimit/__init__.py
@@ -1,1 +1,1 @@
-"""Rate limits over the whole fleet: recorded quota shares and leased tokens."""
+"""Rate limits over the whole fleet: the quota share that a node owns, and tokens leased from other owners."""
--- a/src/irisstand/dataplane/ratelimit/token_leases.py
+++ b/src/irisstand/dataplane/ratelimit/token_leases.py
@@ -1,8 +1,9 @@
-"""Places under a bound over the whole fleet: out of this node's recorded part, or lent by another owner.
+"""Tokens under limits over the whole fleet: of this node's own quota share, or leased from another owner.
 
-Each request to an origin uses up one place of exactly one owner. A place that is lent is good for
-`GOOD_FOR` seconds, counted by the borrower's own clock from before it asked. So in any window all nodes
-together start no more than the parts yield in the window and `GOOD_FOR` more, and the owners' small bursts.
+Each request to an origin uses one token of exactly one owner. A leased token may be used for `LEASE_SECONDS`,
+counted by the borrower's own clock from before it asked. So in any window all nodes together start no more
+requests than the shares yield in the window and `LEASE_SECONDS` more, and the owners' short bursts. See
+docs/control/ceilings.md.
 """
 
 import asyncio
@@ -11,139 +12,222 @@
 
 from irisstand import errors, node_context
 from irisstand.dataplane.ratelimit import quota_share
+from irisstand.membership import updates
 
 LEASE_SECONDS = 0.15
-# Places asked for at once, at the most.
+# Tokens in one lease.
 TOKENS_PER_LEASE_LIMIT = 8
-# A place of this node's own that is to be had so soon is waited for, and none is borrowed.
+# A token of this node's own that comes in so soon is waited for, and none is borrowed.
 OWN_TOKEN_WAIT_SECONDS = 0.02
-# In all, what a request waits for owners; and for how long one that failed or had nothing is left alone.
-BORROWING_TIMEOUT_SECONDS, FAILED_OWNER_PAUSE_SECONDS, EMPTY_OWNER_PAUSE_SECONDS = 0.25, 4.0, 0.08
+# What a request waits for all owners together.
+BORROWING_TIMEOUT_SECONDS = 0.25
+# How long an owner is not asked: after a failed call, and after it had no token of the limit.
+FAILED_OWNER_PAUSE_SECONDS = 4.0
+EMPTY_OWNER_PAUSE_SECONDS = 0.08
 ROUNDING_SECONDS = 1e-6
+NEVER = -1e9
+# The name under which an owner is paused for all limits.
+ALL_LIMITS = ""
+# What a client is told to wait before it tries again.
+RETRY_AFTER_SECONDS = 0.2
+
+# The kind of the request, and the first field of its response.
+LEASE_REQUEST_KIND = "rate-places"
+LEASE_RESPONSE_KIND = "places"
+
+
+class LeaseRequest(typing.NamedTuple):
+    """Asks an owner for tokens of a limit; `max_wait` is the longest wait for a token, in seconds."""
+
+    limit_name: str
+    wanted: int
+    max_wait: float
+
+    @classmethod
+    def from_wire(cls, body: typing.Any) -> "LeaseRequest":
+        """Decode a request's body.
+
+        Raises:
+            ValueError: A number is malformed.
+            TypeError: A field is of no type that can be converted.
+            IndexError: A field is missing.
+        """
+        return cls(str(body[0]), int(body[1]), float(body[2]))
+
+    def to_wire(self) -> tuple[typing.Any, ...]:
+        """Encode the request's body."""
+        return tuple(self)
+
+
+class LeaseResponse(typing.NamedTuple):
+    """The leased tokens: for each the seconds until it may be used, counted from when it was leased."""
+
+    waits: tuple[float, ...]
+
+    @classmethod
+    def from_wire(cls, body: typing.Any) -> "LeaseResponse":
+        """Decode a response.
+
+        Raises:
+            ValueError: A wait is no number, or the response is empty.
+            TypeError: The response is no sequence.
+        """
+        _, *waits = body
+        return cls(tuple(float(wait) for wait in waits))
+
+    def to_wire(self) -> tuple[typing.Any, ...]:
+        """Encode the response."""
+        return (LEASE_RESPONSE_KIND, *self.waits)
 
 
 class LeasedToken(typing.NamedTuple):
-    """A place lent to this node: by its own clock, when it may be used, and when no more."""
+    """A token leased to this node: by its own clock, from when and until when it may be used."""
 
     usable_at: float
     expires_at: float
 
 
 class TokenLeases:
-    """Handler "rate-places" takes (bound, places wanted, patience), and gives a wait for each place."""
+    """Takes tokens for this node's requests, borrows them from owners, and lends its own.
+
+    Args:
+        context: The node's context; its transport gets the handler of lease requests.
+        limit_of: Returns the limit over all nodes by its name; None without a limit.
+    """
 
-    def __init__(self, context: node_context.NodeContext, whole: quota_share.LimitLookup) -> None:
+    def __init__(self, context: node_context.NodeContext, limit_of: quota_share.LimitLookup) -> None:
         self.context = context
-        self.own_quota = quota_share.OwnedQuota(context, whole)
+        self.own_quota = quota_share.OwnedQuota(context, limit_of)
         self.leased: dict[str, list[LeasedToken]] = {}
         self.waiting: collections.Counter[str] = collections.Counter()
-        self.borrowing: dict[str, asyncio.Task] = {}
-        # Owners that did not answer or had nothing, by bound, and until when they are not asked.
+        self.borrowing: dict[str, asyncio.Task[bool]] = {}
+        # Until when an owner is not asked, by its name and the limit's.
         self.paused_until: dict[tuple[str, str], float] = {}
-        context.transport.handlers["rate-places"] = self.on_lease_request
+        context.transport.handlers[LEASE_REQUEST_KIND] = self.on_lease_request
 
     # -- using ---------------------------------------------------------------------------------------
-    def acquire(self, name: str, patience: float) -> float:
-        """A place under the bound: seconds until it may be used; OverCeiling if that is over `patience`."""
-        wait = self.own_quota.take(name, min(patience, OWN_TOKEN_WAIT_SECONDS))
+    def acquire(self, name: str, max_wait: float) -> float:
+        """Take a token of a limit.
+
+        Args:
+            name: The limit's name.
+            max_wait: The longest wait that the request accepts, in seconds.
+
+        Returns:
+            Seconds until the token may be used.
+
+        Raises:
+            errors.LimitExceededError: The wait would be longer.
+        """
+        wait = self.own_quota.take(name, min(max_wait, OWN_TOKEN_WAIT_SECONDS))
         if wait is not None:
             return wait
-        found = self.usable_tokens(name, patience)
-        if found:
-            self.leased[name].remove(found[0])
-            return max(0.0, found[0].usable_at - self.context.clock.now())
-        wait = self.own_quota.take(name, patience)
+        usable = self.usable_tokens(name, max_wait)
+        if usable:
+            self.leased[name].remove(usable[0])
+            return max(0.0, usable[0].usable_at - self.context.clock.now())
+        wait = self.own_quota.take(name, max_wait)
         if wait is None:
-            raise errors.LimitExceededError(f"{name} is at its ceiling", retry_after=0.2)
+            raise errors.LimitExceededError(f"{name} is at its ceiling", retry_after=RETRY_AFTER_SECONDS)
         return wait
 
-    def usable_tokens(self, name: str, patience: float) -> list[LeasedToken]:
+    def usable_tokens(self, name: str, max_wait: float) -> list[LeasedToken]:
+        """Return the leased tokens that may be used within `max_wait`, and drop the expired ones."""
         now = self.context.clock.now()
-        places = self.leased.setdefault(name, [])
-        places[:] = [place for place in places if now < place.expires_at]
-        return [place for place in places if place.usable_at <= now + patience + ROUNDING_SECONDS]
-
-    def has_token(self, name: str, patience: float, wanted: int = 1) -> bool:
-        own = self.own_quota.seconds_until_token(name)
-        # Its own next place costs no question and does not expire; others' are for what is beyond it.
-        return (own is not None and own <= max(OWN_TOKEN_WAIT_SECONDS, patience)) or len(
-            self.usable_tokens(name, patience)
-        ) >= wanted
+        tokens = self.leased.setdefault(name, [])
+        tokens[:] = [token for token in tokens if now < token.expires_at]
+        return [token for token in tokens if token.usable_at <= now + max_wait + ROUNDING_SECONDS]
+
+    def has_token(self, name: str, max_wait: float, wanted: int = 1) -> bool:
+        """Tell whether a token of this node's own comes in within `max_wait`, or enough are leased to it."""
+        own_wait = self.own_quota.seconds_until_token(name)
+        # The node's own next token costs no request and does not expire; others are leased only beyond it.
+        if own_wait is not None and own_wait <= max(OWN_TOKEN_WAIT_SECONDS, max_wait):
+            return True
+        return len(self.usable_tokens(name, max_wait)) >= wanted
 
     # -- borrowing -----------------------------------------------------------------------------------
-    async def wait_for_token(self, name: str, patience: float) -> None:
-        """Wait until there is a place to be had here, or no owner that can be asked has one."""
+    async def wait_for_token(self, name: str, max_wait: float) -> None:
+        """Wait until this node has a token, or no owner that can be asked has one."""
         end = self.context.clock.now() + BORROWING_TIMEOUT_SECONDS
         self.waiting[name] += 1
         try:
             while self.context.clock.now() < end:
-                if self.has_token(name, patience, self.waiting[name]):
+                if self.has_token(name, max_wait, self.waiting[name]):
                     return
-                task = self.borrowing.get(name)
-                if task is None or task.done():
-                    task = asyncio.get_running_loop().create_task(self.borrow(name, patience))
-                    self.borrowing[name] = task
-                if not await asyncio.shield(task):
+                if not await asyncio.shield(self.borrowing_task(name, max_wait)):
                     return
         finally:
             self.waiting[name] -= 1
 
-    async def borrow(self, name: str, patience: float) -> bool:
-        """Ask the owners one after the other; whether any has lent something."""
+    def borrowing_task(self, name: str, max_wait: float) -> "asyncio.Task[bool]":
+        """Return the task that borrows tokens of the limit; all requests that wait for them share it."""
+        task = self.borrowing.get(name)
+        if task is None or task.done():
+            task = asyncio.get_running_loop().create_task(self.borrow(name, max_wait))
+            self.borrowing[name] = task
+        return task
+
+    async def borrow(self, name: str, max_wait: float) -> bool:
+        """Ask the owners one after the other, and return whether any leased a token."""
         end = self.context.clock.now() + BORROWING_TIMEOUT_SECONDS
         while self.context.clock.now() < end:
             owner = self.next_owner(name)
             if owner is None:
                 return False
-            if await self.borrow_from(owner, name, patience):
+            if await self.borrow_from(owner, name, max_wait):
                 return True
         return False
 
-    def next_owner(self, name: str) -> typing.Any:
-        """An owner that can be asked: of this site first, then by lot."""
-        now, units = self.context.clock.now(), self.own_quota.units()
-        found = [
+    def next_owner(self, name: str) -> updates.Update | None:
+        """Return a random owner that can be asked, of this site if there is one."""
+        now = self.context.clock.now()
+        units = self.own_quota.units()
+        owners = [
             update
             for update in self.context.detector.member_list.members.values()
             if units.get(update.identity.name)
             and not update.state
-            and now >= self.paused_until.get((update.identity.name, name), -1e9)
-            and now >= self.paused_until.get((update.identity.name, ""), -1e9)
+            and now >= self.paused_until.get((update.identity.name, name), NEVER)
+            and now >= self.paused_until.get((update.identity.name, ALL_LIMITS), NEVER)
         ]
-        near = [update for update in found if update.node_info.site == self.context.settings.site]
-        return self.context.randomness.choice(near or found) if found else None
-
-    async def borrow_from(self, owner: typing.Any, name: str, patience: float) -> bool:
-        lender, asked_at = owner.identity.name, self.context.clock.now()
-        wanted = max(1, min(TOKENS_PER_LEASE_LIMIT, self.waiting[name]))
+        near = [update for update in owners if update.node_info.site == self.context.settings.site]
+        return self.context.randomness.choice(near or owners) if owners else None
+
+    async def borrow_from(self, owner: updates.Update, name: str, max_wait: float) -> bool:
+        """Ask one owner for tokens, and return whether it leased any."""
+        lender = owner.identity.name
+        asked_at = self.context.clock.now()
+        request = LeaseRequest(name, max(1, min(TOKENS_PER_LEASE_LIMIT, self.waiting[name])), max_wait)
         try:
-            _, *waits = await self.context.transport.call(
-                owner.node_info.address, lender, "rate-places", (name, wanted, patience), LEASE_SECONDS
+            body = await self.context.transport.call(
+                owner.node_info.address, lender, LEASE_REQUEST_KIND, request.to_wire(), LEASE_SECONDS
             )
         except errors.IrisError as error:
             self.context.counters.add("rate_owners_failed", code=error.code)
-            self.paused_until[lender, ""] = self.context.clock.now() + FAILED_OWNER_PAUSE_SECONDS
+            self.paused_until[lender, ALL_LIMITS] = self.context.clock.now() + FAILED_OWNER_PAUSE_SECONDS
             return False
+        waits = LeaseResponse.from_wire(body).waits
         now = self.context.clock.now()
         if not waits:
             self.paused_until[lender, name] = now + EMPTY_OWNER_PAUSE_SECONDS
             return False
         self.context.counters.add("rate_places_borrowed", len(waits))
-        places = self.leased.setdefault(name, [])
-        places.extend(
-            LeasedToken(now + float(wait), asked_at + float(wait) + LEASE_SECONDS) for wait in waits
-        )
+        tokens = self.leased.setdefault(name, [])
+        tokens.extend(LeasedToken(now + wait, asked_at + wait + LEASE_SECONDS) for wait in waits)
         return True
 
     # -- lending -------------------------------------------------------------------------------------
-    async def on_lease_request(self, _: str, body: list) -> tuple:
-        name, wanted, patience = str(body[0]), int(body[1]), float(body[2])
-        waits = []
+    async def on_lease_request(self, _: str, body: list[typing.Any]) -> tuple[typing.Any, ...]:
+        """Answer a lease request with tokens of this node's own share."""
+        request = LeaseRequest.from_wire(body)
+        max_wait = max(0.0, min(request.max_wait, BORROWING_TIMEOUT_SECONDS))
+        waits: list[float] = []
         if not self.context.is_draining:
-            for _ in range(min(wanted, TOKENS_PER_LEASE_LIMIT)):
-                # In the same row as this node's own requests, so that neither starves the other.
-                wait = self.own_quota.take(name, max(0.0, min(patience, BORROWING_TIMEOUT_SECONDS)))
+            for _number in range(min(request.wanted, TOKENS_PER_LEASE_LIMIT)):
+                # Of the same bucket as this node's own requests, so that neither starves the other.
+                wait = self.own_quota.take(request.limit_name, max_wait)
                 if wait is None:
                     break
                 waits.append(wait)
-        return ("places", *waits)
+        return LeaseResponse(tuple(waits)).to_wire()
--- a/src/irisstand/simulator/simulated_actors.py
+++ b/src/irisstand/simulator/simulated_actors.py
@@ -120,7 +120,10 @@
             share = node.body.role_node.origin_client.shares.get(granted.service) if node.is_up else None
             if share is not None:
                 rate, inflight = node.body.role_node.view.quota_share(granted.service, granted.limit)
-                if sum(moment > now - 1 for moment in share.started) < rate and share.in_flight() < inflight:
+                if (
+                    sum(moment > now - 1 for moment in share.started.moments) < rate
+                    and share.in_flight() < inflight
+                ):
                     return True
         return False
 
--- a/tests/mutation/dataplane_mutations.py
+++ b/tests/mutation/dataplane_mutations.py
@@ -76,7 +76,7 @@
     ),
     (
         "balancing/standby_planning.py",
-        "        if machine.name in rest and uncovered_loss(awake, load * 1.2):",
+        "        if machine.name in rest and uncovered_loss(active, load * WAKE_MARGIN):",
         "        if False:",
         "controlplane/test_capacity_scaling.py",
     ),
@@ -124,7 +124,7 @@
     ),
     (
         "balancing/service_limits.py",
-        "        return self.clock.now() - entered_at <= FRESH",
+        "        return self.clock.now() - entered_at <= FRESH_SECONDS",
         "        return True",
         "dataplane/test_origin_limits.py::test_request_whose_connection_took_long_is_counted_when_it_is_sent",
     ),
@@ -136,7 +136,7 @@
     ),
     (
         "balancing/retry_budget.py",
-        "        if len(self.retries) + 1 > self.share * len(self.first_attempts) + self.allowance:",
+        "        if self.retries.count() + 1 > limit:",
         "        if False:",
         "dataplane/test_origin_limits.py::test_retry_budget_holds_in_any_ten_seconds",
     ),
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -88,8 +88,8 @@
     ),
     (
         "dataplane/ratelimit/token_leases.py",
-        "        wait = self.own_quota.take(name, patience)\n        if wait is None:\n",
-        "        wait = self.own_quota.take(name, patience)\n        if False:\n",
+        "        wait = self.own_quota.take(name, max_wait)\n        if wait is None:\n",
+        "        wait = self.own_quota.take(name, max_wait)\n        if False:\n",
         "dataplane/test_token_leases.py",
     ),
     (
@@ -154,20 +154,20 @@
     ),
     (
         "dataplane/ratelimit/quota_share.py",
-        "        if whole is None or age is None or age > rate_quota.USABLE_SECONDS:",
-        "        if whole is None:",
+        "        if limit is None or age is None or age > rate_quota.USABLE_SECONDS:",
+        "        if limit is None:",
         "dataplane/test_token_leases.py::test_an_owner_whose_ledger_is_old_neither_uses_nor_lends_its_part",
     ),
     (
         "dataplane/ratelimit/token_leases.py",
-        "if now < place.expires_at]",
+        "if now < token.expires_at]",
         "]",
         "dataplane/test_token_leases.py::test_a_lent_place_is_good_for_a_moment_only",
     ),
     (
-        "balancing/fleet_limits.py",
-        "        self.tokens = 0.0\n        self.scarce_at",
-        "        self.tokens = 50.0\n        self.scarce_at",
+        "balancing/rate_limiter.py",
+        "token_bucket.TokenBucket(clock, 0.0, opened_at)",
+        "token_bucket.TokenBucket(clock, 50.0, opened_at)",
         "dataplane/test_token_leases.py::test_a_process_that_was_killed_again_and_again_gets_no_burst_each_time",
     ),
     (
