--- a/src/irisstand/balancing/fleet_limits.py
+++ b/src/irisstand/balancing/fleet_limits.py
@@ -26,7 +26,7 @@
     site: str
 
 
-def connection_limit(own: str, members: list[Member], origin: str, limit: int, is_held: bool) -> int:
+def connection_limit(own: str, members: list[Member], origin: str, limit: int, *, is_held: bool) -> int:
     """Return how many connections this node may have to an origin; 0 for none.
 
     Where holders fetch a service's objects, most connections belong to them. Where there are too few for all
@@ -40,9 +40,11 @@
         is_held: Whether object holders fetch objects of the origin's service.
 
     >>> listed = [Member(f"e{number}", "direct", "n") for number in range(8)] + [Member("h", "holder", "n")]
-    >>> connection_limit("e1", listed, "o", 100, False), connection_limit("h", listed, "o", 100, True)
-    (10, 73)
-    >>> sum(connection_limit(member.name, listed, "o", 10, False) for member in listed)
+    >>> connection_limit("e1", listed, "o", 100, is_held=False)
+    10
+    >>> connection_limit("h", listed, "o", 100, is_held=True)
+    73
+    >>> sum(connection_limit(member.name, listed, "o", 10, is_held=False) for member in listed)
     8
     """
     holders = [member.name for member in members if member.role == HOLDER_ROLE]
--- a/src/irisstand/balancing/quota_shares.py
+++ b/src/irisstand/balancing/quota_shares.py
@@ -5,6 +5,7 @@
 item changes.
 """
 
+import collections.abc
 import typing
 
 ShareRows = dict[str, dict[str, list[int]]]
@@ -78,7 +79,7 @@
 
 def plan(
     rows: ShareRows,
-    limits: dict[str, tuple[int, int]],
+    limits: collections.abc.Mapping[str, tuple[int, int]],
     weights: dict[str, float],
     frozen: typing.Container[str],
 ) -> tuple[ShareRows, set[str]]:
--- a/src/irisstand/balancing/rate_quota.py
+++ b/src/irisstand/balancing/rate_quota.py
@@ -56,7 +56,7 @@
     return {owner.name: 1.0 / counts[owner.site] for owner in sorted(owners, key=lambda owner: owner.name)}
 
 
-def plan(units: dict[str, int], weights: dict[str, float], is_frozen: bool) -> tuple[dict[str, int], bool]:
+def plan(units: dict[str, int], weights: dict[str, float], *, is_frozen: bool) -> tuple[dict[str, int], bool]:
     """Plan the next units of each owner.
 
     Owners that are gone lose all units at once. For new owners no more than `STEP_UNITS` are taken at a time,
@@ -70,14 +70,18 @@
     Returns:
         The next units, and whether any were taken from an owner.
 
-    >>> plan({}, {"a": 1, "b": 1}, False)
+    >>> plan({}, {"a": 1, "b": 1}, is_frozen=False)
     ({'a': 500, 'b': 500}, False)
-    >>> plan({"a": 500, "b": 500}, {"b": 1, "c": 1}, False)
+    >>> plan({"a": 500, "b": 500}, {"b": 1, "c": 1}, is_frozen=False)
     ({'b': 500}, True)
-    >>> plan({"b": 500}, {"b": 1, "c": 1}, True), plan({"b": 500}, {"b": 1, "c": 1}, False)
-    (({'b': 500}, False), ({'b': 500, 'c': 500}, False))
-    >>> plan({"a": 1000}, {"a": 1, "b": 1}, False), plan({"a": 875}, {"a": 1, "b": 1}, False)
-    (({'a': 875}, True), ({'a': 875, 'b': 125}, False))
+    >>> plan({"b": 500}, {"b": 1, "c": 1}, is_frozen=True)
+    ({'b': 500}, False)
+    >>> plan({"b": 500}, {"b": 1, "c": 1}, is_frozen=False)
+    ({'b': 500, 'c': 500}, False)
+    >>> plan({"a": 1000}, {"a": 1, "b": 1}, is_frozen=False)
+    ({'a': 875}, True)
+    >>> plan({"a": 875}, {"a": 1, "b": 1}, is_frozen=False)
+    ({'a': 875, 'b': 125}, False)
     """
     remaining = {name: share for name, share in units.items() if name in weights}
     if len(remaining) < len(units):
--- a/src/irisstand/balancing/standby_planning.py
+++ b/src/irisstand/balancing/standby_planning.py
@@ -59,6 +59,7 @@
     machines: list[Machine],
     resting: set[str],
     load: float,
+    *,
     may_rest: bool,
     margin: float = STANDBY_MARGIN,
 ) -> tuple[set[str], dict[str, str]]:
@@ -86,7 +87,7 @@
         if machine.name in rest:
             reasons[machine.name] = IN_STANDBY
             continue
-        reason = reason_to_stay(machine, may_rest)
+        reason = reason_to_stay(machine, may_rest=may_rest)
         if not reason:
             others = [m for m in machines if m.name not in rest and m is not machine]
             loss = uncovered_loss(others, load * margin)
@@ -109,7 +110,7 @@
             rest.discard(machine.name)
 
 
-def reason_to_stay(machine: Machine, may_rest: bool) -> str:
+def reason_to_stay(machine: Machine, *, may_rest: bool) -> str:
     """Return why a machine never goes to standby now, whatever the load; empty if it may."""
     if machine.pinned:
         return PINNED
--- a/src/irisstand/controlplane/singletons/capacity_scaling.py
+++ b/src/irisstand/controlplane/singletons/capacity_scaling.py
@@ -104,7 +104,9 @@
         machines = self.view.machines(role, rates)
         names = {machine.name for machine in machines}
         present = {name for name in names if self.view.is_on_standby(name)}
-        wanted, reasons = standby_planning.plan(machines, present, sum(rates.values()), may_scale_down)
+        wanted, reasons = standby_planning.plan(
+            machines, present, sum(rates.values()), may_rest=may_scale_down
+        )
         added = wanted - present
         if added and now - self.changed_at < self.standby_delay_seconds:
             for name in added:
--- a/src/irisstand/controlplane/singletons/placement.py
+++ b/src/irisstand/controlplane/singletons/placement.py
@@ -88,7 +88,9 @@
         limits = {}
         for item in self.context.configuration.items_with_prefix("service/"):
             limit = item.value["ceiling"]
-            limits[item.key.removeprefix("service/")] = (limit["rate"], limit["inflight"])
+            limits[item.key.removeprefix("service/")] = quota_shares.ServiceLimit(
+                limit["rate"], limit["inflight"]
+            )
         return limits
 
     def freeze(self, services: collections.abc.Iterable[str], now: float) -> None:
--- a/src/irisstand/controlplane/singletons/rate_placement.py
+++ b/src/irisstand/controlplane/singletons/rate_placement.py
@@ -53,7 +53,7 @@
             self.stable_since = now
         if not weights or (not units and self.is_filling(now)):
             return
-        planned, is_reduced = rate_quota.plan(units, weights, now < self.frozen_until)
+        planned, is_reduced = rate_quota.plan(units, weights, is_frozen=now < self.frozen_until)
         if planned != units and task.holds_lease():
             await self.write(task, planned, now, is_reduced=is_reduced)
 
--- a/src/irisstand/dataplane/upstream/endpoint_selection.py
+++ b/src/irisstand/dataplane/upstream/endpoint_selection.py
@@ -111,7 +111,7 @@
         if key not in self.limits:
             own = self.context.settings.name
             self.limits[key] = fleet_limits.connection_limit(
-                own, members, endpoint.instance, upstream.connections, is_held
+                own, members, endpoint.instance, upstream.connections, is_held=is_held
             )
         return self.limits[key]
 
--- a/src/irisstand/simulator/sizes.py
+++ b/src/irisstand/simulator/sizes.py
@@ -85,6 +85,8 @@
     for members in (50, 200, 800, 2100):
         found.append((f"a member, of {members}", "bytes", member_bytes(members)))
         listed = [fleet_limits.Member(f"e{number}", "direct", f"z{number % 25}") for number in range(members)]
-        spent = seconds(lambda listed=listed: fleet_limits.connection_limit("e1", listed, "o", 58, False))
+        spent = seconds(
+            lambda listed=listed: fleet_limits.connection_limit("e1", listed, "o", 58, is_held=False)
+        )
         found.append((f"an origin's connections split over {members}", "ms", spent * 1000))
     return found
--- a/tests/controlplane/test_capacity_scaling.py
+++ b/tests/controlplane/test_capacity_scaling.py
@@ -131,7 +131,7 @@
         resting_now = {m.name for m in machines if randomness.random() < 0.5}
         load = randomness.uniform(0, 40)
         may_rest = randomness.random() < 0.9
-        rest, reasons = standby_planning.plan(machines, resting_now, load, may_rest)
+        rest, reasons = standby_planning.plan(machines, resting_now, load, may_rest=may_rest)
         assert set(reasons) == {m.name for m in machines}
         assert not any(m.name in rest and m.pinned for m in machines)
         assert len(rest - resting_now) <= 1
