--- a/src/irisstand/dataplane/cache/object_cache.py
+++ b/src/irisstand/dataplane/cache/object_cache.py
@@ -13,8 +13,8 @@
 class ObjectCache:
     """
     >>> from irisstand.state import versions
-    >>> cache = Cache(1000)
-    >>> thing = objects.Object(200, (), b"x" * 400, versions.NONE, 0.0, 0.0, 9.0, ())
+    >>> cache = ObjectCache(1000)
+    >>> thing = objects.CachedObject(200, (), b"x" * 400, versions.NONE, 0.0, 0.0, 9.0, ())
     >>> cache.put("a", thing); cache.put("b", thing); cache.get("a") is None
     True
     """
--- a/src/irisstand/dataplane/cache/objects.py
+++ b/src/irisstand/dataplane/cache/objects.py
@@ -90,9 +90,9 @@
 def allowed_ttl(status: int, headers: dict[str, str], life: float) -> float:
     """The configuration's life, shortened by what the origin says; 0 for what is not to be shared.
 
-    >>> allowed_life(200, {"cache-control": "max-age=5"}, 30)
+    >>> allowed_ttl(200, {"cache-control": "max-age=5"}, 30)
     5.0
-    >>> allowed_life(200, {"cache-control": "private, max-age=5"}, 30)
+    >>> allowed_ttl(200, {"cache-control": "private, max-age=5"}, 30)
     0.0
     """
     control = [part.strip().lower() for part in headers.get("cache-control", "").split(",")]
