--- a/src/irisstand/dataplane/nodes/shield.py
+++ b/src/irisstand/dataplane/nodes/shield.py
@@ -79,11 +79,11 @@
         granted, remaining = await self.admit(request)
         with self.context.count_in_flight():
             # The deadline begins now: claiming the key is part of the request's time.
-            decisions: WritePolicy = write_policy.ShieldWritePolicy(self.context.clock, granted, remaining)
+            retry_policy: WritePolicy = write_policy.ShieldWritePolicy(self.context.clock, granted, remaining)
             to_origin = origin_client.OriginRequest(
                 request.method, request.target, dict(request.headers), request.content, request.request_id
             )
-            write = functools.partial(self.write, granted, decisions, to_origin)
+            write = functools.partial(self.write, granted, retry_policy, to_origin)
             return tuple(await self.idempotency_keys.run_once(granted, to_origin, write))
 
     async def admit(self, request: messages.ReadRequest | messages.WriteRequest) -> Admitted:
@@ -158,7 +158,7 @@
         self, granted: snapshot.AllowedRequest, request: messages.ReadRequest, remaining: float
     ) -> objects.CachedObject:
         """Return an object from an origin."""
-        decisions = read_policy.ShieldReadPolicy(self.context.clock, granted, remaining, self.budget)
+        retry_policy = read_policy.ShieldReadPolicy(self.context.clock, granted, remaining, self.budget)
         to_origin = origin_client.OriginRequest(
             "GET", request.target, request.headers, b"", request.request_id
         )
@@ -167,24 +167,27 @@
             # Fetched from now on, so at least as new as all that this node or the edge has received.
             applied = max(self.context.ledger.applied, request.minimum_version)
             sent_at = self.context.clock.now()
-            event = await self.origin_client.attempt(granted, to_origin, decisions)
+            event = await self.origin_client.attempt(granted, to_origin, retry_policy)
             if not isinstance(event, events.ResponseReceived):
                 return event
             status, headers, body = event.response
             content = objects.from_origin(status, headers, body, applied, sent_at, granted.ttl)
             return events.ResponseReceived(content, event.endpoint)
 
-        return policy.response_of(await policy.execute(decisions, attempt))
+        return policy.response_of(await policy.execute(retry_policy, attempt))
 
     async def write(
-        self, granted: snapshot.AllowedRequest, decisions: WritePolicy, request: origin_client.OriginRequest
+        self,
+        granted: snapshot.AllowedRequest,
+        retry_policy: WritePolicy,
+        request: origin_client.OriginRequest,
     ) -> messages.WriteResult:
         """Send a write to an origin, at most once."""
 
         async def attempt(_: actions.SendAttempt) -> forwarding_policy.ToOriginEvent[connections.Answer]:
-            return await self.origin_client.attempt(granted, request, decisions)
+            return await self.origin_client.attempt(granted, request, retry_policy)
 
-        status, headers, body = policy.response_of(await policy.execute(decisions, attempt))
+        status, headers, body = policy.response_of(await policy.execute(retry_policy, attempt))
         content = objects.from_origin(status, headers, body, versions.NONE, 0.0, 0.0)
         return messages.WriteResult(status, content.headers, body)
 
--- a/src/irisstand/dataplane/nodes/shield_client.py
+++ b/src/irisstand/dataplane/nodes/shield_client.py
@@ -65,7 +65,7 @@
         """
         self.budget.record_first_attempt()
         shields = self.shields_for_read(read.granted.service, f"{read.path}?{read.query}")
-        decisions: read_policy.EdgeReadPolicy[messages.ReadResult] = read_policy.EdgeReadPolicy(
+        retry_policy: read_policy.EdgeReadPolicy[messages.ReadResult] = read_policy.EdgeReadPolicy(
             self.context.clock, read.granted, shields, self.budget, deadline
         )
         # One id for all attempts, so that an origin's record shows retries for what they are.
@@ -80,13 +80,13 @@
             is_shared=read.is_shared,
             applied_version=versions.NONE,
         )
-        send = functools.partial(self.send_read, request, decisions)
-        return policy.response_of(await policy.execute(decisions, send))
+        send = functools.partial(self.send_read, request, retry_policy)
+        return policy.response_of(await policy.execute(retry_policy, send))
 
     async def send_read(
         self,
         request: messages.ReadRequest,
-        decisions: read_policy.EdgeReadPolicy[messages.ReadResult],
+        retry_policy: read_policy.EdgeReadPolicy[messages.ReadResult],
         action: actions.SendToShield,
     ) -> Event[messages.ReadResult]:
         """Make one attempt of a read at one shield."""
@@ -94,7 +94,7 @@
             remaining_seconds=action.timeout_seconds, applied_version=self.context.configuration.applied
         )
         sent_at = self.context.clock.now()
-        event = await self.call_unless_suspected(action, current, decisions)
+        event = await self.call_unless_suspected(action, current, retry_policy)
         if isinstance(event, events.AttemptFailed):
             return event
         result = messages.ReadResult.from_wire(event.response, sent_at)
@@ -104,7 +104,7 @@
         self,
         action: actions.SendToShield,
         request: messages.ReadRequest,
-        decisions: read_policy.EdgeReadPolicy[messages.ReadResult],
+        retry_policy: read_policy.EdgeReadPolicy[messages.ReadResult],
     ) -> Event[typing.Any]:
         """Call a shield, but leave it when it is suspected: one that lost its power closes no connection."""
         suspicion = self.suspicion_watcher.watch(action.shield.identity)
@@ -113,7 +113,7 @@
         )
         try:
             await asyncio.wait([call, suspicion], return_when=asyncio.FIRST_COMPLETED)
-            if not call.done() and decisions.may_leave_shield():
+            if not call.done() and retry_policy.may_leave_shield():
                 error = errors.NotSentError("the shield is suspected to have failed")
                 return events.AttemptFailed(error, action.shield.identity.name)
             return await call
@@ -144,7 +144,7 @@
         request_id = self.new_request_id()
         key = write.headers.get("idempotency-key", request_id)
         shields = self.view.shields(write.granted.service, key)
-        decisions: write_policy.EdgeWritePolicy[messages.WriteResult] = write_policy.EdgeWritePolicy(
+        retry_policy: write_policy.EdgeWritePolicy[messages.WriteResult] = write_policy.EdgeWritePolicy(
             self.context.clock, write.granted, shields
         )
         request = messages.WriteRequest(
@@ -158,7 +158,7 @@
             applied_version=versions.NONE,
         )
         send = functools.partial(self.send_write, request)
-        return policy.response_of(await policy.execute(decisions, send))
+        return policy.response_of(await policy.execute(retry_policy, send))
 
     async def send_write(
         self, request: messages.WriteRequest, action: actions.SendToShield
--- a/src/irisstand/dataplane/upstream/attempts.py
+++ b/src/irisstand/dataplane/upstream/attempts.py
@@ -29,7 +29,7 @@
     endpoint: origin_endpoint.Endpoint
     request: upstream_request.Request
     headers: upstream_request.Headers
-    decisions: attempt_policy.AttemptPolicy[exchange.Answer]
+    retry_policy: attempt_policy.AttemptPolicy[exchange.Answer]
     delay_seconds: float
     is_anonymous: bool
 
@@ -52,7 +52,7 @@
                 await asyncio.sleep(attempt.delay_seconds)
             request_id = self.request_id(attempt)
             # Without an id nothing would tell a surplus answer to an earlier request from this one's.
-            timeout = max(MINIMUM_CONNECT_SECONDS, attempt.decisions.remaining())
+            timeout = max(MINIMUM_CONNECT_SECONDS, attempt.retry_policy.remaining())
             connection = await endpoint.acquire(timeout, is_fresh=not request_id)
             answer = await self.send(connection, attempt, request_id)
             is_answered = True
@@ -76,12 +76,12 @@
     async def send(self, connection: exchange.Exchange, attempt: Attempt, request_id: str) -> exchange.Answer:
         """Send the request over a connection and return the answer, which may have any status."""
         request, words = attempt.request, self.header_names
-        remaining_ms = max(1, int(attempt.decisions.remaining() * 1000))
+        remaining_ms = max(1, int(attempt.retry_policy.remaining() * 1000))
         left_out = (words.remaining, words.request_id if attempt.is_anonymous else "")
         headers = [("host", request.host), *((n, v) for n, v in attempt.headers if n not in left_out)]
         headers += [(words.remaining, str(remaining_ms)), (words.expected, attempt.endpoint.instance)]
         # The policy has its own deadline; this one is for what goes on after it.
-        async with asyncio.timeout(attempt.decisions.remaining() + ABANDONED_SECONDS):
+        async with asyncio.timeout(attempt.retry_policy.remaining() + ABANDONED_SECONDS):
             return await connection.send(request.method, request.target, headers, request.body, request_id)
 
     def judge(self, endpoint: origin_endpoint.Endpoint, answer: exchange.Answer, request_id: str) -> Result:
--- a/src/irisstand/dataplane/upstream/client.py
+++ b/src/irisstand/dataplane/upstream/client.py
@@ -6,6 +6,7 @@
 
 import asyncio
 import functools
+import typing
 
 from irisstand import errors, node_context
 from irisstand.balancing import retry_budget as budgets
@@ -22,6 +23,8 @@
 
 # The part of a route's target that a request may wait for tokens of a rate limit.
 RATE_WAIT_TARGET_FACTOR = 0.4
+# The part of the time that is left that it may wait for them.
+RATE_WAIT_REMAINING_FACTOR = 0.25
 # The part of the fleet's retries that edges use together.
 EDGES_RETRY_SHARE = 0.8
 
@@ -39,15 +42,27 @@
         service: str,
         request: upstream_request.Request,
         headers: upstream_request.Headers,
-        decisions: attempt_policy.AttemptPolicy[exchange.Answer],
+        retry_policy: attempt_policy.AttemptPolicy[exchange.Answer],
     ) -> None:
         self.route = route
         self.service = service
         self.request = request
         self.headers = headers
-        self.decisions = decisions
+        self.retry_policy = retry_policy
         self.running: set[AttemptTask] = set()
 
+    def rate_wait_seconds(self) -> float:
+        """Return how long the request may wait for a token of a rate limit now."""
+        by_target = RATE_WAIT_TARGET_FACTOR * self.route.target
+        return min(by_target, RATE_WAIT_REMAINING_FACTOR * self.retry_policy.remaining())
+
+
+class Choice(typing.NamedTuple):
+    """An endpoint that may be used now, and after how many seconds under the service's rate limit."""
+
+    endpoint: origin_endpoint.Endpoint
+    delay_seconds: float
+
 
 class UpstreamClient:
     """Sends requests to endpoints and returns their answers."""
@@ -93,7 +108,7 @@
         """
         call = Call(route, service, request, headers, self.policy_for(route, service, remaining))
         decision: actions.Respond[exchange.Answer] | actions.Reject = await policy.execute(
-            call.decisions, functools.partial(self.perform, call)
+            call.retry_policy, functools.partial(self.perform, call)
         )
         if isinstance(decision, actions.Reject):
             self.context.counters.add("rejected", code=decision.error.code)
@@ -119,12 +134,11 @@
     async def send(self, call: Call) -> Event:
         """Begin an attempt; the first of a request may wait for tokens of a rate limit."""
         if not call.running:
-            timeout = min(RATE_WAIT_TARGET_FACTOR * call.route.target, call.decisions.remaining() / 4)
-            await self.endpoints.ready(call.service, timeout)
+            await self.endpoints.ready(call.service, call.rate_wait_seconds())
         event = self.begin(call)
         is_cold = isinstance(event, events.NoEndpoint) and isinstance(event.error, errors.SlowStartError)
         if is_cold and not call.running:
-            await self.endpoints.ready_cold(call.route, call.service, call.decisions.tried)
+            await self.endpoints.ready_cold(call.route, call.service, call.retry_policy.tried)
             event = self.begin(call)
         return event
 
@@ -148,9 +162,9 @@
         # An object is asked for a second time as this node's own reading of it, under no client's id: an
         # origin that failed under an id would fail under it again.
         is_read = call.route.is_cacheable and call.request.method == "GET"
-        is_anonymous = call.decisions.sent > 0 and is_read
+        is_anonymous = call.retry_policy.sent > 0 and is_read
         attempt = attempts.Attempt(
-            endpoint, call.request, call.headers, call.decisions, delay, is_anonymous=is_anonymous
+            endpoint, call.request, call.headers, call.retry_policy, delay, is_anonymous=is_anonymous
         )
         task = asyncio.get_running_loop().create_task(self.sender.run(attempt))
         # An attempt that nobody waits for any more goes on: its origin is at work on it.
@@ -159,8 +173,8 @@
         call.running.add(task)
         return events.AttemptSent(endpoint.instance, endpoint.usual_seconds)
 
-    def choose(self, call: Call) -> tuple[origin_endpoint.Endpoint, float]:
-        """Return an endpoint that may be used now, and after how many seconds under the service's rate limit.
+    def choose(self, call: Call) -> Choice:
+        """Return an endpoint for one more attempt.
 
         Raises:
             IrisError: no endpoint may be used now.
@@ -172,6 +186,5 @@
             raise errors.StaleConfigurationError(
                 "the route changed while the request waited", retry_after=0.05
             )
-        endpoint = self.endpoints.choose(call.route, upstream, call.decisions.tried)
-        timeout = min(RATE_WAIT_TARGET_FACTOR * call.route.target, call.decisions.remaining() / 4)
-        return endpoint, self.endpoints.enter(upstream, timeout)
+        endpoint = self.endpoints.choose(call.route, upstream, call.retry_policy.tried)
+        return Choice(endpoint, self.endpoints.enter(upstream, call.rate_wait_seconds()))
--- a/src/irisstand/dataplane/upstream/connections.py
+++ b/src/irisstand/dataplane/upstream/connections.py
@@ -15,8 +15,14 @@
 # The origin closes idle connections; this is only to keep the library from doing so.
 KEEP_ALIVE_SECONDS = 3600
 HEALTHY_STATUS = 200
-# Status, headers with names in lower case, and body.
-Answer = tuple[int, dict[str, str], bytes]
+
+
+class Answer(typing.NamedTuple):
+    """An origin's complete answer; header names in lower case."""
+
+    status: int
+    headers: dict[str, str]
+    body: bytes
 
 
 class UpstreamConnection(typing.Protocol):
@@ -132,7 +138,7 @@
         headers = {name.lower(): value for name, value in response.headers.items()}
         if headers.get("connection", "").lower() == "close":
             self.state = connection_state.ConnectionState.CLOSED
-        return response.status, headers, bytes(content)
+        return Answer(response.status, headers, bytes(content))
 
     async def close(self) -> None:
         """Close the connection."""
--- a/src/irisstand/dataplane/upstream/origin_client.py
+++ b/src/irisstand/dataplane/upstream/origin_client.py
@@ -12,6 +12,8 @@
 
 # What a request waits for its turn at one shield; three of them are well inside any client's patience.
 QUEUE_TIMEOUT_SECONDS = 0.25
+# Of the time that is left, it may wait one part in so many.
+QUEUE_REMAINING_DIVISOR = 3
 QUEUE_POLL_SECONDS = 0.01
 MINIMUM_TIMEOUT_SECONDS = 0.01
 # These say nothing of the origin's health: a limit of this node's own, a change of the configuration, or a
@@ -88,18 +90,18 @@
         self,
         granted: snapshot.AllowedRequest,
         request: OriginRequest,
-        decisions: forwarding_policy.ToOriginPolicy,
+        retry_policy: forwarding_policy.ToOriginPolicy,
     ) -> Event:
         """Make one attempt at an origin that the policy has not tried yet."""
         try:
-            origin = self.origins.choose(granted, decisions.tried)
+            origin = self.origins.choose(granted, retry_policy.tried)
             origin.probe = granted.probe
-            slot = await self.enter(granted, decisions)
+            slot = await self.enter(granted, retry_policy)
         except errors.IrisError as error:
             return events.NoEndpoint(error)
         attempt = Attempt(granted, origin, slot)
         try:
-            return await self.send(attempt, request, decisions)
+            return await self.send(attempt, request, retry_policy)
         except (TimeoutError, asyncio.CancelledError) as error:
             # Nobody waits any more, but the origin may work on: its place is kept for as long as it could.
             if attempt.may_have_run():
@@ -120,30 +122,30 @@
             await attempt.release()
 
     async def send(
-        self, attempt: Attempt, request: OriginRequest, decisions: forwarding_policy.ToOriginPolicy
+        self, attempt: Attempt, request: OriginRequest, retry_policy: forwarding_policy.ToOriginPolicy
     ) -> Event:
         """Send the request over a connection of the attempt's origin, and check the seal of the answer."""
         granted = attempt.granted
-        connection = await attempt.origin.acquire(max(MINIMUM_TIMEOUT_SECONDS, decisions.remaining()))
+        connection = await attempt.origin.acquire(max(MINIMUM_TIMEOUT_SECONDS, retry_policy.remaining()))
         attempt.connection = connection
         connection.may_have_sent = False
-        await self.renew_slot(attempt, decisions)
+        await self.renew_slot(attempt, retry_policy)
         # Time went by since the origin was chosen: what was granted then may be withdrawn by now.
         self.view.check_current()
         self.check_grant(granted, request)
         headers = {**request.headers, "X-Request-Id": request.request_id}
-        timeout = max(MINIMUM_TIMEOUT_SECONDS, decisions.remaining())
+        timeout = max(MINIMUM_TIMEOUT_SECONDS, retry_policy.remaining())
         answer = await connection.send(request.method, request.target, headers, request.body, timeout)
-        objects.check_seal(answer[1], answer[2], request.request_id)
+        objects.check_seal(answer.headers, answer.body, request.request_id)
         self.context.counters.add("origin_requests", service=granted.service, method=request.method)
         return events.ResponseReceived(answer, attempt.origin.instance)
 
-    async def renew_slot(self, attempt: Attempt, decisions: forwarding_policy.ToOriginPolicy) -> None:
+    async def renew_slot(self, attempt: Attempt, retry_policy: forwarding_policy.ToOriginPolicy) -> None:
         """Take the place anew if it is old: it counts for the moment of sending."""
         while attempt.slot is not None and not attempt.slot.share.is_fresh(attempt.slot.entered_at):
             attempt.slot.share.withdraw(attempt.slot.entered_at)
             attempt.slot = None
-            attempt.slot = await self.enter(attempt.granted, decisions)
+            attempt.slot = await self.enter(attempt.granted, retry_policy)
             attempt.entered_at = attempt.slot.entered_at
 
     def failed(self, attempt: Attempt, error: BaseException) -> events.AttemptFailed:
@@ -162,7 +164,7 @@
             raise errors.StaleConfigurationError("the blueprint changed while the request waited")
 
     async def enter(
-        self, granted: snapshot.AllowedRequest, decisions: forwarding_policy.ToOriginPolicy
+        self, granted: snapshot.AllowedRequest, retry_policy: forwarding_policy.ToOriginPolicy
     ) -> Slot:
         """Take a place under this shield's share of the service's limits, after a short wait at most.
 
@@ -176,7 +178,9 @@
                 self.context.clock, self.opened_at
             )
         share = self.shares[granted.service]
-        wait_until = self.context.clock.now() + min(QUEUE_TIMEOUT_SECONDS, decisions.remaining() / 3)
+        wait_until = self.context.clock.now() + min(
+            QUEUE_TIMEOUT_SECONDS, retry_policy.remaining() / QUEUE_REMAINING_DIVISOR
+        )
         if not rate or not in_flight or share.is_opening(granted.deadline):
             raise errors.NoQuotaShareError(f"no share of {granted.service} is held here")
         while not share.enter(rate, in_flight):
--- a/src/irisstand/simulator/simulated_origins.py
+++ b/src/irisstand/simulator/simulated_origins.py
@@ -58,7 +58,7 @@
         """What the origin does, whoever is still there to hear it. None: the answer is lost."""
         if target == "/health":
             content = json.dumps({"service": self.service, "instance": self.instance}).encode()
-            return 200, {"content-length": str(len(content))}, content
+            return connections.Answer(200, {"content-length": str(len(content))}, content)
         now = asyncio.get_running_loop().time()
         self.started.append((now, headers.get("X-Request-Id", "")))
         self.spans.append((now, now + self.delay))
@@ -85,8 +85,8 @@
         if "wrong-request" in self.faults:
             kept["x-request-id"] = "somebody-else"
         if "fails" in self.faults:
-            return 500, kept, content
-        return 200, kept, content
+            return connections.Answer(500, kept, content)
+        return connections.Answer(200, kept, content)
 
 
 class SimulatedLine:
