--- a/src/irisstand/cli/develop.py
+++ b/src/irisstand/cli/develop.py
@@ -45,11 +45,11 @@
 )
 def start_cluster(*, shape: str, seconds: float, plan: str, seed: int, folder: str) -> None:
     """Run a local cluster; exit code 1 if an invariant was broken."""
-    from irisstand.fleet import plans, rehearse
+    from irisstand.localcluster import fault_plans, runner
 
-    if plan not in plans.REGISTRY:
-        raise click.BadParameter(f"no such plan; use one of {', '.join(plans.REGISTRY)}")
-    sys.exit(rehearse.rehearse(shape, seconds, plan, seed, folder, click.echo))
+    if plan not in fault_plans.REGISTRY:
+        raise click.BadParameter(f"no such plan; use one of {', '.join(fault_plans.REGISTRY)}")
+    sys.exit(runner.run(shape, seconds, plan, seed, folder, click.echo))
 
 
 @click.command(
@@ -64,11 +64,11 @@
 @click.option("--site", default="north", help="Site that the origins are listed in.")
 def start_emulators(*, platform_port: int, site: str) -> None:
     """Serve until interrupted."""
-    from irisstand.standins import origin
+    from irisstand.emulators import origin_emulator
 
     click.echo(f"content-1 and application-1 are listed by the platform at 127.0.0.1:{platform_port}")
     with contextlib.suppress(KeyboardInterrupt):
-        asyncio.run(origin.stand_in(platform_port, site))
+        asyncio.run(origin_emulator.run_emulators(platform_port, site))
 
 
 @click.command(help="Run random faults in virtual time. Each seed is one day; the invariants are checked.")
@@ -84,13 +84,12 @@
     *, first: int, days: int, seconds: float, workers: int, log: bool, kind: str
 ) -> None:
     """Run simulated days; exit code 1 if one of them broke an invariant."""
-    from irisstand.simulator import day
-    from irisstand.simulator import simulate as simulated_days
+    from irisstand.simulator import day_runner, simulated_day
 
-    if kind not in day.KINDS:
-        raise click.BadParameter(f"no such kind of day; use one of {', '.join(day.KINDS)}")
+    if kind not in simulated_day.KINDS:
+        raise click.BadParameter(f"no such kind of day; use one of {', '.join(simulated_day.KINDS)}")
     seeds = range(first, first + days)
-    sys.exit(simulated_days.simulate(seeds, seconds, workers, log, click.echo, kind))
+    sys.exit(day_runner.simulate(seeds, seconds, workers, log, click.echo, kind))
 
 
 @click.command("fuzz-origins", help="Play hostile origins against a node. The invariants are checked.")
@@ -172,10 +171,10 @@
 @click.option("--rows", type=click.IntRange(0), default=0, help="Configuration entries there at the start.")
 def benchmark_propagation(*, clients: int, seconds: float, seeds: int, rows: int) -> None:
     """Print one line of figures for each seed."""
-    from irisstand.simulator import storm
+    from irisstand.simulator import propagation_benchmark
 
     for seed in range(1, seeds + 1):
-        figures = storm.measure(seed, clients, seconds, rows)
+        figures = propagation_benchmark.measure(seed, clients, seconds, rows)
         click.echo(f"seed {seed}: " + ", ".join(f"{k} {v:.4g}" for k, v in figures._asdict().items()))
 
 
@@ -190,9 +189,9 @@
 @click.option("--seed", type=int, default=1, help="Seed of the run.")
 def benchmark_failure_detection(*, kills: int, loss: float, seed: int) -> None:
     """Print the measured times."""
-    from irisstand.simulator import detection
+    from irisstand.simulator import failure_detection_benchmark
 
-    for line in detection.measure(seed, kills, loss):
+    for line in failure_detection_benchmark.measure(seed, kills, loss):
         click.echo(line)
 
 
@@ -217,10 +216,10 @@
 )
 def benchmark_large_configurations(*, routes: tuple[int, ...]) -> None:
     """Print one line for each measured step and number of routes."""
-    from irisstand.simulator import big_configurations
+    from irisstand.simulator import large_configurations
 
     for count in routes:
-        for what, unit, figure in big_configurations.measure(count):
+        for what, unit, figure in large_configurations.measure(count):
             click.echo(f"{count:>6} routes: {what:<50} {figure:>10.4g} {unit}")
 
 
--- a/src/irisstand/standins/hostile_origin.py
+++ b/src/irisstand/emulators/hostile_origin.py
@@ -15,7 +15,7 @@
     return hashlib.sha256(body).hexdigest()[:16]
 
 
-class Record:
+class RequestLog:
     """What began to run, by request id, and which request an answer's body is for."""
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
         return f"{target} answered".encode()
 
 
-class Asked(typing.NamedTuple):
+class ReceivedRequest(typing.NamedTuple):
     request_id: str
     target: str
     method: str
@@ -35,12 +35,12 @@
 class HostileOrigin(asyncio.Protocol):
     """One connection. `ways` are the methods `way_...`, one drawn for each request."""
 
-    def __init__(self, randomness: random.Random, record: Record) -> None:
+    def __init__(self, randomness: random.Random, record: RequestLog) -> None:
         self.randomness, self.record = randomness, record
         self.received = b""
         self.free_at = 0.0
         self.transport: typing.Any = None
-        self.earlier = Asked("earlier", "/earlier", "GET")
+        self.earlier = ReceivedRequest("earlier", "/earlier", "GET")
         self.ways = sorted(name for name in dir(self) if name.startswith("way_"))
 
     def connection_made(self, transport: typing.Any) -> None:
@@ -57,7 +57,7 @@
                 return
             self.received = rest[size:]
             method, target, _ = first.split(" ")
-            asked = Asked(headers.get(ID, ""), target, method)
+            asked = ReceivedRequest(headers.get(ID, ""), target, method)
             # Half of all requests are answered as they should be, so that connections are used again.
             way = self.way_whole if self.randomness.random() < 0.5 else getattr(self, self.draw())
             way(asked)
@@ -77,7 +77,9 @@
         if not self.transport.is_closing():
             self.transport.write(data)
 
-    def whole(self, asked: Asked, body: bytes | None = None, status: str = "200 OK", more: str = "") -> bytes:
+    def whole(
+        self, asked: ReceivedRequest, body: bytes | None = None, status: str = "200 OK", more: str = ""
+    ) -> bytes:
         body = self.record.body(asked.request_id, asked.target) if body is None else body
         named = f"{ID}: {asked.request_id}\r\n" if asked.request_id else ""
         head = (
@@ -85,67 +87,67 @@
         )
         return head.encode() + (b"" if asked.method == "HEAD" else body)
 
-    def refusal(self, asked: Asked, status: str = "503 Busy", named: bool = True) -> bytes:
+    def refusal(self, asked: ReceivedRequest, status: str = "503 Busy", named: bool = True) -> bytes:
         told = f"{ID}: {asked.request_id}\r\n" if named and asked.request_id else ""
         return f"HTTP/1.1 {status}\r\n{told}{NOT_RUN}: 1\r\ncontent-length: 0\r\n\r\n".encode()
 
     # -- ways ----------------------------------------------------------------------------------------
-    def way_whole(self, asked: Asked) -> None:
+    def way_whole(self, asked: ReceivedRequest) -> None:
         self.send(self.whole(asked), self.randomness.choice((0.0, 0.01, 0.3)))
 
-    def way_did_not_run(self, asked: Asked) -> None:
+    def way_did_not_run(self, asked: ReceivedRequest) -> None:
         self.send(self.refusal(asked, self.randomness.choice(("503 Busy", "429 Many", "400 Bad"))))
 
-    def way_another_instance(self, asked: Asked) -> None:
+    def way_another_instance(self, asked: ReceivedRequest) -> None:
         self.send(self.refusal(asked, "421 Misdirected"))
 
-    def way_may_have_run(self, asked: Asked) -> None:
+    def way_may_have_run(self, asked: ReceivedRequest) -> None:
         status = self.randomness.choice(("503 Busy", "408 Late", "429 Many"))
         self.send(self.whole(asked, status=status))
 
-    def way_surplus_refusal_before(self, asked: Asked) -> None:
+    def way_surplus_refusal_before(self, asked: ReceivedRequest) -> None:
         # Only a connection that was used may bring what belongs to an earlier request.
         before = self.refusal(self.earlier, named=self.randomness.random() < 0.5)
         self.send((b"" if self.earlier.target == "/earlier" else before) + self.whole(asked))
 
-    def way_surplus_answer_before(self, asked: Asked) -> None:
+    def way_surplus_answer_before(self, asked: ReceivedRequest) -> None:
         self.send(self.whole(self.earlier, body=b"of an earlier one") + self.whole(asked))
 
-    def way_surplus_after(self, asked: Asked) -> None:
+    def way_surplus_after(self, asked: ReceivedRequest) -> None:
         whole = self.whole(asked)
         self.send(whole)
         surplus = self.randomness.choice((whole, self.refusal(asked, named=False), b"\x00bytes"))
         self.send(surplus, self.randomness.choice((0.0, 0.001, 0.05, 0.4)))
 
-    def way_silence(self, asked: Asked) -> None:
+    def way_silence(self, asked: ReceivedRequest) -> None:
         self.record.body(asked.request_id, asked.target)
 
-    def way_cut(self, asked: Asked) -> None:
+    def way_cut(self, asked: ReceivedRequest) -> None:
         whole = self.whole(asked)
         self.send(whole[: self.randomness.randrange(len(whole))])
         asyncio.get_running_loop().call_later(0.01, self.transport.close)
 
-    def way_closed(self, asked: Asked) -> None:
+    def way_closed(self, asked: ReceivedRequest) -> None:
         self.record.body(asked.request_id, asked.target)
         self.transport.close()
 
-    def way_length_too_long(self, asked: Asked) -> None:
+    def way_length_too_long(self, asked: ReceivedRequest) -> None:
         self.send(self.whole(asked).replace(b"content-length: ", b"content-length: 9"))
 
-    def way_interim_first(self, asked: Asked) -> None:
+    def way_interim_first(self, asked: ReceivedRequest) -> None:
         self.send(b"HTTP/1.1 100 Continue\r\n\r\n" + self.whole(asked))
 
-    def way_no_content_with_content(self, asked: Asked) -> None:
+    def way_no_content_with_content(self, asked: ReceivedRequest) -> None:
         self.send(self.whole(asked, status="204 None"))
 
-    def way_garbage(self, asked: Asked) -> None:
+    def way_garbage(self, asked: ReceivedRequest) -> None:
         self.record.body(asked.request_id, asked.target)
         self.send(self.randomness.randbytes(40))
 
-    def way_no_seal(self, asked: Asked) -> None:
+    def way_no_seal(self, asked: ReceivedRequest) -> None:
         self.send(self.whole(asked).replace(SEAL.encode(), b"x-other"))
 
-    def way_in_pieces(self, asked: Asked) -> None:
+    def way_in_pieces(self, asked: ReceivedRequest) -> None:
         whole = self.whole(asked)
         for index in range(len(whole)):
             self.send(whole[index : index + 1], 0.001 * index)
--- a/src/irisstand/standins/origin.py
+++ b/src/irisstand/emulators/origin_emulator.py
@@ -10,10 +10,10 @@
 from irisstand.dataplane.cache import objects
 
 
-class StandInOrigin:
+class OriginEmulator:
     """What it sealed and what it ran is on record, for the judge."""
 
-    def __init__(self, service: str, instance: str, site: str, records: "Records") -> None:
+    def __init__(self, service: str, instance: str, site: str, records: "OriginRecords") -> None:
         self.service, self.instance, self.site, self.records = service, instance, site, records
         self.host, self.port = "127.0.0.1", 0
         self.state, self.warmup = "ready", 0.0
@@ -81,7 +81,7 @@
         return aiohttp.web.Response(body=body, headers=headers)
 
 
-class Records:
+class OriginRecords:
     """Versions of objects and executions of writes, shared by the origins of a rehearsal."""
 
     def __init__(self) -> None:
@@ -110,10 +110,10 @@
         return json.dumps({"service": service, "number": number, "run": self.executions[number]}).encode()
 
 
-class StandInPlatform:
+class PlatformEmulator:
     """Lists origins as the platform would: over HTTP, with a limit on how often it may be asked."""
 
-    def __init__(self, origins: list[StandInOrigin], limit_per_second: float = 5.0) -> None:
+    def __init__(self, origins: list[OriginEmulator], limit_per_second: float = 5.0) -> None:
         self.origins, self.limit = origins, limit_per_second
         self.asked: list[float] = []
         self.over_limit = 0
@@ -144,13 +144,13 @@
         return aiohttp.web.json_response({"origins": [origin.listing() for origin in self.origins]})
 
 
-async def stand_in(platform_port: int, site: str) -> None:
+async def run_emulators(platform_port: int, site: str) -> None:
     """One content and one application origin and a platform that lists them, until interrupted."""
-    records = Records()
-    made = [StandInOrigin(service, f"{service}-1", site, records) for service in ("content", "application")]
+    records = OriginRecords()
+    made = [OriginEmulator(service, f"{service}-1", site, records) for service in ("content", "application")]
     for origin in made:
         await origin.start()
-    platform = StandInPlatform(made)
+    platform = PlatformEmulator(made)
     platform.port = platform_port
     await platform.start()
     await asyncio.Event().wait()
--- a/src/irisstand/standins/upstream.py
+++ b/src/irisstand/emulators/upstream_emulator.py
@@ -10,7 +10,7 @@
 from irisstand.dataplane.http import header_names as vocabularies
 
 
-class Run(typing.NamedTuple):
+class RequestRecord(typing.NamedTuple):
     """One request that an origin began to work on."""
 
     instance: str
@@ -20,7 +20,7 @@
     body: bytes
 
 
-class Upstream:
+class UpstreamEmulator:
     """One origin. `faults` by name: full, lost, slow (seconds), wrong (another instance has the address)."""
 
     def __init__(self, service: str, instance: str, site: str, words: vocabularies.HeaderNames) -> None:
@@ -29,7 +29,7 @@
         self.faults: dict[str, float] = {}
         self.versions: collections.Counter[str] = collections.Counter()
         self.arrivals, self.probes = 0, 0
-        self.runs: list[Run] = []
+        self.runs: list[RequestRecord] = []
         self.runner: aiohttp.web.AppRunner | None = None
         self.port = 0
 
@@ -70,7 +70,7 @@
             return aiohttp.web.Response(
                 status=503, headers={words.not_run: "1", words.request_id: request_id}
             )
-        self.runs.append(Run(self.instance, request_id, request.method, request.path_qs, body))
+        self.runs.append(RequestRecord(self.instance, request_id, request.method, request.path_qs, body))
         await asyncio.sleep(self.faults.get("slow", 0.002))
         if self.faults.get("lost"):
             request.transport.close()
--- a/src/irisstand/fleet/plans_day.py
+++ b/src/irisstand/localcluster/day_plan.py
@@ -30,7 +30,7 @@
     site = rehearsal.shape.sites[2][0]
     say(f"evacuating {site}")
     status, answer = await rehearsal.load.order("PUT", f"/sites/{site}/evacuation")
-    rehearsal.judge.results[f"evacuation {status}"] += 1
+    rehearsal.checker.results[f"evacuation {status}"] += 1
     if status != 200:
         say(f"not evacuated: {answer}")
         return
@@ -41,7 +41,7 @@
     for origin in origins:
         new = origin.requests - before[origin.instance]
         rule = "an evacuated site gets no new work after 5 s"
-        rehearsal.judge.check(rule, new == 0, f"{origin.instance} got {new}")
+        rehearsal.checker.check(rule, new == 0, f"{origin.instance} got {new}")
     say(f"returning {site}")
     await rehearsal.load.order("DELETE", f"/sites/{site}/evacuation")
 
@@ -57,7 +57,7 @@
         await asyncio.sleep(2)
         rule = "a leaving origin gets no new work 2 s after the platform says so"
         new = origin.requests - before
-        rehearsal.judge.check(rule, new == 0, f"{origin.instance} got {new}")
+        rehearsal.checker.check(rule, new == 0, f"{origin.instance} got {new}")
         # It is gone, and another comes in its place, cold.
         await origin.stop()
         await asyncio.sleep(1)
@@ -116,7 +116,7 @@
     back = await rehearsal.served_again(20)
     rule = "after a total loss service is back within 15 s"
     took = asyncio.get_running_loop().time() - started
-    rehearsal.judge.check(rule, back and took <= 15, f"{took:.1f} s")
+    rehearsal.checker.check(rule, back and took <= 15, f"{took:.1f} s")
     say(f"service is back: {back}")
 
 
--- a/src/irisstand/fleet/plans.py
+++ b/src/irisstand/localcluster/fault_plans.py
@@ -4,7 +4,7 @@
 import signal
 import typing
 
-from irisstand.fleet import plans_day
+from irisstand.localcluster import day_plan
 
 
 async def calm(rehearsal: typing.Any, seconds: float, say: typing.Callable) -> None:
@@ -23,8 +23,8 @@
         version = rehearsal.records.versions[path]
         status, _ = await rehearsal.load.order("POST", "/purges", {"paths": [path]})
         if status == 200:
-            rehearsal.judge.purged(path, loop.time(), version)
-        rehearsal.judge.results[f"purge {status}"] += 1
+            rehearsal.checker.purged(path, loop.time(), version)
+        rehearsal.checker.results[f"purge {status}"] += 1
         await asyncio.sleep(0.5)
 
 
@@ -66,23 +66,23 @@
         say(f"restarting {name}")
         fleet.kill(name, signal.SIGTERM)
         code = await fleet.ended(name, 15)
-        rehearsal.judge.check("SIGTERM drains and exits 0", code == 0, f"{name} exited {code}")
+        rehearsal.checker.check("SIGTERM drains and exits 0", code == 0, f"{name} exited {code}")
         fleet.start(name)
         await fleet.ready(rehearsal.load.session, [name])
-        rehearsal.judge.check("a planned restart drops no answer under way", True)
+        rehearsal.checker.check("a planned restart drops no answer under way", True)
     say("every process was restarted")
 
 
 async def day(rehearsal: typing.Any, seconds: float, say: typing.Callable) -> None:
     """All of the brief's failures one after another, under purges, with calm between them."""
     streaming = asyncio.create_task(purges(rehearsal, seconds))
-    share = seconds / (len(plans_day.STEPS) + 1)
+    share = seconds / (len(day_plan.STEPS) + 1)
     loop = asyncio.get_running_loop()
-    for number, step in enumerate(plans_day.STEPS):
+    for number, step in enumerate(day_plan.STEPS):
         began = loop.time()
         await step(rehearsal, say)
-        rehearsal.judge.results[f"step {step.__name__}"] += 1
-        if number < len(plans_day.STEPS) - 1:
+        rehearsal.checker.results[f"step {step.__name__}"] += 1
+        if number < len(day_plan.STEPS) - 1:
             await asyncio.sleep(max(0.0, share - (loop.time() - began)))
     await streaming
 
@@ -109,7 +109,7 @@
         fleet.forecast(**change)
         await asyncio.sleep(share * 0.5)
         fleet.forecast(cuts=[], loss=0.0, disks={})
-        rehearsal.judge.results[f"step: {what}"] += 1
+        rehearsal.checker.results[f"step: {what}"] += 1
         await asyncio.sleep(share * 0.5)
     await streaming
 
--- a/src/irisstand/fleet/judge.py
+++ b/src/irisstand/localcluster/invariant_checker.py
@@ -4,14 +4,14 @@
 import json
 
 from irisstand.dataplane.cache import objects
-from irisstand.standins import origin as origins
+from irisstand.emulators import origin_emulator
 
 # What a client may read as "it did not run and never will".
 NOT_REFUSALS = ("outcome-unknown", "unanswered", "irisstand")
 
 
-class Judge:
-    def __init__(self, records: origins.Records) -> None:
+class InvariantChecker:
+    def __init__(self, records: origin_emulator.OriginRecords) -> None:
         self.records = records
         self.checked: collections.Counter[str] = collections.Counter()
         self.broken: collections.Counter[str] = collections.Counter()
--- a/src/irisstand/fleet/load.py
+++ b/src/irisstand/localcluster/load_generator.py
@@ -8,11 +8,10 @@
 
 import aiohttp
 
-from irisstand.fleet import judge as judges
-from irisstand.fleet import processes as fleets
+from irisstand.localcluster import invariant_checker, processes
 
 
-def configuration(shape: fleets.Shape) -> list[dict[str, typing.Any]]:
+def first_configuration(shape: processes.ClusterShape) -> list[dict[str, typing.Any]]:
     """The rows an operator of either deployment would send first."""
 
     def row(kind: str, name: str, value: dict) -> dict:
@@ -34,11 +33,15 @@
 NOT_READY = ("connection refused", "stale-blueprint", "draining", "site-evacuated")
 
 
-class Load:
+class LoadGenerator:
     def __init__(
-        self, fleet: fleets.Fleet, session: aiohttp.ClientSession, judge: judges.Judge, seed: int
+        self,
+        fleet: processes.LocalCluster,
+        session: aiohttp.ClientSession,
+        judge: invariant_checker.InvariantChecker,
+        seed: int,
     ) -> None:
-        self.fleet, self.session, self.judge = fleet, session, judge
+        self.fleet, self.session, self.checker = fleet, session, judge
         self.randomness = random.Random(seed)
         self.edges = [place.name for place in fleet.named("edge")]
         self.tasks: set[asyncio.Task] = set()
@@ -87,7 +90,7 @@
                 now = asyncio.get_running_loop().time()
                 body = await response.read()
                 headers = {name.lower(): value for name, value in response.headers.items()}
-                self.judge.read(service, target, response.status, headers, body, now)
+                self.checker.read(service, target, response.status, headers, body, now)
                 if response.status == 200:
                     return
                 code = self.code(body)
@@ -97,7 +100,7 @@
                 return
             code = "connection refused"
         if first and code in NOT_READY:
-            self.judge.results[f"read turned to another edge: {code}"] += 1
+            self.checker.results[f"read turned to another edge: {code}"] += 1
             await self.read(self.another(edge), service, target, False)
         else:
             self.count_failure("read", code)
@@ -109,7 +112,7 @@
             return ""
 
     def count_failure(self, kind: str, code: str) -> None:
-        self.judge.results[f"{kind} failed: {code}"] += 1
+        self.checker.results[f"{kind} failed: {code}"] += 1
         second = int(asyncio.get_running_loop().time() - self.started)
         self.failed_in[second] += 1
 
@@ -121,7 +124,7 @@
         self.count_failure(kind, type(error).__name__)
         if self.planned:
             rule = "a planned restart drops no answer under way"
-            self.judge.check(rule, False, f"{kind} at {edge}: {error!r}")
+            self.checker.check(rule, False, f"{kind} at {edge}: {error!r}")
 
     async def write(self, edge: str) -> None:
         self.number += 1
@@ -131,13 +134,13 @@
                 self.fleet.url(edge) + "/applications", data=json.dumps({"number": number})
             ) as response:
                 code = self.code(await response.read())
-                self.judge.write(number, response.status, code)
+                self.checker.write(number, response.status, code)
                 if response.status != 200:
                     self.count_failure("write", code)
         except (aiohttp.ClientError, TimeoutError) as error:
             self.no_answer("write", edge, error)
             refused = isinstance(error, aiohttp.ClientConnectorError)
-            self.judge.told[number] = "rejected" if refused else "unknown"
+            self.checker.told[number] = "rejected" if refused else "unknown"
 
     async def order(self, method: str, path: str, content: typing.Any = None) -> tuple[int, dict]:
         """An operator's call at the first control plane node that answers."""
--- a/src/irisstand/fleet/processes.py
+++ b/src/irisstand/localcluster/processes.py
@@ -15,7 +15,7 @@
 from irisstand import errors
 
 
-class Place(typing.NamedTuple):
+class ProcessPlacement(typing.NamedTuple):
     name: str
     program: str
     role: str
@@ -36,7 +36,7 @@
     return ports
 
 
-class Shape(typing.NamedTuple):
+class ClusterShape(typing.NamedTuple):
     """Numbers of machines, and the sites they are spread over, each with its region."""
 
     edges: int
@@ -50,17 +50,17 @@
 
 
 SHAPES = {
-    "thin": Shape(1, 1, 1, (("north", "one"),), 1, 1, 20, 3.0),
-    "karbes": Shape(
+    "thin": ClusterShape(1, 1, 1, (("north", "one"),), 1, 1, 20, 3.0),
+    "karbes": ClusterShape(
         8, 5, 2, (("north", "one"), ("south", "one"), ("east", "two"), ("west", "two")), 4, 8, 165, 3.0
     ),
-    "kildespor": Shape(
+    "kildespor": ClusterShape(
         9, 5, 2, (("alpha", "one"), ("beta", "one"), ("gamma", "one"), ("delta", "one")), 4, 8, 375, 1.0
     ),
 }
 
 
-def lay_out(shape: Shape) -> list[Place]:
+def place_processes(shape: ClusterShape) -> list[ProcessPlacement]:
     places = []
     wanted = [("edge", shape.edges), ("shield", shape.shields), ("store", shape.stores)]
     ports = iter(free_ports(2 * (shape.edges + 2 * shape.shields + shape.stores)))
@@ -69,17 +69,21 @@
             site, region = shape.sites[(number - 1) % len(shape.sites)]
             machine = f"{role}-machine-{number}"
             where = (machine, site, region)
-            places.append(Place(f"{role}-{number}", "dataplane", role, *where, next(ports), next(ports)))
+            places.append(
+                ProcessPlacement(f"{role}-{number}", "dataplane", role, *where, next(ports), next(ports))
+            )
             if role == "shield":
                 name = f"agency-{number}"
-                places.append(Place(name, "controlplane", "agency", *where, next(ports), next(ports)))
+                places.append(
+                    ProcessPlacement(name, "controlplane", "agency", *where, next(ports), next(ports))
+                )
     return places
 
 
-class Fleet:
-    def __init__(self, shape: Shape, folder: pathlib.Path, platform_port: int) -> None:
+class LocalCluster:
+    def __init__(self, shape: ClusterShape, folder: pathlib.Path, platform_port: int) -> None:
         self.shape, self.folder, self.platform_port = shape, folder, platform_port
-        self.places = {place.name: place for place in lay_out(shape)}
+        self.places = {place.name: place for place in place_processes(shape)}
         self.lost = 0
         self.processes: dict[str, subprocess.Popen] = {}
         control_nodes = [place for place in self.places.values() if place.program == "controlplane"]
@@ -101,7 +105,7 @@
         folder.mkdir(parents=True, exist_ok=True)
         self.forecast()
 
-    def named(self, role: str) -> list[Place]:
+    def named(self, role: str) -> list[ProcessPlacement]:
         return [place for place in self.places.values() if place.role == role]
 
     def start(self, name: str) -> None:
@@ -124,7 +128,7 @@
         path = self.folder / f"{name}.toml"
         # JSON strings, numbers and lists of strings are TOML as well.
         path.write_text("".join(f"{key} = {json.dumps(value)}\n" for key, value in settings.items()))
-        entry = ["-m", "irisstand.fleet.fault_injection", place.program]
+        entry = ["-m", "irisstand.localcluster.fault_injection", place.program]
         command = [sys.executable, *entry, "--settings", str(path)]
         environment = {**os.environ, "IRISSTAND_WEATHER": str(self.report), "IRISSTAND_WEATHER_NAME": name}
         with open(self.folder / f"{name}.log", "ab") as log:
--- a/src/irisstand/fleet/rehearse.py
+++ b/src/irisstand/localcluster/runner.py
@@ -9,48 +9,47 @@
 import aiohttp
 
 from irisstand import errors
-from irisstand.fleet import judge as judges
-from irisstand.fleet import load as loads
-from irisstand.fleet import plans
-from irisstand.fleet import processes as fleets
-from irisstand.standins import origin as origins
+from irisstand.emulators import origin_emulator
+from irisstand.localcluster import fault_plans, invariant_checker, load_generator, processes
 
 Say = typing.Callable[[str], None]
 
 
-class Rehearsal:
-    def __init__(self, shape: fleets.Shape, folder: pathlib.Path, seed: int) -> None:
+class LocalClusterRun:
+    def __init__(self, shape: processes.ClusterShape, folder: pathlib.Path, seed: int) -> None:
         self.shape, self.folder, self.seed = shape, folder, seed
-        self.records = origins.Records()
+        self.records = origin_emulator.OriginRecords()
         self.origins = self.make_origins()
-        self.platform = origins.StandInPlatform(self.origins)
-        self.judge = judges.Judge(self.records)
-        self.judge.lives = {"vacancies": 10.0, "logos": 60.0}
+        self.platform = origin_emulator.PlatformEmulator(self.origins)
+        self.checker = invariant_checker.InvariantChecker(self.records)
+        self.checker.lives = {"vacancies": 10.0, "logos": 60.0}
 
-    def make_origins(self) -> list[origins.StandInOrigin]:
+    def make_origins(self) -> list[origin_emulator.OriginEmulator]:
         made = []
         counts = (("content", self.shape.content_origins), ("application", self.shape.application_origins))
         for service, count in counts:
             for number in range(count):
                 site = self.shape.sites[number % len(self.shape.sites)][0]
-                made.append(origins.StandInOrigin(service, f"{service}-{number + 1}", site, self.records))
+                made.append(
+                    origin_emulator.OriginEmulator(service, f"{service}-{number + 1}", site, self.records)
+                )
         return made
 
     async def run(self, seconds: float, plan: str, say: Say) -> int:
         for origin in self.origins:
             await origin.start()
         await self.platform.start()
-        self.fleet = fleets.Fleet(self.shape, self.folder, self.platform.port)
+        self.fleet = processes.LocalCluster(self.shape, self.folder, self.platform.port)
         try:
             self.fleet.start_all()
             timeout = aiohttp.ClientTimeout(total=self.shape.deadline + 7)
             # A connection for each request: a kept one that is just being closed would look like a drop.
             connector = aiohttp.TCPConnector(limit=0, force_close=True)
             async with aiohttp.ClientSession(timeout=timeout, connector=connector) as session:
-                self.load = loads.Load(self.fleet, session, self.judge, self.seed)
+                self.load = load_generator.LoadGenerator(self.fleet, session, self.checker, self.seed)
                 await self.set_up(session)
                 say(f"fleet of {len(self.fleet.places)} processes is ready")
-                jobs = [self.load.run(seconds), plans.REGISTRY[plan](self, seconds, say)]
+                jobs = [self.load.run(seconds), fault_plans.REGISTRY[plan](self, seconds, say)]
                 await asyncio.gather(*jobs)
                 await self.fleet.ready(session, [place.name for place in self.fleet.named("agency")])
                 await self.read_back(session)
@@ -59,8 +58,8 @@
             await self.platform.stop()
             for origin in self.origins:
                 await origin.stop()
-        self.judge.close()
-        for line in self.judge.lines():
+        self.checker.close()
+        for line in self.checker.lines():
             say(line)
         calm = [second for second in range(int(seconds)) if second not in self.load.failed_in]
         failed = sum(self.load.failed_in.values())
@@ -74,12 +73,14 @@
             f"{self.load.sent} requests from consumers, {requests} at origins; "
             f"platform asked over its limit {self.platform.over_limit} times"
         )
-        return 1 if sum(self.judge.broken.values()) else 0
+        return 1 if sum(self.checker.broken.values()) else 0
 
     async def set_up(self, session: aiohttp.ClientSession) -> None:
         control_nodes = [place.name for place in self.fleet.named("agency")]
         await self.fleet.ready(session, control_nodes)
-        status, answer = await self.load.order("POST", "/changes", {"rows": loads.configuration(self.shape)})
+        status, answer = await self.load.order(
+            "POST", "/changes", {"rows": load_generator.first_configuration(self.shape)}
+        )
         if status != 200:
             raise errors.IrisError(f"the blueprint was not confirmed: {status} {answer}")
         self.confirmed = answer
@@ -119,7 +120,9 @@
         return False
 
     async def read_back(self, session: aiohttp.ClientSession) -> None:
-        wanted = {(row["kind"], row["name"]): row["value"] for row in loads.configuration(self.shape)}
+        wanted = {
+            (row["kind"], row["name"]): row["value"] for row in load_generator.first_configuration(self.shape)
+        }
         for place in self.fleet.named("agency"):
             try:
                 async with session.get(self.fleet.url(place.name) + "/rows") as response:
@@ -129,13 +132,13 @@
             except aiohttp.ClientError:
                 continue
             got = {(row["kind"], row["name"]): row["value"] for row in table["rows"]}
-            self.judge.check("the table read back is the one confirmed", got == wanted, str(got)[:200])
+            self.checker.check("the table read back is the one confirmed", got == wanted, str(got)[:200])
 
 
-def rehearse(shape: str, seconds: float, plan: str, seed: int, folder: str, say: Say) -> int:
+def run(shape: str, seconds: float, plan: str, seed: int, folder: str, say: Say) -> int:
     with contextlib.ExitStack() as stack:
         if not folder:
             folder = stack.enter_context(tempfile.TemporaryDirectory(prefix="irisstand-"))
         path = pathlib.Path(folder)
         path.mkdir(parents=True, exist_ok=True)
-        return asyncio.run(Rehearsal(fleets.SHAPES[shape], path, seed).run(seconds, plan, say))
+        return asyncio.run(LocalClusterRun(processes.SHAPES[shape], path, seed).run(seconds, plan, say))
--- a/src/irisstand/simulator/fleet_faults.py
+++ b/src/irisstand/simulator/cluster_faults.py
@@ -6,7 +6,7 @@
 import typing
 
 from irisstand import errors
-from irisstand.simulator import world as worlds
+from irisstand.simulator import simulated_cluster
 
 BACK_WITHIN = 15.0
 
@@ -16,46 +16,46 @@
 
 
 def some_control_node(trouble: typing.Any) -> str:
-    names = [node.plan.name for node in trouble.world.role("agency") if node.is_up]
-    return trouble.randomness.choice(names or [trouble.world.role("agency")[0].plan.name])
+    names = [node.placement.name for node in trouble.cluster.with_role("agency") if node.is_up]
+    return trouble.randomness.choice(names or [trouble.cluster.with_role("agency")[0].placement.name])
 
 
 async def herd(trouble: typing.Any) -> None:
     """Half of all nodes at the same moment, here and there."""
-    nodes = [n for n in trouble.world.nodes.values() if n.is_up and n.plan.name not in trouble.busy]
+    nodes = [n for n in trouble.cluster.nodes.values() if n.is_up and n.placement.name not in trouble.busy]
     nodes = [node for node in nodes if trouble.randomness.random() < 0.5]
-    trouble.busy |= {node.plan.name for node in nodes}
-    trouble.note("herd", " ".join(node.plan.name for node in nodes))
+    trouble.busy |= {node.placement.name for node in nodes}
+    trouble.note("herd", " ".join(node.placement.name for node in nodes))
     for node in nodes:
         node.kill(reset=trouble.randomness.random() < 0.5)
     await trouble.pause(0.2, 4)
     trouble.note("mend", "herd")
     for node in nodes:
         await trouble.revive(node)
-        trouble.busy.discard(node.plan.name)
+        trouble.busy.discard(node.placement.name)
 
 
 async def roll(trouble: typing.Any) -> None:
     """A rolling restart, node by node, as for an upgrade; each is waited for before the next."""
-    nodes = [n for n in trouble.world.nodes.values() if n.is_up and n.plan.name not in trouble.busy]
+    nodes = [n for n in trouble.cluster.nodes.values() if n.is_up and n.placement.name not in trouble.busy]
     trouble.randomness.shuffle(nodes)
     trouble.note("roll", str(len(nodes)))
     for node in nodes[:8]:
-        if not node.is_up or node.plan.name in trouble.busy:
+        if not node.is_up or node.placement.name in trouble.busy:
             continue
-        trouble.busy.add(node.plan.name)
+        trouble.busy.add(node.placement.name)
         await node.stop()
         await trouble.revive(node)
-        trouble.busy.discard(node.plan.name)
+        trouble.busy.discard(node.placement.name)
         await trouble.pause(0.2, 1)
 
 
 async def evacuate(trouble: typing.Any) -> None:
     """A site is evacuated, whatever else goes on, and taken back later."""
-    stage = trouble.world.stage
+    stage = trouble.cluster.actors
     if any(entry[1] == float("inf") for entries in stage.evacuations.values() for entry in entries):
         return
-    site = trouble.randomness.choice(trouble.world.shape.sites)[0]
+    site = trouble.randomness.choice(trouble.cluster.shape.sites)[0]
     trouble.note("evacuate", site)
     entry = [float("inf"), float("inf")]
     stage.evacuations[site].append(entry)
@@ -76,51 +76,55 @@
 
 async def gone_after_yes(trouble: typing.Any) -> None:
     """The node that has just confirmed a change loses its power, and often its disk, that very moment."""
-    control_nodes = trouble.world.role("agency")
+    control_nodes = trouble.cluster.with_role("agency")
     wipe = trouble.randomness.random() < 0.5
     if (
-        any(node.plan.name in trouble.busy or not node.is_up for node in control_nodes)
+        any(node.placement.name in trouble.busy or not node.is_up for node in control_nodes)
         or trouble.change is None
     ):
         return
     if not all(trouble.is_voter(node) for node in control_nodes):
         return
     node = trouble.randomness.choice(control_nodes)
-    trouble.busy.add(node.plan.name)
-    trouble.note("gone-after-yes", f"{node.plan.name}{' wiped' if wipe else ''}")
-    await trouble.change(node.plan.name)
+    trouble.busy.add(node.placement.name)
+    trouble.note("gone-after-yes", f"{node.placement.name}{' wiped' if wipe else ''}")
+    await trouble.change(node.placement.name)
     if node.is_up:
         node.kill(reset=False)
     if wipe:
         node.wipe()
     await trouble.pause(0.1, 3)
     await trouble.revive(node)
-    trouble.busy.discard(node.plan.name)
+    trouble.busy.discard(node.placement.name)
 
 
 async def replace_core(trouble: typing.Any) -> None:
     """A core machine is gone for good, and an empty one comes up at another place."""
-    world = trouble.world
-    control_nodes = world.role("agency")
-    if any(node.plan.name in trouble.busy or not node.is_up for node in control_nodes):
+    world = trouble.cluster
+    control_nodes = world.with_role("agency")
+    if any(node.placement.name in trouble.busy or not node.is_up for node in control_nodes):
         return
     if not all(trouble.is_voter(node) for node in control_nodes):
         return
     old = trouble.randomness.choice(control_nodes)
-    partner = next((n for n in world.role("shield") if n.plan.machine == old.plan.machine), None)
-    gone = [node for node in (old, partner) if node is not None and node.plan.name not in trouble.busy]
+    partner = next(
+        (n for n in world.with_role("shield") if n.placement.machine == old.placement.machine), None
+    )
+    gone = [node for node in (old, partner) if node is not None and node.placement.name not in trouble.busy]
     # Where the fewest others are, so that the loss of one site stays bearable.
-    counts = collections.Counter(node.plan.site for node in control_nodes if node is not old)
+    counts = collections.Counter(node.placement.site for node in control_nodes if node is not old)
     site, region = min(world.shape.sites, key=lambda entry: counts[entry[0]])
-    trouble.note("core-replaced", f"{old.plan.name} by an empty one at {site}")
+    trouble.note("core-replaced", f"{old.placement.name} by an empty one at {site}")
     for node in gone:
         node.kill(reset=False)
         world.retire(node)
     for node in gone:
         number = len(world.nodes) + len(world.retired)
-        machine = f"{old.plan.machine}-spare-{len(world.retired)}"
-        name = f"{node.plan.role}-s{number}"
-        plan = worlds.Plan(name, node.plan.role, machine, site, region, f"10.0.2.{number}")
+        machine = f"{old.placement.machine}-spare-{len(world.retired)}"
+        name = f"{node.placement.role}-s{number}"
+        plan = simulated_cluster.NodePlacement(
+            name, node.placement.role, machine, site, region, f"10.0.2.{number}"
+        )
         await world.add(plan).restart()
 
 
@@ -132,22 +136,24 @@
         await asyncio.sleep(0.1)
     await trouble.mend()
     trouble.note("total-loss", "")
-    for node in trouble.world.nodes.values():
+    for node in trouble.cluster.nodes.values():
         node.kill(reset=False)
     await trouble.pause(0.5, 5)
     began = now()
-    for node in trouble.world.nodes.values():
+    for node in trouble.cluster.nodes.values():
         await node.restart()
         await asyncio.sleep(trouble.randomness.uniform(0, 0.2))
     back = await served_again(trouble, began)
-    trouble.world.stage.judge.check("after a total loss service is back within 15 s", back, f"at {began:.2f}")
+    trouble.cluster.actors.checker.check(
+        "after a total loss service is back within 15 s", back, f"at {began:.2f}"
+    )
     trouble.held = False
 
 
 async def served_again(trouble: typing.Any, began: float) -> bool:
     """Until every edge answers a read that goes all the way to an origin, and a write has run."""
-    stage, number = trouble.world.stage, 0
-    waiting = {node.plan.name for node in trouble.world.role("edge")}
+    stage, number = trouble.cluster.actors, 0
+    waiting = {node.placement.name for node in trouble.cluster.with_role("edge")}
     written = False
     while now() - began < BACK_WITHIN:
         number += 1
@@ -155,8 +161,8 @@
             path = f"/vacancies/again-{began:.0f}-{number}"
             if (await stage.ask(edge, "GET", path))[0] == 200:
                 waiting.discard(edge)
-        edges = trouble.world.role("edge")
-        written = written or (await stage.write(edges[number % len(edges)].plan.name))[1] == 200
+        edges = trouble.cluster.with_role("edge")
+        written = written or (await stage.write(edges[number % len(edges)].placement.name))[1] == 200
         if not waiting and written:
             return True
         await asyncio.sleep(0.1)
--- a/src/irisstand/simulator/simulate.py
+++ b/src/irisstand/simulator/day_runner.py
@@ -6,7 +6,7 @@
 import traceback
 import typing
 
-from irisstand.simulator import day
+from irisstand.simulator import simulated_day
 
 Say = typing.Callable[[str], None]
 
@@ -24,12 +24,12 @@
 
 def one_day(seed: int, seconds: float, kind: str) -> Outcome:
     try:
-        done = day.simulate(seed, seconds, kind)
+        done = simulated_day.simulate(seed, seconds, kind)
     except Exception:
         return Outcome(seed, {}, {}, {}, {}, {}, [], traceback.format_exc(limit=-3))
-    judge = done.judge
-    counts = (judge.checked, judge.broken, judge.examples, judge.results, done.trouble.happened)
-    return Outcome(seed, *(dict(count) for count in counts), done.trouble.log, "")
+    judge = done.checker
+    counts = (judge.checked, judge.broken, judge.examples, judge.results, done.fault_injector.happened)
+    return Outcome(seed, *(dict(count) for count in counts), done.fault_injector.log, "")
 
 
 def simulate(seeds: range, seconds: float, workers: int, log: bool, say: Say, kind: str = "busy") -> int:
--- a/src/irisstand/simulator/detection.py
+++ b/src/irisstand/simulator/failure_detection_benchmark.py
@@ -3,10 +3,9 @@
 import asyncio
 import math
 
-from irisstand.fleet import processes as fleet
+from irisstand.localcluster import processes
 from irisstand.membership import detector, updates
-from irisstand.simulator import virtual_time as virtual
-from irisstand.simulator import world as worlds
+from irisstand.simulator import simulated_cluster, virtual_time
 
 PERIOD = detector.Parameters.period_seconds
 
@@ -18,17 +17,17 @@
     return f"mean {mean:.2f}, median {middle:.2f}, 90th hundredth {tenth:.2f}, most {ordered[-1]:.2f}"
 
 
-class Run:
+class FailureDetectionBenchmark:
     def __init__(self, seed: int, loss: float) -> None:
-        self.world = worlds.World(seed, fleet.SHAPES["karbes"])
+        self.cluster = simulated_cluster.SimulatedCluster(seed, processes.SHAPES["karbes"])
         self.loss = loss
         self.first: dict[updates.MemberState, float] = {}
         self.last = 0.0
         self.victim = ""
 
     def listen(self) -> None:
-        for node in self.world.nodes.values():
-            listeners = node.body.context.detector.listeners
+        for node in self.cluster.nodes.values():
+            listeners = node.program.context.detector.listeners
             if self.heard not in listeners:
                 listeners.append(self.heard)
 
@@ -40,17 +39,17 @@
                 self.last = now
 
     def is_known(self) -> bool:
-        others = [node for name, node in self.world.nodes.items() if name != self.victim]
+        others = [node for name, node in self.cluster.nodes.items() if name != self.victim]
         return all(
-            all(who.name != self.victim for who in node.body.context.detector.member_list.members)
+            all(who.name != self.victim for who in node.program.context.detector.member_list.members)
             for node in others
         )
 
     async def run(self, kills: int) -> list[str]:
-        world = self.world
+        world = self.cluster
         await world.start_all()
-        await world.until_ready()
-        world.wires.loss = self.loss
+        await world.wait_until_ready()
+        world.network.loss = self.loss
         suspicions: list[float] = []
         confirms: list[float] = []
         spreads: list[float] = []
@@ -62,7 +61,7 @@
             node = world.nodes[self.victim]
             node.kill(reset=False)
             killed = asyncio.get_running_loop().time()
-            await world.until(self.is_known, 120)
+            await world.wait_until(self.is_known, 120)
             suspicions.append((self.first[updates.MemberState.SUSPECT] - killed) / PERIOD)
             confirms.append((self.first[updates.MemberState.CONFIRM] - killed) / PERIOD)
             spreads.append((self.last - self.first[updates.MemberState.CONFIRM]) / PERIOD)
@@ -75,7 +74,7 @@
         lines.append(f"spread of Confirm: {spread(spreads)}")
         expected = 1 / (1 - math.exp(-1))
         lines.append(f"the paper expects a first suspicion after {expected:.2f} periods, section 3.1")
-        contexts = [node.body.context for node in world.nodes.values()]
+        contexts = [node.program.context for node in world.nodes.values()]
         lines.append(
             "a suspicion ripens after "
             f"{max(context.detector.transmission_limit() for context in contexts)} periods"
@@ -86,4 +85,4 @@
 
 
 def measure(seed: int, kills: int, loss: float) -> list[str]:
-    return virtual.run(Run(seed, loss).run(kills))
+    return virtual_time.run(FailureDetectionBenchmark(seed, loss).run(kills))
--- a/src/irisstand/simulator/faults.py
+++ b/src/irisstand/simulator/fault_injector.py
@@ -7,11 +7,10 @@
 import random
 import typing
 
-from irisstand.simulator import fleet_faults as trouble_fleet
-from irisstand.simulator import origin_faults as trouble_origins
+from irisstand.simulator import cluster_faults, origin_faults
 
 
-class Trouble:
+class FaultInjector:
     def __init__(
         self,
         world: typing.Any,
@@ -19,7 +18,7 @@
         kinds: tuple[str, ...] = (),
         pauses: tuple[float, float] = (0.5, 3.0),
     ) -> None:
-        self.world, self.randomness = world, randomness
+        self.cluster, self.randomness = world, randomness
         self.happened: collections.Counter[str] = collections.Counter()
         self.log: list[tuple[float, str]] = []
         self.busy: set[str] = set()
@@ -41,7 +40,7 @@
             "loss": self.loss,
             "platform-down": self.platform_down,
         }
-        for registry in (trouble_origins.REGISTRY, trouble_fleet.REGISTRY):
+        for registry in (origin_faults.REGISTRY, cluster_faults.REGISTRY):
             self.registry.update({kind: functools.partial(work, self) for kind, work in registry.items()})
         self.kinds = kinds or tuple(kind for kind in self.registry if kind != "total-loss")
         self.pauses = pauses
@@ -71,8 +70,8 @@
         """A node that is well, and whose trouble leaves the core able to decide again afterwards."""
         nodes = [
             node
-            for node in self.world.nodes.values()
-            if node.is_up and node.plan.name not in self.busy and role in ("", node.plan.role)
+            for node in self.cluster.nodes.values()
+            if node.is_up and node.placement.name not in self.busy and role in ("", node.placement.role)
         ]
         return self.randomness.choice(nodes) if nodes else None
 
@@ -87,7 +86,7 @@
     ) -> None:
         if node is None:
             return
-        name = node.plan.name
+        name = node.placement.name
         self.busy.add(name)
         self.note(kind, name)
         trouble()
@@ -104,10 +103,10 @@
 
     async def power(self) -> None:
         """A whole site at once, with no goodbye."""
-        site = self.randomness.choice(self.world.shape.sites)[0]
-        nodes = [n for n in self.world.nodes.values() if n.plan.site == site and n.is_up]
-        nodes = [node for node in nodes if node.plan.name not in self.busy]
-        self.busy |= {node.plan.name for node in nodes}
+        site = self.randomness.choice(self.cluster.shape.sites)[0]
+        nodes = [n for n in self.cluster.nodes.values() if n.placement.site == site and n.is_up]
+        nodes = [node for node in nodes if node.placement.name not in self.busy]
+        self.busy |= {node.placement.name for node in nodes}
         self.note("power", site)
         for node in nodes:
             node.kill(reset=False)
@@ -115,12 +114,12 @@
         self.note("mend", f"power {site}")
         for node in nodes:
             await self.revive(node)
-            self.busy.discard(node.plan.name)
+            self.busy.discard(node.placement.name)
 
     async def wipe(self) -> None:
         """One disk at a time: the brief promises to outlive one disk machine, not a majority of them."""
-        control_nodes = self.world.role("agency")
-        if any(node.plan.name in self.busy for node in control_nodes):
+        control_nodes = self.cluster.with_role("agency")
+        if any(node.placement.name in self.busy for node in control_nodes):
             return
         node = self.randomness.choice(control_nodes)
         # A disk whose successor has no vote yet still counts as lost.
@@ -134,7 +133,7 @@
         await self.with_node("wipe", node, trouble, 0.2, 4, lambda: self.revive(node))
 
     def is_voter(self, node: typing.Any) -> bool:
-        return all(node.body.participant.is_voter(table) for table in node.body.context.replicas)
+        return all(node.program.participant.is_voter(table) for table in node.program.context.replicas)
 
     async def freeze(self) -> None:
         node = self.pick()
@@ -142,27 +141,34 @@
 
     async def isolate(self) -> None:
         node = self.pick()
-        if node is None or self.world.wires.cuts:
+        if node is None or self.cluster.network.cuts:
             return
-        name = node.plan.name
+        name = node.placement.name
         await self.with_node(
-            "isolate", node, lambda: self.world.cut_off([name]), 0.5, 7, lambda: self.world.wires.heal()
+            "isolate",
+            node,
+            lambda: self.cluster.partition_off([name]),
+            0.5,
+            7,
+            lambda: self.cluster.network.heal(),
         )
 
     async def split(self) -> None:
-        if self.world.wires.cuts:
+        if self.cluster.network.cuts:
             return
-        sites = {site for site, _ in self.randomness.sample(self.world.shape.sites, 2)}
+        sites = {site for site, _ in self.randomness.sample(self.cluster.shape.sites, 2)}
         self.note("split", str(sorted(sites)))
-        self.world.cut_off([n.plan.name for n in self.world.nodes.values() if n.plan.site in sites])
+        self.cluster.partition_off(
+            [n.placement.name for n in self.cluster.nodes.values() if n.placement.site in sites]
+        )
         await self.pause(0.5, 7)
-        self.world.wires.heal()
+        self.cluster.network.heal()
 
     async def stall(self) -> None:
         node = self.pick("agency")
         if node is not None:
             disk = node.disk
-            self.note("stall", node.plan.name)
+            self.note("stall", node.placement.name)
             disk.stalled = True
             await self.pause(0.2, 4)
             disk.stalled = False
@@ -171,15 +177,15 @@
         node = self.pick("agency")
         if node is not None:
             disk = node.disk
-            self.note("fill", node.plan.name)
+            self.note("fill", node.placement.name)
             disk.full = True
             await self.pause(0.5, 5)
             disk.full = False
 
     async def corrupt(self) -> None:
         """Damage found at a restart; like a wipe, of one disk at a time."""
-        control_nodes = self.world.role("agency")
-        if any(node.plan.name in self.busy or not self.is_voter(node) for node in control_nodes):
+        control_nodes = self.cluster.with_role("agency")
+        if any(node.placement.name in self.busy or not self.is_voter(node) for node in control_nodes):
             return
         node = self.randomness.choice(control_nodes)
         part = self.randomness.choice((".voter.", ".item.", "vault"))
@@ -193,33 +199,33 @@
     async def drain(self) -> None:
         node = self.pick()
         if node is not None:
-            self.busy.add(node.plan.name)
-            self.note("drain", node.plan.name)
+            self.busy.add(node.placement.name)
+            self.note("drain", node.placement.name)
             await node.stop()
             await self.pause(0.1, 2)
             await self.revive(node)
-            self.busy.discard(node.plan.name)
+            self.busy.discard(node.placement.name)
 
     async def loss(self) -> None:
         self.note("loss", "10 %")
-        self.world.wires.loss = 0.1
+        self.cluster.network.loss = 0.1
         await self.pause(1, 5)
-        self.world.wires.loss = 0.0
+        self.cluster.network.loss = 0.0
 
     async def platform_down(self) -> None:
         self.note("platform-down", "")
-        stage = self.world.stage
+        stage = self.cluster.actors
         stage.platform_up = False
         began = asyncio.get_running_loop().time()
         await self.pause(1, 5)
         stage.platform_up = True
-        stage.deaf.append((began, asyncio.get_running_loop().time()))
+        stage.platform_outages.append((began, asyncio.get_running_loop().time()))
 
     async def mend(self) -> None:
         """The end of the day: everything is put right."""
-        self.world.wires.heal()
-        self.world.wires.loss = 0.0
-        for node in self.world.nodes.values():
+        self.cluster.network.heal()
+        self.cluster.network.loss = 0.0
+        for node in self.cluster.nodes.values():
             node.disk.stalled = node.disk.full = False
             await self.revive(node)
 
--- a/src/irisstand/simulator/hostile_scripts.py
+++ b/src/irisstand/simulator/hostile_scripts.py
@@ -9,8 +9,8 @@
 from irisstand.dataplane.nodes import direct
 from irisstand.dataplane.routing import snapshot
 from irisstand.dataplane.upstream import exchange
+from irisstand.emulators import hostile_origin
 from irisstand.simulator import virtual_time
-from irisstand.standins import hostile_origin
 from irisstand.state import items, versions
 
 SETTINGS = node_settings.Settings(
@@ -32,7 +32,7 @@
 
     def __init__(self, seed: int) -> None:
         self.randomness = random.Random(seed)
-        self.record = hostile_origin.Record()
+        self.record = hostile_origin.RequestLog()
         self.broken: list[str] = []
         self.answered = 0
         self.writes: set[str] = set()
@@ -114,14 +114,14 @@
                 self.broken.append(f"{name} ran {self.record.runs[name]} times")
 
 
-class Figures(typing.NamedTuple):
+class FuzzResult(typing.NamedTuple):
     scripts: int
     answered: int
     runs: int
     broken: tuple[str, ...]
 
 
-def play(seeds: range) -> Figures:
+def play(seeds: range) -> FuzzResult:
     """Play these scripts, each on a loop of its own."""
     answered, runs, broken = 0, 0, []
 
@@ -135,13 +135,13 @@
         answered += script.answered
         runs += script.record.runs.total()
         broken += [f"seed {seed}: {what}" for what in script.broken]
-    return Figures(len(seeds), answered, runs, tuple(broken))
+    return FuzzResult(len(seeds), answered, runs, tuple(broken))
 
 
-def play_all(scripts: int, workers: int, first: int = 1, size: int = 500) -> Figures:
+def play_all(scripts: int, workers: int, first: int = 1, size: int = 500) -> FuzzResult:
     """Play `scripts` scripts in so many processes."""
     pieces = [range(n, min(n + size, first + scripts)) for n in range(first, first + scripts, size)]
     with concurrent.futures.ProcessPoolExecutor(workers) as pool:
         done = list(pool.map(play, pieces))
     counts = [sum(figures[index] for figures in done) for index in range(3)]
-    return Figures(*counts, tuple(what for figures in done for what in figures.broken))
+    return FuzzResult(*counts, tuple(what for figures in done for what in figures.broken))
--- a/src/irisstand/simulator/memory_network.py
+++ b/src/irisstand/simulator/memory_network.py
@@ -6,13 +6,13 @@
 import random
 import typing
 
-from irisstand.simulator import virtual_time as virtual
+from irisstand.simulator import virtual_time
 from irisstand.transport import network
 
-RETRANSMIT = 0.2
+RETRANSMIT_SECONDS = 0.2
 
 
-class Wires:
+class SimulatedNetwork:
     """What lies between all machines. `cuts` holds pairs of hosts that cannot reach one another."""
 
     def __init__(self, randomness: random.Random) -> None:
@@ -20,8 +20,8 @@
         self.loss = 0.0
         self.cuts: set[frozenset] = set()
         self.regions: dict[str, str] = {}
-        self.listeners: dict[network.Address, tuple[virtual.Actor, network.OnStream]] = {}
-        self.ports: dict[network.Address, tuple[virtual.Actor, network.OnDatagram]] = {}
+        self.listeners: dict[network.Address, tuple[virtual_time.Actor, network.OnStream]] = {}
+        self.ports: dict[network.Address, tuple[virtual_time.Actor, network.OnDatagram]] = {}
         self.streams: list[MemoryStream] = []
         self.bytes_sent: collections.Counter[str] = collections.Counter()
 
@@ -42,7 +42,7 @@
     def heal(self) -> None:
         self.cuts.clear()
 
-    def drop(self, actor: virtual.Actor, reset: bool) -> None:
+    def drop(self, actor: virtual_time.Actor, reset: bool) -> None:
         """A process is gone: its ports close, and its peers get a reset unless the power went too."""
         self.listeners = {at: pair for at, pair in self.listeners.items() if pair[0] is not actor}
         self.ports = {at: pair for at, pair in self.ports.items() if pair[0] is not actor}
@@ -57,8 +57,10 @@
 class MemoryStream:
     """One end of a connection. Order is kept, and nothing is lost but with the connection."""
 
-    def __init__(self, wires: Wires, actor: virtual.Actor | None, host: str, peer_host: str) -> None:
-        self.wires, self.actor, self.host, self.peer_host = wires, actor, host, peer_host
+    def __init__(
+        self, wires: SimulatedNetwork, actor: virtual_time.Actor | None, host: str, peer_host: str
+    ) -> None:
+        self.network, self.actor, self.host, self.peer_host = wires, actor, host, peer_host
         self.peer: MemoryStream | None = None
         self.received: asyncio.Queue = asyncio.Queue()
         self.closed = False
@@ -77,7 +79,7 @@
     def write(self, payload: bytes) -> None:
         if self.closed:
             return
-        self.wires.bytes_sent[self.host] += len(payload) + 4
+        self.network.bytes_sent[self.host] += len(payload) + 4
         self.post(payload)
 
     def post(self, payload: bytes | None) -> None:
@@ -85,17 +87,17 @@
         if loop.ending:
             return
         # Never before what was written earlier, whatever the draw of the delay.
-        self.free_at = max(self.free_at, loop.time() + self.wires.delay(self.host, self.peer_host))
+        self.free_at = max(self.free_at, loop.time() + self.network.delay(self.host, self.peer_host))
         loop.call_at(self.free_at, self.deliver, payload, context=self.empty.copy())
 
     def deliver(self, payload: bytes | None) -> None:
         loop = asyncio.get_running_loop()
-        if self.wires.is_cut(self.host, self.peer_host):
-            self.free_at = max(self.free_at, loop.time() + RETRANSMIT)
-            loop.call_at(loop.time() + RETRANSMIT, self.deliver, payload, context=self.empty.copy())
+        if self.network.is_cut(self.host, self.peer_host):
+            self.free_at = max(self.free_at, loop.time() + RETRANSMIT_SECONDS)
+            loop.call_at(loop.time() + RETRANSMIT_SECONDS, self.deliver, payload, context=self.empty.copy())
         elif not self.peer.closed:
             self.peer.received.put_nowait(payload)
-        elif payload is not None and self.wires.is_machine_up(self.peer_host):
+        elif payload is not None and self.network.is_machine_up(self.peer_host):
             # The other end knows nothing of this connection any more, and says so.
             self.received.put_nowait(None)
 
@@ -114,11 +116,11 @@
 
 
 class MemoryPort:
-    def __init__(self, wires: Wires, address: network.Address) -> None:
-        self.wires, self.address = wires, address
+    def __init__(self, wires: SimulatedNetwork, address: network.Address) -> None:
+        self.network, self.address = wires, address
 
     def send(self, payload: bytes, address: network.Address) -> None:
-        wires = self.wires
+        wires = self.network
         wires.bytes_sent[self.address[0]] += len(payload)
         if wires.randomness.random() < wires.loss:
             return
@@ -127,39 +129,39 @@
         loop.call_later(delay, self.arrive, payload, address, context=contextvars.Context())
 
     def arrive(self, payload: bytes, address: network.Address) -> None:
-        target = self.wires.ports.get(address)
-        if target is not None and not self.wires.is_cut(self.address[0], address[0]):
+        target = self.network.ports.get(address)
+        if target is not None and not self.network.is_cut(self.address[0], address[0]):
             actor, on_datagram = target
             loop = asyncio.get_running_loop()
             loop.call_soon(on_datagram, payload, self.address, context=actor.context.copy())
 
     def close(self) -> None:
-        self.wires.ports.pop(self.address, None)
+        self.network.ports.pop(self.address, None)
 
 
-class Closer:
-    def __init__(self, wires: Wires, address: network.Address) -> None:
-        self.wires, self.address = wires, address
+class MemoryListener:
+    def __init__(self, wires: SimulatedNetwork, address: network.Address) -> None:
+        self.network, self.address = wires, address
 
     def close(self) -> None:
-        self.wires.listeners.pop(self.address, None)
+        self.network.listeners.pop(self.address, None)
 
 
-class MemoryNetwork:
+class HostNetwork:
     """The network as one process is handed it."""
 
-    def __init__(self, wires: Wires, host: str) -> None:
-        self.wires, self.host = wires, host
+    def __init__(self, wires: SimulatedNetwork, host: str) -> None:
+        self.network, self.host = wires, host
 
     async def connect(self, address: network.Address) -> network.Stream:
-        wires = self.wires
+        wires = self.network
         await asyncio.sleep(2 * wires.delay(self.host, address[0]))
         while wires.is_cut(self.host, address[0]):
-            await asyncio.sleep(RETRANSMIT)
+            await asyncio.sleep(RETRANSMIT_SECONDS)
         if address not in wires.listeners:
             raise ConnectionRefusedError(str(address))
         actor, on_stream = wires.listeners[address]
-        here = MemoryStream(wires, virtual.ACTOR.get(), self.host, address[0])
+        here = MemoryStream(wires, virtual_time.ACTOR.get(), self.host, address[0])
         there = MemoryStream(wires, actor, address[0], self.host)
         here.peer, there.peer = there, here
         wires.streams = [stream for stream in wires.streams if not stream.closed] + [here, there]
@@ -170,10 +172,10 @@
     def accept(self, on_stream: network.OnStream, stream: MemoryStream) -> None:
         asyncio.get_running_loop().create_task(on_stream(stream))
 
-    async def listen(self, address: network.Address, on_stream: network.OnStream) -> Closer:
-        self.wires.listeners[address] = (virtual.ACTOR.get(), on_stream)
-        return Closer(self.wires, address)
+    async def listen(self, address: network.Address, on_stream: network.OnStream) -> MemoryListener:
+        self.network.listeners[address] = (virtual_time.ACTOR.get(), on_stream)
+        return MemoryListener(self.network, address)
 
     async def datagrams(self, address: network.Address, on_datagram: network.OnDatagram) -> MemoryPort:
-        self.wires.ports[address] = (virtual.ACTOR.get(), on_datagram)
-        return MemoryPort(self.wires, address)
+        self.network.ports[address] = (virtual_time.ACTOR.get(), on_datagram)
+        return MemoryPort(self.network, address)
--- a/src/irisstand/simulator/storm.py
+++ b/src/irisstand/simulator/propagation_benchmark.py
@@ -4,11 +4,10 @@
 import typing
 
 from irisstand import errors
-from irisstand.simulator import day as days
-from irisstand.simulator import virtual_time as virtual
+from irisstand.simulator import simulated_day, virtual_time
 
 
-class Figures(typing.NamedTuple):
+class PropagationFigures(typing.NamedTuple):
     confirmed: int
     refused: int
     not_confirmed: int
@@ -20,11 +19,13 @@
     bytes_each_second: float
 
 
-class Storm:
+class PropagationBenchmark:
     """Each client sends its next order as soon as the last is answered; every tenth order is invalid."""
 
     def __init__(self, seed: int, clients: int, seconds: float, rows: int) -> None:
-        self.day = days.Day(seed, 0, days.Kind(ceilings=days.HIGH))
+        self.day = simulated_day.SimulatedDay(
+            seed, 0, simulated_day.DayKind(ceilings=simulated_day.HIGH_LIMITS)
+        )
         self.rows = rows
         self.clients, self.seconds = clients, seconds
         self.latencies: list[float] = []
@@ -32,28 +33,28 @@
         self.not_confirmed = 0
 
     def counted(self, name: str) -> float:
-        return sum(node.body.context.counters.total(name) for node in self.day.world.role("agency"))
+        return sum(node.program.context.counters.total(name) for node in self.day.cluster.with_role("agency"))
 
-    async def run(self) -> Figures:
+    async def run(self) -> PropagationFigures:
         await self.day.open()
         await self.fill()
         # Let the shares and the rota come to rest, so that only the storm is measured.
         await asyncio.sleep(40)
         names = ("ballots_held", "ballots_lost", "batches_confirmed")
         before = [self.counted(name) for name in names]
-        bytes_before = self.day.world.wires.bytes_sent.total()
+        bytes_before = self.day.cluster.network.bytes_sent.total()
         await asyncio.gather(*(self.client(number) for number in range(self.clients)))
         counts = [self.counted(name) - old for name, old in zip(names, before, strict=True)]
-        sent = self.day.world.wires.bytes_sent.total() - bytes_before
+        sent = self.day.cluster.network.bytes_sent.total() - bytes_before
         ordered = sorted(self.latencies)
-        return Figures(
+        return PropagationFigures(
             len(ordered),
             self.refused,
             self.not_confirmed,
             ordered[len(ordered) // 2],
             ordered[int(len(ordered) * 0.99)],
             *counts,
-            sent / self.seconds / len(self.day.world.nodes),
+            sent / self.seconds / len(self.day.cluster.nodes),
         )
 
     async def fill(self) -> None:
@@ -64,7 +65,7 @@
             for number in range(self.rows)
         ]
         for first in range(0, len(rows), 500):
-            await self.day.stage.order("agency-1", "change", rows[first : first + 500])
+            await self.day.actors.order("agency-1", "change", rows[first : first + 500])
 
     async def client(self, number: int) -> None:
         loop = asyncio.get_running_loop()
@@ -76,7 +77,7 @@
             kind, payload = self.order(number, count)
             started = loop.time()
             try:
-                await self.day.stage.order(control_node, kind, payload)
+                await self.day.actors.order(control_node, kind, payload)
                 self.latencies.append(loop.time() - started)
             except (errors.InvalidChangeError, errors.StaleVersionError):
                 self.refused += 1
@@ -85,11 +86,11 @@
 
     def order(self, number: int, count: int) -> tuple[str, typing.Any]:
         if count % 10 == 0:
-            return "change", [days.switch(number % days.SWITCHES, "nobody")]
+            return "change", [simulated_day.switch_row(number % simulated_day.SWITCHES, "nobody")]
         if number % 2:
             return "change", [{"kind": "site", "name": f"storm-{number}", "value": {"weight": count % 1000}}]
         return "purge", [("path", f"/vacancies/{count % 50}")]
 
 
-def measure(seed: int, clients: int, seconds: float, rows: int) -> Figures:
-    return virtual.run(Storm(seed, clients, seconds, rows).run())
+def measure(seed: int, clients: int, seconds: float, rows: int) -> PropagationFigures:
+    return virtual_time.run(PropagationBenchmark(seed, clients, seconds, rows).run())
--- a/src/irisstand/simulator/restart_measurement.py
+++ b/src/irisstand/simulator/restart_measurement.py
@@ -19,7 +19,7 @@
 REMOVALS = 0.2
 
 
-class Measured(typing.NamedTuple):
+class RestartFigures(typing.NamedTuple):
     changes: int
     items: int
     files: int
@@ -46,7 +46,7 @@
     return store
 
 
-async def measure(changes: int) -> Measured:
+async def measure(changes: int) -> RestartFigures:
     table, randomness = items.CONFIGURATION, random.Random(changes)
     folder, live = simulated_folder.SimulatedFolder(random.Random(2)), replica.Replica(items.CONFIGURATION)
     store = await opened(folder)
@@ -63,7 +63,7 @@
     started, syncs, written = time.process_time(), empty.syncs, empty.written
     await wiped.save_replica(table, live, wiped.records[table])
     took = time.process_time() - started
-    return Measured(
+    return RestartFigures(
         changes, len(live.items), files, held, loading, empty.syncs - syncs, empty.written - written, took
     )
 
--- a/src/irisstand/simulator/world.py
+++ b/src/irisstand/simulator/simulated_cluster.py
@@ -8,15 +8,11 @@
 from irisstand import clocks, errors, node_settings
 from irisstand.controlplane import assembly as control_nodes
 from irisstand.dataplane import assembly as data_nodes
-from irisstand.fleet import processes as fleet
-from irisstand.simulator import memory_disk as shelf
-from irisstand.simulator import memory_network as wires
-from irisstand.simulator import simulated_actors as acting
-from irisstand.simulator import simulated_origins as simulated
-from irisstand.simulator import virtual_time as virtual
+from irisstand.localcluster import processes
+from irisstand.simulator import memory_disk, memory_network, simulated_actors, simulated_origins, virtual_time
 
 
-class Plan(typing.NamedTuple):
+class NodePlacement(typing.NamedTuple):
     name: str
     role: str
     machine: str
@@ -25,19 +21,19 @@
     host: str
 
 
-class Node:
+class SimulatedNode:
     """A process that can be killed, frozen and started again; its disk outlives it."""
 
-    def __init__(self, world: "World", plan: Plan) -> None:
-        self.world, self.plan = world, plan
-        self.disk = shelf.MemoryDisk(world.randomness)
-        self.actor = virtual.Actor(plan.name)
+    def __init__(self, world: "SimulatedCluster", plan: NodePlacement) -> None:
+        self.cluster, self.placement = world, plan
+        self.disk = memory_disk.MemoryDisk(world.randomness)
+        self.actor = virtual_time.Actor(plan.name)
         self.actor.dead = True
-        self.body: typing.Any = None
+        self.program: typing.Any = None
         self.was_wiped = False
 
     def settings(self) -> node_settings.Settings:
-        plan = self.plan
+        plan = self.placement
         return node_settings.Settings(
             plan.name,
             plan.machine,
@@ -46,32 +42,34 @@
             plan.host,
             7000,
             8000,
-            self.world.seeds,
+            self.cluster.seeds,
             role=plan.role,
             data="memory",
-            founding=self.world.founding,
-            replace_after=self.world.replace_after,
-            found_by_seeds=self.world.by_seeds,
-            may_found=not (self.world.by_seeds and self.was_wiped),
-            outage_bound=self.world.outage_bound,
+            founding=self.cluster.founding,
+            replace_after=self.cluster.replace_after,
+            found_by_seeds=self.cluster.by_seeds,
+            may_found=not (self.cluster.by_seeds and self.was_wiped),
+            outage_bound=self.cluster.outage_bound,
         )
 
     async def start(self) -> None:
-        world = self.world
+        world = self.cluster
         # A dead process's tasks are kept to the end: collected as garbage, they would clean up after all.
-        world.graveyard.append(self.actor)
-        self.actor = virtual.Actor(self.plan.name)
+        world.crashed_actors.append(self.actor)
+        self.actor = virtual_time.Actor(self.placement.name)
         # Every process draws from a stream of its own, so that one more draw here changes nothing there.
         randomness = random.Random(world.randomness.getrandbits(64))
-        network = wires.MemoryNetwork(world.wires, self.plan.host)
-        if self.plan.role == "agency":
-            self.body = control_nodes.ControlNode(
+        network = memory_network.HostNetwork(world.network, self.placement.host)
+        if self.placement.role == "agency":
+            self.program = control_nodes.ControlNode(
                 self.settings(), clocks.LoopClock(), randomness, network, self.disk, world.ask_platform
             )
         else:
-            opener = simulated.line_opener(world, self.plan.host)
-            self.body = data_nodes.DataNode(self.settings(), clocks.LoopClock(), randomness, network, opener)
-        await self.actor.start(self.body.open())
+            opener = simulated_origins.connection_opener(world, self.placement.host)
+            self.program = data_nodes.DataNode(
+                self.settings(), clocks.LoopClock(), randomness, network, opener
+            )
+        await self.actor.start(self.program.open())
 
     async def restart(self) -> None:
         """As a supervisor would: a process that cannot start is started again."""
@@ -85,11 +83,11 @@
 
     def kill(self, reset: bool = True) -> None:
         self.actor.dead = True
-        self.world.wires.drop(self.actor, reset)
+        self.cluster.network.drop(self.actor, reset)
 
     async def stop(self) -> None:
         """As SIGTERM does it."""
-        context = self.body.context
+        context = self.program.context
         context.is_lame_duck = True
         await self.actor.start(asyncio.sleep(context.settings.farewell))
         await self.actor.start(context.drain())
@@ -97,10 +95,10 @@
         rule = "a planned restart drops no answer under way"
         if self.is_up:
             asks = self.actor.asks
-            self.world.stage.judge.check(rule, asks == 0, f"{self.plan.name}: {asks} dropped")
-        await self.actor.start(self.body.close())
+            self.cluster.actors.checker.check(rule, asks == 0, f"{self.placement.name}: {asks} dropped")
+        await self.actor.start(self.program.close())
         self.actor.dead = True
-        self.world.wires.drop(self.actor, True)
+        self.cluster.network.drop(self.actor, True)
 
     def freeze(self) -> None:
         self.actor.frozen = True
@@ -121,24 +119,24 @@
         task = self.actor.start(coroutine)
         done, _ = await asyncio.wait([task], timeout=patience)
         if not done:
-            raise TimeoutError(f"{self.plan.name} did not answer")
+            raise TimeoutError(f"{self.placement.name} did not answer")
         return task.result()
 
 
-class World:
-    def __init__(self, seed: int, shape: fleet.Shape, founding: int = 0) -> None:
+class SimulatedCluster:
+    def __init__(self, seed: int, shape: processes.ClusterShape, founding: int = 0) -> None:
         self.randomness = random.Random(seed)
-        self.wires = wires.Wires(self.randomness)
+        self.network = memory_network.SimulatedNetwork(self.randomness)
         self.shape = shape
-        self.nodes: dict[str, Node] = {}
-        self.graveyard: list[virtual.Actor] = []
-        self.retired: list[Node] = []
+        self.nodes: dict[str, SimulatedNode] = {}
+        self.crashed_actors: list[virtual_time.Actor] = []
+        self.retired: list[SimulatedNode] = []
         self.replace_after = 60.0
         # Founded by the seeds instead of by a number, and how long nodes go on while the core is out.
         self.by_seeds, self.outage_bound = False, 0.0
         self.founding = founding or shape.shields
         self.seeds: list[tuple[str, int]] = []
-        self.stage = acting.Stage(self)
+        self.actors = simulated_actors.SimulatedActors(self)
         self.lay_out()
 
     def lay_out(self) -> None:
@@ -153,37 +151,37 @@
                 site, region = self.shape.sites[(index - 1) % len(self.shape.sites)]
                 machine = f"{'shield' if role == 'agency' else role}-machine-{index}"
                 number += 1
-                plan = Plan(f"{role}-{index}", role, machine, site, region, f"10.0.0.{number}")
+                plan = NodePlacement(f"{role}-{index}", role, machine, site, region, f"10.0.0.{number}")
                 self.add(plan)
-        self.seeds = [(node.plan.host, 7000) for node in self.role("agency")[:3]]
+        self.seeds = [(node.placement.host, 7000) for node in self.with_role("agency")[:3]]
 
-    def add(self, plan: Plan) -> Node:
-        node = Node(self, plan)
+    def add(self, plan: NodePlacement) -> SimulatedNode:
+        node = SimulatedNode(self, plan)
         self.nodes[plan.name] = node
-        self.wires.regions[plan.host] = plan.region
+        self.network.regions[plan.host] = plan.region
         return node
 
-    def retire(self, node: Node) -> None:
+    def retire(self, node: SimulatedNode) -> None:
         """Gone for good, disk and all."""
-        self.retired.append(self.nodes.pop(node.plan.name))
+        self.retired.append(self.nodes.pop(node.placement.name))
 
     async def ask_platform(self) -> typing.Any:
-        return await self.stage.ask_platform()
+        return await self.actors.ask_platform()
 
-    def role(self, role: str) -> list[Node]:
-        return [node for node in self.nodes.values() if node.plan.role == role]
+    def with_role(self, role: str) -> list[SimulatedNode]:
+        return [node for node in self.nodes.values() if node.placement.role == role]
 
     async def start_all(self) -> None:
         for node in self.nodes.values():
             await node.start()
 
     def hosts(self, names: collections.abc.Iterable[str]) -> list[str]:
-        return [self.nodes[name].plan.host for name in names]
+        return [self.nodes[name].placement.host for name in names]
 
-    def cut_off(self, names: collections.abc.Collection[str]) -> None:
+    def partition_off(self, names: collections.abc.Collection[str]) -> None:
         """These nodes reach one another, but nobody else."""
         others = [name for name in self.nodes if name not in names]
-        self.wires.cut(self.hosts(names), self.hosts(others))
+        self.network.cut(self.hosts(names), self.hosts(others))
 
     def describe(self) -> str:
         """One line for each node that is not fit to serve, for whoever has to find out why."""
@@ -193,13 +191,13 @@
                 now = asyncio.get_running_loop().time()
                 copies = {
                     table: (str(copy.applied), copy.age(now))
-                    for table, copy in node.body.context.replicas.items()
+                    for table, copy in node.program.context.replicas.items()
                 }
-                records = getattr(getattr(node.body, "core", None), "vault", None)
+                records = getattr(getattr(node.program, "participant", None), "store", None)
                 found.append(f"{name} {copies} {records.records if records else ''}")
         return "\n".join(found)
 
-    async def until(self, condition: collections.abc.Callable[[], bool], patience: float) -> float:
+    async def wait_until(self, condition: collections.abc.Callable[[], bool], patience: float) -> float:
         """Virtual seconds until the condition holds; AssertionError if it does not in time."""
         loop = asyncio.get_running_loop()
         start = loop.time()
@@ -209,12 +207,12 @@
             await asyncio.sleep(0.02)
         return loop.time() - start
 
-    def is_ready(self, node: Node) -> bool:
-        context = node.body.context
+    def is_ready(self, node: SimulatedNode) -> bool:
+        context = node.program.context
         return node.is_up and all(context.is_current(copy) for copy in context.replicas.values())
 
-    async def until_ready(self, patience: float = 20.0) -> float:
+    async def wait_until_ready(self, patience: float = 20.0) -> float:
         """Until every node that is up is fit to serve."""
-        return await self.until(
+        return await self.wait_until(
             lambda: all(self.is_ready(node) for node in self.nodes.values() if node.is_up), patience
         )
--- a/src/irisstand/simulator/simulated_folder.py
+++ b/src/irisstand/simulator/simulated_folder.py
@@ -4,7 +4,7 @@
 import random
 
 
-class PowerLoss(Exception):
+class PowerLossError(Exception):
     """The machine goes off at this file operation, which has not been done."""
 
 
@@ -28,7 +28,7 @@
     def step(self) -> None:
         self.operations += 1
         if self.operations == self.off_at:
-            raise PowerLoss
+            raise PowerLossError
 
     def lose_power(self) -> None:
         """Every entry made, renamed or removed since the last sync may be as it was or as it is."""
--- a/src/irisstand/simulator/simulated_origins.py
+++ b/src/irisstand/simulator/simulated_origins.py
@@ -7,11 +7,13 @@
 
 from irisstand.dataplane.cache import objects
 from irisstand.dataplane.upstream import connections
-from irisstand.standins import origin as origins
+from irisstand.emulators import origin_emulator
 
 
 class SimulatedOrigin:
-    def __init__(self, service: str, instance: str, site: str, records: origins.Records) -> None:
+    def __init__(
+        self, service: str, instance: str, site: str, records: origin_emulator.OriginRecords
+    ) -> None:
         self.service, self.instance, self.site, self.records = service, instance, site, records
         self.host, self.port = "", 9000
         self.state, self.warmup = "ready", 0.0
@@ -89,13 +91,13 @@
         return connections.Answer(200, kept, content)
 
 
-class SimulatedLine:
+class SimulatedConnection:
     """One connection: it breaks with its origin and is never opened again."""
 
     def __init__(
         self, stage: typing.Any, host: str, address: tuple[str, int], origin: SimulatedOrigin
     ) -> None:
-        self.stage, self.host, self.address, self.origin = stage, host, address, origin
+        self.actors, self.host, self.address, self.origin = stage, host, address, origin
         self.is_open, self.may_have_sent = True, False
         self.life = origin.life
         origin.connections += 1
@@ -105,14 +107,14 @@
     ) -> connections.Answer:
         loop = asyncio.get_running_loop()
         # A kept connection that the other end has closed is known as such before anything is written.
-        if not self.stage.reaches(self.origin, self.address) or self.life != self.origin.life:
+        if not self.actors.reaches(self.origin, self.address) or self.life != self.origin.life:
             self.is_open = False
             raise connections.ConnectionReopenedError("the connection was gone")
         self.may_have_sent = True
         future = loop.create_future()
 
         def arrive() -> None:
-            if self.stage.world.wires.is_cut(self.host, self.address[0]):
+            if self.actors.cluster.network.is_cut(self.host, self.address[0]):
                 return
             there = self.origin.up and self.life == self.origin.life
             answer = self.origin.answer(method, target, headers, body) if there else None
@@ -121,13 +123,13 @@
             loop.call_later(delay, back, answer, context=contextvars.Context())
 
         def back(answer: connections.Answer | None) -> None:
-            if not future.done() and not self.stage.world.wires.is_cut(self.host, self.address[0]):
+            if not future.done() and not self.actors.cluster.network.is_cut(self.host, self.address[0]):
                 if answer is None:
                     future.set_exception(ConnectionResetError("the origin closed the connection"))
                 else:
                     future.set_result(answer)
 
-        delay = self.stage.world.wires.delay(self.host, self.address[0])
+        delay = self.actors.cluster.network.delay(self.host, self.address[0])
         # In a context of its own: the origin runs on, whatever becomes of the process that asked.
         loop.call_later(delay, arrive, context=contextvars.Context())
         try:
@@ -141,12 +143,12 @@
         self.is_open = False
 
 
-def line_opener(world: typing.Any, host: str) -> connections.ConnectionOpener:
+def connection_opener(world: typing.Any, host: str) -> connections.ConnectionOpener:
     async def open_line(origin_host: str, port: int) -> connections.UpstreamConnection:
-        await asyncio.sleep(world.wires.delay(host, origin_host))
-        origin = world.stage.at.get((origin_host, port))
+        await asyncio.sleep(world.network.delay(host, origin_host))
+        origin = world.actors.at.get((origin_host, port))
         if origin is None or not origin.up:
             raise ConnectionRefusedError(f"{origin_host}:{port}")
-        return SimulatedLine(world.stage, host, (origin_host, port), origin)
+        return SimulatedConnection(world.actors, host, (origin_host, port), origin)
 
     return open_line
--- a/src/irisstand/simulator/rest_judge.py
+++ b/src/irisstand/simulator/standby_invariants.py
@@ -12,9 +12,9 @@
 AWAKE_AGAIN = 5.0
 
 
-class Rests:
+class StandbyInvariants:
     def __init__(self, world: typing.Any) -> None:
-        self.world, self.judge = world, world.stage.judge
+        self.cluster, self.checker = world, world.actors.checker
         self.recorded: set[tuple] = set()
         self.up: set[str] = set()
         self.lost_at = -1e9
@@ -22,32 +22,38 @@
         self.longest: dict[str, float] = {}
 
     def look(self, now: float) -> None:
-        contexts = [node.body.context for node in self.world.nodes.values() if node.body is not None]
+        contexts = [node.program.context for node in self.cluster.nodes.values() if node.program is not None]
         ledger = max((context.ledger for context in contexts), key=lambda copy: copy.applied)
         voters = quorum.voters_from_wire(ledger.value(items.VOTERS_KEY))
-        up = {n.plan.name for n in self.world.nodes.values() if n.is_up and self.reaches_core(n, voters)}
+        up = {
+            n.placement.name for n in self.cluster.nodes.values() if n.is_up and self.reaches_core(n, voters)
+        }
         # Whatever was there at the last look and is not now was lost since.
         if self.up - up:
             self.lost_at = now
         self.up = up
         # While nothing can be decided, nobody can be told to do anything else.
         if self.core_is_short(ledger) == "majority":
-            self.world.stage.deaf.append((now - 0.05, now))
+            self.cluster.actors.platform_outages.append((now - 0.05, now))
         for role in fleet_view.DEFAULT_CAPACITY_BY_ROLE:
             self.look_at(role, ledger, contexts, now)
 
     def look_at(self, role: str, ledger: typing.Any, contexts: list, now: float) -> None:
         configuration = max((context.configuration for context in contexts), key=lambda copy: copy.applied)
-        nodes = [node for node in self.world.role(role) if node.plan.name in self.up]
-        nodes = [n for n in nodes if ledger.value(f"evacuated/{n.plan.site}") is None]
-        resting = {n.plan.machine for n in nodes if ledger.value(f"rest/{n.plan.machine}") is not None}
+        nodes = [node for node in self.cluster.with_role(role) if node.placement.name in self.up]
+        nodes = [n for n in nodes if ledger.value(f"evacuated/{n.placement.site}") is None]
+        resting = {
+            n.placement.machine for n in nodes if ledger.value(f"rest/{n.placement.machine}") is not None
+        }
         awake = []
         for node in nodes:
-            if node.plan.machine not in resting:
-                row = configuration.value(f"shield/{node.plan.machine}") or {}
+            if node.placement.machine not in resting:
+                row = configuration.value(f"shield/{node.placement.machine}") or {}
                 limit = row.get("limit", fleet_view.DEFAULT_CAPACITY_BY_ROLE[role])
-                awake.append(standby_planning.Machine(node.plan.machine, node.plan.site, limit, False))
-        load = sum(node.body.context.load_gauge.per_second() for node in nodes)
+                awake.append(
+                    standby_planning.Machine(node.placement.machine, node.placement.site, limit, False)
+                )
+        load = sum(node.program.context.load_gauge.per_second() for node in nodes)
         short = standby_planning.uncovered_loss(awake, load)
         # By the row itself: a machine that comes back may find an older rest of its own still recorded.
         recorded = {(name, ledger.version(f"rest/{name}")) for name in resting}
@@ -57,30 +63,32 @@
             rule = "a rest leaves enough for any one further loss"
             core = self.core_is_short(ledger)
             example = f"{sorted(fresh)} rest at {now:.2f}: {short or core} is not carried at {load:.1f}/s"
-            self.judge.check(rule, not short and not core, example)
+            self.checker.check(rule, not short and not core, example)
         # With nobody to wake, or nobody who could decide it, there is nothing to be judged.
-        if not short or not resting or self.world.wires.cuts or self.core_is_short(ledger) == "majority":
+        if not short or not resting or self.cluster.network.cuts or self.core_is_short(ledger) == "majority":
             self.short_since.pop(role, None)
             return
         since = self.short_since.setdefault(role, max(now, self.lost_at))
         self.longest[role] = max(self.longest.get(role, 0.0), now - since)
         rule = f"after a loss enough is awake again within {AWAKE_AGAIN:g} s"
-        self.judge.check(rule, now - since <= AWAKE_AGAIN, f"{role}: {short} at {now:.2f}, since {since:.2f}")
+        self.checker.check(
+            rule, now - since <= AWAKE_AGAIN, f"{role}: {short} at {now:.2f}, since {since:.2f}"
+        )
 
     def is_stuck(self, name: str) -> bool:
-        node = self.world.nodes.get(name)
+        node = self.cluster.nodes.get(name)
         return node is not None and (node.disk.full or node.disk.stalled)
 
     def reaches_core(self, node: typing.Any, voters: list) -> bool:
         """On the side of a cut where a majority runs and can decide; the other side counts as lost."""
         reached = sum(
-            self.runs(voter.name) and not self.world.wires.is_cut(node.plan.host, voter.host)
+            self.runs(voter.name) and not self.cluster.network.is_cut(node.placement.host, voter.host)
             for voter in voters
         )
         return 2 * reached > len(voters)
 
     def runs(self, name: str) -> bool:
-        node = self.world.nodes.get(name)
+        node = self.cluster.nodes.get(name)
         return node is not None and node.is_up
 
     def core_is_short(self, ledger: typing.Any) -> str:
--- a/src/irisstand/simulator/virtual_time.py
+++ b/src/irisstand/simulator/virtual_time.py
@@ -32,7 +32,7 @@
         return self.context.copy().run(asyncio.get_running_loop().create_task, coroutine)
 
 
-class Idle(selectors.BaseSelector):
+class IdleSelector(selectors.BaseSelector):
     """Nothing ever comes from outside; a wait only moves the virtual time on."""
 
     def __init__(self) -> None:
@@ -64,7 +64,7 @@
     def __init__(self) -> None:
         self.moment = 0.0
         self.ending = False
-        selector = Idle()
+        selector = IdleSelector()
         selector.loop = self
         super().__init__(selector)
         self.set_task_factory(self.make_task)
--- a/tests/controlplane/test_ballots.py
+++ b/tests/controlplane/test_ballots.py
@@ -8,13 +8,12 @@
 
 import irisstand.controlplane.consensus.acceptor
 import irisstand.errors as errors
-import irisstand.simulator.memory_disk
-import irisstand.simulator.virtual_time
 import irisstand.state.items as items
 import irisstand.state.quorum as quorum
 import irisstand.state.replica as replica
 import irisstand.state.storage.durable_store
 import irisstand.state.versions as versions
+from irisstand.simulator import memory_disk, virtual_time
 
 
 def test_two_changes_racing_from_the_same_version_never_both_win():
@@ -22,7 +21,7 @@
         for round_number in range(12):
             expected = str(cluster.context(day, "agency-1").configuration.version("site/north"))
             rows = [[cluster.site_row(weight=weight, expected=expected)] for weight in (1, 2, 3)]
-            orders = [day.stage.order(f"agency-{number + 1}", "change", rows[number]) for number in range(3)]
+            orders = [day.actors.order(f"agency-{number + 1}", "change", rows[number]) for number in range(3)]
             results = await asyncio.gather(*orders, return_exceptions=True)
             won = [result for result in results if isinstance(result, dict)]
             assert len(won) == 1, results
@@ -39,9 +38,9 @@
 
 def test_the_same_change_id_again_at_another_node_returns_the_first_result():
     async def scene(day):
-        first = await day.stage.order("agency-1", "change", [cluster.site_row(weight=5)], "mine")
-        await day.stage.order("agency-2", "change", [cluster.site_row(weight=6)], "other")
-        again = await day.stage.order("agency-3", "change", [cluster.site_row(weight=5)], "mine")
+        first = await day.actors.order("agency-1", "change", [cluster.site_row(weight=5)], "mine")
+        await day.actors.order("agency-2", "change", [cluster.site_row(weight=6)], "other")
+        again = await day.actors.order("agency-3", "change", [cluster.site_row(weight=5)], "mine")
         assert again == first
         assert cluster.context(day, "agency-3").configuration.value("site/north") == {"weight": 6}
 
@@ -57,14 +56,14 @@
             {"kind": "path", "name": "/x/", "value": {"grants": [{"service": "nobody", "methods": ["GET"]}]}},
         ]
         with pytest.raises(errors.InvalidChangeError) as raised:
-            await day.stage.order("agency-1", "change", bad)
+            await day.actors.order("agency-1", "change", bad)
         assert [(fault["row"], fault["field"]) for fault in raised.value.faults] == [(1, "weight")]
         with pytest.raises(errors.InvalidChangeError) as raised:
-            await day.stage.order("agency-4", "change", [bad[0], bad[2]])
+            await day.actors.order("agency-4", "change", [bad[0], bad[2]])
         assert "nobody" in raised.value.faults[0]["message"]
         # A service that a path still grants cannot be removed under it either.
         with pytest.raises(errors.InvalidChangeError):
-            await day.stage.order(
+            await day.actors.order(
                 "agency-1", "change", [{"kind": "service", "name": "content", "value": None}]
             )
         assert cluster.context(day, "agency-1").configuration.applied == before
@@ -82,15 +81,15 @@
             proposer = f"agency-{randomness.randrange(5) + 1}"
             other = next(f"agency-{n}" for n in range(1, 6) if f"agency-{n}" != proposer)
             rows = [cluster.site_row(weight=number + 1)]
-            task = asyncio.create_task(day.stage.order(proposer, "change", rows, f"c{number}"))
+            task = asyncio.create_task(day.actors.order(proposer, "change", rows, f"c{number}"))
             await asyncio.sleep(randomness.uniform(0, 0.05))
-            day.world.nodes[proposer].kill(reset=randomness.random() < 0.5)
+            day.cluster.nodes[proposer].kill(reset=randomness.random() < 0.5)
             told = task.result() if task.done() and not task.exception() else None
-            again = await day.stage.order(other, "change", rows, f"c{number}")
+            again = await day.actors.order(other, "change", rows, f"c{number}")
             assert told is None or told["serial"] == again["serial"]
             task.cancel()
-            await day.world.nodes[proposer].start()
-            await day.world.until_ready()
+            await day.cluster.nodes[proposer].start()
+            await day.cluster.wait_until_ready()
             assert cluster.context(day, proposer).configuration.value("site/north") == {"weight": number + 1}
 
     cluster.play(scene, seed)
@@ -98,14 +97,14 @@
 
 def test_without_a_majority_nothing_is_accepted_and_the_cut_off_side_stops_serving():
     async def scene(day):
-        day.world.cut_off(["agency-1", "agency-2", "edge-1"])
+        day.cluster.partition_off(["agency-1", "agency-2", "edge-1"])
         with pytest.raises(errors.NoQuorumError):
-            await day.stage.order("agency-1", "change", [cluster.site_row(weight=9)])
-        assert not day.world.is_ready(day.world.nodes["agency-1"])
-        assert (await day.stage.ask("edge-1", "GET", "/vacancies/1"))[1] == "stale-blueprint"
-        assert (await day.stage.ask("edge-2", "GET", "/vacancies/1"))[0] == 200
-        day.world.wires.heal()
-        await day.world.until_ready()
+            await day.actors.order("agency-1", "change", [cluster.site_row(weight=9)])
+        assert not day.cluster.is_ready(day.cluster.nodes["agency-1"])
+        assert (await day.actors.ask("edge-1", "GET", "/vacancies/1"))[1] == "stale-blueprint"
+        assert (await day.actors.ask("edge-2", "GET", "/vacancies/1"))[0] == 200
+        day.cluster.network.heal()
+        await day.cluster.wait_until_ready()
         # Refused means never: the row did not come into force with the healing either.
         assert cluster.context(day, "agency-3").configuration.value("site/north") is None
 
@@ -116,7 +115,7 @@
     """Found by seed 4 of the simulator: such a batch made every node take the newer table for the older."""
 
     async def scene():
-        disk = irisstand.simulator.memory_disk.MemoryDisk(random.Random(1))
+        disk = memory_disk.MemoryDisk(random.Random(1))
         store = irisstand.state.storage.durable_store.DurableStore(disk, random.Random(1))
         await store.open()
         live = replica.Replica(items.LEDGER)
@@ -135,4 +134,4 @@
         assert (await owner.order("promise", versions.Version(30, "c")))[0] == "lost"
         task.cancel()
 
-    irisstand.simulator.virtual_time.run(scene())
+    virtual_time.run(scene())
--- a/tests/controlplane/test_bootstrap.py
+++ b/tests/controlplane/test_bootstrap.py
@@ -5,31 +5,30 @@
 import cluster
 import pytest
 
-import irisstand.simulator.virtual_time as virtual
-import irisstand.simulator.world as worlds
 import irisstand.state.items as items
 import irisstand.state.quorum as quorum
 import irisstand.state.versions as versions
+from irisstand.simulator import simulated_cluster, virtual_time
 
 SITES = (("north", "one"), ("south", "one"), ("east", "two"), ("west", "two"))
 
 
 def play(scene, seed=1, outage_bound=0.0):
     async def whole():
-        world = worlds.World(seed, cluster.SHAPE)
+        world = simulated_cluster.SimulatedCluster(seed, cluster.SHAPE)
         world.by_seeds, world.replace_after, world.outage_bound = True, 1.2, outage_bound
         await world.start_all()
         found = await scene(world)
         assert not asyncio.get_running_loop().faults, asyncio.get_running_loop().faults[0]
         return found
 
-    return virtual.run(whole())
+    return virtual_time.run(whole())
 
 
 def voters(world, table=items.CONFIGURATION):
     """The voters in force, as the newest copy of a living core node has them."""
-    cores = [node for node in world.role("agency") if node.is_up]
-    newest = max((node.body.context.replicas[table] for node in cores), key=lambda copy: copy.applied)
+    cores = [node for node in world.with_role("agency") if node.is_up]
+    newest = max((node.program.context.replicas[table] for node in cores), key=lambda copy: copy.applied)
     return quorum.voters_from_wire(newest.value(items.VOTERS_KEY))
 
 
@@ -47,16 +46,16 @@
 
         async def look():
             while True:
-                for node in world.role("agency"):
+                for node in world.with_role("agency"):
                     known = quorum.voters_from_wire(
-                        node.body.context.replicas[items.CONFIGURATION].value(items.VOTERS_KEY)
+                        node.program.context.replicas[items.CONFIGURATION].value(items.VOTERS_KEY)
                     )
                     if known and not quorum.survives_any_site_loss(known):
                         worst.append(known)
                 await asyncio.sleep(0.01)
 
         watching = asyncio.get_running_loop().create_task(look())
-        await world.until(lambda: all_vote(world, FIVE), 10)
+        await world.wait_until(lambda: all_vote(world, FIVE), 10)
         watching.cancel()
         assert not worst
 
@@ -65,29 +64,29 @@
 
 def test_disks_that_were_lost_never_found_a_core_anew():
     async def scene(world):
-        await world.until(lambda: all_vote(world, FIVE), 10)
-        for node in world.role("agency"):
+        await world.wait_until(lambda: all_vote(world, FIVE), 10)
+        for node in world.with_role("agency"):
             node.kill()
             node.wipe()
-        for node in world.role("agency"):
+        for node in world.with_role("agency"):
             await node.start()
         await asyncio.sleep(20)
-        for node in world.role("agency"):
-            assert node.body.context.replicas[items.CONFIGURATION].applied == versions.NONE
+        for node in world.with_role("agency"):
+            assert node.program.context.replicas[items.CONFIGURATION].applied == versions.NONE
 
     play(scene)
 
 
 def test_one_lost_disk_of_the_seeds_learns_and_votes_again():
     async def scene(world):
-        await world.until(lambda: all_vote(world, FIVE), 10)
+        await world.wait_until(lambda: all_vote(world, FIVE), 10)
         node = world.nodes["agency-1"]
-        old = node.body.participant.store.disk_id
+        old = node.program.participant.store.disk_id
         node.kill()
         node.wipe()
         await node.start()
-        await world.until(
-            lambda: any(v.disk_id == node.body.participant.store.disk_id for v in voters(world)), 4
+        await world.wait_until(
+            lambda: any(v.disk_id == node.program.participant.store.disk_id for v in voters(world)), 4
         )
         assert old not in {voter.disk_id for voter in voters(world)}
 
@@ -97,15 +96,15 @@
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_an_empty_machine_elsewhere_votes_within_four_seconds_in_place_of_one_that_is_gone(seed):
     async def scene(world):
-        await world.until(lambda: all_vote(world, FIVE), 10)
+        await world.wait_until(lambda: all_vote(world, FIVE), 10)
         lost = world.nodes["agency-2"]
         lost.kill(reset=False)
         world.retire(lost)
         await asyncio.sleep(1)
-        plan = lost.plan._replace(name="agency-9", machine="m-9", host="10.0.0.99")
+        plan = lost.placement._replace(name="agency-9", machine="m-9", host="10.0.0.99")
         await world.add(plan).start()
         names = [name for name in FIVE if name != "agency-2"] + ["agency-9"]
-        await world.until(lambda: all_vote(world, names), 4)
+        await world.wait_until(lambda: all_vote(world, names), 4)
 
     play(scene, seed)
 
@@ -113,31 +112,31 @@
 @pytest.mark.parametrize("site", ["north", "south", "east", "west"])
 def test_what_was_confirmed_outlives_the_disks_of_a_whole_site_and_the_power_of_all_others(site):
     async def scene(world):
-        await world.until(lambda: all_vote(world, FIVE), 10)
-        proposer = next(node for node in world.role("agency") if node.plan.site == site)
+        await world.wait_until(lambda: all_vote(world, FIVE), 10)
+        proposer = next(node for node in world.with_role("agency") if node.placement.site == site)
         item = {"name": "s1", "version": 4}
         payload = [("upstream/s1", {"version": 4, "item": item})]
-        await world.stage.order(proposer.plan.name, "amend", payload)
-        for node in world.role("agency"):
+        await world.actors.order(proposer.placement.name, "amend", payload)
+        for node in world.with_role("agency"):
             node.kill(reset=False)
-            if node.plan.site == site:
+            if node.placement.site == site:
                 node.wipe()
         await asyncio.sleep(1)
-        for node in world.role("agency"):
+        for node in world.with_role("agency"):
             await node.start()
-        await world.until(lambda: all(map(world.is_ready, world.role("agency"))), 15)
-        for node in world.role("agency"):
-            assert node.body.context.configuration.value("upstream/s1") == payload[0][1]
+        await world.wait_until(lambda: all(map(world.is_ready, world.with_role("agency"))), 15)
+        for node in world.with_role("agency"):
+            assert node.program.context.configuration.value("upstream/s1") == payload[0][1]
 
     play(scene)
 
 
 def test_an_edge_cut_off_from_the_core_follows_through_its_peers():
     async def scene(world):
-        await world.until_ready()
-        cores = [node.plan.host for node in world.role("agency")]
+        await world.wait_until_ready()
+        cores = [node.placement.host for node in world.with_role("agency")]
         edge = world.nodes["edge-1"]
-        world.wires.cut([edge.plan.host], cores)
+        world.network.cut([edge.placement.host], cores)
         stale = 0
         for _ in range(400):
             await asyncio.sleep(0.02)
@@ -150,11 +149,11 @@
 @pytest.mark.parametrize(("bound", "stale_after"), [(0.0, 1.5), (5.0, 6.5)])
 def test_while_the_whole_core_is_out_tables_are_used_for_as_long_as_the_settings_say(bound, stale_after):
     async def scene(world):
-        await world.until_ready()
-        for node in world.role("agency"):
+        await world.wait_until_ready()
+        for node in world.with_role("agency"):
             node.kill()
         edge = world.nodes["edge-1"]
-        took = await world.until(lambda: not world.is_ready(edge), 10)
+        took = await world.wait_until(lambda: not world.is_ready(edge), 10)
         assert stale_after - 0.6 <= took <= stale_after + 0.1
         # No moment without: the bound for a core that answers is over before the core is known to be out.
         await asyncio.sleep(0.5)
@@ -165,12 +164,12 @@
 
 def test_tables_are_not_used_longer_where_only_this_node_was_held_up():
     async def scene(world):
-        await world.until_ready()
+        await world.wait_until_ready()
         edge = world.nodes["edge-1"]
         edge.freeze()
         await asyncio.sleep(4)
         edge.thaw()
-        assert not any(map(edge.body.context.is_quorum_lost, edge.body.context.replicas.values()))
-        await world.until(lambda: world.is_ready(edge), 1)
+        assert not any(map(edge.program.context.is_quorum_lost, edge.program.context.replicas.values()))
+        await world.wait_until(lambda: world.is_ready(edge), 1)
 
     play(scene, outage_bound=5.0)
--- a/tests/controlplane/test_capacity_scaling.py
+++ b/tests/controlplane/test_capacity_scaling.py
@@ -17,25 +17,25 @@
 
 
 async def settle(day, condition, patience=60):
-    return await day.world.until(condition, patience)
+    return await day.cluster.wait_until(condition, patience)
 
 
 def test_machines_rest_at_low_load_but_never_so_that_one_loss_could_not_be_carried():
     async def scene(day):
         await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) == 3, 90)
-        awake = [n for n in day.world.role("shield") if n.plan.machine not in resting(day)]
+        awake = [n for n in day.cluster.with_role("shield") if n.placement.machine not in resting(day)]
         # Two machines at two sites: either may go.
-        assert len({node.plan.site for node in awake}) == 2
+        assert len({node.placement.site for node in awake}) == 2
         # A resting machine stays a member and its control plane node a voter.
-        assert len(cluster.members(day, "edge-1")) == len(day.world.nodes) - 1
-        assert all(node.body.participant.is_voter("ledger") for node in day.world.role("agency"))
+        assert len(cluster.members(day, "edge-1")) == len(day.cluster.nodes) - 1
+        assert all(node.program.participant.is_voter("ledger") for node in day.cluster.with_role("agency"))
         for number in range(10):
-            assert (await day.stage.ask("edge-1", "GET", f"/vacancies/r{number}"))[0] == 200
+            assert (await day.actors.ask("edge-1", "GET", f"/vacancies/r{number}"))[0] == 200
         # One of the two is lost: somebody is woken, and reads go on meanwhile.
         awake[0].kill()
-        statuses = [(await day.stage.ask("edge-1", "GET", f"/vacancies/s{n}"))[0] for n in range(10)]
+        statuses = [(await day.actors.ask("edge-1", "GET", f"/vacancies/s{n}"))[0] for n in range(10)]
         assert set(statuses) == {200}
-        lost = awake[0].plan.machine
+        lost = awake[0].placement.machine
         took = await settle(
             day, lambda: len([n for n in resting(day) if n.startswith("shield") and n != lost]) <= 2, 30
         )
@@ -50,17 +50,17 @@
     async def scene(day):
         pinned = {"kind": "machine", "name": "shield-machine-5", "value": {"awake": True}}
         limits = [
-            {"kind": "shield", "name": node.plan.machine, "value": {"limit": 20}}
-            for node in day.world.role("shield")
+            {"kind": "shield", "name": node.placement.machine, "value": {"limit": 20}}
+            for node in day.cluster.with_role("shield")
         ]
-        await day.stage.order("agency-1", "change", [pinned, *limits])
+        await day.actors.order("agency-1", "change", [pinned, *limits])
         await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) == 3, 90)
         assert "shield-machine-5" not in resting(day)
         why = cluster.context(day, "agency-2").ledger.value("staffing")["why"]
         assert why["shield-machine-5"] == "awake: pinned by operators"
         jobs = []
         for number in range(400):
-            jobs.append(asyncio.create_task(day.stage.ask("edge-1", "GET", f"/shortlists/{number}")))
+            jobs.append(asyncio.create_task(day.actors.ask("edge-1", "GET", f"/shortlists/{number}")))
             await asyncio.sleep(0.025)
         # 40 a second at 20 for each machine: with any one lost, three are needed, so four are awake.
         assert len([n for n in resting(day) if n.startswith("shield")]) <= 1
@@ -72,8 +72,8 @@
 def test_a_core_that_could_not_lose_one_more_machine_keeps_everybody_awake():
     async def scene(day):
         await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) == 3, 90)
-        day.world.nodes["agency-3"].kill()
-        day.world.nodes["agency-4"].kill()
+        day.cluster.nodes["agency-3"].kill()
+        day.cluster.nodes["agency-4"].kill()
         await settle(day, lambda: not resting(day), 40)
 
     cluster.play(scene)
@@ -84,20 +84,20 @@
 
     async def scene(day):
         staffing = {
-            node.plan.name: duty
-            for node in day.world.role("agency")
-            for duty in node.body.singleton_tasks
+            node.placement.name: duty
+            for node in day.cluster.with_role("agency")
+            for duty in node.program.singleton_tasks
             if duty.name == "staffing"
         }
         holder = next(name for name, duty in staffing.items() if duty.holds_lease())
         worker = staffing[holder].work.__self__
         await settle(
-            day, lambda: day.watching.now() - worker.changed_at > worker.standby_delay_seconds - 0.3, 30
+            day, lambda: day.watcher.now() - worker.changed_at > worker.standby_delay_seconds - 0.3, 30
         )
         before = resting(day, holder)
         victims = [name for name in staffing if name != holder][:2]
         for name in victims:
-            day.world.nodes[name].kill(reset=False)
+            day.cluster.nodes[name].kill(reset=False)
         for _ in range(30):
             await asyncio.sleep(0.1)
             assert not resting(day, holder) - before
@@ -108,7 +108,7 @@
 def test_a_rested_machine_wakes_on_suspicion_and_not_only_on_a_death_that_is_final():
     async def scene(day):
         await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) == 3, 90)
-        awake = [n for n in day.world.role("shield") if n.plan.machine not in resting(day)]
+        awake = [n for n in day.cluster.with_role("shield") if n.placement.machine not in resting(day)]
         awake[0].kill(reset=False)
         took = await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) < 3, 10)
         # Confirm comes only some 7 seconds after the death.
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -9,8 +9,8 @@
 
 
 def holder_of(day, duty_name):
-    for node in day.world.role("agency"):
-        for duty in node.body.singleton_tasks if node.is_up else ():
+    for node in day.cluster.with_role("agency"):
+        for duty in node.program.singleton_tasks if node.is_up else ():
             if duty.name == duty_name and duty.holds_lease():
                 return node
     return None
@@ -18,23 +18,23 @@
 
 def test_a_change_that_cannot_be_settled_before_its_node_goes_is_answered_all_the_same():
     async def scene(day):
-        node = day.world.nodes["agency-2"]
-        for other in day.world.role("agency"):
+        node = day.cluster.nodes["agency-2"]
+        for other in day.cluster.with_role("agency"):
             other.disk.stalled = True
         asking = asyncio.create_task(
-            day.stage.order("agency-2", "change", [cluster.site_row(weight=3)], "change-x")
+            day.actors.order("agency-2", "change", [cluster.site_row(weight=3)], "change-x")
         )
         await asyncio.sleep(0.2)
         stopping = asyncio.create_task(node.stop())
         with pytest.raises(errors.ChangeOutcomeUnknownError):
             await asking
-        for other in day.world.role("agency"):
+        for other in day.cluster.with_role("agency"):
             other.disk.stalled = False
         await stopping
-        assert not day.judge.broken["a planned restart drops no answer under way"]
-        assert day.judge.checked["a planned restart drops no answer under way"] == 1
+        assert not day.checker.broken["a planned restart drops no answer under way"]
+        assert day.checker.checked["a planned restart drops no answer under way"] == 1
         # Sent again under its id, to anybody, it brings the one true result.
-        result = await day.stage.order("agency-4", "change", [cluster.site_row(weight=3)], "change-x")
+        result = await day.actors.order("agency-4", "change", [cluster.site_row(weight=3)], "change-x")
         await asyncio.sleep(1)
         assert cluster.context(day, "agency-4").configuration.value("site/north") == {"weight": 3}
         assert result["rows"] == ["site/north"]
@@ -44,11 +44,11 @@
 
 def test_a_change_under_way_is_finished_before_its_node_goes():
     async def scene(day):
-        for other in day.world.role("agency"):
+        for other in day.cluster.with_role("agency"):
             other.disk.slowness = 0.8
-        asking = asyncio.create_task(day.stage.order("agency-2", "change", [cluster.site_row(weight=3)]))
+        asking = asyncio.create_task(day.actors.order("agency-2", "change", [cluster.site_row(weight=3)]))
         await asyncio.sleep(0.1)
-        await day.world.nodes["agency-2"].stop()
+        await day.cluster.nodes["agency-2"].stop()
         assert (await asking)["rows"] == ["site/north"]
 
     cluster.play(scene)
@@ -61,9 +61,9 @@
         node = holder_of(day, duty)
         stopping = asyncio.create_task(node.stop())
         await asyncio.sleep(0.1)
-        began = day.watching.now()
-        await day.world.until(lambda: holder_of(day, duty) not in (None, node), 3)
-        assert day.watching.now() - began < 1.2
+        began = day.watcher.now()
+        await day.cluster.wait_until(lambda: holder_of(day, duty) not in (None, node), 3)
+        assert day.watcher.now() - began < 1.2
         await stopping
 
     cluster.play(scene)
@@ -73,12 +73,12 @@
     async def scene(day):
         await asyncio.sleep(2)
         # No side of three can decide, and the holder is on neither for long.
-        day.world.cut_off(["agency-1", "agency-2"])
-        day.world.wires.cut(day.world.hosts(["agency-3"]), day.world.hosts(["agency-4", "agency-5"]))
+        day.cluster.partition_off(["agency-1", "agency-2"])
+        day.cluster.network.cut(day.cluster.hosts(["agency-3"]), day.cluster.hosts(["agency-4", "agency-5"]))
         await asyncio.sleep(6)
         assert holder_of(day, "platform-watch") is None
-        day.world.wires.heal()
-        took = await day.world.until(lambda: holder_of(day, "platform-watch") is not None, 5)
+        day.cluster.network.heal()
+        took = await day.cluster.wait_until(lambda: holder_of(day, "platform-watch") is not None, 5)
         assert took < 1.2
 
     cluster.play(scene)
@@ -89,13 +89,13 @@
 
     async def scene(day):
         await asyncio.sleep(2)
-        for node in day.world.role("agency"):
+        for node in day.cluster.with_role("agency"):
             node.disk.stalled = True
         await asyncio.sleep(3.5)
         assert holder_of(day, "platform-watch") is None
-        for node in day.world.role("agency"):
+        for node in day.cluster.with_role("agency"):
             node.disk.stalled = False
-        took = await day.world.until(lambda: holder_of(day, "platform-watch") is not None, 5)
+        took = await day.cluster.wait_until(lambda: holder_of(day, "platform-watch") is not None, 5)
         assert took < 0.8
 
     cluster.play(scene)
@@ -107,12 +107,12 @@
     async def scene(day):
         await asyncio.sleep(2)
         holder = holder_of(day, "platform-watch")
-        for node in day.world.role("agency"):
-            for duty in node.body.singleton_tasks:
+        for node in day.cluster.with_role("agency"):
+            for duty in node.program.singleton_tasks:
                 if node is not holder and duty.name == "platform-watch":
                     # No other candidate may hide how long this one waits.
                     duty.lease_seconds = 60.0
-        duty = next(duty for duty in holder.body.singleton_tasks if duty.name == "platform-watch")
+        duty = next(duty for duty in holder.program.singleton_tasks if duty.name == "platform-watch")
         submit, orders = duty.submitter.submit, []
 
         async def late_then_refused(order):
@@ -127,9 +127,9 @@
             return result
 
         duty.submitter.submit = late_then_refused
-        await day.world.until(lambda: len(orders) == 2, 5)
+        await day.cluster.wait_until(lambda: len(orders) == 2, 5)
         assert not duty.holds_lease()
-        took = await day.world.until(duty.holds_lease, 5)
+        took = await day.cluster.wait_until(duty.holds_lease, 5)
         assert took < 0.5
 
     cluster.play(scene)
@@ -142,9 +142,9 @@
         await asyncio.sleep(2)
         ledger = cluster.context(day, "agency-1").ledger
         winner = ledger.applied.node.partition("~")[0]
-        candidate = next(node for node in day.world.role("agency") if node.plan.name != winner)
-        duty = next(duty for duty in candidate.body.singleton_tasks if duty.name == "platform-watch")
-        day.world.cut_off([winner])
+        candidate = next(node for node in day.cluster.with_role("agency") if node.placement.name != winner)
+        duty = next(duty for duty in candidate.program.singleton_tasks if duty.name == "platform-watch")
+        day.cluster.partition_off([winner])
         started = asyncio.get_running_loop().time()
         await duty.acquire(str(duty.context.ledger.version("term/platform-watch")))
         assert duty.holds_lease()
--- a/tests/controlplane/test_guard_scenarios.py
+++ b/tests/controlplane/test_guard_scenarios.py
@@ -14,14 +14,14 @@
 
 async def accept_by_majority(day):
     """A proposer had its batch accepted by three of five, so a yes may be out, and died before any commit."""
-    core = day.world.nodes["agency-1"].body.participant
+    core = day.cluster.nodes["agency-1"].program.participant
     applied = core.context.configuration.applied
     ballot = versions.Version(applied.counter + 5, f"agency-1~{core.store.disk_id}")
     batch = items.Batch(ballot, applied, (("site/south", {"weight": 9}, False),))
-    day.world.nodes["agency-1"].kill()
+    day.cluster.nodes["agency-1"].kill()
     for name in ("agency-2", "agency-3", "agency-4"):
-        node = day.world.nodes[name]
-        owner = node.body.participant.acceptors[items.CONFIGURATION]
+        node = day.cluster.nodes[name]
+        owner = node.program.participant.acceptors[items.CONFIGURATION]
         assert (await node.do(owner.order("promise", ballot), 1))[0] == "promised"
         assert (await node.do(owner.order("accept", ballot, batch, "agency-1"), 1))[0] == "accepted"
     return batch
@@ -30,7 +30,7 @@
 def test_a_batch_that_a_majority_accepted_is_finished_by_the_next_proposer():
     async def scene(day):
         batch = await accept_by_majority(day)
-        await day.stage.order("agency-5", "change", [cluster.site_row(weight=2)])
+        await day.actors.order("agency-5", "change", [cluster.site_row(weight=2)])
         await asyncio.sleep(1)
         for name in ("agency-5", "edge-1"):
             configuration = cluster.context(day, name).configuration
@@ -44,7 +44,7 @@
 def test_while_a_pending_batch_cannot_be_settled_nobody_takes_the_table_for_current():
     async def scene(day):
         await accept_by_majority(day)
-        for node in day.world.role("agency"):
+        for node in day.cluster.with_role("agency"):
             node.disk.stalled = True
         await asyncio.sleep(2.5)
         # The yes may be out, and no node knows the row yet: none may answer from the table.
@@ -52,9 +52,9 @@
             context = cluster.context(day, name)
             assert context.configuration.value("site/south") is None
             assert not context.is_current(context.configuration)
-        for node in day.world.role("agency"):
+        for node in day.cluster.with_role("agency"):
             node.disk.stalled = False
-        await day.world.until_ready()
+        await day.cluster.wait_until_ready()
         assert cluster.context(day, "edge-1").configuration.value("site/south") == {"weight": 9}
 
     cluster.play(scene)
@@ -62,9 +62,9 @@
 
 def test_a_voter_takes_no_batch_that_stands_on_another_base_than_its_own_applied():
     async def scene(day):
-        node = day.world.nodes["agency-2"]
-        owner = node.body.participant.acceptors[items.CONFIGURATION]
-        await day.stage.order("agency-1", "change", [cluster.site_row()])
+        node = day.cluster.nodes["agency-2"]
+        owner = node.program.participant.acceptors[items.CONFIGURATION]
+        await day.actors.order("agency-1", "change", [cluster.site_row()])
         await asyncio.sleep(1)
         applied = owner.record.applied
         # A proposer that has slept since an earlier applied version and has only now been promised again.
@@ -79,18 +79,20 @@
 
 def test_a_disk_asked_for_under_its_predecessors_id_has_no_vote_though_it_has_learnt_everything():
     async def scene(day):
-        node = day.world.nodes["agency-4"]
-        old = node.body.participant.store.disk_id
+        node = day.cluster.nodes["agency-4"]
+        old = node.program.participant.store.disk_id
         node.kill()
         node.wipe()
         await node.start()
-        await day.world.until(lambda: node.body.participant.is_voter(items.CONFIGURATION), 20)
+        await day.cluster.wait_until(lambda: node.program.participant.is_voter(items.CONFIGURATION), 20)
         ballot = (10**6, "x")
         with pytest.raises(errors.NotBootstrappedError):
-            await node.do(node.body.participant.on_promise("x", [items.CONFIGURATION, ballot, old]), 1)
+            await node.do(node.program.participant.on_promise("x", [items.CONFIGURATION, ballot, old]), 1)
         batch = items.Batch(versions.Version(10**6, "x"), versions.NONE, ()).to_wire()
         with pytest.raises(errors.NotBootstrappedError):
-            await node.do(node.body.participant.on_accept("x", [items.CONFIGURATION, ballot, batch, old]), 1)
+            await node.do(
+                node.program.participant.on_accept("x", [items.CONFIGURATION, ballot, batch, old]), 1
+            )
 
     cluster.play(scene)
 
@@ -98,13 +100,13 @@
 def test_an_answer_fetched_before_a_purge_by_tag_is_not_given_out_two_seconds_after_it():
     async def scene(day):
         path = "/vacancies/77"
-        for origin in day.stage.origins:
+        for origin in day.actors.origins:
             origin.delay = 2.4
-        fetching = asyncio.create_task(day.stage.ask("edge-1", "GET", path))
+        fetching = asyncio.create_task(day.actors.ask("edge-1", "GET", path))
         await asyncio.sleep(0.1)
-        day.stage.records.versions[path] += 1
-        await day.stage.order("agency-2", "purge", [("tag", "vacancies")])
-        for origin in day.stage.origins:
+        day.actors.records.versions[path] += 1
+        await day.actors.order("agency-2", "purge", [("tag", "vacancies")])
+        for origin in day.actors.origins:
             origin.delay = 0.003
         status, _, result = await fetching
         assert status != 200 or json.loads(result.body)["version"] == 1
@@ -114,14 +116,14 @@
 
 def test_a_write_whose_shield_dies_under_it_is_an_unknown_outcome():
     async def scene(day):
-        for origin in day.stage.origins:
+        for origin in day.actors.origins:
             origin.delay = 0.5
-        writing = asyncio.create_task(day.stage.write("edge-1"))
+        writing = asyncio.create_task(day.actors.write("edge-1"))
         await asyncio.sleep(0.2)
-        for node in day.world.role("shield"):
+        for node in day.cluster.with_role("shield"):
             node.kill()
         number, status, code = await writing
-        assert day.stage.records.executions[number] == 1
+        assert day.actors.records.executions[number] == 1
         assert (status, code) == (504, "outcome-unknown")
 
     cluster.play(scene)
@@ -140,8 +142,8 @@
 
 def test_a_claim_given_back_late_takes_nothing_from_the_shield_that_was_asked_next():
     async def scene(day):
-        first, second, third = (day.world.nodes[f"shield-{n}"] for n in (1, 2, 3))
-        granted = first.body.view.authorize("POST", "/applications", "")
+        first, second, third = (day.cluster.nodes[f"shield-{n}"] for n in (1, 2, 3))
+        granted = first.program.view.authorize("POST", "/applications", "")
         request = ("POST", "/applications", {"idempotency-key": "k"}, b"x", "request-1")
         runs = []
 
@@ -152,7 +154,7 @@
             runs.append(1)
             return (200, (), b"done")
 
-        claims = first.body.role_node.idempotency_keys
+        claims = first.program.role_node.idempotency_keys
         settle = claims.settle
 
         async def late(*arguments, **keywords):
@@ -165,14 +167,14 @@
         claims.settle = late
         with pytest.raises(errors.NoOriginError):
             await first.do(claims.run_once(granted, request, nothing), 3)
-        second.body.role_node.idempotency_keys.settle = late
+        second.program.role_node.idempotency_keys.settle = late
         for node in (second, third):
             with pytest.raises(errors.OutcomeUnknownError):
-                await node.do(node.body.role_node.idempotency_keys.run_once(granted, request, run), 3)
+                await node.do(node.program.role_node.idempotency_keys.run_once(granted, request, run), 3)
         await asyncio.sleep(1.5)
         again = (*request[:4], "request-2")
         for node in (third, second):
-            await node.do(node.body.role_node.idempotency_keys.run_once(granted, again, run), 3)
+            await node.do(node.program.role_node.idempotency_keys.run_once(granted, again, run), 3)
             await asyncio.sleep(1.5)
         assert len(runs) == 1
 
--- a/tests/controlplane/test_idempotent_changes_racing.py
+++ b/tests/controlplane/test_idempotent_changes_racing.py
@@ -23,8 +23,8 @@
 
 async def amend(day, name, payload):
     """As the operators' page hands it on, without a change id."""
-    node = day.world.nodes[name]
-    return await node.do(node.body.submitter.submit_for_operator(orders.Order("amend", "", payload)), 8.0)
+    node = day.cluster.nodes[name]
+    return await node.do(node.program.submitter.submit_for_operator(orders.Order("amend", "", payload)), 8.0)
 
 
 async def insist(day, payload, places):
@@ -32,7 +32,7 @@
     for place in range(20):
         name = places[place % len(places)]
         try:
-            if day.world.nodes[name].is_up:
+            if day.cluster.nodes[name].is_up:
                 await amend(day, name, payload)
                 return True
         except control_errors.VersionTakenError:
@@ -73,7 +73,7 @@
         for version in range(1, 5):
             first = asyncio.create_task(amend(day, "agency-1", upstream(version, 1)))
             await asyncio.sleep(0.004 * (3 * seed + version))
-            day.world.nodes["agency-1"].kill()
+            day.cluster.nodes["agency-1"].kill()
             asked = [
                 insist(day, upstream(version, 1), turned(1 + seed)),
                 insist(day, upstream(version, 2), turned(3 + seed)),
@@ -82,8 +82,10 @@
             assert sum(answers) == 1, answers
             first.cancel()
             await asyncio.gather(first, return_exceptions=True)
-            await day.world.nodes["agency-1"].start()
-            await day.world.until(lambda: all(map(day.world.is_ready, day.world.role("agency"))), 15)
+            await day.cluster.nodes["agency-1"].start()
+            await day.cluster.wait_until(
+                lambda: all(map(day.cluster.is_ready, day.cluster.with_role("agency"))), 15
+            )
             await asyncio.sleep(1)
             assert rates(day) == {1 if answers[0] else 2}
             # The one that was confirmed is confirmed again at every node, and the other at none.
@@ -99,11 +101,13 @@
         await amend(day, "agency-1", call)
         await amend(day, "agency-2", upstream(5, 2))
         await amend(day, "agency-3", [("upstream/s8", {"version": 6, "item": None})])
-        for node in day.world.role("agency"):
+        for node in day.cluster.with_role("agency"):
             node.kill(reset=False)
-        for node in day.world.role("agency"):
+        for node in day.cluster.with_role("agency"):
             await node.start()
-        await day.world.until(lambda: all(map(day.world.is_ready, day.world.role("agency"))), 15)
+        await day.cluster.wait_until(
+            lambda: all(map(day.cluster.is_ready, day.cluster.with_role("agency"))), 15
+        )
         for name in CORE:
             assert await insist(day, call, [name])
             with pytest.raises(control_errors.VersionTakenError) as raised:
@@ -116,11 +120,11 @@
 
 def test_an_id_that_is_taken_is_refused_with_its_details_at_every_node():
     async def scene(day):
-        first = await day.stage.order("agency-1", "change", [cluster.site_row(weight=5)], "mine")
+        first = await day.actors.order("agency-1", "change", [cluster.site_row(weight=5)], "mine")
         for name in CORE:
-            assert await day.stage.order(name, "change", [cluster.site_row(weight=5)], "mine") == first
+            assert await day.actors.order(name, "change", [cluster.site_row(weight=5)], "mine") == first
             with pytest.raises(control_errors.ChangeIdTakenError) as raised:
-                await day.stage.order(name, "change", [cluster.site_row(weight=6)], "mine")
+                await day.actors.order(name, "change", [cluster.site_row(weight=6)], "mine")
             assert raised.value.details == [{"change": "mine", "rows": ["site/north"]}]
 
     cluster.play(scene)
@@ -128,12 +132,12 @@
 
 def test_nothing_is_refused_for_rows_of_its_own_batch_that_were_never_decided(monkeypatch):
     async def scene(day):
-        node = day.world.nodes["agency-1"]
-        proposer = node.body.submitter.proposers[items.CONFIGURATION]
+        node = day.cluster.nodes["agency-1"]
+        proposer = node.program.submitter.proposers[items.CONFIGURATION]
         before = str(proposer.replica.version("site/north"))
         rows = [[cluster.site_row(weight=weight, expected=before)] for weight in (1, 2)]
         futures = [asyncio.get_running_loop().create_future() for _ in rows]
-        give_up_at = node.body.context.clock.now() + 8.0
+        give_up_at = node.program.context.clock.now() + 8.0
         whole, lost = proposers.Proposer.propose, []
 
         async def propose(self, voters, ballot, batch):
@@ -208,16 +212,16 @@
         raise errors.InsufficientCapacityError("too small", {})
 
     async def scene(day):
-        node = day.world.nodes["agency-5"]
-        judge = evacuation_check.EvacuationCheck(node.body.context)
-        day.world.cut_off(["agency-5"])
-        await day.stage.order("agency-1", "evacuate", "north")
+        node = day.cluster.nodes["agency-5"]
+        judge = evacuation_check.EvacuationCheck(node.program.context)
+        day.cluster.partition_off(["agency-5"])
+        await day.actors.order("agency-1", "evacuate", "north")
         monkeypatch.setattr(evacuation_check.EvacuationCheck, "check_capacity", cannot)
         # Cut off, it cannot know; back in touch, it learns before it speaks.
         with pytest.raises(errors.NoQuorumError):
             await node.do(judge.check_once("north", insist=False), 8.0)
         assert not judge.view.is_evacuated("north")
-        day.world.wires.heal()
+        day.cluster.network.heal()
         for _ in range(20):
             try:
                 assert await node.do(judge.check_once("north", insist=False), 8.0) == []
--- a/tests/controlplane/test_leases_under_partition.py
+++ b/tests/controlplane/test_leases_under_partition.py
@@ -12,9 +12,9 @@
 
 def holder_of(day, name="staffing"):
     found = []
-    for node in day.world.role("agency"):
+    for node in day.cluster.with_role("agency"):
         found += [
-            (node, duty) for duty in node.body.singleton_tasks if duty.name == name and duty.holds_lease()
+            (node, duty) for duty in node.program.singleton_tasks if duty.name == name and duty.holds_lease()
         ]
     return found
 
@@ -33,7 +33,7 @@
             duty.lease_ends_at += 8
         node.thaw()
         # It knows the tables again, and believes in its lease as it did before.
-        await day.world.until_ready()
+        await day.cluster.wait_until_ready()
         duty.fencing_token = lease
         with pytest.raises(errors.StaleVersionError):
             await node.do(duty.write_fenced([("rest/x", {"since": 1})]), 8)
@@ -48,11 +48,11 @@
     """Others count from the moment at which they see the lease, which may be long before its holder asks."""
 
     async def scene(day):
-        node = day.world.nodes["agency-3"]
-        real = node.body.submitter
+        node = day.cluster.nodes["agency-3"]
+        real = node.program.submitter
         duty = duties.SingletonTask(real, "trial", None)
         duty.holder = "agency-3~life"
-        vacant = str(node.body.context.ledger.version("term/trial"))
+        vacant = str(node.program.context.ledger.version("term/trial"))
 
         async def lose_answer(order):
             await real.submit(order)
--- a/tests/controlplane/test_operations.py
+++ b/tests/controlplane/test_operations.py
@@ -10,22 +10,22 @@
 import irisstand.controlplane.changes.change_status as change_status
 import irisstand.controlplane.consensus.voter_administration as voter_administration
 import irisstand.errors as errors
-import irisstand.simulator.world as worlds
 import irisstand.state.items as items
 import irisstand.validation.formats as formats
+from irisstand.simulator import simulated_cluster
 
 
 def test_a_change_is_shown_with_its_rows_what_superseded_them_and_who_has_it_in_force():
     async def scene(day):
-        await day.stage.order("agency-1", "change", [cluster.site_row(weight=2)], "first")
-        await day.stage.order("agency-2", "change", [cluster.site_row(weight=3)], "second")
-        await day.stage.order("agency-3", "purge", [("path", "/vacancies/1")], "swept")
-        day.world.cut_off(["edge-2"])
+        await day.actors.order("agency-1", "change", [cluster.site_row(weight=2)], "first")
+        await day.actors.order("agency-2", "change", [cluster.site_row(weight=3)], "second")
+        await day.actors.order("agency-3", "purge", [("path", "/vacancies/1")], "swept")
+        day.cluster.partition_off(["edge-2"])
         await asyncio.sleep(3)
-        await day.stage.order("agency-2", "change", [cluster.site_row("south", 5)], "third")
+        await day.actors.order("agency-2", "change", [cluster.site_row("south", 5)], "third")
         await asyncio.sleep(1)
-        node = day.world.nodes["agency-4"]
-        shower = change_status.ChangeStatus(node.body.context)
+        node = day.cluster.nodes["agency-4"]
+        shower = change_status.ChangeStatus(node.program.context)
         first = await node.do(shower.show("first"), 3)
         second = await node.do(shower.show("second"), 3)
         third = await node.do(shower.show("third"), 3)
@@ -43,31 +43,31 @@
 
 def test_a_node_that_is_behind_says_so():
     async def scene(day):
-        result = await day.stage.order("agency-1", "change", [cluster.site_row(weight=2)], "x")
+        result = await day.actors.order("agency-1", "change", [cluster.site_row(weight=2)], "x")
         await asyncio.sleep(1)
         copy = cluster.context(day, "store-1").configuration
         copy.applied = copy.applied._replace(counter=copy.applied.counter - 1)
-        node = day.world.nodes["agency-1"]
-        shown = await node.do(change_status.ChangeStatus(node.body.context).show("x"), 3)
+        node = day.cluster.nodes["agency-1"]
+        shown = await node.do(change_status.ChangeStatus(node.program.context).show("x"), 3)
         assert shown["serial"] == result["serial"] and shown["nodes"]["store-1"] == "behind"
 
     cluster.play(scene)
 
 
 async def spare(day, name, site, region):
-    plan = worlds.Plan(name, "agency", f"machine-{name}", site, region, "10.0.3.1")
-    await day.world.add(plan).start()
-    await day.world.until_ready()
-    await day.world.until(lambda: name in cluster.members(day, "agency-5"), 20)
+    plan = simulated_cluster.NodePlacement(name, "agency", f"machine-{name}", site, region, "10.0.3.1")
+    await day.cluster.add(plan).start()
+    await day.cluster.wait_until_ready()
+    await day.cluster.wait_until(lambda: name in cluster.members(day, "agency-5"), 20)
 
 
 def voter_names(day, table=items.LEDGER):
-    return {voter.name for voter in day.world.nodes["agency-5"].body.participant.voters(table)}
+    return {voter.name for voter in day.cluster.nodes["agency-5"].program.participant.voters(table)}
 
 
 def keeper(day, name="agency-5"):
-    node = day.world.nodes[name]
-    return node, voter_administration.VoterAdministration(node.body.context, node.body.submitter)
+    node = day.cluster.nodes[name]
+    return node, voter_administration.VoterAdministration(node.program.context, node.program.submitter)
 
 
 def test_a_voter_is_replaced_by_hand_and_twice_is_the_same_as_once():
@@ -84,10 +84,10 @@
         with pytest.raises(errors.UnknownNameError):
             await node.do(hand.replace("agency-2", "agency-99"), 8)
         # The replaced machine may go now, and one more loss is borne.
-        day.world.nodes["agency-1"].kill()
-        day.world.nodes["agency-7"].kill()
+        day.cluster.nodes["agency-1"].kill()
+        day.cluster.nodes["agency-7"].kill()
         await asyncio.sleep(1)
-        await day.stage.order("agency-4", "change", [cluster.site_row()])
+        await day.actors.order("agency-4", "change", [cluster.site_row()])
 
     cluster.play(scene)
 
@@ -120,7 +120,7 @@
     async def scene(day):
         await spare(day, "agency-7", "south", "one")
         for name in ("agency-2", "agency-3"):
-            day.world.nodes[name].kill()
+            day.cluster.nodes[name].kill()
         node, hand = keeper(day)
         with pytest.raises(errors.InsufficientCapacityError) as caught:
             await node.do(hand.retire("agency-4"), 8)
@@ -214,9 +214,9 @@
     async def scene(day):
         counts = collections.Counter()
         for number in range(300):
-            await day.stage.ask(f"edge-{number % 2 + 1}", "GET", f"/shortlists/{number}")
+            await day.actors.ask(f"edge-{number % 2 + 1}", "GET", f"/shortlists/{number}")
         for name in ("shield-1", "shield-2", "shield-3", "shield-4", "shield-5"):
-            part = day.world.nodes[name].body.role_node
+            part = day.cluster.nodes[name].program.role_node
             granted = part.view.authorize("GET", "/shortlists/1", "")
             sites = {"north": "one", "south": "one", "east": "two", "west": "two"}
             for _ in range(200):
--- a/tests/controlplane/test_origin_discovery.py
+++ b/tests/controlplane/test_origin_discovery.py
@@ -17,18 +17,18 @@
 
 
 def says(day, revision=None, age=0.0, without=()):
-    origins = [origin.listing() for origin in day.stage.origins if origin.instance not in without]
+    origins = [origin.listing() for origin in day.actors.origins if origin.instance not in without]
     content = {"origins": origins, **({} if revision is None else {"revision": revision})}
 
     async def ask():
         return origin_source.PlatformAnswer(json.dumps(content).encode(), age)
 
-    day.stage.ask_platform = ask
+    day.actors.ask_platform = ask
 
 
 def test_an_old_answer_after_a_new_one_changes_nothing():
     async def scene(day):
-        gone = day.stage.origins[0]
+        gone = day.actors.origins[0]
         says(day, 7, without=(gone.instance,))
         await asyncio.sleep(4)
         assert f"origin/{gone.instance}" not in listed(day)
@@ -36,9 +36,9 @@
         await asyncio.sleep(4)
         assert f"origin/{gone.instance}" not in listed(day) and state(day)["state"] == "lagging"
         # Nor for the next holder, which has heard nothing of the newer one itself.
-        for node in day.world.role("agency"):
+        for node in day.cluster.with_role("agency"):
             if any(
-                duty.name == "platform-watch" and duty.holds_lease() for duty in node.body.singleton_tasks
+                duty.name == "platform-watch" and duty.holds_lease() for duty in node.program.singleton_tasks
             ):
                 node.kill()
         await asyncio.sleep(6)
@@ -59,7 +59,7 @@
         async def dead():
             raise ConnectionRefusedError("nobody there")
 
-        day.stage.ask_platform = dead
+        day.actors.ask_platform = dead
         before = listed(day)
         await asyncio.sleep(8)
         assert state(day)["state"] == "silent" and listed(day) == before
@@ -73,10 +73,10 @@
 def test_a_service_that_shrinks_at_once_waits_and_the_others_do_not():
     async def scene(day):
         for number in range(2):
-            day.stage.add_origin("content", f"content-x{number}", "east", "two")
+            day.actors.add_origin("content", f"content-x{number}", "east", "two")
         await asyncio.sleep(3)
-        content = [o.instance for o in day.stage.origins if o.service == "content"]
-        other = next(o for o in day.stage.origins if o.service == "application")
+        content = [o.instance for o in day.actors.origins if o.service == "content"]
+        other = next(o for o in day.actors.origins if o.service == "application")
         assert len(content) == 4
         other.state = "leaving"
         says(day, without=content[:3])
--- a/tests/controlplane/test_origin_roster.py
+++ b/tests/controlplane/test_origin_roster.py
@@ -22,14 +22,14 @@
     statuses = []
     for number in range(count):
         edge = f"edge-{number % 2 + 1}"
-        statuses.append((await day.stage.ask(edge, "GET", f"/vacancies/{mark}-{number}"))[0])
+        statuses.append((await day.actors.ask(edge, "GET", f"/vacancies/{mark}-{number}"))[0])
         await asyncio.sleep(0.02)
     return statuses
 
 
 def test_a_leaving_origin_gets_no_new_work_two_seconds_after_the_platform_says_so():
     async def scene(day):
-        leaving = day.stage.origins[0]
+        leaving = day.actors.origins[0]
         await reads(day, 40, "before")
         assert leaving.started
         leaving.state = "leaving"
@@ -44,34 +44,34 @@
 def test_rolling_replacement_of_all_origins_loses_no_read():
     async def scene(day):
         statuses = []
-        for number, old in enumerate(list(day.stage.origins)):
-            fresh = day.stage.add_origin(old.service, f"{old.service}-new-{number}", old.site, "one")
+        for number, old in enumerate(list(day.actors.origins)):
+            fresh = day.actors.add_origin(old.service, f"{old.service}-new-{number}", old.site, "one")
             fresh.state, fresh.warmup = "cold", 2.0
             statuses += await reads(day, 60, f"a{number}")
             old.state = "leaving"
             statuses += await reads(day, 150, f"b{number}")
             old.up = False
-            day.stage.origins.remove(old)
+            day.actors.origins.remove(old)
             statuses += await reads(day, 60, f"c{number}")
         assert set(statuses) == {200}
-        assert all("new" in origin.instance and origin.started for origin in day.stage.origins[:2])
+        assert all("new" in origin.instance and origin.started for origin in day.actors.origins[:2])
 
     cluster.play(scene)
 
 
 def test_a_cold_origin_ramps_over_its_warm_up():
     async def scene(day):
-        fresh = day.stage.add_origin("content", "content-fresh", "east", "two")
+        fresh = day.actors.add_origin("content", "content-fresh", "east", "two")
         fresh.state, fresh.warmup = "cold", 20.0
-        await day.world.until(lambda: "origin/content-fresh" in listed(day), 5)
+        await day.cluster.wait_until(lambda: "origin/content-fresh" in listed(day), 5)
         counts = []
-        began = day.watching.now()
+        began = day.watcher.now()
         for part in range(8):
             before = len(fresh.started)
             await reads(day, 150, f"p{part}")
             counts.append(len(fresh.started) - before)
         # Five to seven seconds a part: hardly anything at first, about its third of 300 in the end.
-        assert 30 < day.watching.now() - began < 60
+        assert 30 < day.watcher.now() - began < 60
         assert counts[0] < 20 and counts[0] < counts[1] < counts[-1] and 60 < sum(counts[-2:]) < 140, counts
 
     cluster.play(scene)
@@ -92,10 +92,12 @@
     async def scene(day):
         before = listed(day)
         assert len(before) == 4
-        day.stage.platform_says = says
+        day.actors.platform_says = says
         await asyncio.sleep(3)
         assert listed(day) == before
-        failed = sum(node.body.context.counters.total("platform_failed") for node in day.world.role("agency"))
+        failed = sum(
+            node.program.context.counters.total("platform_failed") for node in day.cluster.with_role("agency")
+        )
         state = cluster.context(day, "agency-2").ledger.value("platform")["state"]
         assert failed >= 2 or state == "shrunk"
         assert set(await reads(day, 10, "still")) == {200}
@@ -106,22 +108,22 @@
 def test_the_platform_is_asked_by_one_node_within_its_limit_through_changes_of_holder():
     async def scene(day):
         asked = []
-        ask = day.stage.ask_platform
+        ask = day.actors.ask_platform
 
         async def counted():
             asked.append(asyncio.get_running_loop().time())
             return await ask()
 
-        day.stage.ask_platform = counted
+        day.actors.ask_platform = counted
         for _ in range(3):
             await asyncio.sleep(5)
-            for node in day.world.role("agency"):
-                for duty in node.body.singleton_tasks if node.is_up else ():
+            for node in day.cluster.with_role("agency"):
+                for duty in node.program.singleton_tasks if node.is_up else ():
                     if duty.name == "platform-watch" and duty.holds_lease():
                         node.freeze()
                         break
             await asyncio.sleep(8)
-            for node in day.world.role("agency"):
+            for node in day.cluster.with_role("agency"):
                 if node.actor.frozen:
                     node.thaw()
         assert len(asked) > 15
@@ -134,23 +136,25 @@
 def test_a_holder_paused_past_its_lease_stops_by_itself_and_its_late_write_is_refused():
     async def scene(day):
         duties = {
-            node.plan.name: duty
-            for node in day.world.role("agency")
-            for duty in node.body.singleton_tasks
+            node.placement.name: duty
+            for node in day.cluster.with_role("agency")
+            for duty in node.program.singleton_tasks
             if duty.name == "placement"
         }
         holder = next(name for name, duty in duties.items() if duty.holds_lease())
         lease = duties[holder].fencing_token
-        node = day.world.nodes[holder]
+        node = day.cluster.nodes[holder]
         node.freeze()
-        await day.world.until(lambda: any(d.holds_lease() for n, d in duties.items() if n != holder), 20)
+        await day.cluster.wait_until(
+            lambda: any(d.holds_lease() for n, d in duties.items() if n != holder), 20
+        )
         node.thaw()
         assert not duties[holder].holds_lease()
         # Until its tables are current again it would be refused for want of a majority.
-        await day.world.until_ready()
+        await day.cluster.wait_until_ready()
         row = ("slots/00", {"owners": ["nonsense"] * 16})
         with pytest.raises(errors.StaleVersionError):
-            await day.stage.order(holder, "fenced", ("placement", lease, [row]))
+            await day.actors.order(holder, "fenced", ("placement", lease, [row]))
         assert cluster.context(day, holder).ledger.value("slots/00") != row[1]
 
     cluster.play(scene)
@@ -160,24 +164,24 @@
     """As in a rolling upgrade: a newer node's kind of row goes through older nodes unharmed."""
 
     async def scene(day):
-        newer = day.world.nodes["agency-1"].body
+        newer = day.cluster.nodes["agency-1"].program
         row = [("hologram/7", {"depth": 3})]
         holder = next(
             duty
-            for node in day.world.role("agency")
-            for duty in node.body.singleton_tasks
+            for node in day.cluster.with_role("agency")
+            for duty in node.program.singleton_tasks
             if duty.holds_lease()
         )
-        await day.stage.order("agency-2", "fenced", (holder.name, holder.fencing_token, row))
+        await day.actors.order("agency-2", "fenced", (holder.name, holder.fencing_token, row))
         await asyncio.sleep(1)
         for name in ("agency-4", "edge-1", "shield-2", "store-1"):
             assert cluster.context(day, name).ledger.value("hologram/7") == {"depth": 3}
-        for node in day.world.role("agency"):
+        for node in day.cluster.with_role("agency"):
             node.kill()
-        for node in day.world.role("agency"):
+        for node in day.cluster.with_role("agency"):
             await node.start()
-        await day.world.until_ready()
+        await day.cluster.wait_until_ready()
         assert cluster.context(day, "agency-1").ledger.value("hologram/7") == {"depth": 3}
-        assert newer is not day.world.nodes["agency-1"].body
+        assert newer is not day.cluster.nodes["agency-1"].program
 
     cluster.play(scene)
--- a/tests/controlplane/test_partitioned_nodes.py
+++ b/tests/controlplane/test_partitioned_nodes.py
@@ -26,7 +26,7 @@
 
 def reads_of(day, name):
     """The operators' pages of one node, without the listener before them."""
-    body = day.world.nodes[name].body
+    body = day.cluster.nodes[name].program
     server = types.SimpleNamespace(app=types.SimpleNamespace(add_route=lambda *_, **__: None))
     members = voter_administration.VoterAdministration(body.context, body.submitter)
     return operator_reads.OperatorReads(body.context, members, body.read_index, server)
@@ -34,7 +34,7 @@
 
 async def read(day, name, page="get_rows", *arguments):
     reads = reads_of(day, name)
-    response = await day.world.nodes[name].do(getattr(reads, page)(None, *arguments), 5)
+    response = await day.cluster.nodes[name].do(getattr(reads, page)(None, *arguments), 5)
     return json.loads(response.body)
 
 
@@ -47,9 +47,9 @@
 @pytest.mark.parametrize("page", PAGES)
 def test_a_control_node_just_cut_off_shows_nothing_and_says_so_at_once(page):
     async def scene(day):
-        day.world.cut_off(["agency-5"])
+        day.cluster.partition_off(["agency-5"])
         # Well inside the freshness bound: by its age alone this node's copy still counts.
-        await day.stage.order("agency-2", "change", [cluster.site_row(weight=7)])
+        await day.actors.order("agency-2", "change", [cluster.site_row(weight=7)])
         started = day.now()
         with pytest.raises(errors.StaleConfigurationError) as raised:
             await read(day, "agency-5", page)
@@ -61,8 +61,8 @@
 
 def test_a_change_that_is_not_known_yet_is_not_denied_by_a_node_cut_off():
     async def scene(day):
-        day.world.cut_off(["agency-5"])
-        await day.stage.order("agency-2", "change", [cluster.site_row(weight=7)], "mine")
+        day.cluster.partition_off(["agency-5"])
+        await day.actors.order("agency-2", "change", [cluster.site_row(weight=7)], "mine")
         with pytest.raises(errors.StaleConfigurationError):
             await read(day, "agency-5", "get_change", "mine")
 
@@ -72,7 +72,7 @@
 def test_every_read_after_a_yes_shows_it_at_whatever_node():
     async def scene(day):
         for weight in range(1, 13):
-            await day.stage.order(f"agency-{weight % 5 + 1}", "change", [cluster.site_row(weight=weight)])
+            await day.actors.order(f"agency-{weight % 5 + 1}", "change", [cluster.site_row(weight=weight)])
             for number in range(1, 6):
                 assert weight_of(await read(day, f"agency-{number}")) == weight
 
@@ -81,14 +81,14 @@
 
 def test_a_read_settles_a_batch_that_a_majority_accepted_or_is_put_off():
     async def scene(day):
-        core = day.world.nodes["agency-1"].body.participant
+        core = day.cluster.nodes["agency-1"].program.participant
         applied = core.context.configuration.applied
         ballot = versions.Version(applied.counter + 5, f"agency-1~{core.store.disk_id}")
         batch = items.Batch(ballot, applied, (("site/south", {"weight": 9}, False),))
-        day.world.nodes["agency-1"].kill()
+        day.cluster.nodes["agency-1"].kill()
         for name in ("agency-2", "agency-3", "agency-4"):
-            node = day.world.nodes[name]
-            owner = node.body.participant.acceptors[items.CONFIGURATION]
+            node = day.cluster.nodes[name]
+            owner = node.program.participant.acceptors[items.CONFIGURATION]
             await node.do(owner.order("promise", ballot), 1)
             await node.do(owner.order("accept", ballot, batch, "agency-1"), 1)
         # Its proposer may have said yes to its operator a moment ago.
@@ -103,12 +103,12 @@
 
 def test_reads_that_come_together_share_a_round():
     async def scene(day):
-        node = day.world.nodes["agency-1"]
+        node = day.cluster.nodes["agency-1"]
         reads = reads_of(day, "agency-1")
-        before = node.body.context.counters.text()
+        before = node.program.context.counters.text()
         told = await asyncio.gather(*(node.do(reads.get_rows(None), 5) for _ in range(200)))
         assert len({response.body for response in told}) == 1
-        after = node.body.context.counters.text()
+        after = node.program.context.counters.text()
         assert asked(after) - asked(before) < 40
 
     cluster.play(scene)
@@ -116,8 +116,8 @@
 
 def test_a_read_does_not_join_a_round_that_began_before_it_came():
     async def scene(day):
-        node = day.world.nodes["agency-1"]
-        check = node.body.heartbeats[items.LEDGER]
+        node = day.cluster.nodes["agency-1"]
+        check = node.program.heartbeats[items.LEDGER]
 
         async def slow_beat():
             await asyncio.sleep(0.2)
@@ -143,14 +143,14 @@
     """Two orders in one batch: the second was refused for the first, which then came to nothing."""
 
     async def scene(day):
-        node = day.world.nodes["agency-1"]
-        proposer = node.body.proposers[items.CONFIGURATION]
-        expected = str(node.body.context.configuration.version("site/north"))
+        node = day.cluster.nodes["agency-1"]
+        proposer = node.program.proposers[items.CONFIGURATION]
+        expected = str(node.program.context.configuration.version("site/north"))
         rows = [[cluster.site_row(weight=weight, expected=expected)] for weight in (1, 2)]
         proposing = proposer.propose
 
         async def cut_before_accept(*arguments):
-            day.world.cut_off(["agency-1"])
+            day.cluster.partition_off(["agency-1"])
             await proposing(*arguments)
 
         proposer.propose = cut_before_accept
@@ -158,7 +158,7 @@
         told = await node.do(asyncio.wait_for(gather_all(decided), 20), 30)
         # No majority heard of either: neither may be told that another change came first.
         assert all(isinstance(result, NOT_REFUSED) for result in told), told
-        day.world.wires.heal()
+        day.cluster.network.heal()
 
     cluster.play(scene)
 
@@ -169,10 +169,10 @@
 
 def test_an_order_whose_sender_hung_up_is_not_carried_out_later():
     async def scene(day):
-        node = day.world.nodes["agency-1"]
-        day.world.cut_off(["agency-1"])
+        node = day.cluster.nodes["agency-1"]
+        day.cluster.partition_off(["agency-1"])
         answering = node.actor.start(
-            node.body.submitter.submit_for_operator(
+            node.program.submitter.submit_for_operator(
                 orders.Order("change", "left", [cluster.site_row(weight=8)])
             )
         )
@@ -180,7 +180,7 @@
         # The listener cancels what a closed connection asked for.
         answering.cancel()
         await asyncio.sleep(0.1)
-        day.world.wires.heal()
+        day.cluster.network.heal()
         await asyncio.sleep(8)
         assert cluster.context(day, "agency-2").configuration.value("site/north") is None
 
@@ -189,13 +189,13 @@
 
 def test_a_forwarded_order_that_lay_in_a_frozen_voter_is_not_carried_out_after_its_opposite():
     async def scene(day):
-        await day.stage.order("agency-2", "purge", [("tag", "vacancies")])
-        frozen = day.world.nodes["agency-2"]
+        await day.actors.order("agency-2", "purge", [("tag", "vacancies")])
+        frozen = day.cluster.nodes["agency-2"]
         frozen.freeze()
         evacuate, back = orders.Order("evacuate", "", "north"), orders.Order("return", "", "north")
-        node = day.world.nodes["agency-1"]
-        await node.do(node.body.submitter.submit_for_operator(evacuate), 8)
-        await node.do(node.body.submitter.submit_for_operator(back), 8)
+        node = day.cluster.nodes["agency-1"]
+        await node.do(node.program.submitter.submit_for_operator(evacuate), 8)
+        await node.do(node.program.submitter.submit_for_operator(back), 8)
         frozen.thaw()
         await asyncio.sleep(6)
         assert not cluster.context(day, "agency-3").is_evacuated("north")
@@ -206,12 +206,14 @@
 @pytest.mark.parametrize("trouble", ["cut", "freeze", "kill"])
 def test_changes_sent_in_pairs_to_the_node_that_returns_are_never_refused(trouble):
     async def scene(day):
-        node = day.world.nodes["agency-1"]
-        first = await day.stage.order("agency-1", "change", [cluster.site_row(weight=1)])
+        node = day.cluster.nodes["agency-1"]
+        first = await day.actors.order("agency-1", "change", [cluster.site_row(weight=1)])
         assert first["serial"]
-        {"cut": lambda: day.world.cut_off(["agency-1"]), "freeze": node.freeze, "kill": node.kill}[trouble]()
+        {"cut": lambda: day.cluster.partition_off(["agency-1"]), "freeze": node.freeze, "kill": node.kill}[
+            trouble
+        ]()
         for weight in range(2, 22):
-            await day.stage.order(f"agency-{weight % 4 + 2}", "change", [cluster.site_row(weight=weight)])
+            await day.actors.order(f"agency-{weight % 4 + 2}", "change", [cluster.site_row(weight=weight)])
             await asyncio.sleep(1)
         # It expects what was confirmed while this node was away: to refuse it would be ignorance.
         expected = str(cluster.context(day, "agency-3").configuration.version("site/north"))
@@ -223,7 +225,7 @@
         if trouble == "kill":
             await node.start()
         else:
-            day.world.wires.heal()
+            day.cluster.network.heal()
             node.thaw()
         told = await asyncio.gather(*pairs)
         assert all(isinstance(result, dict) for result in told), told
@@ -238,7 +240,7 @@
         row = {key: value for key, value in row.items() if key != "expected"}
     for _ in range(40):
         try:
-            return await asyncio.wait_for(day.stage.order("agency-1", "change", [row], change), 1)
+            return await asyncio.wait_for(day.actors.order("agency-1", "change", [row], change), 1)
         except NOT_REFUSED + (errors.StaleConfigurationError, errors.NotSentError, errors.DrainingError):
             await asyncio.sleep(0.1)
     return None
--- a/tests/controlplane/test_placement.py
+++ b/tests/controlplane/test_placement.py
@@ -20,18 +20,18 @@
 
 
 async def settle(day, condition, patience=60):
-    return await day.world.until(condition, patience)
+    return await day.cluster.wait_until(condition, patience)
 
 
 async def pin_all(day):
     """Every shield machine awake, so that only the matter in hand moves anything."""
     rows = [
-        {"kind": "machine", "name": node.plan.machine, "value": {"awake": True}}
-        for node in day.world.role("shield")
+        {"kind": "machine", "name": node.placement.machine, "value": {"awake": True}}
+        for node in day.cluster.with_role("shield")
     ]
-    await day.stage.order("agency-1", "change", rows)
+    await day.actors.order("agency-1", "change", rows)
     await settle(day, lambda: not any("shield" in name for name in resting(day)))
-    machines = {node.plan.machine for node in day.world.role("shield")}
+    machines = {node.placement.machine for node in day.cluster.with_role("shield")}
     await settle(day, lambda: set(owners(day)) == machines)
     await asyncio.sleep(40)
 
@@ -43,12 +43,12 @@
         lost = "shield-machine-2"
         share = before.count(lost)
         assert 25 < share < 80
-        day.world.nodes["shield-2"].kill()
+        day.cluster.nodes["shield-2"].kill()
         await settle(day, lambda: lost not in owners(day))
         after = owners(day)
         # The least possible: exactly the slots of the machine that went.
         assert [a != b for a, b in zip(before, after, strict=True)] == [owner == lost for owner in before]
-        await day.world.nodes["shield-2"].start()
+        await day.cluster.nodes["shield-2"].start()
         steps, last = [], after
         for _ in range(400):
             await asyncio.sleep(0.1)
@@ -65,7 +65,7 @@
     async def scene(day):
         await pin_all(day)
         before = owners(day)
-        node = day.world.nodes["shield-3"]
+        node = day.cluster.nodes["shield-3"]
         node.kill()
         await asyncio.sleep(1)
         await node.start()
@@ -78,24 +78,24 @@
 
 def test_shares_never_add_up_to_more_than_the_ceiling_through_loss_rest_split_and_change():
     async def scene(day):
-        watch = asyncio.create_task(day.watching.run())
+        watch = asyncio.create_task(day.watcher.run())
         await pin_all(day)
-        day.world.nodes["shield-1"].kill()
+        day.cluster.nodes["shield-1"].kill()
         await asyncio.sleep(25)
-        await day.world.nodes["shield-1"].start()
+        await day.cluster.nodes["shield-1"].start()
         await asyncio.sleep(5)
-        day.world.cut_off(["shield-2", "shield-3", "agency-2"])
+        day.cluster.partition_off(["shield-2", "shield-3", "agency-2"])
         await asyncio.sleep(25)
-        day.world.wires.heal()
-        day.world.nodes["shield-4"].freeze()
+        day.cluster.network.heal()
+        day.cluster.nodes["shield-4"].freeze()
         await asyncio.sleep(20)
-        day.world.nodes["shield-4"].thaw()
+        day.cluster.nodes["shield-4"].thaw()
         value = {"deadline": 3.0, "ceiling": {"rate": 60, "inflight": 30}}
-        await day.stage.order("agency-1", "change", [{"kind": "service", "name": "content", "value": value}])
+        await day.actors.order("agency-1", "change", [{"kind": "service", "name": "content", "value": value}])
         await asyncio.sleep(20)
         watch.cancel()
         rule = "the shares of a ceiling add up to no more than it"
-        assert day.judge.checked[rule] > 1000 and not day.judge.broken[rule], day.judge.examples
+        assert day.checker.checked[rule] > 1000 and not day.checker.broken[rule], day.checker.examples
         # And nothing of the ceiling is left lying: the living hold all of it in the end.
         shares = fleet_view.FleetView(cluster.context(day, "agency-2")).shares()
         assert sum(row["content"][0] for row in shares.values()) == 60
@@ -108,34 +108,34 @@
     async def scene(day):
         site = "north"
         await pin_all(day)
-        for origin in day.stage.origins:
+        for origin in day.actors.origins:
             origin.delay = 1.0
-        under_way = asyncio.create_task(day.stage.ask("edge-1", "GET", "/shortlists/9"))
+        under_way = asyncio.create_task(day.actors.ask("edge-1", "GET", "/shortlists/9"))
         await asyncio.sleep(0.3)
-        await day.stage.order("agency-3", "evacuate", site)
+        await day.actors.order("agency-3", "evacuate", site)
         # Work under way is finished.
         assert (await under_way)[0] == 200
-        for origin in day.stage.origins:
+        for origin in day.actors.origins:
             origin.delay = 0.003
         await asyncio.sleep(2)
         counts = collections.Counter()
-        before = {o.instance: len(o.started) for o in day.stage.origins}
-        shields = {n: cluster.context(day, n).load_gauge for n in day.world.nodes if n.startswith("shield")}
+        before = {o.instance: len(o.started) for o in day.actors.origins}
+        shields = {n: cluster.context(day, n).load_gauge for n in day.cluster.nodes if n.startswith("shield")}
         for gauge in shields.values():
             gauge.moments.clear()
         for number in range(60):
             for edge in ("edge-1", "edge-2"):
-                counts[(edge, (await day.stage.ask(edge, "GET", f"/shortlists/{number}"))[:2])] += 1
+                counts[(edge, (await day.actors.ask(edge, "GET", f"/shortlists/{number}"))[:2])] += 1
         assert counts[("edge-1", (503, "site-evacuated"))] == 60
         assert counts[("edge-2", (200, ""))] == 60
-        for origin in day.stage.origins:
+        for origin in day.actors.origins:
             if origin.site == site:
                 assert len(origin.started) == before[origin.instance]
-        assert all(not g.moments for n, g in shields.items() if day.world.nodes[n].plan.site == site)
+        assert all(not g.moments for n, g in shields.items() if day.cluster.nodes[n].placement.site == site)
         assert any(g.moments for g in shields.values())
-        await day.stage.order("agency-4", "return", site)
+        await day.actors.order("agency-4", "return", site)
         await asyncio.sleep(3)
-        assert (await day.stage.ask("edge-1", "GET", "/shortlists/1"))[0] == 200
+        assert (await day.actors.ask("edge-1", "GET", "/shortlists/1"))[0] == 200
         await settle(day, lambda: "shield-machine-1" in owners(day), 20)
 
     cluster.play(scene)
@@ -143,16 +143,16 @@
 
 def test_the_origins_of_a_returned_site_are_taken_back_by_and_by():
     async def scene(day):
-        await day.stage.order("agency-3", "evacuate", "north")
+        await day.actors.order("agency-3", "evacuate", "north")
         await asyncio.sleep(5)
-        await day.stage.order("agency-3", "return", "north")
+        await day.actors.order("agency-3", "return", "north")
         await asyncio.sleep(0.6)
-        back = next(o for o in day.stage.origins if o.site == "north" and o.service == "application")
+        back = next(o for o in day.actors.origins if o.site == "north" and o.service == "application")
         counts = []
         for part in range(3):
             before = len(back.started)
             for number in range(200):
-                await day.stage.ask("edge-2", "GET", f"/shortlists/{part}-{number}")
+                await day.actors.ask("edge-2", "GET", f"/shortlists/{part}-{number}")
                 await asyncio.sleep(0.02)
             counts.append(len(back.started) - before)
         # Four to five seconds a part: little at first, its half of 200 once the ten seconds are over.
--- a/tests/controlplane/test_rate_quota.py
+++ b/tests/controlplane/test_rate_quota.py
@@ -8,8 +8,8 @@
 
 import irisstand.balancing.rate_quota as rate_quota
 import irisstand.controlplane.singletons.rate_placement as rate_placement
-import irisstand.simulator.virtual_time as virtual
 import irisstand.state.items as items
+from irisstand.simulator import virtual_time
 
 # For so long after its last row an owner may still start requests that one window of five seconds counts.
 STILL_COUNTS = rate_quota.USABLE_SECONDS + 5.0
@@ -63,7 +63,7 @@
     async def run():
         return await scene(Core())
 
-    return virtual.run(run())
+    return virtual_time.run(run())
 
 
 def most_counted(history):
--- a/tests/controlplane/test_retention.py
+++ b/tests/controlplane/test_retention.py
@@ -86,24 +86,26 @@
     async def scene(day):
         path = "/vacancies/5"
         value = {"grants": [{"service": "content", "methods": ["GET"]}], "life": 3600}
-        await day.stage.order("agency-1", "change", [{"kind": "path", "name": "/vacancies/", "value": value}])
+        await day.actors.order(
+            "agency-1", "change", [{"kind": "path", "name": "/vacancies/", "value": value}]
+        )
         await asyncio.sleep(1)
-        assert (await day.stage.ask("edge-1", "GET", path))[0] == 200
+        assert (await day.actors.ask("edge-1", "GET", path))[0] == 200
         edge = cluster.context(day, "edge-1")
-        day.world.cut_off(["edge-1"])
-        day.stage.records.versions[path] += 1
-        await day.stage.order("agency-2", "purge", [("path", path)])
+        day.cluster.partition_off(["edge-1"])
+        day.actors.records.versions[path] += 1
+        await day.actors.order("agency-2", "purge", [("path", path)])
         rule = [list(table_time.RetentionRule("purge", 1.0, 0.0, 0))]
         for _ in range(3):
             await asyncio.sleep(2)
             expected = str(cluster.context(day, "agency-2").ledger.version(items.TABLE_TIME_KEY))
-            await day.stage.order("agency-2", "tick-ledger", (expected, 2.0, rule, 600.0))
+            await day.actors.order("agency-2", "tick-ledger", (expected, 2.0, rule, 600.0))
         assert cluster.context(day, "agency-2").ledger.value(f"purge/path/{path}") is None
-        day.world.wires.heal()
-        await day.world.until(lambda: edge.is_current(edge.ledger), 20)
+        day.cluster.network.heal()
+        await day.cluster.wait_until(lambda: edge.is_current(edge.ledger), 20)
         # Never heard of by this edge, and forgotten by all: its cached copy must go all the same.
         assert edge.ledger.value(f"purge/path/{path}") is None
-        status, _, result = await day.stage.ask("edge-1", "GET", path)
+        status, _, result = await day.actors.ask("edge-1", "GET", path)
         assert status == 200 and json.loads(result.body)["version"] == 1
 
     cluster.play(scene)
@@ -112,18 +114,18 @@
 def test_a_core_node_that_was_down_while_tombstones_went_brings_no_row_back():
     async def scene(day):
         rows = [cluster.site_row("north", 3), cluster.site_row("south", 1)]
-        await day.stage.order("agency-1", "change", rows)
+        await day.actors.order("agency-1", "change", rows)
         await asyncio.sleep(1)
-        node = day.world.nodes["agency-4"]
+        node = day.cluster.nodes["agency-4"]
         node.kill()
-        await day.stage.order("agency-1", "change", [{**cluster.site_row("north"), "value": None}])
+        await day.actors.order("agency-1", "change", [{**cluster.site_row("north"), "value": None}])
         for _ in range(3):
             await asyncio.sleep(1)
             expected = str(cluster.context(day, "agency-2").configuration.version(items.TABLE_TIME_KEY))
-            await day.stage.order("agency-2", "tick-blueprint", (expected, 2.0, [], 1.0))
+            await day.actors.order("agency-2", "tick-blueprint", (expected, 2.0, [], 1.0))
         assert "site/north" not in cluster.context(day, "agency-2").configuration.items
         await node.start()
-        await day.world.until_ready()
+        await day.cluster.wait_until_ready()
         await asyncio.sleep(2)
         for name in ("agency-4", "agency-1", "edge-1"):
             assert "site/north" not in cluster.context(day, name).configuration.items
@@ -172,7 +174,7 @@
     async def scene(day):
         body = json.dumps({"number": "once"}).encode()
         ask = ("POST", "/applications", body)
-        assert (await day.stage.ask("edge-1", *ask, idempotency_key="once"))[0] == 200
+        assert (await day.actors.ask("edge-1", *ask, idempotency_key="once"))[0] == 200
         await asyncio.sleep(40)
         before = (
             cluster.context(day, "agency-1")
@@ -180,12 +182,12 @@
             .value(items.TABLE_TIME_KEY)["seconds"]
         )
         assert 15 <= before <= 50
-        for node in day.world.nodes.values():
+        for node in day.cluster.nodes.values():
             node.kill(reset=False)
         await asyncio.sleep(5000)
-        for node in day.world.nodes.values():
+        for node in day.cluster.nodes.values():
             await node.start()
-        await day.world.until_ready()
+        await day.cluster.wait_until_ready()
         await asyncio.sleep(40)
         after = (
             cluster.context(day, "agency-1")
@@ -194,7 +196,7 @@
         )
         # Hours in the dark are not counted: nobody could have asked again meanwhile.
         assert before < after < before + 45
-        status, _, result = await day.stage.ask("edge-2", *ask, idempotency_key="once")
-        assert status == 200 and day.stage.records.executions["once"] == 1
+        status, _, result = await day.actors.ask("edge-2", *ask, idempotency_key="once")
+        assert status == 200 and day.actors.records.executions["once"] == 1
 
     cluster.play(scene)
--- a/tests/controlplane/test_voter_target.py
+++ b/tests/controlplane/test_voter_target.py
@@ -21,16 +21,16 @@
 
 def test_two_newcomers_for_one_place_leave_one_set_for_all_tables():
     async def scene(world):
-        await world.until(lambda: is_whole(world), BUILT)
+        await world.wait_until(lambda: is_whole(world), BUILT)
         lost = world.nodes["agency-5"]
         kill_and_wipe(lost)
         world.retire(lost)
         for number in (8, 9):
-            plan = lost.plan._replace(
+            plan = lost.placement._replace(
                 name=f"agency-{number}", machine=f"m-{number}", host=f"10.0.0.9{number}"
             )
             await world.add(plan).start()
-        await world.until(lambda: is_whole(world), CATCH_UP)
+        await world.wait_until(lambda: is_whole(world), CATCH_UP)
         assert len(voters(world)) == 5
 
     play(scene, "abcab")
@@ -38,24 +38,24 @@
 
 def test_sets_of_three_tables_that_disagree_are_made_one():
     async def scene(world):
-        await world.until(lambda: is_whole(world), BUILT)
+        await world.wait_until(lambda: is_whole(world), BUILT)
         await asyncio.sleep(2)
         node = world.nodes[voters(world)[0].name]
-        copy = node.body.context.replicas[items.IDEMPOTENCY_KEYS]
+        copy = node.program.context.replicas[items.IDEMPOTENCY_KEYS]
         fewer = tuple(tuple(voter) for voter in {voter.site: voter for voter in voters(world)}.values())
         payload = (str(copy.version(items.VOTERS_KEY)), fewer)
-        await node.do(node.body.submitter.submit(orders.Order("voters-claims", "", payload)), 3)
+        await node.do(node.program.submitter.submit(orders.Order("voters-claims", "", payload)), 3)
         assert len(voters(world, items.IDEMPOTENCY_KEYS)) == 3
-        await world.until(lambda: is_whole(world), CATCH_UP)
+        await world.wait_until(lambda: is_whole(world), CATCH_UP)
 
     play(scene, "abcabc")
 
 
 def test_a_change_planned_from_an_older_set_or_into_a_weaker_one_is_refused():
     async def scene(world):
-        await world.until(lambda: is_whole(world), BUILT)
+        await world.wait_until(lambda: is_whole(world), BUILT)
         node = world.nodes[voters(world)[0].name]
-        version = str(node.body.context.replicas[items.LEDGER].version(items.VOTERS_KEY))
+        version = str(node.program.context.replicas[items.LEDGER].version(items.VOTERS_KEY))
         in_force = [tuple(voter) for voter in voters(world)]
         one_zone = [voter for voter in in_force if voter[2] == "a"]
         for payload, kind in (
@@ -65,7 +65,7 @@
             ((version, ()), errors.InvalidChangeError),
         ):
             with pytest.raises(kind):
-                await node.do(node.body.submitter.submit(orders.Order("voters-ledger", "", payload)), 3)
+                await node.do(node.program.submitter.submit(orders.Order("voters-ledger", "", payload)), 3)
         assert [tuple(voter) for voter in voters(world)] == in_force
 
     play(scene, "abcab")
--- a/tests/dataplane/test_final_answers.py
+++ b/tests/dataplane/test_final_answers.py
@@ -49,28 +49,28 @@
 
     async def scene(day):
         def ask(number, method="GET", path="/shortlists/"):
-            return timed(day.stage.ask("edge-1", method, f"{path}{number}", b"{}"))
+            return timed(day.actors.ask("edge-1", method, f"{path}{number}", b"{}"))
 
         told = [await ask(1, path="/nowhere/"), await ask(2, "DELETE")]
-        applications = [origin for origin in day.stage.origins if origin.service == "application"]
+        applications = [origin for origin in day.actors.origins if origin.service == "application"]
         for origin in applications:
             origin.up = False
         await asyncio.sleep(2)
         told.append(await ask(3))
-        told.append(await timed(day.stage.ask("edge-1", "POST", "/applications", b"{}")))
+        told.append(await timed(day.actors.ask("edge-1", "POST", "/applications", b"{}")))
         for origin in applications:
             origin.up = True
         await asyncio.sleep(3)
         value = {"deadline": 3.0, "ceiling": {"rate": 2, "inflight": 2}}
         row = {"kind": "service", "name": "application", "value": value}
-        await day.stage.order("agency-1", "change", [row])
+        await day.actors.order("agency-1", "change", [row])
         await asyncio.sleep(3)
         many = await asyncio.gather(*(ask(number) for number in range(100, 140)))
         told += [answer for answer in many if answer[0]]
-        for node in day.world.role("shield"):
+        for node in day.cluster.with_role("shield"):
             node.kill()
         told.append(await ask(4))
-        for node in day.world.role("agency"):
+        for node in day.cluster.with_role("agency"):
             node.kill()
         await asyncio.sleep(2)
         told.append(await ask(5))
@@ -84,12 +84,12 @@
 
 def test_order_to_a_node_that_has_lost_the_voters_is_rejected_at_once():
     async def scene(day):
-        day.world.cut_off(["agency-2"])
+        day.cluster.partition_off(["agency-2"])
         await asyncio.sleep(2)
-        began = day.watching.now()
+        began = day.watcher.now()
         with pytest.raises(errors.NoQuorumError):
-            await day.stage.order("agency-2", "change", [cluster.site_row()])
-        assert day.watching.now() - began < 0.1
+            await day.actors.order("agency-2", "change", [cluster.site_row()])
+        assert day.watcher.now() - began < 0.1
 
     cluster.play(scene)
 
@@ -98,12 +98,12 @@
     async def scene(day):
         # First tries, so that there is a budget for second ones.
         for number in range(60):
-            await day.stage.ask("edge-1", "GET", f"/vacancies/{number}")
+            await day.actors.ask("edge-1", "GET", f"/vacancies/{number}")
         path = "/vacancies/77"
-        edge = day.world.nodes["edge-1"].body.role_node
+        edge = day.cluster.nodes["edge-1"].program.role_node
         first = edge.view.shields("content", f"{path}?")[0].identity.name
-        day.world.nodes[first].kill(reset=False)
-        (code, took) = await timed(day.stage.ask("edge-1", "GET", path))
+        day.cluster.nodes[first].kill(reset=False)
+        (code, took) = await timed(day.actors.ask("edge-1", "GET", path))
         assert code == "" and took < 2.9
 
     cluster.play(scene)
--- a/tests/dataplane/test_hostile_origin_scripts.py
+++ b/tests/dataplane/test_hostile_origin_scripts.py
@@ -7,8 +7,8 @@
 
 import irisstand.dataplane.upstream.exchange as exchange
 import irisstand.errors as errors
-import irisstand.simulator.hostile_scripts as hostile_scripts
-import irisstand.standins.hostile_origin as hostile_origin
+from irisstand.emulators import hostile_origin
+from irisstand.simulator import hostile_scripts
 
 
 def test_hostile_origins_give_each_client_its_own_answer_and_run_no_write_twice():
@@ -21,7 +21,7 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_hostile_origins_on_real_sockets_give_each_request_its_own_answer_or_none(seed):
     async def scene():
-        randomness, record = random.Random(seed), hostile_origin.Record()
+        randomness, record = random.Random(seed), hostile_origin.RequestLog()
         loop = asyncio.get_running_loop()
         server = await loop.create_server(
             lambda: hostile_origin.HostileOrigin(randomness, record), "127.0.0.1", 0
--- a/tests/dataplane/test_large_configurations.py
+++ b/tests/dataplane/test_large_configurations.py
@@ -8,9 +8,9 @@
 
 import irisstand.dataplane.routing.routes as routing
 import irisstand.errors as errors
-import irisstand.simulator.big_configurations as big_configurations
 import irisstand.state.items as items
 import irisstand.state.versions as versions
+from irisstand.simulator import large_configurations
 
 MANY = 5000
 HOSTS = ["a.example", "A.example", "b.example:80", "h"]
@@ -225,6 +225,6 @@
 
 
 def test_what_big_configurations_cost_can_be_measured():
-    figures = {entry.what: entry.figure for entry in big_configurations.measure(300)}
+    figures = {entry.what: entry.figure for entry in large_configurations.measure(300)}
     assert figures["all rows in compressed parts"] < figures["all rows, packed"] / 4
     assert figures["a changed row on its way"] < 1000
--- a/tests/dataplane/test_object_holders.py
+++ b/tests/dataplane/test_object_holders.py
@@ -7,8 +7,8 @@
 from direct_edge import whole
 
 import irisstand.errors as errors
-import irisstand.simulator.virtual_time as virtual
 import irisstand.state.items as items
+from irisstand.simulator import virtual_time
 
 
 class Site:
@@ -55,7 +55,7 @@
     async def run():
         return await scene(Site(**fields))
 
-    return virtual.run(run())
+    return virtual_time.run(run())
 
 
 def test_an_object_comes_to_a_site_once_and_from_then_on_out_of_each_edges_own_cache():
--- a/tests/dataplane/test_origin_limits.py
+++ b/tests/dataplane/test_origin_limits.py
@@ -9,20 +9,19 @@
 import irisstand.balancing.retry_budget as budgets
 import irisstand.dataplane.retry.write_policy as write_policy
 import irisstand.errors as errors
-import irisstand.simulator.origin_faults as trouble_origins
-import irisstand.simulator.origin_judge as doorstep
+from irisstand.simulator import origin_faults, origin_invariants
 
 
 def of(day, service):
-    return [origin for origin in day.stage.origins if origin.service == service]
+    return [origin for origin in day.actors.origins if origin.service == service]
 
 
 async def set_ceiling(day, service, rate, inflight, deadline=3.0):
     value = {"deadline": deadline, "ceiling": {"rate": rate, "inflight": inflight}}
-    await day.stage.order("agency-1", "change", [{"kind": "service", "name": service, "value": value}])
+    await day.actors.order("agency-1", "change", [{"kind": "service", "name": service, "value": value}])
     # A lowered ceiling takes from the shares at once, and is given anew over the next seconds.
     await asyncio.sleep(14)
-    for origin in day.stage.everybody:
+    for origin in day.actors.all_origins:
         origin.started.clear()
         origin.spans.clear()
 
@@ -34,7 +33,7 @@
         jobs = []
         for number in range(int(rate * seconds)):
             edge = f"edge-{number % 2 + 1}"
-            jobs.append(asyncio.create_task(day.stage.ask(edge, "GET", f"{path}{rate}-{number}")))
+            jobs.append(asyncio.create_task(day.actors.ask(edge, "GET", f"{path}{rate}-{number}")))
             await asyncio.sleep(1 / rate)
         return [answer[:2] for answer in await asyncio.gather(*jobs)]
 
@@ -42,10 +41,10 @@
 
 
 def judge(day, service, ceiling):
-    watch = doorstep.Doorstep(day.world, {service: ceiling})
+    watch = origin_invariants.OriginInvariants(day.cluster, {service: ceiling})
     watch.close()
-    assert not any(day.judge.broken.values()), day.judge.examples
-    return day.judge.checked
+    assert not any(day.checker.broken.values()), day.checker.examples
+    return day.checker.checked
 
 
 async def restart(node, pause=0.3):
@@ -62,7 +61,7 @@
         asking = ask_steadily(day, 60, 20)
         for name in ("shield-1", "shield-2", "shield-3") * 3:
             await asyncio.sleep(1.5)
-            await restart(day.world.nodes[name])
+            await restart(day.cluster.nodes[name])
         await asking
         checked = judge(day, "application", (30, 10))
         assert checked["no service has more under way than its ceiling"] > 30
@@ -87,8 +86,8 @@
     async def scene(day):
         await set_ceiling(day, "application", 15, 60)
         connects = []
-        for node in day.world.role("shield"):
-            opener = node.body.role_node.origins.open_connection
+        for node in day.cluster.with_role("shield"):
+            opener = node.program.role_node.origins.open_connection
 
             async def slow(host, port, opener=opener):
                 line = await opener(host, port)
@@ -98,8 +97,8 @@
                 connects.append(now)
                 return line
 
-            node.body.role_node.origins.open_connection = slow
-            for pool in node.body.role_node.origins.pools.values():
+            node.program.role_node.origins.open_connection = slow
+            for pool in node.program.role_node.origins.pools.values():
                 pool.open_connection = slow
                 pool.idle.clear()
         await ask_steadily(day, 30, 10)
@@ -112,15 +111,15 @@
 def test_shield_just_started_uses_no_share_that_its_former_process_may_have_used():
     async def scene(day):
         await asyncio.sleep(20)
-        shields = day.world.role("shield")
-        node = next(n for n in shields if n.body.role_node.view.quota_share("application", (200, 100))[0])
+        shields = day.cluster.with_role("shield")
+        node = next(n for n in shields if n.program.role_node.view.quota_share("application", (200, 100))[0])
         await restart(node)
-        await day.world.until_ready()
-        part = node.body.role_node
+        await day.cluster.wait_until_ready()
+        part = node.program.role_node
         granted = part.view.authorize("GET", "/shortlists/1", "")
         began = part.origin_client.opened_at
         assert part.view.quota_share("application", granted.limit)[0] > 0
-        while day.watching.now() < began + granted.deadline:
+        while day.watcher.now() < began + granted.deadline:
             decision = write_policy.ShieldWritePolicy(part.context.clock, granted, 3.0)
             with pytest.raises(errors.NoQuotaShareError):
                 await node.do(part.origin_client.enter(granted, decision), 1)
@@ -167,23 +166,23 @@
         names = [f"shield-{number}" for number in range(1, 6)]
         for _ in range(4):
             await asyncio.sleep(2)
-            victim = day.world.nodes[randomness.choice(names)]
+            victim = day.cluster.nodes[randomness.choice(names)]
             step = randomness.choice(("freeze", "cut", "kill", "evacuate"))
             if step == "freeze":
                 victim.freeze()
             elif step == "cut":
-                day.world.cut_off([victim.plan.name, f"agency-{victim.plan.name[-1]}"])
+                day.cluster.partition_off([victim.placement.name, f"agency-{victim.placement.name[-1]}"])
             elif step == "kill":
                 victim.kill()
             else:
-                await day.stage.order("agency-2", "evacuate", victim.plan.site)
+                await day.actors.order("agency-2", "evacuate", victim.placement.site)
             await asyncio.sleep(randomness.uniform(1, 12))
-            day.world.wires.heal()
+            day.cluster.network.heal()
             if victim.actor.frozen:
                 victim.thaw()
             if victim.actor.dead:
                 await victim.start()
-            await day.stage.order("agency-3", "return", victim.plan.site)
+            await day.actors.order("agency-3", "return", victim.placement.site)
         await asking
         checked = judge(day, "application", (25, 8))
         assert checked["no service gets more requests in any one second than its ceiling"] > 300
@@ -195,13 +194,13 @@
     async def scene(day):
         asking = ask_steadily(day, 60, 8, "/vacancies/")
         await asyncio.sleep(1)
-        await trouble_origins.hand_over(day.trouble)
-        fresh = day.stage.everybody[-1]
+        await origin_faults.hand_over(day.fault_injector)
+        fresh = day.actors.all_origins[-1]
         told = await asking
         assert sum(status == 200 for status, _ in told) > 400
         own = {"content": "/vacancies/", "application": "/shortlists/"}[fresh.service]
         if own == "/shortlists/":
             assert not fresh.started
-        assert not any(day.judge.broken.values())
+        assert not any(day.checker.broken.values())
 
     cluster.play(scene)
--- a/tests/dataplane/test_popularity.py
+++ b/tests/dataplane/test_popularity.py
@@ -9,7 +9,9 @@
 
 async def shares_of(day, path, rate, seconds):
     """How many fetches of the path each shield got, by the counters of the shields themselves."""
-    gauges = {node.plan.name: node.body.context.load_gauge for node in day.world.role("shield")}
+    gauges = {
+        node.placement.name: node.program.context.load_gauge for node in day.cluster.with_role("shield")
+    }
     counts = collections.Counter()
     for gauge in gauges.values():
         gauge.window = 1000.0
@@ -17,7 +19,7 @@
     jobs = []
     for number in range(int(rate * seconds)):
         edge = f"edge-{number % 2 + 1}"
-        jobs.append(asyncio.create_task(day.stage.ask(edge, "GET", path)))
+        jobs.append(asyncio.create_task(day.actors.ask(edge, "GET", path)))
         await asyncio.sleep(1 / rate)
     results = await asyncio.gather(*jobs)
     assert {status for status, _, _ in results} == {200}
