--- a/tests/dataplane/test_reads.py
+++ b/tests/dataplane/test_reads.py
@@ -8,12 +8,12 @@
 
 
 async def read(day, path, edge="edge-1"):
-    status, code, result = await day.stage.ask(edge, "GET", path)
+    status, code, result = await day.actors.ask(edge, "GET", path)
     return status, code, json.loads(result.body) if result else None
 
 
 def origins(day, service):
-    return [origin for origin in day.stage.origins if origin.service == service]
+    return [origin for origin in day.actors.origins if origin.service == service]
 
 
 @pytest.mark.parametrize("fault", ["wrong-digest", "no-seal", "short", "wrong-request", "lose-answer"])
@@ -46,7 +46,7 @@
             await asyncio.sleep(0.02)
         ids = [one for origin in origins(day, "application") for _, one in origin.started]
         second = len(ids) - len(set(ids))
-        nodes = len(day.world.role("edge")) + len(day.world.role("shield"))
+        nodes = len(day.cluster.with_role("edge")) + len(day.cluster.with_role("shield"))
         assert 0 < second <= 0.2 * len(set(ids)) + nodes, (first, second, len(set(ids)))
 
     cluster.play(scene)
@@ -62,8 +62,8 @@
         fetching = asyncio.create_task(read(day, path))
         # The origin has made up its answer; then the object changes and the purge is confirmed.
         await asyncio.sleep(0.1)
-        day.stage.records.versions[path] += 1
-        await day.stage.order("agency-2", "purge", [("path", path)])
+        day.actors.records.versions[path] += 1
+        await day.actors.order("agency-2", "purge", [("path", path)])
         assert (await fetching)[0] == 200
         await asyncio.sleep(2.0)
         for edge in ("edge-1", "edge-2"):
@@ -77,9 +77,9 @@
         for number in range(5):
             for edge in ("edge-1", "edge-2"):
                 await read(day, f"/vacancies/{number}", edge)
-            day.stage.records.versions[f"/vacancies/{number}"] += 1
+            day.actors.records.versions[f"/vacancies/{number}"] += 1
         assert (await read(day, "/vacancies/3"))[2]["version"] == 0
-        await day.stage.order("agency-3", "purge", [("tag", "vacancies")])
+        await day.actors.order("agency-3", "purge", [("tag", "vacancies")])
         await asyncio.sleep(2.0)
         for number in range(5):
             for edge in ("edge-1", "edge-2"):
@@ -94,7 +94,7 @@
     async def scene(day):
         path = "/vacancies/5"
         assert (await read(day, path, "edge-1"))[2]["version"] == 0
-        day.stage.records.versions[path] = 1
+        day.actors.records.versions[path] = 1
         for _ in range(3):
             await asyncio.sleep(1.5)
             # Each edge would start a life of its own if ages were not added up.
@@ -108,7 +108,7 @@
 
 def test_identical_reads_in_flight_share_one_fetch():
     async def scene(day):
-        before = day.stage.records.requests, sum(len(o.started) for o in origins(day, "content"))
+        before = day.actors.records.requests, sum(len(o.started) for o in origins(day, "content"))
         jobs = [read(day, "/vacancies/9", edge) for edge in ("edge-1", "edge-2") * 20]
         assert {status for status, _, _ in await asyncio.gather(*jobs)} == {200}
         assert sum(len(o.started) for o in origins(day, "content")) - before[1] == 1
@@ -119,14 +119,14 @@
 def test_address_that_now_belongs_to_another_service_gets_no_request_of_the_old_one():
     async def scene(day):
         old, other = origins(day, "content")
-        stranger = day.stage.add_origin("payroll", "payroll-1", "north", "one")
-        day.stage.origins.remove(stranger)
+        stranger = day.actors.add_origin("payroll", "payroll-1", "north", "one")
+        day.actors.origins.remove(stranger)
         # Taken over before the platform says a word: same address, another service.
-        day.stage.at[(old.host, old.port)] = stranger
+        day.actors.at[(old.host, old.port)] = stranger
         old.up = False
         for number in range(40):
             await read(day, f"/vacancies/{number}")
-            await day.stage.write("edge-2")
+            await day.actors.write("edge-2")
         assert stranger.started == [] and stranger.connections > 0
         assert len(other.started) > 20
 
@@ -137,7 +137,7 @@
     async def scene(day):
         for number in range(40):
             assert (await read(day, f"/vacancies/{number}"))[0] == 200
-        day.world.nodes["shield-2"].kill()
+        day.cluster.nodes["shield-2"].kill()
         # Long before any detector can have noticed.
         seen = [await read(day, f"/vacancies/a{number}") for number in range(40)]
         assert {status for status, _, _ in seen} == {200}
@@ -149,7 +149,7 @@
     async def scene(day):
         before = sum(len(o.started) for o in origins(day, "content"))
         for _ in range(3):
-            status, _, _ = await day.stage.ask("edge-1", "GET", "/vacancies/2", b"", authorization="me")
+            status, _, _ = await day.actors.ask("edge-1", "GET", "/vacancies/2", b"", authorization="me")
             assert status == 200
         assert sum(len(o.started) for o in origins(day, "content")) - before == 3
 
@@ -158,10 +158,10 @@
 
 def test_request_without_a_grant_entry_is_rejected():
     async def scene(day):
-        before = sum(day.stage.records.requests.values())
-        assert (await day.stage.ask("edge-1", "GET", "/secret"))[:2] == (404, "unknown-path")
-        assert (await day.stage.ask("edge-1", "POST", "/vacancies/1"))[:2] == (405, "method-rejected")
-        assert (await day.stage.ask("edge-1", "DELETE", "/applications"))[:2] == (405, "method-rejected")
-        assert sum(day.stage.records.requests.values()) == before
+        before = sum(day.actors.records.requests.values())
+        assert (await day.actors.ask("edge-1", "GET", "/secret"))[:2] == (404, "unknown-path")
+        assert (await day.actors.ask("edge-1", "POST", "/vacancies/1"))[:2] == (405, "method-rejected")
+        assert (await day.actors.ask("edge-1", "DELETE", "/applications"))[:2] == (405, "method-rejected")
+        assert sum(day.actors.records.requests.values()) == before
 
     cluster.play(scene)
--- a/tests/dataplane/test_served_objects.py
+++ b/tests/dataplane/test_served_objects.py
@@ -8,7 +8,7 @@
 
 
 async def slow_origins(day, delay):
-    for origin in day.stage.origins:
+    for origin in day.actors.origins:
         origin.delay = delay
 
 
@@ -18,10 +18,10 @@
     async def scene(day):
         path = "/vacancies/7"
         await slow_origins(day, 2.4)
-        fetching = asyncio.create_task(day.stage.ask("edge-1", "GET", path, **headers))
+        fetching = asyncio.create_task(day.actors.ask("edge-1", "GET", path, **headers))
         await asyncio.sleep(0.1)
-        day.stage.records.versions[path] += 1
-        await day.stage.order("agency-2", "purge", [purge])
+        day.actors.records.versions[path] += 1
+        await day.actors.order("agency-2", "purge", [purge])
         await slow_origins(day, 0.003)
         status, _, result = await fetching
         assert status == 200 and json.loads(result.body)["version"] == 1
@@ -34,10 +34,10 @@
     async def scene(day):
         path = "/vacancies/7"
         await slow_origins(day, 0.7)
-        asking = asyncio.create_task(day.stage.ask("edge-1", "GET", path, **headers))
+        asking = asyncio.create_task(day.actors.ask("edge-1", "GET", path, **headers))
         began = asyncio.get_running_loop().time()
         while not asking.done():
-            await day.stage.order("agency-2", "purge", [("path", path)])
+            await day.actors.order("agency-2", "purge", [("path", path)])
             await asyncio.sleep(0.1)
         assert asking.result()[0] == 504
         assert asyncio.get_running_loop().time() - began < 3.3
@@ -48,13 +48,15 @@
 def test_an_answer_that_has_outlived_its_life_on_the_way_is_not_given_out():
     async def scene(day):
         value = {"grants": [{"service": "content", "methods": ["GET"]}], "life": 0.5}
-        await day.stage.order("agency-1", "change", [{"kind": "path", "name": "/vacancies/", "value": value}])
+        await day.actors.order(
+            "agency-1", "change", [{"kind": "path", "name": "/vacancies/", "value": value}]
+        )
         await asyncio.sleep(1)
         # Sealed when asked for, and then long on its way.
         await slow_origins(day, 2.8)
-        assert (await day.stage.ask("edge-1", "GET", "/vacancies/1"))[0] == 504
+        assert (await day.actors.ask("edge-1", "GET", "/vacancies/1"))[0] == 504
         await slow_origins(day, 0.003)
-        assert (await day.stage.ask("edge-1", "GET", "/vacancies/1"))[0] == 200
+        assert (await day.actors.ask("edge-1", "GET", "/vacancies/1"))[0] == 200
 
     cluster.play(scene)
 
@@ -62,9 +64,9 @@
 def test_whoever_joins_a_fetch_that_runs_out_of_time_still_has_all_of_its_own():
     async def scene(day):
         await slow_origins(day, 60)
-        first = asyncio.create_task(day.stage.ask("edge-1", "GET", "/vacancies/1"))
+        first = asyncio.create_task(day.actors.ask("edge-1", "GET", "/vacancies/1"))
         await asyncio.sleep(2.5)
-        second = asyncio.create_task(day.stage.ask("edge-1", "GET", "/vacancies/1"))
+        second = asyncio.create_task(day.actors.ask("edge-1", "GET", "/vacancies/1"))
         await asyncio.sleep(0.4)
         await slow_origins(day, 0.003)
         assert (await first)[0] == 504
--- a/tests/dataplane/test_slow_start.py
+++ b/tests/dataplane/test_slow_start.py
@@ -5,7 +5,7 @@
 import cluster
 import test_origin_limits
 
-import irisstand.simulator.origin_faults as trouble_origins
+from irisstand.simulator import origin_faults
 
 of, set_ceiling, ask_steadily = (
     test_origin_limits.of,
@@ -17,8 +17,8 @@
 
 def make_cold(day, service, warmup=10.0):
     """Every origin of the service by a cold one, at once."""
-    trouble = day.trouble
-    fresh = [trouble_origins.replace(trouble, old) for old in of(day, service)]
+    trouble = day.fault_injector
+    fresh = [origin_faults.replace(trouble, old) for old in of(day, service)]
     for origin in fresh:
         origin.warmup = warmup
         origin.cold[:] = [(origin.cold[0][0], warmup)]
@@ -35,7 +35,7 @@
         kinds = {"over-ceiling", "warming-up", "no-origin", "origin-failed", "no-share"}
         assert {code for status, code in told if status != 200} <= kinds
         # Warm in the end: the whole ceiling is used again.
-        end = day.watching.now()
+        end = day.watcher.now()
         assert sum(moment > end - 4 for origin in fresh for moment, _ in origin.started) > 150
 
     cluster.play(scene)
@@ -48,7 +48,7 @@
         asking = ask_steadily(day, 100, 12, "/vacancies/")
         for name in ("shield-1", "shield-4", "shield-2", "shield-5"):
             await asyncio.sleep(2)
-            await restart(day.world.nodes[name])
+            await restart(day.cluster.nodes[name])
         await asking
         assert judge(day, "content", (60, 60))["a cold origin gets no more than its warmth allows"] > 30
 
--- a/tests/dataplane/test_token_leases.py
+++ b/tests/dataplane/test_token_leases.py
@@ -9,8 +9,8 @@
 
 import irisstand.dataplane.ratelimit.token_leases as token_leases
 import irisstand.errors as errors
-import irisstand.simulator.virtual_time as virtual
 import irisstand.state.items as items
+from irisstand.simulator import virtual_time
 
 RATE = 40.0
 WINDOW, OVERRUN, SLACK = 5.0, 1.1, 5
@@ -121,7 +121,7 @@
     async def run():
         return await scene(Fleet())
 
-    return virtual.run(run())
+    return virtual_time.run(run())
 
 
 @pytest.mark.parametrize("seed", range(12))
--- a/tests/dataplane/test_writes.py
+++ b/tests/dataplane/test_writes.py
@@ -9,11 +9,11 @@
 
 
 def applications(day):
-    return [origin for origin in day.stage.origins if origin.service == "application"]
+    return [origin for origin in day.actors.origins if origin.service == "application"]
 
 
 def runs(day, number):
-    return day.stage.records.executions[number]
+    return day.actors.records.executions[number]
 
 
 def test_write_with_lost_answer_is_an_unknown_outcome_and_not_retried():
@@ -21,7 +21,7 @@
         for origin in applications(day):
             origin.faults.add("lose-answer")
         for _ in range(20):
-            number, status, code = await day.stage.write("edge-1")
+            number, status, code = await day.actors.write("edge-1")
             assert (status, code) in ((504, "outcome-unknown"), (503, "no-origin"), (503, "no-share"))
             assert runs(day, number) == (1 if code == "outcome-unknown" else 0)
 
@@ -34,7 +34,7 @@
         # Its connections are gone, but nobody has noticed yet: the write goes to the other origin.
         first.up = False
         for _ in range(10):
-            number, status, _ = await day.stage.write("edge-1")
+            number, status, _ = await day.actors.write("edge-1")
             assert status == 200 and runs(day, number) == 1
         assert len(second.started) >= 10
 
@@ -44,12 +44,12 @@
 def test_write_over_the_limit_is_rejected_at_once_with_retry_after_and_never_runs():
     async def scene(day):
         value = {"deadline": 3.0, "ceiling": {"rate": 10, "inflight": 100}}
-        await day.stage.order(
+        await day.actors.order(
             "agency-1", "change", [{"kind": "service", "name": "application", "value": value}]
         )
         await asyncio.sleep(2)
         began = asyncio.get_running_loop().time()
-        told = await asyncio.gather(*(day.stage.write(f"edge-{n % 2 + 1}") for n in range(100)))
+        told = await asyncio.gather(*(day.actors.write(f"edge-{n % 2 + 1}") for n in range(100)))
         assert asyncio.get_running_loop().time() - began < 1.5
         assert {code for _, status, code in told if status != 200} == {"over-ceiling"}
         for number, status, _ in told:
@@ -68,19 +68,19 @@
         randomness = random.Random(seed)
         jobs = []
         for step in range(150):
-            jobs.append(asyncio.create_task(day.stage.write(f"edge-{randomness.randrange(2) + 1}")))
+            jobs.append(asyncio.create_task(day.actors.write(f"edge-{randomness.randrange(2) + 1}")))
             await asyncio.sleep(0.01)
             if step % 25 == 10:
-                node = day.world.nodes[f"shield-{randomness.randrange(5) + 1}"]
+                node = day.cluster.nodes[f"shield-{randomness.randrange(5) + 1}"]
                 if node.is_up:
                     node.kill(reset=randomness.random() < 0.5)
-                origin = randomness.choice(day.stage.origins)
+                origin = randomness.choice(day.actors.origins)
                 origin.up = not origin.up
         await asyncio.gather(*jobs)
-        day.judge.close()
-        assert not any(day.judge.broken.values()), day.judge.examples
-        assert day.judge.checked["no write runs twice"] == 150
-        assert day.judge.checked["a write that succeeded did run"] > 30
+        day.checker.close()
+        assert not any(day.checker.broken.values()), day.checker.examples
+        assert day.checker.checked["no write runs twice"] == 150
+        assert day.checker.checked["a write that succeeded did run"] > 30
 
     cluster.play(scene, seed + 1)
 
@@ -90,16 +90,16 @@
         for origin in applications(day):
             origin.up = False
         value = {"deadline": 3.0, "ceiling": {"rate": 1, "inflight": 1}}
-        await day.stage.order(
+        await day.actors.order(
             "agency-1", "change", [{"kind": "service", "name": "application", "value": value}]
         )
         for origin in applications(day):
             origin.up = True
         await asyncio.sleep(3)
-        jobs = [asyncio.create_task(day.stage.write("edge-1")) for _ in range(20)]
+        jobs = [asyncio.create_task(day.actors.write("edge-1")) for _ in range(20)]
         await asyncio.sleep(0.05)
         under_way = sum(len(origin.started) for origin in applications(day))
-        edge = day.world.nodes["edge-1"]
+        edge = day.cluster.nodes["edge-1"]
         edge.kill()
         for job in jobs:
             job.cancel()
@@ -111,7 +111,7 @@
 
 def keyed(day, edge, key, number, path="/applications"):
     body = json.dumps({"number": number}).encode()
-    return day.stage.ask(edge, "POST", path, body, idempotency_key=key)
+    return day.actors.ask(edge, "POST", path, body, idempotency_key=key)
 
 
 def test_same_idempotency_key_at_two_edges_runs_once_with_one_result():
@@ -151,7 +151,7 @@
         assert (await keyed(day, "edge-2", "none", "none"))[0] == 200 and runs(day, "none") == 1
         # Without a majority a key cannot be claimed, and so nothing is sent.
         for name in ("agency-1", "agency-2", "agency-3"):
-            day.world.nodes[name].kill()
+            day.cluster.nodes[name].kill()
         status, code, _ = await keyed(day, "edge-1", "late", "late")
         assert status == 503 and code in ("no-claim", "stale-blueprint") and runs(day, "late") == 0
 
@@ -175,7 +175,7 @@
             jobs.append(asyncio.create_task(insist(f"k{step}")))
             await asyncio.sleep(0.1)
             if step % 8 == 3:
-                victims = [*day.world.role("shield"), *day.world.role("agency")]
+                victims = [*day.cluster.with_role("shield"), *day.cluster.with_role("agency")]
                 victims = [node for node in victims if node.is_up]
                 victim = randomness.choice(victims)
                 victim.kill()
--- a/tests/membership/test_membership_faults.py
+++ b/tests/membership/test_membership_faults.py
@@ -13,7 +13,7 @@
 def states(day, about):
     """How every other node sees the node: its state, or None where it is not on the list."""
     found = {}
-    for name, node in day.world.nodes.items():
+    for name, node in day.cluster.nodes.items():
         if name != about and node.is_up:
             member = cluster.members(day, name).get(about)
             found[name] = member.state if member else None
@@ -22,18 +22,20 @@
 
 def test_a_paused_process_is_suspected_then_refutes_it_and_is_never_declared_failed():
     async def scene(day):
-        node = day.world.nodes["edge-1"]
-        life = node.body.context.detector.identity.incarnation_id
+        node = day.cluster.nodes["edge-1"]
+        life = node.program.context.detector.identity.incarnation_id
         node.freeze()
         seen = set()
-        await day.world.until(lambda: updates.MemberState.SUSPECT in states(day, "edge-1").values(), 10)
+        await day.cluster.wait_until(
+            lambda: updates.MemberState.SUSPECT in states(day, "edge-1").values(), 10
+        )
         node.thaw()
         for _ in range(int(20 * PERIOD / 0.1)):
             seen |= set(states(day, "edge-1").values())
             await asyncio.sleep(0.1)
         assert None not in seen
         assert set(states(day, "edge-1").values()) == {updates.MemberState.ALIVE}
-        own = node.body.context.detector
+        own = node.program.context.detector
         assert own.incarnation_number >= 1 and own.identity.incarnation_id == life
 
     cluster.play(scene)
@@ -41,35 +43,39 @@
 
 def test_a_dead_node_is_failed_everywhere_within_the_papers_bounds_and_returns_as_a_new_life():
     async def scene(day):
-        node = day.world.nodes["store-1"]
-        life = node.body.context.detector.identity.incarnation_id
-        members = len(day.world.nodes)
+        node = day.cluster.nodes["store-1"]
+        life = node.program.context.detector.identity.incarnation_id
+        members = len(day.cluster.nodes)
         node.kill()
-        took = await day.world.until(lambda: set(states(day, "store-1").values()) == {None}, 60)
-        limit = node.body.context.detector.transmission_limit()
+        took = await day.cluster.wait_until(lambda: set(states(day, "store-1").values()) == {None}, 60)
+        limit = node.program.context.detector.transmission_limit()
         # 2n-1 periods until some node probes it, the suspicion's time-out, and the spread of the news.
         assert took <= (2 * members - 1 + 2 * limit) * PERIOD
         await node.start()
-        await day.world.until(lambda: set(states(day, "store-1").values()) == {updates.MemberState.ALIVE}, 20)
-        assert node.body.context.detector.identity.incarnation_id != life
+        await day.cluster.wait_until(
+            lambda: set(states(day, "store-1").values()) == {updates.MemberState.ALIVE}, 20
+        )
+        assert node.program.context.detector.identity.incarnation_id != life
 
     cluster.play(scene)
 
 
 def test_a_node_falsely_declared_failed_comes_back_as_a_new_life():
     async def scene(day):
-        node = day.world.nodes["edge-2"]
-        identity = node.body.context.detector.identity
-        day.world.cut_off(["edge-2"])
-        await day.world.until(lambda: set(states(day, "edge-2").values()) == {None}, 60)
+        node = day.cluster.nodes["edge-2"]
+        identity = node.program.context.detector.identity
+        day.cluster.partition_off(["edge-2"])
+        await day.cluster.wait_until(lambda: set(states(day, "edge-2").values()) == {None}, 60)
         # Cut off, it has kept the others on its list: it hears nobody, so it is the one that is ill.
-        assert len(cluster.members(day, "edge-2")) == len(day.world.nodes) - 1
-        day.world.wires.heal()
-        await day.world.until(lambda: set(states(day, "edge-2").values()) == {updates.MemberState.ALIVE}, 30)
-        assert node.body.context.detector.identity.name == identity.name
-        assert node.body.context.detector.identity.incarnation_id != identity.incarnation_id
+        assert len(cluster.members(day, "edge-2")) == len(day.cluster.nodes) - 1
+        day.cluster.network.heal()
+        await day.cluster.wait_until(
+            lambda: set(states(day, "edge-2").values()) == {updates.MemberState.ALIVE}, 30
+        )
+        assert node.program.context.detector.identity.name == identity.name
+        assert node.program.context.detector.identity.incarnation_id != identity.incarnation_id
         # And it has not taken anybody else down with it.
-        for name in day.world.nodes:
+        for name in day.cluster.nodes:
             if name != "edge-2":
                 assert cluster.context(day, name).counters.get("swim_lives") == 0
 
@@ -78,17 +84,17 @@
 
 def test_lists_converge_again_after_a_long_split():
     async def scene(day):
-        half = [name for name, node in day.world.nodes.items() if node.plan.site in ("north", "east")]
-        day.world.cut_off(half)
-        other = next(name for name in day.world.nodes if name not in half)
-        await day.world.until(lambda: not set(half) & set(cluster.members(day, other)), 90)
-        day.world.wires.heal()
+        half = [name for name, node in day.cluster.nodes.items() if node.placement.site in ("north", "east")]
+        day.cluster.partition_off(half)
+        other = next(name for name in day.cluster.nodes if name not in half)
+        await day.cluster.wait_until(lambda: not set(half) & set(cluster.members(day, other)), 90)
+        day.cluster.network.heal()
 
         def whole():
-            names = set(day.world.nodes)
+            names = set(day.cluster.nodes)
             return all(set(cluster.members(day, name)) == names - {name} for name in names)
 
-        await day.world.until(whole, 60)
+        await day.cluster.wait_until(whole, 60)
 
     cluster.play(scene)
 
@@ -97,18 +103,18 @@
     """The paper's harsh run (section 5.3) left 12 of 17; with k = 3 and these time-outs nobody goes."""
 
     async def scene(day):
-        day.world.wires.loss = 0.1
+        day.cluster.network.loss = 0.1
         for _ in range(200):
             await asyncio.sleep(PERIOD)
-            for name in day.world.nodes:
-                assert len(cluster.members(day, name)) == len(day.world.nodes) - 1
+            for name in day.cluster.nodes:
+                assert len(cluster.members(day, name)) == len(day.cluster.nodes) - 1
         suspected = sum(
             cluster.context(day, name).counters.get("swim_updates", state="suspect")
-            for name in day.world.nodes
+            for name in day.cluster.nodes
         )
         confirmed = sum(
             cluster.context(day, name).counters.get("swim_updates", state="confirm")
-            for name in day.world.nodes
+            for name in day.cluster.nodes
         )
         assert suspected > 0 and confirmed == 0
 
@@ -117,8 +123,8 @@
 
 def test_a_node_that_leaves_is_gone_from_the_lists_without_being_suspected():
     async def scene(day):
-        await day.world.nodes["edge-1"].stop()
-        await day.world.until(lambda: set(states(day, "edge-1").values()) == {None}, 10 * PERIOD)
+        await day.cluster.nodes["edge-1"].stop()
+        await day.cluster.wait_until(lambda: set(states(day, "edge-1").values()) == {None}, 10 * PERIOD)
         seen = cluster.context(day, "agency-1").detector.member_list.failed.values()
         assert [update.has_left for update in seen if update.identity.name == "edge-1"] == [True]
 
--- a/tests/programs/test_deployed_programs.py
+++ b/tests/programs/test_deployed_programs.py
@@ -11,7 +11,7 @@
 import deployed_programs
 import pytest
 
-import irisstand.standins.upstream as upstreams
+from irisstand.emulators import upstream_emulator
 
 
 def play(scene, folder):
@@ -32,7 +32,9 @@
             ("/writes/1", "POST", b"claim"),
         ):
             status, headers, content = await fleet.ask(path, method, body, request_id="r-" + path[1:4])
-            assert status == 200 and upstreams.is_whole(deployed_programs.WORDS, headers, content), path
+            assert status == 200 and upstream_emulator.is_whole(deployed_programs.WORDS, headers, content), (
+                path
+            )
             assert headers["Attempt-Id"] == "r-" + path[1:4]
         assert [run.target for run in fleet.runs("app") if "?" in run.target] == ["/reads/1?a=%20b"]
         assert [run.body for run in fleet.runs("app") if run.method == "POST"] == [b"claim"]
@@ -43,13 +45,13 @@
         fleet.version = 7
         change = {"put": {"routes": [fleet.route("later", "idempotent", "app")]}}
         assert await fleet.took(change, node=2)
-        await fleet.until(lambda: fleet.answers("/later/1", 200), 2)
+        await fleet.wait_until(lambda: fleet.answers("/later/1", 200), 2)
         fleet.version = 5
         old = {"put": {"routes": [fleet.route("later", "idempotent", "app", prefix="/older/")]}}
         assert await fleet.took(old, node=3)
         assert await fleet.answers("/later/1", 200) and await fleet.answers("/older/1", 404)
         assert await fleet.took({"drop": {"routes": [{"name": "later", "version": 8}]}}, node=3)
-        await fleet.until(lambda: fleet.answers("/later/1", 404), 2)
+        await fleet.wait_until(lambda: fleet.answers("/later/1", 404), 2)
         found = (await fleet.call("GET", "/items", node=2))[1]
         assert {route["name"] for route in found["routes"]} == {"objects", "reads", "writes"}
         assert found["limits"]["body_bytes"] == 100000
@@ -75,7 +77,7 @@
             async def is_new(before=before):
                 return (await fleet.ask("/objects/1"))[2] != before
 
-            await fleet.until(is_new, 2)
+            await fleet.wait_until(is_new, 2)
         # An evacuated zone's origins get nothing, and something again after its end.
         assert (await fleet.call("PUT", "/sites/z1/evacuation"))[0] == 200
         await asyncio.sleep(0.6)
@@ -90,7 +92,7 @@
             await fleet.ask("/reads/1")
             return away.arrivals > count
 
-        await fleet.until(is_back, 10)
+        await fleet.wait_until(is_back, 10)
         # Settings that change are taken up without an end; what cannot change is told.
         settings = pathlib.Path(fleet.folder) / "edge-1.toml"
         kept = settings.read_text()
@@ -109,9 +111,9 @@
         async def is_leaving():
             return await fleet.ready() == 503
 
-        await fleet.until(is_leaving, 2)
+        await fleet.wait_until(is_leaving, 2)
         status, headers, content = await asking
-        assert status == 200 and upstreams.is_whole(deployed_programs.WORDS, headers, content)
+        assert status == 200 and upstream_emulator.is_whole(deployed_programs.WORDS, headers, content)
         assert await ending == 0
         assert await fleet.end("shield-2") == 0
 
--- a/tests/programs/test_http.py
+++ b/tests/programs/test_http.py
@@ -14,8 +14,8 @@
 
 import irisstand.commands
 import irisstand.errors as errors
-import irisstand.fleet.processes as fleets
 import irisstand.node_settings as node_settings
+from irisstand.localcluster import processes
 
 GOOD = {
     "name": "edge-1",
@@ -64,7 +64,7 @@
 def test_the_command_line_tells_scripts_what_went_wrong():
     runner = click.testing.CliRunner()
     assert runner.invoke(irisstand.commands.main, ["purge"]).exit_code == 2
-    refused = fleets.free_ports(1)[0]
+    refused = processes.free_ports(1)[0]
     result = runner.invoke(irisstand.commands.main, ["rows", "get", "--core", f"127.0.0.1:{refused}"])
     assert result.exit_code == 7 and "--core" in result.output
 
@@ -73,7 +73,7 @@
 def thin(tmp_path_factory):
     """One control plane node, one shield and one edge as real processes."""
     folder = tmp_path_factory.mktemp("thin")
-    fleet = fleets.Fleet(fleets.SHAPES["thin"], folder, fleets.free_ports(1)[0])
+    fleet = processes.LocalCluster(processes.SHAPES["thin"], folder, processes.free_ports(1)[0])
     for name in ("agency-1", "shield-1", "edge-1"):
         fleet.start(name)
 
@@ -166,7 +166,7 @@
 def test_a_port_that_is_taken_ends_the_start_with_a_remedy(thin):
     place = thin.places["shield-1"]
     settings = [f"--{key.replace('_', '-')}={value}" for key, value in GOOD.items() if "port" not in key]
-    ports = [f"--port={fleets.free_ports(1)[0]}", f"--http-port={place.http_port}"]
+    ports = [f"--port={processes.free_ports(1)[0]}", f"--http-port={place.http_port}"]
     command = [sys.executable, "-m", "irisstand.dataplane.program", *settings, *ports]
     done = subprocess.run(command, capture_output=True, text=True, env=os.environ)
     assert done.returncode == 2 and "free the port" in done.stderr
--- a/tests/simulator/test_simulated_days.py
+++ b/tests/simulator/test_simulated_days.py
@@ -2,8 +2,7 @@
 
 import pytest
 
-import irisstand.simulator.day as days
-import irisstand.simulator.virtual_time as virtual
+from irisstand.simulator import simulated_day, virtual_time
 
 # Every kind of day has rules that it must have checked: one that was never checked has not been shown.
 BUSY = {
@@ -80,11 +79,11 @@
 
 @pytest.mark.parametrize(("kind", "seed", "seconds"), SEEDS)
 def test_no_rule_is_broken_on_a_day_of_trouble(kind, seed, seconds):
-    day = days.simulate(seed, seconds, kind)
-    assert not any(day.judge.broken.values()), (day.judge.examples, day.trouble.log)
+    day = simulated_day.simulate(seed, seconds, kind)
+    assert not any(day.checker.broken.values()), (day.checker.examples, day.fault_injector.log)
     # Of the planned kind each day has its own share of restarts, evacuations and origins.
     must = MUST[kind] - PLANNED
-    assert must <= set(day.judge.checked), must - set(day.judge.checked)
+    assert must <= set(day.checker.checked), must - set(day.checker.checked)
 
 
 def test_every_rule_is_checked_by_the_fixed_days():
@@ -92,15 +91,15 @@
     wanted, checked = PLANNED | {BACK}, set()
     for kind, seed in (("planned", 10), ("dark", 5), ("planned", 31), ("dark", 8), ("planned", 7)):
         if not wanted <= checked:
-            day = days.simulate(seed, 30, kind)
-            assert not any(day.judge.broken.values()), day.judge.examples
-            checked |= set(day.judge.checked)
+            day = simulated_day.simulate(seed, 30, kind)
+            assert not any(day.checker.broken.values()), day.checker.examples
+            checked |= set(day.checker.checked)
     assert wanted <= checked, wanted - checked
 
 
 def test_the_same_seed_gives_the_same_day():
-    first, second = (days.simulate(11, 8) for _ in range(2))
-    assert first.trouble.log == second.trouble.log
-    assert first.judge.checked == second.judge.checked
-    assert first.judge.results == second.judge.results
-    assert virtual.ACTOR.get() is None
+    first, second = (simulated_day.simulate(11, 8) for _ in range(2))
+    assert first.fault_injector.log == second.fault_injector.log
+    assert first.checker.checked == second.checker.checked
+    assert first.checker.results == second.checker.results
+    assert virtual_time.ACTOR.get() is None
--- a/tests/state/test_chunk_transfer.py
+++ b/tests/state/test_chunk_transfer.py
@@ -8,7 +8,6 @@
 import irisstand.clocks as clocks
 import irisstand.counters as counting
 import irisstand.errors as errors
-import irisstand.simulator.virtual_time as virtual
 import irisstand.state.items as items
 import irisstand.state.replica as replica
 import irisstand.state.replication.chunk_transfer as chunk_transfer
@@ -16,6 +15,7 @@
 import irisstand.state.replication.replicator as replicator
 import irisstand.state.versions as versions
 import irisstand.transport.codec as codec
+from irisstand.simulator import virtual_time
 
 ROUTES = 1480
 # Of an edge's link of 11 Mbit/s, what its clients leave free.
@@ -112,7 +112,7 @@
             assert edge.context.clock.now() < 60
         return edge.context.clock.now(), max(size for *_, size in edge.replies)
 
-    seconds, largest = virtual.run(scene())
+    seconds, largest = virtual_time.run(scene())
     assert seconds < 1.0 and largest < 40_000
 
 
@@ -143,7 +143,7 @@
             -(-(ROUTES - 3 * whole) // whole),
         )
 
-    is_same, parts, wanted = virtual.run(scene())
+    is_same, parts, wanted = virtual_time.run(scene())
     assert is_same and parts <= wanted + 1
 
 
@@ -163,7 +163,7 @@
             assert edge.copy.root_digest() == core.copy.root_digest()
         return len(cut), len([1 for _, kind, _ in edges[0].replies if kind == "part"])
 
-    cut, parts = virtual.run(scene())
+    cut, parts = virtual_time.run(scene())
     assert cut == parts
 
 
@@ -192,7 +192,7 @@
             kinds,
         )
 
-    is_same, are_equal, kinds = virtual.run(scene())
+    is_same, are_equal, kinds = virtual_time.run(scene())
     assert is_same and are_equal and "ranges" not in kinds
 
 
@@ -203,7 +203,7 @@
         await edge.pull("core-0")
         return edge.copy.root_digest() == core.copy.root_digest(), edge.replies[-1][1]
 
-    assert virtual.run(scene()) == (True, "ranges")
+    assert virtual_time.run(scene()) == (True, "ranges")
 
 
 def test_a_peer_that_is_older_than_what_came_is_not_taken_for_the_truth():
@@ -218,7 +218,7 @@
             await edge.replicator.chunks.transfer(("", 0), "core-1", edge.copy)
         return edge.copy.root_digest() == before
 
-    assert virtual.run(scene())
+    assert virtual_time.run(scene())
 
 
 def test_rows_that_do_not_add_up_are_not_taken():
@@ -232,7 +232,7 @@
         await edge.pull("core-0")
         return taken, untouched, edge.copy.root_digest() == core.copy.root_digest()
 
-    assert virtual.run(scene()) == (False, True, True)
+    assert virtual_time.run(scene()) == (False, True, True)
 
 
 def test_a_copy_that_moved_on_by_another_way_keeps_nothing_aside_and_is_not_set_back():
@@ -252,5 +252,5 @@
         await edge.pull("core-0")
         return settled, kept, edge.copy.applied, {kind for _, kind, _ in edge.replies}
 
-    settled, kept, applied, kinds = virtual.run(scene())
+    settled, kept, applied, kinds = virtual_time.run(scene())
     assert settled and not kept and applied == versions.Version(3, "n") and "ranges" not in kinds
--- a/tests/state/test_disk_faults.py
+++ b/tests/state/test_disk_faults.py
@@ -6,27 +6,26 @@
 import pytest
 
 import irisstand.errors as errors
-import irisstand.simulator.virtual_time
-import irisstand.simulator.world
 import irisstand.state.digests as digests
 import irisstand.state.items as items
+from irisstand.simulator import simulated_cluster, virtual_time
 
 
 def votes(day, name):
-    return all(day.world.nodes[name].body.participant.is_voter(table) for table in items.TABLES)
+    return all(day.cluster.nodes[name].program.participant.is_voter(table) for table in items.TABLES)
 
 
 def test_after_the_loss_of_everything_the_disks_bring_all_confirmed_rows_back_within_15_seconds():
     async def scene(day):
-        result = await day.stage.order("agency-2", "change", [cluster.site_row(weight=7)])
-        await day.stage.order("agency-3", "purge", [("path", "/vacancies/1")])
-        for node in day.world.nodes.values():
+        result = await day.actors.order("agency-2", "change", [cluster.site_row(weight=7)])
+        await day.actors.order("agency-3", "purge", [("path", "/vacancies/1")])
+        for node in day.cluster.nodes.values():
             node.kill(reset=False)
         await asyncio.sleep(3)
-        for node in day.world.nodes.values():
+        for node in day.cluster.nodes.values():
             await node.start()
-        took = await day.world.until_ready(15)
-        while (await day.stage.ask("edge-1", "GET", "/vacancies/1"))[0] != 200:
+        took = await day.cluster.wait_until_ready(15)
+        while (await day.actors.ask("edge-1", "GET", "/vacancies/1"))[0] != 200:
             took += 0.1
             await asyncio.sleep(0.1)
         assert took < 15
@@ -41,43 +40,43 @@
 @pytest.mark.parametrize("victim", ["agency-1", "agency-4"])
 def test_a_disk_lost_right_after_a_yes_loses_nothing_and_its_successor_learns_before_it_votes(victim):
     async def scene(day):
-        result = await day.stage.order(victim, "change", [cluster.site_row(weight=3)])
-        node = day.world.nodes[victim]
-        old = node.body.participant.store.disk_id
+        result = await day.actors.order(victim, "change", [cluster.site_row(weight=3)])
+        node = day.cluster.nodes[victim]
+        old = node.program.participant.store.disk_id
         node.kill()
         node.wipe()
         await node.start()
         assert not votes(day, victim)
         # Asked under its old disk's name it has no vote, whatever its memory holds.
         with pytest.raises(errors.NotBootstrappedError):
-            await node.do(node.body.participant.on_promise("x", [items.CONFIGURATION, (999, "x"), old]), 1)
-        await day.world.until(lambda: votes(day, victim), 10)
-        assert node.body.participant.store.disk_id != old
+            await node.do(node.program.participant.on_promise("x", [items.CONFIGURATION, (999, "x"), old]), 1)
+        await day.cluster.wait_until(lambda: votes(day, victim), 10)
+        assert node.program.participant.store.disk_id != old
         for table in items.TABLES:
-            assert len(day.world.nodes["agency-2"].body.participant.voters(table)) == 5
+            assert len(day.cluster.nodes["agency-2"].program.participant.voters(table)) == 5
         assert str(cluster.context(day, victim).configuration.version("site/north")) == result["serial"]
         # Its vote counts again: with two others gone it makes up the majority.
         others = [name for name in ("agency-2", "agency-3", "agency-5") if name != victim][:2]
         for name in others:
-            day.world.nodes[name].kill()
-        await day.stage.order(victim, "change", [cluster.site_row(weight=4)])
+            day.cluster.nodes[name].kill()
+        await day.actors.order(victim, "change", [cluster.site_row(weight=4)])
 
     cluster.play(scene)
 
 
 def test_a_full_disk_refuses_with_the_remedy_and_the_others_go_on():
     async def scene(day):
-        day.world.nodes["agency-1"].disk.full = True
+        day.cluster.nodes["agency-1"].disk.full = True
         with pytest.raises(errors.DiskFullError) as raised:
-            await day.stage.order("agency-1", "change", [cluster.site_row(weight=2)])
+            await day.actors.order("agency-1", "change", [cluster.site_row(weight=2)])
         assert "data folder" in raised.value.remedy
-        await day.stage.order("agency-2", "change", [cluster.site_row(weight=3)])
+        await day.actors.order("agency-2", "change", [cluster.site_row(weight=3)])
         await asyncio.sleep(2)
         # It keeps serving what is in force, though it can keep none of it.
         assert cluster.context(day, "agency-1").configuration.value("site/north") == {"weight": 3}
-        assert day.world.is_ready(day.world.nodes["agency-1"])
-        day.world.nodes["agency-1"].disk.full = False
-        await day.stage.order("agency-1", "change", [cluster.site_row(weight=4)])
+        assert day.cluster.is_ready(day.cluster.nodes["agency-1"])
+        day.cluster.nodes["agency-1"].disk.full = False
+        await day.actors.order("agency-1", "change", [cluster.site_row(weight=4)])
 
     cluster.play(scene)
 
@@ -85,12 +84,12 @@
 def test_two_stalled_disks_stop_neither_changes_nor_the_freshness_of_their_own_nodes():
     async def scene(day):
         for name in ("agency-1", "agency-2"):
-            day.world.nodes[name].disk.stalled = True
+            day.cluster.nodes[name].disk.stalled = True
         for weight in range(1, 6):
-            await day.stage.order("agency-3", "change", [cluster.site_row(weight=weight)])
+            await day.actors.order("agency-3", "change", [cluster.site_row(weight=weight)])
             await asyncio.sleep(1)
             for name in ("agency-1", "agency-2", "edge-1"):
-                assert day.world.is_ready(day.world.nodes[name])
+                assert day.cluster.is_ready(day.cluster.nodes[name])
                 assert cluster.context(day, name).configuration.value("site/north") == {"weight": weight}
 
     cluster.play(scene)
@@ -99,26 +98,26 @@
 @pytest.mark.parametrize("part", [".voter.", ".item.", "vault"])
 def test_a_damaged_file_is_put_aside_and_neither_served_nor_voted_from(part):
     async def scene(day):
-        await day.stage.order("agency-1", "change", [cluster.site_row(weight=2)])
+        await day.actors.order("agency-1", "change", [cluster.site_row(weight=2)])
         await asyncio.sleep(1)
-        node = day.world.nodes["agency-3"]
-        before = node.body.participant.store.disk_id
+        node = day.cluster.nodes["agency-3"]
+        before = node.program.participant.store.disk_id
         node.kill()
         assert node.disk.corrupt(part)
         # Alone, it must not serve or vote from what it finds.
-        day.world.cut_off(["agency-3"])
+        day.cluster.partition_off(["agency-3"])
         await node.start()
         await asyncio.sleep(3)
-        core = node.body.participant
-        assert not day.world.is_ready(node)
+        core = node.program.participant
+        assert not day.cluster.is_ready(node)
         if part == ".item.":
             with pytest.raises(errors.NotBootstrappedError):
                 await node.do(core.acceptors[items.CONFIGURATION].order("promise", (10**6, "x")), 1)
             assert core.context.configuration.value("site/north") is None
         else:
             assert core.store.disk_id != before
-        day.world.wires.heal()
-        await day.world.until(lambda: votes(day, "agency-3") and day.world.is_ready(node), 15)
+        day.cluster.network.heal()
+        await day.cluster.wait_until(lambda: votes(day, "agency-3") and day.cluster.is_ready(node), 15)
         await asyncio.sleep(1)
         assert core.context.configuration.value("site/north") == {"weight": 2}
         assert all(core.store.intact.values())
@@ -131,17 +130,17 @@
 
 def test_empty_cores_found_only_all_together_and_never_beside_a_founded_one():
     async def scene():
-        world = irisstand.simulator.world.World(3, cluster.SHAPE)
-        control_nodes = world.role("agency")
+        world = simulated_cluster.SimulatedCluster(3, cluster.SHAPE)
+        control_nodes = world.with_role("agency")
         for node in control_nodes[:4]:
             await node.start()
         await asyncio.sleep(8)
-        assert all(not node.body.participant.voters(items.LEDGER) for node in control_nodes[:4])
+        assert all(not node.program.participant.voters(items.LEDGER) for node in control_nodes[:4])
         await control_nodes[4].start()
-        await world.until(
-            lambda: all(node.body.participant.is_voter(items.LEDGER) for node in control_nodes), 10
+        await world.wait_until(
+            lambda: all(node.program.participant.is_voter(items.LEDGER) for node in control_nodes), 10
         )
-        voters = control_nodes[0].body.participant.voters(items.LEDGER)
+        voters = control_nodes[0].program.participant.voters(items.LEDGER)
         for node in control_nodes[1:]:
             node.kill()
             node.wipe()
@@ -150,27 +149,27 @@
         await asyncio.sleep(10)
         # Four empty disks and one founded: nobody founds again, and nobody votes from an empty memory.
         for node in control_nodes:
-            assert node.body.participant.voters(items.LEDGER) == voters
+            assert node.program.participant.voters(items.LEDGER) == voters
             assert not world.is_ready(node)
 
-    irisstand.simulator.virtual_time.run(scene())
+    virtual_time.run(scene())
 
 
 def test_an_empty_core_machine_elsewhere_takes_the_place_of_one_that_is_gone_for_good():
     async def scene(day):
-        world = day.world
-        result = await day.stage.order("agency-1", "change", [cluster.site_row(weight=6)])
+        world = day.cluster
+        result = await day.actors.order("agency-1", "change", [cluster.site_row(weight=6)])
         world.nodes["agency-2"].kill()
         where = ("shield-machine-9", "south", "one", "10.0.0.99")
-        spare = world.add(irisstand.simulator.world.Plan("agency-9", "agency", *where))
+        spare = world.add(simulated_cluster.NodePlacement("agency-9", "agency", *where))
         await spare.start()
         # Not before the missing voter has been gone for long: it may only be restarting.
         await asyncio.sleep(30)
         assert not votes(day, "agency-9")
-        took = await world.until(lambda: votes(day, "agency-9"), 90)
+        took = await world.wait_until(lambda: votes(day, "agency-9"), 90)
         assert took > 20
         for table in items.TABLES:
-            names = {voter.name for voter in world.nodes["agency-1"].body.participant.voters(table)}
+            names = {voter.name for voter in world.nodes["agency-1"].program.participant.voters(table)}
             assert names == {"agency-1", "agency-3", "agency-4", "agency-5", "agency-9"}
         assert str(cluster.context(day, "agency-9").configuration.version("site/north")) == result["serial"]
         # The old one returns with its disk: it has no vote any more, and takes nobody's place.
@@ -179,20 +178,20 @@
         assert not votes(day, "agency-2") and world.is_ready(world.nodes["agency-2"])
         world.nodes["agency-1"].kill()
         world.nodes["agency-3"].kill()
-        await day.stage.order("agency-9", "change", [cluster.site_row(weight=8)])
+        await day.actors.order("agency-9", "change", [cluster.site_row(weight=8)])
 
     cluster.play(scene)
 
 
 def test_a_voter_set_that_one_lost_site_would_rob_of_its_majority_is_refused_whole():
     async def scene(day):
-        voters = day.world.nodes["agency-1"].body.participant.voters(items.LEDGER)
+        voters = day.cluster.nodes["agency-1"].program.participant.voters(items.LEDGER)
         newcomer = ("agency-9", "vault", "north", "10.0.0.99", 7000, "m")
         assert [voter.site for voter in voters].count("north") == 2
         with pytest.raises(errors.InvalidChangeError) as raised:
-            await day.stage.order("agency-1", "enrol-ledger", (newcomer, "agency-2"))
+            await day.actors.order("agency-1", "enrol-ledger", (newcomer, "agency-2"))
         assert "one site" in raised.value.faults[0]["message"]
-        assert day.world.nodes["agency-3"].body.participant.voters(items.LEDGER) == voters
+        assert day.cluster.nodes["agency-3"].program.participant.voters(items.LEDGER) == voters
 
     cluster.play(scene)
 
@@ -201,21 +200,21 @@
     """Its records bear a root over sixteen ranges; a core that took that for damage would be lost whole."""
 
     async def scene(day):
-        await day.stage.order("agency-1", "change", [cluster.site_row(weight=7)])
+        await day.actors.order("agency-1", "change", [cluster.site_row(weight=7)])
         await asyncio.sleep(1)
-        for node in day.world.role("agency"):
-            store = node.body.participant.store
+        for node in day.cluster.with_role("agency"):
+            store = node.program.participant.store
             for table in items.TABLES:
                 record = store.records[table]
                 old_root = digests.legacy_root_digest(store.replicas[table].items.values())
                 assert old_root != record.root_digest
                 await store.save_record(table, record._replace(root_digest=old_root))
             node.kill()
-        for node in day.world.role("agency"):
+        for node in day.cluster.with_role("agency"):
             await node.start()
-            assert all(node.body.participant.store.intact.values())
-        await day.world.until_ready()
+            assert all(node.program.participant.store.intact.values())
+        await day.cluster.wait_until_ready()
         assert cluster.context(day, "edge-1").configuration.value("site/north") == {"weight": 7}
-        await day.stage.order("agency-3", "change", [cluster.site_row(weight=8)])
+        await day.actors.order("agency-3", "change", [cluster.site_row(weight=8)])
 
     cluster.play(scene)
--- a/tests/state/test_power_loss.py
+++ b/tests/state/test_power_loss.py
@@ -8,13 +8,13 @@
 import pytest
 
 import irisstand.errors as errors
-import irisstand.simulator.simulated_folder
 import irisstand.state.items as items
 import irisstand.state.replica as replica
 import irisstand.state.storage.disk
 import irisstand.state.storage.durable_store
 import irisstand.state.storage.item_files
 import irisstand.state.versions as versions
+from irisstand.simulator import simulated_folder
 
 STEPS = 120
 LIVES = 4
@@ -25,7 +25,7 @@
 
     def __init__(self, seed):
         self.randomness = random.Random(seed)
-        self.folder = irisstand.simulator.simulated_folder.SimulatedFolder(random.Random(seed + 1))
+        self.folder = simulated_folder.SimulatedFolder(random.Random(seed + 1))
         self.live = {table: replica.Replica(table) for table in items.TABLES}
         self.acknowledged = {}
         self.sent = {}
@@ -87,7 +87,7 @@
                     await voter.step()
                 except errors.DiskFullError:
                     assert full
-        except irisstand.simulator.simulated_folder.PowerLoss:
+        except simulated_folder.PowerLossError:
             pass
         voter.folder.full_at = range(0)
         voter.folder.lose_power()
@@ -96,7 +96,7 @@
             if voter.randomness.random() < 0.3:
                 voter.folder.off_at = voter.folder.operations + voter.randomness.randrange(1, 40)
                 await voter.start()
-        except irisstand.simulator.simulated_folder.PowerLoss:
+        except simulated_folder.PowerLossError:
             voter.folder.lose_power()
         voter.folder.off_at = None
         await voter.start()
--- a/tests/state/test_quorum_loss.py
+++ b/tests/state/test_quorum_loss.py
@@ -5,9 +5,8 @@
 import cluster
 import pytest
 
-import irisstand.simulator.virtual_time as virtual
-import irisstand.simulator.world as worlds
 import irisstand.state.items as items
+from irisstand.simulator import simulated_cluster, virtual_time
 
 BOUND, STRETCH = 1.5, 5.0
 
@@ -16,21 +15,21 @@
     """With nodes that may use tables for STRETCH seconds more while the core is out."""
 
     async def whole():
-        world = worlds.World(1, cluster.SHAPE)
+        world = simulated_cluster.SimulatedCluster(1, cluster.SHAPE)
         world.outage_bound = STRETCH
         await world.start_all()
-        await world.until_ready()
-        await world.stage.order("agency-1", "change", [cluster.site_row()])
-        await world.until_ready()
+        await world.wait_until_ready()
+        await world.actors.order("agency-1", "change", [cluster.site_row()])
+        await world.wait_until_ready()
         await asyncio.sleep(1)
         await scene(world)
         assert not asyncio.get_running_loop().faults, asyncio.get_running_loop().faults[0]
 
-    virtual.run(whole())
+    virtual_time.run(whole())
 
 
 def cut(world, some, others):
-    world.wires.cut(world.hosts(some), world.hosts(others))
+    world.network.cut(world.hosts(some), world.hosts(others))
 
 
 def cores(world, *numbers):
@@ -39,7 +38,7 @@
 
 async def seconds_in_use(world, name="edge-1", longest=8.0):
     """Until the node takes its tables for current no more."""
-    return await world.until(lambda: not world.is_ready(world.nodes[name]), longest)
+    return await world.wait_until(lambda: not world.is_ready(world.nodes[name]), longest)
 
 
 async def stays_out(world, name="edge-1"):
@@ -50,7 +49,7 @@
 
 def test_a_node_that_reaches_nobody_uses_its_tables_no_longer_than_the_bound():
     async def scene(world):
-        world.cut_off(["edge-1"])
+        world.partition_off(["edge-1"])
         assert await seconds_in_use(world) <= BOUND + 0.1
         await stays_out(world)
 
@@ -59,8 +58,8 @@
 
 def test_a_node_on_the_side_of_a_minority_of_the_core_uses_its_tables_no_longer():
     async def scene(world):
-        world.cut_off(["edge-1", "agency-1", "agency-2"])
-        await world.stage.order("agency-3", "change", [cluster.site_row(weight=5)])
+        world.partition_off(["edge-1", "agency-1", "agency-2"])
+        await world.actors.order("agency-3", "change", [cluster.site_row(weight=5)])
         assert await seconds_in_use(world) <= BOUND + 0.1
         await stays_out(world)
 
@@ -75,8 +74,8 @@
         await asyncio.sleep(1)
         for name in cores(world):
             world.nodes[name].thaw()
-        await world.until(lambda: all(map(world.is_ready, world.role("agency"))), 3)
-        await world.stage.order("agency-2", "change", [cluster.site_row(weight=5)])
+        await world.wait_until(lambda: all(map(world.is_ready, world.with_role("agency"))), 3)
+        await world.actors.order("agency-2", "change", [cluster.site_row(weight=5)])
         await asyncio.sleep(1.9)
         edge = world.nodes["edge-1"]
         assert scenes_value(edge) == {"weight": 5} or not world.is_ready(edge)
@@ -85,7 +84,7 @@
 
 
 def scenes_value(node):
-    return node.body.context.configuration.value("site/north")
+    return node.program.context.configuration.value("site/north")
 
 
 def test_voters_that_answer_that_they_have_no_majority_let_tables_be_used_longer():
@@ -113,7 +112,7 @@
         cut(world, ["agency-1"], [name for name in world.nodes if name not in cores(world)])
         await asyncio.sleep(2.5)
         for weight in range(2, 6):
-            await world.stage.order("agency-1", "change", [cluster.site_row(weight=weight)])
+            await world.actors.order("agency-1", "change", [cluster.site_row(weight=weight)])
             await asyncio.sleep(1.9)
             edge = world.nodes["edge-1"]
             assert scenes_value(edge) == {"weight": weight} or not world.is_ready(edge)
@@ -125,9 +124,9 @@
     async def scene(world):
         for name in cores(world):
             cut(world, [name], [other for other in cores(world) if other != name])
-        copy = world.nodes["edge-1"].body.context.configuration
+        copy = world.nodes["edge-1"].program.context.configuration
         for name in cores(world, 1, 2, 3):
-            store = world.nodes[name].body.participant.store
+            store = world.nodes[name].program.participant.store
             record = store.records[items.CONFIGURATION]
             store.records[items.CONFIGURATION] = record._replace(
                 pending=items.Batch(copy.applied.successor("x"), copy.applied, ())
@@ -169,9 +168,9 @@
 
         for name in cores(world):
             cut(world, [name], [other for other in cores(world) if other != name])
-            world.nodes[name].body.context.transport.handlers["tips"] = nonsense
+            world.nodes[name].program.context.transport.handlers["tips"] = nonsense
         assert await seconds_in_use(world) <= BOUND + 0.1
         await stays_out(world)
-        assert not world.nodes["edge-1"].body.context.crashed.done()
+        assert not world.nodes["edge-1"].program.context.crashed.done()
 
     play(scene)
--- a/tests/state/test_replication.py
+++ b/tests/state/test_replication.py
@@ -19,11 +19,11 @@
 
 
 async def bytes_of_changes(day, count):
-    before = day.world.wires.bytes_sent.total()
+    before = day.cluster.network.bytes_sent.total()
     for weight in range(count):
-        await day.stage.order("agency-1", "change", [cluster.site_row(weight=weight + 1)])
+        await day.actors.order("agency-1", "change", [cluster.site_row(weight=weight + 1)])
         await asyncio.sleep(0.5)
-    return day.world.wires.bytes_sent.total() - before
+    return day.cluster.network.bytes_sent.total() - before
 
 
 def test_what_a_change_costs_does_not_grow_with_the_table():
@@ -32,7 +32,7 @@
         small = await bytes_of_changes(day, 20)
         grants = [{"service": "content", "methods": ["GET"]}]
         rows = [{"kind": "path", "name": f"/x/{n}", "value": {"grants": grants}} for n in range(900)]
-        await day.stage.order("agency-1", "change", rows)
+        await day.actors.order("agency-1", "change", rows)
         await asyncio.sleep(5)
         assert await bytes_of_changes(day, 20) < 1.2 * small
 
@@ -44,15 +44,15 @@
         for step in range(11):
             keys = [f"{step}-{number}" for number in range(250)]
             claims = [(key, "a", "print") for key in keys]
-            await asyncio.gather(*(day.stage.order("agency-1", "claim", claim) for claim in claims))
+            await asyncio.gather(*(day.actors.order("agency-1", "claim", claim) for claim in claims))
             results = [(key, "a", [200, [], b"x" * 4000]) for key in keys]
-            await asyncio.gather(*(day.stage.order("agency-1", "settle", result) for result in results))
-        node = day.world.nodes["agency-4"]
+            await asyncio.gather(*(day.actors.order("agency-1", "settle", result) for result in results))
+        node = day.cluster.nodes["agency-4"]
         node.kill()
         node.wipe()
         await node.start()
-        await day.world.until(
-            lambda: all(node.body.participant.is_voter(table) for table in items.TABLES), 60
+        await day.cluster.wait_until(
+            lambda: all(node.program.participant.is_voter(table) for table in items.TABLES), 60
         )
         copies = [cluster.context(day, f"agency-{n}").replicas[items.IDEMPOTENCY_KEYS] for n in (1, 4)]
         assert len(copies[1].items) > 2750 and copies[1].counts_by_prefix == copies[0].counts_by_prefix
@@ -84,7 +84,7 @@
         good = copy.items["service/content"]
         copy.put(good._replace(value={"spoilt": True}))
         copy.remove("path/vacancies/")
-        await day.world.until(lambda: copy.items["service/content"] == good, 3)
+        await day.cluster.wait_until(lambda: copy.items["service/content"] == good, 3)
         assert copy.root_digest() == cluster.context(day, "agency-1").configuration.root_digest()
         assert cluster.context(day, "store-1").counters.total("ranges_mended") <= 4
 
@@ -113,17 +113,17 @@
 )
 def test_a_malformed_reply_changes_nothing(answer):
     async def scene(day):
-        node = day.world.nodes["store-1"]
-        before = {name: copy.root_digest() for name, copy in node.body.context.replicas.items()}
+        node = day.cluster.nodes["store-1"]
+        before = {name: copy.root_digest() for name, copy in node.program.context.replicas.items()}
 
         async def reply(*_):
             return answer
 
-        ask, node.body.context.transport.call = node.body.context.transport.call, reply
+        ask, node.program.context.transport.call = node.program.context.transport.call, reply
         await asyncio.sleep(1)
-        assert {name: copy.root_digest() for name, copy in node.body.context.replicas.items()} == before
-        assert not node.actor.dead and node.body.context.counters.total("sync_failed") > 0
-        node.body.context.transport.call = ask
-        await day.world.until_ready()
+        assert {name: copy.root_digest() for name, copy in node.program.context.replicas.items()} == before
+        assert not node.actor.dead and node.program.context.counters.total("sync_failed") > 0
+        node.program.context.transport.call = ask
+        await day.cluster.wait_until_ready()
 
     cluster.play(scene)
--- a/tests/state/test_restart_after_changes.py
+++ b/tests/state/test_restart_after_changes.py
@@ -11,10 +11,10 @@
 import pytest
 
 import irisstand.counters
-import irisstand.simulator.simulated_folder
 import irisstand.state.items as items
 import irisstand.state.replica as replica
 import irisstand.state.versions as versions
+from irisstand.simulator import simulated_folder
 from irisstand.state.replication import replicator
 from irisstand.state.storage import disk as disks
 from irisstand.state.storage import durable_store, item_files
@@ -42,7 +42,7 @@
 
 
 def new_folder():
-    return irisstand.simulator.simulated_folder.SimulatedFolder(random.Random(3))
+    return simulated_folder.SimulatedFolder(random.Random(3))
 
 
 @pytest.mark.parametrize("changes", [300, 3000])
@@ -136,13 +136,13 @@
 @pytest.mark.parametrize("is_wiped", [False, True])
 def test_a_core_node_is_back_within_catch_up_while_changes_go_on_at_fifteen_a_second(is_wiped):
     async def scene(day):
-        for node in day.world.role("agency"):
+        for node in day.cluster.with_role("agency"):
             node.disk.slowness = SYNC_SECONDS
         confirmed = []
 
         async def change(number):
             name = f"agency-{number % 3 + 1}"
-            result = await day.stage.order(name, "change", [cluster.site_row(weight=number % 90 + 1)])
+            result = await day.actors.order(name, "change", [cluster.site_row(weight=number % 90 + 1)])
             confirmed.append(versions.Version.parse(result["serial"]))
 
         async def keep_changing():
@@ -152,7 +152,7 @@
 
         changing = asyncio.get_running_loop().create_task(keep_changing())
         await asyncio.sleep(20)
-        node = day.world.nodes["agency-5"]
+        node = day.cluster.nodes["agency-5"]
         node.kill()
         if is_wiped:
             node.wipe()
@@ -162,16 +162,16 @@
 
         def serves():
             return all(
-                node.body.participant.is_voter(table) for table in items.TABLES
-            ) and day.world.is_ready(node)
+                node.program.participant.is_voter(table) for table in items.TABLES
+            ) and day.cluster.is_ready(node)
 
         def never_old():
             # Whatever it calls current holds all that was confirmed before it started.
-            configuration = node.body.context.configuration
-            assert not node.body.context.is_current(configuration) or configuration.applied >= highest
+            configuration = node.program.context.configuration
+            assert not node.program.context.is_current(configuration) or configuration.applied >= highest
             return serves()
 
-        took = await day.world.until(never_old, CATCH_UP)
+        took = await day.cluster.wait_until(never_old, CATCH_UP)
         assert took < CATCH_UP
         await changing
         assert len(confirmed) > 400
--- a/tests/state/test_restart_freshness.py
+++ b/tests/state/test_restart_freshness.py
@@ -7,7 +7,7 @@
 
 import irisstand.clocks as clocks
 import irisstand.node_context as node_context
-import irisstand.simulator.virtual_time as virtual
+from irisstand.simulator import virtual_time
 
 
 def test_a_restarted_node_uses_no_table_that_may_be_older_than_its_former_lifes():
@@ -26,4 +26,4 @@
         copy.confirm_current(started)
         return before, context.is_fresh(copy)
 
-    assert virtual.run(scene()) == (False, True)
+    assert virtual_time.run(scene()) == (False, True)
--- a/tests/state/test_slow_disks.py
+++ b/tests/state/test_slow_disks.py
@@ -39,36 +39,38 @@
     """Found in rehearsal: with a removal for each write, every sync waited for the file system's discard."""
 
     async def scene(day):
-        node = day.world.nodes["agency-3"]
+        node = day.cluster.nodes["agency-3"]
         before = (node.disk.writes, node.disk.removals)
         for weight in range(1, 61):
-            await day.stage.order("agency-1", "change", [cluster.site_row(weight=weight)])
-        await day.stage.order("agency-1", "change", [{**cluster.site_row(), "value": None}])
+            await day.actors.order("agency-1", "change", [cluster.site_row(weight=weight)])
+        await day.actors.order("agency-1", "change", [{**cluster.site_row(), "value": None}])
         await asyncio.sleep(1)
         assert node.disk.writes - before[0] > 200 and node.disk.removals - before[1] <= 20
-        root = node.body.participant.store.replicas[items.CONFIGURATION].root_digest()
+        root = node.program.participant.store.replicas[items.CONFIGURATION].root_digest()
         node.kill()
         await node.start()
-        assert node.body.participant.store.intact[items.CONFIGURATION]
-        assert node.body.participant.store.replicas[items.CONFIGURATION].root_digest() == root
-        assert node.body.context.configuration.value("site/north") is None
+        assert node.program.participant.store.intact[items.CONFIGURATION]
+        assert node.program.participant.store.replicas[items.CONFIGURATION].root_digest() == root
+        assert node.program.context.configuration.value("site/north") is None
 
     cluster.play(scene)
 
 
 def test_disks_a_hundred_times_slower_leave_a_working_core():
     async def scene(day):
-        for node in day.world.role("agency"):
+        for node in day.cluster.with_role("agency"):
             node.disk.slowness = 0.12
         taken = []
         for weight in range(1, 11):
             started = asyncio.get_running_loop().time()
-            await day.stage.order(f"agency-{weight % 5 + 1}", "change", [cluster.site_row(weight=weight)])
+            await day.actors.order(f"agency-{weight % 5 + 1}", "change", [cluster.site_row(weight=weight)])
             taken.append(asyncio.get_running_loop().time() - started)
-            for node in day.world.role("agency"):
-                assert day.world.is_ready(node)
+            for node in day.cluster.with_role("agency"):
+                assert day.cluster.is_ready(node)
         assert max(taken) < 3
-        duties = [duty for node in day.world.role("agency") for duty in node.body.singleton_tasks]
-        await day.world.until(lambda: len({duty.name for duty in duties if duty.holds_lease()}) == 3, 10)
+        duties = [duty for node in day.cluster.with_role("agency") for duty in node.program.singleton_tasks]
+        await day.cluster.wait_until(
+            lambda: len({duty.name for duty in duties if duty.holds_lease()}) == 3, 10
+        )
 
     cluster.play(scene)
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -4,11 +4,10 @@
 
 import asyncio
 
-import irisstand.fleet.processes as fleets
-import irisstand.simulator.day as days
-import irisstand.simulator.virtual_time as virtual
+from irisstand.localcluster import processes
+from irisstand.simulator import simulated_day, virtual_time
 
-SHAPE = fleets.Shape(
+SHAPE = processes.ClusterShape(
     2, 5, 1, (("north", "one"), ("south", "one"), ("east", "two"), ("west", "two")), 2, 2, 20, 3.0
 )
 
@@ -17,18 +16,20 @@
     """Run `scene(day)` in virtual time on an opened fleet, and return what it returns."""
 
     async def whole():
-        day = days.Day(seed, 0, days.Kind(shape, ceilings=days.HIGH, replace_after=60))
+        day = simulated_day.SimulatedDay(
+            seed, 0, simulated_day.DayKind(shape, ceilings=simulated_day.HIGH_LIMITS, replace_after=60)
+        )
         await day.open()
         try:
             return await scene(day)
         finally:
             assert not asyncio.get_running_loop().faults, asyncio.get_running_loop().faults[0]
 
-    return virtual.run(whole())
+    return virtual_time.run(whole())
 
 
 def context(day, name):
-    return day.world.nodes[name].body.context
+    return day.cluster.nodes[name].program.context
 
 
 def site_row(name="north", weight=1, **more):
--- a/tests/support/deployed_programs.py
+++ b/tests/support/deployed_programs.py
@@ -11,8 +11,8 @@
 import aiohttp
 import aiohttp.web
 
-import irisstand.fleet.processes as fleets
-import irisstand.standins.upstream as upstreams
+from irisstand.emulators import upstream_emulator
+from irisstand.localcluster import processes
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 sys.path.append(str(ROOT / "platform"))
@@ -81,11 +81,11 @@
 
     def __init__(self, folder):
         self.folder = str(folder)
-        first = fleets.free_ports(1)[0]
-        self.ports = (min(first, 60000), *fleets.free_ports(3))
+        first = processes.free_ports(1)[0]
+        self.ports = (min(first, 60000), *processes.free_ports(3))
         self.processes = {}
         self.origins = [
-            upstreams.Upstream(service, f"i-{service}{number}", f"z{number}", WORDS)
+            upstream_emulator.UpstreamEmulator(service, f"i-{service}{number}", f"z{number}", WORDS)
             for service in ("content", "app")
             for number in (1, 2)
         ]
@@ -218,16 +218,16 @@
     def runs(self, service):
         return [run for origin in self.origins if origin.service == service for run in origin.runs]
 
-    async def until(self, condition, seconds=20):
+    async def wait_until(self, condition, seconds=20):
         """Poll until `await condition()` is true."""
         async with asyncio.timeout(seconds):
             while not await condition():
                 await asyncio.sleep(0.05)
 
     async def founded(self):
-        await self.until(lambda: self.took(self.first_call()))
-        await self.until(lambda: self.answers("/reads/0", 200))
-        await self.until(lambda: self.answers("/objects/0", 200))
+        await self.wait_until(lambda: self.took(self.first_call()))
+        await self.wait_until(lambda: self.answers("/reads/0", 200))
+        await self.wait_until(lambda: self.answers("/objects/0", 200))
 
     async def took(self, call, node=1):
         return (await self.call("POST", "/amendments", call, node))[0] == 200
--- a/tests/support/direct_edge.py
+++ b/tests/support/direct_edge.py
@@ -12,9 +12,9 @@
 import irisstand.membership.updates as updates
 import irisstand.node_context as node_context
 import irisstand.node_settings as node_settings
-import irisstand.simulator.virtual_time as virtual
 import irisstand.state.items as items
 import irisstand.state.versions as versions
+from irisstand.simulator import virtual_time
 
 SETTINGS = node_settings.Settings(
     "edge-1",
@@ -161,4 +161,4 @@
     async def run():
         return await scene(Scene(**fields))
 
-    return virtual.run(run())
+    return virtual_time.run(run())
--- a/tests/support/voter_cluster.py
+++ b/tests/support/voter_cluster.py
@@ -4,10 +4,9 @@
 
 import cluster
 
-import irisstand.simulator.virtual_time as virtual
-import irisstand.simulator.world as worlds
 import irisstand.state.items as items
 import irisstand.state.quorum as quorum
+from irisstand.simulator import simulated_cluster, virtual_time
 
 # What the platform's settings give on the small sites.
 CATCH_UP, BUILT = 4.0, 5.0
@@ -17,24 +16,24 @@
     async def whole():
         sites = tuple((zone, "one" if zone < "c" else "two") for zone in zones)
         shape = cluster.SHAPE._replace(shields=len(zones), sites=sites, edges=1)
-        world = worlds.World(seed, shape)
+        world = simulated_cluster.SimulatedCluster(seed, shape)
         world.by_seeds, world.replace_after = True, 1.2
         await world.start_all()
         found = await scene(world)
         assert not asyncio.get_running_loop().faults, asyncio.get_running_loop().faults[0]
         return found
 
-    return virtual.run(whole())
+    return virtual_time.run(whole())
 
 
 def voters(world, table=items.LEDGER):
-    cores = [node for node in world.role("agency") if node.is_up]
-    newest = max((node.body.context.replicas[table] for node in cores), key=lambda copy: copy.applied)
+    cores = [node for node in world.with_role("agency") if node.is_up]
+    newest = max((node.program.context.replicas[table] for node in cores), key=lambda copy: copy.applied)
     return quorum.voters_from_wire(newest.value(items.VOTERS_KEY))
 
 
 def up_voters(world, table):
-    up = {node.body.participant.store.disk_id for node in world.role("agency") if node.is_up}
+    up = {node.program.participant.store.disk_id for node in world.with_role("agency") if node.is_up}
     return [voter for voter in voters(world, table) if voter.disk_id in up]
 
 
@@ -51,16 +50,16 @@
     """An order taken by any living voter; its row is to be read back ever after."""
     first = up_voters(world, items.CONFIGURATION)[0]
     row = {"kind": "site", "name": f"zone-{number}", "value": {"weight": number}}
-    await world.stage.order(first.name, "change", [row])
+    await world.actors.order(first.name, "change", [row])
     return number
 
 
 async def read_back(world, numbers):
     """The oracle: a majority decides, and what was confirmed is there."""
     for number in numbers:
-        for node in world.role("agency"):
+        for node in world.with_role("agency"):
             if node.is_up and world.is_ready(node):
-                value = node.body.context.configuration.value(f"site/zone-{number}")
+                value = node.program.context.configuration.value(f"site/zone-{number}")
                 assert value == {"weight": number}
     await confirm(world, 99)
 
--- a/tests/test_source_rules.py
+++ b/tests/test_source_rules.py
@@ -18,7 +18,7 @@
     ("date", "today"),
 }
 # What only rehearses and simulates a network may do what no daemon may.
-REHEARSING = {"simulator", "standins", "fleet", "modelcheck"}
+REHEARSING = {"simulator", "emulators", "localcluster", "modelcheck"}
 DAEMONS = [path for path in FILES if path.parent.name not in REHEARSING]
 
 
--- a/tests/transport/test_incarnations.py
+++ b/tests/transport/test_incarnations.py
@@ -9,11 +9,10 @@
 import irisstand.controlplane.changes.orders as orders
 import irisstand.counters as counting
 import irisstand.errors as errors
-import irisstand.simulator.memory_network as wires
-import irisstand.simulator.virtual_time as virtual
 import irisstand.state.items as items
 import irisstand.transport.codec as codec
 import irisstand.transport.peers as peers
+from irisstand.simulator import memory_network, virtual_time
 
 PLACE = ("10.0.0.2", 7000)
 
@@ -22,16 +21,16 @@
     """One asker, and one peer whose handler for "do" is `answer`."""
 
     async def whole():
-        lines = wires.Wires(random.Random(1))
-        actor = virtual.Actor("peer")
-        asked = peers.Transport(wires.MemoryNetwork(lines, "10.0.0.2"), counting.Counters(), "peer")
-        asker = peers.Transport(wires.MemoryNetwork(lines, "10.0.0.1"), counting.Counters(), "asker")
+        lines = memory_network.SimulatedNetwork(random.Random(1))
+        actor = virtual_time.Actor("peer")
+        asked = peers.Transport(memory_network.HostNetwork(lines, "10.0.0.2"), counting.Counters(), "peer")
+        asker = peers.Transport(memory_network.HostNetwork(lines, "10.0.0.1"), counting.Counters(), "asker")
         asked.own_incarnation_id = lambda: "second"
         asked.handlers["do"] = answer
         await actor.start(asked.open(PLACE))
         return await scene(asker, asked)
 
-    return virtual.run(whole())
+    return virtual_time.run(whole())
 
 
 def test_an_ask_for_an_earlier_life_is_refused_before_anything_runs():
@@ -115,22 +114,22 @@
 def test_an_order_whose_asker_has_gone_is_not_decided_later():
     async def scene(day):
         await asyncio.sleep(2)
-        node, asker = day.world.nodes["agency-2"], day.world.nodes["agency-3"]
-        proposer = node.body.proposers[items.CONFIGURATION]
-        before = node.body.context.configuration.value("site/north")
+        node, asker = day.cluster.nodes["agency-2"], day.cluster.nodes["agency-3"]
+        proposer = node.program.proposers[items.CONFIGURATION]
+        before = node.program.context.configuration.value("site/north")
         order = orders.Order("change", "", [cluster.site_row(weight=9)])
         # A ballot goes on for so long that the order is still queued when its asker gives up.
         async with proposer.ballot_lock:
-            ask = asker.body.context.transport.call(
-                (node.plan.host, 7000), "agency-2", "order", tuple(order), 0.3
+            ask = asker.program.context.transport.call(
+                (node.placement.host, 7000), "agency-2", "order", tuple(order), 0.3
             )
             with pytest.raises(errors.UnansweredError):
                 await asker.do(ask, 5)
             await asyncio.sleep(0.1)
         await asyncio.sleep(2)
-        assert node.body.context.configuration.value("site/north") == before
-        assert node.body.context.in_flight == 0 and proposer.queue.empty()
+        assert node.program.context.configuration.value("site/north") == before
+        assert node.program.context.in_flight == 0 and proposer.queue.empty()
         # What comes after it is decided as ever.
-        assert await day.stage.order("agency-3", "change", [cluster.site_row(weight=4)])
+        assert await day.actors.order("agency-3", "change", [cluster.site_row(weight=4)])
 
     cluster.play(scene)
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -10,14 +10,14 @@
 
 import irisstand
 import irisstand.errors as errors
-import irisstand.simulator.memory_network as wires
 import irisstand.state.items as items
 import irisstand.transport.codec as codec
+from irisstand.simulator import memory_network
 
 
 async def connect(day, name):
-    network = wires.MemoryNetwork(day.world.wires, "10.0.9.9")
-    return await network.connect((day.world.nodes[name].plan.host, 7000))
+    network = memory_network.HostNetwork(day.cluster.network, "10.0.9.9")
+    return await network.connect((day.cluster.nodes[name].placement.host, 7000))
 
 
 def test_malformed_streams_are_closed_and_counted():
@@ -45,7 +45,7 @@
                 except ConnectionResetError:
                     pass
             assert context.counters.total("frames_dropped") - before == len(bad)
-        assert (await day.stage.ask("edge-1", "GET", "/vacancies/1"))[0] == 200
+        assert (await day.actors.ask("edge-1", "GET", "/vacancies/1"))[0] == 200
 
     cluster.play(scene)
 
@@ -56,27 +56,29 @@
         await asyncio.sleep(20)
         asked = 0
         for name in ("agency-3", "shield-1", "store-1", "edge-2"):
-            node = day.world.nodes[name]
-            before = {table: copy.root_digest() for table, copy in node.body.context.replicas.items()}
-            applied_versions = {table: copy.applied for table, copy in node.body.context.replicas.items()}
-            kinds = [kind for kind in node.body.context.transport.handlers if kind not in ("roster", "order")]
+            node = day.cluster.nodes[name]
+            before = {table: copy.root_digest() for table, copy in node.program.context.replicas.items()}
+            applied_versions = {table: copy.applied for table, copy in node.program.context.replicas.items()}
+            kinds = [
+                kind for kind in node.program.context.transport.handlers if kind not in ("roster", "order")
+            ]
             for kind in [*kinds, "no-such-kind"]:
                 for _ in range(8):
                     body = tuple(value(randomness) for _ in range(randomness.randrange(10)))
-                    source = day.world.nodes["edge-1"]
-                    address = (node.plan.host, 7000)
-                    ask = source.body.context.transport.call(address, name, kind, body, 0.3)
+                    source = day.cluster.nodes["edge-1"]
+                    address = (node.placement.host, 7000)
+                    ask = source.program.context.transport.call(address, name, kind, body, 0.3)
                     try:
                         await source.do(ask, 5)
                     except errors.IrisError:
                         asked += 1
-            assert not node.body.context.crashed.done()
-            for table, copy in node.body.context.replicas.items():
+            assert not node.program.context.crashed.done()
+            for table, copy in node.program.context.replicas.items():
                 if copy.applied == applied_versions[table]:
                     assert copy.root_digest() == before[table]
         assert asked > 80
-        await day.world.until_ready()
-        assert await day.stage.order("agency-3", "change", [cluster.site_row(weight=4)])
+        await day.cluster.wait_until_ready()
+        assert await day.actors.order("agency-3", "change", [cluster.site_row(weight=4)])
 
     cluster.play(scene)
 
--- a/tests/validation/test_validation.py
+++ b/tests/validation/test_validation.py
@@ -1,8 +1,7 @@
 """The checker: what it finds in a proposed configuration, and that a sound one passes."""
 
-import irisstand.fleet.load as load
-import irisstand.fleet.processes as fleets
 import irisstand.validation.checker as checker
+from irisstand.localcluster import load_generator, processes
 
 SHIELDS = [
     {"role": "shield", "machine": f"m{n}", "site": site, "state": "alive"} for n, site in enumerate("xxy")
@@ -67,12 +66,12 @@
 
 
 def test_the_rehearsals_own_configuration_passes_on_its_own_fleet():
-    shape = fleets.SHAPES["karbes"]
-    places = [place for place in fleets.lay_out(shape) if place.role == "shield"]
+    shape = processes.SHAPES["karbes"]
+    places = [place for place in processes.place_processes(shape) if place.role == "shield"]
     members = [
         {"role": "shield", "machine": place.machine, "site": place.site, "state": "alive"} for place in places
     ]
     fleet = checker.read_fleet(members, [origin("content"), origin("application")])
-    rows = load.configuration(shape)
+    rows = load_generator.first_configuration(shape)
     limits = [{"kind": "shield", "name": place.machine, "value": {"limit": 1000}} for place in places]
     assert checker.validate([], [*rows, *limits], fleet) == []
--- a/tools/behaviour_digest.py
+++ b/tools/behaviour_digest.py
@@ -16,7 +16,7 @@
 import click
 import ormsgpack
 
-from irisstand.simulator import day, memory_disk, memory_network
+from irisstand.simulator import memory_disk, memory_network, simulated_day
 
 SAMPLES_OF_A_KIND = 4
 SAMPLE_BYTES_LIMIT = 4096
@@ -85,7 +85,7 @@
 
 
 @click.command()
-@click.option("--kind", type=click.Choice(sorted(day.KINDS)), default="busy", show_default=True)
+@click.option("--kind", type=click.Choice(sorted(simulated_day.KINDS)), default="busy", show_default=True)
 @click.option("--seed", type=int, default=201, show_default=True)
 @click.option("--seconds", type=float, default=8.0, show_default=True, help="Virtual seconds of the day.")
 @click.option("--samples", type=click.Path(path_type=pathlib.Path), help="Where to write recorded frames.")
@@ -93,8 +93,8 @@
     """Play one simulated day and print its digest."""
     recorder = Recorder()
     record(recorder)
-    played = day.simulate(seed, seconds, kind)
-    broken = sum(played.judge.broken.values())
+    played = simulated_day.simulate(seed, seconds, kind)
+    broken = sum(played.checker.broken.values())
     for channel, count in sorted(recorder.counts.items()):
         if channel == UNORDERED:
             continue
