--- a/src/irisstand/dataplane/nodes/edge.py
+++ b/src/irisstand/dataplane/nodes/edge.py
@@ -77,24 +77,24 @@
         if self.view.is_evacuated(self.context.settings.site):
             raise errors.SiteEvacuatedError(f"site {self.context.settings.site} takes no new work")
         self.context.load_gauge.record()
-        granted = self.view.authorize(request.method, request.path, request.query)
+        allowed = self.view.authorize(request.method, request.path, request.query)
         self.context.counters.add("requests", method=request.method)
         try:
             with self.context.count_in_flight():
                 if request.method in READ_METHODS:
-                    return await self.read(granted, request)
-                return await self.write(granted, request)
+                    return await self.read(allowed, request)
+                return await self.write(allowed, request)
         except errors.IrisError as error:
             self.context.counters.add("rejected", code=error.code)
             raise
 
-    async def read(self, granted: snapshot.AllowedRequest, request: Request) -> Result:
+    async def read(self, allowed: snapshot.AllowedRequest, request: Request) -> Result:
         """Answer a read from the cache, or by way of a shield."""
-        read = self.read_of(granted, request)
-        freshness = freshness_policy.FreshnessPolicy(self.context.clock, self.view, granted, request.path)
+        read = self.read_of(allowed, request)
+        freshness = freshness_policy.FreshnessPolicy(self.context.clock, self.view, allowed, request.path)
         minimum_version = self.view.purged_at(request.path, ())
         if read.is_shared:
-            key = self.key(granted.service, read)
+            key = self.key(allowed.service, read)
             cached = self.cache.get(key)
             if cached is not None:
                 if self.is_usable(cached, request.path, minimum_version):
@@ -109,17 +109,17 @@
             self.cache.put(self.key(fetched.service, read), fetched.content)
         return self.result(request, fetched.content)
 
-    def read_of(self, granted: snapshot.AllowedRequest, request: Request) -> shield_client.Read:
+    def read_of(self, allowed: snapshot.AllowedRequest, request: Request) -> shield_client.Read:
         """Return what is sent on of a read."""
         is_shared = not any(name in request.headers for name in CREDENTIAL_HEADERS)
         # Only headers that the configuration names may change a shared response, so only they are sent on.
-        varied = {name.lower() for name in granted.vary}
+        varied = {name.lower() for name in allowed.vary}
         headers = {
             name: value
             for name, value in request.headers.items()
             if name not in DROPPED_HEADERS and (not is_shared or name in varied)
         }
-        return shield_client.Read(granted, request.path, request.query, headers, is_shared)
+        return shield_client.Read(allowed, request.path, request.query, headers, is_shared)
 
     def key(self, service: str, read: shield_client.Read) -> str:
         """Return the key under which a shared object is cached."""
@@ -160,7 +160,7 @@
         # A response that may be meant for one client alone is fetched for it alone.
         if not read.is_shared:
             return await fetch()
-        key = (self.key(read.granted.service, read), minimum_version)
+        key = (self.key(read.allowed.service, read), minimum_version)
         fetched: messages.ReadResult = await self.coalescer.join(key, fetch)
         return fetched
 
@@ -173,11 +173,11 @@
             content.status, content.headers, content.body, content.age_now(self.context.clock.now())
         )
 
-    async def write(self, granted: snapshot.AllowedRequest, request: Request) -> Result:
+    async def write(self, allowed: snapshot.AllowedRequest, request: Request) -> Result:
         """Answer a write by way of a shield."""
         headers = {name: value for name, value in request.headers.items() if name not in DROPPED_HEADERS}
         write = shield_client.Write(
-            granted, request.method, request.path, request.query, headers, request.body
+            allowed, request.method, request.path, request.query, headers, request.body
         )
         return Result(*await self.shields.write(write))
 
--- a/src/irisstand/dataplane/nodes/shield.py
+++ b/src/irisstand/dataplane/nodes/shield.py
@@ -40,7 +40,7 @@
 class Admitted(typing.NamedTuple):
     """What a request that this shield took up may do, and the seconds that it has left."""
 
-    granted: snapshot.AllowedRequest
+    allowed: snapshot.AllowedRequest
     remaining_seconds: float
 
 
@@ -68,23 +68,23 @@
     async def on_read(self, _: str, body: typing.Any) -> tuple[typing.Any, ...]:
         """Answer an edge's read."""
         request = messages.ReadRequest.from_wire(body)
-        granted, remaining = await self.admit(request)
+        allowed, remaining = await self.admit(request)
         with self.context.count_in_flight():
-            content = await self.read(granted, request, min(remaining, granted.deadline))
-            return messages.ReadResult(granted.service, content).to_wire(self.context.clock.now())
+            content = await self.read(allowed, request, min(remaining, allowed.deadline))
+            return messages.ReadResult(allowed.service, content).to_wire(self.context.clock.now())
 
     async def on_write(self, _: str, body: typing.Any) -> tuple[typing.Any, ...]:
         """Answer an edge's write."""
         request = messages.WriteRequest.from_wire(body)
-        granted, remaining = await self.admit(request)
+        allowed, remaining = await self.admit(request)
         with self.context.count_in_flight():
             # The deadline begins now: claiming the key is part of the request's time.
-            retry_policy: WritePolicy = write_policy.ShieldWritePolicy(self.context.clock, granted, remaining)
+            retry_policy: WritePolicy = write_policy.ShieldWritePolicy(self.context.clock, allowed, remaining)
             to_origin = origin_client.OriginRequest(
                 request.method, request.target, dict(request.headers), request.content, request.request_id
             )
-            write = functools.partial(self.write, granted, retry_policy, to_origin)
-            return tuple(await self.idempotency_keys.run_once(granted, to_origin, write))
+            write = functools.partial(self.write, allowed, retry_policy, to_origin)
+            return tuple(await self.idempotency_keys.run_once(allowed, to_origin, write))
 
     async def admit(self, request: messages.ReadRequest | messages.WriteRequest) -> Admitted:
         """Take up a request that an edge judged by a configuration at `request.applied_version`.
@@ -110,12 +110,12 @@
         return Admitted(self.view.authorize(request.method, request.path, request.query), remaining)
 
     async def read(
-        self, granted: snapshot.AllowedRequest, request: messages.ReadRequest, remaining: float
+        self, allowed: snapshot.AllowedRequest, request: messages.ReadRequest, remaining: float
     ) -> objects.CachedObject:
         """Return an object from the cache, from a store or from an origin."""
         if not request.is_shared:
-            return await self.fetch(granted, request, remaining)
-        key = repr((granted.service, request.path, request.query, sorted(request.headers.items())))
+            return await self.fetch(allowed, request, remaining)
+        key = repr((allowed.service, request.path, request.query, sorted(request.headers.items())))
         # The newest purge known to the edge counts here too, though this node may not have received it.
         minimum_version = max(request.minimum_version, self.view.purged_at(request.path, ()))
         cached = self.cache.get(key)
@@ -126,7 +126,7 @@
             self.cache.drop(key)
         self.context.counters.add("cache", at="shield", result="miss")
         wanted = request._replace(minimum_version=minimum_version)
-        obtain = functools.partial(self.obtain, key, granted, wanted, remaining)
+        obtain = functools.partial(self.obtain, key, allowed, wanted, remaining)
         fetched: objects.CachedObject = await self.coalescer.join((key, minimum_version), obtain)
         return fetched
 
@@ -136,7 +136,7 @@
         return freshness_policy.is_usable(cached, path, self.view, minimum_version, now)
 
     async def obtain(
-        self, key: str, granted: snapshot.AllowedRequest, request: messages.ReadRequest, remaining: float
+        self, key: str, allowed: snapshot.AllowedRequest, request: messages.ReadRequest, remaining: float
     ) -> objects.CachedObject:
         """Return a shared object from its store or from an origin, and keep it."""
         store = self.stores.store_for(key)
@@ -147,7 +147,7 @@
                 self.cache.put(key, stored)
                 return stored
         remaining -= self.context.clock.now() - started
-        fetched = await self.fetch(granted, request, remaining)
+        fetched = await self.fetch(allowed, request, remaining)
         if fetched.ttl > 0:
             self.cache.put(key, fetched)
             if store is not None:
@@ -155,10 +155,10 @@
         return fetched
 
     async def fetch(
-        self, granted: snapshot.AllowedRequest, request: messages.ReadRequest, remaining: float
+        self, allowed: snapshot.AllowedRequest, request: messages.ReadRequest, remaining: float
     ) -> objects.CachedObject:
         """Return an object from an origin."""
-        retry_policy = read_policy.ShieldReadPolicy(self.context.clock, granted, remaining, self.budget)
+        retry_policy = read_policy.ShieldReadPolicy(self.context.clock, allowed, remaining, self.budget)
         to_origin = origin_client.OriginRequest(
             "GET", request.target, request.headers, b"", request.request_id
         )
@@ -167,25 +167,25 @@
             # Fetched from now on, so at least as new as all that this node or the edge has received.
             applied = max(self.context.ledger.applied, request.minimum_version)
             sent_at = self.context.clock.now()
-            event = await self.origin_client.attempt(granted, to_origin, retry_policy)
+            event = await self.origin_client.attempt(allowed, to_origin, retry_policy)
             if not isinstance(event, events.ResponseReceived):
                 return event
             status, headers, body = event.response
-            content = objects.from_origin(status, headers, body, applied, sent_at, granted.ttl)
+            content = objects.from_origin(status, headers, body, applied, sent_at, allowed.ttl)
             return events.ResponseReceived(content, event.endpoint)
 
         return policy.response_of(await policy.execute(retry_policy, attempt))
 
     async def write(
         self,
-        granted: snapshot.AllowedRequest,
+        allowed: snapshot.AllowedRequest,
         retry_policy: WritePolicy,
         request: origin_client.OriginRequest,
     ) -> messages.WriteResult:
         """Send a write to an origin, at most once."""
 
         async def attempt(_: actions.SendAttempt) -> forwarding_policy.ToOriginEvent[connections.Answer]:
-            return await self.origin_client.attempt(granted, request, retry_policy)
+            return await self.origin_client.attempt(allowed, request, retry_policy)
 
         status, headers, body = policy.response_of(await policy.execute(retry_policy, attempt))
         content = objects.from_origin(status, headers, body, versions.NONE, 0.0, 0.0)
--- a/src/irisstand/dataplane/nodes/shield_client.py
+++ b/src/irisstand/dataplane/nodes/shield_client.py
@@ -27,7 +27,7 @@
 class Read(typing.NamedTuple):
     """One read at an edge: what the configuration allows it, and what is sent on of it."""
 
-    granted: snapshot.AllowedRequest
+    allowed: snapshot.AllowedRequest
     path: str
     query: str
     headers: dict[str, str]
@@ -37,7 +37,7 @@
 class Write(typing.NamedTuple):
     """One write at an edge: what the configuration allows it, and what is sent on of it."""
 
-    granted: snapshot.AllowedRequest
+    allowed: snapshot.AllowedRequest
     method: str
     path: str
     query: str
@@ -64,9 +64,9 @@
             IrisError: no shield gave the object before `deadline`.
         """
         self.budget.record_first_attempt()
-        shields = self.shields_for_read(read.granted.service, f"{read.path}?{read.query}")
+        shields = self.shields_for_read(read.allowed.service, f"{read.path}?{read.query}")
         retry_policy: read_policy.EdgeReadPolicy[messages.ReadResult] = read_policy.EdgeReadPolicy(
-            self.context.clock, read.granted, shields, self.budget, deadline
+            self.context.clock, read.allowed, shields, self.budget, deadline
         )
         # One id for all attempts, so that an origin's record shows retries for what they are.
         request = messages.ReadRequest(
@@ -143,9 +143,9 @@
         """
         request_id = self.new_request_id()
         key = write.headers.get("idempotency-key", request_id)
-        shields = self.view.shields(write.granted.service, key)
+        shields = self.view.shields(write.allowed.service, key)
         retry_policy: write_policy.EdgeWritePolicy[messages.WriteResult] = write_policy.EdgeWritePolicy(
-            self.context.clock, write.granted, shields
+            self.context.clock, write.allowed, shields
         )
         request = messages.WriteRequest(
             request_id=request_id,
--- a/src/irisstand/dataplane/retry/forwarding_policy.py
+++ b/src/irisstand/dataplane/retry/forwarding_policy.py
@@ -49,11 +49,11 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        granted: snapshot.AllowedRequest,
+        allowed: snapshot.AllowedRequest,
         shields: list[updates.Update],
         deadline: float | None = None,
     ) -> None:
-        super().__init__(clock, clock.now() + granted.deadline if deadline is None else deadline)
+        super().__init__(clock, clock.now() + allowed.deadline if deadline is None else deadline)
         self.shields = shields
         self.full_shields = 0
 
@@ -76,8 +76,8 @@
 class ToOriginPolicy(policy.DeadlinePolicy):
     """Policy of a request at a shield: sends it to origins that it has not tried yet until the deadline."""
 
-    def __init__(self, clock: clocks.Clock, granted: snapshot.AllowedRequest, remaining: float) -> None:
-        super().__init__(clock, clock.now() + min(remaining, granted.deadline))
+    def __init__(self, clock: clocks.Clock, allowed: snapshot.AllowedRequest, remaining: float) -> None:
+        super().__init__(clock, clock.now() + min(remaining, allowed.deadline))
         self.tried: set[str] = set()
 
     def send(self) -> actions.SendAttempt | actions.Reject:
--- a/src/irisstand/dataplane/retry/freshness_policy.py
+++ b/src/irisstand/dataplane/retry/freshness_policy.py
@@ -39,10 +39,10 @@
         self,
         clock: clocks.Clock,
         view: snapshot.ConfigurationSnapshot,
-        granted: snapshot.AllowedRequest,
+        allowed: snapshot.AllowedRequest,
         path: str,
     ) -> None:
-        super().__init__(clock, clock.now() + granted.deadline)
+        super().__init__(clock, clock.now() + allowed.deadline)
         self.view = view
         self.path = path
 
--- a/src/irisstand/dataplane/retry/read_policy.py
+++ b/src/irisstand/dataplane/retry/read_policy.py
@@ -19,12 +19,12 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        granted: snapshot.AllowedRequest,
+        allowed: snapshot.AllowedRequest,
         shields: list[updates.Update],
         budget: budgets.RetryBudget,
         deadline: float,
     ) -> None:
-        super().__init__(clock, granted, shields, deadline)
+        super().__init__(clock, allowed, shields, deadline)
         self.budget = budget
 
     def decide(
@@ -60,11 +60,11 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        granted: snapshot.AllowedRequest,
+        allowed: snapshot.AllowedRequest,
         remaining: float,
         budget: budgets.RetryBudget,
     ) -> None:
-        super().__init__(clock, granted, remaining)
+        super().__init__(clock, allowed, remaining)
         self.budget = budget
         self.last_error: errors.IrisError | None = None
         self.error_response: objects.CachedObject | None = None
--- a/src/irisstand/dataplane/upstream/origin_client.py
+++ b/src/irisstand/dataplane/upstream/origin_client.py
@@ -49,9 +49,9 @@
     """One attempt at one origin: what it holds until it ends."""
 
     def __init__(
-        self, granted: snapshot.AllowedRequest, origin: origin_connections.OriginConnections, slot: Slot
+        self, allowed: snapshot.AllowedRequest, origin: origin_connections.OriginConnections, slot: Slot
     ) -> None:
-        self.granted = granted
+        self.allowed = allowed
         self.origin = origin
         self.slot: Slot | None = slot
         self.entered_at = slot.entered_at
@@ -88,25 +88,25 @@
 
     async def attempt(
         self,
-        granted: snapshot.AllowedRequest,
+        allowed: snapshot.AllowedRequest,
         request: OriginRequest,
         retry_policy: forwarding_policy.ToOriginPolicy,
     ) -> Event:
         """Make one attempt at an origin that the policy has not tried yet."""
         try:
-            origin = self.origins.choose(granted, retry_policy.tried)
-            origin.probe = granted.probe
-            slot = await self.enter(granted, retry_policy)
+            origin = self.origins.choose(allowed, retry_policy.tried)
+            origin.probe = allowed.probe
+            slot = await self.enter(allowed, retry_policy)
         except errors.IrisError as error:
             return events.NoEndpoint(error)
-        attempt = Attempt(granted, origin, slot)
+        attempt = Attempt(allowed, origin, slot)
         try:
             return await self.send(attempt, request, retry_policy)
         except (TimeoutError, asyncio.CancelledError) as error:
             # Nobody waits any more, but the origin may work on: its place is kept for as long as it could.
             if attempt.may_have_run():
                 attempt.works_until = attempt.entered_at + service_limits.origin_work_seconds(
-                    granted.deadline
+                    allowed.deadline
                 )
             if isinstance(error, asyncio.CancelledError):
                 raise
@@ -125,19 +125,19 @@
         self, attempt: Attempt, request: OriginRequest, retry_policy: forwarding_policy.ToOriginPolicy
     ) -> Event:
         """Send the request over a connection of the attempt's origin, and check the seal of the answer."""
-        granted = attempt.granted
+        allowed = attempt.allowed
         connection = await attempt.origin.acquire(max(MINIMUM_TIMEOUT_SECONDS, retry_policy.remaining()))
         attempt.connection = connection
         connection.may_have_sent = False
         await self.renew_slot(attempt, retry_policy)
-        # Time went by since the origin was chosen: what was granted then may be withdrawn by now.
+        # Time went by since the origin was chosen: what was allowed then may be withdrawn by now.
         self.view.check_current()
-        self.check_grant(granted, request)
+        self.check_grant(allowed, request)
         headers = {**request.headers, "X-Request-Id": request.request_id}
         timeout = max(MINIMUM_TIMEOUT_SECONDS, retry_policy.remaining())
         answer = await connection.send(request.method, request.target, headers, request.body, timeout)
         objects.check_seal(answer.headers, answer.body, request.request_id)
-        self.context.counters.add("origin_requests", service=granted.service, method=request.method)
+        self.context.counters.add("origin_requests", service=allowed.service, method=request.method)
         return events.ResponseReceived(answer, attempt.origin.instance)
 
     async def renew_slot(self, attempt: Attempt, retry_policy: forwarding_policy.ToOriginPolicy) -> None:
@@ -145,26 +145,26 @@
         while attempt.slot is not None and not attempt.slot.share.is_fresh(attempt.slot.entered_at):
             attempt.slot.share.withdraw(attempt.slot.entered_at)
             attempt.slot = None
-            attempt.slot = await self.enter(attempt.granted, retry_policy)
+            attempt.slot = await self.enter(attempt.allowed, retry_policy)
             attempt.entered_at = attempt.slot.entered_at
 
     def failed(self, attempt: Attempt, error: BaseException) -> events.AttemptFailed:
         """Count a failed attempt and report it."""
         may_have_run = attempt.may_have_run()
         self.context.counters.add(
-            "origin_failures", service=attempt.granted.service, touched=str(may_have_run)
+            "origin_failures", service=attempt.allowed.service, touched=str(may_have_run)
         )
         known = forwarding_policy.as_iris_error(error)
         return events.AttemptFailed(known, attempt.origin.instance, may_have_run, may_have_run)
 
-    def check_grant(self, granted: snapshot.AllowedRequest, request: OriginRequest) -> None:
-        """Raise StaleConfigurationError if the request is now granted to another service."""
+    def check_grant(self, allowed: snapshot.AllowedRequest, request: OriginRequest) -> None:
+        """Raise StaleConfigurationError if the request is now allowed to another service."""
         path, _, query = request.target.partition("?")
-        if self.view.authorize(request.method, path, query).service != granted.service:
+        if self.view.authorize(request.method, path, query).service != allowed.service:
             raise errors.StaleConfigurationError("the blueprint changed while the request waited")
 
     async def enter(
-        self, granted: snapshot.AllowedRequest, retry_policy: forwarding_policy.ToOriginPolicy
+        self, allowed: snapshot.AllowedRequest, retry_policy: forwarding_policy.ToOriginPolicy
     ) -> Slot:
         """Take a place under this shield's share of the service's limits, after a short wait at most.
 
@@ -172,19 +172,19 @@
             NoQuotaShareError: this shield has no share of the service.
             LimitExceededError: the share was used up for the whole wait.
         """
-        rate, in_flight = self.view.quota_share(granted.service, granted.limit)
-        if granted.service not in self.shares:
-            self.shares[granted.service] = service_limits.QuotaShareLimiter(
+        rate, in_flight = self.view.quota_share(allowed.service, allowed.limit)
+        if allowed.service not in self.shares:
+            self.shares[allowed.service] = service_limits.QuotaShareLimiter(
                 self.context.clock, self.opened_at
             )
-        share = self.shares[granted.service]
+        share = self.shares[allowed.service]
         wait_until = self.context.clock.now() + min(
             QUEUE_TIMEOUT_SECONDS, retry_policy.remaining() / QUEUE_REMAINING_DIVISOR
         )
-        if not rate or not in_flight or share.is_opening(granted.deadline):
-            raise errors.NoQuotaShareError(f"no share of {granted.service} is held here")
+        if not rate or not in_flight or share.is_opening(allowed.deadline):
+            raise errors.NoQuotaShareError(f"no share of {allowed.service} is held here")
         while not share.enter(rate, in_flight):
             if self.context.clock.now() >= wait_until:
-                raise errors.LimitExceededError(f"{granted.service} is at its ceiling")
+                raise errors.LimitExceededError(f"{allowed.service} is at its ceiling")
             await asyncio.sleep(QUEUE_POLL_SECONDS)
         return Slot(share, self.context.clock.now())
--- a/src/irisstand/dataplane/upstream/origin_pool.py
+++ b/src/irisstand/dataplane/upstream/origin_pool.py
@@ -51,7 +51,7 @@
         self.tasks[identity] = self.context.start_task(pool.run_probes(), f"keeper of {origin.key}")
 
     def choose(
-        self, granted: snapshot.AllowedRequest, tried: collections.abc.Container[str]
+        self, allowed: snapshot.AllowedRequest, tried: collections.abc.Container[str]
     ) -> origin_connections.OriginConnections:
         """Return the less busy of two origins that are drawn at random by warmth and nearness.
 
@@ -62,7 +62,7 @@
             NoOriginError: no origin is usable.
             SlowStartError: the origins that are usable are warming up, and get no more just now.
         """
-        candidates = self.available(granted, tried)
+        candidates = self.available(allowed, tried)
         regions = self.context.region_by_site()
         own_region = self.context.settings.region
         nearness = {
@@ -80,13 +80,13 @@
         return chosen
 
     def available(
-        self, granted: snapshot.AllowedRequest, tried: collections.abc.Container[str]
+        self, allowed: snapshot.AllowedRequest, tried: collections.abc.Container[str]
     ) -> list[origin_connections.OriginConnections]:
         """Return the origins that may get a request now; raises as `choose` does."""
         listed = [
             pool
             for pool in self.pools.values()
-            if pool.origin.service == granted.service and pool.origin.state != "leaving"
+            if pool.origin.service == allowed.service and pool.origin.state != "leaving"
         ]
         usable = [
             pool
@@ -94,18 +94,18 @@
             if pool.is_healthy and pool.instance not in tried and not self.view.is_evacuated(pool.origin.site)
         ]
         if not usable:
-            raise errors.NoOriginError(f"no origin of {granted.service} is usable just now")
-        even_rate = granted.limit[0] / len(listed)
-        share = self.share(granted)
+            raise errors.NoOriginError(f"no origin of {allowed.service} is usable just now")
+        even_rate = allowed.limit[0] / len(listed)
+        share = self.share(allowed)
         available = [pool for pool in usable if pool.has_room(even_rate, share)]
         # All that are left are warming up: more than they may get is rejected.
         if not available:
-            raise errors.SlowStartError(f"the origins of {granted.service} are warming up")
+            raise errors.SlowStartError(f"the origins of {allowed.service} are warming up")
         return available
 
-    def share(self, granted: snapshot.AllowedRequest) -> float:
+    def share(self, allowed: snapshot.AllowedRequest) -> float:
         """Return this shield's part of the service's rate limit, from 0 to 1."""
-        return self.view.quota_share(granted.service, granted.limit)[0] / granted.limit[0]
+        return self.view.quota_share(allowed.service, allowed.limit)[0] / allowed.limit[0]
 
 
 def identity_of(origin: snapshot.Origin) -> snapshot.Origin:
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -1,4 +1,4 @@
-"""Guarding lines of edges that reach origins by themselves, in the form of guarded.py."""
+"""Mutations of nodes that reach origins by themselves, in the form of dataplane_mutations.py."""
 # ruff: noqa: E501
 
 GUARDS = [
