--- a/src/irisstand/dataplane/cache/__init__.py
+++ b/src/irisstand/dataplane/cache/__init__.py
@@ -1,1 +1,1 @@
-"""Cached objects: local caches, the nodes that hold objects, and reads through them."""
+"""Cached objects: the caches of single nodes, the holders of objects, and reads of objects."""
--- a/src/irisstand/dataplane/cache/object_cache.py
+++ b/src/irisstand/dataplane/cache/object_cache.py
@@ -1,4 +1,4 @@
-"""A cache bounded by bytes, the longest unused going first, and the merging of reads under way."""
+"""A cache bounded by bytes that drops the least recently used object; coalescing of equal requests."""
 
 import asyncio
 import collections
@@ -7,70 +7,108 @@
 
 from irisstand.dataplane.cache import objects
 
+# What an entry costs beside its body, about.
 ENTRY_OVERHEAD_BYTES = 300
 
+Result = typing.TypeVar("Result")
+
 
 class ObjectCache:
-    """
+    """Objects by key, the least recently used first.
+
+    Args:
+        limit: The most bytes of all entries together.
+
     >>> from irisstand.state import versions
     >>> cache = ObjectCache(1000)
-    >>> thing = objects.CachedObject(200, (), b"x" * 400, versions.NONE, 0.0, 0.0, 9.0, ())
-    >>> cache.put("a", thing); cache.put("b", thing); cache.get("a") is None
+    >>> content = objects.CachedObject(200, (), b"x" * 400, versions.NONE, 0.0, 0.0, 9.0, ())
+    >>> cache.put("a", content); cache.put("b", content); cache.get("a") is None
     True
     """
 
     def __init__(self, limit: int) -> None:
-        self.limit, self.size = limit, 0
+        self.limit = limit
+        self.size = 0
         self.entries: collections.OrderedDict[str, objects.CachedObject] = collections.OrderedDict()
 
     def get(self, key: str) -> objects.CachedObject | None:
-        found = self.entries.get(key)
-        if found is not None:
+        """Return the object, which becomes the most recently used one; None if there is none."""
+        cached = self.entries.get(key)
+        if cached is not None:
             self.entries.move_to_end(key)
-        return found
+        return cached
 
-    def put(self, key: str, thing: objects.CachedObject) -> None:
+    def put(self, key: str, content: objects.CachedObject) -> None:
+        """Keep the object, and drop others until all fit into the limit."""
         self.drop(key)
-        self.entries[key] = thing
-        self.size += len(thing.body) + ENTRY_OVERHEAD_BYTES
+        self.entries[key] = content
+        self.size += entry_bytes(content)
         while self.size > self.limit:
             self.drop(next(iter(self.entries)))
 
     def drop(self, key: str) -> None:
-        thing = self.entries.pop(key, None)
-        if thing is not None:
-            self.size -= len(thing.body) + ENTRY_OVERHEAD_BYTES
+        """Drop the object, if there is one."""
+        cached = self.entries.pop(key, None)
+        if cached is not None:
+            self.size -= entry_bytes(cached)
+
+
+def entry_bytes(content: objects.CachedObject) -> int:
+    """Return what an object counts in the cache, in bytes."""
+    return len(content.body) + ENTRY_OVERHEAD_BYTES
+
+
+class SharedFetch:
+    """A fetch in flight, and the number of requests that wait for it."""
+
+    def __init__(self, task: asyncio.Task[typing.Any]) -> None:
+        self.task = task
+        self.waiters = 0
 
 
 class RequestCoalescer:
-    """Identical reads share one fetch. It ends with its last waiter, not with its first."""
+    """Lets equal requests share one fetch; it is cancelled with its last waiter, not with its first."""
 
     def __init__(self) -> None:
-        self.in_flight: dict[typing.Hashable, tuple[asyncio.Task, list[int]]] = {}
+        self.in_flight: dict[typing.Hashable, SharedFetch] = {}
 
     async def join(
-        self, key: typing.Hashable, fetch: collections.abc.Callable[[], collections.abc.Coroutine]
-    ) -> typing.Any:
+        self,
+        key: typing.Hashable,
+        fetch: collections.abc.Callable[[], collections.abc.Coroutine[typing.Any, typing.Any, Result]],
+    ) -> Result:
+        """Wait for the fetch with this key, which is begun if none is in flight.
+
+        Args:
+            key: Equal for requests that may have the same result.
+            fetch: Begins the fetch.
+
+        Raises:
+            Exception: Whatever the fetch raises.
+        """
         if key not in self.in_flight:
             task = asyncio.get_running_loop().create_task(fetch())
-            self.in_flight[key] = (task, [0])
-            task.add_done_callback(lambda done: self.ended(key, done))
-        task, waiters = self.in_flight[key]
-        waiters[0] += 1
+            self.in_flight[key] = SharedFetch(task)
+            task.add_done_callback(lambda done: self.on_done(key, done))
+        shared = self.in_flight[key]
+        shared.waiters += 1
         try:
-            return await asyncio.shield(task)
+            result: Result = await asyncio.shield(shared.task)
+            return result
         finally:
-            waiters[0] -= 1
-            # Nobody is left who wants it, so it should not go on towards an origin.
-            if not waiters[0] and not task.done():
-                task.cancel()
-                self.forget(key, task)
+            shared.waiters -= 1
+            # Nobody waits for the fetch any more, so it should not go on towards an origin.
+            if not shared.waiters and not shared.task.done():
+                shared.task.cancel()
+                self.forget(key, shared.task)
 
-    def ended(self, key: typing.Hashable, task: asyncio.Task) -> None:
+    def on_done(self, key: typing.Hashable, task: asyncio.Task[typing.Any]) -> None:
+        """Forget a fetch that ended; its exception counts as retrieved, also where nobody waits for it."""
         self.forget(key, task)
         if not task.cancelled():
             task.exception()
 
-    def forget(self, key: typing.Hashable, task: asyncio.Task) -> None:
-        if key in self.in_flight and self.in_flight[key][0] is task:
+    def forget(self, key: typing.Hashable, task: asyncio.Task[typing.Any]) -> None:
+        """Forget the fetch, unless a new one has its key."""
+        if key in self.in_flight and self.in_flight[key].task is task:
             del self.in_flight[key]
--- a/src/irisstand/dataplane/cache/object_reader.py
+++ b/src/irisstand/dataplane/cache/object_reader.py
@@ -1,17 +1,19 @@
-"""Objects for an edge's clients: from its own cache, from the node that holds them, or from an origin."""
+"""Reads objects for clients and other nodes: from the cache, from the object's holder, or from an origin."""
 
 import asyncio
+import collections.abc
+import functools
 import typing
 
 from irisstand import errors, node_context
 from irisstand.dataplane.cache import object_cache, objects
-from irisstand.dataplane.http import header_names as vocabularies
+from irisstand.dataplane.http import header_names
 from irisstand.dataplane.retry import freshness_policy
 from irisstand.dataplane.routing import routes, snapshot
-from irisstand.dataplane.upstream import client, upstream_request
+from irisstand.dataplane.upstream import client, exchange, upstream_request
 from irisstand.state import versions
 
-# What must not reach an origin when the whole object is wanted for all.
+# These must not reach an origin, as the complete object is wanted for all clients.
 CONDITIONAL_HEADERS = frozenset(
     (
         "range",
@@ -23,14 +25,22 @@
         "accept-encoding",
     )
 )
-# Of a deadline: what is left when nothing is asked for again.
+# With less time left, an object that was purged on its way is not fetched again.
 MIN_REMAINING_SECONDS = 0.02
+MIN_TIMEOUT_SECONDS = 0.01
+STATUS_OK = 200
+STATUS_NOT_MODIFIED = 304
 
 
-class ReadRequest(typing.NamedTuple):
-    """One reading of one object. `service` is the one that the route gave; `remaining` in seconds.
+class ObjectLookup(typing.NamedTuple):
+    """A read of one object.
 
-    `is_last` is set where another holder asks: nobody else is asked then but an origin.
+    Attributes:
+        route: The route of the request.
+        service: The service that the route chose.
+        request: The client's request.
+        remaining: Seconds until the client's deadline.
+        is_forwarded: Whether a holder asks; then an origin is asked, and no other holder.
     """
 
     route: routes.Route
@@ -41,107 +51,173 @@
 
     @property
     def key(self) -> str:
+        """The key in caches, and for the choice of a holder."""
         return f"{self.service} {self.request.host}{self.request.target.decode('latin-1')}"
 
     @property
     def purge_path(self) -> str:
+        """The name under which the object can be purged."""
         return f"{self.request.host}{self.request.path}"
 
 
+# Asks an object's holder: the lookup, the minimum version, the seconds left, and the object known here. It
+# returns None where no other node holds the object, or the holder failed.
+AskHolder = collections.abc.Callable[
+    [ObjectLookup, versions.Version, float, objects.CachedObject | None],
+    collections.abc.Coroutine[typing.Any, typing.Any, objects.CachedObject | None],
+]
+
+
 class ObjectReader:
-    """`ask_holder` is asked before an origin: the object, or None where nobody else holds it or answers."""
+    """Reads objects through this node's cache; equal reads share one fetch.
+
+    Args:
+        context: The node's context.
+        view: The configuration in force.
+        origins: Sends requests to origins.
+        ask_holder: Asks an object's holder, before an origin is asked.
+    """
 
     def __init__(
         self,
         context: node_context.NodeContext,
         view: snapshot.ConfigurationSnapshot,
         origins: client.UpstreamClient,
-        ask_holder: typing.Any,
+        ask_holder: AskHolder,
     ) -> None:
-        self.context, self.view, self.origins, self.ask_holder = context, view, origins, ask_holder
+        self.context = context
+        self.view = view
+        self.origins = origins
+        self.ask_holder = ask_holder
         self.header_names = origins.header_names
         self.cache = object_cache.ObjectCache(context.settings.cache_bytes)
         self.coalescer = object_cache.RequestCoalescer()
 
-    async def read(self, asked: ReadRequest, floor: versions.Version = versions.NONE) -> objects.CachedObject:
-        """The whole object, good to be given out now; a purge up to `floor` is known to whoever asks."""
-        deadline = self.context.clock.now() + asked.remaining
-        floor = max(floor, self.view.purged_at(asked.purge_path, ()))
-        found = self.cached(asked)
-        if found is not None:
-            if freshness_policy.is_usable(
-                found, asked.purge_path, self.view, floor, self.context.clock.now()
-            ):
-                self.context.counters.add("cache", at=self.context.role, result="hit")
-                return found
+    async def read(
+        self, lookup: ObjectLookup, minimum_version: versions.Version = versions.NONE
+    ) -> objects.CachedObject:
+        """Return an object that may be used now.
+
+        Args:
+            lookup: What is read.
+            minimum_version: Purges up to this version of the ledger are known to the asking node.
+
+        Raises:
+            errors.DeadlineExceededError: No object that may still be used came within the deadline.
+            errors.IrisError: What the holder or the origins raised.
+        """
+        deadline = self.context.clock.now() + lookup.remaining
+        minimum = max(minimum_version, self.view.purged_at(lookup.purge_path, ()))
+        cached = self.usable_from_cache(lookup, minimum)
+        if cached is not None:
+            self.context.counters.add("cache", at=self.context.role, result="hit")
+            return cached
         self.context.counters.add("cache", at=self.context.role, result="miss")
         while True:
-            left = deadline - self.context.clock.now()
-            obtain = self.coalescer.join(
-                (asked.key, floor, asked.is_forwarded),
-                lambda left=left, floor=floor: self.obtain(asked, floor, left),
-            )
-            try:
-                async with asyncio.timeout(max(0.01, left)):
-                    thing = await obtain
-            except TimeoutError:
-                raise errors.DeadlineExceededError("no origin gave a whole answer in time") from None
-            is_good = thing.applied >= floor and freshness_policy.is_fit(
-                thing, asked.purge_path, self.view, self.context.clock.now()
+            fetched = await self.fetch_shared(lookup, minimum, deadline - self.context.clock.now())
+            is_usable = fetched.applied >= minimum and freshness_policy.is_fit(
+                fetched, lookup.purge_path, self.view, self.context.clock.now()
             )
-            if thing.ttl <= 0 or is_good:
-                return thing
-            # Struck by a purge while it was under way: fetched again, within the one deadline.
-            floor = max(floor, self.view.purged_at(asked.purge_path, thing.tags))
+            if fetched.ttl <= 0 or is_usable:
+                return fetched
+            # It was purged while it was in flight, and is fetched again within the same deadline.
+            minimum = max(minimum, self.view.purged_at(lookup.purge_path, fetched.tags))
             if deadline - self.context.clock.now() < MIN_REMAINING_SECONDS:
                 raise errors.DeadlineExceededError("no answer was still good by the time that it came")
 
-    def cached(self, asked: ReadRequest) -> objects.CachedObject | None:
-        found = self.cache.get(asked.key)
-        # The row's own life, should it have been shortened since.
-        return None if found is None else found._replace(ttl=min(found.ttl, asked.route.cache_life))
+    def usable_from_cache(
+        self, lookup: ObjectLookup, minimum_version: versions.Version
+    ) -> objects.CachedObject | None:
+        """Return the cached object, if it is neither expired nor purged."""
+        cached = self.cache.get(lookup.key)
+        if cached is None:
+            return None
+        # The route's TTL counts, should it have been reduced since the fetch.
+        cached = cached._replace(ttl=min(cached.ttl, lookup.route.cache_life))
+        is_usable = freshness_policy.is_usable(
+            cached, lookup.purge_path, self.view, minimum_version, self.context.clock.now()
+        )
+        return cached if is_usable else None
+
+    async def fetch_shared(
+        self, lookup: ObjectLookup, minimum_version: versions.Version, remaining: float
+    ) -> objects.CachedObject:
+        """Fetch the object, or wait for an equal fetch that is in flight.
+
+        Raises:
+            errors.DeadlineExceededError: It did not come within `remaining` seconds.
+        """
+        fetch = functools.partial(self.fetch, lookup, minimum_version, remaining)
+        shared = self.coalescer.join((lookup.key, minimum_version, lookup.is_forwarded), fetch)
+        try:
+            async with asyncio.timeout(max(MIN_TIMEOUT_SECONDS, remaining)):
+                return await shared
+        except TimeoutError:
+            raise errors.DeadlineExceededError("no origin gave a whole answer in time") from None
 
-    async def obtain(
-        self, asked: ReadRequest, floor: versions.Version, remaining: float
+    async def fetch(
+        self, lookup: ObjectLookup, minimum_version: versions.Version, remaining: float
     ) -> objects.CachedObject:
+        """Fetch the object from its holder, or else from an origin, and keep it in the cache."""
         started = self.context.clock.now()
-        known = self.cache.get(asked.key)
+        known = self.cache.get(lookup.key)
         with self.context.count_in_flight():
-            thing = await self.ask_holder(asked, floor, remaining, known)
-            if thing is None:
+            fetched = await self.ask_holder(lookup, minimum_version, remaining, known)
+            if fetched is None:
                 left = remaining - (self.context.clock.now() - started)
-                thing = await self.fetch(asked, floor, left, known)
-        if thing.ttl > 0:
-            self.cache.put(asked.key, thing)
-        return thing
+                fetched = await self.fetch_from_origin(lookup, minimum_version, left, known)
+        if fetched.ttl > 0:
+            self.cache.put(lookup.key, fetched)
+        return fetched
 
-    async def fetch(
+    async def fetch_from_origin(
         self,
-        asked: ReadRequest,
-        floor: versions.Version,
+        lookup: ObjectLookup,
+        minimum_version: versions.Version,
         remaining: float,
         known: objects.CachedObject | None,
     ) -> objects.CachedObject:
-        given = asked.request.headers.items()
-        headers = [(n, v) for n, v in given if n not in upstream_request.HOP and n not in CONDITIONAL_HEADERS]
-        # What has outlived its life, or was struck by a purge, may still be the newest there is: then only
-        # a word of that comes back, and no bytes.
-        known_tag = etag_of(known)
-        if known_tag:
-            headers.append(("if-none-match", known_tag))
-        # Fetched from now on, so at least as new as everything that this node, or who asks it, has heard of.
-        applied, asked_at = max(self.context.ledger.applied, floor), self.context.clock.now()
-        answer = await self.origins.fetch(asked.route, asked.service, asked.request, headers, remaining)
-        life = asked.route.cache_life
-        if answer.status == 304 and known is not None and known_tag:
+        """Fetch the object from an origin, or have the one that is known confirmed by it."""
+        known_etag = etag_of(known)
+        headers = headers_for_origin(lookup.request, known_etag)
+        # Fetched from now on, so it has seen every purge that this node, or the asking one, knows of.
+        applied = max(self.context.ledger.applied, minimum_version)
+        asked_at = self.context.clock.now()
+        answer = await self.origins.fetch(lookup.route, lookup.service, lookup.request, headers, remaining)
+        ttl = lookup.route.cache_life
+        if answer.status == STATUS_NOT_MODIFIED and known is not None and known_etag:
             self.context.counters.add("cache", at=self.context.role, result="revalidated")
-            return known._replace(applied=applied, age=0.0, as_of=asked_at, ttl=life)
-        kept = tuple((n, v) for n, v in answer.headers.items() if n != self.header_names.request_id)
-        tags = vocabularies.split_tags(self.header_names, answer.headers.get(self.header_names.tags, ""))
-        if answer.status != 200 or "set-cookie" in answer.headers:
-            life = 0.0
-        return objects.CachedObject(answer.status, kept, answer.body, applied, 0.0, asked_at, life, tags)
+            return known._replace(applied=applied, age=0.0, as_of=asked_at, ttl=ttl)
+        if answer.status != STATUS_OK or "set-cookie" in answer.headers:
+            ttl = 0.0
+        return self.object_from(answer, applied, asked_at, ttl)
+
+    def object_from(
+        self, answer: exchange.Answer, applied: versions.Version, asked_at: float, ttl: float
+    ) -> objects.CachedObject:
+        """Make an object of an origin's answer; the id of the request that brought it is left out."""
+        names = self.header_names
+        headers = tuple((name, value) for name, value in answer.headers.items() if name != names.request_id)
+        tags = header_names.split_tags(names, answer.headers.get(names.tags, ""))
+        return objects.CachedObject(answer.status, headers, answer.body, applied, 0.0, asked_at, ttl, tags)
+
 
+def headers_for_origin(request: upstream_request.Request, known_etag: str | None) -> list[tuple[str, str]]:
+    """Return the headers for a fetch of the complete object.
 
-def etag_of(thing: objects.CachedObject | None) -> str | None:
-    return None if thing is None else dict(thing.headers).get("etag")
+    An object that is expired or purged may still be the newest: with its entity tag the origin can confirm
+    that without sending the body.
+    """
+    headers = [
+        (name, value)
+        for name, value in request.headers.items()
+        if name not in upstream_request.HOP and name not in CONDITIONAL_HEADERS
+    ]
+    if known_etag:
+        headers.append(("if-none-match", known_etag))
+    return headers
+
+
+def etag_of(content: objects.CachedObject | None) -> str | None:
+    """Return the object's entity tag, if there is an object and it has one."""
+    return None if content is None else dict(content.headers).get("etag")
--- a/src/irisstand/dataplane/cache/objects.py
+++ b/src/irisstand/dataplane/cache/objects.py
@@ -1,4 +1,4 @@
-"""Objects: an origin's whole, sealed result, with what decides how long it may be used."""
+"""Objects: complete answers of origins that were checked, with what decides how long they may be used."""
 
 import base64
 import hashlib
@@ -7,10 +7,35 @@
 from irisstand import errors
 from irisstand.state import versions
 
+CACHEABLE_STATUSES = (200, 404)
+PRIVATE_DIRECTIVES = ("no-store", "no-cache", "private")
+# The headers of an origin's answer that clients get.
+FORWARDED_HEADERS = (
+    "content-type",
+    "content-digest",
+    "cache-control",
+    "etag",
+    "last-modified",
+    "location",
+    "set-cookie",
+    "cache-tag",
+    "retry-after",
+)
+
 
 class CachedObject(typing.NamedTuple):
-    """`applied version` is the ledger applied version known when the fetch began; `age` is how old it was
-    at the moment `at`.
+    """An object and its freshness.
+
+    Attributes:
+        status: The HTTP status.
+        headers: Names in lower case with their values.
+        body: The complete body.
+        applied: The ledger's applied version that was known when the fetch began; later purges strike the
+            object.
+        age: Seconds since the origin answered, at the moment `as_of`.
+        as_of: A moment of this node's clock.
+        ttl: Time to live in seconds; 0 for an object that may not be shared.
+        tags: The tags by which it can be purged.
     """
 
     status: int
@@ -23,32 +48,42 @@
     tags: tuple[str, ...]
 
     def age_now(self, now: float) -> float:
+        """Return the age in seconds at a moment of this node's clock."""
         return self.age + now - self.as_of
 
 
-def to_wire(thing: CachedObject, now: float) -> tuple:
+def to_wire(content: CachedObject, now: float) -> tuple[typing.Any, ...]:
+    """Return the fields in the order of the wire, with the age as it is now in place of its moment."""
     return (
-        thing.status,
-        thing.headers,
-        thing.body,
-        tuple(thing.applied),
-        thing.age_now(now),
-        thing.ttl,
-        thing.tags,
+        content.status,
+        content.headers,
+        content.body,
+        tuple(content.applied),
+        content.age_now(now),
+        content.ttl,
+        content.tags,
     )
 
 
-def from_wire(parts: typing.Any, asked_at: float) -> CachedObject:
-    """The age is added up hop by hop, each hop counted from when its question was sent."""
-    status, headers, body, applied, age, life, tags = parts
+def from_wire(fields: typing.Any, asked_at: float) -> CachedObject:
+    """Decode an object that another node sent.
+
+    Args:
+        fields: What the codec decoded.
+        asked_at: When the request for it was sent; the age counts on from then, which adds up hop by hop.
+
+    Raises:
+        ValueError: There is another number of fields, or a field is malformed.
+        TypeError: A field that should be a sequence is none.
+    """
+    status, headers, body, applied, age, ttl, tags = fields
     pairs = tuple((name, value) for name, value in headers)
-    return CachedObject(
-        status, pairs, body, versions.Version.from_wire(applied), age, asked_at, life, tuple(tags)
-    )
+    version = versions.Version.from_wire(applied)
+    return CachedObject(status, pairs, body, version, age, asked_at, ttl, tuple(tags))
 
 
 def digest_header(body: bytes) -> str:
-    """The Content-Digest of RFC 9530.
+    """Return the Content-Digest of RFC 9530.
 
     >>> digest_header(b"")
     'sha-256=:47DEQpj8HBSa+/TImW+5JCeuQeRkm5NMpJWZG3hSuFU=:'
@@ -57,7 +92,16 @@
 
 
 def check_seal(headers: dict[str, str], body: bytes, request_id: str) -> None:
-    """Whole, sealed and meant for this request, or UnsealedResult. Header names are lower case."""
+    """Check that an answer is complete and belongs to this request.
+
+    Args:
+        headers: The answer's headers, names in lower case.
+        body: The answer's body.
+        request_id: The request's id, which the answer must repeat.
+
+    Raises:
+        errors.UnsealedResultError: The length, the digest or the request id does not match.
+    """
     if headers.get("content-length") != str(len(body)):
         raise errors.UnsealedResultError("the body's length is not the one declared")
     if headers.get("content-digest") != digest_header(body):
@@ -66,41 +110,47 @@
         raise errors.UnsealedResultError("the answer names another request")
 
 
-FORWARDED_HEADERS = (
-    "content-type",
-    "content-digest",
-    "cache-control",
-    "etag",
-    "last-modified",
-    "location",
-    "set-cookie",
-    "cache-tag",
-    "retry-after",
-)
-
-
-def from_origin(
-    status: int, headers: dict[str, str], body: bytes, applied: versions.Version, asked_at: float, life: float
+def from_origin(  # noqa: PLR0913, PLR0917 - the parts of an answer, when it was asked for, and its TTL
+    status: int, headers: dict[str, str], body: bytes, applied: versions.Version, asked_at: float, ttl: float
 ) -> CachedObject:
+    """Make an object of an origin's answer.
+
+    Args:
+        status: The answer's status.
+        headers: The answer's headers, names in lower case.
+        body: The answer's body.
+        applied: The ledger's applied version when the fetch began.
+        asked_at: When the request was sent.
+        ttl: The time to live by the configuration, in seconds.
+    """
     tags = tuple(tag.strip() for tag in headers.get("cache-tag", "").split(",") if tag.strip())
-    kept = tuple((name, headers[name]) for name in FORWARDED_HEADERS if name in headers)
-    return CachedObject(status, kept, body, applied, 0.0, asked_at, allowed_ttl(status, headers, life), tags)
+    forwarded = tuple((name, headers[name]) for name in FORWARDED_HEADERS if name in headers)
+    allowed = allowed_ttl(status, headers, ttl)
+    return CachedObject(status, forwarded, body, applied, 0.0, asked_at, allowed, tags)
+
+
+def allowed_ttl(status: int, headers: dict[str, str], ttl: float) -> float:
+    """Return the configured time to live, reduced by what the origin says (RFC 9111, section 5.2).
 
+    Args:
+        status: The answer's status.
+        headers: The answer's headers, names in lower case.
+        ttl: The time to live by the configuration, in seconds.
 
-def allowed_ttl(status: int, headers: dict[str, str], life: float) -> float:
-    """The configuration's life, shortened by what the origin says; 0 for what is not to be shared.
+    Returns:
+        Seconds; 0 for what may not be shared.
 
     >>> allowed_ttl(200, {"cache-control": "max-age=5"}, 30)
     5.0
     >>> allowed_ttl(200, {"cache-control": "private, max-age=5"}, 30)
     0.0
     """
-    control = [part.strip().lower() for part in headers.get("cache-control", "").split(",")]
-    private = any(part.split("=")[0] in ("no-store", "no-cache", "private") for part in control)
-    if status not in (200, 404) or private or "set-cookie" in headers:
+    directives = [part.strip().lower() for part in headers.get("cache-control", "").split(",")]
+    is_private = any(directive.split("=")[0] in PRIVATE_DIRECTIVES for directive in directives)
+    if status not in CACHEABLE_STATUSES or is_private or "set-cookie" in headers:
         return 0.0
-    for part in control:
-        name, _, seconds = part.partition("=")
+    for directive in directives:
+        name, _, seconds = directive.partition("=")
         if name == "max-age" and seconds.isdigit():
-            life = min(life, int(seconds))
-    return float(life)
+            ttl = min(ttl, int(seconds))
+    return float(ttl)
--- a/src/irisstand/dataplane/nodes/direct.py
+++ b/src/irisstand/dataplane/nodes/direct.py
@@ -39,7 +39,7 @@
         remaining = min(route.timeout, int(given) / 1000) if given.isdigit() else route.timeout
         if route.is_cacheable and request.method == "GET":
             service = routes.pick_service(route, request.target.decode("latin-1"))
-            asked = object_reader.ReadRequest(route, service, request, remaining)
+            asked = object_reader.ObjectLookup(route, service, request, remaining)
             return self.give(request, await self.reader.read(asked))
         service = routes.pick_service(route, request.headers.get(self.header_names.request_id, request.path))
         headers = [
--- /dev/null
+++ b/tests/dataplane/test_recorded_object_messages.py
@@ -0,0 +1,56 @@
+"""Object requests and lease requests against bodies recorded before these messages had types of their own."""
+
+import json
+import pathlib
+
+import pytest
+
+import irisstand.dataplane.cache.holder_messages as holder_messages
+import irisstand.dataplane.cache.objects as objects
+import irisstand.dataplane.ratelimit.token_leases as token_leases
+import irisstand.state.versions as versions
+import irisstand.transport.codec as codec
+
+FRAMES = json.loads((pathlib.Path(__file__).parent.parent / "fixtures" / "wire" / "frames.json").read_text())
+
+
+def bodies(label):
+    return [codec.decode(bytes.fromhex(payload)).body for payload in FRAMES[label]]
+
+
+def packed(body):
+    return codec.encode(codec.Response(1, body))
+
+
+@pytest.mark.parametrize(
+    ("label", "message"),
+    [
+        ("ask object", holder_messages.ObjectRequest),
+        ("ask rate-places", token_leases.LeaseRequest),
+        ("result rate-places", token_leases.LeaseResponse),
+    ],
+)
+def test_recorded_body_decodes_and_encodes_to_the_same_bytes(label, message):
+    assert FRAMES[label]
+    for body in bodies(label):
+        assert packed(message.from_wire(body).to_wire()) == packed(body)
+
+
+def test_recorded_object_responses_decode_and_encode_to_the_same_bytes():
+    known = objects.CachedObject(200, (), b"", versions.NONE, 0.0, 0.0, 0.0, ())
+    kinds = set()
+    for body in bodies("result object"):
+        kinds.add(body[0])
+        content = holder_messages.object_from_wire(body, 7.0, known)
+        if body[0] == "same":
+            assert packed(holder_messages.NotModified.of(content, 7.0).to_wire()) == packed(body)
+        else:
+            assert packed(holder_messages.response_with(content, 7.0)) == packed(body)
+    assert kinds == {"object", "same"}
+
+
+@pytest.mark.parametrize("change", [lambda body: body[:-1], lambda body: [*body, 1], lambda body: 5])
+def test_object_request_of_another_length_or_type_is_refused(change):
+    for body in bodies("ask object"):
+        with pytest.raises((ValueError, TypeError)):
+            holder_messages.ObjectRequest.from_wire(change(body))
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -52,8 +52,8 @@
     ),
     (
         "dataplane/cache/object_reader.py",
-        "            is_good = thing.applied >= floor and freshness_policy.is_fit(",
-        "            is_good = True or freshness_policy.is_fit(",
+        "            is_usable = fetched.applied >= minimum and freshness_policy.is_fit(",
+        "            is_usable = True or freshness_policy.is_fit(",
         "dataplane/test_direct_edge_cache.py",
     ),
     (
