--- a/src/irisstand/controlplane/api/operator_reads.py
+++ b/src/irisstand/controlplane/api/operator_reads.py
@@ -1,7 +1,7 @@
 """What operators read over HTTP: rows, items, decisions, voters, members, machines.
 
-Reads of control state are linearizable: a majority confirms the tables after the read came in, or it is
-put off with 503.
+Reads of control state are linearizable: a majority confirms the tables after the read came in, or the read is
+refused with status 503.
 """
 
 import typing
@@ -12,12 +12,44 @@
 from irisstand import node_context, web
 from irisstand.controlplane.changes import amendment, change_status
 from irisstand.controlplane.consensus import heartbeat, voter_administration
+from irisstand.controlplane.singletons import capacity_scaling
 from irisstand.membership import updates
 from irisstand.state import items
 from irisstand.validation import schema
 
+SECONDS_PER_HOUR = 3600
+
+
+class MachineStatus(typing.NamedTuple):
+    """What operators read of a machine.
+
+    Attributes:
+        site: The machine's site.
+        nodes: The names and states of its nodes.
+        why: Why it is awake or on standby.
+        rests: Whether it is on standby.
+        evacuated: Whether its site is evacuated.
+        hours_saved: For how long it was on standby.
+    """
+
+    site: str
+    nodes: list[str]
+    why: str
+    rests: bool
+    evacuated: bool
+    hours_saved: float
+
 
 class OperatorReads:
+    """The routes by which operators read.
+
+    Attributes:
+        context: The node that answers.
+        voters: What is known of the voters.
+        read_index: Confirms tables before they are read.
+        changes: What became of changes.
+    """
+
     def __init__(
         self,
         context: node_context.NodeContext,
@@ -25,7 +57,9 @@
         read_index: heartbeat.ReadIndex,
         server: web.HttpServer,
     ) -> None:
-        self.context, self.voters, self.read_index = context, members, read_index
+        self.context = context
+        self.voters = members
+        self.read_index = read_index
         self.changes = change_status.ChangeStatus(context)
         add = server.app.add_route
         add(self.get_rows, "/rows", methods=["GET"])
@@ -37,45 +71,50 @@
         add(self.get_ledger, "/ledger", methods=["GET"])
 
     async def get_rows(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        """Every row in force with its version; a table that may be old is not shown as the table."""
+        """Return every configuration row in force with its version."""
         await self.read_index.confirm(items.CONFIGURATION)
-        copy = self.context.configuration
+        configuration = self.context.configuration
         rows = []
         for kind in schema.REGISTRY:
-            for item in copy.items_with_prefix(kind + "/"):
+            for item in configuration.items_with_prefix(kind + "/"):
                 name = item.key.removeprefix(kind + "/")
                 rows.append({"kind": kind, "name": name, "serial": str(item.version), "value": item.value})
-        return web.json_response({"tip": str(copy.applied), "rows": rows})
+        return web.json_response({"tip": str(configuration.applied), "rows": rows})
 
     async def get_items(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        """All versioned items that stand, laid out as an amendment that would put them."""
+        """Return all versioned items in force, laid out as an amendment that would put them."""
         await self.read_index.confirm(items.CONFIGURATION)
         return web.json_response(amendment.as_amendment(self.context.configuration))
 
     async def get_change(self, request: sanic.request.Request, change: str) -> sanic.response.HTTPResponse:
+        """Return what became of a change."""
         await self.read_index.confirm(items.CONFIGURATION, items.LEDGER)
         return web.json_response(await self.changes.show(change))
 
     async def get_voters(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
+        """Return each table's voters and the spares."""
         await self.read_index.confirm(*items.TABLES)
         return web.json_response(await self.voters.describe())
 
     async def get_ledger(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
+        """Return every row of the ledger with its version, without the records of changes."""
         await self.read_index.confirm(items.LEDGER)
-        copy = self.context.ledger
+        ledger = self.context.ledger
         rows = [
             {"key": item.key, "serial": str(item.version), "value": item.value}
-            for item in copy.items_with_prefix("")
+            for item in ledger.items_with_prefix("")
             if not item.key.startswith("~change/")
         ]
-        return web.json_response({"tip": str(copy.applied), "rows": rows})
+        return web.json_response({"tip": str(ledger.applied), "rows": rows})
 
     async def get_members(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
+        """Return all members as this node knows them, this node first."""
         detector = self.context.detector
-        everybody = [detector.own_update(), *detector.member_list.all_updates()]
-        return web.json_response({"members": [self.member(update) for update in everybody]})
+        members = [detector.own_update(), *detector.member_list.all_updates()]
+        return web.json_response({"members": [self.member_entry(update) for update in members]})
 
-    def member(self, update: updates.Update) -> dict[str, typing.Any]:
+    def member_entry(self, update: updates.Update) -> dict[str, typing.Any]:
+        """Return a member as operators read it."""
         state = "left" if update.has_left else update.state.name.lower()
         return {
             "name": update.identity.name,
@@ -86,24 +125,34 @@
         }
 
     async def get_machines(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        """Why each machine rests or does not, and the hours that rest has saved."""
+        """Return why each machine is on standby or not, and the hours that standby has saved."""
         await self.read_index.confirm(items.LEDGER)
+        machines = {name: status._asdict() for name, status in self.machine_statuses().items()}
+        saved = self.context.ledger.items_with_prefix(capacity_scaling.SAVINGS_PREFIX)
+        hours = sum(item.value["seconds"] for item in saved) / SECONDS_PER_HOUR
+        return web.json_response({"machines": machines, "machine_hours_saved": round(hours, 2)})
+
+    def machine_statuses(self) -> dict[str, MachineStatus]:
+        """Return the status of each machine that has a member, by name."""
+        detector = self.context.detector
+        sites: dict[str, str] = {}
+        nodes: dict[str, list[str]] = {}
+        for update in [detector.own_update(), *detector.member_list.members.values()]:
+            machine = update.node_info.machine
+            sites.setdefault(machine, update.node_info.site)
+            nodes.setdefault(machine, []).append(f"{update.identity.name} {update.state.name.lower()}")
+        return {name: self.machine_status(name, site, nodes[name]) for name, site in sites.items()}
+
+    def machine_status(self, name: str, site: str, nodes: list[str]) -> MachineStatus:
+        """Return the status of one machine."""
         ledger = self.context.ledger
-        why = (ledger.value("staffing") or {"why": {}})["why"]
-        machines = {}
-        for update in [
-            self.context.detector.own_update(),
-            *self.context.detector.member_list.members.values(),
-        ]:
-            entry = machines.setdefault(
-                update.node_info.machine, {"site": update.node_info.site, "nodes": [], "why": ""}
-            )
-            entry["nodes"].append(f"{update.identity.name} {update.state.name.lower()}")
-        for name, entry in machines.items():
-            entry["rests"] = self.context.is_standby(name)
-            entry["why"] = why.get(name, "")
-            entry["evacuated"] = self.context.is_evacuated(entry["site"])
-            saved = ledger.value(f"saved/{name}") or {"seconds": 0}
-            entry["hours_saved"] = round(saved["seconds"] / 3600, 2)
-        total = sum(item.value["seconds"] for item in ledger.items_with_prefix("saved/")) / 3600
-        return web.json_response({"machines": machines, "machine_hours_saved": round(total, 2)})
+        reasons = (ledger.value(capacity_scaling.REASONS_KEY) or {"why": {}})["why"]
+        saved = ledger.value(f"{capacity_scaling.SAVINGS_PREFIX}{name}") or {"seconds": 0}
+        return MachineStatus(
+            site,
+            nodes,
+            reasons.get(name, ""),
+            self.context.is_standby(name),
+            self.context.is_evacuated(site),
+            round(saved["seconds"] / SECONDS_PER_HOUR, 2),
+        )
--- a/src/irisstand/controlplane/api/operators.py
+++ b/src/irisstand/controlplane/api/operators.py
@@ -1,9 +1,8 @@
-"""The operators' HTTP: what they read, and what they order."""
+"""The operators' HTTP interface: what they read, and what they order."""
 
 from irisstand import node_context, web
 from irisstand.controlplane.api import operator_orders, operator_reads
-from irisstand.controlplane.consensus import heartbeat, voter_administration
-from irisstand.controlplane.consensus import submitter as submitting
+from irisstand.controlplane.consensus import heartbeat, submitter, voter_administration
 
 
 class Operators:
@@ -12,10 +11,10 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        submitter: submitting.Submitter,
+        order_submitter: submitter.Submitter,
         read_index: heartbeat.ReadIndex,
         server: web.HttpServer,
     ) -> None:
-        members = voter_administration.VoterAdministration(context, submitter)
+        members = voter_administration.VoterAdministration(context, order_submitter)
         self.reads = operator_reads.OperatorReads(context, members, read_index, server)
-        self.orders = operator_orders.OperatorOrders(context, submitter, members, server)
+        self.orders = operator_orders.OperatorOrders(context, order_submitter, members, server)
--- a/src/irisstand/controlplane/api/request_bodies.py
+++ b/src/irisstand/controlplane/api/request_bodies.py
@@ -1,33 +1,43 @@
-"""Bodies of operators' requests: a JSON object that can be carried and stored, or a typed refusal."""
+"""Bodies of operators' requests: JSON objects that can be carried and stored, or a typed refusal."""
 
 import json
+import typing
 
 from irisstand import errors
 from irisstand.validation import canonical_content
 
-OBJECT = "send a JSON object"
+REMEDY = "send a JSON object"
 
 
-def distinct(pairs: list[tuple]) -> dict:
-    """A field given twice has two contents, and readers differ in which one they take."""
+def unique_fields(pairs: list[tuple[str, typing.Any]]) -> dict[str, typing.Any]:
+    """Return the object with these fields; readers differ in which they take of a field that stands twice.
+
+    Raises:
+        ValueError: A field stands twice.
+    """
     found = dict(pairs)
     if len(found) < len(pairs):
         raise ValueError("a field stands twice")
     return found
 
 
-def read_object(body: bytes) -> dict:
-    """Refused here, what a packer does not take can never stop a node that carries or stores it.
+def read_object(body: bytes) -> dict[str, typing.Any]:
+    """Return the JSON object of a body.
+
+    What the packers of messages and files do not take is refused here, before it can stop a node.
+
+    Raises:
+        BadRequestError: The body is no JSON object, or holds what cannot be carried.
 
     >>> read_object(b'{"a": 1}')
     {'a': 1}
     """
     try:
-        content = json.loads(body, object_pairs_hook=distinct)
+        content = json.loads(body, object_pairs_hook=unique_fields)
     except (ValueError, RecursionError):
-        raise errors.BadRequestError("the body is not whole JSON, with each field once", OBJECT) from None
+        raise errors.BadRequestError("the body is not whole JSON, with each field once", REMEDY) from None
     if not isinstance(content, dict):
-        raise errors.BadRequestError("the body is not a JSON object", OBJECT)
+        raise errors.BadRequestError("the body is not a JSON object", REMEDY)
     fault = canonical_content.fault_in(content)
     if fault:
         raise errors.BadRequestError(
--- a/src/irisstand/controlplane/singletons/lease.py
+++ b/src/irisstand/controlplane/singletons/lease.py
@@ -12,7 +12,7 @@
 
 from irisstand import errors, event_log
 from irisstand.controlplane.changes import lease_changes
-from irisstand.controlplane.consensus import submitter as submitting
+from irisstand.controlplane.consensus import submitter
 from irisstand.state import replica
 
 LEASE_SECONDS = 4.0
@@ -47,10 +47,14 @@
     """
 
     def __init__(
-        self, submitter: submitting.Submitter, name: str, work: Work, lease_seconds: float = LEASE_SECONDS
+        self,
+        order_submitter: submitter.Submitter,
+        name: str,
+        work: Work,
+        lease_seconds: float = LEASE_SECONDS,
     ) -> None:
-        self.submitter = submitter
-        self.context = submitter.context
+        self.submitter = order_submitter
+        self.context = order_submitter.context
         self.name = name
         self.work = work
         self.lease_seconds = lease_seconds
