--- a/tests/state/test_chunk_transfer.py
+++ b/tests/state/test_chunk_transfer.py
@@ -104,7 +104,7 @@
     return edge, cores
 
 
-def test_a_big_change_reaches_a_node_on_a_slow_link_that_asks_several_peers():
+def test_big_change_over_a_slow_link_arrives_in_time_though_several_peers_are_asked():
     async def scene():
         edge, cores = far_behind(rate=LINK // 2)
         while edge.copy.root_digest() != cores[0].copy.root_digest():
@@ -116,7 +116,7 @@
     assert seconds < 1.0 and largest < 40_000
 
 
-def test_what_came_from_a_peer_that_falls_silent_is_not_asked_for_again():
+def test_items_staged_from_a_peer_that_falls_silent_are_not_requested_again():
     async def scene():
         edge, cores = far_behind(peers=2)
         plain = cores[0].handlers["part"]
@@ -147,7 +147,7 @@
     assert is_same and parts <= wanted + 1
 
 
-def test_parts_are_worked_out_once_for_all_who_ask(monkeypatch):
+def test_chunks_requested_by_many_nodes_are_cut_once(monkeypatch):
     async def scene():
         edges = [Node(f"edge-{number}") for number in range(20)]
         core = Node("core")
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_rows_changed_while_parts_are_on_their_way_come_out_as_the_peers(seed):
+def test_changes_during_a_transfer_end_with_a_replica_equal_to_the_peers(seed):
     async def scene():
         edge, (core,) = far_behind(peers=1, rate=None)
         plain, number = core.handlers["part"], [2]
@@ -196,7 +196,7 @@
     assert is_same and are_equal and "ranges" not in kinds
 
 
-def test_a_peer_of_the_version_before_gives_its_ranges():
+def test_peer_without_chunks_is_compared_range_by_range():
     async def scene():
         edge, (core,) = far_behind(peers=1, rate=None)
         del core.handlers["part"]
@@ -206,7 +206,7 @@
     assert virtual_time.run(scene()) == (True, "ranges")
 
 
-def test_a_peer_that_is_older_than_what_came_is_not_taken_for_the_truth():
+def test_peer_older_than_the_staged_items_refuses_and_nothing_changes():
     async def scene():
         edge, cores = far_behind(peers=2, rate=None)
         cores[1].copy.replace_content(replica.Replica(items.CONFIGURATION))
@@ -221,7 +221,7 @@
     assert virtual_time.run(scene())
 
 
-def test_rows_that_do_not_add_up_are_not_taken():
+def test_staged_items_that_differ_from_the_peers_are_not_applied():
     async def scene():
         edge, (core,) = far_behind(peers=1, rate=None)
         staged = edge.replicator.chunks.staged_items(edge.copy)
@@ -235,7 +235,7 @@
     assert virtual_time.run(scene()) == (False, True, True)
 
 
-def test_a_copy_that_moved_on_by_another_way_keeps_nothing_aside_and_is_not_set_back():
+def test_replica_advanced_during_a_transfer_drops_staged_items_and_is_not_set_back():
     async def scene():
         edge, (core,) = far_behind(peers=1, rate=None)
         plain = core.handlers["part"]
--- a/tests/state/test_disk_faults.py
+++ b/tests/state/test_disk_faults.py
@@ -15,7 +15,7 @@
     return all(day.cluster.nodes[name].program.participant.is_voter(table) for table in items.TABLES)
 
 
-def test_after_the_loss_of_everything_the_disks_bring_all_confirmed_rows_back_within_15_seconds():
+def test_restart_of_all_nodes_restores_all_confirmed_items_within_15_seconds():
     async def scene(day):
         result = await day.actors.order("agency-2", "change", [cluster.site_row(weight=7)])
         await day.actors.order("agency-3", "purge", [("path", "/vacancies/1")])
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("victim", ["agency-1", "agency-4"])
-def test_a_disk_lost_right_after_a_yes_loses_nothing_and_its_successor_learns_before_it_votes(victim):
+def test_disk_lost_after_accepting_loses_nothing_and_its_successor_learns_before_voting(victim):
     async def scene(day):
         result = await day.actors.order(victim, "change", [cluster.site_row(weight=3)])
         node = day.cluster.nodes[victim]
@@ -64,7 +64,7 @@
     cluster.play(scene)
 
 
-def test_a_full_disk_refuses_with_the_remedy_and_the_others_go_on():
+def test_full_disk_refuses_changes_with_a_remedy_while_other_voters_go_on():
     async def scene(day):
         day.cluster.nodes["agency-1"].disk.full = True
         with pytest.raises(errors.DiskFullError) as raised:
@@ -81,7 +81,7 @@
     cluster.play(scene)
 
 
-def test_two_stalled_disks_stop_neither_changes_nor_the_freshness_of_their_own_nodes():
+def test_two_stalled_disks_stop_neither_changes_nor_the_freshness_of_their_nodes():
     async def scene(day):
         for name in ("agency-1", "agency-2"):
             day.cluster.nodes[name].disk.stalled = True
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("part", [".voter.", ".item.", "vault"])
-def test_a_damaged_file_is_put_aside_and_neither_served_nor_voted_from(part):
+def test_corrupt_file_is_quarantined_and_its_table_neither_served_nor_voted_from(part):
     async def scene(day):
         await day.actors.order("agency-1", "change", [cluster.site_row(weight=2)])
         await asyncio.sleep(1)
@@ -128,7 +128,7 @@
     cluster.play(scene)
 
 
-def test_empty_cores_found_only_all_together_and_never_beside_a_founded_one():
+def test_empty_voters_bootstrap_only_together_and_never_beside_a_bootstrapped_one():
     async def scene():
         world = simulated_cluster.SimulatedCluster(3, cluster.SHAPE)
         control_nodes = world.with_role("agency")
@@ -155,7 +155,7 @@
     virtual_time.run(scene())
 
 
-def test_an_empty_core_machine_elsewhere_takes_the_place_of_one_that_is_gone_for_good():
+def test_empty_machine_elsewhere_replaces_a_voter_that_is_gone_for_good():
     async def scene(day):
         world = day.cluster
         result = await day.actors.order("agency-1", "change", [cluster.site_row(weight=6)])
@@ -183,7 +183,7 @@
     cluster.play(scene)
 
 
-def test_a_voter_set_that_one_lost_site_would_rob_of_its_majority_is_refused_whole():
+def test_voters_that_one_site_loss_would_leave_without_majority_are_refused():
     async def scene(day):
         voters = day.cluster.nodes["agency-1"].program.participant.voters(items.LEDGER)
         newcomer = ("agency-9", "vault", "north", "10.0.0.99", 7000, "m")
@@ -196,7 +196,7 @@
     cluster.play(scene)
 
 
-def test_a_folder_of_the_version_before_still_starts():
+def test_data_folder_with_root_digests_of_the_first_version_starts():
     """Its records bear a root over sixteen ranges; a core that took that for damage would be lost whole."""
 
     async def scene(day):
--- a/tests/state/test_power_loss.py
+++ b/tests/state/test_power_loss.py
@@ -106,18 +106,18 @@
 
 
 @pytest.mark.parametrize("block", range(6))
-def test_what_was_acknowledged_outlives_a_loss_of_power_at_any_file_operation(block):
+def test_power_loss_at_any_file_operation_keeps_all_that_was_acknowledged(block):
     for seed in range(block * 20, block * 20 + 20):
         asyncio.run(live_and_lose_power(seed))
 
 
 @pytest.mark.parametrize("block", range(3))
-def test_a_disk_that_fills_at_any_single_write_leaves_nothing_that_does_not_add_up(block):
+def test_disk_that_fills_at_any_write_stays_consistent(block):
     for seed in range(1000 + block * 20, 1000 + block * 20 + 20):
         asyncio.run(live_and_lose_power(seed, full=True))
 
 
-def test_an_item_under_another_items_name_does_not_count():
+def test_item_file_under_the_name_of_another_item_is_ignored():
     """As a folder of the version before may hold it, where a file came back under its old name."""
 
     async def scene():
--- a/tests/state/test_quorum_loss.py
+++ b/tests/state/test_quorum_loss.py
@@ -47,7 +47,7 @@
         assert not world.is_ready(world.nodes[name])
 
 
-def test_a_node_that_reaches_nobody_uses_its_tables_no_longer_than_the_bound():
+def test_node_that_reaches_nobody_stops_using_tables_at_the_freshness_bound():
     async def scene(world):
         world.partition_off(["edge-1"])
         assert await seconds_in_use(world) <= BOUND + 0.1
@@ -56,7 +56,7 @@
     play(scene)
 
 
-def test_a_node_on_the_side_of_a_minority_of_the_core_uses_its_tables_no_longer():
+def test_node_beside_a_minority_of_voters_stops_using_tables_at_the_freshness_bound():
     async def scene(world):
         world.partition_off(["edge-1", "agency-1", "agency-2"])
         await world.actors.order("agency-3", "change", [cluster.site_row(weight=5)])
@@ -66,7 +66,7 @@
     play(scene)
 
 
-def test_a_core_that_stands_still_is_no_evidence_and_what_it_confirms_after_a_thaw_is_not_missed():
+def test_frozen_voters_are_no_evidence_and_commits_after_a_thaw_are_not_missed():
     async def scene(world):
         for name in cores(world):
             world.nodes[name].freeze()
@@ -87,7 +87,7 @@
     return node.program.context.configuration.value("site/north")
 
 
-def test_voters_that_answer_that_they_have_no_majority_let_tables_be_used_longer():
+def test_voters_that_report_no_majority_extend_the_use_of_tables():
     async def scene(world):
         for name in cores(world):
             cut(world, [name], [other for other in cores(world) if other != name])
@@ -102,7 +102,7 @@
     play(scene)
 
 
-def test_voters_cut_from_one_another_that_serve_a_hub_are_no_evidence():
+def test_voters_partitioned_from_one_another_but_reaching_a_hub_are_no_evidence():
     """Four of five have no majority of their own, and still decide for the fifth, cut from the edge."""
 
     async def scene(world):
@@ -120,7 +120,7 @@
     play(scene)
 
 
-def test_a_batch_that_may_have_been_confirmed_is_no_evidence():
+def test_voter_with_a_pending_batch_is_no_evidence():
     async def scene(world):
         for name in cores(world):
             cut(world, [name], [other for other in cores(world) if other != name])
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize("killed", [2, 3])
-def test_processes_that_do_not_run_are_evidence_if_they_are_more_than_half(killed):
+def test_stopped_voter_processes_are_evidence_only_if_more_than_half(killed):
     async def scene(world):
         gone = cores(world)[:killed]
         for name in gone:
@@ -152,7 +152,7 @@
     play(scene)
 
 
-def test_a_core_node_hands_nothing_out_longer_whatever_it_finds():
+def test_control_plane_node_serves_no_old_tables_whatever_the_evidence():
     async def scene(world):
         for name in cores(world)[1:]:
             world.nodes[name].kill()
@@ -161,7 +161,7 @@
     play(scene)
 
 
-def test_answers_that_make_no_sense_are_no_evidence_and_end_nothing():
+def test_malformed_answers_are_no_evidence_and_do_not_stop_detection():
     async def scene(world):
         async def nonsense(sender, body):
             return ()
--- a/tests/state/test_recorded_data_folder.py
+++ b/tests/state/test_recorded_data_folder.py
@@ -10,7 +10,7 @@
 
 from irisstand.state import items, versions
 from irisstand.state.storage import disk as disks
-from irisstand.state.storage import durable_store
+from irisstand.state.storage import durable_store, records
 
 RECORDED = json.loads(
     (pathlib.Path(__file__).parent.parent / "fixtures" / "storage" / "data_folder.json").read_text()
@@ -43,3 +43,10 @@
     replica = store.replicas[table]
     assert replica.root_digest() == record.root_digest
     assert sorted(replica.items)[:5] == expected["keys"]
+
+
+def test_recorded_records_decode_and_encode_to_the_same_bytes():
+    stored = [base64.b64decode(content) for name, content in RECORDED["files"].items() if ".voter." in name]
+    contents = [disks.strip_checksum(one) for one in stored]
+    assert len(contents) >= len(items.TABLES)
+    assert [records.Record.decode(content).encode() for content in contents] == contents
--- a/tests/state/test_replication.py
+++ b/tests/state/test_replication.py
@@ -26,7 +26,7 @@
     return day.cluster.network.bytes_sent.total() - before
 
 
-def test_what_a_change_costs_does_not_grow_with_the_table():
+def test_cost_of_a_change_does_not_grow_with_the_table():
     async def scene(day):
         await asyncio.sleep(40)
         small = await bytes_of_changes(day, 20)
@@ -39,7 +39,7 @@
     cluster.play(scene)
 
 
-def test_a_core_node_with_a_lost_disk_learns_a_table_that_is_larger_than_any_frame():
+def test_voter_with_a_lost_disk_learns_a_table_larger_than_any_frame():
     async def scene(day):
         for step in range(11):
             keys = [f"{step}-{number}" for number in range(250)]
@@ -60,7 +60,7 @@
     cluster.play(scene)
 
 
-def test_rows_above_a_applied_are_taken_only_if_the_outcome_is_the_peers_copy():
+def test_changes_are_applied_only_if_the_outcome_equals_the_peers_replica():
     one, other = filled(20), filled(20)
     # More is forgotten than is remembered, so that a peer that is behind cannot be told all of it.
     one.apply(items.Batch(versions.Version(21, "n"), one.applied, (("k3", None, True), ("k4", 5, False))))
@@ -78,7 +78,7 @@
     assert not other.apply_changes(versions.Version(5, "n"), one.root_digest(), [], [])
 
 
-def test_a_copy_damaged_in_memory_is_mended_range_by_range():
+def test_replica_damaged_in_memory_is_repaired_range_by_range():
     async def scene(day):
         copy = cluster.context(day, "store-1").configuration
         good = copy.items["service/content"]
@@ -91,7 +91,7 @@
     cluster.play(scene)
 
 
-def test_the_order_by_version_the_counts_and_the_digests_follow_every_change():
+def test_every_change_updates_version_order_counts_and_digests():
     copy = filled(30)
     for number in range(0, 30, 3):
         copy.remove_and_record(f"k{number}", versions.Version(40 + number, "n"))
@@ -111,7 +111,7 @@
 @pytest.mark.parametrize(
     "answer", [[], [[1, "n"], 0.1, b"x", ["rows"]], "nothing", [[[0, ""], None, b"", [7]]]]
 )
-def test_a_malformed_reply_changes_nothing(answer):
+def test_malformed_reply_changes_nothing(answer):
     async def scene(day):
         node = day.cluster.nodes["store-1"]
         before = {name: copy.root_digest() for name, copy in node.program.context.replicas.items()}
--- a/tests/state/test_replication_messages.py
+++ b/tests/state/test_replication_messages.py
@@ -94,26 +94,26 @@
 
 
 @pytest.mark.parametrize("message", EXAMPLES, ids=lambda message: type(message).__name__)
-def test_a_message_that_was_sent_is_received_as_it_was(message):
+def test_message_sent_is_received_unchanged(message):
     assert type(message).from_wire(sent(message)) == message
 
 
 @pytest.mark.parametrize("message", EXAMPLES, ids=lambda message: type(message).__name__)
 @pytest.mark.parametrize("change", [lambda fields: fields[:-1], lambda fields: [*fields, None]])
-def test_a_message_of_a_wrong_length_is_refused(message, change):
+def test_message_of_wrong_length_is_refused(message, change):
     with pytest.raises(MALFORMED_ERRORS):
         type(message).from_wire(change(sent(message)))
 
 
 @pytest.mark.parametrize("body", [None, 5, 1.5, {}, "", b""])
 @pytest.mark.parametrize("message", EXAMPLES, ids=lambda message: type(message).__name__)
-def test_what_is_no_sequence_of_fields_is_refused(message, body):
+def test_body_that_is_no_sequence_of_fields_is_refused(message, body):
     with pytest.raises(MALFORMED_ERRORS):
         type(message).from_wire(body)
 
 
 @pytest.mark.parametrize(("message", "number", "value"), WRONG_FIELDS)
-def test_a_field_of_a_wrong_type_or_value_is_refused(message, number, value):
+def test_field_of_wrong_type_or_value_is_refused(message, number, value):
     fields = sent(message)
     fields[number] = value
     with pytest.raises(MALFORMED_ERRORS):
@@ -152,7 +152,7 @@
         assert ormsgpack.packb(encoded) == ormsgpack.packb(body)
 
 
-def test_recorded_ranges_requests_are_all_malformed_and_refused_with_the_recorded_texts():
+def test_recorded_malformed_ranges_requests_are_refused_with_the_recorded_texts():
     texts = [text for _, text, *_ in recorded_frames.bodies("fault ranges")]
     refused = []
     for body in recorded_frames.bodies("ask ranges"):
@@ -162,6 +162,6 @@
     assert refused == texts
 
 
-def test_a_ranges_request_is_the_table_and_the_digest_of_each_range():
+def test_ranges_request_is_sent_as_table_and_digest_of_each_range():
     request = messages.RangesRequest(items.IDEMPOTENCY_KEYS, RANGE_DIGESTS)
     assert ormsgpack.packb(request.to_wire()) == ormsgpack.packb(["claims", [bytes(8)] * 256])
--- a/tests/state/test_restart_after_changes.py
+++ b/tests/state/test_restart_after_changes.py
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("changes", [300, 3000])
-def test_an_empty_disk_takes_a_whole_table_within_a_tenth_of_catch_up(changes):
+def test_empty_disk_stores_a_whole_table_within_a_tenth_of_the_catch_up_time(changes):
     async def scene():
         folder = new_folder()
         store = await store_on(folder)
@@ -61,7 +61,7 @@
     asyncio.run(scene())
 
 
-def test_a_restart_after_3000_changes_reads_few_files_and_finds_them_sound():
+def test_restart_after_3000_changes_reads_few_files_and_finds_them_intact():
     async def scene():
         folder, live = new_folder(), replica.Replica(items.LEDGER)
         store = await store_on(folder)
@@ -80,7 +80,7 @@
     asyncio.run(scene())
 
 
-def test_more_forgotten_at_once_than_is_remembered_still_leaves_the_disk_with_its_vote():
+def test_more_removals_than_are_remembered_leave_the_disk_with_its_vote():
     """Before, the record was written for a disk that did not add up; until the next change it had no vote."""
 
     async def scene():
@@ -100,7 +100,7 @@
     asyncio.run(scene())
 
 
-def test_a_mend_that_is_overtaken_by_a_commit_goes_on_until_it_has_caught_up():
+def test_repair_overtaken_by_commits_goes_on_until_it_has_caught_up():
     async def scene():
         peer, copy = replica.Replica(items.LEDGER), replica.Replica(items.LEDGER)
         grow(peer, 50, random.Random(1))
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("is_wiped", [False, True])
-def test_a_core_node_is_back_within_catch_up_while_changes_go_on_at_fifteen_a_second(is_wiped):
+def test_restarted_voter_catches_up_in_time_while_15_changes_per_second_go_on(is_wiped):
     async def scene(day):
         for node in day.cluster.with_role("agency"):
             node.disk.slowness = SYNC_SECONDS
@@ -179,7 +179,7 @@
     cluster.play(scene)
 
 
-def test_a_folder_whose_records_know_no_segments_starts_and_goes_on():
+def test_data_folder_whose_records_know_no_segments_starts_and_is_upgraded():
     """As the version before wrote it: six fields a record, and each item in a file of its own."""
 
     async def scene():
@@ -213,7 +213,7 @@
 
 
 @pytest.mark.parametrize("is_cut_short", [True, False])
-def test_a_segment_cut_short_or_altered_is_not_voted_from_and_written_whole_again(is_cut_short):
+def test_truncated_or_altered_segment_is_not_voted_from_and_is_rewritten(is_cut_short):
     async def scene():
         folder, live = new_folder(), replica.Replica(items.LEDGER)
         store = await store_on(folder)
@@ -235,7 +235,7 @@
     asyncio.run(scene())
 
 
-def test_power_lost_after_a_torn_record_was_put_aside_does_not_bring_the_older_promise_back():
+def test_power_loss_after_a_corrupt_record_was_quarantined_restores_no_older_promise():
     async def scene():
         folder, live = new_folder(), replica.Replica(items.LEDGER)
         store = await store_on(folder)
--- a/tests/state/test_restart_freshness.py
+++ b/tests/state/test_restart_freshness.py
@@ -10,7 +10,7 @@
 from irisstand.simulator import virtual_time
 
 
-def test_a_restarted_node_uses_no_table_that_may_be_older_than_its_former_lifes():
+def test_restarted_node_uses_no_table_that_may_be_older_than_in_its_former_life():
     """Found by seeds 3020 (busy) and 3012 (planned): a peer's copy, well within the bound, was older."""
 
     async def scene():
--- a/tests/state/test_slow_disks.py
+++ b/tests/state/test_slow_disks.py
@@ -8,7 +8,7 @@
 import irisstand.state.storage.disk
 
 
-def test_the_real_disk_keeps_only_what_was_synced_and_puts_torn_files_aside(tmp_path):
+def test_real_disk_keeps_only_synced_files_and_quarantines_corrupt_ones(tmp_path):
     async def scene():
         disk = irisstand.state.storage.disk.FolderDisk(tmp_path / "data")
         assert await disk.load() == ({}, [])
@@ -35,7 +35,7 @@
     asyncio.run(scene())
 
 
-def test_out_of_date_files_go_in_bulk_and_a_restart_in_between_reads_none_of_them():
+def test_obsolete_files_are_removed_in_bulk_and_not_read_after_a_restart():
     """Found in rehearsal: with a removal for each write, every sync waited for the file system's discard."""
 
     async def scene(day):
@@ -56,7 +56,7 @@
     cluster.play(scene)
 
 
-def test_disks_a_hundred_times_slower_leave_a_working_core():
+def test_disks_100_times_slower_leave_a_working_control_plane():
     async def scene(day):
         for node in day.cluster.with_role("agency"):
             node.disk.slowness = 0.12
