--- a/tests/mutation/state_mutations.py
+++ b/tests/mutation/state_mutations.py
@@ -71,7 +71,7 @@
     (
         "state/replication/replicator.py",
         "            overtaken += 1",
-        "                return",
+        "            return",
         "state/test_restart_after_changes.py::test_repair_overtaken_by_commits_goes_on_until_it_has_caught_up",
     ),
     (
