--- a/tests/membership/test_membership_faults.py
+++ b/tests/membership/test_membership_faults.py
@@ -4,8 +4,7 @@
 
 import cluster
 
-import irisstand.membership.detector as detector
-import irisstand.membership.updates as updates
+from irisstand.membership import detector, updates
 
 PERIOD = detector.Parameters.period_seconds
 
@@ -20,10 +19,10 @@
     return found
 
 
-def test_a_paused_process_is_suspected_then_refutes_it_and_is_never_declared_failed():
-    async def scene(day):
+def test_paused_process_is_suspected_refutes_it_and_is_never_confirmed():
+    async def scenario(day):
         node = day.cluster.nodes["edge-1"]
-        life = node.program.context.detector.identity.incarnation_id
+        incarnation_id = node.program.context.detector.identity.incarnation_id
         node.freeze()
         seen = set()
         await day.cluster.wait_until(
@@ -36,15 +35,15 @@
         assert None not in seen
         assert set(states(day, "edge-1").values()) == {updates.MemberState.ALIVE}
         own = node.program.context.detector
-        assert own.incarnation_number >= 1 and own.identity.incarnation_id == life
+        assert own.incarnation_number >= 1 and own.identity.incarnation_id == incarnation_id
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
-def test_a_dead_node_is_failed_everywhere_within_the_papers_bounds_and_returns_as_a_new_life():
-    async def scene(day):
+def test_killed_node_is_confirmed_within_the_papers_bounds_and_returns_as_a_new_incarnation():
+    async def scenario(day):
         node = day.cluster.nodes["store-1"]
-        life = node.program.context.detector.identity.incarnation_id
+        incarnation_id = node.program.context.detector.identity.incarnation_id
         members = len(day.cluster.nodes)
         node.kill()
         took = await day.cluster.wait_until(lambda: set(states(day, "store-1").values()) == {None}, 60)
@@ -55,13 +54,13 @@
         await day.cluster.wait_until(
             lambda: set(states(day, "store-1").values()) == {updates.MemberState.ALIVE}, 20
         )
-        assert node.program.context.detector.identity.incarnation_id != life
+        assert node.program.context.detector.identity.incarnation_id != incarnation_id
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
-def test_a_node_falsely_declared_failed_comes_back_as_a_new_life():
-    async def scene(day):
+def test_node_falsely_confirmed_returns_as_a_new_incarnation():
+    async def scenario(day):
         node = day.cluster.nodes["edge-2"]
         identity = node.program.context.detector.identity
         day.cluster.partition_off(["edge-2"])
@@ -79,30 +78,30 @@
             if name != "edge-2":
                 assert cluster.context(day, name).counters.get("swim_lives") == 0
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
-def test_lists_converge_again_after_a_long_split():
-    async def scene(day):
+def test_member_lists_converge_after_a_long_partition():
+    async def scenario(day):
         half = [name for name, node in day.cluster.nodes.items() if node.placement.site in ("north", "east")]
         day.cluster.partition_off(half)
         other = next(name for name in day.cluster.nodes if name not in half)
         await day.cluster.wait_until(lambda: not set(half) & set(cluster.members(day, other)), 90)
         day.cluster.network.heal()
 
-        def whole():
+        def have_converged():
             names = set(day.cluster.nodes)
             return all(set(cluster.members(day, name)) == names - {name} for name in names)
 
-        await day.cluster.wait_until(whole, 60)
+        await day.cluster.wait_until(have_converged, 60)
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
-def test_ten_percent_of_packets_lost_fells_no_living_member():
+def test_loss_of_ten_percent_of_datagrams_confirms_no_living_member():
     """The paper's harsh run (section 5.3) left 12 of 17; with k = 3 and these time-outs nobody goes."""
 
-    async def scene(day):
+    async def scenario(day):
         day.cluster.network.loss = 0.1
         for _ in range(200):
             await asyncio.sleep(PERIOD)
@@ -118,14 +117,14 @@
         )
         assert suspected > 0 and confirmed == 0
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
-def test_a_node_that_leaves_is_gone_from_the_lists_without_being_suspected():
-    async def scene(day):
+def test_leaving_node_is_removed_from_member_lists_without_being_suspected():
+    async def scenario(day):
         await day.cluster.nodes["edge-1"].stop()
         await day.cluster.wait_until(lambda: set(states(day, "edge-1").values()) == {None}, 10 * PERIOD)
         seen = cluster.context(day, "agency-1").detector.member_list.failed.values()
         assert [update.has_left for update in seen if update.identity.name == "edge-1"] == [True]
 
-    cluster.play(scene)
+    cluster.play(scenario)
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -5,11 +5,9 @@
 
 import pytest
 
-import irisstand.membership.dissemination_buffer
-import irisstand.membership.member_list
-import irisstand.membership.updates as updates
+from irisstand.membership import dissemination_buffer, member_list, updates
 
-CARD = updates.NodeInfo("edge", "machine", "site", "region", "127.0.0.1", 1, 2)
+NODE_INFO = updates.NodeInfo("edge", "machine", "site", "region", "127.0.0.1", 1, 2)
 STATES = {
     "alive": updates.MemberState.ALIVE,
     "suspect": updates.MemberState.SUSPECT,
@@ -31,23 +29,23 @@
 
 
 def update(name, state="alive", incarnation=0):
-    return updates.Update(STATES[state], updates.Identity(name, "1"), incarnation, CARD)
+    return updates.Update(STATES[state], updates.Identity(name, "1"), incarnation, NODE_INFO)
 
 
 @pytest.mark.parametrize(("new", "old"), TABLE)
 def test_override_order(new, old):
     for mine, theirs in itertools.product(range(3), repeat=2):
-        member_list = irisstand.membership.member_list.MemberList(random.Random(1))
-        member_list.apply(update("a", old, theirs))
-        wins = member_list.apply(update("a", new, mine))
+        members = member_list.MemberList(random.Random(1))
+        members.apply(update("a", old, theirs))
+        wins = members.apply(update("a", new, mine))
         assert wins == TABLE[(new, old)](mine, theirs), (new, mine, old, theirs)
         expected = update("a", new, mine) if wins else update("a", old, theirs)
-        assert member_list.get(updates.Identity("a", "1")) == expected
+        assert members.get(updates.Identity("a", "1")) == expected
 
 
-def test_piggyback_is_bounded_least_sent_first_and_drawn_from_both_lists():
-    buffer = irisstand.membership.dissemination_buffer.DisseminationBuffer()
-    limit = irisstand.membership.dissemination_buffer.transmission_limit(3, 20)
+def test_piggybacked_updates_are_bounded_least_sent_first_and_from_both_lists():
+    buffer = dissemination_buffer.DisseminationBuffer()
+    limit = dissemination_buffer.transmission_limit(3, 20)
     for number in range(10):
         buffer.add(update(f"present-{number}"))
         buffer.add(update(f"failed-{number}", "confirm"))
@@ -69,14 +67,14 @@
     assert len(sent) == 20 and set(sent.values()) == {limit}
 
 
-def test_successive_probes_of_a_member_are_at_most_2n_minus_1_periods_apart():
+def test_successive_pings_of_a_member_are_at_most_2n_minus_1_periods_apart():
     for seed in range(20):
-        member_list = irisstand.membership.member_list.MemberList(random.Random(seed))
+        members = member_list.MemberList(random.Random(seed))
         for number in range(9):
-            member_list.apply(update(f"m{number}"))
+            members.apply(update(f"m{number}"))
         last, gap = {}, 0
         for period in range(400):
-            target = member_list.next_ping_target().identity.name
+            target = members.next_ping_target().identity.name
             gap = max(gap, period - last.get(target, period))
             last[target] = period
         assert 9 <= gap <= 2 * 9 - 1
--- a/tests/programs/test_http.py
+++ b/tests/programs/test_http.py
@@ -13,8 +13,7 @@
 import pytest
 
 import irisstand.commands
-import irisstand.errors as errors
-import irisstand.node_settings as node_settings
+from irisstand import errors, node_settings
 from irisstand.localcluster import processes
 
 GOOD = {
@@ -36,7 +35,7 @@
     return raised.value.faults
 
 
-def test_every_fault_of_the_settings_is_named_with_key_value_and_remedy():
+def test_every_fault_of_the_settings_is_reported_with_key_value_and_remedy():
     assert node_settings.check(GOOD, "dataplane").seeds == [("127.0.0.1", 7001)]
     found = faults(port="x", host="example.org", role="oven", colour="red", seeds="1.1.1.1:1,b,c,d")
     assert len(found) == 5
@@ -61,7 +60,7 @@
             assert subprocess.run([sys.executable, "-m", program, flag], capture_output=True).returncode == 0
 
 
-def test_the_command_line_tells_scripts_what_went_wrong():
+def test_command_line_reports_errors_by_exit_code():
     runner = click.testing.CliRunner()
     assert runner.invoke(irisstand.commands.main, ["purge"]).exit_code == 2
     refused = processes.free_ports(1)[0]
@@ -104,7 +103,7 @@
     return asyncio.run(ask())
 
 
-def test_what_bad_requests_get_at_the_edge(thin):
+def test_responses_to_bad_requests_at_the_edge(thin):
     assert call(thin, "edge-1", "GET", "/nowhere").status == 404
     assert call(thin, "edge-1", "GET", "/nowhere").content["code"] == "unknown-path"
     assert call(thin, "edge-1", "GET", "/a//b").status == 400
@@ -115,7 +114,7 @@
     assert "# TYPE irisstand_frames_sent untyped" in text
 
 
-def test_operators_calls_and_what_bad_ones_get(thin):
+def test_responses_to_good_and_bad_calls_of_operators(thin):
     def change(rows, **more):
         return call(thin, "agency-1", "POST", "/changes", {"rows": rows, **more})
 
@@ -157,13 +156,13 @@
     assert names == {"agency-1", "shield-1", "edge-1"}
 
 
-def test_sigterm_drains_writes_the_ring_and_exits_0(thin):
+def test_sigterm_drains_writes_the_event_log_and_exits_0(thin):
     thin.kill("edge-1", signal.SIGTERM)
     assert thin.processes["edge-1"].wait(20) == 0
     assert '"ring": "SIGTERM"' in (thin.folder / "edge-1.log").read_text()
 
 
-def test_a_port_that_is_taken_ends_the_start_with_a_remedy(thin):
+def test_taken_port_ends_the_start_with_a_remedy(thin):
     place = thin.places["shield-1"]
     settings = [f"--{key.replace('_', '-')}={value}" for key, value in GOOD.items() if "port" not in key]
     ports = [f"--port={processes.free_ports(1)[0]}", f"--http-port={place.http_port}"]
--- a/tests/programs/test_shutdown.py
+++ b/tests/programs/test_shutdown.py
@@ -22,7 +22,7 @@
 """
 
 
-def test_a_thread_that_is_stuck_does_not_keep_the_process_beyond_its_time():
+def test_stuck_thread_does_not_keep_the_process_beyond_its_shutdown_time():
     started = time.monotonic()
     done = subprocess.run([sys.executable, "-c", STUCK], capture_output=True, text=True, timeout=60)
     assert done.returncode == 0, done.stderr
--- a/tests/transport/test_closed_connections.py
+++ b/tests/transport/test_closed_connections.py
@@ -5,11 +5,9 @@
 import pytest
 import uvloop
 
-import irisstand.counters as counting
-import irisstand.dataplane.upstream.exchange as exchange
-import irisstand.errors as errors
-import irisstand.transport.network as network
-import irisstand.transport.peers as peers
+from irisstand import counters, errors
+from irisstand.dataplane.upstream import exchange
+from irisstand.transport import network, peers
 
 
 async def listen(serve):
@@ -22,43 +20,43 @@
     writer.close()
 
 
-def test_a_request_on_a_connection_just_closed_has_certainly_not_left():
-    async def scene():
-        server, place = await listen(silent)
-        line = await exchange.connector("x-request-id")(*place)
-        line.transport.abort()
+def test_request_on_a_closed_upstream_connection_was_not_sent():
+    async def scenario():
+        server, address = await listen(silent)
+        upstream_connection = await exchange.connector("x-request-id")(*address)
+        upstream_connection.transport.abort()
         with pytest.raises(exchange.ConnectionBrokenError):
-            await line.send("POST", b"/x", [("host", "h")], b"", "a")
+            await upstream_connection.send("POST", b"/x", [("host", "h")], b"", "a")
         server.close()
-        return line.may_have_sent, line.is_usable()
+        return upstream_connection.may_have_sent, upstream_connection.is_usable()
 
-    assert uvloop.run(scene()) == (False, False)
+    assert uvloop.run(scenario()) == (False, False)
 
 
-def test_asking_and_withdrawing_on_a_link_just_closed_are_typed():
-    async def scene():
-        asked = peers.Transport(network.RealNetwork(), counting.Counters(), "peer")
+def test_call_and_cancellation_on_a_closed_peer_connection_raise_typed_errors():
+    async def scenario():
+        callee = peers.Transport(network.RealNetwork(), counters.Counters(), "peer")
 
         async def never(sender, body):
             await asyncio.sleep(60)
 
-        asked.handlers["do"] = never
-        server, place = await listen(lambda reader, writer: asked.serve(network.TcpStream(reader, writer)))
-        asker = peers.Transport(network.RealNetwork(), counting.Counters(), "asker")
-        connection = await asker.connect(place, "peer")
+        callee.handlers["do"] = never
+        server, address = await listen(lambda reader, writer: callee.serve(network.TcpStream(reader, writer)))
+        caller = peers.Transport(network.RealNetwork(), counters.Counters(), "caller")
+        connection = await caller.connect(address, "peer")
         connection.stream.writer.transport.abort()
         with pytest.raises(errors.NotSentError):
-            await asker.call(place, "peer", "do", (), 1.0)
-        connection = await asker.connect(place, "peer")
-        asking = asyncio.create_task(asker.call(place, "peer", "do", (), 5.0))
+            await caller.call(address, "peer", "do", (), 1.0)
+        connection = await caller.connect(address, "peer")
+        asking = asyncio.create_task(caller.call(address, "peer", "do", (), 5.0))
         await asyncio.sleep(0.05)
         connection.stream.writer.transport.abort()
         asking.cancel()
-        # The asker's cancellation stays one; an error in its place would end a controller, and its process.
+        # The caller's cancellation stays one; an error in its place would end a controller, and its process.
         with pytest.raises((asyncio.CancelledError, errors.UnansweredError)):
             await asking
-        await asker.close()
-        await asked.close()
+        await caller.close()
+        await callee.close()
         server.close()
 
-    uvloop.run(scene())
+    uvloop.run(scenario())
--- a/tests/transport/test_fuzz.py
+++ b/tests/transport/test_fuzz.py
@@ -4,46 +4,29 @@
 
 import ormsgpack
 import pytest
+import random_values
 
-import irisstand.clocks
-import irisstand.counters
-import irisstand.errors as errors
-import irisstand.membership.detector
-import irisstand.membership.updates as updates
-import irisstand.state.digests as digests
-import irisstand.state.items as items
-import irisstand.state.replica as replica
-import irisstand.state.versions as versions
-import irisstand.transport.codec as codec
-
-
-def value(randomness, depth=0):
-    kinds = [None, True, 0, -1, 2**40, 1.5, "", "x" * 20, b"\xff", "é"]
-    if depth < 3 and randomness.random() < 0.5:
-        if randomness.random() < 0.7:
-            return [value(randomness, depth + 1) for _ in range(randomness.randrange(7))]
-        return {str(n): value(randomness, depth + 1) for n in range(randomness.randrange(3))}
-    return randomness.choice(kinds)
+from irisstand import clocks, counters, errors
+from irisstand.membership import detector, updates
+from irisstand.state import digests, items, replica, versions
+from irisstand.transport import codec
 
 
 class StoppedClock:
     def now(self):
-        return irisstand.clocks.Moment(5.0)
+        return clocks.Moment(5.0)
 
 
-def detector():
-    card = updates.NodeInfo("edge", "m", "s", "r", "127.0.0.1", 1, 2)
-    counters = irisstand.counters.Counters()
-    return irisstand.membership.detector.FailureDetector(
-        "a", card, StoppedClock(), random.Random(1), counters
-    )
+def new_detector():
+    node_info = updates.NodeInfo("edge", "m", "s", "r", "127.0.0.1", 1, 2)
+    return detector.FailureDetector("a", node_info, StoppedClock(), random.Random(1), counters.Counters())
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_any_bytes_are_a_message_or_a_bad_frame(seed):
+def test_any_bytes_are_a_message_or_a_malformed_frame(seed):
     randomness = random.Random(seed)
     for _ in range(1500):
-        message = ("kind", *(value(randomness) for _ in range(randomness.randrange(5))))
+        message = ("kind", *(random_values.random_value(randomness) for _ in range(randomness.randrange(5))))
         packed = bytearray(codec.pack(message))
         assert codec.pack(codec.unpack(bytes(packed))) == bytes(packed)
         for _ in range(randomness.randrange(4)):
@@ -60,43 +43,45 @@
 
 def test_malformed_datagrams_are_counted_and_dropped():
     randomness = random.Random(3)
-    one = detector()
+    failure_detector = new_detector()
     dropped = 0
     for _ in range(4000):
-        body = [value(randomness) for _ in range(randomness.choice((4, 4, 4, 2, 6)))]
+        body = [random_values.random_value(randomness) for _ in range(randomness.choice((4, 4, 4, 2, 6)))]
         body[0] = randomness.choice(("pong", 7, "hello"))
         if len(body) > 3 and randomness.random() < 0.8:
             body[1], body[2] = ("b", "1"), ("a", "1")
-            body[3] = [value(randomness) for _ in range(3)]
-        one.on_datagram(codec.pack(("ping-x", *body)), ("127.0.0.1", 9))
-        one.on_datagram(randomness.randbytes(40), ("127.0.0.1", 9))
+            body[3] = [random_values.random_value(randomness) for _ in range(3)]
+        failure_detector.on_datagram(codec.pack(("ping-x", *body)), ("127.0.0.1", 9))
+        failure_detector.on_datagram(randomness.randbytes(40), ("127.0.0.1", 9))
         dropped += 1
-    assert one.counters.get("datagrams_dropped") >= dropped
-    assert not one.member_list.members
+    assert failure_detector.counters.get("datagrams_dropped") >= dropped
+    assert not failure_detector.member_list.members
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_updates_in_any_order_leave_what_the_override_order_says(seed):
+def test_updates_in_any_order_end_in_the_state_of_the_override_order(seed):
     """Oracle: Confirm if there was one, else the highest incarnation, and Suspect before Alive in it."""
     randomness = random.Random(seed)
-    card = updates.NodeInfo("edge", "m", "s", "r", "127.0.0.1", 1, 2)
+    node_info = updates.NodeInfo("edge", "m", "s", "r", "127.0.0.1", 1, 2)
     for _ in range(300):
         given = [
             updates.Update(
                 updates.MemberState(randomness.choice((0, 0, 0, 1, 1, 1, 2))),
                 updates.Identity(f"n{randomness.randrange(3)}", "1"),
                 randomness.randrange(4),
-                card,
+                node_info,
             )
             for _ in range(randomness.randrange(1, 9))
         ]
-        one = detector()
+        failure_detector = new_detector()
         for update in given:
-            one.apply_update(updates.Update.from_wire(ormsgpack.unpackb(ormsgpack.packb(update.to_wire()))))
+            failure_detector.apply_update(
+                updates.Update.from_wire(ormsgpack.unpackb(ormsgpack.packb(update.to_wire())))
+            )
         for name in {update.identity.name for update in given}:
             about = [update for update in given if update.identity.name == name]
             failed = [update for update in about if update.state is updates.MemberState.CONFIRM]
-            found = one.member_list.get(updates.Identity(name, "1"))
+            found = failure_detector.member_list.get(updates.Identity(name, "1"))
             if failed:
                 assert found.state is updates.MemberState.CONFIRM
             else:
@@ -105,7 +90,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_merging_is_the_same_in_any_order_and_digests_tell_every_difference(seed):
+def test_merge_does_not_depend_on_order_and_digests_show_every_difference(seed):
     randomness = random.Random(seed)
     for _ in range(60):
         given = [
@@ -119,19 +104,19 @@
         oracle = {}
         for item in given:
             oracle[item.key] = item
-        copies = []
+        replicas = []
         for _ in range(2):
             shuffled = given[:]
             randomness.shuffle(shuffled)
-            copy = replica.Replica("t")
+            table = replica.Replica("t")
             for item in shuffled:
-                copy.merge(items.Item.from_wire(ormsgpack.unpackb(ormsgpack.packb(item.to_wire()))))
-            copies.append(copy)
-        assert dict(copies[0].items) == dict(copies[1].items) == oracle
-        assert copies[0].root_digest() == copies[1].root_digest()
+                table.merge(items.Item.from_wire(ormsgpack.unpackb(ormsgpack.packb(item.to_wire()))))
+            replicas.append(table)
+        assert dict(replicas[0].items) == dict(replicas[1].items) == oracle
+        assert replicas[0].root_digest() == replicas[1].root_digest()
         changed = randomness.choice(list(oracle))
-        copies[1].put(oracle[changed]._replace(value="damaged"))
+        replicas[1].put(oracle[changed]._replace(value="damaged"))
         differing = [
-            a != b for a, b in zip(copies[0].range_digests(), copies[1].range_digests(), strict=True)
+            a != b for a, b in zip(replicas[0].range_digests(), replicas[1].range_digests(), strict=True)
         ]
         assert differing.index(True) == digests.range_number(changed) and sum(differing) == 1
--- a/tests/transport/test_incarnations.py
+++ b/tests/transport/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Asks between nodes are bound to one life of the peer, and to one version of the messages."""
+"""Requests between nodes are meant for one incarnation of the peer and one version of the protocol."""
 
 import asyncio
 import random
@@ -6,58 +6,58 @@
 import cluster
 import pytest
 
-import irisstand.controlplane.changes.orders as orders
-import irisstand.counters as counting
-import irisstand.errors as errors
-import irisstand.state.items as items
-import irisstand.transport.codec as codec
-import irisstand.transport.peers as peers
+from irisstand import counters, errors
+from irisstand.controlplane.changes import orders
 from irisstand.simulator import memory_network, virtual_time
+from irisstand.state import items
+from irisstand.transport import codec, peers
 
-PLACE = ("10.0.0.2", 7000)
+ADDRESS = ("10.0.0.2", 7000)
 
 
-def play(scene, answer):
-    """One asker, and one peer whose handler for "do" is `answer`."""
+def play(scenario, handler):
+    """Run a scenario with a caller and a peer whose handler of "do" requests is `handler`."""
 
-    async def whole():
-        lines = memory_network.SimulatedNetwork(random.Random(1))
+    async def run():
+        simulated_network = memory_network.SimulatedNetwork(random.Random(1))
+        callee_network = memory_network.HostNetwork(simulated_network, "10.0.0.2")
+        caller_network = memory_network.HostNetwork(simulated_network, "10.0.0.1")
         actor = virtual_time.Actor("peer")
-        asked = peers.Transport(memory_network.HostNetwork(lines, "10.0.0.2"), counting.Counters(), "peer")
-        asker = peers.Transport(memory_network.HostNetwork(lines, "10.0.0.1"), counting.Counters(), "asker")
-        asked.own_incarnation_id = lambda: "second"
-        asked.handlers["do"] = answer
-        await actor.start(asked.open(PLACE))
-        return await scene(asker, asked)
+        callee = peers.Transport(callee_network, counters.Counters(), "peer")
+        caller = peers.Transport(caller_network, counters.Counters(), "caller")
+        callee.own_incarnation_id = lambda: "second"
+        callee.handlers["do"] = handler
+        await actor.start(callee.open(ADDRESS))
+        return await scenario(caller, callee)
 
-    return virtual_time.run(whole())
+    return virtual_time.run(run())
 
 
-def test_an_ask_for_an_earlier_life_is_refused_before_anything_runs():
+def test_request_for_an_earlier_incarnation_is_rejected_before_its_handler_runs():
     runs = []
 
-    async def answer(sender, body):
+    async def handler(sender, body):
         runs.append(body)
         return ("ran",)
 
-    async def scene(asker, asked):
+    async def scenario(caller, callee):
         with pytest.raises(errors.IncarnationEndedError) as raised:
-            await asker.call(PLACE, "peer", "do", (), 1.0, "first")
+            await caller.call(ADDRESS, "peer", "do", (), 1.0, "first")
         # Certainly not carried out, as every other kind that lets a caller ask elsewhere.
         assert isinstance(raised.value, errors.NotSentError) and not runs
-        assert asked.counters.total("asks_for_ended_lives") == 1
-        assert await asker.call(PLACE, "peer", "do", (), 1.0, "second") == ["ran"]
-        assert await asker.call(PLACE, "peer", "do", (), 1.0) == ["ran"]
-        # Falsely declared failed, it has a new life and is the same process still.
-        asked.own_incarnation_id = lambda: "third"
-        assert await asker.call(PLACE, "peer", "do", (), 1.0, "third") == ["ran"]
-        assert await asker.call(PLACE, "peer", "do", (), 1.0, "second") == ["ran"]
+        assert callee.counters.total("asks_for_ended_lives") == 1
+        assert await caller.call(ADDRESS, "peer", "do", (), 1.0, "second") == ["ran"]
+        assert await caller.call(ADDRESS, "peer", "do", (), 1.0) == ["ran"]
+        # Falsely declared failed, it has a new incarnation and is the same process still.
+        callee.own_incarnation_id = lambda: "third"
+        assert await caller.call(ADDRESS, "peer", "do", (), 1.0, "third") == ["ran"]
+        assert await caller.call(ADDRESS, "peer", "do", (), 1.0, "second") == ["ran"]
 
-    play(scene, answer)
+    play(scenario, handler)
 
 
-def test_a_late_reply_to_a_withdrawn_ask_reaches_nobody_else():
-    async def answer(sender, body):
+def test_late_response_to_a_cancelled_request_reaches_no_other_call():
+    async def handler(sender, body):
         if body[0] == "slow":
             try:
                 await asyncio.sleep(0.5)
@@ -66,37 +66,37 @@
                 pass
         return (body[0],)
 
-    async def scene(asker, asked):
+    async def scenario(caller, callee):
         with pytest.raises(errors.UnansweredError):
-            await asker.call(PLACE, "peer", "do", ("slow",), 0.2)
+            await caller.call(ADDRESS, "peer", "do", ("slow",), 0.2)
         replies = await asyncio.gather(
-            *(asker.call(PLACE, "peer", "do", (f"n{number}",), 1.0) for number in range(5))
+            *(caller.call(ADDRESS, "peer", "do", (f"n{number}",), 1.0) for number in range(5))
         )
         assert [reply[0] for reply in replies] == [f"n{number}" for number in range(5)]
 
-    play(scene, answer)
+    play(scenario, handler)
 
 
-def test_a_frame_of_an_unknown_version_is_a_typed_error_and_counted():
-    async def answer(sender, body):
+def test_frame_of_an_unknown_protocol_is_a_typed_error_and_counted():
+    async def handler(sender, body):
         return ()
 
-    packed = codec.encode(codec.Hello("asker", "life"))
+    packed = codec.encode(codec.Hello("caller", "life"))
     changed = bytes([packed[0], 9]) + packed[2:]
     with pytest.raises(codec.UnknownProtocolError):
         codec.decode(changed)
 
-    async def scene(asker, asked):
-        stream = await asker.net.connect(PLACE)
+    async def scenario(caller, callee):
+        stream = await caller.net.connect(ADDRESS)
         stream.write(changed)
         with pytest.raises(ConnectionResetError):
             await stream.read()
-        assert asked.counters.get("frames_dropped", reason="UnknownVersion") == 1
+        assert callee.counters.get("frames_dropped", reason="UnknownVersion") == 1
 
-    play(scene, answer)
+    play(scenario, handler)
 
 
-def test_every_message_comes_back_as_it_was():
+def test_every_message_decodes_to_what_was_encoded():
     for message in (
         codec.Hello("n", "l"),
         codec.Request(1, "read", ["x"], "l"),
@@ -106,25 +106,25 @@
         codec.Cancel(4),
     ):
         assert codec.decode(codec.encode(message)) == message
-    # As the version before writes them, and reads an ask to a peer that told no life.
+    # As the version before writes them, and reads a request to a peer without an incarnation.
     assert codec.decode(codec.pack(("hello", 0, ("n",)))) == codec.Hello("n")
     assert codec.unpack(codec.encode(codec.Request(1, "read", ["x"]))) == ("ask", 1, ["read", ["x"]])
 
 
-def test_an_order_whose_asker_has_gone_is_not_decided_later():
-    async def scene(day):
+def test_order_whose_caller_has_gone_is_not_decided_later():
+    async def scenario(day):
         await asyncio.sleep(2)
-        node, asker = day.cluster.nodes["agency-2"], day.cluster.nodes["agency-3"]
+        node, caller = day.cluster.nodes["agency-2"], day.cluster.nodes["agency-3"]
         proposer = node.program.proposers[items.CONFIGURATION]
         before = node.program.context.configuration.value("site/north")
         order = orders.Order("change", "", [cluster.site_row(weight=9)])
-        # A ballot goes on for so long that the order is still queued when its asker gives up.
+        # A ballot goes on for so long that the order is still queued when its caller gives up.
         async with proposer.ballot_lock:
-            ask = asker.program.context.transport.call(
+            call = caller.program.context.transport.call(
                 (node.placement.host, 7000), "agency-2", "order", tuple(order), 0.3
             )
             with pytest.raises(errors.UnansweredError):
-                await asker.do(ask, 5)
+                await caller.do(call, 5)
             await asyncio.sleep(0.1)
         await asyncio.sleep(2)
         assert node.program.context.configuration.value("site/north") == before
@@ -132,4 +132,4 @@
         # What comes after it is decided as ever.
         assert await day.actors.order("agency-3", "change", [cluster.site_row(weight=4)])
 
-    cluster.play(scene)
+    cluster.play(scenario)
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -6,13 +6,13 @@
 import re
 
 import cluster
-from test_fuzz import value
+import random_values
 
 import irisstand
-import irisstand.errors as errors
-import irisstand.state.items as items
-import irisstand.transport.codec as codec
+from irisstand import errors
 from irisstand.simulator import memory_network
+from irisstand.state import items
+from irisstand.transport import codec
 
 
 async def connect(day, name):
@@ -21,7 +21,7 @@
 
 
 def test_malformed_streams_are_closed_and_counted():
-    async def scene(day):
+    async def scenario(day):
         bad = [
             b"",
             b"\xc1",
@@ -47,43 +47,49 @@
             assert context.counters.total("frames_dropped") - before == len(bad)
         assert (await day.actors.ask("edge-1", "GET", "/vacancies/1"))[0] == 200
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
-def test_random_bodies_to_every_kind_of_ask_kill_nobody_and_change_no_table():
-    async def scene(day):
+def test_random_bodies_of_every_kind_of_request_crash_no_node_and_change_no_table():
+    async def scenario(day):
         randomness = random.Random(9)
         await asyncio.sleep(20)
-        asked = 0
+        rejected = 0
         for name in ("agency-3", "shield-1", "store-1", "edge-2"):
             node = day.cluster.nodes[name]
-            before = {table: copy.root_digest() for table, copy in node.program.context.replicas.items()}
-            applied_versions = {table: copy.applied for table, copy in node.program.context.replicas.items()}
+            before = {
+                table: replica.root_digest() for table, replica in node.program.context.replicas.items()
+            }
+            applied_versions = {
+                table: replica.applied for table, replica in node.program.context.replicas.items()
+            }
             kinds = [
                 kind for kind in node.program.context.transport.handlers if kind not in ("roster", "order")
             ]
             for kind in [*kinds, "no-such-kind"]:
                 for _ in range(8):
-                    body = tuple(value(randomness) for _ in range(randomness.randrange(10)))
+                    body = tuple(
+                        random_values.random_value(randomness) for _ in range(randomness.randrange(10))
+                    )
                     source = day.cluster.nodes["edge-1"]
                     address = (node.placement.host, 7000)
-                    ask = source.program.context.transport.call(address, name, kind, body, 0.3)
+                    call = source.program.context.transport.call(address, name, kind, body, 0.3)
                     try:
-                        await source.do(ask, 5)
+                        await source.do(call, 5)
                     except errors.IrisError:
-                        asked += 1
+                        rejected += 1
             assert not node.program.context.crashed.done()
-            for table, copy in node.program.context.replicas.items():
-                if copy.applied == applied_versions[table]:
-                    assert copy.root_digest() == before[table]
-        assert asked > 80
+            for table, replica in node.program.context.replicas.items():
+                if replica.applied == applied_versions[table]:
+                    assert replica.root_digest() == before[table]
+        assert rejected > 80
         await day.cluster.wait_until_ready()
         assert await day.actors.order("agency-3", "change", [cluster.site_row(weight=4)])
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
-def test_neighbours_one_protocol_apart_understand_one_another_and_no_others():
+def test_protocols_one_version_apart_are_accepted_and_no_others():
     packed = codec.pack(("ping", 1))
     for protocol in range(0, 6):
         changed = bytes([packed[0], protocol]) + packed[2:]
@@ -94,7 +100,7 @@
             assert abs(protocol - codec.PROTOCOL) > 1
 
 
-def test_no_code_of_the_daemons_reads_a_wall_clock():
+def test_no_program_reads_a_wall_clock():
     """Clocks jump at Kildespor; whatever reads one would be wrong there."""
     source = pathlib.Path(irisstand.__file__).parent
     daemons = [path for path in source.rglob("*.py") if "rehearsal" not in path.parts]
--- a/tests/transport/test_recorded_errors.py
+++ b/tests/transport/test_recorded_errors.py
@@ -6,7 +6,7 @@
 import pkgutil
 
 import irisstand
-import irisstand.errors as errors
+from irisstand import errors
 
 RECORDED = pathlib.Path(__file__).parent.parent / "fixtures" / "wire" / "errors.json"
 
