--- a/src/irisstand/controlplane/assembly.py
+++ b/src/irisstand/controlplane/assembly.py
@@ -1,14 +1,19 @@
-"""Putting a control plane node together from what it is handed; the simulator uses this as the program
-does.
+"""Assembles a control plane node from its settings, clock, randomness, network and disk.
+
+The program and the simulator build their nodes here.
 """
 
 import random
 
 from irisstand import clocks, node_context, node_settings
-from irisstand.controlplane.consensus import bootstrap as founding
-from irisstand.controlplane.consensus import heartbeat, submitter, voter_planner
-from irisstand.controlplane.consensus import participant as cores
-from irisstand.controlplane.consensus import proposer as proposers
+from irisstand.controlplane.consensus import (
+    bootstrap,
+    heartbeat,
+    participant,
+    proposer,
+    submitter,
+    voter_planner,
+)
 from irisstand.controlplane.singletons import (
     capacity_scaling,
     lease,
@@ -19,68 +24,89 @@
     retention,
 )
 from irisstand.state import items
-from irisstand.state.storage import disk as disks
+from irisstand.state.storage import disk
 from irisstand.transport import network
 
-# Seconds for which a lost holder leaves its duty undone, about. Short where a rule of seconds hangs on it.
-PLATFORM_LEASE, STAFFING_LEASE, RATES_LEASE = 1.4, 2.0, 12.0
+# About how long a singleton task stays undone when its holder is lost; short where a page of the users sets a
+# time.
+ORIGIN_DISCOVERY_LEASE_SECONDS = 1.4
+CAPACITY_SCALING_LEASE_SECONDS = 2.0
+RATE_PLACEMENT_LEASE_SECONDS = 12.0
 
 
 class ControlNode:
-    def __init__(
+    """A control plane node: consensus on all tables, and the singleton tasks that its settings name.
+
+    Args:
+        settings: Of this node.
+        clock: Monotonic.
+        randomness: For ballots, intervals and identifiers.
+        net: Connections and datagrams.
+        node_disk: Keeps the tables and the votes.
+        fetch_origins: Returns the platform's origins; None if there is no platform to follow.
+    """
+
+    def __init__(  # noqa: PLR0913, PLR0917 - all that touches the world outside is handed in
         self,
         settings: node_settings.Settings,
         clock: clocks.Clock,
         randomness: random.Random,
         net: network.Network,
-        disk: disks.Disk,
-        ask_platform: origin_source.FetchOrigins | None,
+        node_disk: disk.Disk,
+        fetch_origins: origin_source.FetchOrigins | None,
     ) -> None:
         self.context = node_context.NodeContext(settings, "agency", clock, randomness, net)
-        self.participant = cores.Participant(self.context, disk)
-        self.proposers = {table: proposers.Proposer(self.participant, table) for table in items.TABLES}
+        self.participant = participant.Participant(self.context, node_disk)
+        self.proposers = {table: proposer.Proposer(self.participant, table) for table in items.TABLES}
         self.heartbeats = {
-            table: heartbeat.Heartbeat(self.participant, proposer)
-            for table, proposer in self.proposers.items()
+            table: heartbeat.Heartbeat(self.participant, table_proposer)
+            for table, table_proposer in self.proposers.items()
         }
         self.read_index = heartbeat.ReadIndex(self.heartbeats)
         self.submitter = submitter.Submitter(self.participant, self.proposers)
-        self.founding = founding.Bootstrap(self.participant, self.submitter)
-        self.planner = voter_planner.VoterPlanner(self.participant, self.submitter)
-        self.singleton_tasks: list[lease.SingletonTask] = []
-        if ask_platform is not None:
-            watcher = origin_discovery.OriginDiscovery(self.context, ask_platform)
-            self.singleton_tasks.append(
-                lease.SingletonTask(self.submitter, "platform-watch", watcher.work, PLATFORM_LEASE)
+        self.bootstrap = bootstrap.Bootstrap(self.participant, self.submitter)
+        self.voter_planner = voter_planner.VoterPlanner(self.participant, self.submitter)
+        enabled = settings.duties.split(",")
+        self.singleton_tasks = [task for task in self._all_tasks(fetch_origins) if task.name in enabled]
+
+    def _all_tasks(self, fetch_origins: origin_source.FetchOrigins | None) -> list[lease.SingletonTask]:
+        tasks: list[lease.SingletonTask] = []
+        if fetch_origins is not None:
+            discovery = origin_discovery.OriginDiscovery(self.context, fetch_origins)
+            tasks.append(
+                lease.SingletonTask(
+                    self.submitter, "platform-watch", discovery.work, ORIGIN_DISCOVERY_LEASE_SECONDS
+                )
             )
-        placer, staffer = (
-            placement.ShieldPlacement(self.context),
-            capacity_scaling.CapacityScaling(self.context),
-        )
-        self.singleton_tasks.append(lease.SingletonTask(self.submitter, "placement", placer.work))
-        self.singleton_tasks.append(
-            lease.SingletonTask(self.submitter, "staffing", staffer.work, STAFFING_LEASE)
+        shield_placement = placement.ShieldPlacement(self.context)
+        tasks.append(lease.SingletonTask(self.submitter, "placement", shield_placement.work))
+        scaling = capacity_scaling.CapacityScaling(self.context)
+        tasks.append(
+            lease.SingletonTask(self.submitter, "staffing", scaling.work, CAPACITY_SCALING_LEASE_SECONDS)
         )
-        keeper = retention.Retention(self.context)
-        self.singleton_tasks.append(lease.SingletonTask(self.submitter, "retention", keeper.work))
-        rate_placer = rate_placement.RatePlacement(self.context)
-        self.singleton_tasks.append(
-            lease.SingletonTask(self.submitter, "rate-parts", rate_placer.work, RATES_LEASE)
+        table_retention = retention.Retention(self.context)
+        tasks.append(lease.SingletonTask(self.submitter, "retention", table_retention.work))
+        rates = rate_placement.RatePlacement(self.context)
+        tasks.append(
+            lease.SingletonTask(self.submitter, "rate-parts", rates.work, RATE_PLACEMENT_LEASE_SECONDS)
         )
-        wanted = settings.duties.split(",")
-        self.singleton_tasks = [duty for duty in self.singleton_tasks if duty.name in wanted]
+        return tasks
 
     async def open(self) -> None:
-        # The disk is read before any port opens: no peer may hear a voter that does not know its word.
+        """Read the disk, open the ports and start all tasks, in this order.
+
+        No peer may reach a voter that does not know yet what its disk promised.
+        """
         await self.participant.open()
         await self.context.open()
         for table in items.TABLES:
             self.context.start_task(self.proposers[table].run(), f"taker of {table}")
             self.context.start_task(self.heartbeats[table].run(), f"pulse of {table}")
-        self.context.start_task(self.founding.run(), "founding")
-        self.context.start_task(self.planner.run(), "voter planner")
-        for duty in self.singleton_tasks:
-            self.context.start_task(duty.run(), f"duty {duty.name}")
+        self.context.start_task(self.bootstrap.run(), "founding")
+        self.context.start_task(self.voter_planner.run(), "voter planner")
+        for task in self.singleton_tasks:
+            self.context.start_task(task.run(), f"duty {task.name}")
 
     async def close(self) -> None:
+        """Close the ports and end all tasks."""
         await self.context.close()
--- a/src/irisstand/controlplane/consensus/bootstrap.py
+++ b/src/irisstand/controlplane/consensus/bootstrap.py
@@ -1,43 +1,70 @@
-"""Founding the core once, and enrolling core nodes whose disk is new."""
+"""Bootstrap: installs the first voters once, and has nodes whose disk is new replace lost voters."""
 
 import asyncio
+import typing
 
 from irisstand import errors, event_log
 from irisstand.controlplane.changes import orders
-from irisstand.controlplane.consensus import participant as cores
-from irisstand.controlplane.consensus import submitter as submitting
+from irisstand.controlplane.consensus import acceptor, node_messages, participant, request, submitter
 from irisstand.state import items, quorum, versions
+from irisstand.transport import network
 
+# The version of the batch that names the first voters.
 FIRST_VERSION = versions.Version(1, "founding")
+ROUND_INTERVAL_SECONDS = 0.5
+NODE_STATE_TIMEOUT_SECONDS = 1.0
+
+
+class Peer(typing.NamedTuple):
+    """Another control plane node; a seed's name is not known and empty."""
+
+    address: network.Address
+    name: str
 
 
 class Bootstrap:
-    def __init__(self, core: cores.Participant, submitter: submitting.Submitter) -> None:
-        self.participant, self.context, self.submitter = core, core.context, submitter
+    """Installs the first voters if nobody has any, and keeps this node enrolled as a voter after that."""
+
+    def __init__(
+        self, node_participant: participant.Participant, node_submitter: submitter.Submitter
+    ) -> None:
+        self.participant = node_participant
+        self.context = node_participant.context
+        self.submitter = node_submitter
+        # By name of a voter, since when it has not been a member; in seconds of the node's clock.
         self.missing_since: dict[str, float] = {}
-        self.context.transport.handlers["core-state"] = self.on_core_state
-        self.context.transport.handlers["hold"] = self.on_hold
+        handlers = self.context.transport.handlers
+        handlers[request.MessageKind.NODE_STATE] = self.handle_node_state
+        handlers[request.MessageKind.DURABILITY_CHECK] = self.handle_durability_check
+
+    async def handle_node_state(self, _sender: str, _body: typing.Any) -> request.WireBody:
+        """Answer who this node is, whether it is empty and whether it is shutting down."""
+        state = node_messages.NodeState(
+            self.participant.own_voter(), self.is_empty(), self.context.is_lame_duck
+        )
+        return state.to_wire()
 
-    async def on_core_state(self, _: str, body: list) -> tuple:
-        return (tuple(self.participant.own_voter()), self.is_empty(), self.context.is_lame_duck)
+    async def handle_durability_check(self, sender: str, body: typing.Any) -> request.WireBody:
+        """Put all tables on the disk, none older than the sender's, and answer who this node is.
 
-    async def on_hold(self, sender: str, body: list) -> tuple:
-        """A voter to be: all tables are current, no older than the asker's, and on its disk before it says
-        who it is."""
-        for table, parts in body:
-            if self.context.replicas[table].applied < versions.Version.from_wire(parts):
+        Raises:
+            irisstand.errors.NotBootstrappedError: This node cannot hold what a voter has to.
+        """
+        for table, applied in node_messages.DurabilityCheck.from_wire(body).known_versions:
+            if self.context.replicas[table].applied < applied:
                 await self.participant.catch_up(table, sender)
-            if self.context.replicas[table].applied < versions.Version.from_wire(parts):
+            if self.context.replicas[table].applied < applied:
                 raise errors.NotBootstrappedError("this node is behind the one that asks")
         if self.context.is_lame_duck:
             raise errors.NotBootstrappedError("this node is about to end")
         for table in items.TABLES:
             if not self.context.is_current(self.context.replicas[table]):
                 raise errors.NotBootstrappedError("this node has not learnt the tables yet")
-            await self.participant.acceptors[table].order("keep")
+            await self.participant.acceptors[table].submit(acceptor.Persist())
         return tuple(self.participant.own_voter())
 
     def is_empty(self) -> bool:
+        """Return whether neither the disk nor the memory of this node holds any table."""
         records = self.participant.store.records
         return all(
             records[table].applied == versions.NONE and self.context.replicas[table].applied == versions.NONE
@@ -45,105 +72,125 @@
         )
 
     async def run(self) -> None:
+        """Bootstrap or enrol, again and again, until cancelled."""
         while True:
             try:
                 if self.is_empty():
-                    await self.try_bootstrap()
+                    await self._try_bootstrap()
                 else:
-                    await self.try_enrolling()
+                    await self._try_enrolling()
             except (errors.IrisError, ValueError, TypeError) as error:
                 event_log.record("founding", error=str(error))
-            await asyncio.sleep(0.5)
+            await asyncio.sleep(ROUND_INTERVAL_SECONDS)
 
-    async def try_bootstrap(self) -> None:
-        """Only when every founding core is there and empty; the lowest name writes for all."""
+    # -- bootstrap ---------------------------------------------------------------------------------------
+    async def _try_bootstrap(self) -> None:
+        """Install the first voters if every first voter is up and empty; the lowest name does it for all."""
         settings = self.context.settings
         if not settings.may_found:
-            await self.learn()
+            await self._learn_tables()
             return
-        states = [(self.participant.own_voter(), True)]
-        for address, name in self.founders():
+        voters = await self._empty_voters()
+        # A node that has been bootstrapped, or that cannot be called and may have been.
+        if voters is None:
+            await self._learn_tables()
+            return
+        if self._is_complete(voters) and voters[0].name == settings.name:
+            await self._install(voters)
+
+    async def _empty_voters(self) -> list[quorum.Voter] | None:
+        """Return all first voters that are up, sorted; None if one is not empty or cannot be called."""
+        transport = self.context.transport
+        message = node_messages.NodeStateRequest()
+        states = [node_messages.NodeState(self.participant.own_voter(), is_empty=True)]
+        for address, name in self._other_first_voters():
             try:
-                voter, empty, *_ = await self.context.transport.call(address, name, "core-state", (), 1.0)
+                state = await request.call(transport, address, name, message, NODE_STATE_TIMEOUT_SECONDS)
             except errors.IrisError:
-                # One that cannot be asked may know a founded core.
-                await self.learn()
-                return
-            states.append((quorum.Voter(*voter), empty))
-        # One founded peer, or one that cannot be asked, means learning and not founding.
-        if not all(empty for _, empty in states):
-            await self.learn()
-            return
-        voters = sorted(voter for voter, _ in states)
-        is_complete = len(voters) == settings.founding
-        if settings.found_by_seeds:
-            # Everybody was given the same seeds, and they are up: they found, and vote the others in.
-            is_complete = (settings.host, settings.port) in settings.seeds and len(voters) == len(
-                settings.seeds
-            )
-        if not is_complete or voters[0].name != settings.name:
-            return
-        rows = (items.Row(items.VOTERS_KEY, [tuple(voter) for voter in voters], False),)
-        batch = items.Batch(FIRST_VERSION, versions.NONE, rows).to_wire()
-        body = tuple((table, batch) for table in items.TABLES)
-        for voter in voters:
-            await self.participant.ask_voter(voter, "found", body)
-        event_log.record("founded", voters=[voter.name for voter in voters])
+                return None
+            states.append(state)
+        if not all(state.is_empty for state in states):
+            return None
+        return sorted(state.voter for state in states)
 
-    def founders(self) -> list[tuple]:
-        """Address and name of the other cores that have to be empty for a founding; a seed's name is not
-        known."""
+    def _other_first_voters(self) -> list[Peer]:
         settings = self.context.settings
         if settings.found_by_seeds:
-            return [(seed, "") for seed in settings.seeds if seed != (settings.host, settings.port)]
-        return [(u.node_info.address, u.identity.name) for u in self.context.members_of("agency")]
+            own_address = (settings.host, settings.port)
+            return [Peer(seed, "") for seed in settings.seeds if seed != own_address]
+        members = self.context.members_of("agency")
+        return [Peer(update.node_info.address, update.identity.name) for update in members]
+
+    def _is_complete(self, voters: list[quorum.Voter]) -> bool:
+        settings = self.context.settings
+        if not settings.found_by_seeds:
+            return len(voters) == settings.founding
+        # Every node has the same seeds: they become the first voters, and vote the others in.
+        is_seed = (settings.host, settings.port) in settings.seeds
+        return is_seed and len(voters) == len(settings.seeds)
 
-    async def learn(self) -> None:
+    async def _install(self, voters: list[quorum.Voter]) -> None:
+        rows = (items.Row(items.VOTERS_KEY, [tuple(voter) for voter in voters], is_removal=False),)
+        batch = items.Batch(FIRST_VERSION, versions.NONE, rows)
+        batches = tuple(node_messages.FirstBatch(table, batch) for table in items.TABLES)
+        for voter in voters:
+            await self.participant.call_voter(voter, node_messages.BootstrapRequest(batches))
+        event_log.record("founded", voters=[voter.name for voter in voters])
+
+    async def _learn_tables(self) -> None:
+        """Pull the tables from the first control plane node that has any."""
         # Other roles do not hold all tables; one peer's refusal must not end the round before the next.
-        cores_known = {update.identity.name for update in self.context.members_of("agency")}
+        control_nodes = {update.identity.name for update in self.context.members_of("agency")}
         sources = self.participant.refresher.sources()
-        for address, name in [source for source in sources if source[1] in cores_known]:
+        for address, name in [source for source in sources if source[1] in control_nodes]:
             try:
                 await self.participant.replicator.pull(address, name)
             except (errors.IrisError, ValueError, TypeError):
                 continue
-            # Another empty node has answered, too, and taught nothing.
+            # Another empty node answers, too, and has nothing to learn from.
             if not self.is_empty():
                 return
 
-    async def try_enrolling(self) -> None:
-        """A node with a new disk first holds the tables durably, and only then asks to be voted in."""
+    # -- enrolment ---------------------------------------------------------------------------------------
+    async def _try_enrolling(self) -> None:
+        """Have this node voted in where it may replace a voter, once its disk holds the tables."""
         for table in items.TABLES:
-            copy = self.context.replicas[table]
-            if copy.applied == versions.NONE:
-                await self.learn()
-            # Where the seeds found the core, the voters plan who votes: see voter_planner.
+            table_replica = self.context.replicas[table]
+            if table_replica.applied == versions.NONE:
+                await self._learn_tables()
+            # Where the seeds are the first voters, the voters plan who votes: see voter_planner.
             if self.context.settings.found_by_seeds:
                 continue
-            if self.participant.is_voter(table) or not self.context.is_current(copy):
-                continue
-            leaves = self.replaceable(table)
-            # A spare core node: it knows everything, and waits until a voter is gone.
-            if not leaves:
+            if self.participant.is_voter(table) or not self.context.is_current(table_replica):
                 continue
-            await self.participant.acceptors[table].order("keep")
-            payload = (tuple(self.participant.own_voter()), leaves)
-            await self.submitter.submit(orders.Order(f"enrol-{table}", "", payload))
-            event_log.record("enrolled", table=table, leaves=leaves)
+            replaced = self._replaceable_voter(table)
+            # Without one this is a spare, which waits until a voter is gone.
+            if replaced:
+                await self._enrol(table, replaced)
+
+    async def _enrol(self, table: str, replaced: str) -> None:
+        await self.participant.acceptors[table].submit(acceptor.Persist())
+        payload = (tuple(self.participant.own_voter()), replaced)
+        await self.submitter.submit(orders.Order(f"enrol-{table}", "", payload))
+        event_log.record("enrolled", table=table, leaves=replaced)
 
-    def replaceable(self, table: str) -> str:
-        """The voter whose place this node may take: its own older self, or one that is long gone."""
+    def _replaceable_voter(self, table: str) -> str:
+        """Return the name of a voter that this node may replace: its own older disk, or one long missing.
+
+        Empty if there is none.
+        """
         now = self.context.clock.now()
+        settings = self.context.settings
         voters = self.participant.voters(table)
-        if any(voter.name == self.context.settings.name for voter in voters):
-            return self.context.settings.name
+        if any(voter.name == settings.name for voter in voters):
+            return settings.name
         present = {update.identity.name for update in self.context.members_of("agency")}
         for voter in voters:
             if voter.name in present:
                 self.missing_since.pop(voter.name, None)
-        # A machine that is restarted is not to lose its vote over it.
+        # A machine that is restarted must not lose its vote over it.
         for voter in voters:
             since = self.missing_since.setdefault(voter.name, now) if voter.name not in present else now
-            if now - since >= self.context.settings.replace_after:
+            if now - since >= settings.replace_after:
                 return voter.name
         return ""
--- a/src/irisstand/controlplane/consensus/heartbeat.py
+++ b/src/irisstand/controlplane/consensus/heartbeat.py
@@ -1,53 +1,69 @@
-"""The core's own freshness: each core node confirms its applied version with a majority of the voters.
+"""Heartbeats to a majority: each control plane node confirms that its replica of a table is current.
 
-The same round serves as a read index: a read that waits for a round begun after it came in sees every change
-that was confirmed to anybody before.
+The same round serves as a read index (Raft, section 8): a read that waits for a round begun after it came in
+sees every change that was confirmed to anybody before.
 """
 
 import asyncio
+import collections.abc
 
 from irisstand import errors
-from irisstand.controlplane.consensus import participant as cores
-from irisstand.controlplane.consensus import proposer as proposers
+from irisstand.controlplane.consensus import acceptor, messages, participant, proposer, vote_counting
 from irisstand.state import quorum, versions
 
-TRIES = 5
-# Seconds for a round that reads wait for: a voter that is cut off is not waited for any longer.
-READ_ROUND = 0.6
-# Seconds that a read waits at the most, one round under way before its own included.
-READ_PATIENCE = 0.75
+ATTEMPTS_LIMIT = 5
+# The attempt from which a pending batch is finished here: until then its proposer may do so.
+FINISH_PENDING_ATTEMPT = 2
+ATTEMPT_PAUSE_SECONDS = 0.04
+# The least pause between two heartbeats.
+SHORTEST_PAUSE_SECONDS = 0.01
+# A round that reads wait for: a voter that is cut off is not waited for any longer.
+READ_ROUND_TIMEOUT_SECONDS = 0.6
+# How long a read waits, the round in flight before its own included.
+READ_TIMEOUT_SECONDS = 0.75
+
+MALFORMED_REPLY_ERRORS = (ValueError, TypeError)
 
 
 class Heartbeat:
-    def __init__(self, core: cores.Participant, proposer: proposers.Proposer) -> None:
-        self.participant, self.proposer, self.context = core, proposer, core.context
-        self.table, self.replica = proposer.table, proposer.replica
-        # Of the rounds for reads: the one under way, and the one that has not begun, which reads may join.
-        self.read_round: asyncio.Task | None = None
-        self.next_read_round: asyncio.Task | None = None
+    """Confirms one table of this node with a majority of its voters, at intervals and for reads."""
+
+    def __init__(self, node_participant: participant.Participant, table_proposer: proposer.Proposer) -> None:
+        self.participant = node_participant
+        self.proposer = table_proposer
+        self.context = node_participant.context
+        self.table = table_proposer.table
+        self.replica = table_proposer.replica
+        # The round for reads that is in flight, and the one that has not begun, which reads may join.
+        self.read_round: asyncio.Task[bool] | None = None
+        self.next_read_round: asyncio.Task[bool] | None = None
 
     async def run(self) -> None:
+        """Send a heartbeat in each freshness interval until cancelled."""
         while True:
             started = self.context.clock.now()
             try:
                 await self.beat()
-            except (errors.IrisError, proposers.BallotLostError, ValueError, TypeError):
+            except (errors.IrisError, proposer.BallotLostError, *MALFORMED_REPLY_ERRORS):
                 self.context.counters.add("pulse_failed", table=self.table)
             pause = self.context.settings.freshness_interval - (self.context.clock.now() - started)
-            await asyncio.sleep(max(0.01, pause))
+            await asyncio.sleep(max(SHORTEST_PAUSE_SECONDS, pause))
 
     async def confirm_read(self) -> None:
-        """Return once a round that began after this call has proved the copy, else StaleConfiguration.
+        """Return once a round that began after this call has proved the replica current.
+
+        Reads that come while a round is in flight share the next one.
 
-        Reads that come while a round is under way share the next one.
+        Raises:
+            irisstand.errors.StaleConfigurationError: No majority confirmed it in time.
         """
-        # Without the voters for longer than the bound, this node will not find them within any patience.
         is_confirmed = False
+        # A node without a majority for longer than the bound will not find one within the time-out.
         if self.context.is_fresh(self.replica):
             if self.next_read_round is None:
-                self.next_read_round = asyncio.get_running_loop().create_task(self.run_read_round())
+                self.next_read_round = asyncio.get_running_loop().create_task(self._run_read_round())
             joined = self.next_read_round
-            done, _ = await asyncio.wait([joined], timeout=READ_PATIENCE)
+            done, _ = await asyncio.wait([joined], timeout=READ_TIMEOUT_SECONDS)
             is_confirmed = bool(done) and joined.result()
         if not is_confirmed:
             self.context.counters.add("reads_put_off", table=self.table)
@@ -55,72 +71,73 @@
                 f"no majority confirms the {self.table} table to this node now"
             )
 
-    async def run_read_round(self) -> bool:
+    async def _run_read_round(self) -> bool:
         if self.read_round is not None:
             await asyncio.wait([self.read_round])
-        # From here on the round is under way: a read that comes later needs another.
-        self.read_round, self.next_read_round = self.next_read_round, None
+        # From here on the round is in flight: a read that comes later needs another.
+        self.read_round = self.next_read_round
+        self.next_read_round = None
         try:
-            async with asyncio.timeout(READ_ROUND):
+            async with asyncio.timeout(READ_ROUND_TIMEOUT_SECONDS):
                 return await self.beat()
-        except (TimeoutError, errors.IrisError, proposers.BallotLostError, ValueError, TypeError):
+        except (TimeoutError, errors.IrisError, proposer.BallotLostError, *MALFORMED_REPLY_ERRORS):
             return False
 
     async def beat(self) -> bool:
-        """One round; whether it proved that the copy holds all that was confirmed before the round began."""
+        """Run one round; return whether the replica holds all that was confirmed before the round began.
+
+        Raises:
+            irisstand.errors.IrisError: The newest table could not be learnt, or a ballot failed.
+            irisstand.controlplane.consensus.proposer.BallotLostError: A pending batch could not be finished.
+        """
         voters = self.participant.voters(self.table)
         if not voters:
             return False
-        asked_at = self.context.clock.now()
-        replies = await self.participant.gather(
-            voters, "stand", lambda voter: (self.table,), lambda replies: self.is_enough(voters, replies)
-        )
-        if not self.is_enough(voters, replies):
+        started = self.context.clock.now()
+        states = await self._collect_states(voters)
+        if not quorum.is_majority(voters, set(states)):
             return False
-        true = {disk_id: reply for disk_id, reply in replies.items() if reply[0] == disk_id}
-        applied, holder = max(
-            (versions.Version.from_wire(reply[1]), disk_id) for disk_id, reply in true.items()
-        )
-        pending = any(
-            reply[2] is not None and versions.Version.from_wire(reply[2]) == applied
-            for reply in true.values()
-        )
-        name = next(voter.name for voter in voters if voter.disk_id == holder)
-        for attempt in range(TRIES):
+        applied, disk_id = max((state.applied, disk_id) for disk_id, state in states.items())
+        is_pending = any(state.pending_base == applied for state in states.values())
+        name = next(voter.name for voter in voters if voter.disk_id == disk_id)
+        for attempt in range(ATTEMPTS_LIMIT):
             if self.replica.applied < applied or attempt:
                 await self.participant.catch_up(self.table, name)
-            # The voters may have been changed by what was just learnt: then another set must be asked.
+            # The voters may have been changed by what was just learnt: then another set must be called.
             if self.participant.voters(self.table) != voters:
                 return False
-            # A yes may have been given for a batch seen pending: only an applied version beyond it proves the
-            # outcome.
-            if self.replica.applied > applied or (self.replica.applied == applied and not pending):
-                self.replica.confirm_current(asked_at)
-                await self.keep_up()
+            if self._is_proved_current(applied, is_pending=is_pending):
+                self.replica.confirm_current(started)
+                self._start_persisting()
                 return True
-            await asyncio.sleep(0.04)
-            # Its proposer had time to finish; perhaps it died, so finish in its place.
-            if attempt >= 2 and self.participant.is_voter(self.table):
+            await asyncio.sleep(ATTEMPT_PAUSE_SECONDS)
+            if attempt >= FINISH_PENDING_ATTEMPT and self.participant.is_voter(self.table):
                 await self.proposer.finish_pending()
         return False
 
-    def is_enough(self, voters: list[quorum.Voter], replies: dict) -> bool:
-        return quorum.is_majority(
-            voters, {disk_id for disk_id, reply in replies.items() if reply[0] == disk_id}
-        )
+    async def _collect_states(self, voters: list[quorum.Voter]) -> dict[str, messages.VoterState]:
+        state_request = messages.VoterStateRequest(self.table)
+
+        def are_enough(replies: collections.abc.Mapping[str, messages.VoterState]) -> bool:
+            return quorum.is_majority(voters, set(vote_counting.voter_states_of(replies)))
 
-    async def keep_up(self) -> None:
-        """A voter that missed commits brings its disk up to what it knows; readers do not wait for it."""
-        owner = self.participant.acceptors[self.table]
+        replies = await self.participant.gather_replies(voters, lambda _voter: state_request, are_enough)
+        return vote_counting.voter_states_of(replies)
+
+    def _is_proved_current(self, applied: versions.Version, *, is_pending: bool) -> bool:
+        # A batch seen pending may have been confirmed: only a version beyond it proves what became of it.
+        return self.replica.applied > applied or (self.replica.applied == applied and not is_pending)
+
+    def _start_persisting(self) -> None:
+        """Bring the disk of a voter that missed commits up to date; readers do not wait for it."""
         record = self.participant.store.records[self.table]
-        if owner.queue.empty() and (
-            record.applied < self.replica.applied or not self.participant.store.intact[self.table]
-        ):
-            self.context.start_task(self.keep(), f"keep {self.table}")
+        is_behind = record.applied < self.replica.applied or not self.participant.store.intact[self.table]
+        if is_behind and self.participant.acceptors[self.table].queue.empty():
+            self.context.start_task(self._persist(), f"keep {self.table}")
 
-    async def keep(self) -> None:
+    async def _persist(self) -> None:
         try:
-            await self.participant.acceptors[self.table].order("keep")
+            await self.participant.acceptors[self.table].submit(acceptor.Persist())
         except errors.IrisError:
             self.context.counters.add("keep_failed", table=self.table)
 
@@ -128,9 +145,13 @@
 class ReadIndex:
     """Proves tables current for one read, by a round to a majority for each."""
 
-    def __init__(self, checks: dict[str, Heartbeat]) -> None:
-        self.heartbeats = checks
+    def __init__(self, heartbeats: dict[str, Heartbeat]) -> None:
+        self.heartbeats = heartbeats
 
     async def confirm(self, *tables: str) -> None:
-        """StaleConfiguration unless every table holds all that was confirmed before this call."""
+        """Return once every table holds all that was confirmed before this call.
+
+        Raises:
+            irisstand.errors.StaleConfigurationError: A table could not be confirmed in time.
+        """
         await asyncio.gather(*(self.heartbeats[table].confirm_read() for table in tables))
--- a/src/irisstand/controlplane/consensus/participant.py
+++ b/src/irisstand/controlplane/consensus/participant.py
@@ -1,162 +1,209 @@
-"""A core node's share in deciding: its durable store, the owners of its tables, and asking the voters."""
+"""A control plane node's part in consensus: its durable store, its acceptors and its calls to the voters."""
 
 import asyncio
 import collections.abc
 import typing
 
 from irisstand import errors, node_context
-from irisstand.controlplane.consensus import acceptor
-from irisstand.state import items, quorum, versions
-from irisstand.state.replication import refresher
-from irisstand.state.replication import replicator as replicators
-from irisstand.state.storage import disk as disks
-from irisstand.state.storage import durable_store
+from irisstand.controlplane.consensus import acceptor, messages, node_messages, request
+from irisstand.state import items, quorum
+from irisstand.state.replication import refresher, replicator
+from irisstand.state.storage import disk, durable_store
 
-PATIENCE = 1.0
-# Seconds without any question, asked or answered, after which this process itself stood still.
-STOOD_STILL = 0.8
+CALL_TIMEOUT_SECONDS = 1.0
+# Without a call made or answered for so long, this process was paused.
+PAUSE_DETECTION_SECONDS = 0.8
+
+ReplyT = typing.TypeVar("ReplyT")
+Replies: typing.TypeAlias = dict[str, ReplyT]
 
 
 class Participant:
-    def __init__(self, context: node_context.NodeContext, disk: disks.Disk) -> None:
+    """Answers and makes the calls of consensus.
+
+    Attributes:
+        acceptors: By table.
+        last_replies: By disk id of a voter, when it last reported its state, or was first called. In seconds
+            of the node's clock.
+    """
+
+    def __init__(self, context: node_context.NodeContext, node_disk: disk.Disk) -> None:
         self.context = context
-        self.store = durable_store.DurableStore(disk, context.randomness)
-        self.replicator = replicators.Replicator(context)
+        self.store = durable_store.DurableStore(node_disk, context.randomness)
+        self.replicator = replicator.Replicator(context)
         self.refresher = refresher.Refresher(context, self.replicator)
         self.acceptors: dict[str, acceptor.Acceptor] = {}
-        self.asking: set[asyncio.Task] = set()
-        # When each voter's disk last said where it stands, or was first asked.
-        self.heard: dict[str, float] = {}
-        self.awake_at = 0.0
-        for kind in ("promise", "accept", "commit", "found"):
-            context.transport.handlers[kind] = getattr(self, f"on_{kind}")
-        context.transport.handlers["stand"] = self.on_stand
-        context.transport.handlers["hears"] = self.on_hears
+        self.calls_in_flight: set[asyncio.Task[typing.Any]] = set()
+        self.last_replies: dict[str, float] = {}
+        self.last_activity_at = 0.0
+        handlers = context.transport.handlers
+        handlers[request.MessageKind.PREPARE] = self.handle_prepare
+        handlers[request.MessageKind.ACCEPT] = self.handle_accept
+        handlers[request.MessageKind.COMMIT] = self.handle_commit
+        handlers[request.MessageKind.BOOTSTRAP] = self.handle_bootstrap
+        handlers[request.MessageKind.VOTER_STATE] = self.handle_voter_state
+        handlers[request.MessageKind.REACHABILITY] = self.handle_reachability
 
     async def open(self) -> None:
+        """Read the disk and start an acceptor for each table."""
         await self.store.open()
         for table in items.TABLES:
-            live = self.context.replicas[table]
-            # A copy whose files do not add up is not read from, and so never spreads.
+            table_replica = self.context.replicas[table]
+            # Damaged files are not read from, and so do not spread.
             if self.store.intact[table]:
-                live.replace_content(self.store.replicas[table].clone())
-            self.acceptors[table] = acceptor.Acceptor(self.store, live, self.catch_up)
+                table_replica.replace_content(self.store.replicas[table].clone())
+            self.acceptors[table] = acceptor.Acceptor(self.store, table_replica, self.catch_up)
             self.context.start_task(self.acceptors[table].run(), f"owner of {table}")
 
     async def catch_up(self, table: str, name: str) -> None:
-        """Take the table from that very peer."""
-        places = {voter.name: (voter.host, voter.port) for voter in self.voters(table)}
+        """Learn a table from the node of that name, if its address is known."""
+        addresses = {voter.name: (voter.host, voter.port) for voter in self.voters(table)}
         for update in self.context.members_of("agency"):
-            places[update.identity.name] = update.node_info.address
-        if name in places:
-            await self.replicator.pull(places[name], name, (table,))
+            addresses[update.identity.name] = update.node_info.address
+        if name in addresses:
+            await self.replicator.pull(addresses[name], name, (table,))
 
     def voters(self, table: str) -> list[quorum.Voter]:
+        """Return the voters of a table as this node's replica has them."""
         return quorum.voters_from_wire(self.context.replicas[table].value(items.VOTERS_KEY))
 
     def own_voter(self) -> quorum.Voter:
+        """Return this node as a voter."""
         settings = self.context.settings
         return quorum.Voter(
             settings.name, self.store.disk_id, settings.site, settings.host, settings.port, settings.machine
         )
 
     def is_voter(self, table: str) -> bool:
+        """Return whether this node's disk has a vote on a table."""
         return any(voter.disk_id == self.store.disk_id for voter in self.voters(table))
 
-    # -- what peers ask -------------------------------------------------------------------------
-    async def on_promise(self, _: str, body: list) -> tuple:
-        table, ballot, disk_id = body
-        self.check_disk_id(disk_id)
-        return await self.acceptors[table].order("promise", versions.Version.from_wire(ballot))
-
-    async def on_accept(self, sender: str, body: list) -> tuple:
-        table, ballot, batch, disk_id = body
-        self.check_disk_id(disk_id)
-        decoded = items.Batch.from_wire(batch)
-        return await self.acceptors[table].order(
-            "accept", versions.Version.from_wire(ballot), decoded, sender
-        )
-
-    def check_disk_id(self, disk_id: str) -> None:
+    # -- answers to peers --------------------------------------------------------------------------------
+    async def handle_prepare(self, _sender: str, body: typing.Any) -> request.WireBody:
+        """Answer a prepare request."""
+        prepare = messages.PrepareRequest.from_wire(body)
+        self._check_disk_id(prepare.disk_id)
+        reply = await self.acceptors[prepare.table].submit(acceptor.Prepare(prepare.ballot))
+        return reply.to_wire()
+
+    async def handle_accept(self, sender: str, body: typing.Any) -> request.WireBody:
+        """Answer an accept request."""
+        accept = messages.AcceptRequest.from_wire(body)
+        self._check_disk_id(accept.disk_id)
+        command = acceptor.Accept(accept.ballot, accept.batch, sender)
+        reply = await self.acceptors[accept.table].submit(command)
+        return reply.to_wire()
+
+    def _check_disk_id(self, disk_id: str) -> None:
+        # A wiped node does not know what its earlier disk promised.
         if disk_id != self.store.disk_id:
             raise errors.NotBootstrappedError("the disk that was asked for is not this node's any more")
 
-    async def on_commit(self, _: str, body: list) -> tuple:
-        table, batch = body
-        return await self.acceptors[table].order("commit", items.Batch.from_wire(batch))
-
-    async def on_found(self, _: str, body: list) -> tuple:
-        return tuple(
-            [await self.acceptors[table].order("found", items.Batch.from_wire(b)) for table, b in body]
-        )
-
-    async def on_stand(self, _: str, body: list) -> tuple:
-        """Where this node stands, from memory: it must answer even while its disk is stalled."""
-        self.note_awake()
-        (table,) = body
+    async def handle_commit(self, _sender: str, body: typing.Any) -> request.WireBody:
+        """Apply a decided batch; the reply is empty."""
+        commit = messages.CommitRequest.from_wire(body)
+        await self.acceptors[commit.table].submit(acceptor.Commit(commit.batch))
+        return ()
+
+    async def handle_bootstrap(self, _sender: str, body: typing.Any) -> request.WireBody:
+        """Install the first batches of empty tables."""
+        bootstrap = node_messages.BootstrapRequest.from_wire(body)
+        applied = [
+            await self.acceptors[table].submit(acceptor.InstallFirstBatch(batch))
+            for table, batch in bootstrap.batches
+        ]
+        return node_messages.BootstrapReply(tuple(applied)).to_wire()
+
+    async def handle_voter_state(self, _sender: str, body: typing.Any) -> request.WireBody:
+        """Answer from memory with what this node knows of a table: its disk may be stalled."""
+        self._detect_pause()
+        table = messages.VoterStateRequest.from_wire(body).table
         record = self.store.records[table]
-        pending = None if record.pending is None else tuple(record.pending.base)
+        pending_base = None if record.pending is None else record.pending.base
         applied = max(record.applied, self.context.replicas[table].applied)
-        return (self.store.disk_id, tuple(applied), pending, tuple(record.promised))
+        return messages.VoterState(self.store.disk_id, applied, pending_base, record.promised).to_wire()
 
-    async def on_hears(self, _: str, body: list) -> tuple:
-        """Its disk, and for how many seconds each voter's disk has not been heard here."""
-        self.note_awake()
-        now, own = self.context.clock.now(), self.store.disk_id
+    async def handle_reachability(self, _sender: str, _body: typing.Any) -> request.WireBody:
+        """Answer with how long each other voter's disk has been silent towards this node."""
+        self._detect_pause()
+        now = self.context.clock.now()
+        own = self.store.disk_id
         voting = {voter.disk_id for table in items.TABLES for voter in self.voters(table)}
-        silent = [(disk_id, now - since) for disk_id, since in self.heard.items() if disk_id in voting]
-        return (own, tuple(entry for entry in silent if entry[0] != own))
+        silent = tuple(
+            node_messages.SilentDisk(disk_id, now - since)
+            for disk_id, since in self.last_replies.items()
+            if disk_id in voting and disk_id != own
+        )
+        return node_messages.ReachabilityReport(own, silent).to_wire()
 
-    def note_awake(self) -> None:
-        """Silence counts only while this process runs: one that stood still has heard nobody, and says
-        nothing by that."""
+    def _detect_pause(self) -> None:
+        """Count silence anew after a pause: a process that did not run could not receive replies."""
         now = self.context.clock.now()
-        if now - self.awake_at > STOOD_STILL:
-            self.heard = dict.fromkeys(self.heard, now)
-        self.awake_at = now
-
-    # -- asking the voters ---------------------------------------------------------------------------
-    async def ask_voter(self, voter: quorum.Voter, kind: str, body: tuple) -> typing.Any:
+        if now - self.last_activity_at > PAUSE_DETECTION_SECONDS:
+            self.last_replies = dict.fromkeys(self.last_replies, now)
+        self.last_activity_at = now
+
+    # -- calls to the voters -----------------------------------------------------------------------------
+    async def call_voter(self, voter: quorum.Voter, message: request.Request[ReplyT]) -> ReplyT:
+        """Send a request to a voter, which may be this node, and return its reply.
+
+        Raises:
+            irisstand.errors.IrisError: The voter could not be called, did not answer or refused.
+            ValueError: The reply is malformed; TypeError likewise.
+        """
         if voter.disk_id == self.store.disk_id:
-            handler = self.context.transport.handlers[kind]
-            return await handler(self.context.settings.name, list(body))
-        self.note_awake()
-        self.heard.setdefault(voter.disk_id, self.context.clock.now())
+            handler = self.context.transport.handlers[message.kind]
+            return message.decode_reply(await handler(self.context.settings.name, list(message.to_wire())))
+        self._detect_pause()
+        self.last_replies.setdefault(voter.disk_id, self.context.clock.now())
         address = (voter.host, voter.port)
-        reply = await self.context.transport.call(address, voter.name, kind, body, PATIENCE)
-        if kind == "stand" and reply[0] == voter.disk_id:
-            self.heard[voter.disk_id] = self.context.clock.now()
+        reply = await request.call(self.context.transport, address, voter.name, message, CALL_TIMEOUT_SECONDS)
+        if isinstance(reply, messages.VoterState) and reply.disk_id == voter.disk_id:
+            self.last_replies[voter.disk_id] = self.context.clock.now()
         return reply
 
-    async def gather(
+    async def gather_replies(
         self,
         voters: list[quorum.Voter],
-        kind: str,
-        body: collections.abc.Callable[[quorum.Voter], tuple],
-        enough: collections.abc.Callable[[dict[str, typing.Any]], bool],
-    ) -> dict[str, typing.Any]:
-        """Replies by durable store until there are enough; the rest are left to arrive, not called back."""
-        replies: dict[str, typing.Any] = {}
-        tasks: dict[asyncio.Task, quorum.Voter] = {}
-        for voter in voters:
-            task = asyncio.get_running_loop().create_task(self.ask_voter(voter, kind, body(voter)))
-            tasks[task] = voter
-            self.asking.add(task)
-            task.add_done_callback(self.settle)
-        left = set(tasks)
-        while left and not enough(replies):
-            done, left = await asyncio.wait(left, return_when=asyncio.FIRST_COMPLETED, timeout=PATIENCE)
+        message_to: collections.abc.Callable[[quorum.Voter], request.Request[ReplyT]],
+        are_enough: collections.abc.Callable[[Replies[ReplyT]], bool],
+    ) -> Replies[ReplyT]:
+        """Call voters side by side until there are enough replies.
+
+        Calls that are still in flight then are not cancelled; a voter whose call failed has no reply.
+
+        Args:
+            voters: Whom to call.
+            message_to: Returns the request for a voter.
+            are_enough: Is given the replies so far.
+
+        Returns:
+            The replies by disk id.
+        """
+        replies: Replies[ReplyT] = {}
+        tasks = {self._start_call(voter, message_to(voter)): voter for voter in voters}
+        waiting = set(tasks)
+        while waiting and not are_enough(replies):
+            done, waiting = await asyncio.wait(
+                waiting, return_when=asyncio.FIRST_COMPLETED, timeout=CALL_TIMEOUT_SECONDS
+            )
             if not done:
                 break
-            # In the order of asking, as a set has none of its own and a run must be repeatable.
-            for task in [task for task in tasks if task in done]:
-                if not task.cancelled() and task.exception() is None:
-                    replies[tasks[task].disk_id] = task.result()
+            # In the order of the calls: a set has none of its own, and a run must be repeatable.
+            for task, voter in tasks.items():
+                if task in done and not task.cancelled() and task.exception() is None:
+                    replies[voter.disk_id] = task.result()
         return replies
 
-    def settle(self, task: asyncio.Task) -> None:
-        self.asking.discard(task)
-        if not task.cancelled() and task.exception() is not None:
-            error = task.exception()
+    def _start_call(self, voter: quorum.Voter, message: request.Request[ReplyT]) -> asyncio.Task[ReplyT]:
+        task = asyncio.get_running_loop().create_task(self.call_voter(voter, message))
+        self.calls_in_flight.add(task)
+        task.add_done_callback(self._on_call_done)
+        return task
+
+    def _on_call_done(self, task: asyncio.Task[typing.Any]) -> None:
+        self.calls_in_flight.discard(task)
+        error = None if task.cancelled() else task.exception()
+        if error is not None:
             code = error.code if isinstance(error, errors.IrisError) else type(error).__name__
             self.context.counters.add("voter_asks_failed", code=code)
--- a/src/irisstand/controlplane/consensus/proposer.py
+++ b/src/irisstand/controlplane/consensus/proposer.py
@@ -1,241 +1,233 @@
-"""The proposer: queues orders for one table and has the voters decide them by ballot, batch by batch."""
+"""The proposer: queues orders for one table and has the voters decide them in batches, one ballot each.
+
+A ballot has the two phases of Paxos: a majority promises to take no lower ballot number, then a durable
+majority accepts the batch. See docs/architecture.md.
+"""
 
 import asyncio
-import typing
+import collections.abc
 
 from irisstand import errors, event_log
-from irisstand.controlplane.changes import order_planning, orders, table_overlay
-from irisstand.controlplane.consensus import participant as cores
+from irisstand.controlplane.changes import orders, table_overlay
+from irisstand.controlplane.consensus import ballot_plan, messages, order_messages, participant, vote_counting
 from irisstand.state import items, quorum, versions
 
 ORDER_TIMEOUT_SECONDS = 4.0
 BATCH_ORDERS_LIMIT = 64
-BATCH_BYTES_LIMIT = 2 * 1024 * 1024
-
-
-class PendingOrder(typing.NamedTuple):
-    order: orders.Order
-    future: asyncio.Future
-    give_up_at: float
-    proposed: list
-
-
-class BallotPlan(typing.NamedTuple):
-    """What one ballot can settle, and `undecided`: whether a refusal has to wait for this base to be decided.
-
-    `refused` was judged with rows of this very batch in place, and is told only once these are decided.
-    """
-
-    accepted: list[tuple[PendingOrder, order_planning.PlannedOrder]]
-    refused: list[tuple[PendingOrder, errors.IrisError]]
-    undecided: bool
+# A lost ballot is repeated after a random time in this range, times the number of attempts up to the limit.
+LOST_BALLOT_PAUSE_SECONDS = (0.01, 0.03)
+LOST_BALLOT_FACTOR_LIMIT = 8
+FAILED_BALLOT_PAUSE_SECONDS = 0.05
 
 
 class BallotLostError(Exception):
-    """This ballot did not decide; another has to be held."""
+    """This ballot decided nothing; another one may."""
 
 
 class Proposer:
-    def __init__(self, core: cores.Participant, table: str) -> None:
-        self.participant, self.table, self.context = core, table, core.context
-        self.replica = core.context.replicas[table]
-        self.queue: asyncio.Queue[PendingOrder] = asyncio.Queue()
+    """Proposes the orders of one table for this node."""
+
+    def __init__(self, node_participant: participant.Participant, table: str) -> None:
+        self.participant = node_participant
+        self.context = node_participant.context
+        self.table = table
+        self.replica = self.context.replicas[table]
+        self.queue: asyncio.Queue[ballot_plan.PendingOrder] = asyncio.Queue()
+        # The highest ballot number chosen here or reported by a voter.
         self.highest = versions.NONE
+        # One ballot at a time, or this node's own would defeat each other.
         self.ballot_lock = asyncio.Lock()
 
-    async def submit(self, order: orders.Order, patience: float = ORDER_TIMEOUT_SECONDS) -> dict:
-        """The order's result once it is confirmed, or the typed error that says what is known."""
-        future = asyncio.get_running_loop().create_future()
-        self.queue.put_nowait(PendingOrder(order, future, self.context.clock.now() + patience, []))
+    async def submit(
+        self, order: orders.Order, timeout_seconds: float = ORDER_TIMEOUT_SECONDS
+    ) -> order_messages.OrderResult:
+        """Have an order decided and return its result.
+
+        Raises:
+            irisstand.errors.NoQuorumError: In time; no voter was sent the order.
+            irisstand.errors.ChangeOutcomeUnknownError: Not decided in time, but voters were sent the order.
+            irisstand.errors.IrisError: The order was refused.
+        """
+        future: asyncio.Future[order_messages.OrderResult] = asyncio.get_running_loop().create_future()
+        give_up_at = self.context.clock.now() + timeout_seconds
+        self.queue.put_nowait(ballot_plan.PendingOrder(order, future, give_up_at, []))
         return await future
 
     async def run(self) -> None:
+        """Take orders from the queue in batches until cancelled."""
         while True:
-            waiting = [await self.queue.get()]
-            while not self.queue.empty() and len(waiting) < BATCH_ORDERS_LIMIT:
-                waiting.append(self.queue.get_nowait())
-            await self.work_through(waiting)
+            pending_orders = [await self.queue.get()]
+            while not self.queue.empty() and len(pending_orders) < BATCH_ORDERS_LIMIT:
+                pending_orders.append(self.queue.get_nowait())
+            await self._run_ballots(pending_orders)
 
-    async def work_through(self, waiting: list[PendingOrder]) -> None:
+    async def _run_ballots(self, pending_orders: list[ballot_plan.PendingOrder]) -> None:
         attempts = 0
-        while waiting := [entry for entry in waiting if not entry.future.done()]:
+        while pending_orders := [entry for entry in pending_orders if not entry.future.done()]:
             attempts += 1
             try:
-                await self.hold_ballot(waiting)
+                await self.run_ballot(pending_orders)
             except BallotLostError as reason:
                 self.context.counters.add("ballots_lost", table=self.table)
                 event_log.record("ballot-lost", table=self.table, reason=str(reason))
                 # Random and growing, or two proposers would meet again at the same moment.
-                await asyncio.sleep(self.context.randomness.uniform(0.01, 0.03) * min(attempts, 8))
+                pause = self.context.randomness.uniform(*LOST_BALLOT_PAUSE_SECONDS)
+                await asyncio.sleep(pause * min(attempts, LOST_BALLOT_FACTOR_LIMIT))
             except errors.IrisError as error:
                 event_log.record("ballot-failed", table=self.table, error=str(error))
                 if isinstance(error, errors.DiskFullError):
-                    self.refuse_unproposed(waiting, error)
-                await asyncio.sleep(0.05)
-            self.give_up(waiting)
+                    self._refuse_unproposed(pending_orders, error)
+                await asyncio.sleep(FAILED_BALLOT_PAUSE_SECONDS)
+            self._give_up_expired(pending_orders)
 
-    def give_up(self, waiting: list[PendingOrder]) -> None:
+    def _give_up_expired(self, pending_orders: list[ballot_plan.PendingOrder]) -> None:
         now = self.context.clock.now()
-        for entry in waiting:
-            if not entry.future.done() and now >= entry.give_up_at:
-                # Once any voter was sent the batch nobody may call it refused.
-                if entry.proposed:
-                    entry.future.set_exception(
-                        errors.ChangeOutcomeUnknownError("the voters have not settled it in time")
-                    )
-                else:
-                    entry.future.set_exception(errors.NoQuorumError("no majority of the voters answered"))
-
-    def refuse_unproposed(self, waiting: list[PendingOrder], error: errors.IrisError) -> None:
-        """A full disk will not empty within the order's patience: say so at once."""
-        for entry in waiting:
-            if not entry.future.done() and not entry.proposed:
-                entry.future.set_exception(error)
+        for entry in pending_orders:
+            if now < entry.give_up_at:
+                continue
+            # Once any voter was sent the batch nobody may call the order refused.
+            if entry.proposals:
+                entry.fail(errors.ChangeOutcomeUnknownError("the voters have not settled it in time"))
+            else:
+                entry.fail(errors.NoQuorumError("no majority of the voters answered"))
+
+    def _refuse_unproposed(
+        self, pending_orders: list[ballot_plan.PendingOrder], error: errors.IrisError
+    ) -> None:
+        # A full disk will not be emptied within the time-out of an order.
+        for entry in pending_orders:
+            if not entry.proposals:
+                entry.fail(error)
 
     async def finish_pending(self) -> None:
-        """Hold a ballot with no orders: what is half accepted gets decided, one way or the other."""
-        await self.hold_ballot([])
+        """Run a ballot without orders: it decides what a voter has accepted and nobody has committed."""
+        await self.run_ballot([])
+
+    async def run_ballot(self, pending_orders: list[ballot_plan.PendingOrder]) -> None:
+        """Run one ballot; it finishes a pending batch if there is one, else it proposes the orders.
 
-    async def hold_ballot(self, waiting: list[PendingOrder]) -> None:
+        Raises:
+            BallotLostError: Nothing was decided, or not the orders.
+            irisstand.errors.IrisError: The ballot could not be run.
+        """
         async with self.ballot_lock:
             voters = self.participant.voters(self.table)
             if not voters:
                 raise errors.NotBootstrappedError("no core has been founded yet")
             if not self.participant.is_voter(self.table):
                 raise BallotLostError("this node has no vote yet")
-            ballot = self.draw()
+            ballot = self._choose_ballot_number()
             pending = await self.prepare(voters, ballot)
             self.context.counters.add("ballots_held", table=self.table)
             if pending is not None:
-                # A yes may already have been given for it, so it is finished before anything new.
+                # It may have been confirmed already, so it is finished before anything new.
                 await self.propose(voters, ballot, pending)
-                if waiting:
+                if pending_orders:
                     raise BallotLostError("finished a pending batch first")
                 return
-            overlay = table_overlay.Overlay(self.replica, ballot)
-            plan = self.plan(overlay, waiting)
-            # A batch without rows moves the applied version, which settles that an earlier proposal never
-            # counts.
-            if overlay.rows or plan.undecided:
-                for entry, (_, keys) in plan.accepted:
-                    entry.proposed.append((self.replica.applied, ballot, keys))
-                await self.propose(voters, ballot, overlay.batch())
-            self.tell(plan)
-
-    def tell(self, plan: BallotPlan) -> None:
-        """The results of a batch that is decided, or that needed no rows."""
-        for entry, (version, keys) in plan.accepted:
-            if not entry.future.done():
-                entry.future.set_result({"serial": str(version), "rows": keys})
-        for entry, error in plan.refused:
-            if not entry.future.done():
-                entry.future.set_exception(error)
-
-    def draw(self) -> versions.Version:
+            await self._propose_orders(voters, ballot, pending_orders)
+
+    async def _propose_orders(
+        self,
+        voters: list[quorum.Voter],
+        ballot: versions.Version,
+        pending_orders: list[ballot_plan.PendingOrder],
+    ) -> None:
+        overlay = table_overlay.Overlay(self.replica, ballot)
+        plan = ballot_plan.plan_ballot(overlay, self.replica, pending_orders)
+        # A batch without rows moves the applied version, so that an earlier proposal can never count.
+        if overlay.rows or plan.is_base_undecided:
+            plan.record_proposals(self.replica.applied, ballot)
+            await self.propose(voters, ballot, overlay.batch())
+        plan.publish_results()
+
+    def _choose_ballot_number(self) -> versions.Version:
         record = self.participant.store.records[self.table]
         seen = max(self.highest, record.promised, self.replica.applied)
-        # The durable store's id is in the name: a wiped disk must not draw its predecessor's numbers again.
+        # With the disk id in the name a wiped disk never chooses its predecessor's numbers again.
         self.highest = seen.successor(f"{self.context.settings.name}~{self.participant.store.disk_id}")
         return self.highest
 
-    def plan(self, overlay: table_overlay.Overlay, waiting: list[PendingOrder]) -> BallotPlan:
-        """Put on the overlay what can be proposed; refuse at once only what the decided base refuses."""
-        accepted, refused, undecided = [], [], False
-        for entry in waiting:
-            # What is too much for one frame is left for the next ballot.
-            if entry.future.done() or overlay.size > BATCH_BYTES_LIMIT:
-                continue
-            # Another proposer may have finished an earlier proposal of it: then it is done, not stale.
-            for _, version, keys in entry.proposed:
-                if any(self.replica.version(key) == version for key in keys):
-                    entry.future.set_result({"serial": str(version), "rows": keys})
-            if entry.future.done():
-                continue
-            try:
-                accepted.append((entry, order_planning.plan(overlay, entry.order)))
-            except errors.IrisError as error:
-                # Proposed on this very base, it may lie accepted with a voter that did not answer, and
-                # another proposer may yet finish it: only a decision on the base makes a refusal true.
-                if any(base == self.replica.applied for base, _, _ in entry.proposed):
-                    undecided = True
-                elif overlay.rows:
-                    # It may rest on rows of this very batch, which count only once they are decided.
-                    refused.append((entry, error))
-                else:
-                    entry.future.set_exception(error)
-        return BallotPlan(accepted, refused, undecided)
-
+    # -- phase 1 -----------------------------------------------------------------------------------------
     async def prepare(self, voters: list[quorum.Voter], ballot: versions.Version) -> items.Batch | None:
-        """Promises from a majority; brings the copy to the newest applied version and returns what is
-        pending on it.
+        """Get promises from a majority, learn the newest applied version, return what is pending on it.
+
+        Raises:
+            BallotLostError: No majority promised, or the table moved on meanwhile.
         """
+        promises = await self._collect_promises(voters, ballot)
+        await self._learn_newest(voters, ballot, promises)
+        pending = [
+            promise
+            for promise in promises.values()
+            if promise.pending is not None and promise.pending.base == self.replica.applied
+        ]
+        if not pending:
+            return None
+        return max(pending, key=lambda promise: promise.accepted).pending
+
+    async def _collect_promises(
+        self, voters: list[quorum.Voter], ballot: versions.Version
+    ) -> dict[str, messages.Promised]:
+        def request_to(voter: quorum.Voter) -> messages.PrepareRequest:
+            return messages.PrepareRequest(self.table, ballot, voter.disk_id)
+
         own = next(voter for voter in voters if voter.disk_id == self.participant.store.disk_id)
-        body = (self.table, tuple(ballot))
-        # Its own promise is synced first: after a crash this number must not be drawn again.
-        first = await self.participant.ask_voter(own, "promise", (*body, own.disk_id))
-        if first[0] != "promised":
+        # Its own promise is synced first: after a crash this number must not be chosen again.
+        own_reply = await self.participant.call_voter(own, request_to(own))
+        if not isinstance(own_reply, messages.Promised):
             raise BallotLostError("promised higher itself")
-        replies = await self.participant.gather(
+        replies = await self.participant.gather_replies(
             [voter for voter in voters if voter is not own],
-            "promise",
-            lambda voter: (*body, voter.disk_id),
-            lambda replies: quorum.is_majority(voters, self.won(replies, "promised") | {own.disk_id}),
+            request_to,
+            lambda replies: quorum.is_majority(voters, {*vote_counting.promises_of(replies), own.disk_id}),
         )
-        replies[own.disk_id] = first
-        self.note_higher(replies)
-        if not quorum.is_majority(voters, self.won(replies, "promised")):
+        replies[own.disk_id] = own_reply
+        self._note_higher(replies)
+        promises = vote_counting.promises_of(replies)
+        if not quorum.is_majority(voters, set(promises)):
             raise BallotLostError("no majority promised")
-        promised = {disk_id: reply for disk_id, reply in replies.items() if reply[0] == "promised"}
-        applied, holder = max(
-            (versions.Version.from_wire(reply[1]), disk_id) for disk_id, reply in promised.items()
-        )
+        return promises
+
+    async def _learn_newest(
+        self, voters: list[quorum.Voter], ballot: versions.Version, promises: dict[str, messages.Promised]
+    ) -> None:
+        applied, disk_id = max((promise.applied, disk_id) for disk_id, promise in promises.items())
         if self.replica.applied < applied:
-            name = next(voter.name for voter in voters if voter.disk_id == holder)
+            name = next(voter.name for voter in voters if voter.disk_id == disk_id)
             await self.participant.catch_up(self.table, name)
         if self.replica.applied < applied or self.participant.voters(self.table) != voters:
             raise BallotLostError("was behind the voters")
-        # The applied version may have moved past this ballot's number while the promises came in. A batch
-        # numbered below
-        # its own base would be taken for an older table by everybody who compares applied versions.
+        # The applied version may have passed this ballot's number while the promises came in. A batch
+        # numbered below its own base would be taken for an older table wherever versions are compared.
         if ballot <= self.replica.applied:
             raise BallotLostError("the tip overtook the ballot")
-        pending = []
-        for reply in promised.values():
-            if reply[3] is not None:
-                batch = items.Batch.from_wire(reply[3])
-                if batch.base == self.replica.applied:
-                    pending.append((versions.Version.from_wire(reply[2]), batch))
-        return max(pending, key=lambda entry: entry[0])[1] if pending else None
 
+    # -- phase 2 -----------------------------------------------------------------------------------------
     async def propose(self, voters: list[quorum.Voter], ballot: versions.Version, batch: items.Batch) -> None:
-        body = (self.table, tuple(ballot), batch.to_wire())
-        sets = [voters]
-        for key, value, _ in batch.rows:
-            # A new voter set must hold the change too, or it could lose what the old one confirmed.
-            if key == items.VOTERS_KEY:
-                sets.append(quorum.voters_from_wire(value))
-        everyone = list({voter.disk_id: voter for members in sets for voter in members}.values())
-        replies = await self.participant.gather(
+        """Have a durable majority accept a batch, apply it and send the commits.
+
+        Raises:
+            BallotLostError: No durable majority accepted; the batch may still be decided by another proposer.
+        """
+        voter_sets = vote_counting.voter_sets_of(voters, batch)
+        everyone = list({voter.disk_id: voter for members in voter_sets for voter in members}.values())
+        replies = await self.participant.gather_replies(
             everyone,
-            "accept",
-            lambda voter: (*body, voter.disk_id),
-            lambda replies: all(
-                quorum.is_durable(members, self.won(replies, "accepted")) for members in sets
-            ),
+            lambda voter: messages.AcceptRequest(self.table, ballot, batch, voter.disk_id),
+            lambda replies: vote_counting.is_decided(voter_sets, replies),
         )
-        self.note_higher(replies)
-        if not all(quorum.is_durable(members, self.won(replies, "accepted")) for members in sets):
+        self._note_higher(replies)
+        if not vote_counting.is_decided(voter_sets, replies):
             raise BallotLostError("no durable majority accepted")
         if self.replica.applied == batch.base:
             self.replica.apply(batch)
         self.context.counters.add("batches_confirmed", table=self.table)
-        commit = (self.table, batch.to_wire())
-        await self.participant.gather(everyone, "commit", lambda voter: commit, lambda replies: True)
-
-    def won(self, replies: dict, word: str) -> set[str]:
-        return {disk_id for disk_id, reply in replies.items() if reply[0] == word}
+        commit = messages.CommitRequest(self.table, batch)
+        # The commits are only sent: nobody waits for their replies.
+        await self.participant.gather_replies(everyone, lambda _voter: commit, lambda _replies: True)
 
-    def note_higher(self, replies: dict) -> None:
+    def _note_higher(self, replies: collections.abc.Mapping[str, object]) -> None:
         for reply in replies.values():
-            if reply[0] in ("lost", "moved"):
-                self.highest = max(self.highest, versions.Version.from_wire(reply[1]))
+            if isinstance(reply, messages.Rejected):
+                self.highest = max(self.highest, reply.version)
--- a/src/irisstand/controlplane/consensus/voter_planner.py
+++ b/src/irisstand/controlplane/consensus/voter_planner.py
@@ -1,191 +1,237 @@
-"""Keeping the voters as good as the machines that are up allow, and handing a vote over before an end.
+"""Keeps the voters as good as the machines that are up allow, and hands a vote over before a shutdown.
 
-Every voter plans; the version of the set that a plan was made from settles the races.
+Every voter plans; the version of the voter set that a plan was made from settles the races.
 """
 
 import asyncio
+import typing
 
 from irisstand import errors, event_log
 from irisstand.controlplane.changes import orders
-from irisstand.controlplane.consensus import participant as cores
-from irisstand.controlplane.consensus import submitter as submitting
-from irisstand.controlplane.consensus import voter_target
+from irisstand.controlplane.consensus import node_messages, participant, request, submitter, voter_target
+from irisstand.membership import updates
 from irisstand.state import items, quorum
 
-# Seconds between looks; those after a change of the set in which it is not changed without need.
-INTERVAL, SETTLING = 0.25, 1.0
-# Seconds after which a set that needs nothing is looked at all the same; silence after which it is at once.
-LOOK_ANYWAY, SILENCE = 2.0, 0.6
-# Seconds: for an answer from memory, for all tables to be on a newcomer's disk, for the voters to decide.
-HEARING, HOLDING, DECIDING = 0.4, 1.5, 2.0
-# Tries to hand over; seconds of the drain that are left when they end.
-TRIES, LAST_MOMENT = 3, 0.4
+# Between plans, times a random factor.
+INTERVAL_SECONDS = 0.25
+INTERVAL_FACTORS = (0.5, 1.0)
+# After a change of the set, while it is not changed again without need.
+SETTLING_SECONDS = 1.0
+# A set that needs nothing is planned all the same after so long, and at once if a voter is silent.
+REPLAN_SECONDS = 2.0
+SILENCE_SECONDS = 0.6
+# For an answer from memory, for all tables to be on a newcomer's disk, for the voters to decide.
+ANSWER_TIMEOUT_SECONDS = 0.4
+DURABILITY_TIMEOUT_SECONDS = 1.5
+ORDER_TIMEOUT_SECONDS = 2.0
+# Of handing a vote over; it ends when so much of the drain is left.
+HANDOVER_ATTEMPTS_LIMIT = 3
+HANDOVER_RESERVE_SECONDS = 0.4
+
+# An IndexError, ValueError or TypeError comes of a malformed reply.
+PLAN_ERRORS = (errors.IrisError, ValueError, TypeError, IndexError)
+
+
+class Situation(typing.NamedTuple):
+    """What a target depends on, as far as it is known here without calling anybody."""
+
+    members: tuple[tuple[updates.Identity, updates.MemberState], ...]
+    voters_by_table: tuple[tuple[quorum.Voter, ...], ...]
 
 
 class VoterPlanner:
-    def __init__(self, core: cores.Participant, submitter: submitting.Submitter) -> None:
-        self.participant, self.context, self.submitter = core, core.context, submitter
-        self.changed_at, self.seen = 0.0, ""
-        # What was the case when nothing better was to be had, and when that was.
-        self.best_of: tuple = ()
-        self.looked_at = 0.0
-        # At a planned end: whether the vote was handed over, or cannot be.
+    """Changes the voters of all tables to the set that survives most losses."""
+
+    def __init__(
+        self, node_participant: participant.Participant, node_submitter: submitter.Submitter
+    ) -> None:
+        self.participant = node_participant
+        self.context = node_participant.context
+        self.submitter = node_submitter
+        self.seen_version = ""
+        self.changed_at = 0.0
+        # When it was last planned, and from what.
+        self.planned_at = 0.0
+        self.planned_situation: Situation | None = None
+        # At a shutdown: whether the vote was handed over, or cannot be.
         self.has_handed_over = False
-        if self.is_wanted:
+        if self.is_enabled:
             self.context.has_pending_work = self.is_handing_over
 
     @property
-    def is_wanted(self) -> bool:
-        """A core founded by a fixed number is changed by its operators alone."""
+    def is_enabled(self) -> bool:
+        """Whether voters are planned: those of a fixed number are changed by operators alone."""
         return self.context.settings.found_by_seeds
 
     def is_handing_over(self) -> bool:
+        """Return whether a shutdown has to wait for the vote to be handed over."""
         return not self.has_handed_over
 
     async def run(self) -> None:
-        while self.is_wanted and not self.context.is_lame_duck:
+        """Plan at intervals until the node shuts down, then hand the vote over."""
+        while self.is_enabled and not self.context.is_lame_duck:
             try:
-                if not self.is_quiet():
-                    await self.improve()
-            except (errors.IrisError, ValueError, TypeError, IndexError) as error:
+                if not self._is_quiet():
+                    await self._improve()
+            except PLAN_ERRORS as error:
                 event_log.record("voters-not-changed", error=str(error))
-            await asyncio.sleep(self.context.randomness.uniform(0.5, 1.0) * INTERVAL)
-        if self.is_wanted:
-            await self.hand_over()
+            await asyncio.sleep(self.context.randomness.uniform(*INTERVAL_FACTORS) * INTERVAL_SECONDS)
+        if self.is_enabled:
+            await self._hand_over()
+
+    def _situation(self) -> Situation:
+        members = tuple((update.identity, update.state) for update in self.context.members_of("agency"))
+        return Situation(members, tuple(tuple(self.participant.voters(table)) for table in items.TABLES))
 
-    async def hand_over(self) -> None:
-        """Before a planned end: the place goes to another core node that holds everything."""
-        end = self.context.clock.now() + self.context.settings.drain - LAST_MOMENT
+    def _is_quiet(self) -> bool:
+        """Return whether all voters reply and nothing has changed since the last plan."""
+        now = self.context.clock.now()
+        disk_ids = {voter.disk_id for voter in self.participant.voters(items.LEDGER)}
+        others = disk_ids - {self.participant.store.disk_id}
+        last_replies = self.participant.last_replies
+        are_replying = all(now - last_replies.get(disk_id, now) < SILENCE_SECONDS for disk_id in others)
+        is_planned = now - self.planned_at < REPLAN_SECONDS and self.planned_situation == self._situation()
+        return are_replying and is_planned
+
+    # -- handover ----------------------------------------------------------------------------------------
+    async def _hand_over(self) -> None:
+        """Have another control plane node that holds everything take this one's vote."""
+        end = self.context.clock.now() + self.context.settings.drain - HANDOVER_RESERVE_SECONDS
         try:
-            for _ in range(TRIES):
-                left = end - self.context.clock.now()
-                if left <= 0 or await self.try_handing_over(left):
+            for _ in range(HANDOVER_ATTEMPTS_LIMIT):
+                seconds_left = end - self.context.clock.now()
+                if seconds_left <= 0 or await self._try_handing_over(seconds_left):
                     break
         finally:
             self.has_handed_over = True
 
-    async def try_handing_over(self, patience: float) -> bool:
-        """Whether there is nothing more to be done."""
-        own = self.participant.store.disk_id
+    async def _try_handing_over(self, timeout_seconds: float) -> bool:
+        """Return whether there is nothing more to be done."""
         try:
-            async with asyncio.timeout(patience):
-                await self.improve({own})
-        except (errors.IrisError, ValueError, TypeError, IndexError, TimeoutError) as error:
+            async with asyncio.timeout(timeout_seconds):
+                await self._improve(frozenset({self.participant.store.disk_id}))
+        except (*PLAN_ERRORS, TimeoutError) as error:
             event_log.record("vote-not-handed-over", error=str(error))
             return False
         if any(self.participant.is_voter(table) for table in items.TABLES):
             event_log.record("vote-kept", why="no other core node can take it")
         return True
 
-    def standing(self) -> tuple:
-        """What a target hangs on, as far as it is known here without asking anybody."""
-        members = tuple((update.identity, update.state) for update in self.context.members_of("agency"))
-        return (members, tuple(tuple(self.participant.voters(table)) for table in items.TABLES))
+    # -- plans -------------------------------------------------------------------------------------------
+    async def _improve(self, leaving: frozenset[str] = frozenset()) -> None:
+        """Change all tables to one target, worked out from the ledger's voters.
 
-    def is_quiet(self) -> bool:
-        now = self.context.clock.now()
-        voting = {voter.disk_id for voter in self.participant.voters(items.LEDGER)} - {
-            self.participant.store.disk_id
-        }
-        heard = all(now - self.participant.heard.get(disk_id, now) < SILENCE for disk_id in voting)
-        return heard and now - self.looked_at < LOOK_ANYWAY and self.best_of == self.standing()
-
-    # -- one look ------------------------------------------------------------------------------------
-    async def improve(self, leaving: frozenset[str] | set[str] = frozenset()) -> None:
-        """One target for all tables, worked out from the ledger's set."""
+        Args:
+            leaving: Disk ids of voters that are to be replaced though they are up.
+        """
         if not any(self.participant.is_voter(table) for table in items.TABLES):
             return
         current = self.participant.voters(items.LEDGER)
-        gone = await self.missing(current) | set(leaving)
-        candidates = [voter for voter in await self.candidates() if voter.disk_id not in gone]
+        missing = await self._missing_disks(current) | leaving
+        candidates = [voter for voter in await self._candidates() if voter.disk_id not in missing]
         wanted = self.context.settings.voters
-        target = voter_target.target_voters(candidates, current, gone, wanted)
-        if self.is_settling(current, target, gone):
+        target = voter_target.target_voters(candidates, current, missing, wanted)
+        if self._is_settling(current, target, missing):
             return
-        self.looked_at, self.best_of = self.context.clock.now(), self.standing()
-        # Side by side: a voter that ends has seconds for all of them.
-        await asyncio.gather(*(self.change(table, target) for table in items.TABLES))
-
-    def is_settling(self, current: list[quorum.Voter], target: list[quorum.Voter], gone: set[str]) -> bool:
-        """A set just changed is left alone for a moment, unless somebody of it is to be replaced."""
+        self.planned_at = self.context.clock.now()
+        self.planned_situation = self._situation()
+        # Side by side: a voter that shuts down has seconds for all of them.
+        await asyncio.gather(*(self._change_voters(table, target) for table in items.TABLES))
+
+    def _is_settling(
+        self, current: list[quorum.Voter], target: list[quorum.Voter], missing: set[str]
+    ) -> bool:
+        """Return whether a set just changed is to be left alone; never if a lost voter is to be replaced."""
         now = self.context.clock.now()
         version = str(self.context.replicas[items.LEDGER].version(items.VOTERS_KEY))
-        if version != self.seen:
-            self.seen, self.changed_at = version, now
-        taken = {voter.disk_id for voter in target}
-        renewed = {voter.name for voter in target if voter.disk_id not in {v.disk_id for v in current}}
+        if version != self.seen_version:
+            self.seen_version = version
+            self.changed_at = now
+        kept = {voter.disk_id for voter in target}
+        known = {voter.disk_id for voter in current}
+        renewed = {voter.name for voter in target if voter.disk_id not in known}
         is_repair = any(
-            voter.disk_id not in taken and (voter.disk_id in gone or voter.name in renewed)
+            voter.disk_id not in kept and (voter.disk_id in missing or voter.name in renewed)
             for voter in current
         )
-        return not is_repair and target != current and now - self.changed_at < SETTLING
+        return not is_repair and target != current and now - self.changed_at < SETTLING_SECONDS
 
-    async def change(self, table: str, target: list[quorum.Voter]) -> None:
+    async def _change_voters(self, table: str, target: list[quorum.Voter]) -> None:
         current = self.participant.voters(table)
         known = {voter.disk_id for voter in current}
         if known == {voter.disk_id for voter in target} or not self.participant.is_voter(table):
             return
         expected = str(self.context.replicas[table].version(items.VOTERS_KEY))
         newcomers = [voter for voter in target if voter.disk_id not in known]
-        await asyncio.gather(*(self.hold(voter) for voter in newcomers))
+        await asyncio.gather(*(self._check_durability(voter) for voter in newcomers))
         payload = (expected, tuple(tuple(voter) for voter in target))
         order = orders.Order(f"voters-{table}", "", payload)
         if self.context.is_lame_duck:
             # Where orders gather, none loses its ballot to another.
             await self.submitter.submit(order)
         else:
-            # Decided here, as who decided last may be the very voter that is gone.
-            await self.submitter.proposers[table].submit(order, DECIDING)
+            # Proposed here, as the last winner may be the very voter that is gone.
+            await self.submitter.proposers[table].submit(order, ORDER_TIMEOUT_SECONDS)
         event_log.record("voters-changed", table=table, voters=[voter.name for voter in target])
 
-    async def hold(self, voter: quorum.Voter) -> None:
-        """Everything up to what is known here is on its disk before it is named."""
-        tips = tuple((table, tuple(self.context.replicas[table].applied)) for table in items.TABLES)
-        address = (voter.host, voter.port)
+    async def _check_durability(self, voter: quorum.Voter) -> None:
+        """Have a newcomer put all that is known here on its disk before it becomes a voter."""
+        known_versions = tuple(
+            node_messages.KnownVersion(table, self.context.replicas[table].applied) for table in items.TABLES
+        )
+        message = node_messages.DurabilityCheck(known_versions)
+        transport = self.context.transport
         if voter.disk_id == self.participant.store.disk_id:
-            held = await self.context.transport.handlers["hold"](voter.name, tips)
+            reply = await transport.handlers[message.kind](voter.name, list(message.to_wire()))
+            answering = message.decode_reply(reply)
         else:
-            held = await self.context.transport.call(address, voter.name, "hold", tips, HOLDING)
-        if quorum.Voter(*held) != voter:
+            address = (voter.host, voter.port)
+            answering = await request.call(
+                transport, address, voter.name, message, DURABILITY_TIMEOUT_SECONDS
+            )
+        if answering != voter:
             raise errors.NotBootstrappedError(f"{voter.name} has another disk than a moment ago")
 
-    async def candidates(self) -> list[quorum.Voter]:
-        """Core nodes that know the tables and are not about to end, each as it describes itself."""
-
-        async def ask(update: object) -> quorum.Voter | None:
-            try:
-                reply = await self.context.transport.call(
-                    update.node_info.address, update.identity.name, "core-state", (), HEARING
-                )
-            except errors.IrisError:
-                return None
-            voter, is_empty, *more = reply
-            return None if is_empty or (more and more[0]) else quorum.Voter(*voter)
-
-        told = await asyncio.gather(*(ask(update) for update in self.context.members_of("agency")))
-        return [voter for voter in [*told, self.participant.own_voter()] if voter is not None]
-
-    async def missing(self, voters: list[quorum.Voter]) -> set[str]:
-        """Disks that a majority of the voters has not heard for the time; one bad link proves nothing."""
+    # -- what others report ------------------------------------------------------------------------------
+    async def _candidates(self) -> list[quorum.Voter]:
+        """Return the control plane nodes that know the tables and are not shutting down, this one last."""
+        members = self.context.members_of("agency")
+        found = await asyncio.gather(*(self._candidate(update) for update in members))
+        return [voter for voter in [*found, self.participant.own_voter()] if voter is not None]
 
-        async def ask(voter: quorum.Voter) -> tuple:
-            try:
-                async with asyncio.timeout(HEARING):
-                    return tuple(await self.participant.ask_voter(voter, "hears", ()))
-            except (errors.IrisError, TimeoutError):
-                return ("", ())
-
-        told = await asyncio.gather(*(ask(voter) for voter in voters))
+    async def _candidate(self, update: updates.Update) -> quorum.Voter | None:
+        address = update.node_info.address
+        message = node_messages.NodeStateRequest()
+        try:
+            state = await request.call(
+                self.context.transport, address, update.identity.name, message, ANSWER_TIMEOUT_SECONDS
+            )
+        except errors.IrisError:
+            return None
+        return None if state.is_empty or state.is_leaving else state.voter
+
+    async def _missing_disks(self, voters: list[quorum.Voter]) -> set[str]:
+        """Return the disks that have long been silent towards a majority; one bad link proves nothing."""
+        reports = await asyncio.gather(*(self._report(voter) for voter in voters))
         longest = self.context.settings.replace_after
-        true = [
-            reply[1]
-            for voter, reply in zip(voters, told, strict=True)
-            # One that hears nobody at all tells of itself: it was cut off, or stood still.
-            if reply[0] == voter.disk_id and any(age < longest for _, age in reply[1])
+        credible = [
+            report
+            for voter, report in zip(voters, reports, strict=True)
+            # A voter that reaches nobody at all reports on itself: it was cut off, or paused.
+            if report is not None
+            and report.disk_id == voter.disk_id
+            and any(entry.silent_seconds < longest for entry in report.others)
         ]
-        found = set()
+        missing = set()
         for voter in voters:
-            says = sum(any(d == voter.disk_id and age >= longest for d, age in silent) for silent in true)
-            if 2 * says > len(voters):
-                found.add(voter.disk_id)
-        return found
+            silent = node_messages.silent_count(credible, voter.disk_id, longest)
+            if 2 * silent > len(voters):
+                missing.add(voter.disk_id)
+        return missing
+
+    async def _report(self, voter: quorum.Voter) -> node_messages.ReachabilityReport | None:
+        try:
+            async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
+                return await self.participant.call_voter(voter, node_messages.ReachabilityRequest())
+        except (errors.IrisError, TimeoutError):
+            return None
--- a/src/irisstand/dataplane/nodes/idempotency_keys.py
+++ b/src/irisstand/dataplane/nodes/idempotency_keys.py
@@ -8,7 +8,7 @@
 import hashlib
 
 from irisstand import errors, node_context
-from irisstand.controlplane.consensus import submitter
+from irisstand.controlplane.consensus import order_messages
 from irisstand.dataplane.routing import snapshot
 
 ORDER_TIMEOUT_SECONDS = 1.5
@@ -88,7 +88,7 @@
                 await asyncio.sleep(0.2 + 0.4 * number)
         self.context.counters.add("claims_left_open")
 
-    async def order(self, kind: str, payload: tuple) -> dict:
+    async def order(self, kind: str, payload: tuple) -> order_messages.OrderResult:
         """Any control plane node takes it; this machine's own first, as its answer has the shortest way."""
         control_nodes = self.context.members_of("agency")
         control_nodes.sort(
@@ -103,7 +103,7 @@
                     (kind, "", payload),
                     ORDER_TIMEOUT_SECONDS,
                 )
-                return submitter.unwrap(reply)
+                return order_messages.OrderReply.from_wire(reply).result()
             except (errors.NotSentError, errors.NotBootstrappedError):
                 continue
             except errors.UnansweredError as error:
--- a/src/irisstand/modelcheck/bootstrap_image.py
+++ b/src/irisstand/modelcheck/bootstrap_image.py
@@ -50,7 +50,7 @@
     for node in nodes.values():
         owner = acceptor.Acceptor(node.store, replica.Replica(model_node.TABLE), refuse_catch_up)
         task = asyncio.get_running_loop().create_task(owner.run())
-        await owner.order("found", batch)
+        await owner.submit(acceptor.InstallFirstBatch(batch))
         task.cancel()
     return Image({name: dict(node.disk.files) for name, node in nodes.items()}, batch)
 
--- a/src/irisstand/modelcheck/cluster.py
+++ b/src/irisstand/modelcheck/cluster.py
@@ -5,6 +5,7 @@
 import random
 
 from irisstand import errors
+from irisstand.controlplane.consensus import acceptor
 from irisstand.modelcheck import (
     bootstrap_image,
     clients,
@@ -105,7 +106,7 @@
                 with contextlib.suppress(errors.IrisError):
                     await node.participant.replicator.pull((peer, model_node.PORT), peer, (model_node.TABLE,))
             await asyncio.sleep(PAUSE_SECONDS)
-        await node.participant.acceptors[model_node.TABLE].order("keep")
+        await node.participant.acceptors[model_node.TABLE].submit(acceptor.Persist())
         node.is_rejoining = False
         self.clients.add(scenarios.ClientStep(scenarios.StepKind.ENROL, peers[0], newcomer=node.name))
 
--- a/src/irisstand/modelcheck/invariants.py
+++ b/src/irisstand/modelcheck/invariants.py
@@ -9,6 +9,7 @@
 
 from irisstand import errors
 from irisstand.controlplane.changes import orders
+from irisstand.controlplane.consensus import order_messages
 from irisstand.modelcheck import durability, history
 from irisstand.state import items, replica, versions
 
@@ -75,7 +76,7 @@
     def on_confirmed(
         self,
         order: orders.Order,
-        result: dict[str, typing.Any],
+        result: order_messages.OrderResult,
         applied: versions.Version,
         disks: DiskFiles,
     ) -> None:
--- a/tests/controlplane/test_ballots.py
+++ b/tests/controlplane/test_ballots.py
@@ -6,12 +6,13 @@
 import cluster
 import pytest
 
-import irisstand.controlplane.consensus.acceptor
+import irisstand.controlplane.consensus.acceptor as acceptor
+import irisstand.controlplane.consensus.messages as messages
 import irisstand.errors as errors
 import irisstand.state.items as items
 import irisstand.state.quorum as quorum
 import irisstand.state.replica as replica
-import irisstand.state.storage.durable_store
+import irisstand.state.storage.durable_store as durable_store
 import irisstand.state.versions as versions
 from irisstand.simulator import memory_disk, virtual_time
 
@@ -116,22 +117,26 @@
 
     async def scene():
         disk = memory_disk.MemoryDisk(random.Random(1))
-        store = irisstand.state.storage.durable_store.DurableStore(disk, random.Random(1))
+        store = durable_store.DurableStore(disk, random.Random(1))
         await store.open()
-        live = replica.Replica(items.LEDGER)
-        owner = irisstand.controlplane.consensus.acceptor.Acceptor(store, live, None)
-        task = asyncio.create_task(owner.run())
+        ledger = replica.Replica(items.LEDGER)
+        ledger_acceptor = acceptor.Acceptor(store, ledger, None)
+        task = asyncio.create_task(ledger_acceptor.run())
         voter = quorum.Voter("a", store.disk_id, "s", "h", 1, "m")
         base = versions.Version(22, "b")
-        first = items.Batch(base, versions.NONE, ((items.VOTERS_KEY, [tuple(voter)], False),))
-        await owner.order("found", first)
-        low = items.Batch(versions.Version(21, "c"), base, (("row", 1, False),))
-        assert (await owner.order("accept", versions.Version(30, "c"), low, "c"))[0] == "moved"
-        good = items.Batch(versions.Version(23, "c"), base, (("row", 1, False),))
-        assert (await owner.order("accept", versions.Version(30, "c"), good, "c"))[0] == "accepted"
+        first = items.Batch(base, versions.NONE, (items.Row(items.VOTERS_KEY, [tuple(voter)], False),))
+        await ledger_acceptor.submit(acceptor.InstallFirstBatch(first))
+        ballot, earlier = versions.Version(30, "c"), versions.Version(29, "c")
+        rows = (items.Row("row", 1, False),)
+        low = items.Batch(versions.Version(21, "c"), base, rows)
+        moved = messages.Rejected(messages.VoteStatus.MOVED, base)
+        assert await ledger_acceptor.submit(acceptor.Accept(ballot, low, "c")) == moved
+        good = items.Batch(versions.Version(23, "c"), base, rows)
+        assert await ledger_acceptor.submit(acceptor.Accept(ballot, good, "c")) == messages.Accepted()
         # And once promised, lower ballots are refused.
-        assert (await owner.order("accept", versions.Version(29, "c"), good, "c"))[0] == "lost"
-        assert (await owner.order("promise", versions.Version(30, "c")))[0] == "lost"
+        lost = messages.Rejected(messages.VoteStatus.LOST, ballot)
+        assert await ledger_acceptor.submit(acceptor.Accept(earlier, good, "c")) == lost
+        assert await ledger_acceptor.submit(acceptor.Prepare(ballot)) == lost
         task.cancel()
 
     virtual_time.run(scene())
--- a/tests/controlplane/test_guard_scenarios.py
+++ b/tests/controlplane/test_guard_scenarios.py
@@ -7,6 +7,8 @@
 import pytest
 
 import irisstand.balancing.quota_shares as quota_shares
+import irisstand.controlplane.consensus.acceptor as acceptor
+import irisstand.controlplane.consensus.messages as messages
 import irisstand.errors as errors
 import irisstand.state.items as items
 import irisstand.state.versions as versions
@@ -22,8 +24,9 @@
     for name in ("agency-2", "agency-3", "agency-4"):
         node = day.cluster.nodes[name]
         owner = node.program.participant.acceptors[items.CONFIGURATION]
-        assert (await node.do(owner.order("promise", ballot), 1))[0] == "promised"
-        assert (await node.do(owner.order("accept", ballot, batch, "agency-1"), 1))[0] == "accepted"
+        assert isinstance(await node.do(owner.submit(acceptor.Prepare(ballot)), 1), messages.Promised)
+        command = acceptor.Accept(ballot, batch, "agency-1")
+        assert await node.do(owner.submit(command), 1) == messages.Accepted()
     return batch
 
 
@@ -71,7 +74,8 @@
         earlier = applied._replace(counter=applied.counter - 1)
         batch = items.Batch(versions.Version(applied.counter + 9, "x"), earlier, (("site/north", {}, False),))
         ballot = versions.Version(applied.counter + 9, "x")
-        assert (await node.do(owner.order("accept", ballot, batch, "agency-1"), 1))[0] == "moved"
+        reply = await node.do(owner.submit(acceptor.Accept(ballot, batch, "agency-1")), 1)
+        assert reply == messages.Rejected(messages.VoteStatus.MOVED, applied)
         assert owner.record.pending is None and owner.record.applied == applied
 
     cluster.play(scene)
@@ -87,11 +91,11 @@
         await day.cluster.wait_until(lambda: node.program.participant.is_voter(items.CONFIGURATION), 20)
         ballot = (10**6, "x")
         with pytest.raises(errors.NotBootstrappedError):
-            await node.do(node.program.participant.on_promise("x", [items.CONFIGURATION, ballot, old]), 1)
+            await node.do(node.program.participant.handle_prepare("x", [items.CONFIGURATION, ballot, old]), 1)
         batch = items.Batch(versions.Version(10**6, "x"), versions.NONE, ()).to_wire()
         with pytest.raises(errors.NotBootstrappedError):
             await node.do(
-                node.program.participant.on_accept("x", [items.CONFIGURATION, ballot, batch, old]), 1
+                node.program.participant.handle_accept("x", [items.CONFIGURATION, ballot, batch, old]), 1
             )
 
     cluster.play(scene)
--- a/tests/controlplane/test_idempotent_changes_racing.py
+++ b/tests/controlplane/test_idempotent_changes_racing.py
@@ -8,6 +8,7 @@
 import irisstand.control_errors as control_errors
 import irisstand.controlplane.changes.evacuation_check as evacuation_check
 import irisstand.controlplane.changes.orders as orders
+import irisstand.controlplane.consensus.ballot_plan as ballot_plan
 import irisstand.controlplane.consensus.proposer as proposers
 import irisstand.errors as errors
 import irisstand.state.items as items
@@ -151,7 +152,7 @@
         monkeypatch.setattr(proposers.Proposer, "propose", propose)
         for number, future in enumerate(futures):
             order = orders.Order("change", f"c-{number}", rows[number])
-            proposer.queue.put_nowait(proposers.PendingOrder(order, future, give_up_at, []))
+            proposer.queue.put_nowait(ballot_plan.PendingOrder(order, future, give_up_at, []))
         done = await asyncio.gather(*futures, return_exceptions=True)
         assert lost and isinstance(done[1], dict), done
         assert proposer.replica.value("site/north") == {"weight": 2}
--- a/tests/controlplane/test_partitioned_nodes.py
+++ b/tests/controlplane/test_partitioned_nodes.py
@@ -9,6 +9,7 @@
 
 import irisstand.controlplane.api.operator_reads as operator_reads
 import irisstand.controlplane.changes.orders as orders
+import irisstand.controlplane.consensus.acceptor as acceptor
 import irisstand.controlplane.consensus.voter_administration as voter_administration
 import irisstand.errors as errors
 import irisstand.state.items as items
@@ -89,8 +90,8 @@
         for name in ("agency-2", "agency-3", "agency-4"):
             node = day.cluster.nodes[name]
             owner = node.program.participant.acceptors[items.CONFIGURATION]
-            await node.do(owner.order("promise", ballot), 1)
-            await node.do(owner.order("accept", ballot, batch, "agency-1"), 1)
+            await node.do(owner.submit(acceptor.Prepare(ballot)), 1)
+            await node.do(owner.submit(acceptor.Accept(ballot, batch, "agency-1")), 1)
         # Its proposer may have said yes to its operator a moment ago.
         try:
             assert weight_of(await read(day, "agency-5"), "south") == 9
--- a/tests/mutation/consensus_mutations.py
+++ b/tests/mutation/consensus_mutations.py
@@ -3,9 +3,9 @@
 
 GUARDS = [
     (
-        "controlplane/consensus/proposer.py",
-        "                if any(base == self.replica.applied for base, _, _ in entry.proposed):",
-        "                if False:",
+        "controlplane/consensus/ballot_plan.py",
+        "            if any(proposal.base == table_replica.applied for proposal in entry.proposals):",
+        "            if False:",
         "simulator/test_simulated_days.py",
     ),
     (
@@ -45,9 +45,9 @@
         "state/test_restart_freshness.py",
     ),
     (
-        "controlplane/consensus/proposer.py",
-        "                elif overlay.rows:",
-        "                elif False:",
+        "controlplane/consensus/ballot_plan.py",
+        "            elif overlay.rows:",
+        "            elif False:",
         "controlplane/test_idempotent_changes_racing.py::test_nothing_is_refused_for_rows_of_its_own_batch_that_were_never_decided",
     ),
     (
@@ -58,20 +58,20 @@
     ),
     (
         "controlplane/consensus/heartbeat.py",
-        "            if self.replica.applied > applied or (self.replica.applied == applied and not pending):",
-        "            if self.replica.applied >= applied:",
+        "        return self.replica.applied > applied or (self.replica.applied == applied and not is_pending)",
+        "        return self.replica.applied >= applied",
         "controlplane/test_partitioned_nodes.py::test_a_read_settles_a_batch_that_a_majority_accepted_or_is_put_off",
     ),
     (
         "controlplane/consensus/heartbeat.py",
-        "        self.read_round, self.next_read_round = self.next_read_round, None",
-        "        self.read_round = self.next_read_round",
+        "        self.read_round = self.next_read_round\n        self.next_read_round = None\n",
+        "        self.read_round = self.next_read_round\n",
         "controlplane/test_partitioned_nodes.py::test_a_read_does_not_join_a_round_that_began_before_it_came",
     ),
     (
-        "controlplane/consensus/proposer.py",
-        "                elif overlay.rows:",
-        "                elif False:",
+        "controlplane/consensus/ballot_plan.py",
+        "            elif overlay.rows:",
+        "            elif False:",
         "controlplane/test_partitioned_nodes.py::test_a_refusal_never_rests_on_rows_that_were_only_proposed",
     ),
     (
@@ -88,19 +88,19 @@
     ),
     (
         "controlplane/consensus/voter_target.py",
-        "    cap = (size - 1) // 2 if len(zones) > 2 else size",
-        "    cap = size",
+        "    site_limit = (size - 1) // 2 if len({voter.site for voter in pool}) >= SITES_FOR_A_CAP else size",
+        "    site_limit = size",
         "controlplane/test_voter_target.py::test_the_target_is_the_widest_set_with_the_fewest_moves_and_never_smaller",
     ),
     (
         "controlplane/consensus/voter_planner.py",
-        "            if 2 * says > len(voters):",
-        "            if says:",
+        "            if 2 * silent > len(voters):",
+        "            if silent:",
         "controlplane/test_voter_sets.py::test_one_bad_link_between_two_voters_unseats_neither",
     ),
     (
         "controlplane/consensus/participant.py",
-        "        if now - self.awake_at > STOOD_STILL:",
+        "        if now - self.last_activity_at > PAUSE_DETECTION_SECONDS:",
         "        if False:",
         "controlplane/test_voter_sets.py::test_a_majority_that_stood_still_together_unseats_nobody_when_it_goes_on",
     ),
@@ -118,13 +118,13 @@
     ),
     (
         "controlplane/consensus/voter_planner.py",
-        "*(self.change(table, target) for table in items.TABLES)",
-        "self.change(items.LEDGER, target)",
+        "*(self._change_voters(table, target) for table in items.TABLES)",
+        "self._change_voters(items.LEDGER, target)",
         "controlplane/test_voter_target.py::test_sets_of_three_tables_that_disagree_are_made_one",
     ),
     (
         "controlplane/consensus/bootstrap.py",
-        "        for address, name in [source for source in sources if source[1] in cores_known]:\n            try:\n                await self.participant.replicator.pull(address, name)\n            except (errors.IrisError, ValueError, TypeError):",
+        "        for address, name in [source for source in sources if source[1] in control_nodes]:\n            try:\n                await self.participant.replicator.pull(address, name)\n            except (errors.IrisError, ValueError, TypeError):",
         "        for address, name in sources:\n            try:\n                await self.participant.replicator.pull(address, name)\n            except (errors.NotSentError, errors.UnansweredError):",
         "controlplane/test_voter_sets.py::test_a_lost_zone_is_repaired_within_catch_up_so_that_the_next_may_go",
     ),
@@ -136,7 +136,7 @@
     ),
     (
         "controlplane/consensus/proposer.py",
-        '        if not quorum.is_majority(voters, self.won(replies, "promised")):',
+        "        if not quorum.is_majority(voters, set(promises)):",
         "        if False:",
         "modelcheck/test_model_check.py::test_a_proposer_that_hears_no_promises_proposes_nothing",
     ),
@@ -165,20 +165,20 @@
         "modelcheck/test_model_check.py::test_random_walks_with_links_in_trouble_keep_all_rules[voters]",
     ),
     (
-        "controlplane/consensus/proposer.py",
-        "            if key == items.VOTERS_KEY:\n",
-        "            if False:\n",
+        "controlplane/consensus/vote_counting.py",
+        "        if row.key == items.VOTERS_KEY:\n",
+        "        if False:\n",
         "modelcheck/test_model_check.py::test_random_walks_with_links_in_trouble_keep_all_rules[voters]",
     ),
     (
         "controlplane/consensus/proposer.py",
-        '        if not all(quorum.is_durable(members, self.won(replies, "accepted")) for members in sets):',
+        "        if not vote_counting.is_decided(voter_sets, replies):",
         "        if False:",
         "modelcheck/test_model_check.py::test_random_walks_with_links_in_trouble_keep_all_rules[race]",
     ),
     (
         "controlplane/consensus/heartbeat.py",
-        "(self.replica.applied == applied and not pending)",
+        "(self.replica.applied == applied and not is_pending)",
         "(self.replica.applied == applied)",
         "modelcheck/test_model_check.py::test_a_majority_check_after_a_yes_does_not_rest_on_a_batch_that_is_only_pending_where_it_asks",
     ),
--- a/tests/state/test_disk_faults.py
+++ b/tests/state/test_disk_faults.py
@@ -5,9 +5,11 @@
 import cluster
 import pytest
 
+import irisstand.controlplane.consensus.acceptor as acceptor
 import irisstand.errors as errors
 import irisstand.state.digests as digests
 import irisstand.state.items as items
+import irisstand.state.versions as versions
 from irisstand.simulator import simulated_cluster, virtual_time
 
 
@@ -49,7 +51,9 @@
         assert not votes(day, victim)
         # Asked under its old disk's name it has no vote, whatever its memory holds.
         with pytest.raises(errors.NotBootstrappedError):
-            await node.do(node.program.participant.on_promise("x", [items.CONFIGURATION, (999, "x"), old]), 1)
+            await node.do(
+                node.program.participant.handle_prepare("x", [items.CONFIGURATION, (999, "x"), old]), 1
+            )
         await day.cluster.wait_until(lambda: votes(day, victim), 10)
         assert node.program.participant.store.disk_id != old
         for table in items.TABLES:
@@ -112,7 +116,12 @@
         assert not day.cluster.is_ready(node)
         if part == ".item.":
             with pytest.raises(errors.NotBootstrappedError):
-                await node.do(core.acceptors[items.CONFIGURATION].order("promise", (10**6, "x")), 1)
+                await node.do(
+                    core.acceptors[items.CONFIGURATION].submit(
+                        acceptor.Prepare(versions.Version(10**6, "x"))
+                    ),
+                    1,
+                )
             assert core.context.configuration.value("site/north") is None
         else:
             assert core.store.disk_id != before
