--- a/src/irisstand/transport/codec.py
+++ b/src/irisstand/transport/codec.py
@@ -4,6 +4,7 @@
 everything that leaves a process, so that a receiver can refuse a version that it does not know.
 """
 
+import collections.abc
 import enum
 import typing
 
@@ -15,8 +16,6 @@
 # Versions that differ by one work together during a rolling upgrade; others refuse one another.
 ACCEPTED_PROTOCOLS = (PROTOCOL - 1, PROTOCOL, PROTOCOL + 1)
 FRAME_LIMIT_BYTES = 8 * 1024 * 1024
-# Of a hello, which belongs to no call.
-NO_CALL_NUMBER = 0
 
 
 class UnknownProtocolError(errors.MalformedFrameError):
@@ -47,8 +46,17 @@
     name: str
     incarnation_id: str = ""
 
+    @property
+    def number(self) -> int:
+        """Zero: a hello belongs to no call."""
+        return 0
+
+    def body_to_wire(self) -> tuple[str, str]:
+        """Return the body of the frame."""
+        return (self.name, self.incarnation_id)
+
     @classmethod
-    def from_wire(cls, body: typing.Any) -> "Hello":
+    def from_wire(cls, _number: int, body: typing.Any) -> "Hello":
         """Check the decoded body of a hello; raises ValueError or TypeError if it is none."""
         return cls(*map(str, body[:2]))
 
@@ -68,10 +76,11 @@
     body: typing.Any
     incarnation_id: str = ""
 
-    def to_wire(self) -> tuple[typing.Any, ...]:
+    def body_to_wire(self) -> tuple[typing.Any, ...]:
         """Return the body of the frame; an empty incarnation is left out, as the version before does."""
-        incarnation = (self.incarnation_id,) if self.incarnation_id else ()
-        return (self.kind, self.body, *incarnation)
+        if self.incarnation_id:
+            return (self.kind, self.body, self.incarnation_id)
+        return (self.kind, self.body)
 
     @classmethod
     def from_wire(cls, number: int, body: typing.Any) -> "Request":
@@ -86,6 +95,15 @@
     number: int
     body: typing.Any
 
+    def body_to_wire(self) -> typing.Any:
+        """Return the body of the frame."""
+        return self.body
+
+    @classmethod
+    def from_wire(cls, number: int, body: typing.Any) -> "Response":
+        """Take the decoded body of a response, which only the caller can check."""
+        return cls(number, body)
+
 
 class ErrorResponse(typing.NamedTuple):
     """The error that the request of that number raised."""
@@ -93,15 +111,48 @@
     number: int
     error: errors.WireError
 
+    def body_to_wire(self) -> tuple[typing.Any, ...]:
+        """Return the body of the frame."""
+        return tuple(self.error)
+
+    @classmethod
+    def from_wire(cls, number: int, body: typing.Any) -> "ErrorResponse":
+        """Check the decoded body of an error; raises ValueError or TypeError if it is none."""
+        return cls(number, errors.WireError.from_wire(body))
+
 
 class Cancel(typing.NamedTuple):
     """The caller no longer waits for the request of that number: its work is to be stopped."""
 
     number: int
 
+    def body_to_wire(self) -> tuple[()]:
+        """Return the body of the frame, which is empty."""
+        return ()
+
+    @classmethod
+    def from_wire(cls, number: int, _body: typing.Any) -> "Cancel":
+        """Take a cancellation; its body is not used."""
+        return cls(number)
+
 
 Message = Hello | Request | Response | ErrorResponse | Cancel
 
+WIRE_KINDS: dict[type[typing.Any], str] = {
+    Hello: MessageKind.HELLO.value,
+    Request: MessageKind.REQUEST.value,
+    Response: MessageKind.RESPONSE.value,
+    ErrorResponse: MessageKind.ERROR.value,
+    Cancel: MessageKind.CANCEL.value,
+}
+FROM_WIRE: dict[str, collections.abc.Callable[[int, typing.Any], Message]] = {
+    MessageKind.HELLO.value: Hello.from_wire,
+    MessageKind.REQUEST.value: Request.from_wire,
+    MessageKind.RESPONSE.value: Response.from_wire,
+    MessageKind.ERROR.value: ErrorResponse.from_wire,
+    MessageKind.CANCEL.value: Cancel.from_wire,
+}
+
 
 def drop_reason(error: Exception) -> str:
     """Return what metric labels and messages call the kind of an error; class names may change, this may not.
@@ -118,17 +169,7 @@
     >>> decode(encode(Request(7, "read", ("x",), "l1")))
     Request(number=7, kind='read', body=['x'], incarnation_id='l1')
     """
-    match message:
-        case Hello():
-            return pack((MessageKind.HELLO.value, NO_CALL_NUMBER, tuple(message)))
-        case Request():
-            return pack((MessageKind.REQUEST.value, message.number, message.to_wire()))
-        case Response():
-            return pack((MessageKind.RESPONSE.value, message.number, message.body))
-        case ErrorResponse():
-            return pack((MessageKind.ERROR.value, message.number, tuple(message.error)))
-        case Cancel():
-            return pack((MessageKind.CANCEL.value, message.number, ()))
+    return pack((WIRE_KINDS[type(message)], message.number, message.body_to_wire()))
 
 
 def decode(payload: bytes) -> Message:
@@ -142,26 +183,14 @@
         # bool is an int to Python, and True would pass for the number 1.
         if type(number) is not int:
             raise errors.MalformedFrameError("no number")
-        return _message_of(kind, number, body)
+        from_wire = FROM_WIRE.get(kind)
+        if from_wire is None:
+            raise errors.MalformedFrameError(f"{kind} is no kind of message")
+        return from_wire(number, body)
     except (ValueError, TypeError, IndexError) as error:
         raise errors.MalformedFrameError(f"not a whole message: {type(error).__name__}") from None
 
 
-def _message_of(kind: str, number: int, body: typing.Any) -> Message:
-    match kind:
-        case MessageKind.HELLO:
-            return Hello.from_wire(body)
-        case MessageKind.REQUEST:
-            return Request.from_wire(number, body)
-        case MessageKind.RESPONSE:
-            return Response(number, body)
-        case MessageKind.ERROR:
-            return ErrorResponse(number, errors.WireError.from_wire(body))
-        case MessageKind.CANCEL:
-            return Cancel(number)
-    raise errors.MalformedFrameError(f"{kind} is no kind of message")
-
-
 def pack(message: tuple[typing.Any, ...]) -> bytes:
     """Encode the fields of a message, with the protocol number before them.
 
