--- a/src/irisstand/dataplane/cache/object_holders.py
+++ b/src/irisstand/dataplane/cache/object_holders.py
@@ -10,7 +10,7 @@
 from irisstand import errors, node_context
 from irisstand.balancing import rendezvous
 from irisstand.dataplane.cache import holder_messages, object_reader, objects
-from irisstand.dataplane.routing import routes
+from irisstand.dataplane.routing import route_table, routes
 from irisstand.dataplane.upstream import endpoint_pool, upstream_request
 from irisstand.membership import updates
 from irisstand.state import versions
@@ -38,7 +38,10 @@
     """
 
     def __init__(
-        self, context: node_context.NodeContext, table: routes.RouteTable, origins: endpoint_pool.EndpointPool
+        self,
+        context: node_context.NodeContext,
+        table: route_table.RouteTable,
+        origins: endpoint_pool.EndpointPool,
     ) -> None:
         self.context = context
         self.table = table
--- a/src/irisstand/dataplane/nodes/direct.py
+++ b/src/irisstand/dataplane/nodes/direct.py
@@ -5,7 +5,7 @@
 from irisstand import node_context
 from irisstand.dataplane.cache import object_holders, object_reader, objects, ranges
 from irisstand.dataplane.http import header_names as vocabularies
-from irisstand.dataplane.routing import routes, snapshot
+from irisstand.dataplane.routing import route_table, routes, snapshot
 from irisstand.dataplane.upstream import client, endpoint_pool, exchange, upstream_request
 
 Request = upstream_request.Request
@@ -20,7 +20,7 @@
     ) -> None:
         self.context, self.view = context, view
         self.header_names = vocabularies.REGISTRY[context.settings.vocabulary]
-        self.table = routes.RouteTable(context)
+        self.table = route_table.RouteTable(context)
         self.endpoints = endpoint_pool.EndpointPool(context, view, self.table, self.header_names, connect)
         self.origins = client.UpstreamClient(context, view, self.table, self.endpoints)
         self.holders = object_holders.ObjectHolders(context, self.table, self.endpoints)
--- a/src/irisstand/dataplane/routing/__init__.py
+++ b/src/irisstand/dataplane/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing: routes, prefixes and the configuration in force."""
+"""Routing: routes, path prefixes, and the configuration in force."""
--- /dev/null
+++ b/src/irisstand/dataplane/routing/route_table.py
@@ -0,0 +1,171 @@
+"""The routes in force: by host and longest path prefix, kept up to date with the configuration."""
+
+import collections
+import typing
+
+from irisstand import errors, node_context
+from irisstand.dataplane.routing import prefix_map, routes
+from irisstand.state import items, replica, versioned_items, versions
+
+ROUTE_PREFIX = "route/"
+UPSTREAM_PREFIX = "upstream/"
+
+
+class CompiledItem(typing.NamedTuple):
+    """An item as it was last read; `route` is None for a service, and where the item is dropped."""
+
+    item: items.Item
+    host: str
+    route: routes.Route | None
+
+
+class RouteTable:
+    """Routes and services, read from the configuration item by item: a change costs what it changed.
+
+    Args:
+        context: The node's context, with its replica of the configuration.
+    """
+
+    def __init__(self, context: node_context.NodeContext) -> None:
+        self.context = context
+        self.applied = versions.NONE
+        self.hosts: dict[str, prefix_map.PrefixMap[routes.Route]] = {}
+        self.upstreams: dict[str, routes.Upstream] = {}
+        self.limits = routes.ClientLimits()
+        self.by_name: dict[str, routes.Route] = {}
+        # Services of which holders fetch objects, each with the number of its cacheable routes.
+        self.services_at_holders: collections.Counter[str] = collections.Counter()
+        # All items of routes and services by key, the dropped ones too, and the container they were read
+        # from.
+        self.compiled: dict[str, CompiledItem] = {}
+        self.read_from: object = None
+
+    # -- following the configuration -----------------------------------------------------------------
+    def refresh(self) -> None:
+        """Take over what changed in the configuration since the last time."""
+        copy = self.context.configuration
+        if copy.applied == self.applied and copy.items is self.read_from:
+            return
+        # A replica that was repaired may have other items at versions that were read already.
+        if copy.items is self.read_from and copy.applied > self.applied:
+            self.apply_changes(copy)
+        else:
+            self.compare_all(copy)
+        self.applied = copy.applied
+        self.read_from = copy.items
+        self.limits = routes.ClientLimits.from_item(copy.value(versioned_items.LIMITS_KEY))
+
+    def apply_changes(self, copy: replica.Replica) -> None:
+        """Take over the items that changed since the version that was read."""
+        changed, removed = copy.changes_since(self.applied)
+        for item in changed:
+            self.update(item.key, item)
+        for key in removed:
+            self.update(key, None)
+        # More may have been removed than the replica remembers by name.
+        if len(self.compiled) != copy.counts_by_prefix["route"] + copy.counts_by_prefix["upstream"]:
+            self.compare_all(copy)
+
+    def compare_all(self, copy: replica.Replica) -> None:
+        """Look at every item, and take over those that differ from what was read."""
+        for key in [key for key in self.compiled if key not in copy.items]:
+            self.update(key, None)
+        for prefix in (ROUTE_PREFIX, UPSTREAM_PREFIX):
+            for key in copy.items.irange(prefix, prefix + replica.KEY_UPPER_BOUND):
+                item = copy.items[key]
+                known = self.compiled.get(key)
+                if known is None or known.item != item:
+                    self.update(key, item)
+
+    def update(self, key: str, item: items.Item | None) -> None:
+        """Take over one item as it is now; None is an item that is gone."""
+        if key.startswith(ROUTE_PREFIX):
+            self.update_route(key, item)
+        elif key.startswith(UPSTREAM_PREFIX):
+            self.update_upstream(key, item)
+
+    def update_route(self, key: str, item: items.Item | None) -> None:
+        """Replace the route that was read from the item."""
+        known = self.compiled.pop(key, None)
+        if known is not None and known.route is not None:
+            self.remove(known.host, known.route)
+        host = ""
+        route = None
+        content = content_of(item)
+        if content is not None:
+            host = content["host"].lower()
+            route = routes.Route.from_content(content)
+            self.add(host, route)
+        if item is not None:
+            self.compiled[key] = CompiledItem(item, host, route)
+
+    def update_upstream(self, key: str, item: items.Item | None) -> None:
+        """Replace the service that was read from the item."""
+        name = key.removeprefix(UPSTREAM_PREFIX)
+        self.compiled.pop(key, None)
+        self.upstreams.pop(name, None)
+        content = content_of(item)
+        if content is not None:
+            self.upstreams[name] = routes.Upstream.from_content(content)
+        if item is not None:
+            self.compiled[key] = CompiledItem(item, "", None)
+
+    def add(self, host: str, route: routes.Route) -> None:
+        """Add a route of a host."""
+        if host not in self.hosts:
+            self.hosts[host] = prefix_map.PrefixMap()
+        self.hosts[host].add(route.prefix, route.name, route)
+        self.by_name[route.name] = route
+        self.services_at_holders.update(cacheable_services(route))
+
+    def remove(self, host: str, route: routes.Route) -> None:
+        """Remove a route of a host."""
+        self.hosts[host].remove(route.prefix, route.name)
+        if self.hosts[host].is_empty():
+            del self.hosts[host]
+        del self.by_name[route.name]
+        for service in cacheable_services(route):
+            self.services_at_holders[service] -= 1
+            if not self.services_at_holders[service]:
+                del self.services_at_holders[service]
+
+    # -- asking --------------------------------------------------------------------------------------
+    def match(self, host: str, path: str) -> routes.Route:
+        """Return the route of the host with the longest prefix of the path.
+
+        Args:
+            host: The request's host, with or without a port.
+            path: The request's path.
+
+        Raises:
+            errors.UnknownPathError: No route covers the path.
+        """
+        self.refresh()
+        name = host.lower()
+        for candidate in (name, name.rpartition(":")[0]):
+            prefixes = self.hosts.get(candidate)
+            route = None if prefixes is None else prefixes.longest_match(path)
+            if route is not None:
+                return route
+        raise errors.UnknownPathError(
+            f"no route of {host} covers the path", "ask for a path that a route covers"
+        )
+
+    def still_allows(self, route: routes.Route, service: str) -> bool:
+        """Tell whether the route as it is now lets a request go to the service."""
+        self.refresh()
+        now = self.by_name.get(route.name)
+        return now is not None and any(name == service and weight > 0 for name, weight in now.splits)
+
+
+def content_of(item: items.Item | None) -> dict[str, typing.Any] | None:
+    """Return what the operator sent; None where the item is gone, removed or says that it is dropped."""
+    if item is None or item.value is None:
+        return None
+    content: dict[str, typing.Any] | None = item.value["item"]
+    return content
+
+
+def cacheable_services(route: routes.Route) -> set[str]:
+    """Return the services of which the route caches objects."""
+    return {name for name, _ in route.splits} if route.is_cacheable else set()
--- a/src/irisstand/dataplane/upstream/client.py
+++ b/src/irisstand/dataplane/upstream/client.py
@@ -18,7 +18,7 @@
     policy,
     single_attempt_policy,
 )
-from irisstand.dataplane.routing import routes, snapshot
+from irisstand.dataplane.routing import route_table, routes, snapshot
 from irisstand.dataplane.upstream import attempts, endpoint_pool, exchange, origin_endpoint, upstream_request
 
 # The part of a route's target that a request may wait for tokens of a rate limit.
@@ -71,7 +71,7 @@
         self,
         context: node_context.NodeContext,
         view: snapshot.ConfigurationSnapshot,
-        table: routes.RouteTable,
+        table: route_table.RouteTable,
         endpoints: endpoint_pool.EndpointPool,
     ) -> None:
         self.context = context
@@ -119,7 +119,7 @@
     ) -> attempt_policy.AttemptPolicy[exchange.Answer]:
         """Return the policy of a request on `route`."""
         clock, budget = self.context.clock, self.budget(service)
-        if route.is_repeatable:
+        if route.is_idempotent:
             return idempotent_attempt_policy.IdempotentAttemptPolicy(clock, route, remaining, budget)
         return single_attempt_policy.SingleAttemptPolicy(clock, route, remaining, budget)
 
--- a/src/irisstand/dataplane/upstream/endpoint_pool.py
+++ b/src/irisstand/dataplane/upstream/endpoint_pool.py
@@ -5,7 +5,7 @@
 from irisstand import errors, node_context
 from irisstand.dataplane.http import header_names
 from irisstand.dataplane.ratelimit import quota_share, token_leases
-from irisstand.dataplane.routing import routes, snapshot
+from irisstand.dataplane.routing import route_table, routes, snapshot
 from irisstand.dataplane.upstream import (
     endpoint_prober,
     endpoint_selection,
@@ -28,7 +28,7 @@
         self,
         context: node_context.NodeContext,
         view: snapshot.ConfigurationSnapshot,
-        table: routes.RouteTable,
+        table: route_table.RouteTable,
         words: header_names.HeaderNames,
         connect: exchange.Connect,
     ) -> None:
--- a/src/irisstand/dataplane/upstream/endpoint_prober.py
+++ b/src/irisstand/dataplane/upstream/endpoint_prober.py
@@ -4,7 +4,7 @@
 
 from irisstand import errors, node_context
 from irisstand.dataplane.http import header_names
-from irisstand.dataplane.routing import routes, snapshot
+from irisstand.dataplane.routing import route_table, snapshot
 from irisstand.dataplane.upstream import origin_endpoint
 
 PROBE_TIMEOUT_SECONDS = 0.6
@@ -20,7 +20,7 @@
         self,
         context: node_context.NodeContext,
         view: snapshot.ConfigurationSnapshot,
-        table: routes.RouteTable,
+        table: route_table.RouteTable,
         words: header_names.HeaderNames,
         endpoints: dict[str, origin_endpoint.Endpoint],
     ) -> None:
--- a/src/irisstand/dataplane/upstream/endpoint_selection.py
+++ b/src/irisstand/dataplane/upstream/endpoint_selection.py
@@ -5,7 +5,7 @@
 from irisstand import errors, node_context
 from irisstand.balancing import fleet_limits
 from irisstand.dataplane.ratelimit import quota_share, token_leases
-from irisstand.dataplane.routing import routes, snapshot
+from irisstand.dataplane.routing import route_table, routes, snapshot
 from irisstand.dataplane.upstream import fleet_members, origin_endpoint
 
 # How long a request travels to another site of the region, and to another region.
@@ -29,7 +29,7 @@
         self,
         context: node_context.NodeContext,
         view: snapshot.ConfigurationSnapshot,
-        table: routes.RouteTable,
+        table: route_table.RouteTable,
         endpoints: dict[str, origin_endpoint.Endpoint],
         fleet: fleet_members.FleetMembers,
     ) -> None:
--- a/src/irisstand/simulator/large_configurations.py
+++ b/src/irisstand/simulator/large_configurations.py
@@ -7,7 +7,7 @@
 
 import ormsgpack
 
-from irisstand.dataplane.routing import routes
+from irisstand.dataplane.routing import route_table
 from irisstand.simulator import sizes
 from irisstand.state import items, replica, versions
 from irisstand.state.replication import chunk_transfer, messages
@@ -61,8 +61,8 @@
     return copy
 
 
-def compiled(copy: replica.Replica) -> routes.RouteTable:
-    table = routes.RouteTable(types.SimpleNamespace(configuration=copy))
+def compiled(copy: replica.Replica) -> route_table.RouteTable:
+    table = route_table.RouteTable(types.SimpleNamespace(configuration=copy))
     table.refresh()
     return table
 
