--- a/src/irisstand/state/replication/refresher.py
+++ b/src/irisstand/state/replication/refresher.py
@@ -1,6 +1,7 @@
 """Keeping the tables of a node current: which peers it asks, and how often."""
 
 import asyncio
+import collections.abc
 import typing
 
 from irisstand import errors, node_context
@@ -16,6 +17,8 @@
 PAUSE_LEAST_SECONDS = 0.01
 # A wait shorter than this might not move the clock, and a loop of such waits would never end.
 WAIT_LEAST_SECONDS = 0.001
+# The role of control plane nodes, as members tell it.
+CONTROL_PLANE_ROLE = "agency"
 # Peers outside the control plane that are asked in one round, beside the one that answered last.
 OTHER_SOURCES_LIMIT = 2
 
@@ -40,8 +43,13 @@
 
         A node that is cut off from the control plane, though not from its peers, learns through one of them.
         """
-        core, others = self.shuffled_sources()
-        others = others[:OTHER_SOURCES_LIMIT]
+        members = list(self.context.detector.member_list.members.values())
+        own_site = self.context.settings.site
+        nodes = self.shuffled(update for update in members if update.node_info.role == CONTROL_PLANE_ROLE)
+        nodes.sort(key=lambda update: (update.state, update.node_info.site != own_site))
+        core = [source_of(update) for update in nodes]
+        nodes = self.shuffled(update for update in members if update.node_info.role != CONTROL_PLANE_ROLE)
+        others = [source_of(update) for update in nodes[:OTHER_SOURCES_LIMIT]]
         if self.answered_last in core[1:]:
             core.remove(self.answered_last)
             core.insert(1, self.answered_last)
@@ -52,19 +60,11 @@
             core.insert(1 + 2 * number, source)
         return core
 
-    def shuffled_sources(self) -> tuple[list[Source], list[Source]]:
-        """Return the control plane nodes, the own site's first, and all others, each in random order."""
-        core: list[updates.Update] = []
-        others: list[updates.Update] = []
-        for update in self.context.detector.member_list.members.values():
-            (core if update.node_info.role == "agency" else others).append(update)
-        self.context.randomness.shuffle(core)
-        self.context.randomness.shuffle(others)
-        core.sort(key=lambda update: (update.state, update.node_info.site != self.context.settings.site))
-        return (
-            [Source(update.node_info.address, update.identity.name) for update in core],
-            [Source(update.node_info.address, update.identity.name) for update in others],
-        )
+    def shuffled(self, members: collections.abc.Iterable[updates.Update]) -> list[updates.Update]:
+        """Return members in random order."""
+        shuffled = list(members)
+        self.context.randomness.shuffle(shuffled)
+        return shuffled
 
     async def try_source(self, source: Source) -> bool:
         """Ask one peer. Return whether all tables are now known to be current."""
@@ -110,3 +110,8 @@
                 interval = min(interval, UNFRESH_INTERVAL_SECONDS)
             pause = interval - (context.clock.now() - started)
             await asyncio.sleep(max(PAUSE_LEAST_SECONDS, pause))
+
+
+def source_of(update: updates.Update) -> Source:
+    """Return a member as a peer to ask."""
+    return Source(update.node_info.address, update.identity.name)
--- a/tests/mutation/state_mutations.py
+++ b/tests/mutation/state_mutations.py
@@ -1,4 +1,4 @@
-"""Guarding lines of state, membership and transport, in the form of guarded.py."""
+"""Mutations of state and of the acceptor: file, text, its replacement, and the test that must fail."""
 # ruff: noqa: E501
 
 GUARDS = [
--- a/tests/state/test_chunk_transfer.py
+++ b/tests/state/test_chunk_transfer.py
@@ -1,4 +1,4 @@
-"""Carrying big changes: a slow link is never filled, and what came over it is not carried twice."""
+"""Transfer of big changes: a slow link is never filled, and nothing is transferred over it twice."""
 
 import asyncio
 import types
@@ -17,9 +17,9 @@
 import irisstand.transport.codec as codec
 from irisstand.simulator import virtual_time
 
-ROUTES = 1480
+ROUTE_COUNT = 1480
 # Of an edge's link of 11 Mbit/s, what its clients leave free.
-LINK = 700_000
+LINK_BYTES_PER_SECOND = 700_000
 
 
 def row(number):
@@ -53,8 +53,8 @@
         self.copy.apply(items.Batch(versions.Version(number, "n"), self.copy.applied, tuple(rows)))
         self.copy.confirm_current(self.context.clock.now())
 
-    async def call(self, address, name, kind, body, patience):
-        """As the real transport: what was sent to an asker that gave up still takes up the link."""
+    async def call(self, address, name, kind, body, timeout_seconds):
+        """As the real transport: a reply to a node that gave up waiting still takes up the link."""
         handlers = self.peers[name].handlers
         if kind not in handlers:
             raise errors.UnknownNameError(f"no handler for {kind}")
@@ -65,8 +65,8 @@
         if self.rate:
             self.free_at = max(self.free_at, now) + len(reply) / self.rate
         wait = max(0.002, self.free_at - now)
-        await asyncio.sleep(min(wait, patience))
-        if wait > patience:
+        await asyncio.sleep(min(wait, timeout_seconds))
+        if wait > timeout_seconds:
             raise errors.UnansweredError(f"{name} gave no result in time")
         return codec.unpack(reply)[2]
 
@@ -78,21 +78,21 @@
 
     async def round(self, names):
         """A round of questions: another peer after each 0.12 s, until one has been answered."""
-        asking = set()
+        pending = set()
         for name in names:
-            asking.add(asyncio.create_task(self.pull(name)))
-            done, asking = await asyncio.wait(asking, timeout=0.12, return_when=asyncio.FIRST_COMPLETED)
+            pending.add(asyncio.create_task(self.pull(name)))
+            done, pending = await asyncio.wait(pending, timeout=0.12, return_when=asyncio.FIRST_COMPLETED)
             if any(task.result() for task in done):
                 break
         else:
-            if asking:
-                await asyncio.wait(asking, timeout=0.4)
-        for task in asking:
+            if pending:
+                await asyncio.wait(pending, timeout=0.4)
+        for task in pending:
             task.cancel()
         await asyncio.sleep(0.01)
 
 
-def far_behind(rate=LINK, peers=6, routes=ROUTES):
+def far_behind(rate=LINK_BYTES_PER_SECOND, peers=6, routes=ROUTE_COUNT):
     """An edge that lacks a change of so many routes, and its peers."""
     edge = Node("edge", rate)
     cores = [Node(f"core-{number}") for number in range(peers)]
@@ -105,28 +105,28 @@
 
 
 def test_big_change_over_a_slow_link_arrives_in_time_though_several_peers_are_asked():
-    async def scene():
-        edge, cores = far_behind(rate=LINK // 2)
+    async def scenario():
+        edge, cores = far_behind(rate=LINK_BYTES_PER_SECOND // 2)
         while edge.copy.root_digest() != cores[0].copy.root_digest():
             await edge.round(list(edge.peers))
             assert edge.context.clock.now() < 60
         return edge.context.clock.now(), max(size for *_, size in edge.replies)
 
-    seconds, largest = virtual_time.run(scene())
+    seconds, largest = virtual_time.run(scenario())
     assert seconds < 1.0 and largest < 40_000
 
 
 def test_items_staged_from_a_peer_that_falls_silent_are_not_requested_again():
-    async def scene():
+    async def scenario():
         edge, cores = far_behind(peers=2)
-        plain = cores[0].handlers["part"]
-        given = []
+        original = cores[0].handlers["part"]
+        sent_chunks = []
 
         async def falls_silent(sender, body):
-            if len(given) == 3:
+            if len(sent_chunks) == 3:
                 await asyncio.sleep(60)
-            given.append(await plain(sender, body))
-            return given[-1]
+            sent_chunks.append(await original(sender, body))
+            return sent_chunks[-1]
 
         cores[0].handlers["part"] = falls_silent
         task = asyncio.create_task(edge.pull("core-0"))
@@ -135,49 +135,49 @@
         await asyncio.sleep(0)
         before = len(edge.replies)
         await edge.pull("core-1")
-        parts = [entry for entry in edge.replies[before:] if entry[1] == "part"]
-        whole = len(chunk_transfer.unpack_items(given[0][3]))
+        chunk_replies = [entry for entry in edge.replies[before:] if entry[1] == "part"]
+        items_per_chunk = len(chunk_transfer.unpack_items(sent_chunks[0][3]))
         return (
             edge.copy.root_digest() == cores[1].copy.root_digest(),
-            len(parts),
-            -(-(ROUTES - 3 * whole) // whole),
+            len(chunk_replies),
+            -(-(ROUTE_COUNT - 3 * items_per_chunk) // items_per_chunk),
         )
 
-    is_same, parts, wanted = virtual_time.run(scene())
-    assert is_same and parts <= wanted + 1
+    is_same, chunk_count, wanted = virtual_time.run(scenario())
+    assert is_same and chunk_count <= wanted + 1
 
 
 def test_chunks_requested_by_many_nodes_are_cut_once(monkeypatch):
-    async def scene():
+    async def scenario():
         edges = [Node(f"edge-{number}") for number in range(20)]
         core = Node("core")
-        core.apply(1, [row(number) for number in range(ROUTES)])
-        cut = []
-        plain = chunk_transfer.cut_chunk
+        core.apply(1, [row(number) for number in range(ROUTE_COUNT)])
+        cuts = []
+        original = chunk_transfer.cut_chunk
         monkeypatch.setattr(
-            chunk_transfer, "cut_chunk", lambda copy, cursor: cut.append(cursor) or plain(copy, cursor)
+            chunk_transfer, "cut_chunk", lambda copy, cursor: cuts.append(cursor) or original(copy, cursor)
         )
         for edge in edges:
             edge.peers["core"] = core
             await edge.pull("core")
             assert edge.copy.root_digest() == core.copy.root_digest()
-        return len(cut), len([1 for _, kind, _ in edges[0].replies if kind == "part"])
+        return len(cuts), len([1 for _, kind, _ in edges[0].replies if kind == "part"])
 
-    cut, parts = virtual_time.run(scene())
-    assert cut == parts
+    cuts, chunk_count = virtual_time.run(scenario())
+    assert cuts == chunk_count
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_changes_during_a_transfer_end_with_a_replica_equal_to_the_peers(seed):
-    async def scene():
+    async def scenario():
         edge, (core,) = far_behind(peers=1, rate=None)
-        plain, number = core.handlers["part"], [2]
+        original, number = core.handlers["part"], [2]
 
         async def changing(sender, body):
-            reply = await plain(sender, body)
+            reply = await original(sender, body)
             if number[0] < 9:
                 number[0] += 1
-                place = (seed * 7919 + number[0] * 104_729) % ROUTES
+                place = (seed * 7919 + number[0] * 104_729) % ROUTE_COUNT
                 rows = [row(place), (row(place + 1)[0], None, False), (row(place + 2)[0], None, True)]
                 core.apply(number[0], rows)
             return reply
@@ -192,22 +192,22 @@
             kinds,
         )
 
-    is_same, are_equal, kinds = virtual_time.run(scene())
+    is_same, are_equal, kinds = virtual_time.run(scenario())
     assert is_same and are_equal and "ranges" not in kinds
 
 
 def test_peer_without_chunks_is_compared_range_by_range():
-    async def scene():
+    async def scenario():
         edge, (core,) = far_behind(peers=1, rate=None)
         del core.handlers["part"]
         await edge.pull("core-0")
         return edge.copy.root_digest() == core.copy.root_digest(), edge.replies[-1][1]
 
-    assert virtual_time.run(scene()) == (True, "ranges")
+    assert virtual_time.run(scenario()) == (True, "ranges")
 
 
 def test_peer_older_than_the_staged_items_refuses_and_nothing_changes():
-    async def scene():
+    async def scenario():
         edge, cores = far_behind(peers=2, rate=None)
         cores[1].copy.replace_content(replica.Replica(items.CONFIGURATION))
         cores[1].apply(1, [row(100_000)])
@@ -218,39 +218,39 @@
             await edge.replicator.chunks.transfer(("", 0), "core-1", edge.copy)
         return edge.copy.root_digest() == before
 
-    assert virtual_time.run(scene())
+    assert virtual_time.run(scenario())
 
 
 def test_staged_items_that_differ_from_the_peers_are_not_applied():
-    async def scene():
+    async def scenario():
         edge, (core,) = far_behind(peers=1, rate=None)
         staged = edge.replicator.chunks.staged_items(edge.copy)
         wrong = items.Item("route/other", versions.Version(2, "n"), {"version": 1, "item": None})
         staged.items["route/other"] = wrong
-        taken = await edge.replicator.chunks.transfer(("", 0), "core-0", edge.copy)
+        is_applied = await edge.replicator.chunks.transfer(("", 0), "core-0", edge.copy)
         untouched = edge.copy.applied == versions.Version(1, "n")
         await edge.pull("core-0")
-        return taken, untouched, edge.copy.root_digest() == core.copy.root_digest()
+        return is_applied, untouched, edge.copy.root_digest() == core.copy.root_digest()
 
-    assert virtual_time.run(scene()) == (False, True, True)
+    assert virtual_time.run(scenario()) == (False, True, True)
 
 
 def test_replica_advanced_during_a_transfer_drops_staged_items_and_is_not_set_back():
-    async def scene():
+    async def scenario():
         edge, (core,) = far_behind(peers=1, rate=None)
-        plain = core.handlers["part"]
+        original = core.handlers["part"]
 
         async def overtaken(sender, body):
-            reply = await plain(sender, body)
+            reply = await original(sender, body)
             if edge.copy.applied == versions.Version(1, "n"):
                 edge.apply(3, [row(number) for number in range(5)])
             return reply
 
         core.handlers["part"] = overtaken
-        settled = await edge.replicator.chunks.transfer(("", 0), "core-0", edge.copy)
-        kept = dict(edge.replicator.chunks.staged)
+        is_settled = await edge.replicator.chunks.transfer(("", 0), "core-0", edge.copy)
+        left_over = dict(edge.replicator.chunks.staged)
         await edge.pull("core-0")
-        return settled, kept, edge.copy.applied, {kind for _, kind, _ in edge.replies}
+        return is_settled, left_over, edge.copy.applied, {kind for _, kind, _ in edge.replies}
 
-    settled, kept, applied, kinds = virtual_time.run(scene())
-    assert settled and not kept and applied == versions.Version(3, "n") and "ranges" not in kinds
+    is_settled, left_over, applied, kinds = virtual_time.run(scenario())
+    assert is_settled and not left_over and applied == versions.Version(3, "n") and "ranges" not in kinds
--- a/tests/state/test_disk_faults.py
+++ b/tests/state/test_disk_faults.py
@@ -1,4 +1,4 @@
-"""The core's disks: lost, wiped, full, stalled, torn; founding; total loss."""
+"""Disks of voters that are lost, wiped, full, stalled or corrupt; bootstrap; loss of power everywhere."""
 
 import asyncio
 
@@ -13,12 +13,12 @@
 from irisstand.simulator import simulated_cluster, virtual_time
 
 
-def votes(day, name):
+def votes_on_all_tables(day, name):
     return all(day.cluster.nodes[name].program.participant.is_voter(table) for table in items.TABLES)
 
 
 def test_restart_of_all_nodes_restores_all_confirmed_items_within_15_seconds():
-    async def scene(day):
+    async def scenario(day):
         result = await day.actors.order("agency-2", "change", [cluster.site_row(weight=7)])
         await day.actors.order("agency-3", "purge", [("path", "/vacancies/1")])
         for node in day.cluster.nodes.values():
@@ -36,25 +36,25 @@
             assert configuration.value("site/north") == {"weight": 7}
             assert str(configuration.version("site/north")) == result["serial"]
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 @pytest.mark.parametrize("victim", ["agency-1", "agency-4"])
 def test_disk_lost_after_accepting_loses_nothing_and_its_successor_learns_before_voting(victim):
-    async def scene(day):
+    async def scenario(day):
         result = await day.actors.order(victim, "change", [cluster.site_row(weight=3)])
         node = day.cluster.nodes[victim]
         old = node.program.participant.store.disk_id
         node.kill()
         node.wipe()
         await node.start()
-        assert not votes(day, victim)
+        assert not votes_on_all_tables(day, victim)
         # Asked under its old disk's name it has no vote, whatever its memory holds.
         with pytest.raises(errors.NotBootstrappedError):
             await node.do(
                 node.program.participant.handle_prepare("x", [items.CONFIGURATION, (999, "x"), old]), 1
             )
-        await day.cluster.wait_until(lambda: votes(day, victim), 10)
+        await day.cluster.wait_until(lambda: votes_on_all_tables(day, victim), 10)
         assert node.program.participant.store.disk_id != old
         for table in items.TABLES:
             assert len(day.cluster.nodes["agency-2"].program.participant.voters(table)) == 5
@@ -65,11 +65,11 @@
             day.cluster.nodes[name].kill()
         await day.actors.order(victim, "change", [cluster.site_row(weight=4)])
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_full_disk_refuses_changes_with_a_remedy_while_other_voters_go_on():
-    async def scene(day):
+    async def scenario(day):
         day.cluster.nodes["agency-1"].disk.full = True
         with pytest.raises(errors.DiskFullError) as raised:
             await day.actors.order("agency-1", "change", [cluster.site_row(weight=2)])
@@ -82,11 +82,11 @@
         day.cluster.nodes["agency-1"].disk.full = False
         await day.actors.order("agency-1", "change", [cluster.site_row(weight=4)])
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_two_stalled_disks_stop_neither_changes_nor_the_freshness_of_their_nodes():
-    async def scene(day):
+    async def scenario(day):
         for name in ("agency-1", "agency-2"):
             day.cluster.nodes[name].disk.stalled = True
         for weight in range(1, 6):
@@ -96,12 +96,12 @@
                 assert day.cluster.is_ready(day.cluster.nodes[name])
                 assert cluster.context(day, name).configuration.value("site/north") == {"weight": weight}
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 @pytest.mark.parametrize("part", [".voter.", ".item.", "vault"])
 def test_corrupt_file_is_quarantined_and_its_table_neither_served_nor_voted_from(part):
-    async def scene(day):
+    async def scenario(day):
         await day.actors.order("agency-1", "change", [cluster.site_row(weight=2)])
         await asyncio.sleep(1)
         node = day.cluster.nodes["agency-3"]
@@ -126,7 +126,9 @@
         else:
             assert core.store.disk_id != before
         day.cluster.network.heal()
-        await day.cluster.wait_until(lambda: votes(day, "agency-3") and day.cluster.is_ready(node), 15)
+        await day.cluster.wait_until(
+            lambda: votes_on_all_tables(day, "agency-3") and day.cluster.is_ready(node), 15
+        )
         await asyncio.sleep(1)
         assert core.context.configuration.value("site/north") == {"weight": 2}
         assert all(core.store.intact.values())
@@ -134,11 +136,11 @@
             core.store.replicas[items.CONFIGURATION].root_digest() == core.context.configuration.root_digest()
         )
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_empty_voters_bootstrap_only_together_and_never_beside_a_bootstrapped_one():
-    async def scene():
+    async def scenario():
         world = simulated_cluster.SimulatedCluster(3, cluster.SHAPE)
         control_nodes = world.with_role("agency")
         for node in control_nodes[:4]:
@@ -161,11 +163,11 @@
             assert node.program.participant.voters(items.LEDGER) == voters
             assert not world.is_ready(node)
 
-    virtual_time.run(scene())
+    virtual_time.run(scenario())
 
 
 def test_empty_machine_elsewhere_replaces_a_voter_that_is_gone_for_good():
-    async def scene(day):
+    async def scenario(day):
         world = day.cluster
         result = await day.actors.order("agency-1", "change", [cluster.site_row(weight=6)])
         world.nodes["agency-2"].kill()
@@ -174,8 +176,8 @@
         await spare.start()
         # Not before the missing voter has been gone for long: it may only be restarting.
         await asyncio.sleep(30)
-        assert not votes(day, "agency-9")
-        took = await world.wait_until(lambda: votes(day, "agency-9"), 90)
+        assert not votes_on_all_tables(day, "agency-9")
+        took = await world.wait_until(lambda: votes_on_all_tables(day, "agency-9"), 90)
         assert took > 20
         for table in items.TABLES:
             names = {voter.name for voter in world.nodes["agency-1"].program.participant.voters(table)}
@@ -184,16 +186,16 @@
         # The old one returns with its disk: it has no vote any more, and takes nobody's place.
         await world.nodes["agency-2"].start()
         await asyncio.sleep(10)
-        assert not votes(day, "agency-2") and world.is_ready(world.nodes["agency-2"])
+        assert not votes_on_all_tables(day, "agency-2") and world.is_ready(world.nodes["agency-2"])
         world.nodes["agency-1"].kill()
         world.nodes["agency-3"].kill()
         await day.actors.order("agency-9", "change", [cluster.site_row(weight=8)])
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_voters_that_one_site_loss_would_leave_without_majority_are_refused():
-    async def scene(day):
+    async def scenario(day):
         voters = day.cluster.nodes["agency-1"].program.participant.voters(items.LEDGER)
         newcomer = ("agency-9", "vault", "north", "10.0.0.99", 7000, "m")
         assert [voter.site for voter in voters].count("north") == 2
@@ -202,13 +204,13 @@
         assert "one site" in raised.value.faults[0]["message"]
         assert day.cluster.nodes["agency-3"].program.participant.voters(items.LEDGER) == voters
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_data_folder_with_root_digests_of_the_first_version_starts():
     """Its records bear a root over sixteen ranges; a core that took that for damage would be lost whole."""
 
-    async def scene(day):
+    async def scenario(day):
         await day.actors.order("agency-1", "change", [cluster.site_row(weight=7)])
         await asyncio.sleep(1)
         for node in day.cluster.with_role("agency"):
@@ -226,4 +228,4 @@
         assert cluster.context(day, "edge-1").configuration.value("site/north") == {"weight": 7}
         await day.actors.order("agency-3", "change", [cluster.site_row(weight=8)])
 
-    cluster.play(scene)
+    cluster.play(scenario)
--- a/tests/state/test_power_loss.py
+++ b/tests/state/test_power_loss.py
@@ -1,4 +1,4 @@
-"""A loss of power keeps or loses each unsynced name by itself: what is acknowledged outlives it."""
+"""A loss of power keeps or loses each unsynced name by itself; what was acknowledged must survive it."""
 
 import asyncio
 import pathlib
@@ -16,8 +16,8 @@
 import irisstand.state.versions as versions
 from irisstand.simulator import simulated_folder
 
-STEPS = 120
-LIVES = 4
+STEPS_PER_LIFE = 120
+LIVES_PER_VOTER = 4
 
 
 class Voter:
@@ -76,13 +76,13 @@
     voter = Voter(seed)
     await voter.start()
     voter.identity = voter.store.disk_id
-    for _ in range(LIVES):
+    for _ in range(LIVES_PER_VOTER):
         if full:
             start = voter.folder.operations + voter.randomness.randrange(100)
             voter.folder.full_at = range(start, start + voter.randomness.randrange(1, 20))
         voter.folder.off_at = voter.folder.operations + voter.randomness.randrange(1, 600)
         try:
-            for _ in range(STEPS):
+            for _ in range(STEPS_PER_LIFE):
                 try:
                     await voter.step()
                 except errors.DiskFullError:
@@ -120,7 +120,7 @@
 def test_item_file_under_the_name_of_another_item_is_ignored():
     """As a folder of the version before may hold it, where a file came back under its old name."""
 
-    async def scene():
+    async def scenario():
         voter = Voter(7)
         await voter.start()
         table, live = items.LEDGER, voter.live[items.LEDGER]
@@ -134,4 +134,4 @@
         await voter.start()
         assert voter.store.intact[table] and set(voter.store.replicas[table].items) == {"b"}
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/state/test_replication.py
+++ b/tests/state/test_replication.py
@@ -1,4 +1,4 @@
-"""Carrying tables: what is carried follows what changed, and what does not add up is mended."""
+"""Replication: its cost follows what changed, and replicas that differ are repaired."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 import irisstand.state.versions as versions
 
 
-def filled(count, first=1):
+def filled_replica(count, first=1):
     copy = replica.Replica("t")
     for number in range(first, first + count):
         version = versions.Version(number, "n")
@@ -18,7 +18,7 @@
     return copy
 
 
-async def bytes_of_changes(day, count):
+async def bytes_sent_for_changes(day, count):
     before = day.cluster.network.bytes_sent.total()
     for weight in range(count):
         await day.actors.order("agency-1", "change", [cluster.site_row(weight=weight + 1)])
@@ -27,20 +27,20 @@
 
 
 def test_cost_of_a_change_does_not_grow_with_the_table():
-    async def scene(day):
+    async def scenario(day):
         await asyncio.sleep(40)
-        small = await bytes_of_changes(day, 20)
+        small = await bytes_sent_for_changes(day, 20)
         grants = [{"service": "content", "methods": ["GET"]}]
         rows = [{"kind": "path", "name": f"/x/{n}", "value": {"grants": grants}} for n in range(900)]
         await day.actors.order("agency-1", "change", rows)
         await asyncio.sleep(5)
-        assert await bytes_of_changes(day, 20) < 1.2 * small
+        assert await bytes_sent_for_changes(day, 20) < 1.2 * small
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_voter_with_a_lost_disk_learns_a_table_larger_than_any_frame():
-    async def scene(day):
+    async def scenario(day):
         for step in range(11):
             keys = [f"{step}-{number}" for number in range(250)]
             claims = [(key, "a", "print") for key in keys]
@@ -57,11 +57,11 @@
         copies = [cluster.context(day, f"agency-{n}").replicas[items.IDEMPOTENCY_KEYS] for n in (1, 4)]
         assert len(copies[1].items) > 2750 and copies[1].counts_by_prefix == copies[0].counts_by_prefix
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_changes_are_applied_only_if_the_outcome_equals_the_peers_replica():
-    one, other = filled(20), filled(20)
+    one, other = filled_replica(20), filled_replica(20)
     # More is forgotten than is remembered, so that a peer that is behind cannot be told all of it.
     one.apply(items.Batch(versions.Version(21, "n"), one.applied, (("k3", None, True), ("k4", 5, False))))
     one.removal_records.clear()
@@ -79,7 +79,7 @@
 
 
 def test_replica_damaged_in_memory_is_repaired_range_by_range():
-    async def scene(day):
+    async def scenario(day):
         copy = cluster.context(day, "store-1").configuration
         good = copy.items["service/content"]
         copy.put(good._replace(value={"spoilt": True}))
@@ -88,11 +88,11 @@
         assert copy.root_digest() == cluster.context(day, "agency-1").configuration.root_digest()
         assert cluster.context(day, "store-1").counters.total("ranges_mended") <= 4
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_every_change_updates_version_order_counts_and_digests():
-    copy = filled(30)
+    copy = filled_replica(30)
     for number in range(0, 30, 3):
         copy.remove_and_record(f"k{number}", versions.Version(40 + number, "n"))
     copy.put(items.Item("a/b", versions.Version(90, "n"), None))
@@ -112,18 +112,18 @@
     "answer", [[], [[1, "n"], 0.1, b"x", ["rows"]], "nothing", [[[0, ""], None, b"", [7]]]]
 )
 def test_malformed_reply_changes_nothing(answer):
-    async def scene(day):
+    async def scenario(day):
         node = day.cluster.nodes["store-1"]
         before = {name: copy.root_digest() for name, copy in node.program.context.replicas.items()}
 
         async def reply(*_):
             return answer
 
-        ask, node.program.context.transport.call = node.program.context.transport.call, reply
+        original_call, node.program.context.transport.call = node.program.context.transport.call, reply
         await asyncio.sleep(1)
         assert {name: copy.root_digest() for name, copy in node.program.context.replicas.items()} == before
         assert not node.actor.dead and node.program.context.counters.total("sync_failed") > 0
-        node.program.context.transport.call = ask
+        node.program.context.transport.call = original_call
         await day.cluster.wait_until_ready()
 
-    cluster.play(scene)
+    cluster.play(scenario)
--- a/tests/state/test_restart_after_changes.py
+++ b/tests/state/test_restart_after_changes.py
@@ -20,12 +20,12 @@
 from irisstand.state.storage import durable_store, file_names
 
 SYNC_SECONDS = 0.005
-CATCH_UP = 4.0
+CATCH_UP_SECONDS = 4.0
 # Of a core, what a core machine has on the small sites.
 PROCESSOR_SHARE = 0.645
 
 
-def grow(live, changes, randomness, keys=1500, removals=0.2):
+def apply_random_changes(live, changes, randomness, keys=1500, removals=0.2):
     for _ in range(changes):
         key = f"path/{randomness.randrange(keys)}"
         row = (key, {"grants": [{"service": "content"}], "life": randomness.random()}, False)
@@ -47,43 +47,45 @@
 
 @pytest.mark.parametrize("changes", [300, 3000])
 def test_empty_disk_stores_a_whole_table_within_a_tenth_of_the_catch_up_time(changes):
-    async def scene():
+    async def scenario():
         folder = new_folder()
         store = await store_on(folder)
         live = replica.Replica(items.CONFIGURATION)
-        grow(live, changes, random.Random(1))
+        apply_random_changes(live, changes, random.Random(1))
         started, syncs = time.process_time(), folder.syncs
         await store.save_replica(items.CONFIGURATION, live, store.records[items.CONFIGURATION])
-        took = (time.process_time() - started) / PROCESSOR_SHARE + (folder.syncs - syncs) * SYNC_SECONDS
-        assert took < CATCH_UP / 10, took
+        took_seconds = (time.process_time() - started) / PROCESSOR_SHARE + (
+            folder.syncs - syncs
+        ) * SYNC_SECONDS
+        assert took_seconds < CATCH_UP_SECONDS / 10, took_seconds
         assert store.intact[items.CONFIGURATION]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_restart_after_3000_changes_reads_few_files_and_finds_them_intact():
-    async def scene():
+    async def scenario():
         folder, live = new_folder(), replica.Replica(items.LEDGER)
         store = await store_on(folder)
         randomness = random.Random(2)
         for _ in range(3000):
-            grow(live, 1, randomness, keys=400)
+            apply_random_changes(live, 1, randomness, keys=400)
             await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
         assert len([name for name in folder.entries if not name.endswith(".spare")]) < 256
         folder.lose_power()
         started = time.process_time()
         again = await store_on(folder)
-        assert (time.process_time() - started) / PROCESSOR_SHARE < CATCH_UP / 10
+        assert (time.process_time() - started) / PROCESSOR_SHARE < CATCH_UP_SECONDS / 10
         assert again.disk_id == store.disk_id and again.intact[items.LEDGER]
         assert again.replicas[items.LEDGER].root_digest() == live.root_digest()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_more_removals_than_are_remembered_leave_the_disk_with_its_vote():
     """Before, the record was written for a disk that did not add up; until the next change it had no vote."""
 
-    async def scene():
+    async def scenario():
         folder, live = new_folder(), replica.Replica(items.LEDGER)
         store = await store_on(folder)
         fill = tuple((f"key/{number}", number, False) for number in range(2500))
@@ -97,14 +99,14 @@
         again = await store_on(folder)
         assert again.intact[items.LEDGER] and len(again.replicas[items.LEDGER].items) == 100
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_repair_overtaken_by_commits_goes_on_until_it_has_caught_up():
-    async def scene():
+    async def scenario():
         peer, copy = replica.Replica(items.LEDGER), replica.Replica(items.LEDGER)
-        grow(peer, 50, random.Random(1))
-        grow(copy, 50, random.Random(1))
+        apply_random_changes(peer, 50, random.Random(1))
+        apply_random_changes(copy, 50, random.Random(1))
         copy.remove(next(iter(copy.items)))
 
         async def ask(address, name, kind, body, patience):
@@ -130,12 +132,12 @@
         await asking.repair(("h", 1), "peer", copy, in_chunks=False)
         assert copy.root_digest() == peer.root_digest() and copy.applied == peer.applied
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("is_wiped", [False, True])
 def test_restarted_voter_catches_up_in_time_while_15_changes_per_second_go_on(is_wiped):
-    async def scene(day):
+    async def scenario(day):
         for node in day.cluster.with_role("agency"):
             node.disk.slowness = SYNC_SECONDS
         confirmed = []
@@ -171,22 +173,22 @@
             assert not node.program.context.is_current(configuration) or configuration.applied >= highest
             return serves()
 
-        took = await day.cluster.wait_until(never_old, CATCH_UP)
-        assert took < CATCH_UP
+        took_seconds = await day.cluster.wait_until(never_old, CATCH_UP_SECONDS)
+        assert took_seconds < CATCH_UP_SECONDS
         await changing
         assert len(confirmed) > 400
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_data_folder_whose_records_know_no_segments_starts_and_is_upgraded():
     """As the version before wrote it: six fields a record, and each item in a file of its own."""
 
-    async def scene():
+    async def scenario():
         folder, live = new_folder(), replica.Replica(items.LEDGER)
         disk = disks.FolderDisk(pathlib.Path("simulated"), folder)
         await disk.load()
-        grow(live, 60, random.Random(4), removals=0)
+        apply_random_changes(live, 60, random.Random(4), removals=0)
         files = [
             (
                 file_names.item_file(items.LEDGER, item),
@@ -203,21 +205,21 @@
         assert store.disk_id == "its-id" and store.intact[items.LEDGER]
         assert store.replicas[items.LEDGER].root_digest() == live.root_digest()
         assert store.records[items.LEDGER].promised == versions.Version(number[0] + 5, "n")
-        grow(live, 300, random.Random(5))
+        apply_random_changes(live, 300, random.Random(5))
         await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
         again = await store_on(folder)
         assert again.disk_id == "its-id" and again.intact[items.LEDGER]
         assert again.replicas[items.LEDGER].root_digest() == live.root_digest()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("is_cut_short", [True, False])
 def test_truncated_or_altered_segment_is_not_voted_from_and_is_rewritten(is_cut_short):
-    async def scene():
+    async def scenario():
         folder, live = new_folder(), replica.Replica(items.LEDGER)
         store = await store_on(folder)
-        grow(live, 300, random.Random(6))
+        apply_random_changes(live, 300, random.Random(6))
         await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
         (segment,) = store.records[items.LEDGER].segments
         content = folder.contents[folder.entries[segment]]
@@ -232,14 +234,14 @@
         last = await store_on(folder)
         assert last.intact[items.LEDGER] and last.replicas[items.LEDGER].root_digest() == live.root_digest()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_power_loss_after_a_corrupt_record_was_quarantined_restores_no_older_promise():
-    async def scene():
+    async def scenario():
         folder, live = new_folder(), replica.Replica(items.LEDGER)
         store = await store_on(folder)
-        grow(live, 5, random.Random(6))
+        apply_random_changes(live, 5, random.Random(6))
         await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
         record = store.records[items.LEDGER]
         await store.save_record(items.LEDGER, record._replace(promised=versions.Version(99, "n")))
@@ -251,4 +253,4 @@
         again = await store_on(folder, seed=6)
         assert again.disk_id != store.disk_id
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/state/test_restart_freshness.py
+++ b/tests/state/test_restart_freshness.py
@@ -1,4 +1,4 @@
-"""What a node may use right after it was started again."""
+"""Which tables a node may use right after a restart."""
 
 import asyncio
 import random
@@ -13,7 +13,7 @@
 def test_restarted_node_uses_no_table_that_may_be_older_than_in_its_former_life():
     """Found by seeds 3020 (busy) and 3012 (planned): a peer's copy, well within the bound, was older."""
 
-    async def scene():
+    async def scenario():
         await asyncio.sleep(10)
         settings = direct_edge.SETTINGS
         context = node_context.NodeContext(
@@ -26,4 +26,4 @@
         copy.confirm_current(started)
         return before, context.is_fresh(copy)
 
-    assert virtual_time.run(scene()) == (False, True)
+    assert virtual_time.run(scenario()) == (False, True)
--- a/tests/state/test_slow_disks.py
+++ b/tests/state/test_slow_disks.py
@@ -1,4 +1,4 @@
-"""The real disk, and disks that are slow: what rehearsals on real file systems brought up."""
+"""The real disk, and slow disks: faults that were found on real file systems."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 def test_real_disk_keeps_only_synced_files_and_quarantines_corrupt_ones(tmp_path):
-    async def scene():
+    async def scenario():
         disk = irisstand.state.storage.disk.FolderDisk(tmp_path / "data")
         assert await disk.load() == ({}, [])
         await disk.write([("a", b"1"), ("b", b"2")])
@@ -32,13 +32,13 @@
         )
         assert len(list((tmp_path / "data").iterdir())) == before
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_obsolete_files_are_removed_in_bulk_and_not_read_after_a_restart():
     """Found in rehearsal: with a removal for each write, every sync waited for the file system's discard."""
 
-    async def scene(day):
+    async def scenario(day):
         node = day.cluster.nodes["agency-3"]
         before = (node.disk.writes, node.disk.removals)
         for weight in range(1, 61):
@@ -53,11 +53,11 @@
         assert node.program.participant.store.replicas[items.CONFIGURATION].root_digest() == root
         assert node.program.context.configuration.value("site/north") is None
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_disks_100_times_slower_leave_a_working_control_plane():
-    async def scene(day):
+    async def scenario(day):
         for node in day.cluster.with_role("agency"):
             node.disk.slowness = 0.12
         taken = []
@@ -73,4 +73,4 @@
             lambda: len({duty.name for duty in duties if duty.holds_lease()}) == 3, 10
         )
 
-    cluster.play(scene)
+    cluster.play(scenario)
