--- a/src/irisstand/dataplane/__init__.py
+++ b/src/irisstand/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: edge, shield, store."""
+"""The data plane: edges, shields, stores and object holders."""
--- a/src/irisstand/dataplane/assembly.py
+++ b/src/irisstand/dataplane/assembly.py
@@ -1,4 +1,4 @@
-"""Putting a data plane node together from what it is handed; the simulator uses this as the program does."""
+"""Puts a data plane node together from what it is handed; the simulator uses this as the program does."""
 
 import importlib
 import random
@@ -9,7 +9,7 @@
 from irisstand.state.replication import refresher, replicator
 from irisstand.transport import network
 
-# Plug-in point: a role is an entry here, the module whose `part` makes it. It is imported when its role is
+# Plug-in point: for each role the module whose `create` makes its node. A module is imported when its role is
 # played: a node that was killed is back sooner without the libraries of the others.
 REGISTRY = {
     "edge": "irisstand.dataplane.nodes.edge",
@@ -21,7 +21,19 @@
 
 
 class DataNode:
-    """`connect` opens what the role needs towards origins; None for the real one of the role."""
+    """A node of the data plane in one of its roles.
+
+    Args:
+        settings: The node's settings, with its role.
+        clock: The node's clock.
+        randomness: The node's source of random choices.
+        net: Opens the node's ports and connections to peers.
+        connect: Opens connections to origins; None for the real ones of the role.
+
+    Attributes:
+        role_node: The part that belongs to the role. Roles have no interface in common but `run`, which some
+            have.
+    """
 
     def __init__(
         self,
@@ -35,15 +47,16 @@
         self.view = snapshot.ConfigurationSnapshot(self.context)
         self.replicator = replicator.Replicator(self.context)
         self.refresher = refresher.Refresher(self.context, self.replicator)
-        self.role_node: typing.Any = importlib.import_module(REGISTRY[settings.role]).create(
-            self.context, self.view, connect
-        )
+        role_module = importlib.import_module(REGISTRY[settings.role])
+        self.role_node: typing.Any = role_module.create(self.context, self.view, connect)
 
     async def open(self) -> None:
+        """Open the node's ports and start its tasks."""
         await self.context.open()
         self.context.start_task(self.refresher.run(), "refresher")
         if hasattr(self.role_node, "run"):
             self.context.start_task(self.role_node.run(), f"part of a {self.context.role}")
 
     async def close(self) -> None:
+        """Close the node's ports and end its tasks."""
         await self.context.close()
--- a/src/irisstand/dataplane/nodes/direct.py
+++ b/src/irisstand/dataplane/nodes/direct.py
@@ -1,25 +1,37 @@
-"""An edge that reaches origins by itself, and a holder, which does the same for the edges of its site."""
+"""A node that reaches origins by itself: an edge (`direct`), or a `holder` of objects for such edges."""
 
 import typing
 
-from irisstand import node_context
+from irisstand import node_context, node_settings
 from irisstand.dataplane.cache import object_holders, object_reader, objects, ranges
-from irisstand.dataplane.http import header_names as vocabularies
+from irisstand.dataplane.http import header_names
 from irisstand.dataplane.routing import route_table, routes, snapshot
 from irisstand.dataplane.upstream import client, endpoint_pool, exchange, upstream_request
 
 Request = upstream_request.Request
 
+STATUS_OK = 200
+MILLISECONDS = 1000
+
 
 class DirectNode:
+    """Answers clients' requests out of its cache, from object holders, or from origins.
+
+    Args:
+        context: The node's context.
+        view: The configuration in force.
+        connect: Opens connections to origins.
+    """
+
     def __init__(
         self,
         context: node_context.NodeContext,
         view: snapshot.ConfigurationSnapshot,
         connect: exchange.Connect,
     ) -> None:
-        self.context, self.view = context, view
-        self.header_names = vocabularies.REGISTRY[context.settings.vocabulary]
+        self.context = context
+        self.view = view
+        self.header_names = header_names.REGISTRY[context.settings.vocabulary]
         self.table = route_table.RouteTable(context)
         self.endpoints = endpoint_pool.EndpointPool(context, view, self.table, self.header_names, connect)
         self.origins = client.UpstreamClient(context, view, self.table, self.endpoints)
@@ -28,19 +40,23 @@
         self.holders.serve(self.reader)
 
     async def run(self) -> None:
+        """Probe origins that are down, until cancelled."""
         await self.endpoints.run()
 
     async def handle(self, request: Request) -> exchange.Answer:
-        """The answer for the client, or a typed error. A request is decided by one version of its route."""
+        """Answer a client's request, which is judged by one version of its route.
+
+        Raises:
+            errors.IrisError: The request is refused or failed.
+        """
         self.view.check_current()
         route = self.table.match(request.host, request.path)
         self.context.counters.add("requests", route=route.name)
-        given = request.headers.get(self.header_names.remaining, "")
-        remaining = min(route.timeout, int(given) / 1000) if given.isdigit() else route.timeout
+        remaining = self.remaining_seconds(request, route)
         if route.is_cacheable and request.method == "GET":
             service = routes.pick_service(route, request.target.decode("latin-1"))
-            asked = object_reader.ObjectLookup(route, service, request, remaining)
-            return self.give(request, await self.reader.read(asked))
+            lookup = object_reader.ObjectLookup(route, service, request, remaining)
+            return self.answer_with(request, await self.reader.read(lookup))
         service = routes.pick_service(route, request.headers.get(self.header_names.request_id, request.path))
         headers = [
             (name, value) for name, value in request.headers.items() if name not in upstream_request.HOP
@@ -48,25 +64,37 @@
         with self.context.count_in_flight():
             return await self.origins.fetch(route, service, request, headers, remaining)
 
-    def give(self, request: Request, thing: objects.CachedObject) -> exchange.Answer:
-        # This node may have been paused or cut off while the answer was on its way.
+    def remaining_seconds(self, request: Request, route: routes.Route) -> float:
+        """Return how long the client waits: what it says in whole milliseconds, up to the route's timeout."""
+        given = request.headers.get(self.header_names.remaining, "")
+        return min(route.timeout, int(given) / MILLISECONDS) if given.isdigit() else route.timeout
+
+    def answer_with(self, request: Request, content: objects.CachedObject) -> exchange.Answer:
+        """Answer a request with an object, or with the range of it that the client asks for.
+
+        Raises:
+            errors.StaleConfigurationError: This node may no longer answer by its tables.
+        """
+        # This node may have been paused or cut off while the object was on its way.
         self.view.check_current()
-        headers = dict(thing.headers)
+        headers = dict(content.headers)
         if self.header_names.request_id in request.headers:
             headers[self.header_names.request_id] = request.headers[self.header_names.request_id]
-        whole = exchange.Answer(thing.status, headers, thing.body)
-        given = ranges.apply(whole, request.headers) if thing.status == 200 else whole
-        if given.status == 416:
+        complete = exchange.Answer(content.status, headers, content.body)
+        answer = ranges.apply(complete, request.headers) if content.status == STATUS_OK else complete
+        if answer.status == ranges.RANGE_NOT_SATISFIABLE:
             # This node's own refusal: the origin sealed another status.
-            given.headers.pop(self.header_names.seal, None)
-        return given
+            answer.headers.pop(self.header_names.seal, None)
+        return answer
 
 
-def connector(settings: typing.Any) -> exchange.Connect:
-    return exchange.connector(vocabularies.REGISTRY[settings.vocabulary].request_id)
+def connector(settings: node_settings.Settings) -> exchange.Connect:
+    """Return what opens real connections to origins, by the header names of the settings."""
+    return exchange.connector(header_names.REGISTRY[settings.vocabulary].request_id)
 
 
 def create(
     context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot, connect: typing.Any
 ) -> DirectNode:
+    """Make the node; `connect` is None for real connections."""
     return DirectNode(context, view, connect or connector(context.settings))
--- a/src/irisstand/dataplane/nodes/idempotency_keys.py
+++ b/src/irisstand/dataplane/nodes/idempotency_keys.py
@@ -1,38 +1,74 @@
-"""Keyed writes: an Idempotency-Key is claimed in the core before the write goes towards an origin.
+"""Idempotency keys: a write with an Idempotency-Key claims it in the core before it goes towards an origin.
 
-So the same key runs once, whichever edges and shields it comes by and whatever answers are lost.
+So a write with the same key runs once, whichever edges and shields it comes by, and whatever answers are
+lost. (IETF draft "The Idempotency-Key HTTP Header Field".)
 """
 
 import asyncio
 import collections.abc
 import hashlib
+import typing
 
 from irisstand import errors, node_context
 from irisstand.controlplane.consensus import order_messages
+from irisstand.dataplane import messages
 from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.upstream import origin_client
 
 ORDER_TIMEOUT_SECONDS = 1.5
-# A larger result is not kept with the claim: the second asker learns only that the first one ran.
+ORDER_NODES_LIMIT = 3
+CLAIM_ATTEMPTS_LIMIT = 2
+SETTLE_ATTEMPTS_LIMIT = 5
+# A client waits for the key to be released, so this is tried fewer times.
+RELEASE_ATTEMPTS_LIMIT = 2
+SETTLE_PAUSE_SECONDS = 0.2
+SETTLE_PAUSE_STEP_SECONDS = 0.4
+# A larger result is not recorded: a repeated write learns only that the first one ran.
 RESULT_LIMIT_BYTES = 4 * 1024
+KEY_DIGITS = 32
+FINGERPRINT_DIGITS = 16
+# The kinds of orders, and the state of a claim whose write has run.
+CLAIM_ORDER = "claim"
+SETTLE_ORDER = "settle"
+DONE = "done"
 
-Work = collections.abc.Callable[[], collections.abc.Awaitable[tuple]]
+Work = collections.abc.Callable[[], collections.abc.Awaitable[messages.WriteResult]]
 
 
 class IdempotencyKeys:
+    """Claims keys in the core, and records the results of their writes there.
+
+    Args:
+        context: The node's context.
+    """
+
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
 
-    async def run_once(self, granted: snapshot.AllowedRequest, request: tuple, work: Work) -> tuple:
+    async def run_once(
+        self, allowed: snapshot.AllowedRequest, request: origin_client.OriginRequest, work: Work
+    ) -> messages.WriteResult:
+        """Carry out a write, or return the result of an earlier one with the same key.
+
+        Args:
+            allowed: What the configuration allows.
+            request: The write.
+            work: Carries it out.
+
+        Raises:
+            errors.KeyReusedError: The key was used for another request.
+            errors.KeyNotClaimedError: The core did not confirm the claim; the write was not sent.
+            errors.OutcomeUnknownError: A write with this key may have run, and its result is not known.
+            errors.IrisError: What `work` raised.
+        """
         method, target, headers, body, request_id = request
         given = headers.get("idempotency-key")
-        # Without a key there is nothing to tell a repetition by; the write is sent at most once all the same.
+        # Without a key a repeated write is not recognised; each write is sent at most once all the same.
         if not given:
             return await work()
-        key = hashlib.sha256(f"{granted.service}\0{given}".encode()).hexdigest()[:32]
-        # A claim is this very attempt's. Under the request's id alone, a shield that gives the claim back
-        # late would take it from the next shield, which was asked in its place and has run the write.
-        attempt = f"{request_id}@{self.context.settings.name}.{self.context.randomness.getrandbits(32):08x}"
-        fingerprint = hashlib.sha256(f"{method} {target}\0".encode() + body).hexdigest()[:16]
+        key = hashlib.sha256(f"{allowed.service}\0{given}".encode()).hexdigest()[:KEY_DIGITS]
+        fingerprint = hashlib.sha256(f"{method} {target}\0".encode() + body).hexdigest()[:FINGERPRINT_DIGITS]
+        attempt = self.attempt_id(request_id)
         try:
             await self.claim(key, attempt, fingerprint)
         except errors.KeyClaimedError as error:
@@ -43,22 +79,31 @@
             # It may have run: the claim stays, and nobody runs it again.
             raise
         except errors.IrisError:
-            # Certainly not run, so the key is given back, and before anybody hears of it: the edge may ask
+            # It has certainly not run, so the key is released before anybody learns of it: the edge may ask
             # the next shield, and the client may come again.
-            await self.settle(key, attempt, None, tries=2)
+            await self.settle(key, attempt, None, attempts_limit=RELEASE_ATTEMPTS_LIMIT)
             raise
-        self.context.start_task(self.settle(key, attempt, self.kept(result)), "settle a claim")
+        self.context.start_task(self.settle(key, attempt, recorded(result)), "settle a claim")
         return result
 
-    def kept(self, result: tuple) -> list:
-        status, headers, body = result
-        return [status, list(headers), body if len(body) <= RESULT_LIMIT_BYTES else None]
+    def attempt_id(self, request_id: str) -> str:
+        """Return the name of this very attempt, to which the claim belongs.
+
+        By the request's id alone, a shield that releases the key late would take it from the next shield,
+        which was asked in its place and has run the write.
+        """
+        return f"{request_id}@{self.context.settings.name}.{self.context.randomness.getrandbits(32):08x}"
+
+    def replay(self, claim: dict[str, typing.Any], fingerprint: str) -> messages.WriteResult:
+        """Return the recorded result of the first write with the key.
 
-    def replay(self, claim: dict, fingerprint: str) -> tuple:
-        """What the second asker gets: the first one's result, as far as it is known."""
+        Raises:
+            errors.KeyReusedError: The key was used for another request.
+            errors.OutcomeUnknownError: The result is not known, or was not recorded.
+        """
         if claim["print"] != fingerprint:
             raise errors.KeyReusedError("this Idempotency-Key was used for another request")
-        if claim["state"] != "done":
+        if claim["state"] != DONE:
             raise errors.OutcomeUnknownError("a request with this key is under way or was lost")
         status, headers, body = claim["result"]
         if body is None:
@@ -66,35 +111,54 @@
                 "the request with this key has run; its answer was too large to keep"
             )
         self.context.counters.add("keyed_replays")
-        return (status, tuple((name, value) for name, value in headers), body)
+        return messages.WriteResult(status, messages.header_pairs(headers), body)
 
     async def claim(self, key: str, attempt: str, fingerprint: str) -> None:
-        for _ in range(2):
+        """Claim a key for an attempt.
+
+        Raises:
+            errors.KeyClaimedError: Another attempt has it.
+            errors.KeyNotClaimedError: The core did not confirm the claim.
+        """
+        for _ in range(CLAIM_ATTEMPTS_LIMIT):
             try:
-                await self.order("claim", (key, attempt, fingerprint))
-                return
+                await self.order(CLAIM_ORDER, (key, attempt, fingerprint))
             except errors.ChangeOutcomeUnknownError:
-                # Asked again as the same attempt, which brings the one true result.
+                # Sent again for the same attempt, which brings the one true result.
                 continue
+            return
         self.context.start_task(self.settle(key, attempt, None), "release a claim")
         raise errors.KeyNotClaimedError("the core did not confirm the claim in time")
 
-    async def settle(self, key: str, attempt: str, result: list | None, tries: int = 5) -> None:
-        for number in range(tries):
+    async def settle(
+        self,
+        key: str,
+        attempt: str,
+        result: list[typing.Any] | None,
+        *,
+        attempts_limit: int = SETTLE_ATTEMPTS_LIMIT,
+    ) -> None:
+        """Record the result of an attempt's write; None releases the key. A failure is counted."""
+        for number in range(attempts_limit):
             try:
-                await self.order("settle", (key, attempt, result))
-                return
+                await self.order(SETTLE_ORDER, (key, attempt, result))
             except errors.IrisError:
-                await asyncio.sleep(0.2 + 0.4 * number)
+                await asyncio.sleep(SETTLE_PAUSE_SECONDS + SETTLE_PAUSE_STEP_SECONDS * number)
+                continue
+            return
         self.context.counters.add("claims_left_open")
 
-    async def order(self, kind: str, payload: tuple) -> order_messages.OrderResult:
-        """Any control plane node takes it; this machine's own first, as its answer has the shortest way."""
+    async def order(self, kind: str, payload: tuple[typing.Any, ...]) -> order_messages.OrderResult:
+        """Send an order to a control plane node; this machine's own is asked first, as it is nearest.
+
+        Raises:
+            errors.ChangeOutcomeUnknownError: A node did not answer; the order may have been carried out.
+            errors.KeyNotClaimedError: No node took the order, or the core has no quorum.
+        """
         control_nodes = self.context.members_of("agency")
-        control_nodes.sort(
-            key=lambda update: (update.state, update.node_info.machine != self.context.settings.machine)
-        )
-        for update in control_nodes[:3]:
+        machine = self.context.settings.machine
+        control_nodes.sort(key=lambda update: (update.state, update.node_info.machine != machine))
+        for update in control_nodes[:ORDER_NODES_LIMIT]:
             try:
                 reply = await self.context.transport.call(
                     update.node_info.address,
@@ -111,3 +175,9 @@
             except errors.NoQuorumError as error:
                 raise errors.KeyNotClaimedError(str(error)) from None
         raise errors.KeyNotClaimedError("no agency can be reached")
+
+
+def recorded(result: messages.WriteResult) -> list[typing.Any]:
+    """Return what is recorded of a result: status, headers, and the body unless it is too large."""
+    status, headers, body = result
+    return [status, list(headers), body if len(body) <= RESULT_LIMIT_BYTES else None]
--- a/src/irisstand/dataplane/nodes/store.py
+++ b/src/irisstand/dataplane/nodes/store.py
@@ -1,8 +1,9 @@
-"""The store: the shared cache in memory that shields look into before they ask an origin."""
+"""The store: a shared cache in memory that shields ask before they ask an origin."""
 
 import typing
 
 from irisstand import node_context
+from irisstand.dataplane import messages
 from irisstand.dataplane.cache import object_cache, objects
 from irisstand.dataplane.retry import freshness_policy
 from irisstand.dataplane.routing import snapshot
@@ -10,38 +11,58 @@
 
 
 class StoreNode:
+    """Keeps objects for shields, and hands them out while they are neither expired nor purged.
+
+    Args:
+        context: The node's context; its transport gets the handlers.
+        view: The configuration in force.
+    """
+
     def __init__(self, context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot) -> None:
-        self.context, self.view = context, view
+        self.context = context
+        self.view = view
         self.cache = object_cache.ObjectCache(context.settings.cache_bytes)
-        context.transport.handlers["look"] = self.on_look
-        context.transport.handlers["keep"] = self.on_keep
+        context.transport.handlers[messages.RequestKind.STORE_GET] = self.on_get
+        context.transport.handlers[messages.RequestKind.STORE_PUT] = self.on_put
 
-    async def on_look(self, _: str, body: list) -> tuple:
-        key, path, floor = body
+    async def on_get(self, _: str, body: typing.Any) -> tuple[typing.Any, ...]:
+        """Answer with the object of a key; empty if there is none that may be used.
+
+        Raises:
+            errors.StaleConfigurationError: This node may not answer by its tables.
+        """
+        key, path, minimum_version = body
         now = self.context.clock.now()
         self.view.check_current()
-        found = self.cache.get(key)
-        if found is None:
-            self.context.counters.add("cache", at="store", result="miss")
+        cached = self.cache.get(key)
+        if cached is None:
+            self.count("miss")
             return ()
-        if not freshness_policy.is_usable(found, path, self.view, versions.Version.from_wire(floor), now):
+        minimum = versions.Version.from_wire(minimum_version)
+        if not freshness_policy.is_usable(cached, path, self.view, minimum, now):
             self.cache.drop(key)
-            self.context.counters.add("cache", at="store", result="outlived")
+            self.count("outlived")
             return ()
-        self.context.counters.add("cache", at="store", result="hit")
-        return objects.to_wire(found, now)
+        self.count("hit")
+        return objects.to_wire(cached, now)
 
-    async def on_keep(self, _: str, body: list) -> tuple:
-        key, parts = body
-        thing = objects.from_wire(parts, self.context.clock.now())
+    async def on_put(self, _: str, body: typing.Any) -> tuple[typing.Any, ...]:
+        """Keep an object under its key."""
+        key, fields = body
+        content = objects.from_wire(fields, self.context.clock.now())
         known = self.cache.get(str(key))
-        # Two shields may have fetched it: what was fetched under the newer applied version stays.
-        if known is None or known.applied <= thing.applied:
-            self.cache.put(str(key), thing)
+        # Two shields may have fetched it: what was fetched at the newer version of the ledger stays.
+        if known is None or known.applied <= content.applied:
+            self.cache.put(str(key), content)
         return ()
 
+    def count(self, result: str) -> None:
+        """Count a request by its result."""
+        self.context.counters.add("cache", at="store", result=result)
+
 
 def create(
-    context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot, connect: typing.Any
+    context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot, _connect: typing.Any
 ) -> StoreNode:
+    """Make the node; a store connects to no origin."""
     return StoreNode(context, view)
--- a/src/irisstand/dataplane/program.py
+++ b/src/irisstand/dataplane/program.py
@@ -1,4 +1,4 @@
-"""irisstand-data plane node: the data plane, as an edge, a shield or a store."""
+"""The program irisstand-dataplane: a node of the data plane in one of its roles."""
 
 import collections.abc
 import importlib
@@ -9,36 +9,47 @@
 from irisstand.transport import network
 
 
-async def assemble(settings: node_settings.Settings, log_ring: event_log.EventLog) -> process_runner.Opened:
+async def assemble(settings: node_settings.Settings, log: event_log.EventLog) -> process_runner.Opened:
+    """Open a node and its listeners.
+
+    Args:
+        settings: The node's settings.
+        log: The events that the node's pages show.
+
+    Returns:
+        The node's context, and what closes its listeners.
+    """
     data_node = assembly.DataNode(
         settings, clocks.MonotonicClock(), random.SystemRandom(), network.RealNetwork()
     )
     await data_node.open()
-    # Without a port for people's pages there are none, nor the library for them.
+    context = data_node.context
+    # Without a port for operators' pages there are none, and their library is not loaded.
     if not settings.http_port:
-        return data_node.context, nothing_listens
-    server = importlib.import_module("irisstand.web").HttpServer(data_node.context, log_ring)
+        return context, nothing_listens
+    server = importlib.import_module("irisstand.web").HttpServer(context, log)
     if settings.role == "direct":
-        # Readiness has an address of its own, and tells from the start why there is none yet.
+        # Readiness has an address of its own, and tells from the start why the node is not ready yet.
         await server.open()
-        front_listener = importlib.import_module("irisstand.dataplane.http.listener")
-        face = front_listener.ClientListener(data_node.context, data_node.role_node, settings.front)
-        data_node.context.start_task(face.open_when_current(), "front")
-        return data_node.context, lambda: stop_all([face.stop_listening, server.stop_listening])
+        listener = importlib.import_module("irisstand.dataplane.http.listener")
+        clients = listener.ClientListener(context, data_node.role_node, settings.front)
+        context.start_task(clients.open_when_current(), "front")
+        return context, lambda: stop_all([clients.stop_listening, server.stop_listening])
     if settings.role == "edge":
-        front = importlib.import_module("irisstand.dataplane.http.sanic_adapter")
-        front.SanicAdapter(server, data_node.role_node)
-        data_node.context.start_task(server.open_when_current(), "listener")
+        sanic_adapter = importlib.import_module("irisstand.dataplane.http.sanic_adapter")
+        sanic_adapter.SanicAdapter(server, data_node.role_node)
+        context.start_task(server.open_when_current(), "listener")
     else:
         await server.open()
-    return data_node.context, server.stop_listening
+    return context, server.stop_listening
 
 
 async def nothing_listens() -> None:
-    """The end of a node that opened no page."""
+    """Close the listeners of a node that has none."""
 
 
 async def stop_all(stops: list[collections.abc.Callable[[], collections.abc.Awaitable[None]]]) -> None:
+    """Close listeners one after the other."""
     for stop in stops:
         await stop()
 
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -202,7 +202,7 @@
     ),
     (
         "dataplane/nodes/direct.py",
-        "        if given.status == 416:",
+        "        if answer.status == ranges.RANGE_NOT_SATISFIABLE:",
         "        if False:",
         "dataplane/test_exchange_hostile_origins.py",
     ),
