--- a/src/irisstand/controlplane/program.py
+++ b/src/irisstand/controlplane/program.py
@@ -1,4 +1,4 @@
-"""irisstand-control plane node: the control plane, one on each shield machine."""
+"""The program irisstand-controlplane: a control plane node, one on each shield machine."""
 
 import asyncio
 import importlib
@@ -9,63 +9,92 @@
 from irisstand import clocks, errors, event_log, node_settings, process_runner
 from irisstand.controlplane import assembly
 from irisstand.controlplane.singletons import origin_source
-from irisstand.state.storage import disk as disks
+from irisstand.state.storage import disk
 from irisstand.transport import network
 
-# Seconds that the operators' listener waits for the tables at the most, and after them.
-LATEST, PAUSE = 0.8, 0.4
+if typing.TYPE_CHECKING:
+    # Not imported before the tables are current: see OperatorListener.
+    from irisstand import web
 
+# How long the operators' listener waits for current tables at most, how often it looks, and how long it then
+# leaves the processor to the nodes that wait for the tables.
+TABLES_TIMEOUT_SECONDS = 0.8
+TABLES_POLL_SECONDS = 0.02
+LISTENER_DELAY_SECONDS = 0.4
 
-async def assemble(settings: node_settings.Settings, log_ring: event_log.EventLog) -> process_runner.Opened:
-    ask = origin_source.http_origin_source(settings.platform) if settings.platform is not None else None
-    return await assemble_with(ask, settings, log_ring)
+
+async def assemble(settings: node_settings.Settings, events: event_log.EventLog) -> process_runner.Opened:
+    """Open a control plane node that follows the platform named in the settings, if any."""
+    fetch_origins = (
+        origin_source.http_origin_source(settings.platform) if settings.platform is not None else None
+    )
+    return await assemble_with(fetch_origins, settings, events)
 
 
 async def assemble_with(
-    ask: origin_source.FetchOrigins | None, settings: node_settings.Settings, log_ring: event_log.EventLog
+    fetch_origins: origin_source.FetchOrigins | None,
+    settings: node_settings.Settings,
+    events: event_log.EventLog,
 ) -> process_runner.Opened:
-    """With another way of asking the platform for its origins."""
+    """Open a control plane node that fetches the platform's origins in a given way.
+
+    Returns:
+        The node's context, and the function that closes the operators' listener.
+    """
     control_node = assembly.ControlNode(
         settings,
         clocks.MonotonicClock(),
         random.SystemRandom(),
         network.RealNetwork(),
-        disks.FolderDisk(pathlib.Path(settings.data)),
-        ask,
+        disk.FolderDisk(pathlib.Path(settings.data)),
+        fetch_origins,
     )
     await control_node.open()
-    door = Door(control_node, log_ring)
-    control_node.context.start_task(door.open(), "operators' listener")
-    return control_node.context, door.stop_listening
+    listener = OperatorListener(control_node, events)
+    control_node.context.start_task(listener.open(), "operators' listener")
+    return control_node.context, listener.stop_listening
+
 
+class OperatorListener:
+    """The operators' HTTP listener.
 
-class Door:
-    """The operators' listener. It opens a moment after the core is back: its library takes long to import,
-    and the whole fleet waits for the tables first."""
+    It opens a moment after the tables are current: its libraries take long to import, and the whole fleet
+    waits for the tables first.
+    """
 
-    def __init__(self, control_node: assembly.ControlNode, log_ring: event_log.EventLog) -> None:
-        self.control_node, self.ring = control_node, log_ring
-        self.server: typing.Any = None
+    def __init__(self, control_node: assembly.ControlNode, events: event_log.EventLog) -> None:
+        self.control_node = control_node
+        self.events = events
+        self.server: web.HttpServer | None = None
 
     async def open(self) -> None:
-        context = self.control_node.context
-        started = context.clock.now()
-        copies = context.replicas.values()
-        while context.clock.now() - started < LATEST and not all(map(context.is_fresh, copies)):
-            await asyncio.sleep(0.02)
-        # Those who wait are served first.
-        await asyncio.sleep(PAUSE)
-        web = importlib.import_module("irisstand.web")
+        """Wait for the tables, then listen.
+
+        Raises:
+            irisstand.errors.PortTakenError: The port is in use.
+        """
+        await self._wait_for_tables()
+        await asyncio.sleep(LISTENER_DELAY_SECONDS)
+        web_module = importlib.import_module("irisstand.web")
         operators = importlib.import_module("irisstand.controlplane.api.operators")
-        self.server = web.HttpServer(context, self.ring)
         node = self.control_node
-        operators.Operators(context, node.submitter, node.read_index, self.server)
+        server: web.HttpServer = web_module.HttpServer(node.context, self.events)
+        self.server = server
+        operators.Operators(node.context, node.submitter, node.read_index, server)
         try:
-            await self.server.open()
+            await server.open()
         except OSError as error:
             raise errors.PortTakenError(str(error)) from None
 
+    async def _wait_for_tables(self) -> None:
+        context = self.control_node.context
+        end = context.clock.now() + TABLES_TIMEOUT_SECONDS
+        replicas = context.replicas.values()
+        while context.clock.now() < end and not all(map(context.is_fresh, replicas)):
+            await asyncio.sleep(TABLES_POLL_SECONDS)
+
     async def stop_listening(self) -> None:
+        """Take no new connections."""
         if self.server is not None:
             await self.server.stop_listening()
 
