--- a/tests/controlplane/test_capacity_scaling.py
+++ b/tests/controlplane/test_capacity_scaling.py
@@ -20,7 +20,7 @@
     return await day.cluster.wait_until(condition, patience)
 
 
-def test_machines_rest_at_low_load_but_never_so_that_one_loss_could_not_be_carried():
+def test_machines_go_on_standby_at_low_load_while_any_single_loss_is_still_carried():
     async def scene(day):
         await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) == 3, 90)
         awake = [n for n in day.cluster.with_role("shield") if n.placement.machine not in resting(day)]
@@ -46,7 +46,7 @@
     cluster.play(scene)
 
 
-def test_load_wakes_machines_and_a_pinned_one_never_rests():
+def test_load_wakes_machines_and_a_pinned_machine_never_goes_on_standby():
     async def scene(day):
         pinned = {"kind": "machine", "name": "shield-machine-5", "value": {"awake": True}}
         limits = [
@@ -69,7 +69,7 @@
     cluster.play(scene)
 
 
-def test_a_core_that_could_not_lose_one_more_machine_keeps_everybody_awake():
+def test_no_machine_goes_on_standby_while_the_voters_could_not_survive_another_loss():
     async def scene(day):
         await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) == 3, 90)
         day.cluster.nodes["agency-3"].kill()
@@ -79,17 +79,17 @@
     cluster.play(scene)
 
 
-def test_nobody_goes_to_rest_beside_a_core_machine_that_died_a_moment_ago():
+def test_no_machine_goes_on_standby_right_after_a_voter_died():
     """Found in quiet days: SWIM's list holds a dead voter for seconds, and a rest was judged by the list."""
 
     async def scene(day):
         staffing = {
-            node.placement.name: duty
+            node.placement.name: task
             for node in day.cluster.with_role("agency")
-            for duty in node.program.singleton_tasks
-            if duty.name == "staffing"
+            for task in node.program.singleton_tasks
+            if task.name == "staffing"
         }
-        holder = next(name for name, duty in staffing.items() if duty.holds_lease())
+        holder = next(name for name, task in staffing.items() if task.holds_lease())
         worker = staffing[holder].work.__self__
         await settle(
             day, lambda: day.watcher.now() - worker.changed_at > worker.standby_delay_seconds - 0.3, 30
@@ -105,7 +105,7 @@
     cluster.play(scene)
 
 
-def test_a_rested_machine_wakes_on_suspicion_and_not_only_on_a_death_that_is_final():
+def test_a_machine_on_standby_wakes_on_suspicion_before_a_death_is_confirmed():
     async def scene(day):
         await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) == 3, 90)
         awake = [n for n in day.cluster.with_role("shield") if n.placement.machine not in resting(day)]
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_the_rota_never_plans_a_rest_that_breaks_its_promise(seed):
+def test_standby_planning_never_leaves_a_single_loss_uncovered(seed):
     """Against an oracle that tries every loss, over random fleets and loads."""
     randomness = random.Random(seed)
     for _ in range(400):
--- a/tests/controlplane/test_idempotent_changes.py
+++ b/tests/controlplane/test_idempotent_changes.py
@@ -84,7 +84,7 @@
         {**ROUTE, "version": 3.0, "timeout": 2.50},
     ],
 )
-def test_field_order_absent_or_null_and_number_spelling_are_the_same_content(twin):
+def test_content_that_differs_in_field_order_null_fields_or_number_spelling_is_confirmed_as_a_repeat(twin):
     table = fresh()
     assert amend(table, put(twin)) == []
     amend(table, put(route(8, timeout=4)))
@@ -105,7 +105,7 @@
     refused(table, put(route(9, timeout=1)))
 
 
-def test_a_repeat_is_confirmed_though_its_service_is_gone_and_its_place_taken():
+def test_a_repeat_is_confirmed_though_its_service_was_dropped_and_its_prefix_taken():
     table = fresh()
     call = put(route(5), route(5, name="r2", prefix="/b/"))
     amend(table, call)
@@ -116,7 +116,7 @@
     assert amend(table, call) == [] and amend(table, FIRST) == []
 
 
-def test_a_repeat_whose_one_item_was_overtaken_is_confirmed_and_the_rest_stands():
+def test_a_repeat_with_one_overtaken_item_is_confirmed_and_writes_nothing():
     table = fresh()
     call = put(route(5, timeout=1), route(5, name="r2", prefix="/b/"))
     amend(table, call)
@@ -125,7 +125,7 @@
     assert [found["version"] for found in amendment.as_amendment(table)["routes"]] == [6, 5]
 
 
-def test_an_older_change_that_comes_late_is_confirmed_and_its_number_is_taken_from_then_on():
+def test_a_late_lower_version_is_confirmed_and_its_number_is_taken_from_then_on():
     table = fresh()
     amend(table, put(route(9, timeout=4)))
     late = put(route(6, timeout=1))
@@ -135,7 +135,7 @@
     refused(table, put(route(6, timeout=2)))
 
 
-def test_what_can_never_be_valid_is_refused_also_when_it_comes_late():
+def test_an_item_that_was_never_valid_is_refused_also_when_it_comes_late():
     table = fresh()
     amend(table, put(route(9)))
     before = table.root_digest()
@@ -153,7 +153,7 @@
     refused(table, put(route(6, timeout=2)))
 
 
-def test_memory_is_bounded_and_a_version_older_than_it_is_confirmed():
+def test_seen_versions_are_limited_and_a_lower_version_than_all_of_them_is_confirmed():
     table = fresh()
     for version in range(4, 400):
         amend(table, put(route(version, timeout=version)))
@@ -163,7 +163,7 @@
     refused(table, put(route(390, timeout=1)))
 
 
-def test_a_row_of_the_version_before_without_a_memory_still_reads():
+def test_a_stored_row_without_seen_versions_confirms_its_repeat_and_refuses_other_content():
     table = fresh()
     table.put(items.Item("route/r1", table.applied, {"version": 3, "item": ROUTE}))
     assert amend(table, FIRST) == []
@@ -177,7 +177,7 @@
 
 @pytest.mark.parametrize("version", BAD_NUMBERS)
 @pytest.mark.parametrize("part", ["put", "drop"])
-def test_a_version_that_is_no_whole_number_within_bounds_is_a_typed_refusal(part, version):
+def test_a_version_that_is_no_whole_number_within_bounds_is_refused_as_an_invalid_change(part, version):
     table = fresh()
     before = table.root_digest()
     item = route(version) if part == "put" else {"name": "r1", "version": version}
@@ -200,7 +200,7 @@
         b'{"drop": {"routes": [{"name": "' + b"x" * 5000 + b'", "version": 3}]}}',
     ],
 )
-def test_what_could_not_be_carried_or_stored_is_refused_before_it_is_an_order(body):
+def test_a_body_that_cannot_be_packed_is_refused_before_it_becomes_an_order(body):
     with pytest.raises((errors.BadRequestError, errors.InvalidChangeError)):
         amendment.parse_amendment(body)
 
@@ -212,7 +212,7 @@
     return result
 
 
-def test_an_id_with_other_content_is_refused_and_with_the_same_gets_the_first_result():
+def test_a_change_id_with_other_content_is_refused_and_with_the_same_content_gets_the_first_result():
     table = fresh()
     row = {"kind": "site", "name": "north", "value": {"weight": 5}}
     first = change(table, "change", "mine", [row])
@@ -226,14 +226,14 @@
     assert table.root_digest() == before
 
 
-def test_a_record_of_the_version_before_without_a_digest_still_reads():
+def test_a_change_record_without_a_digest_still_answers_its_id():
     table = fresh()
     table.put(items.Item("~change/old", table.applied, {"rows": ["site/north"]}))
     row = {"kind": "site", "name": "north", "value": {"weight": 5}}
     assert change(table, "change", "old", [row]) == (table.version("~change/old"), ["site/north"])
 
 
-def test_forgetting_takes_no_row_of_a_dropped_item_with_it():
+def test_removal_of_old_tombstones_keeps_the_rows_of_dropped_items():
     table = fresh()
     amend(table, {"drop": {"routes": [{"name": "r1", "version": 9}]}})
     table.put(items.Item("site/gone", table.applied, None))
--- a/tests/controlplane/test_idempotent_changes_racing.py
+++ b/tests/controlplane/test_idempotent_changes_racing.py
@@ -53,7 +53,7 @@
     return {row["item"]["rate"] for row in rows if row is not None}
 
 
-def test_of_rivals_under_one_version_one_content_is_confirmed_and_its_repeats_always():
+def test_of_competing_contents_under_one_version_one_is_confirmed_with_all_its_repeats():
     async def scene(day):
         for version in range(1, 9):
             # Eight under way: four contents, each by two operators.
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_taker_killed_on_the_way_and_the_order_at_once_elsewhere_beside_a_rival(seed):
+def test_an_order_sent_elsewhere_after_its_proposer_was_killed_competes_and_one_content_is_confirmed(seed):
     async def scene(day):
         for version in range(1, 5):
             first = asyncio.create_task(amend(day, "agency-1", upstream(version, 1)))
@@ -96,7 +96,7 @@
     cluster.play(scene, seed=seed + 1)
 
 
-def test_a_repeat_is_confirmed_after_it_was_overtaken_and_all_lost_power():
+def test_a_repeat_is_confirmed_after_it_was_overtaken_and_all_nodes_restarted():
     async def scene(day):
         call = upstream(3, 1) + upstream(3, 1, "s8")
         await amend(day, "agency-1", call)
@@ -119,7 +119,7 @@
     cluster.play(scene)
 
 
-def test_an_id_that_is_taken_is_refused_with_its_details_at_every_node():
+def test_a_taken_change_id_is_refused_with_its_details_at_every_node():
     async def scene(day):
         first = await day.actors.order("agency-1", "change", [cluster.site_row(weight=5)], "mine")
         for name in CORE:
@@ -131,7 +131,7 @@
     cluster.play(scene)
 
 
-def test_nothing_is_refused_for_rows_of_its_own_batch_that_were_never_decided(monkeypatch):
+def test_no_order_is_refused_because_of_rows_of_its_batch_that_were_never_decided(monkeypatch):
     async def scene(day):
         node = day.cluster.nodes["agency-1"]
         proposer = node.program.submitter.proposers[items.CONFIGURATION]
@@ -160,7 +160,7 @@
     cluster.play(scene)
 
 
-def test_a_site_is_refused_only_when_settings_or_a_majority_of_the_voters_know_of_none():
+def test_an_unknown_site_is_refused_only_if_settings_or_a_majority_of_voters_exclude_it():
     async def scene(day):
         judges = [
             evacuation_check.EvacuationCheck(cluster.context(day, f"agency-{number}"))
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize("kind", [errors.BadRequestError, errors.UnknownNameError])
-def test_a_voter_that_cannot_read_a_message_refuses_no_order(monkeypatch, kind):
+def test_an_order_that_a_voter_cannot_read_has_an_unknown_outcome_and_is_not_refused(monkeypatch, kind):
     async def scene(day):
         await amend(day, "agency-1", upstream(1, 1))
         transport = cluster.context(day, "agency-3").transport
@@ -208,7 +208,7 @@
     cluster.play(scene)
 
 
-def test_an_evacuation_again_is_not_refused_by_a_node_that_has_not_heard_of_it(monkeypatch):
+def test_a_repeated_evacuation_is_not_refused_by_a_node_that_missed_the_first(monkeypatch):
     async def cannot(self, site, *, insist):
         raise errors.InsufficientCapacityError("too small", {})
 
--- a/tests/controlplane/test_leases_under_partition.py
+++ b/tests/controlplane/test_leases_under_partition.py
@@ -6,7 +6,7 @@
 import cluster
 import pytest
 
-import irisstand.controlplane.singletons.lease as duties
+import irisstand.controlplane.singletons.lease as lease
 import irisstand.errors as errors
 
 
@@ -14,29 +14,29 @@
     found = []
     for node in day.cluster.with_role("agency"):
         found += [
-            (node, duty) for duty in node.program.singleton_tasks if duty.name == name and duty.holds_lease()
+            (node, task) for task in node.program.singleton_tasks if task.name == name and task.holds_lease()
         ]
     return found
 
 
 @pytest.mark.parametrize("clock", ["goes on", "stands still"])
-def test_a_holder_that_thaws_writes_nothing_under_a_lease_that_another_has_taken(clock):
+def test_a_resumed_holder_writes_nothing_under_a_lease_that_another_node_has_taken(clock):
     """A stopped process's monotonic clock goes on; that of a suspended machine stands still."""
 
     async def scene(day):
-        ((node, duty),) = holder_of(day)
-        lease = duty.fencing_token
+        ((node, task),) = holder_of(day)
+        fencing_token = task.fencing_token
         node.freeze()
         await asyncio.sleep(8)
         ((other, _),) = [pair for pair in holder_of(day) if pair[0] is not node]
         if clock == "stands still":
-            duty.lease_ends_at += 8
+            task.lease_ends_at += 8
         node.thaw()
         # It knows the tables again, and believes in its lease as it did before.
         await day.cluster.wait_until_ready()
-        duty.fencing_token = lease
+        task.fencing_token = fencing_token
         with pytest.raises(errors.StaleVersionError):
-            await node.do(duty.write_fenced([("rest/x", {"since": 1})]), 8)
+            await node.do(task.write_fenced([("rest/x", {"since": 1})]), 8)
         await asyncio.sleep(2)
         assert cluster.context(day, "agency-1").ledger.value("rest/x") is None
         assert [pair[0] for pair in holder_of(day)] == [other]
@@ -50,8 +50,8 @@
     async def scene(day):
         node = day.cluster.nodes["agency-3"]
         real = node.program.submitter
-        duty = duties.SingletonTask(real, "trial", None)
-        duty.holder = "agency-3~life"
+        task = lease.SingletonTask(real, "trial", None)
+        task.holder = "agency-3~life"
         vacant = str(node.program.context.ledger.version("term/trial"))
 
         async def lose_answer(order):
@@ -59,12 +59,12 @@
             await asyncio.sleep(1.5)
             raise errors.ChangeOutcomeUnknownError("the answer was lost")
 
-        duty.submitter = types.SimpleNamespace(submit=lose_answer)
+        task.submitter = types.SimpleNamespace(submit=lose_answer)
         asked_at = day.now()
         with pytest.raises(errors.ChangeOutcomeUnknownError):
-            await node.do(duty.acquire(vacant), 8)
-        duty.submitter = real
-        await node.do(duty.acquire(vacant), 8)
-        assert duty.fencing_token and duty.lease_ends_at <= asked_at + duty.lease_seconds
+            await node.do(task.acquire(vacant), 8)
+        task.submitter = real
+        await node.do(task.acquire(vacant), 8)
+        assert task.fencing_token and task.lease_ends_at <= asked_at + task.lease_seconds
 
     cluster.play(scene)
--- a/tests/controlplane/test_operations.py
+++ b/tests/controlplane/test_operations.py
@@ -41,7 +41,7 @@
     cluster.play(scene)
 
 
-def test_a_node_that_is_behind_says_so():
+def test_the_status_of_a_change_shows_a_node_that_is_behind():
     async def scene(day):
         result = await day.actors.order("agency-1", "change", [cluster.site_row(weight=2)], "x")
         await asyncio.sleep(1)
@@ -70,7 +70,7 @@
     return node, voter_administration.VoterAdministration(node.program.context, node.program.submitter)
 
 
-def test_a_voter_is_replaced_by_hand_and_twice_is_the_same_as_once():
+def test_replacing_a_voter_twice_is_the_same_as_once():
     async def scene(day):
         await spare(day, "agency-7", "north", "one")
         node, hand = keeper(day)
@@ -92,7 +92,7 @@
     cluster.play(scene)
 
 
-def test_a_voter_is_retired_only_if_any_one_site_can_still_be_lost():
+def test_a_voter_is_retired_only_if_the_rest_survive_the_loss_of_any_site():
     async def scene(day):
         node, hand = keeper(day)
         # Two of five are at north: without one at another site, its loss would leave two of four.
@@ -152,7 +152,7 @@
 """
 
 
-def test_objects_become_the_same_rows():
+def test_yaml_objects_are_read_as_the_same_rows_as_json():
     rows = formats.read("first.yaml", OBJECTS)
     assert [(row["kind"], row["name"]) for row in rows] == [
         ("service", "content"),
@@ -182,7 +182,7 @@
         (b"x: !!python/object:os.system {}\n", ""),
     ],
 )
-def test_faulty_objects_are_refused_whole_and_the_fault_is_named(content, where):
+def test_a_file_with_a_faulty_object_is_refused_and_the_fault_is_named(content, where):
     with pytest.raises(errors.InvalidChangeError) as caught:
         formats.read("first.yaml", content)
     assert any(where in f"{fault['field']}: {fault['message']}" for fault in caught.value.faults), (
@@ -190,7 +190,7 @@
     )
 
 
-def test_several_faults_are_all_named_with_their_documents():
+def test_a_file_with_several_faults_is_refused_with_each_fault_and_its_document():
     content = OBJECTS.replace(b"kind: Path", b"kind: Road").replace(b"deadline: 3", b"deadline: no")
     with pytest.raises(errors.InvalidChangeError) as caught:
         formats.read("first.yaml", content)
@@ -200,7 +200,7 @@
     }
 
 
-def test_a_table_read_back_is_compared_with_a_file():
+def test_a_table_that_differs_from_a_file_gives_one_line_for_each_difference():
     wanted = formats.read("first.yaml", OBJECTS)
     table = [{"kind": row["kind"], "name": row["name"], "value": row["value"]} for row in wanted[:2]]
     assert formats.differences(wanted, table) == []
--- a/tests/controlplane/test_origin_discovery.py
+++ b/tests/controlplane/test_origin_discovery.py
@@ -1,4 +1,4 @@
-"""The platform lags, shrinks, falls silent, speaks in the wrong order: what counts, and what is told."""
+"""The platform lags, shrinks, falls silent or answers out of order: what is recorded of it."""
 
 import asyncio
 import json
@@ -38,7 +38,7 @@
         # Nor for the next holder, which has heard nothing of the newer one itself.
         for node in day.cluster.with_role("agency"):
             if any(
-                duty.name == "platform-watch" and duty.holds_lease() for duty in node.program.singleton_tasks
+                task.name == "platform-watch" and task.holds_lease() for task in node.program.singleton_tasks
             ):
                 node.kill()
         await asyncio.sleep(6)
@@ -50,7 +50,7 @@
     cluster.play(scene)
 
 
-def test_lagging_is_told_from_silent():
+def test_old_answers_are_recorded_as_lagging_and_failures_as_silent():
     async def scene(day):
         says(day, age=30.0)
         await asyncio.sleep(3)
@@ -70,7 +70,7 @@
     cluster.play(scene)
 
 
-def test_a_service_that_shrinks_at_once_waits_and_the_others_do_not():
+def test_a_service_that_shrinks_suddenly_is_held_back_and_other_services_are_not():
     async def scene(day):
         for number in range(2):
             day.actors.add_origin("content", f"content-x{number}", "east", "two")
--- a/tests/controlplane/test_origin_roster.py
+++ b/tests/controlplane/test_origin_list.py
@@ -1,4 +1,4 @@
-"""The origin roster: followed within its limit, through leaving, cold, replaced and mis-said origins."""
+"""The list of origins: followed within its limit, through leaving, cold, replaced and malformed origins."""
 
 import asyncio
 import json
@@ -88,7 +88,7 @@
         json.dumps({"origins": [{**ORIGIN, "id": "a/b"}]}).encode(),
     ],
 )
-def test_a_malformed_or_suddenly_empty_answer_leaves_the_last_good_roster(says):
+def test_a_malformed_or_suddenly_empty_answer_leaves_the_last_good_list_of_origins(says):
     async def scene(day):
         before = listed(day)
         assert len(before) == 4
@@ -118,8 +118,8 @@
         for _ in range(3):
             await asyncio.sleep(5)
             for node in day.cluster.with_role("agency"):
-                for duty in node.program.singleton_tasks if node.is_up else ():
-                    if duty.name == "platform-watch" and duty.holds_lease():
+                for task in node.program.singleton_tasks if node.is_up else ():
+                    if task.name == "platform-watch" and task.holds_lease():
                         node.freeze()
                         break
             await asyncio.sleep(8)
@@ -135,42 +135,42 @@
 
 def test_a_holder_paused_past_its_lease_stops_by_itself_and_its_late_write_is_refused():
     async def scene(day):
-        duties = {
-            node.placement.name: duty
+        tasks = {
+            node.placement.name: task
             for node in day.cluster.with_role("agency")
-            for duty in node.program.singleton_tasks
-            if duty.name == "placement"
+            for task in node.program.singleton_tasks
+            if task.name == "placement"
         }
-        holder = next(name for name, duty in duties.items() if duty.holds_lease())
-        lease = duties[holder].fencing_token
+        holder = next(name for name, task in tasks.items() if task.holds_lease())
+        fencing_token = tasks[holder].fencing_token
         node = day.cluster.nodes[holder]
         node.freeze()
         await day.cluster.wait_until(
-            lambda: any(d.holds_lease() for n, d in duties.items() if n != holder), 20
+            lambda: any(d.holds_lease() for n, d in tasks.items() if n != holder), 20
         )
         node.thaw()
-        assert not duties[holder].holds_lease()
+        assert not tasks[holder].holds_lease()
         # Until its tables are current again it would be refused for want of a majority.
         await day.cluster.wait_until_ready()
         row = ("slots/00", {"owners": ["nonsense"] * 16})
         with pytest.raises(errors.StaleVersionError):
-            await day.actors.order(holder, "fenced", ("placement", lease, [row]))
+            await day.actors.order(holder, "fenced", ("placement", fencing_token, [row]))
         assert cluster.context(day, holder).ledger.value("slots/00") != row[1]
 
     cluster.play(scene)
 
 
-def test_rows_unknown_to_a_node_are_kept_and_passed_on():
+def test_rows_of_an_unknown_kind_are_kept_and_replicated():
     """As in a rolling upgrade: a newer node's kind of row goes through older nodes unharmed."""
 
     async def scene(day):
         newer = day.cluster.nodes["agency-1"].program
         row = [("hologram/7", {"depth": 3})]
         holder = next(
-            duty
+            task
             for node in day.cluster.with_role("agency")
-            for duty in node.program.singleton_tasks
-            if duty.holds_lease()
+            for task in node.program.singleton_tasks
+            if task.holds_lease()
         )
         await day.actors.order("agency-2", "fenced", (holder.name, holder.fencing_token, row))
         await asyncio.sleep(1)
--- a/tests/controlplane/test_placement.py
+++ b/tests/controlplane/test_placement.py
@@ -61,7 +61,7 @@
     cluster.play(scene)
 
 
-def test_a_shield_that_is_back_at_once_keeps_its_slots():
+def test_a_shield_that_restarts_at_once_keeps_its_slots():
     async def scene(day):
         await pin_all(day)
         before = owners(day)
@@ -76,7 +76,7 @@
     cluster.play(scene)
 
 
-def test_shares_never_add_up_to_more_than_the_ceiling_through_loss_rest_split_and_change():
+def test_quota_shares_never_exceed_the_limit_through_loss_standby_partition_and_change():
     async def scene(day):
         watch = asyncio.create_task(day.watcher.run())
         await pin_all(day)
@@ -141,7 +141,7 @@
     cluster.play(scene)
 
 
-def test_the_origins_of_a_returned_site_are_taken_back_by_and_by():
+def test_the_origins_of_a_returned_site_get_load_back_gradually():
     async def scene(day):
         await day.actors.order("agency-3", "evacuate", "north")
         await asyncio.sleep(5)
--- a/tests/controlplane/test_rate_quota.py
+++ b/tests/controlplane/test_rate_quota.py
@@ -41,7 +41,7 @@
         self.change_holder()
 
     def change_holder(self, delay=0.0):
-        self.placement, self.duty = rate_placement.RatePlacement(self.context), Writer(self, delay)
+        self.placement, self.task = rate_placement.RatePlacement(self.context), Writer(self, delay)
 
     def lose(self, name):
         members = self.context.detector.member_list.members
@@ -51,7 +51,7 @@
     async def go_on(self, seconds):
         end = self.context.clock.now() + seconds
         while self.context.clock.now() < end:
-            await self.placement.work(self.duty)
+            await self.placement.work(self.task)
             await asyncio.sleep(0.2)
 
     def units(self):
@@ -80,7 +80,7 @@
     return largest
 
 
-def test_sites_have_even_parts_and_a_holder_that_comes_back_soon_keeps_its_own():
+def test_sites_have_equal_quota_shares_and_an_owner_that_is_back_soon_keeps_its_share():
     async def scene(core):
         for name, site in (("h1", "north"), ("h2", "north"), ("h3", "south")):
             core.member(name, "holder", site)
@@ -96,7 +96,7 @@
     assert play(scene) == (expected, expected)
 
 
-def test_the_part_of_a_holder_that_is_gone_is_given_to_others_only_when_it_has_certainly_stopped():
+def test_the_quota_share_of_a_lost_owner_is_given_out_only_after_the_owner_has_certainly_stopped():
     async def scene(core):
         for name in ("h1", "h2"):
             core.member(name, "holder")
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_part_has_two_owners_within_a_window_whatever_members_and_holders_of_the_duty_do(seed):
+def test_no_quota_share_has_two_owners_within_a_window_whatever_members_and_lease_holders_do(seed):
     async def scene(core):
         luck = random.Random(seed)
         names = [f"holder-{number}" for number in range(8)]
@@ -134,7 +134,7 @@
     assert most_counted(history) <= rate_quota.TOTAL_UNITS
 
 
-def test_all_is_not_given_to_the_first_few_while_the_members_list_still_fills():
+def test_nothing_is_given_out_while_the_member_list_is_still_filling():
     async def scene(core):
         for number in range(1, 9):
             core.member(f"holder-{number}", "holder", f"site-{number % 4}")
@@ -148,7 +148,7 @@
     assert play(scene) == {f"holder-{number}": 125 for number in range(1, 9)}
 
 
-def test_edges_that_fetch_for_themselves_own_the_parts_and_ask_for_no_place():
+def test_edges_that_fetch_for_themselves_own_the_quota_shares_and_request_no_tokens():
     async def scene(core):
         core.context.settings = core.context.settings._replace(holder_edges=5.0)
         for number in range(8):
--- a/tests/controlplane/test_retention.py
+++ b/tests/controlplane/test_retention.py
@@ -40,7 +40,7 @@
         self.order(f"tick-{self.copy.name}", (expected, elapsed, [list(rule) for rule in rules], 600.0))
 
 
-def test_hours_of_purges_changes_and_removed_rows_leave_a_level_ledger():
+def test_the_ledger_does_not_grow_over_hours_of_purges_changes_and_removed_rows():
     ledger = Table(items.LEDGER)
     sizes, number = [], 0
     for step in range(4 * 240):
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_no_object_that_a_forgotten_purge_struck_is_ever_called_good(seed):
+def test_no_object_that_an_expired_purge_covered_is_ever_taken_for_valid(seed):
     """Against an oracle that forgets nothing, for objects fetched at any time before or since."""
     randomness = random.Random(seed)
     ledger = Table(items.LEDGER)
@@ -82,7 +82,7 @@
     assert refused > 100 and ledger.copy.value(items.FORGOTTEN_PURGES_KEY)
 
 
-def test_a_node_cut_off_past_the_horizon_serves_nothing_that_a_forgotten_purge_struck():
+def test_a_node_that_was_cut_off_until_a_purge_expired_serves_no_purged_object():
     async def scene(day):
         path = "/vacancies/5"
         value = {"grants": [{"service": "content", "methods": ["GET"]}], "life": 3600}
@@ -111,7 +111,7 @@
     cluster.play(scene)
 
 
-def test_a_core_node_that_was_down_while_tombstones_went_brings_no_row_back():
+def test_a_control_node_that_was_down_until_tombstones_expired_brings_no_row_back():
     async def scene(day):
         rows = [cluster.site_row("north", 3), cluster.site_row("south", 1)]
         await day.actors.order("agency-1", "change", rows)
@@ -135,7 +135,7 @@
     cluster.play(scene)
 
 
-def test_time_is_never_raised_twice_for_the_same_stretch_and_never_by_a_long_sleep():
+def test_table_time_counts_no_interval_twice_and_no_long_suspension():
     ledger = Table(items.LEDGER)
     first = str(ledger.copy.version(items.TABLE_TIME_KEY))
     ledger.tick(15, PURGE)
@@ -145,7 +145,9 @@
     assert ledger.copy.value(items.TABLE_TIME_KEY)["seconds"] == 15 + table_time.STEP_LIMIT_SECONDS
 
 
-def test_keys_are_kept_for_their_time_and_a_full_store_refuses_new_ones_with_when_to_come_back(monkeypatch):
+def test_idempotency_keys_are_kept_for_their_time_and_a_full_table_refuses_new_ones_with_retry_after(
+    monkeypatch,
+):
     monkeypatch.setattr(idempotency_claims, "CLAIMS_LIMIT", 100)
     claims = Table(items.IDEMPOTENCY_KEYS)
     rule = table_time.RetentionRule("claim", 600.0, 600.0, 100)
@@ -170,7 +172,7 @@
     assert "claim/k0" not in claims.copy.items and "claim/k99" in claims.copy.items
 
 
-def test_a_key_outlives_total_loss_and_changes_of_holder():
+def test_an_idempotency_key_survives_total_loss_and_changes_of_lease_holder():
     async def scene(day):
         body = json.dumps({"number": "once"}).encode()
         ask = ("POST", "/applications", body)
--- a/tests/mutation/consensus_mutations.py
+++ b/tests/mutation/consensus_mutations.py
@@ -18,7 +18,7 @@
         "controlplane/singletons/lease.py",
         "        return bool(self.fencing_token) and self.context.clock.now() < self.lease_ends_at",
         "        return bool(self.fencing_token)",
-        "controlplane/test_origin_roster.py",
+        "controlplane/test_origin_list.py",
     ),
     (
         "controlplane/singletons/lease.py",
@@ -48,13 +48,13 @@
         "controlplane/consensus/ballot_plan.py",
         "            elif overlay.rows:",
         "            elif False:",
-        "controlplane/test_idempotent_changes_racing.py::test_nothing_is_refused_for_rows_of_its_own_batch_that_were_never_decided",
+        "controlplane/test_idempotent_changes_racing.py::test_no_order_is_refused_because_of_rows_of_its_batch_that_were_never_decided",
     ),
     (
         "controlplane/consensus/submitter.py",
         "            except (errors.BadRequestError, errors.UnknownNameError) as error:",
         "            except errors.TornFileError as error:",
-        "controlplane/test_idempotent_changes_racing.py::test_a_voter_that_cannot_read_a_message_refuses_no_order",
+        "controlplane/test_idempotent_changes_racing.py::test_an_order_that_a_voter_cannot_read_has_an_unknown_outcome_and_is_not_refused",
     ),
     (
         "controlplane/consensus/heartbeat.py",
--- a/tests/mutation/dataplane_mutations.py
+++ b/tests/mutation/dataplane_mutations.py
@@ -72,7 +72,7 @@
         "dataplane/routing/snapshot.py",
         "        return max(forgotten, *(copy.version(key) for key in keys))",
         "        return max(copy.version(key) for key in keys)",
-        "controlplane/test_retention.py::test_a_node_cut_off_past_the_horizon_serves_nothing_that_a_forgotten_purge_struck",
+        "controlplane/test_retention.py::test_a_node_that_was_cut_off_until_a_purge_expired_serves_no_purged_object",
     ),
     (
         "balancing/standby_planning.py",
@@ -90,7 +90,7 @@
         "dataplane/upstream/origin_pool.py",
         'pool.origin.state != "leaving"',
         "True",
-        "controlplane/test_origin_roster.py::test_a_leaving_origin_gets_no_new_work_two_seconds_after_the_platform_says_so",
+        "controlplane/test_origin_list.py::test_a_leaving_origin_gets_no_new_work_two_seconds_after_the_platform_says_so",
     ),
     (
         "dataplane/upstream/connections.py",
--- a/tests/validation/test_validation.py
+++ b/tests/validation/test_validation.py
@@ -32,7 +32,7 @@
     return {(f.level, f.kind, f.name, f.field) for f in checker.validate(rows, proposed, fleet)}
 
 
-def test_faults_are_what_the_core_would_refuse_and_hide_the_rest():
+def test_faults_are_what_the_voters_would_refuse_and_leave_no_warnings():
     bad = [path("/a/", "nobody", "GET"), service("lonely")]
     assert found([], bad) == {("fault", "path", "/a/", "grants")}
     assert found([], [{"kind": "site", "name": "x", "value": {"weight": "much"}}]) == {
@@ -45,7 +45,7 @@
     assert found([service("content")], removal) == set()
 
 
-def test_the_fleet_as_it_is_gives_the_warnings():
+def test_rows_that_do_not_fit_the_running_fleet_give_warnings():
     assert found([], [service("lonely")]) == {("warning", "service", "lonely", "name")}
     leaving = checker.read_fleet(SHIELDS, [origin("content", "leaving")])
     assert ("warning", "service", "content", "name") in found([], [service("content")], leaving)
@@ -65,7 +65,7 @@
     assert found([*rows, both], [path("/a/b/", "content", "GET", "POST")]) == set()
 
 
-def test_the_rehearsals_own_configuration_passes_on_its_own_fleet():
+def test_the_local_clusters_configuration_has_no_findings_on_its_own_fleet():
     shape = processes.SHAPES["karbes"]
     places = [place for place in processes.place_processes(shape) if place.role == "shield"]
     members = [
--- a/tests/validation/test_versioned_items.py
+++ b/tests/validation/test_versioned_items.py
@@ -96,7 +96,7 @@
         b'{"drop": {"routes": [{"name": "a"}]}}',
     ],
 )
-def test_what_cannot_be_read_whole_is_refused(body):
+def test_a_call_that_cannot_be_read_completely_is_refused(body):
     with pytest.raises((errors.BadRequestError, errors.InvalidChangeError)):
         amendment.parse_amendment(body)
 
@@ -106,7 +106,7 @@
     return row["version"], row["item"]
 
 
-def test_the_highest_version_stands_and_a_lower_one_changes_nothing_nor_an_equal_one():
+def test_the_highest_version_is_in_force_and_a_lower_or_equal_one_changes_nothing():
     table = fresh()
     seven = changed(version=7, timeout=4)
     assert amend(table, seven)
@@ -122,7 +122,7 @@
     assert amendment.as_amendment(table)["routes"][0]["timeout"] == 4
 
 
-def test_a_dropped_name_keeps_its_version():
+def test_a_dropped_item_keeps_its_version_against_lower_ones():
     table = fresh()
     assert amend(table, {"drop": {"routes": [{"name": "r1", "version": 8}]}})
     amend(table, changed(version=7))
@@ -137,7 +137,7 @@
         amend(fresh(), {"drop": {"upstreams": [{"name": "s1", "version": 9}]}})
 
 
-def test_two_contents_under_one_version_in_one_call_are_refused_and_twins_are_not():
+def test_two_contents_under_one_version_in_one_call_are_refused_and_equal_contents_are_not():
     call = changed()
     call["put"]["routes"].append(copy.deepcopy(call["put"]["routes"][0]))
     assert amend(fresh(), call)
