--- a/src/irisstand/dataplane/http/header_names.py
+++ b/src/irisstand/dataplane/http/header_names.py
@@ -1,17 +1,24 @@
-"""The names of the headers that clients, edges and origins use towards one another.
+"""The names of the headers by which clients, edges and origins tell each other about attempts and deadlines.
 
-A deployment that speaks other names adds an entry to the registry; nothing else knows them.
+A deployment with other names adds an entry to the registry; no other module knows the names.
 """
 
 import typing
 
 
 class HeaderNames(typing.NamedTuple):
-    """Header names in lower case; times are whole milliseconds, tags are separated by `separator`.
-
-    `request_id` names one try of a client, `remaining` how long it still waits, `seal` confirms for a
-    whole answer, `expected` names the instance that is meant, `instance` the one that answers, `not_run`
-    marks an answer to a request that did not run, `cold` tells how long an origin stays cold.
+    """Header names in lower case; times are in whole milliseconds.
+
+    Attributes:
+        request_id: Names one attempt of a client.
+        remaining: How long the client still waits.
+        seal: Confirms that an answer is complete.
+        expected: The origin instance that is meant.
+        instance: The origin instance that answers.
+        not_run: Marks the answer to a request that was not carried out.
+        tags: The tags by which an object can be purged.
+        cold: How long an origin stays cold.
+        separator: Stands between tags; None for white space.
     """
 
     request_id: str
@@ -28,22 +35,23 @@
 # Plug-in point.
 REGISTRY: dict[str, HeaderNames] = {
     "irisstand": HeaderNames(
-        "x-request-id",
-        "x-remaining-ms",
-        "content-digest",
-        "x-expected-instance",
-        "x-instance",
-        "x-not-run",
-        "cache-tag",
-        "x-cold-ms",
-        ",",
+        request_id="x-request-id",
+        remaining="x-remaining-ms",
+        seal="content-digest",
+        expected="x-expected-instance",
+        instance="x-instance",
+        not_run="x-not-run",
+        tags="cache-tag",
+        cold="x-cold-ms",
+        separator=",",
     ),
 }
 
 
-def split_tags(words: HeaderNames, text: str) -> tuple[str, ...]:
-    """
+def split_tags(names: HeaderNames, text: str) -> tuple[str, ...]:
+    """Return the tags of a header's value.
+
     >>> split_tags(REGISTRY["irisstand"], "a, b")
     ('a', 'b')
     """
-    return tuple(tag.strip() for tag in text.split(words.separator) if tag.strip())
+    return tuple(tag.strip() for tag in text.split(names.separator) if tag.strip())
--- a/src/irisstand/dataplane/http/listener.py
+++ b/src/irisstand/dataplane/http/listener.py
@@ -1,7 +1,9 @@
-"""The clients' listener of an edge that reaches origins by itself: sanic's requests to ours, and back."""
+"""The clients' listener of a node that reaches origins by itself: adapts sanic's requests and responses."""
 
 import asyncio
+import typing
 
+import sanic
 import sanic.exceptions
 import sanic.request
 import sanic.response
@@ -10,50 +12,86 @@
 from irisstand.dataplane.nodes import direct
 
 METHODS = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"]
-# Sanic writes these itself.
+# Sanic writes these headers itself.
 SANIC_HEADERS = frozenset(("connection", "keep-alive", "content-length", "transfer-encoding", "content-type"))
+DEFAULT_CONTENT_TYPE = "application/octet-stream"
+RESPONSE_TIMEOUT_SECONDS = 120
+# The least time for a request's head and for a connection at rest, whatever the operators set.
+MIN_TIMEOUT_SECONDS = 1.0
+OPENING_CHECK_SECONDS = 0.02
+BACKLOG = 512
+STATUS_REQUEST_TIMEOUT = 408
+STATUS_PAYLOAD_TOO_LARGE = 413
+STATUS_HEADERS_TOO_LARGE = 431
+STATUS_INTERNAL_ERROR = 500
 
 
 class ClientListener:
+    """Listens for clients and hands their requests to the node.
+
+    Args:
+        context: The node's context.
+        node: Answers the requests.
+        address: Where to listen.
+    """
+
     def __init__(
-        self, context: node_context.NodeContext, part: direct.DirectNode, address: node_settings.Address
+        self, context: node_context.NodeContext, node: direct.DirectNode, address: node_settings.Address
     ) -> None:
-        self.context, self.part, self.address = context, part, address
+        self.context = context
+        self.node = node
+        self.address = address
+        # Of sanic's server, which has no types.
+        self.server: typing.Any = None
         name = "irisstand_front_" + "".join(c if c.isalnum() else "_" for c in context.settings.name)
-        self.app = sanic.Sanic(name, configure_logging=False)
+        self.app: sanic.Sanic[typing.Any, typing.Any] = sanic.Sanic(name, configure_logging=False)
         self.app.config.update(
-            {"MOTD": False, "ACCESS_LOG": False, "RESPONSE_TIMEOUT": 120, "TOUCHUP": False}
+            {
+                "MOTD": False,
+                "ACCESS_LOG": False,
+                "RESPONSE_TIMEOUT": RESPONSE_TIMEOUT_SECONDS,
+                "TOUCHUP": False,
+            }
         )
         self.follow()
         context.configuration.watchers.append(self.follow)
         self.app.error_handler.add(Exception, self.on_error)
+        self.add_routes()
+        context.close_callbacks.append(self.abort_connections)
+
+    def add_routes(self) -> None:
+        """Serve all paths; streamed, so that this listener counts the time for a body itself."""
 
+        # Sanic marks the handler as streamed, which a bound method does not allow.
         async def serve(request: sanic.request.Request, rest: str = "") -> sanic.response.HTTPResponse:
             return await self.serve(request)
 
-        # Streamed, so that the time for a body is this listener's own; sanic marks the handler as such.
         self.app.add_route(serve, "/", methods=METHODS, name="root", stream=True)
         self.app.add_route(serve, "/<rest:path>", methods=METHODS, name="rest", stream=True)
-        self.server = None
-        context.close_callbacks.append(self.abort_connections)
 
     def follow(self) -> None:
-        """The operators' limits; a connection takes those that stand when it opens."""
-        self.part.table.refresh()
-        limits = self.part.table.limits
+        """Take over the operators' limits; a connection takes those that are in force when it opens."""
+        self.node.table.refresh()
+        limits = self.node.table.limits
         self.app.config.update(
             {
                 "REQUEST_MAX_SIZE": limits.body_bytes,
                 "REQUEST_MAX_HEADER_SIZE": limits.header_bytes,
-                "REQUEST_TIMEOUT": max(1.0, limits.header),
-                "KEEP_ALIVE_TIMEOUT": max(1.0, limits.idle),
+                "REQUEST_TIMEOUT": max(MIN_TIMEOUT_SECONDS, limits.header),
+                "KEEP_ALIVE_TIMEOUT": max(MIN_TIMEOUT_SECONDS, limits.idle),
             }
         )
 
+    # -- listening -----------------------------------------------------------------------------------
     async def open_when_current(self) -> None:
-        """A node just started would only turn clients away: it listens once it can answer them."""
-        while not all(map(self.context.is_current, self.context.replicas.values())):
-            await asyncio.sleep(0.02)
+        """Listen as soon as the tables are current: before that, the node would only refuse requests.
+
+        Raises:
+            errors.PortTakenError: The address is in use.
+        """
+        # No event tells that the tables are current, as that depends on the time, too.
+        while not all(map(self.context.is_current, self.context.replicas.values())):  # noqa: ASYNC110 - see above
+            await asyncio.sleep(OPENING_CHECK_SECONDS)
         if self.context.is_lame_duck:
             return
         try:
@@ -62,7 +100,7 @@
                 port=self.address[1],
                 return_asyncio_server=True,
                 access_log=False,
-                backlog=512,
+                backlog=BACKLOG,
             )
             await self.server.startup()
             await self.server.start_serving()
@@ -70,12 +108,13 @@
             raise errors.PortTakenError(str(error)) from None
 
     async def stop_listening(self) -> None:
+        """Accept no more connections; the open ones are closed as they come to rest."""
         if self.server is not None:
             self.server.close()
-            self.context.has_pending_work = self.release
+            self.context.has_pending_work = self.close_idle_connections
 
-    def release(self) -> bool:
-        """Close connections on which nothing is read or asked; True while any is left.
+    def close_idle_connections(self) -> bool:
+        """Close connections on which no request is being read or answered, and return whether any is left.
 
         A node that ended with one open could read a request in its last moment, and leave it unanswered.
         """
@@ -86,24 +125,32 @@
         return bool(connections)
 
     def abort_connections(self) -> None:
-        """The end: a client that does not read must not keep a connection's task, and so the process."""
-        for connection in list(self.server.connections) if self.server is not None else ():
+        """Abort all connections: a client that does not read must not keep the process from its end."""
+        if self.server is None:
+            return
+        for connection in list(self.server.connections):
             if connection.transport is not None:
                 connection.transport.abort()
 
+    # -- requests ------------------------------------------------------------------------------------
     async def read_body(self, request: sanic.request.Request) -> bytes:
-        """The whole body; 408 once nothing came for as long as the limits let a connection be idle, 413 over
-        the limits' size.
+        """Read a request's complete body.
+
+        Raises:
+            sanic.exceptions.RequestTimeout: Nothing came for as long as a connection may be idle.
+            sanic.exceptions.PayloadTooLarge: The body is over the limit.
         """
+        # Sanic's stream has no types.
+        stream: typing.Any = request.stream
         pieces: list[bytes] = []
-        left = self.part.table.limits.body_bytes
-        while request.stream.request_body:
+        left = self.node.table.limits.body_bytes
+        while stream.request_body:
             try:
-                async with asyncio.timeout(max(1.0, self.part.table.limits.idle)):
-                    piece = await request.stream.read()
+                async with asyncio.timeout(max(MIN_TIMEOUT_SECONDS, self.node.table.limits.idle)):
+                    piece = await stream.read()
             except TimeoutError:
-                # What is left of it would be waited for again before the connection could close.
-                request.stream.request_body = None
+                # Else the rest of it would be waited for again before the connection could close.
+                stream.request_body = None
                 raise sanic.exceptions.RequestTimeout("the body stopped before it was whole") from None
             pieces.append(piece or b"")
             left -= len(pieces[-1])
@@ -112,52 +159,63 @@
         return b"".join(pieces)
 
     async def serve(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
+        """Answer a request; it is carried out also if its client goes away, as an origin may be at work."""
         body = await self.read_body(request)
-        headers: dict[str, str] = {}
-        for name, value in request.headers.items():
-            key = name.lower()
-            headers[key] = f"{headers[key]}, {value}" if key in headers else value
-        asked = direct.Request(request.method, request.raw_url, headers.pop("host", ""), headers, body)
-        # A client that goes away does not take back what an origin is at work on.
+        headers = joined_headers(request)
+        host = headers.pop("host", "")
+        asked = direct.Request(request.method, request.raw_url, host, headers, body)
         task = asyncio.get_running_loop().create_task(self.answer(asked))
         with self.context.count_in_flight():
             response = await asyncio.shield(task)
-        # A kept connection would bring more work to a node that is leaving.
+        # A connection that is kept would bring more work to a node that is shutting down.
         if self.context.is_lame_duck or self.context.is_draining:
-            request.stream.keep_alive = False
+            typing.cast(typing.Any, request.stream).keep_alive = False
         return response
 
-    async def answer(self, asked: direct.Request) -> sanic.response.HTTPResponse:
+    async def answer(self, request: direct.Request) -> sanic.response.HTTPResponse:
+        """Return the response to a request, whatever happens."""
         try:
-            status, headers, body = await self.part.handle(asked)
+            status, headers, body = await self.node.handle(request)
         except errors.IrisError as error:
-            return self.as_fault(error)
+            return error_response(error)
         except asyncio.CancelledError:
-            # Something that this request shared was given up; to sanic it would look like its client's going.
+            # Something that this request shared was cancelled; to sanic it would look like a client that
+            # left.
             self.context.counters.add("requests_crashed")
-            return self.as_fault(errors.OutcomeUnknownError("what this request waited for was given up"))
-        except Exception as error:
+            return error_response(errors.OutcomeUnknownError("what this request waited for was given up"))
+        except Exception as error:  # A fault of this software ends one request, and not the node.
             event_log.record("crash", error=repr(error))
             self.context.counters.add("requests_crashed")
-            return self.as_fault(errors.OutcomeUnknownError("an error of this node's own"))
-        kept = {name: value for name, value in headers.items() if name not in SANIC_HEADERS}
-        content_type = headers.get("content-type", "application/octet-stream")
-        return sanic.response.HTTPResponse(body, status, kept, content_type)
-
-    def as_fault(self, error: errors.IrisError) -> sanic.response.HTTPResponse:
-        headers = {"Cache-Control": "no-store"}
-        # Told at once when to come back, to a part of a second.
-        if error.retry_after:
-            headers["Retry-After"] = f"{error.retry_after:.2f}"
-        return sanic.response.json(error.to_json(), error.status, headers)
+            return error_response(errors.OutcomeUnknownError("an error of this node's own"))
+        forwarded = {name: value for name, value in headers.items() if name not in SANIC_HEADERS}
+        content_type = headers.get("content-type", DEFAULT_CONTENT_TYPE)
+        return sanic.response.HTTPResponse(body, status, forwarded, content_type)
 
     def on_error(self, request: sanic.request.Request, error: Exception) -> sanic.response.HTTPResponse:
-        status = getattr(error, "status_code", None) or 500
-        if status == 408 and request.stream is not None:
-            request.stream.keep_alive = False
+        """Return the response to a request that sanic refuses."""
+        status = getattr(error, "status_code", None) or STATUS_INTERNAL_ERROR
+        if status == STATUS_REQUEST_TIMEOUT and request.stream is not None:
+            typing.cast(typing.Any, request.stream).keep_alive = False
         # Sanic calls an oversized head an oversized payload; HTTP has a status of its own for it.
-        if status == 413 and "header" in str(error).lower():
-            status = 431
+        if status == STATUS_PAYLOAD_TOO_LARGE and "header" in str(error).lower():
+            status = STATUS_HEADERS_TOO_LARGE
         remedy = "send what the operators' page describes, within its limits"
         content = {"code": f"http-{status}", "message": str(error), "remedy": remedy}
         return sanic.response.json(content, status)
+
+
+def joined_headers(request: sanic.request.Request) -> dict[str, str]:
+    """Return a request's headers, names in lower case, repeated ones joined by commas."""
+    headers: dict[str, str] = {}
+    for name, value in request.headers.items():
+        key = name.lower()
+        headers[key] = f"{headers[key]}, {value}" if key in headers else value
+    return headers
+
+
+def error_response(error: errors.IrisError) -> sanic.response.HTTPResponse:
+    """Return the response that reports an error, with Retry-After to a hundredth of a second."""
+    headers = {"Cache-Control": "no-store"}
+    if error.retry_after:
+        headers["Retry-After"] = f"{error.retry_after:.2f}"
+    return sanic.response.json(error.to_json(), error.status, headers)
--- a/src/irisstand/dataplane/http/sanic_adapter.py
+++ b/src/irisstand/dataplane/http/sanic_adapter.py
@@ -1,39 +1,64 @@
-"""The edge's HTTP face: from sanic's request to ours, and from our result to sanic's response."""
+"""Adapts sanic's requests and responses to those of an edge that asks shields."""
 
-import asyncio
 import urllib.parse
 
-import sanic.exceptions
 import sanic.request
 import sanic.response
 
 from irisstand import errors, web
-from irisstand.dataplane.nodes import edge as edges
+from irisstand.dataplane.nodes import edge as edge_node
 
 METHODS = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"]
+DEFAULT_CONTENT_TYPE = "application/octet-stream"
 
 
 class SanicAdapter:
-    def __init__(self, server: web.HttpServer, edge: edges.Edge) -> None:
-        self.edge, self.web = edge, server
+    """Serves clients on all paths that the node's own pages leave free.
+
+    Args:
+        server: The node's HTTP server, which gets the routes.
+        edge: Answers the requests.
+    """
+
+    def __init__(self, server: web.HttpServer, edge: edge_node.Edge) -> None:
+        self.edge = edge
         server.app.add_route(self.serve, "/", methods=METHODS, name="root")
         server.app.add_route(self.serve, "/<rest:path>", methods=METHODS, name="rest")
 
     async def serve(self, request: sanic.request.Request, rest: str = "") -> sanic.response.HTTPResponse:
-        path = request.path
-        # Two spellings of one path would be two objects to a purge, and dots would climb out of a grant.
-        if "//" in path or any(part in (".", "..") for part in urllib.parse.unquote(path).split("/")):
-            raise errors.BadRequestError("the path has empty or dotted parts", "send the plain path")
+        """Answer a client's request.
+
+        Args:
+            request: The request as sanic parsed it.
+            rest: The path without its first slash, which sanic hands in.
+
+        Raises:
+            errors.BadRequestError: The path could be written in another way.
+        """
+        check_path(request.path)
         headers = {name.lower(): value for name, value in request.headers.items()}
-        asked = edges.Request(request.method, path, request.query_string, headers, request.body or b"")
+        asked = edge_node.Request(
+            request.method, request.path, request.query_string, headers, request.body or b""
+        )
         try:
             result = await self.edge.handle(asked)
-        except asyncio.CancelledError:
-            raise
         except errors.IrisError as error:
             return web.error_response(error)
-        kept = dict(result.headers)
-        content_type = kept.pop("content-type", "application/octet-stream")
-        kept["age"] = str(int(result.age))
+        response_headers = dict(result.headers)
+        content_type = response_headers.pop("content-type", DEFAULT_CONTENT_TYPE)
+        response_headers["age"] = str(int(result.age))
         body = b"" if request.method == "HEAD" else result.body
-        return sanic.response.HTTPResponse(body, result.status, kept, content_type)
+        return sanic.response.HTTPResponse(body, result.status, response_headers, content_type)
+
+
+def check_path(path: str) -> None:
+    """Check that a path has one spelling.
+
+    Two spellings of one path would be two objects to a purge, and dots would lead out of an allowed path.
+
+    Raises:
+        errors.BadRequestError: The path has empty or dotted parts.
+    """
+    parts = urllib.parse.unquote(path).split("/")
+    if "//" in path or any(part in (".", "..") for part in parts):
+        raise errors.BadRequestError("the path has empty or dotted parts", "send the plain path")
--- a/tests/dataplane/test_listener.py
+++ b/tests/dataplane/test_listener.py
@@ -29,7 +29,7 @@
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             self.address = probe.getsockname()
-        self.part = stage.part
+        self.node = stage.part
         self.listener = listener.ClientListener(self.context, stage.part, self.address)
 
     async def connect(self):
@@ -52,8 +52,8 @@
 
 def test_a_body_that_stops_half_way_holds_its_connection_no_longer_than_the_limits_say():
     async def scene(face):
-        face.part.table.limits = face.part.table.limits._replace(header=1.0, idle=1.0)
-        face.part.table.refresh = lambda: None
+        face.node.table.limits = face.node.table.limits._replace(header=1.0, idle=1.0)
+        face.node.table.refresh = lambda: None
         face.listener.follow()
         reader, writer = await face.connect()
         writer.write(b"POST /writes/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nshort")
