--- a/tests/state/test_power_loss.py
+++ b/tests/state/test_power_loss.py
@@ -1,17 +1,15 @@
 """A loss of power keeps or loses each unsynced name by itself; what was acknowledged must survive it."""
 
 import asyncio
-import pathlib
 import random
 
 import ormsgpack
 import pytest
+import simulated_stores
 
 import irisstand.errors as errors
 import irisstand.state.items as items
 import irisstand.state.replica as replica
-import irisstand.state.storage.disk
-import irisstand.state.storage.durable_store
 import irisstand.state.storage.file_names as file_names
 import irisstand.state.versions as versions
 from irisstand.simulator import simulated_folder
@@ -33,9 +31,7 @@
         self.identity = ""
 
     async def start(self):
-        disk = irisstand.state.storage.disk.FolderDisk(pathlib.Path("simulated"), self.folder)
-        self.store = irisstand.state.storage.durable_store.DurableStore(disk, self.randomness)
-        await self.store.open()
+        self.store = await simulated_stores.open_store(self.folder, self.randomness)
 
     async def step(self):
         table = self.randomness.choice(items.TABLES)
--- a/tests/state/test_restart_after_changes.py
+++ b/tests/state/test_restart_after_changes.py
@@ -1,7 +1,6 @@
 """A voter that restarts, or comes back empty, after hundreds of changes and more: its disk and its copy."""
 
 import asyncio
-import pathlib
 import random
 import time
 import types
@@ -9,15 +8,14 @@
 import cluster
 import ormsgpack
 import pytest
+import simulated_stores
 
 import irisstand.counters
 import irisstand.state.items as items
 import irisstand.state.replica as replica
 import irisstand.state.versions as versions
-from irisstand.simulator import simulated_folder
 from irisstand.state.replication import replicator
-from irisstand.state.storage import disk as disks
-from irisstand.state.storage import durable_store, file_names
+from irisstand.state.storage import file_names
 
 SYNC_SECONDS = 0.005
 CATCH_UP_SECONDS = 4.0
@@ -34,22 +32,11 @@
         live.apply(items.Batch(live.applied.successor("core-1~ab"), live.applied, (row,)))
 
 
-async def store_on(folder, seed=5):
-    disk = disks.FolderDisk(pathlib.Path("simulated"), folder)
-    store = durable_store.DurableStore(disk, random.Random(seed))
-    await store.open()
-    return store
-
-
-def new_folder():
-    return simulated_folder.SimulatedFolder(random.Random(3))
-
-
 @pytest.mark.parametrize("changes", [300, 3000])
 def test_empty_disk_stores_a_whole_table_within_a_tenth_of_the_catch_up_time(changes):
     async def scenario():
-        folder = new_folder()
-        store = await store_on(folder)
+        folder = simulated_stores.new_folder()
+        store = await simulated_stores.open_store(folder)
         live = replica.Replica(items.CONFIGURATION)
         apply_random_changes(live, changes, random.Random(1))
         started, syncs = time.process_time(), folder.syncs
@@ -65,8 +52,8 @@
 
 def test_restart_after_3000_changes_reads_few_files_and_finds_them_intact():
     async def scenario():
-        folder, live = new_folder(), replica.Replica(items.LEDGER)
-        store = await store_on(folder)
+        folder, live = simulated_stores.new_folder(), replica.Replica(items.LEDGER)
+        store = await simulated_stores.open_store(folder)
         randomness = random.Random(2)
         for _ in range(3000):
             apply_random_changes(live, 1, randomness, keys=400)
@@ -74,7 +61,7 @@
         assert len([name for name in folder.entries if not name.endswith(".spare")]) < 256
         folder.lose_power()
         started = time.process_time()
-        again = await store_on(folder)
+        again = await simulated_stores.open_store(folder)
         assert (time.process_time() - started) / PROCESSOR_SHARE < CATCH_UP_SECONDS / 10
         assert again.disk_id == store.disk_id and again.intact[items.LEDGER]
         assert again.replicas[items.LEDGER].root_digest() == live.root_digest()
@@ -86,8 +73,8 @@
     """Before, the record was written for a disk that did not add up; until the next change it had no vote."""
 
     async def scenario():
-        folder, live = new_folder(), replica.Replica(items.LEDGER)
-        store = await store_on(folder)
+        folder, live = simulated_stores.new_folder(), replica.Replica(items.LEDGER)
+        store = await simulated_stores.open_store(folder)
         fill = tuple((f"key/{number}", number, False) for number in range(2500))
         live.apply(items.Batch(versions.Version(1, "n"), versions.NONE, fill))
         await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
@@ -96,7 +83,7 @@
         assert len(live.removal_records) == replica.REMOVAL_RECORDS_LIMIT
         await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
         assert store.intact[items.LEDGER]
-        again = await store_on(folder)
+        again = await simulated_stores.open_store(folder)
         assert again.intact[items.LEDGER] and len(again.replicas[items.LEDGER].items) == 100
 
     asyncio.run(scenario())
@@ -185,8 +172,8 @@
     """As the version before wrote it: six fields a record, and each item in a file of its own."""
 
     async def scenario():
-        folder, live = new_folder(), replica.Replica(items.LEDGER)
-        disk = disks.FolderDisk(pathlib.Path("simulated"), folder)
+        folder, live = simulated_stores.new_folder(), replica.Replica(items.LEDGER)
+        disk = simulated_stores.disk_on(folder)
         await disk.load()
         apply_random_changes(live, 60, random.Random(4), removals=0)
         files = [
@@ -201,13 +188,13 @@
         await disk.write(
             [*files, ("vault", b"its-id"), ("ledger.voter.000000000007", ormsgpack.packb(record))]
         )
-        store = await store_on(folder)
+        store = await simulated_stores.open_store(folder)
         assert store.disk_id == "its-id" and store.intact[items.LEDGER]
         assert store.replicas[items.LEDGER].root_digest() == live.root_digest()
         assert store.records[items.LEDGER].promised == versions.Version(number[0] + 5, "n")
         apply_random_changes(live, 300, random.Random(5))
         await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
-        again = await store_on(folder)
+        again = await simulated_stores.open_store(folder)
         assert again.disk_id == "its-id" and again.intact[items.LEDGER]
         assert again.replicas[items.LEDGER].root_digest() == live.root_digest()
 
@@ -217,21 +204,21 @@
 @pytest.mark.parametrize("is_cut_short", [True, False])
 def test_truncated_or_altered_segment_is_not_voted_from_and_is_rewritten(is_cut_short):
     async def scenario():
-        folder, live = new_folder(), replica.Replica(items.LEDGER)
-        store = await store_on(folder)
+        folder, live = simulated_stores.new_folder(), replica.Replica(items.LEDGER)
+        store = await simulated_stores.open_store(folder)
         apply_random_changes(live, 300, random.Random(6))
         await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
         (segment,) = store.records[items.LEDGER].segments
         content = folder.contents[folder.entries[segment]]
         altered = content[:-1] + bytes([content[-1] ^ 0xFF])
         folder.contents[folder.entries[segment]] = content[: len(content) // 2] if is_cut_short else altered
-        again = await store_on(folder)
+        again = await simulated_stores.open_store(folder)
         # The record is whole, so its promises hold; what it rests on is not, so there is no vote yet.
         assert again.disk_id == store.disk_id and not again.intact[items.LEDGER]
         assert not again.replicas[items.LEDGER].items
         await again.save_replica(items.LEDGER, live, again.records[items.LEDGER])
         assert again.intact[items.LEDGER]
-        last = await store_on(folder)
+        last = await simulated_stores.open_store(folder)
         assert last.intact[items.LEDGER] and last.replicas[items.LEDGER].root_digest() == live.root_digest()
 
     asyncio.run(scenario())
@@ -239,8 +226,8 @@
 
 def test_power_loss_after_a_corrupt_record_was_quarantined_restores_no_older_promise():
     async def scenario():
-        folder, live = new_folder(), replica.Replica(items.LEDGER)
-        store = await store_on(folder)
+        folder, live = simulated_stores.new_folder(), replica.Replica(items.LEDGER)
+        store = await simulated_stores.open_store(folder)
         apply_random_changes(live, 5, random.Random(6))
         await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
         record = store.records[items.LEDGER]
@@ -250,7 +237,7 @@
         # The start puts it aside, and that name alone is kept: the power goes before the new id is written.
         folder.rename(newest, newest + ".torn")
         folder.sync()
-        again = await store_on(folder, seed=6)
+        again = await simulated_stores.open_store(folder, random.Random(6))
         assert again.disk_id != store.disk_id
 
     asyncio.run(scenario())
