--- a/tests/controlplane/test_guard_scenarios.py
+++ b/tests/controlplane/test_mutation_scenarios.py
@@ -1,4 +1,4 @@
-"""Lines that guard a rule and that no other test missed when they were taken out: one scene for each."""
+"""Protections of the control plane whose removal no other test notices: one scenario for each mutation."""
 
 import asyncio
 import json
@@ -44,7 +44,7 @@
     cluster.play(scene)
 
 
-def test_while_a_pending_batch_cannot_be_settled_nobody_takes_the_table_for_current():
+def test_no_node_is_current_while_a_pending_batch_cannot_be_decided():
     async def scene(day):
         await accept_by_majority(day)
         for node in day.cluster.with_role("agency"):
@@ -63,7 +63,7 @@
     cluster.play(scene)
 
 
-def test_a_voter_takes_no_batch_that_stands_on_another_base_than_its_own_applied():
+def test_a_voter_refuses_a_batch_whose_base_is_not_its_applied_version():
     async def scene(day):
         node = day.cluster.nodes["agency-2"]
         owner = node.program.participant.acceptors[items.CONFIGURATION]
@@ -81,7 +81,7 @@
     cluster.play(scene)
 
 
-def test_a_disk_asked_for_under_its_predecessors_id_has_no_vote_though_it_has_learnt_everything():
+def test_a_disk_addressed_by_its_predecessors_id_has_no_vote_though_it_holds_the_table():
     async def scene(day):
         node = day.cluster.nodes["agency-4"]
         old = node.program.participant.store.disk_id
@@ -101,7 +101,7 @@
     cluster.play(scene)
 
 
-def test_an_answer_fetched_before_a_purge_by_tag_is_not_given_out_two_seconds_after_it():
+def test_an_answer_fetched_before_a_purge_by_tag_is_not_served_two_seconds_after_it():
     async def scene(day):
         path = "/vacancies/77"
         for origin in day.actors.origins:
@@ -118,7 +118,7 @@
     cluster.play(scene)
 
 
-def test_a_write_whose_shield_dies_under_it_is_an_unknown_outcome():
+def test_a_write_whose_shield_dies_during_it_has_an_unknown_outcome():
     async def scene(day):
         for origin in day.actors.origins:
             origin.delay = 0.5
@@ -133,7 +133,7 @@
     cluster.play(scene)
 
 
-def test_what_was_taken_from_one_shield_is_not_given_to_another_while_the_first_may_not_know():
+def test_a_quota_share_taken_from_one_shield_is_not_given_out_while_the_shield_may_not_know():
     ceilings = {"s": (10, 4)}
     rows, _ = quota_shares.plan({}, ceilings, {"a": 1, "b": 1}, ())
     rows, reduced = quota_shares.plan(rows, ceilings, {"b": 1}, ())
@@ -144,7 +144,7 @@
     assert freed["b"]["s"][:2] == [10, 4]
 
 
-def test_a_claim_given_back_late_takes_nothing_from_the_shield_that_was_asked_next():
+def test_a_claim_returned_late_leaves_the_claim_of_the_next_shield():
     async def scene(day):
         first, second, third = (day.cluster.nodes[f"shield-{n}"] for n in (1, 2, 3))
         granted = first.program.view.authorize("POST", "/applications", "")
--- a/tests/mutation/consensus_mutations.py
+++ b/tests/mutation/consensus_mutations.py
@@ -12,7 +12,7 @@
         "controlplane/consensus/participant.py",
         "        if disk_id != self.store.disk_id:",
         "        if False:",
-        "controlplane/test_guard_scenarios.py::test_a_disk_asked_for_under_its_predecessors_id_has_no_vote_though_it_has_learnt_everything",
+        "controlplane/test_mutation_scenarios.py::test_a_disk_addressed_by_its_predecessors_id_has_no_vote_though_it_holds_the_table",
     ),
     (
         "controlplane/singletons/lease.py",
--- a/tests/mutation/dataplane_mutations.py
+++ b/tests/mutation/dataplane_mutations.py
@@ -12,7 +12,7 @@
         "dataplane/retry/write_policy.py",
         "        if type(error) in forwarding_policy.NOT_RUN_ERRORS:",
         "        if True:",
-        "controlplane/test_guard_scenarios.py::test_a_write_whose_shield_dies_under_it_is_an_unknown_outcome",
+        "controlplane/test_mutation_scenarios.py::test_a_write_whose_shield_dies_during_it_has_an_unknown_outcome",
     ),
     (
         "dataplane/upstream/connections.py",
@@ -132,7 +132,7 @@
         "balancing/quota_shares.py",
         "        elif service in frozen:",
         "        elif False:",
-        "controlplane/test_guard_scenarios.py",
+        "controlplane/test_mutation_scenarios.py",
     ),
     (
         "balancing/retry_budget.py",
--- a/tests/mutation/state_mutations.py
+++ b/tests/mutation/state_mutations.py
@@ -114,7 +114,7 @@
         "controlplane/consensus/acceptor.py",
         "        if record.applied != batch.base:\n",
         "        if False:\n",
-        "controlplane/test_guard_scenarios.py::test_a_voter_takes_no_batch_that_stands_on_another_base_than_its_own_applied",
+        "controlplane/test_mutation_scenarios.py::test_a_voter_refuses_a_batch_whose_base_is_not_its_applied_version",
     ),
     (
         "state/quorum.py",
