--- a/src/irisstand/dataplane/routing/routes.py
+++ b/src/irisstand/dataplane/routing/routes.py
@@ -5,7 +5,7 @@
 from irisstand.balancing import rendezvous
 from irisstand.state import versioned_items
 
-DEFAULT_ATTEMPT_LIMIT = 2
+DEFAULT_ATTEMPTS = 2
 DEFAULT_CONNECTION_LIMIT = 100
 DEFAULT_PROBE_PATH = "/health"
 DEFAULT_COLD_RATE = 1.0
@@ -65,7 +65,7 @@
             float(content["timeout"]),
             float(content.get("target") or content["timeout"]),
             content.get("priority") or 0,
-            content.get("attempts") or DEFAULT_ATTEMPT_LIMIT,
+            content.get("attempts") or DEFAULT_ATTEMPTS,
             float(content.get("cache_life") or 0),
             tuple(content.get("regions") or ()),
             tuple(versioned_items.weighted_services(content)),
--- a/src/irisstand/dataplane/routing/snapshot.py
+++ b/src/irisstand/dataplane/routing/snapshot.py
@@ -7,7 +7,7 @@
 from irisstand.membership import updates
 from irisstand.state import items, versions
 
-PATH_PREFIX = "path/"
+PATH_KEY_PREFIX = "path/"
 DEFAULT_PROBE_PATH = "/health"
 
 
@@ -93,13 +93,13 @@
         """Return the path of the configuration that is the longest prefix of a request's path."""
         copy = self.context.configuration
         if self.lengths_applied != copy.applied:
-            lengths = {len(item.key) for item in copy.items_with_prefix(PATH_PREFIX)}
+            lengths = {len(item.key) for item in copy.items_with_prefix(PATH_KEY_PREFIX)}
             self.lengths = sorted(lengths, reverse=True)
             self.lengths_applied = copy.applied
-        key = PATH_PREFIX + path
+        key = PATH_KEY_PREFIX + path
         for length in self.lengths:
             if length <= len(key) and (value := copy.value(key[:length])) is not None:
-                return PathItem(key[len(PATH_PREFIX) : length], value)
+                return PathItem(key[len(PATH_KEY_PREFIX) : length], value)
         return None
 
     def authorize(self, method: str, path: str, query: str) -> AllowedRequest:
--- a/tests/programs/test_deployed_programs.py
+++ b/tests/programs/test_deployed_programs.py
@@ -155,7 +155,7 @@
 @pytest.mark.parametrize(
     ("content", "named"),
     [
-        (None, deployed_programs.place.VARIABLE),
+        (None, deployed_programs.platform_settings.VARIABLE),
         ("ip = ", "settings file"),
         ("ip = '127.0.0.1'\n", "internal_ports"),
         ("internal_ports = 7\n", "settings"),
@@ -163,11 +163,13 @@
 )
 def test_settings_that_do_not_do_are_named_in_a_line_and_end_with_2(program, content, named, tmp_path):
     environment = {
-        name: value for name, value in os.environ.items() if name != deployed_programs.place.VARIABLE
+        name: value
+        for name, value in os.environ.items()
+        if name != deployed_programs.platform_settings.VARIABLE
     }
     if content is not None:
         (tmp_path / "local.toml").write_text(content)
-        environment[deployed_programs.place.VARIABLE] = str(tmp_path / "local.toml")
+        environment[deployed_programs.platform_settings.VARIABLE] = str(tmp_path / "local.toml")
     done = subprocess.run(
         [sys.executable, f"platform/{program}"],
         cwd=deployed_programs.ROOT,
--- a/tests/support/deployed_programs.py
+++ b/tests/support/deployed_programs.py
@@ -17,9 +17,9 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 sys.path.append(str(ROOT / "platform"))
 
-import place  # noqa: E402
+import platform_settings  # noqa: E402
 
-WORDS = place.vocabularies.REGISTRY[place.VOCABULARY]
+WORDS = platform_settings.header_names.REGISTRY[platform_settings.VOCABULARY]
 HOST = "a.example"
 BOUNDS = """
 grace = 6
@@ -123,7 +123,7 @@
             sys.executable,
             f"platform/{program}",
             cwd=ROOT,
-            env={**os.environ, place.VARIABLE: str(path)},
+            env={**os.environ, platform_settings.VARIABLE: str(path)},
             stderr=asyncio.subprocess.PIPE,
         )
 
