--- a/src/irisstand/controlplane/program.py
+++ b/src/irisstand/controlplane/program.py
@@ -90,7 +90,10 @@
         context = self.control_node.context
         end = context.clock.now() + TABLES_TIMEOUT_SECONDS
         replicas = context.replicas.values()
-        while context.clock.now() < end and not all(map(context.is_fresh, replicas)):
+        # Freshness is a matter of the clock, and so has no event to wait for.
+        while context.clock.now() < end and not all(  # noqa: ASYNC110 - see above
+            map(context.is_fresh, replicas)
+        ):
             await asyncio.sleep(TABLES_POLL_SECONDS)
 
     async def stop_listening(self) -> None:
--- a/tests/controlplane/test_ballots.py
+++ b/tests/controlplane/test_ballots.py
@@ -17,7 +17,7 @@
 from irisstand.simulator import memory_disk, virtual_time
 
 
-def test_two_changes_racing_from_the_same_version_never_both_win():
+def test_of_changes_racing_from_the_same_version_exactly_one_wins():
     async def scene(day):
         for round_number in range(12):
             expected = str(cluster.context(day, "agency-1").configuration.version("site/north"))
@@ -37,7 +37,7 @@
     cluster.play(scene)
 
 
-def test_the_same_change_id_again_at_another_node_returns_the_first_result():
+def test_change_id_sent_again_to_another_node_returns_the_first_result():
     async def scene(day):
         first = await day.actors.order("agency-1", "change", [cluster.site_row(weight=5)], "mine")
         await day.actors.order("agency-2", "change", [cluster.site_row(weight=6)], "other")
@@ -48,7 +48,7 @@
     cluster.play(scene)
 
 
-def test_an_invalid_change_is_refused_whole_with_every_fault():
+def test_invalid_change_is_refused_as_a_whole_with_every_fault():
     async def scene(day):
         before = cluster.context(day, "agency-1").configuration.applied
         bad = [
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_proposer_killed_at_any_moment_leaves_one_true_result(seed):
+def test_change_id_sent_again_after_its_proposer_was_killed_returns_the_one_result(seed):
     """The id sent again brings the result; what was said yes to stays, whatever was killed right after."""
 
     async def scene(day):
@@ -96,7 +96,7 @@
     cluster.play(scene, seed)
 
 
-def test_without_a_majority_nothing_is_accepted_and_the_cut_off_side_stops_serving():
+def test_minority_partition_accepts_no_change_and_stops_serving():
     async def scene(day):
         day.cluster.partition_off(["agency-1", "agency-2", "edge-1"])
         with pytest.raises(errors.NoQuorumError):
@@ -112,7 +112,7 @@
     cluster.play(scene)
 
 
-def test_a_batch_numbered_below_its_base_is_not_accepted():
+def test_batch_numbered_below_its_base_is_rejected():
     """Found by seed 4 of the simulator: such a batch made every node take the newer table for the older."""
 
     async def scene():
--- a/tests/controlplane/test_bootstrap.py
+++ b/tests/controlplane/test_bootstrap.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_three_seeds_found_and_the_others_are_voted_in_without_a_moment_that_one_site_could_end(seed):
+def test_voters_grow_from_three_seeds_to_five_and_survive_any_site_loss_throughout(seed):
     async def scene(world):
         worst = []
 
@@ -62,7 +62,7 @@
     play(scene, seed)
 
 
-def test_disks_that_were_lost_never_found_a_core_anew():
+def test_nodes_whose_disks_were_all_lost_do_not_bootstrap_again():
     async def scene(world):
         await world.wait_until(lambda: all_vote(world, FIVE), 10)
         for node in world.with_role("agency"):
@@ -77,7 +77,7 @@
     play(scene)
 
 
-def test_one_lost_disk_of_the_seeds_learns_and_votes_again():
+def test_seed_with_a_wiped_disk_learns_the_tables_and_votes_again():
     async def scene(world):
         await world.wait_until(lambda: all_vote(world, FIVE), 10)
         node = world.nodes["agency-1"]
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
-def test_an_empty_machine_elsewhere_votes_within_four_seconds_in_place_of_one_that_is_gone(seed):
+def test_empty_machine_replaces_a_lost_voter_within_four_seconds(seed):
     async def scene(world):
         await world.wait_until(lambda: all_vote(world, FIVE), 10)
         lost = world.nodes["agency-2"]
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("site", ["north", "south", "east", "west"])
-def test_what_was_confirmed_outlives_the_disks_of_a_whole_site_and_the_power_of_all_others(site):
+def test_confirmed_change_survives_wiped_disks_of_a_site_and_power_loss_of_all_others(site):
     async def scene(world):
         await world.wait_until(lambda: all_vote(world, FIVE), 10)
         proposer = next(node for node in world.with_role("agency") if node.placement.site == site)
@@ -131,7 +131,7 @@
     play(scene)
 
 
-def test_an_edge_cut_off_from_the_core_follows_through_its_peers():
+def test_edge_cut_off_from_the_control_plane_stays_ready_through_its_peers():
     async def scene(world):
         await world.wait_until_ready()
         cores = [node.placement.host for node in world.with_role("agency")]
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize(("bound", "stale_after"), [(0.0, 1.5), (5.0, 6.5)])
-def test_while_the_whole_core_is_out_tables_are_used_for_as_long_as_the_settings_say(bound, stale_after):
+def test_tables_are_used_for_the_configured_time_after_the_control_plane_is_lost(bound, stale_after):
     async def scene(world):
         await world.wait_until_ready()
         for node in world.with_role("agency"):
@@ -162,7 +162,7 @@
     play(scene, outage_bound=bound)
 
 
-def test_tables_are_not_used_longer_where_only_this_node_was_held_up():
+def test_paused_node_does_not_take_its_own_pause_for_a_quorum_loss():
     async def scene(world):
         await world.wait_until_ready()
         edge = world.nodes["edge-1"]
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -16,7 +16,7 @@
     return None
 
 
-def test_a_change_that_cannot_be_settled_before_its_node_goes_is_answered_all_the_same():
+def test_change_that_cannot_be_decided_before_a_shutdown_is_answered_as_unknown():
     async def scene(day):
         node = day.cluster.nodes["agency-2"]
         for other in day.cluster.with_role("agency"):
@@ -42,7 +42,7 @@
     cluster.play(scene)
 
 
-def test_a_change_under_way_is_finished_before_its_node_goes():
+def test_change_in_flight_is_finished_before_a_shutdown():
     async def scene(day):
         for other in day.cluster.with_role("agency"):
             other.disk.slowness = 0.8
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("duty", ["platform-watch", "placement", "staffing", "retention"])
-def test_a_holder_that_goes_in_order_lays_its_duty_down_at_once(duty):
+def test_lease_holder_that_shuts_down_releases_its_lease_at_once(duty):
     async def scene(day):
         await asyncio.sleep(5)
         node = holder_of(day, duty)
@@ -69,7 +69,7 @@
     cluster.play(scene)
 
 
-def test_after_a_split_a_vacant_duty_is_taken_as_soon_as_anything_can_be_decided():
+def test_vacant_lease_is_acquired_soon_after_a_partition_heals():
     async def scene(day):
         await asyncio.sleep(2)
         # No side of three can decide, and the holder is on neither for long.
@@ -84,7 +84,7 @@
     cluster.play(scene)
 
 
-def test_a_lease_that_is_decided_too_late_is_taken_anew_at_once():
+def test_lease_decided_after_its_end_is_acquired_again_at_once():
     """Found on a day of kind kildespor, seed 1028: won after its own end, and left undone for its length."""
 
     async def scene(day):
@@ -101,7 +101,7 @@
     cluster.play(scene)
 
 
-def test_a_lease_won_after_its_end_is_taken_anew_though_the_try_at_once_was_refused():
+def test_lease_won_after_its_end_is_acquired_again_though_the_next_attempt_failed():
     """Kildespor, seed 1028: it lay on a holder that did not work, and all waited for its length again."""
 
     async def scene(day):
@@ -135,7 +135,7 @@
     cluster.play(scene)
 
 
-def test_a_candidate_takes_a_lease_soon_though_the_last_winner_is_cut_off():
+def test_candidate_acquires_a_lease_soon_though_the_last_winner_is_cut_off():
     """In a split just begun nobody suspects the last winner yet, and an order goes to it first."""
 
     async def scene(day):
--- a/tests/controlplane/test_partitioned_nodes.py
+++ b/tests/controlplane/test_partitioned_nodes.py
@@ -46,7 +46,7 @@
 
 # -- reads -------------------------------------------------------------------------------------------
 @pytest.mark.parametrize("page", PAGES)
-def test_a_control_node_just_cut_off_shows_nothing_and_says_so_at_once(page):
+def test_control_node_just_cut_off_refuses_reads_at_once(page):
     async def scene(day):
         day.cluster.partition_off(["agency-5"])
         # Well inside the freshness bound: by its age alone this node's copy still counts.
@@ -60,7 +60,7 @@
     cluster.play(scene)
 
 
-def test_a_change_that_is_not_known_yet_is_not_denied_by_a_node_cut_off():
+def test_control_node_cut_off_refuses_to_report_a_change_it_does_not_know():
     async def scene(day):
         day.cluster.partition_off(["agency-5"])
         await day.actors.order("agency-2", "change", [cluster.site_row(weight=7)], "mine")
@@ -70,7 +70,7 @@
     cluster.play(scene)
 
 
-def test_every_read_after_a_yes_shows_it_at_whatever_node():
+def test_read_after_a_confirmed_change_shows_it_at_every_node():
     async def scene(day):
         for weight in range(1, 13):
             await day.actors.order(f"agency-{weight % 5 + 1}", "change", [cluster.site_row(weight=weight)])
@@ -80,7 +80,7 @@
     cluster.play(scene)
 
 
-def test_a_read_settles_a_batch_that_a_majority_accepted_or_is_put_off():
+def test_read_shows_a_batch_that_a_majority_accepted_or_is_refused():
     async def scene(day):
         core = day.cluster.nodes["agency-1"].program.participant
         applied = core.context.configuration.applied
@@ -102,7 +102,7 @@
     cluster.play(scene)
 
 
-def test_reads_that_come_together_share_a_round():
+def test_concurrent_reads_share_a_heartbeat_round():
     async def scene(day):
         node = day.cluster.nodes["agency-1"]
         reads = reads_of(day, "agency-1")
@@ -115,7 +115,7 @@
     cluster.play(scene)
 
 
-def test_a_read_does_not_join_a_round_that_began_before_it_came():
+def test_read_does_not_join_a_round_that_began_before_it():
     async def scene(day):
         node = day.cluster.nodes["agency-1"]
         check = node.program.heartbeats[items.LEDGER]
@@ -140,7 +140,7 @@
 
 
 # -- orders ------------------------------------------------------------------------------------------
-def test_a_refusal_never_rests_on_rows_that_were_only_proposed():
+def test_order_is_not_refused_for_rows_that_were_only_proposed():
     """Two orders in one batch: the second was refused for the first, which then came to nothing."""
 
     async def scene(day):
@@ -168,7 +168,7 @@
     return await asyncio.gather(*waiting, return_exceptions=True)
 
 
-def test_an_order_whose_sender_hung_up_is_not_carried_out_later():
+def test_order_whose_sender_hung_up_is_not_decided_later():
     async def scene(day):
         node = day.cluster.nodes["agency-1"]
         day.cluster.partition_off(["agency-1"])
@@ -188,7 +188,7 @@
     cluster.play(scene)
 
 
-def test_a_forwarded_order_that_lay_in_a_frozen_voter_is_not_carried_out_after_its_opposite():
+def test_order_forwarded_to_a_frozen_voter_is_not_decided_after_a_later_opposite_order():
     async def scene(day):
         await day.actors.order("agency-2", "purge", [("tag", "vacancies")])
         frozen = day.cluster.nodes["agency-2"]
@@ -205,7 +205,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["cut", "freeze", "kill"])
-def test_changes_sent_in_pairs_to_the_node_that_returns_are_never_refused(trouble):
+def test_concurrent_changes_at_a_node_that_returns_are_not_refused(trouble):
     async def scene(day):
         node = day.cluster.nodes["agency-1"]
         first = await day.actors.order("agency-1", "change", [cluster.site_row(weight=1)])
--- a/tests/controlplane/test_voter_target.py
+++ b/tests/controlplane/test_voter_target.py
@@ -4,9 +4,9 @@
 
 import pytest
 from voter_cluster import (
-    BUILT,
-    CATCH_UP,
-    is_whole,
+    BUILD_SECONDS,
+    CATCH_UP_SECONDS,
+    has_full_voters,
     kill_and_wipe,
     play,
     voters,
@@ -19,9 +19,9 @@
 import irisstand.state.quorum as quorum
 
 
-def test_two_newcomers_for_one_place_leave_one_set_for_all_tables():
+def test_two_newcomers_for_one_lost_voter_leave_the_same_voters_in_all_tables():
     async def scene(world):
-        await world.wait_until(lambda: is_whole(world), BUILT)
+        await world.wait_until(lambda: has_full_voters(world), BUILD_SECONDS)
         lost = world.nodes["agency-5"]
         kill_and_wipe(lost)
         world.retire(lost)
@@ -30,15 +30,15 @@
                 name=f"agency-{number}", machine=f"m-{number}", host=f"10.0.0.9{number}"
             )
             await world.add(plan).start()
-        await world.wait_until(lambda: is_whole(world), CATCH_UP)
+        await world.wait_until(lambda: has_full_voters(world), CATCH_UP_SECONDS)
         assert len(voters(world)) == 5
 
     play(scene, "abcab")
 
 
-def test_sets_of_three_tables_that_disagree_are_made_one():
+def test_tables_with_different_voters_are_given_the_same():
     async def scene(world):
-        await world.wait_until(lambda: is_whole(world), BUILT)
+        await world.wait_until(lambda: has_full_voters(world), BUILD_SECONDS)
         await asyncio.sleep(2)
         node = world.nodes[voters(world)[0].name]
         copy = node.program.context.replicas[items.IDEMPOTENCY_KEYS]
@@ -46,14 +46,14 @@
         payload = (str(copy.version(items.VOTERS_KEY)), fewer)
         await node.do(node.program.submitter.submit(orders.Order("voters-claims", "", payload)), 3)
         assert len(voters(world, items.IDEMPOTENCY_KEYS)) == 3
-        await world.wait_until(lambda: is_whole(world), CATCH_UP)
+        await world.wait_until(lambda: has_full_voters(world), CATCH_UP_SECONDS)
 
     play(scene, "abcabc")
 
 
-def test_a_change_planned_from_an_older_set_or_into_a_weaker_one_is_refused():
+def test_voter_change_from_an_older_set_or_to_a_weaker_one_is_refused():
     async def scene(world):
-        await world.wait_until(lambda: is_whole(world), BUILT)
+        await world.wait_until(lambda: has_full_voters(world), BUILD_SECONDS)
         node = world.nodes[voters(world)[0].name]
         version = str(node.program.context.replicas[items.LEDGER].version(items.VOTERS_KEY))
         in_force = [tuple(voter) for voter in voters(world)]
@@ -79,7 +79,7 @@
     ]
 
 
-def test_the_target_is_the_widest_set_with_the_fewest_moves_and_never_smaller():
+def test_target_spans_most_sites_with_fewest_changes_and_is_never_smaller():
     for zones in ("abc", "aabbc", "aaabbcc", "abcdabcd", "aaaabcd", "abcdeabcdea"):
         pool = made(zones)
         for seeds in (pool[:3], pool[-3:], []):
--- a/tests/mutation/controlplane_mutations.py
+++ b/tests/mutation/controlplane_mutations.py
@@ -108,7 +108,7 @@
         "controlplane/api/operator_reads.py",
         "        await self.read_index.confirm(*items.TABLES)",
         "        self.context.check_current()",
-        "controlplane/test_partitioned_nodes.py::test_a_control_node_just_cut_off_shows_nothing_and_says_so_at_once",
+        "controlplane/test_partitioned_nodes.py::test_control_node_just_cut_off_refuses_reads_at_once",
     ),
     (
         "controlplane/changes/lease_changes.py",
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -114,7 +114,7 @@
         "controlplane/consensus/bootstrap.py",
         "        if not settings.may_found:",
         "        if False:",
-        "controlplane/test_bootstrap.py::test_disks_that_were_lost_never_found_a_core_anew",
+        "controlplane/test_bootstrap.py::test_nodes_whose_disks_were_all_lost_do_not_bootstrap_again",
     ),
     (
         "controlplane/consensus/bootstrap.py",
