--- a/src/irisstand/cli/develop.py
+++ b/src/irisstand/cli/develop.py
@@ -84,12 +84,12 @@
     *, first: int, days: int, seconds: float, workers: int, log: bool, kind: str
 ) -> None:
     """Run simulated days; exit code 1 if one of them broke an invariant."""
-    from irisstand.simulator import day_runner, simulated_day
+    from irisstand.simulator import day_kinds, day_runner
 
-    if kind not in simulated_day.KINDS:
-        raise click.BadParameter(f"no such kind of day; use one of {', '.join(simulated_day.KINDS)}")
+    if kind not in day_kinds.KINDS:
+        raise click.BadParameter(f"no such kind of day; use one of {', '.join(day_kinds.KINDS)}")
     seeds = range(first, first + days)
-    sys.exit(day_runner.simulate(seeds, seconds, workers, log, click.echo, kind))
+    sys.exit(day_runner.simulate(seeds, seconds, workers, log=log, print_line=click.echo, kind=kind))
 
 
 @click.command("fuzz-origins", help="Play hostile origins against a node. The invariants are checked.")
--- a/src/irisstand/localcluster/load_generator.py
+++ b/src/irisstand/localcluster/load_generator.py
@@ -140,7 +140,9 @@
         except (aiohttp.ClientError, TimeoutError) as error:
             self.no_answer("write", edge, error)
             refused = isinstance(error, aiohttp.ClientConnectorError)
-            self.checker.told[number] = "rejected" if refused else "unknown"
+            self.checker.write_results[number] = (
+                invariant_checker.WriteResult.REJECTED if refused else invariant_checker.WriteResult.UNKNOWN
+            )
 
     async def order(self, method: str, path: str, content: typing.Any = None) -> tuple[int, dict]:
         """An operator's call at the first control plane node that answers."""
--- a/src/irisstand/simulator/cluster_faults.py
+++ b/src/irisstand/simulator/cluster_faults.py
@@ -1,179 +1,171 @@
-"""Trouble that concerns many nodes, and orders given in the midst of it. A kind is an entry."""
+"""Faults of many nodes at once, and operators' orders given during faults. A kind is an entry."""
 
 import asyncio
 import collections
-import collections.abc
-import typing
 
 from irisstand import errors
-from irisstand.simulator import simulated_cluster
+from irisstand.simulator import fault_context, simulated_node
 
-BACK_WITHIN = 15.0
+SERVICE_BACK_LIMIT_SECONDS = 15.0
+LIKELIHOOD = 0.5
+ROLLED_NODES_LIMIT = 8
+RETURN_ATTEMPTS_LIMIT = 8
+HTTP_OK = 200
 
 
-def now() -> float:
-    return asyncio.get_running_loop().time()
-
-
-def some_control_node(trouble: typing.Any) -> str:
-    names = [node.placement.name for node in trouble.cluster.with_role("agency") if node.is_up]
-    return trouble.randomness.choice(names or [trouble.cluster.with_role("agency")[0].placement.name])
-
-
-async def herd(trouble: typing.Any) -> None:
-    """Half of all nodes at the same moment, here and there."""
-    nodes = [n for n in trouble.cluster.nodes.values() if n.is_up and n.placement.name not in trouble.busy]
-    nodes = [node for node in nodes if trouble.randomness.random() < 0.5]
-    trouble.busy |= {node.placement.name for node in nodes}
-    trouble.note("herd", " ".join(node.placement.name for node in nodes))
+async def kill_herd(faults: fault_context.FaultContext) -> None:
+    """Kill half of all nodes at the same moment."""
+    nodes = [node for node in faults.healthy_nodes() if faults.randomness.random() < LIKELIHOOD]
+    faults.affected |= {node.placement.name for node in nodes}
+    faults.record("herd", " ".join(node.placement.name for node in nodes))
     for node in nodes:
-        node.kill(reset=trouble.randomness.random() < 0.5)
-    await trouble.pause(0.2, 4)
-    trouble.note("mend", "herd")
+        node.kill(reset=faults.randomness.random() < LIKELIHOOD)
+    await faults.pause(0.2, 4)
+    faults.record("mend", "herd")
     for node in nodes:
-        await trouble.revive(node)
-        trouble.busy.discard(node.placement.name)
+        await faults.revive(node)
+        faults.release(node)
 
 
-async def roll(trouble: typing.Any) -> None:
-    """A rolling restart, node by node, as for an upgrade; each is waited for before the next."""
-    nodes = [n for n in trouble.cluster.nodes.values() if n.is_up and n.placement.name not in trouble.busy]
-    trouble.randomness.shuffle(nodes)
-    trouble.note("roll", str(len(nodes)))
-    for node in nodes[:8]:
-        if not node.is_up or node.placement.name in trouble.busy:
+async def roll(faults: fault_context.FaultContext) -> None:
+    """Restart nodes one after another, as for an upgrade."""
+    nodes = faults.healthy_nodes()
+    faults.randomness.shuffle(nodes)
+    faults.record("roll", str(len(nodes)))
+    for node in nodes[:ROLLED_NODES_LIMIT]:
+        if not node.is_up or node.placement.name in faults.affected:
             continue
-        trouble.busy.add(node.placement.name)
+        faults.affected.add(node.placement.name)
         await node.stop()
-        await trouble.revive(node)
-        trouble.busy.discard(node.placement.name)
-        await trouble.pause(0.2, 1)
+        await faults.revive(node)
+        faults.release(node)
+        await faults.pause(0.2, 1)
 
 
-async def evacuate(trouble: typing.Any) -> None:
-    """A site is evacuated, whatever else goes on, and taken back later."""
-    stage = trouble.cluster.actors
-    if any(entry[1] == float("inf") for entries in stage.evacuations.values() for entry in entries):
+async def evacuate(faults: fault_context.FaultContext) -> None:
+    """Evacuate a site and take it back later."""
+    actors = faults.cluster.actors
+    if any(entry[1] == float("inf") for entries in actors.evacuations.values() for entry in entries):
         return
-    site = trouble.randomness.choice(trouble.cluster.shape.sites)[0]
-    trouble.note("evacuate", site)
+    site = faults.randomness.choice(faults.cluster.shape.sites)[0]
+    faults.record("evacuate", site)
     entry = [float("inf"), float("inf")]
-    stage.evacuations[site].append(entry)
+    actors.evacuations[site].append(entry)
     try:
-        await stage.order(some_control_node(trouble), "evacuate", site)
-        entry[0] = now()
+        await actors.order(faults.pick_control_node(), "evacuate", site)
+        entry[0] = fault_context.now()
     except (errors.IrisError, TimeoutError):
         pass
-    await trouble.pause(6, 12)
-    entry[1] = now()
-    for _ in range(8):
+    await faults.pause(6, 12)
+    entry[1] = fault_context.now()
+    await take_back(faults, site)
+
+
+async def take_back(faults: fault_context.FaultContext, site: str) -> None:
+    """Order the return of a site until the order is confirmed."""
+    for _ in range(RETURN_ATTEMPTS_LIMIT):
         try:
-            await stage.order(some_control_node(trouble), "return", site)
-            return
+            await faults.cluster.actors.order(faults.pick_control_node(), "return", site)
         except (errors.IrisError, TimeoutError):
             await asyncio.sleep(1)
+        else:
+            return
 
 
-async def gone_after_yes(trouble: typing.Any) -> None:
-    """The node that has just confirmed a change loses its power, and often its disk, that very moment."""
-    control_nodes = trouble.cluster.with_role("agency")
-    wipe = trouble.randomness.random() < 0.5
-    if (
-        any(node.placement.name in trouble.busy or not node.is_up for node in control_nodes)
-        or trouble.change is None
-    ):
+async def kill_after_confirmation(faults: fault_context.FaultContext) -> None:
+    """Cut the power of a node right after it confirmed a change, and in half of the cases lose its disk."""
+    control_nodes = faults.cluster.with_role("agency")
+    is_wiped = faults.randomness.random() < LIKELIHOOD
+    if not all(node.is_up for node in control_nodes) or faults.change is None or not faults.may_lose_disk():
         return
-    if not all(trouble.is_voter(node) for node in control_nodes):
-        return
-    node = trouble.randomness.choice(control_nodes)
-    trouble.busy.add(node.placement.name)
-    trouble.note("gone-after-yes", f"{node.placement.name}{' wiped' if wipe else ''}")
-    await trouble.change(node.placement.name)
+    node = faults.randomness.choice(control_nodes)
+    faults.begin("gone-after-yes", node, " wiped" if is_wiped else "")
+    await faults.change(node.placement.name)
     if node.is_up:
         node.kill(reset=False)
-    if wipe:
+    if is_wiped:
         node.wipe()
-    await trouble.pause(0.1, 3)
-    await trouble.revive(node)
-    trouble.busy.discard(node.placement.name)
+    await faults.pause(0.1, 3)
+    await faults.revive(node)
+    faults.release(node)
 
 
-async def replace_core(trouble: typing.Any) -> None:
-    """A core machine is gone for good, and an empty one comes up at another place."""
-    world = trouble.cluster
-    control_nodes = world.with_role("agency")
-    if any(node.placement.name in trouble.busy or not node.is_up for node in control_nodes):
-        return
-    if not all(trouble.is_voter(node) for node in control_nodes):
+async def replace_core(faults: fault_context.FaultContext) -> None:
+    """Remove a core machine for good, and start an empty one elsewhere."""
+    cluster = faults.cluster
+    control_nodes = cluster.with_role("agency")
+    if not all(node.is_up for node in control_nodes) or not faults.may_lose_disk():
         return
-    old = trouble.randomness.choice(control_nodes)
-    partner = next(
-        (n for n in world.with_role("shield") if n.placement.machine == old.placement.machine), None
-    )
-    gone = [node for node in (old, partner) if node is not None and node.placement.name not in trouble.busy]
-    # Where the fewest others are, so that the loss of one site stays bearable.
+    old = faults.randomness.choice(control_nodes)
+    machine = old.placement.machine
+    shields = [node for node in cluster.with_role("shield") if node.placement.machine == machine]
+    removed = [node for node in (old, *shields[:1]) if node.placement.name not in faults.affected]
+    # Where the fewest others are, so that the loss of one site can still be survived.
     counts = collections.Counter(node.placement.site for node in control_nodes if node is not old)
-    site, region = min(world.shape.sites, key=lambda entry: counts[entry[0]])
-    trouble.note("core-replaced", f"{old.placement.name} by an empty one at {site}")
-    for node in gone:
+    site, region = min(cluster.shape.sites, key=lambda entry: counts[entry[0]])
+    faults.record("core-replaced", f"{old.placement.name} by an empty one at {site}")
+    for node in removed:
         node.kill(reset=False)
-        world.retire(node)
-    for node in gone:
-        number = len(world.nodes) + len(world.retired)
-        machine = f"{old.placement.machine}-spare-{len(world.retired)}"
-        name = f"{node.placement.role}-s{number}"
-        plan = simulated_cluster.NodePlacement(
-            name, node.placement.role, machine, site, region, f"10.0.2.{number}"
+        cluster.retire(node)
+    for node in removed:
+        number = len(cluster.nodes) + len(cluster.retired)
+        spare = f"{machine}-spare-{len(cluster.retired)}"
+        role = node.placement.role
+        placement = simulated_node.NodePlacement(
+            f"{role}-s{number}", role, spare, site, region, f"10.0.2.{number}"
         )
-        await world.add(plan).restart()
+        await cluster.add(placement).restart()
 
 
-async def total_loss(trouble: typing.Any) -> None:
-    """Everything at once, power and all; the disks are left. What was confirmed must be there again."""
-    trouble.held = True
-    # What else is going on ends first: this is one loss, of everything, and not a second one in a first.
-    while len([task for task in trouble.tasks if not task.done()]) > 1:
+async def total_loss(faults: fault_context.FaultContext) -> None:
+    """Cut the power of all nodes at once; the disks remain, and what was confirmed must be there again."""
+    faults.is_exclusive = True
+    # Other faults end first: this is one loss of everything, not a second one during a first.
+    while len([task for task in faults.tasks if not task.done()]) > 1:
         await asyncio.sleep(0.1)
-    await trouble.mend()
-    trouble.note("total-loss", "")
-    for node in trouble.cluster.nodes.values():
+    await faults.repair_all()
+    faults.record("total-loss", "")
+    for node in faults.cluster.nodes.values():
         node.kill(reset=False)
-    await trouble.pause(0.5, 5)
-    began = now()
-    for node in trouble.cluster.nodes.values():
+    await faults.pause(0.5, 5)
+    began = fault_context.now()
+    for node in faults.cluster.nodes.values():
         await node.restart()
-        await asyncio.sleep(trouble.randomness.uniform(0, 0.2))
-    back = await served_again(trouble, began)
-    trouble.cluster.actors.checker.check(
-        "after a total loss service is back within 15 s", back, f"at {began:.2f}"
-    )
-    trouble.held = False
-
-
-async def served_again(trouble: typing.Any, began: float) -> bool:
-    """Until every edge answers a read that goes all the way to an origin, and a write has run."""
-    stage, number = trouble.cluster.actors, 0
-    waiting = {node.placement.name for node in trouble.cluster.with_role("edge")}
-    written = False
-    while now() - began < BACK_WITHIN:
+        await asyncio.sleep(faults.randomness.uniform(0, 0.2))
+    is_back = await serves_again(faults, began)
+    rule = "after a total loss service is back within 15 s"
+    faults.cluster.actors.checker.check(rule, is_back, f"at {began:.2f}")
+    faults.is_exclusive = False
+
+
+async def serves_again(faults: fault_context.FaultContext, began: float) -> bool:
+    """Wait until every edge answers a read that goes to an origin, and a write has run; False if too late."""
+    actors = faults.cluster.actors
+    number = 0
+    waiting = {node.placement.name for node in faults.cluster.with_role("edge")}
+    has_written = False
+    while fault_context.now() - began < SERVICE_BACK_LIMIT_SECONDS:
         number += 1
         for edge in sorted(waiting):
             path = f"/vacancies/again-{began:.0f}-{number}"
-            if (await stage.ask(edge, "GET", path))[0] == 200:
+            if (await actors.ask(edge, "GET", path))[0] == HTTP_OK:
                 waiting.discard(edge)
-        edges = trouble.cluster.with_role("edge")
-        written = written or (await stage.write(edges[number % len(edges)].placement.name))[1] == 200
-        if not waiting and written:
+        edges = faults.cluster.with_role("edge")
+        if not has_written:
+            edge = edges[number % len(edges)].placement.name
+            has_written = (await actors.write(edge))[1] == HTTP_OK
+        if not waiting and has_written:
             return True
         await asyncio.sleep(0.1)
     return False
 
 
-REGISTRY: dict[str, collections.abc.Callable[[typing.Any], collections.abc.Awaitable[None]]] = {
-    "herd": herd,
+# The order counts: seeded days draw from it.
+REGISTRY: dict[str, fault_context.Fault] = {
+    "herd": kill_herd,
     "roll": roll,
     "evacuate": evacuate,
-    "gone-after-yes": gone_after_yes,
+    "gone-after-yes": kill_after_confirmation,
     "core-replaced": replace_core,
     "total-loss": total_loss,
 }
--- /dev/null
+++ b/src/irisstand/simulator/configuration_invariants.py
@@ -0,0 +1,187 @@
+"""Configuration invariants: which changes are in force, checked on reads, answers and tables."""
+
+import asyncio
+import collections
+import json
+import typing
+
+from irisstand import errors, node_context
+from irisstand.simulator import simulated_cluster
+from irisstand.state import items, versions
+
+IN_FORCE_GRACE_SECONDS = 2.0
+ATTEMPTS_LIMIT = 3
+HTTP_OK = 200
+NEVER_IN_FORCE = "/never-in-force"
+INVALID_CHANGE_RULE = "an invalid change is rejected whole"
+
+Row = dict[str, typing.Any]
+
+
+class OfferedValue(typing.NamedTuple):
+    """A value that may be in force from when it was sent; from its confirmation it is known to be.
+
+    Attributes:
+        value: The value of the row.
+        sent_at: Virtual time at which the change was sent.
+        confirmed_at: Virtual time of the confirmation; None: not confirmed.
+        version: The version under which it was confirmed.
+    """
+
+    value: typing.Any
+    sent_at: float
+    confirmed_at: float | None
+    version: versions.Version | None
+
+
+class ConfirmedValue(typing.NamedTuple):
+    """A value that is known to have been in force, and its version."""
+
+    value: typing.Any
+    version: versions.Version
+
+
+class ConfigurationInvariants:
+    """Sends changes, and checks what clients and tables show of them."""
+
+    def __init__(self, cluster: simulated_cluster.SimulatedCluster) -> None:
+        self.cluster = cluster
+        self.actors = cluster.actors
+        self.checker = cluster.actors.checker
+        self.offers: dict[str, list[OfferedValue]] = collections.defaultdict(list)
+        self.number = 0
+
+    # -- changes -------------------------------------------------------------------------------------
+    def add_confirmed(self, values: dict[str, typing.Any], version: str) -> None:
+        """Note values, by the names of their rows, that were confirmed just now."""
+        now = asyncio.get_running_loop().time()
+        for name, value in values.items():
+            self.offers[name].append(OfferedValue(value, now, now, versions.Version.parse(version)))
+
+    async def change(self, control_node: str, row: Row) -> None:
+        """Send a change that expects the node's version of the row, again while its outcome is unknown."""
+        name = f"path/{row['name']}"
+        configuration = self.cluster.nodes[control_node].program.context.configuration
+        expecting_row = {**row, "expected": str(configuration.version(name))}
+        # From here on the change may be in force, long before its sender learns of it.
+        offer = OfferedValue(row["value"], asyncio.get_running_loop().time(), None, None)
+        self.offers[name].append(offer)
+        self.number += 1
+        change_id = f"switch-{self.number}"
+        for attempt in range(ATTEMPTS_LIMIT):
+            try:
+                result = await self.actors.order(control_node, "change", [expecting_row], change_id)
+            except errors.StaleVersionError:
+                self.checker.results["change: another came first"] += 1
+                self.offers[name].remove(offer)
+                return
+            except errors.NoQuorumError:
+                self.checker.results["change: no majority"] += 1
+                # On a later attempt this may hide the unknown outcome of an earlier one.
+                if not attempt:
+                    self.offers[name].remove(offer)
+                return
+            except (errors.IrisError, TimeoutError):
+                # Unknown: under the same id every node must give the one true result.
+                control_node = self.another_node(control_node)
+            else:
+                self.confirm(name, offer, versions.Version.parse(result["serial"]))
+                return
+        self.checker.results["change: outcome unknown"] += 1
+
+    def confirm(self, name: str, offer: OfferedValue, version: versions.Version) -> None:
+        """Note the confirmation of a change, and check that no other value has its version."""
+        self.checker.results["change confirmed"] += 1
+        is_taken = any(other.version == version and other.value != offer.value for other in self.offers[name])
+        self.checker.check("two racing changes never both win", not is_taken, f"{name} {version}")
+        position = self.offers[name].index(offer)
+        now = asyncio.get_running_loop().time()
+        self.offers[name][position] = offer._replace(confirmed_at=now, version=version)
+
+    def another_node(self, control_node: str) -> str:
+        """Return another control plane node that is up, or the same if there is none."""
+        names = [node.placement.name for node in self.cluster.with_role("agency") if node.is_up]
+        return next((name for name in names if name != control_node), control_node)
+
+    async def send_invalid_change(self, control_node: str, row: Row) -> None:
+        """Send a valid row with an invalid one: neither may ever be in force."""
+        valid_row = {"kind": "path", "name": NEVER_IN_FORCE, "value": row["value"]}
+        try:
+            await self.actors.order(control_node, "change", [valid_row, row])
+            self.checker.check(INVALID_CHANGE_RULE, holds=False, example="it was confirmed")
+        except errors.InvalidChangeError:
+            self.checker.check(INVALID_CHANGE_RULE, holds=True)
+        except (errors.IrisError, TimeoutError):
+            pass
+
+    # -- reads ---------------------------------------------------------------------------------------
+    async def read_switch(self, edge: str, number: int) -> None:
+        """Read a path that changes point at different services, and check which service answered."""
+        name = f"/switch-{number}"
+        loop = asyncio.get_running_loop()
+        asked_at = loop.time()
+        response = await self.actors.ask(edge, "GET", name)
+        self.checker.results[f"switch {response.status}"] += 1
+        if response.status == HTTP_OK:
+            service = json.loads(response.result.body)["service"]
+            allowed = self.allowed_services(f"path/{name}", asked_at, loop.time())
+            rule = "a change is in force 2 s after the yes, and no node goes back"
+            self.checker.check(rule, service in allowed, f"{edge} {name}: {service} at {asked_at:.3f}")
+
+    def allowed_services(self, name: str, asked_at: float, answered_at: float) -> set[str]:
+        """Return the services that may answer: of the newest change surely in force, and of newer ones."""
+        offers = self.offers[name]
+        due = asked_at - IN_FORCE_GRACE_SECONDS
+        in_force = [offer for offer in offers if offer.confirmed_at is not None and offer.confirmed_at <= due]
+        newest = newest_confirmed(in_force)
+        return {
+            offer.value["grants"][0]["service"]
+            for offer in offers
+            if (offer.version is None or offer.version >= newest.version) and offer.sent_at <= answered_at
+        }
+
+    async def read_ungranted(self, edge: str) -> None:
+        """Read a path that no valid change ever allowed."""
+        response = await self.actors.ask(edge, "GET", NEVER_IN_FORCE)
+        rule = "no request reaches a service that no blueprint allowed"
+        self.checker.check(rule, response.status != HTTP_OK, f"{edge} answered")
+
+    # -- the end of a day ----------------------------------------------------------------------------
+    def close(self) -> None:
+        """Check the tables of all nodes that are up."""
+        contexts = {name: node.program.context for name, node in self.cluster.nodes.items() if node.is_up}
+        for name, context in contexts.items():
+            self.check_configuration(name, context)
+        for table in items.TABLES:
+            self.check_replicas(table, list(contexts.values()))
+        self.checker.results["rows watched"] += len(self.offers)
+
+    def check_configuration(self, node: str, context: node_context.NodeContext) -> None:
+        """Check that a node has each row as confirmed last, or as a newer change of unknown outcome."""
+        configuration = context.configuration
+        for key, offers in self.offers.items():
+            value = configuration.value(key)
+            version = configuration.version(key)
+            newest = newest_confirmed(offers)
+            is_confirmed = value == newest.value and version == newest.version
+            is_newer = version > newest.version and any(
+                offer.version is None and offer.value == value for offer in offers
+            )
+            rule = "the table read back is what was confirmed"
+            example = f"{node} {key}: {version} where {newest.version} was confirmed"
+            self.checker.check(rule, is_confirmed or is_newer, example)
+        is_absent = configuration.value(f"path/{NEVER_IN_FORCE}") is None
+        self.checker.check(INVALID_CHANGE_RULE, is_absent, node)
+
+    def check_replicas(self, table: str, contexts: list[node_context.NodeContext]) -> None:
+        """Check that replicas with the same applied version are equal; leases change all the time."""
+        replicas = [context.replicas[table] for context in contexts if table in context.replicas]
+        states = {(replica.applied, replica.root_digest()) for replica in replicas}
+        are_equal = len(states) == len({applied for applied, _ in states})
+        self.checker.check("all copies come out alike", are_equal, f"{table}: {states}")
+
+
+def newest_confirmed(offers: list[OfferedValue]) -> ConfirmedValue:
+    """Return the confirmed value with the highest version; of equal versions, the first."""
+    confirmed = [ConfirmedValue(offer.value, offer.version) for offer in offers if offer.version is not None]
+    return max(confirmed, key=lambda entry: entry.version)
--- a/src/irisstand/simulator/memory_disk.py
+++ b/src/irisstand/simulator/memory_disk.py
@@ -1,15 +1,26 @@
-"""A disk in memory: slow, stalled, full, torn, or lost, and holding only what was synced."""
+"""A disk in memory: slow, stalled, full, torn or lost; it holds only what was synced."""
 
 import asyncio
 import collections.abc
 import random
 
 from irisstand import errors
-from irisstand.state.storage import disk as disks
+from irisstand.state.storage import disk
+
+STALL_POLL_SECONDS = 0.05
+DEFAULT_WRITE_SECONDS = 0.002
 
 
 class MemoryDisk:
-    """Survives its process. What a kill cuts short may be on it in part, file by file."""
+    """Survives its process. Of a write that a kill cuts short some files may be on it.
+
+    Attributes:
+        files: Sealed contents by file name.
+        quarantined: Names of damaged files that were put aside.
+        stalled: No write ends.
+        full: Every write fails.
+        slowness: Longest time of one write, in seconds.
+    """
 
     def __init__(self, randomness: random.Random) -> None:
         self.randomness = randomness
@@ -17,47 +28,54 @@
         self.quarantined: list[str] = []
         self.stalled = False
         self.full = False
-        self.slowness = 0.002
+        self.slowness = DEFAULT_WRITE_SECONDS
         self.writes = 0
         self.removals = 0
 
     async def turn(self) -> None:
+        """Take the time of one disk operation."""
         await asyncio.sleep(self.randomness.uniform(0.1, 1.0) * self.slowness)
         while self.stalled:
-            await asyncio.sleep(0.05)
+            await asyncio.sleep(STALL_POLL_SECONDS)
 
     async def write(self, files: collections.abc.Sequence[tuple[str, bytes]]) -> None:
+        """Write files one after another.
+
+        Raises:
+            errors.DiskFullError: The disk is full; files written before it was are there.
+        """
         for name, content in files:
             await self.turn()
             if self.full:
                 raise errors.DiskFullError("the simulated disk is full")
-            self.files[name] = disks.add_checksum(content)
+            self.files[name] = disk.add_checksum(content)
             self.writes += 1
         await self.turn()
 
     async def remove(self, names: collections.abc.Sequence[str]) -> None:
-        # Renamed to be written anew, not deleted, so all together they cost no more than one turn.
+        """Remove files, all in the time of one operation: the real disk renames them for later use."""
         self.removals += 1
         await self.turn()
         for name in names:
             self.files.pop(name, None)
 
-    async def load(self) -> disks.LoadedFiles:
-        sound: dict[str, bytes] = {}
-        torn: list[str] = []
+    async def load(self) -> disk.LoadedFiles:
+        """Return the contents of intact files by name, and the names of damaged ones, which are removed."""
+        intact: dict[str, bytes] = {}
+        damaged: list[str] = []
         for name in sorted(self.files):
             try:
-                sound[name] = disks.strip_checksum(self.files[name])
+                intact[name] = disk.strip_checksum(self.files[name])
             except errors.TornFileError:
-                torn.append(name)
+                damaged.append(name)
                 del self.files[name]
-        return disks.LoadedFiles(sound, torn)
+        return disk.LoadedFiles(intact, damaged)
 
     def corrupt(self, part: str) -> int:
-        """Flip a byte in every file whose name has this part."""
-        named = [name for name in self.files if part in name]
-        for name in named:
+        """Flip a byte in every file whose name contains this part; return how many there are."""
+        names = [name for name in self.files if part in name]
+        for name in names:
             content = bytearray(self.files[name])
             content[-1] ^= 0xFF
             self.files[name] = bytes(content)
-        return len(named)
+        return len(names)
--- a/src/irisstand/simulator/memory_network.py
+++ b/src/irisstand/simulator/memory_network.py
@@ -1,73 +1,54 @@
-"""The network in memory: latency, loss, cuts; streams hold what is cut off, datagrams lose it."""
+"""The network in memory: latency, loss and partitions.
+
+Across a partition streams hold what is sent until it heals, as TCP does; datagrams are lost.
+"""
 
 import asyncio
 import collections
+import collections.abc
 import contextvars
-import random
 import typing
 
-from irisstand.simulator import virtual_time
+from irisstand.simulator import simulated_network, virtual_time
 from irisstand.transport import network
 
 RETRANSMIT_SECONDS = 0.2
+FRAME_HEADER_BYTES = 4
 
 
-class SimulatedNetwork:
-    """What lies between all machines. `cuts` holds pairs of hosts that cannot reach one another."""
-
-    def __init__(self, randomness: random.Random) -> None:
-        self.randomness = randomness
-        self.loss = 0.0
-        self.cuts: set[frozenset] = set()
-        self.regions: dict[str, str] = {}
-        self.listeners: dict[network.Address, tuple[virtual_time.Actor, network.OnStream]] = {}
-        self.ports: dict[network.Address, tuple[virtual_time.Actor, network.OnDatagram]] = {}
-        self.streams: list[MemoryStream] = []
-        self.bytes_sent: collections.Counter[str] = collections.Counter()
-
-    def delay(self, one: str, other: str) -> float:
-        base = 0.0002 if self.regions.get(one) == self.regions.get(other) else 0.006
-        return base * self.randomness.uniform(1.0, 1.5)
-
-    def is_machine_up(self, host: str) -> bool:
-        return any(at[0] == host for at in self.ports)
-
-    def is_cut(self, one: str, other: str) -> bool:
-        return one != other and frozenset((one, other)) in self.cuts
-
-    def cut(self, some: typing.Iterable[str], others: typing.Iterable[str]) -> None:
-        others = list(others)
-        self.cuts |= {frozenset((one, other)) for one in some for other in others if one != other}
-
-    def heal(self) -> None:
-        self.cuts.clear()
-
-    def drop(self, actor: virtual_time.Actor, reset: bool) -> None:
-        """A process is gone: its ports close, and its peers get a reset unless the power went too."""
-        self.listeners = {at: pair for at, pair in self.listeners.items() if pair[0] is not actor}
-        self.ports = {at: pair for at, pair in self.ports.items() if pair[0] is not actor}
-        for stream in self.streams:
-            if stream.actor is actor:
-                stream.closed = True
-                if reset:
-                    stream.reset_peer()
-        self.streams = [stream for stream in self.streams if not stream.closed]
+class MemoryStream:
+    """One end of a connection. Order is kept, and nothing is lost but with the connection.
 
+    Attributes:
+        peer: The other end; set by `connect` before the stream is used.
+        free_at: Virtual time at which what was written last arrives.
+        received: Payloads that have arrived; None: the other end closed the connection.
+    """
 
-class MemoryStream:
-    """One end of a connection. Order is kept, and nothing is lost but with the connection."""
+    peer: "MemoryStream"
 
     def __init__(
-        self, wires: SimulatedNetwork, actor: virtual_time.Actor | None, host: str, peer_host: str
+        self,
+        shared: simulated_network.SimulatedNetwork,
+        actor: virtual_time.Actor | None,
+        host: str,
+        peer_host: str,
     ) -> None:
-        self.network, self.actor, self.host, self.peer_host = wires, actor, host, peer_host
-        self.peer: MemoryStream | None = None
-        self.received: asyncio.Queue = asyncio.Queue()
+        self.network = shared
+        self.actor = actor
+        self.host = host
+        self.peer_host = peer_host
+        self.received: asyncio.Queue[bytes | None] = asyncio.Queue()
         self.closed = False
         self.free_at = 0.0
         self.empty = contextvars.Context()
 
     async def read(self) -> bytes:
+        """Return the next payload.
+
+        Raises:
+            ConnectionResetError: The connection is closed.
+        """
         if self.closed:
             raise ConnectionResetError("closed here")
         payload = await self.received.get()
@@ -77,13 +58,15 @@
         return payload
 
     def write(self, payload: bytes) -> None:
+        """Send a payload, unless the connection is closed."""
         if self.closed:
             return
-        self.network.bytes_sent[self.host] += len(payload) + 4
+        self.network.bytes_sent[self.host] += len(payload) + FRAME_HEADER_BYTES
         self.post(payload)
 
     def post(self, payload: bytes | None) -> None:
-        loop = asyncio.get_running_loop()
+        """Schedule the arrival of a payload, or of the end of the connection."""
+        loop = virtual_time.running_loop()
         if loop.ending:
             return
         # Never before what was written earlier, whatever the draw of the delay.
@@ -91,6 +74,7 @@
         loop.call_at(self.free_at, self.deliver, payload, context=self.empty.copy())
 
     def deliver(self, payload: bytes | None) -> None:
+        """Let a payload arrive, or try again later across a partition."""
         loop = asyncio.get_running_loop()
         if self.network.is_cut(self.host, self.peer_host):
             self.free_at = max(self.free_at, loop.time() + RETRANSMIT_SECONDS)
@@ -102,80 +86,119 @@
             self.received.put_nowait(None)
 
     async def flush(self) -> None:
+        """Return at once, since nothing is buffered.
+
+        Raises:
+            ConnectionResetError: The connection is closed.
+        """
         if self.closed:
             raise ConnectionResetError("closed")
 
     def close(self) -> None:
+        """Close both ends."""
         if not self.closed:
             self.closed = True
             self.received.put_nowait(None)
             self.post(None)
 
     def reset_peer(self) -> None:
+        """Close the other end."""
         self.post(None)
 
 
 class MemoryPort:
-    def __init__(self, wires: SimulatedNetwork, address: network.Address) -> None:
-        self.network, self.address = wires, address
+    """A datagram port of one host."""
+
+    def __init__(self, shared: simulated_network.SimulatedNetwork, address: network.Address) -> None:
+        self.network = shared
+        self.address = address
 
     def send(self, payload: bytes, address: network.Address) -> None:
-        wires = self.network
-        wires.bytes_sent[self.address[0]] += len(payload)
-        if wires.randomness.random() < wires.loss:
+        """Send a datagram, which may be lost."""
+        self.network.bytes_sent[self.address[0]] += len(payload)
+        if self.network.randomness.random() < self.network.loss:
             return
-        delay = wires.delay(self.address[0], address[0])
+        delay = self.network.delay(self.address[0], address[0])
         loop = asyncio.get_running_loop()
         loop.call_later(delay, self.arrive, payload, address, context=contextvars.Context())
 
     def arrive(self, payload: bytes, address: network.Address) -> None:
+        """Hand a datagram to the process at the address, if there is one and it can be reached."""
         target = self.network.ports.get(address)
         if target is not None and not self.network.is_cut(self.address[0], address[0]):
-            actor, on_datagram = target
             loop = asyncio.get_running_loop()
-            loop.call_soon(on_datagram, payload, self.address, context=actor.context.copy())
+            loop.call_soon(target.on_datagram, payload, self.address, context=target.actor.context.copy())
 
     def close(self) -> None:
+        """Receive no more datagrams."""
         self.network.ports.pop(self.address, None)
 
 
 class MemoryListener:
-    def __init__(self, wires: SimulatedNetwork, address: network.Address) -> None:
-        self.network, self.address = wires, address
+    """Accepts connections at an address until it is closed."""
+
+    def __init__(self, shared: simulated_network.SimulatedNetwork, address: network.Address) -> None:
+        self.network = shared
+        self.address = address
 
     def close(self) -> None:
+        """Accept no more connections."""
         self.network.listeners.pop(self.address, None)
 
 
 class HostNetwork:
-    """The network as one process is handed it."""
+    """The network as one process sees it (`transport.network.Network`)."""
 
-    def __init__(self, wires: SimulatedNetwork, host: str) -> None:
-        self.network, self.host = wires, host
+    def __init__(self, shared: simulated_network.SimulatedNetwork, host: str) -> None:
+        self.network = shared
+        self.host = host
 
     async def connect(self, address: network.Address) -> network.Stream:
-        wires = self.network
-        await asyncio.sleep(2 * wires.delay(self.host, address[0]))
-        while wires.is_cut(self.host, address[0]):
+        """Connect to an address; across a partition this takes until it heals.
+
+        Raises:
+            ConnectionRefusedError: Nobody listens there.
+        """
+        await asyncio.sleep(2 * self.network.delay(self.host, address[0]))
+        while self.network.is_cut(self.host, address[0]):
             await asyncio.sleep(RETRANSMIT_SECONDS)
-        if address not in wires.listeners:
+        if address not in self.network.listeners:
             raise ConnectionRefusedError(str(address))
-        actor, on_stream = wires.listeners[address]
-        here = MemoryStream(wires, virtual_time.ACTOR.get(), self.host, address[0])
-        there = MemoryStream(wires, actor, address[0], self.host)
-        here.peer, there.peer = there, here
-        wires.streams = [stream for stream in wires.streams if not stream.closed] + [here, there]
+        handler = self.network.listeners[address]
+        own_end = MemoryStream(self.network, virtual_time.ACTOR.get(), self.host, address[0])
+        other_end = MemoryStream(self.network, handler.actor, address[0], self.host)
+        own_end.peer = other_end
+        other_end.peer = own_end
+        open_streams = [stream for stream in self.network.streams if not stream.closed]
+        self.network.streams = [*open_streams, own_end, other_end]
         loop = asyncio.get_running_loop()
-        loop.call_soon(self.accept, on_stream, there, context=actor.context.copy())
-        return here
+        loop.call_soon(self.accept, handler.on_stream, other_end, context=handler.actor.context.copy())
+        return own_end
 
     def accept(self, on_stream: network.OnStream, stream: MemoryStream) -> None:
-        asyncio.get_running_loop().create_task(on_stream(stream))
+        """Let the listening process serve a new connection."""
+        # An `async def` in all cases, though the type promises only something awaitable.
+        serve = typing.cast(collections.abc.Coroutine[typing.Any, typing.Any, None], on_stream(stream))
+        asyncio.get_running_loop().create_task(serve)
 
     async def listen(self, address: network.Address, on_stream: network.OnStream) -> MemoryListener:
-        self.network.listeners[address] = (virtual_time.ACTOR.get(), on_stream)
+        """Accept connections as the process that runs now."""
+        self.network.listeners[address] = simulated_network.StreamHandler(current_actor(), on_stream)
         return MemoryListener(self.network, address)
 
     async def datagrams(self, address: network.Address, on_datagram: network.OnDatagram) -> MemoryPort:
-        self.network.ports[address] = (virtual_time.ACTOR.get(), on_datagram)
+        """Receive datagrams as the process that runs now."""
+        self.network.ports[address] = simulated_network.DatagramHandler(current_actor(), on_datagram)
         return MemoryPort(self.network, address)
+
+
+def current_actor() -> virtual_time.Actor:
+    """Return the simulated process that runs now.
+
+    Raises:
+        RuntimeError: None does.
+    """
+    actor = virtual_time.ACTOR.get()
+    if actor is None:
+        raise RuntimeError("only a simulated process opens ports")
+    return actor
--- a/src/irisstand/simulator/origin_faults.py
+++ b/src/irisstand/simulator/origin_faults.py
@@ -1,111 +1,121 @@
-"""Trouble with origins: down, faulty, slow, leaving, replaced, addresses handed over. A kind is an entry."""
+"""Faults of origins: down, faulty, slow, leaving, replaced, addresses reused. A kind is an entry."""
 
-import asyncio
-import collections.abc
-import typing
+from irisstand.simulator import fault_context, simulated_origins
 
-WARMUP = 4.0
-FAULTS = ("lose-answer", "wrong-digest", "no-seal", "short", "wrong-request", "fails")
+WARMUP_SECONDS = 4.0
+NORMAL_DELAY_SECONDS = simulated_origins.NORMAL_DELAY_SECONDS
+ANSWER_FAULTS = ("lose-answer", "wrong-digest", "no-seal", "short", "wrong-request", "fails")
+SERVICES = ("content", "application")
 
 
-def now() -> float:
-    return asyncio.get_running_loop().time()
-
-
-async def down(trouble: typing.Any) -> None:
-    origin = trouble.randomness.choice(trouble.cluster.actors.origins)
-    trouble.note("origin-down", origin.instance)
-    origin.warmup = WARMUP
+async def stop(faults: fault_context.FaultContext) -> None:
+    """Crash an origin; the platform goes on listing it as ready, and it comes back cold."""
+    origin = faults.randomness.choice(faults.cluster.actors.origins)
+    faults.record("origin-down", origin.instance)
+    origin.warmup = WARMUP_SECONDS
     origin.up = False
-    await trouble.pause(0.3, 5)
-    # The platform lags: it goes on calling it ready, and it is cold.
+    await faults.pause(0.3, 5)
     origin.up = True
 
 
-async def fault(trouble: typing.Any) -> None:
-    origin = trouble.randomness.choice(trouble.cluster.actors.origins)
-    kind = trouble.randomness.choice(FAULTS)
-    trouble.note(f"origin {kind}", origin.instance)
+async def spoil_answers(faults: fault_context.FaultContext) -> None:
+    """Let an origin spoil its answers in one way for a while."""
+    origin = faults.randomness.choice(faults.cluster.actors.origins)
+    kind = faults.randomness.choice(ANSWER_FAULTS)
+    faults.record(f"origin {kind}", origin.instance)
     origin.faults.add(kind)
-    await trouble.pause(0.3, 4)
+    await faults.pause(0.3, 4)
     origin.faults.discard(kind)
 
 
-async def slow(trouble: typing.Any) -> None:
-    """All origins of a service: while their answers are under way, purges strike and lives end."""
-    service = trouble.randomness.choice(("content", "application"))
-    chosen = [origin for origin in trouble.cluster.actors.origins if origin.service == service]
-    trouble.note("origin-slow", service)
+async def slow_down(faults: fault_context.FaultContext) -> None:
+    """Slow all origins of a service, so that purges and expiry meet answers in flight."""
+    service = faults.randomness.choice(SERVICES)
+    chosen = [origin for origin in faults.cluster.actors.origins if origin.service == service]
+    faults.record("origin-slow", service)
     for origin in chosen:
-        origin.delay = trouble.randomness.uniform(0.5, 2.8)
-    await trouble.pause(1, 5)
+        origin.delay = faults.randomness.uniform(0.5, 2.8)
+    await faults.pause(1, 5)
     for origin in chosen:
-        origin.delay = 0.003
+        origin.delay = NORMAL_DELAY_SECONDS
 
 
-def replace(trouble: typing.Any, old: typing.Any) -> typing.Any:
-    """A new and cold one takes its place in the platform's list."""
-    stage = trouble.cluster.actors
-    stage.unlist(old)
+def replace(
+    faults: fault_context.FaultContext, old: simulated_origins.SimulatedOrigin
+) -> simulated_origins.SimulatedOrigin:
+    """Let a new and cold origin take an old one's place in the platform's list, and return it."""
+    actors = faults.cluster.actors
+    actors.unlist(old)
     old.up = False
-    region = trouble.cluster.network.regions[old.host]
-    fresh = stage.add_origin(old.service, f"{old.service}-n{len(stage.all_origins)}", old.site, region)
-    fresh.state, fresh.warmup = "cold", WARMUP
-    fresh.cold.append((now(), WARMUP))
-    return fresh
+    region = faults.cluster.network.regions[old.host]
+    name = f"{old.service}-n{len(actors.all_origins)}"
+    successor = actors.add_origin(old.service, name, old.site, region)
+    mark_cold(successor)
+    return successor
+
+
+def mark_cold(origin: simulated_origins.SimulatedOrigin) -> None:
+    """Let an origin be listed as cold from now on."""
+    origin.state = "cold"
+    origin.warmup = WARMUP_SECONDS
+    origin.cold.append((fault_context.now(), WARMUP_SECONDS))
 
 
-def staying(trouble: typing.Any) -> list:
-    return [origin for origin in trouble.cluster.actors.origins if origin.state != "leaving" and origin.up]
+def staying_origins(faults: fault_context.FaultContext) -> list[simulated_origins.SimulatedOrigin]:
+    """Return the listed origins that are up and do not leave."""
+    return [origin for origin in faults.cluster.actors.origins if origin.state != "leaving" and origin.up]
 
 
-async def leave(trouble: typing.Any) -> None:
-    """One leaves in order, is gone, and another comes in its place, cold."""
-    chosen = staying(trouble)
-    if not chosen or not trouble.cluster.actors.platform_up:
+async def leave(faults: fault_context.FaultContext) -> None:
+    """Let an origin leave in order, and a cold one take its place."""
+    candidates = staying_origins(faults)
+    if not candidates or not faults.cluster.actors.platform_up:
         return
-    old = trouble.randomness.choice(chosen)
-    trouble.note("origin-leaves", old.instance)
+    old = faults.randomness.choice(candidates)
+    faults.record("origin-leaves", old.instance)
     old.state = "leaving"
-    old.leaves.append([now(), float("inf")])
-    await trouble.pause(2.5, 6)
-    if old in trouble.cluster.actors.origins:
-        replace(trouble, old)
+    old.leaves.append([fault_context.now(), float("inf")])
+    await faults.pause(2.5, 6)
+    if old in faults.cluster.actors.origins:
+        replace(faults, old)
 
 
-async def replace_all(trouble: typing.Any) -> None:
-    """Every origin of a service at once, by cold ones: nothing warm is left to lean on."""
-    service = trouble.randomness.choice(("content", "application"))
-    trouble.note("origins-replaced", service)
-    for old in [origin for origin in trouble.cluster.actors.origins if origin.service == service]:
-        replace(trouble, old)
+async def replace_all(faults: fault_context.FaultContext) -> None:
+    """Replace all origins of a service by cold ones at once."""
+    service = faults.randomness.choice(SERVICES)
+    faults.record("origins-replaced", service)
+    for old in [origin for origin in faults.cluster.actors.origins if origin.service == service]:
+        replace(faults, old)
 
 
-async def hand_over(trouble: typing.Any) -> None:
-    """An origin vanishes, and another service answers at its address; the platform lags behind it."""
-    stage = trouble.cluster.actors
-    chosen = staying(trouble)
-    if not chosen:
+async def hand_over(faults: fault_context.FaultContext) -> None:
+    """Let an origin vanish and one of the other service answer at its address; the platform lags."""
+    actors = faults.cluster.actors
+    candidates = staying_origins(faults)
+    if not candidates:
         return
-    old = trouble.randomness.choice(chosen)
+    old = faults.randomness.choice(candidates)
     service = "application" if old.service == "content" else "content"
-    trouble.note("address-handed-over", f"{old.instance} to {service}")
+    faults.record("address-handed-over", f"{old.instance} to {service}")
     old.up = False
-    fresh = type(old)(service, f"{service}-h{len(stage.all_origins)}", old.site, stage.records)
-    fresh.host, fresh.port, fresh.warmup, fresh.state = old.host, old.port, WARMUP, "cold"
-    fresh.cold.append((now(), WARMUP))
-    stage.at[(old.host, old.port)] = fresh
-    stage.all_origins.append(fresh)
-    await trouble.pause(0.5, 3)
-    if old in stage.origins:
-        stage.unlist(old)
-        stage.origins.append(fresh)
-
-
-REGISTRY: dict[str, collections.abc.Callable[[typing.Any], collections.abc.Awaitable[None]]] = {
-    "origin-down": down,
-    "origin-fault": fault,
-    "origin-slow": slow,
+    name = f"{service}-h{len(actors.all_origins)}"
+    successor = simulated_origins.SimulatedOrigin(service, name, old.site, actors.records)
+    successor.host = old.host
+    successor.port = old.port
+    mark_cold(successor)
+    actors.at[(old.host, old.port)] = successor
+    actors.all_origins.append(successor)
+    await faults.pause(0.5, 3)
+    if old in actors.origins:
+        actors.unlist(old)
+        actors.origins.append(successor)
+
+
+# The order counts: seeded days draw from it.
+REGISTRY: dict[str, fault_context.Fault] = {
+    "origin-down": stop,
+    "origin-fault": spoil_answers,
+    "origin-slow": slow_down,
     "origin-leaves": leave,
     "origins-replaced": replace_all,
     "address-handed-over": hand_over,
--- a/src/irisstand/simulator/origin_invariants.py
+++ b/src/irisstand/simulator/origin_invariants.py
@@ -1,99 +1,137 @@
-"""What is judged at the origins' door: ceilings, cold and leaving origins, evacuations, second tries."""
+"""Invariants at the origins: limits, cold and leaving origins, evacuations, retries.
+
+They are checked on the origins' own records when the day is over; what the network believes is not asked.
+"""
 
 import bisect
 import typing
 
 from irisstand.balancing import slow_start
+from irisstand.simulator import simulated_cluster, simulated_origins
+
+LEAVING_GRACE_SECONDS = 2.0
+EVACUATION_GRACE_SECONDS = 5.0
+RATE_WINDOW_SECONDS = 1.0
+RETRY_WINDOW_SECONDS = 10
+RETRY_SHARE = 0.2
+
+
+class ServiceLimit(typing.NamedTuple):
+    """The most that a service may get: requests per second, and requests in flight."""
 
-GRACE = 2.0
-EVACUATED_GRACE = 5.0
+    rate: int
+    in_flight: int
+
+
+ServiceLimits = dict[str, ServiceLimit]
 
 
 class OriginInvariants:
-    """Looks at the origins' records when the day is over; what the network believes is not asked."""
+    """Checks the origins' records of one day against the limits of their services."""
 
-    def __init__(self, world: typing.Any, ceilings: dict[str, tuple[int, int]]) -> None:
-        self.cluster, self.actors, self.checker = world, world.actors, world.actors.checker
-        self.ceilings = ceilings
+    def __init__(
+        self, cluster: simulated_cluster.SimulatedCluster, limits: dict[str, tuple[int, int]]
+    ) -> None:
+        self.cluster = cluster
+        self.actors = cluster.actors
+        self.checker = cluster.actors.checker
+        self.limits = {service: ServiceLimit(*limit) for service, limit in limits.items()}
 
     def close(self) -> None:
-        for service, ceiling in self.ceilings.items():
+        """Check all records."""
+        for service, limit in self.limits.items():
             origins = [origin for origin in self.actors.all_origins if origin.service == service]
-            self.check_rate(service, origins, ceiling[0])
-            self.check_inflight(service, origins, ceiling[1])
+            self.check_rate(service, origins, limit.rate)
+            self.check_in_flight(service, origins, limit.in_flight)
+            even_share = limit.rate / max(1, self.actors.counts[service])
             for origin in origins:
-                self.check_cold(origin, ceiling[0] / max(1, self.actors.counts[service]))
+                self.check_cold(origin, even_share)
                 self.check_leaving(origin)
                 self.check_evacuated(origin)
-        self.check_second_tries()
+        self.check_retries()
 
-    def check_rate(self, service: str, origins: list, limit: int) -> None:
+    def check_rate(self, service: str, origins: list[simulated_origins.SimulatedOrigin], limit: int) -> None:
+        """Check the rate in the second before each request."""
+        rule = "no service gets more requests in any one second than its ceiling"
         moments = sorted(moment for origin in origins for moment, _ in origin.started)
-        for place, moment in enumerate(moments):
-            count = place + 1 - bisect.bisect_right(moments, moment - 1.0)
-            rule = "no service gets more requests in any one second than its ceiling"
+        for position, moment in enumerate(moments):
+            count = position + 1 - bisect.bisect_right(moments, moment - RATE_WINDOW_SECONDS)
             self.checker.check(rule, count <= limit, f"{service}: {count} of {limit} at {moment:.3f}")
 
-    def check_inflight(self, service: str, origins: list, limit: int) -> None:
+    def check_in_flight(
+        self, service: str, origins: list[simulated_origins.SimulatedOrigin], limit: int
+    ) -> None:
+        """Check the number of requests in flight at the start of each; ends of a moment come first."""
+        rule = "no service has more under way than its ceiling"
         events = [(start, 1) for origin in origins for start, _ in origin.spans]
         events += [(end, -1) for origin in origins for _, end in origin.spans]
         count = 0
-        # Ends before starts of the same moment.
         for moment, step in sorted(events):
             count += step
             if step > 0:
-                rule = "no service has more under way than its ceiling"
                 self.checker.check(rule, count <= limit, f"{service}: {count} of {limit} at {moment:.3f}")
 
-    def check_cold(self, origin: typing.Any, even: float) -> None:
-        """In any one second: its warmth's part of an even share, and one more for each shield."""
+    def check_cold(self, origin: simulated_origins.SimulatedOrigin, even_share: float) -> None:
+        """Check that a warming origin gets its part of an even share, and one request more per shield."""
+        rule = "a cold origin gets no more than its warmth allows"
         moments = [moment for moment, _ in origin.started]
         for began, lasts in origin.cold:
             first = bisect.bisect_left(moments, began)
-            for place in range(first, bisect.bisect_left(moments, began + lasts)):
-                moment = moments[place]
-                count = place + 1 - bisect.bisect_right(moments, max(began, moment - 1.0))
-                limit = even * slow_start.warm_fraction(moment - began, lasts) + self.cluster.shape.shields
-                rule = "a cold origin gets no more than its warmth allows"
+            for position in range(first, bisect.bisect_left(moments, began + lasts)):
+                moment = moments[position]
+                window_start = max(began, moment - RATE_WINDOW_SECONDS)
+                count = position + 1 - bisect.bisect_right(moments, window_start)
+                warmth = slow_start.warm_fraction(moment - began, lasts)
+                limit = even_share * warmth + self.cluster.shape.shields
                 example = f"{origin.instance}: {count} over {limit:.1f} at {moment:.3f}"
                 self.checker.check(rule, count <= limit, f"{example}, cold since {began:.3f}")
 
-    def check_leaving(self, origin: typing.Any) -> None:
-        for said_at, until in origin.leaves:
-            due = self.heard_by(said_at) + GRACE
+    def check_leaving(self, origin: simulated_origins.SimulatedOrigin) -> None:
+        """Check that an origin which is listed as leaving gets no new work."""
+        rule = "a leaving origin gets no new work 2 s after the platform says so"
+        for listed_at, until in origin.leaves:
+            due = self.learnable_at(listed_at) + LEAVING_GRACE_SECONDS
             late = [moment for moment, _ in origin.started if due < moment < until]
-            rule = "a leaving origin gets no new work 2 s after the platform says so"
-            self.checker.check(rule, not late, f"{origin.instance} said {said_at:.2f}: work at {late[:3]}")
+            self.checker.check(rule, not late, f"{origin.instance} said {listed_at:.2f}: work at {late[:3]}")
 
-    def heard_by(self, said_at: float) -> float:
-        """When somebody could first have asked the platform after it said so."""
-        moment = said_at
+    def learnable_at(self, listed_at: float) -> float:
+        """Return when the first node could have learned what the platform listed at a moment."""
+        moment = listed_at
         for began, ended in sorted(self.actors.platform_outages):
-            if began <= moment + GRACE and ended > moment:
+            if began <= moment + LEAVING_GRACE_SECONDS and ended > moment:
                 moment = max(moment, ended)
         return moment
 
-    def check_evacuated(self, origin: typing.Any) -> None:
+    def check_evacuated(self, origin: simulated_origins.SimulatedOrigin) -> None:
+        """Check that an origin of an evacuated site gets no new work."""
+        rule = "an evacuated site gets no new work after 5 s"
         for confirmed_at, returned_at in self.actors.evacuations[origin.site]:
-            due = confirmed_at + EVACUATED_GRACE
+            due = confirmed_at + EVACUATION_GRACE_SECONDS
             late = [moment for moment, _ in origin.started if due < moment < returned_at]
-            rule = "an evacuated site gets no new work after 5 s"
             self.checker.check(rule, not late, f"{origin.instance} since {confirmed_at:.2f}: {late[:3]}")
 
-    def check_second_tries(self) -> None:
-        """In any ten seconds: a fifth of the traffic at the origins, plus one for each node."""
-        first, second, seen = [], [], set()
-        for origin in self.actors.all_origins:
-            first += origin.started
-        for moment, request_id in sorted(first):
-            if request_id in seen:
-                second.append(moment)
-            seen.add(request_id)
-        moments = sorted(moment for moment, _ in first)
+    def check_retries(self) -> None:
+        """Check that retries stay within a share of the traffic, and one more for each node."""
+        rule = "second tries stay within a fifth of the traffic in any 10 s"
+        requests = sorted(request for origin in self.actors.all_origins for request in origin.started)
+        moments = [moment for moment, _ in requests]
+        retries = retry_moments(requests)
         allowance = len(self.cluster.with_role("edge")) + len(self.cluster.with_role("shield"))
-        for moment in second:
-            low, high = bisect.bisect_left(moments, moment - 10), bisect.bisect_right(moments, moment)
-            tries = sum(moment - 10 <= other <= moment for other in second)
-            limit = 0.2 * (high - low - tries) + allowance
-            rule = "second tries stay within a fifth of the traffic in any 10 s"
-            self.checker.check(rule, tries <= limit, f"{tries} of {high - low} at {moment:.2f}")
+        for moment in retries:
+            window_start = moment - RETRY_WINDOW_SECONDS
+            first = bisect.bisect_left(moments, window_start)
+            total = bisect.bisect_right(moments, moment) - first
+            count = sum(window_start <= other <= moment for other in retries)
+            limit = RETRY_SHARE * (total - count) + allowance
+            self.checker.check(rule, count <= limit, f"{count} of {total} at {moment:.2f}")
+
+
+def retry_moments(requests: list[tuple[float, str]]) -> list[float]:
+    """Return the times of requests whose id an origin had seen before, from (time, id) in order."""
+    seen: set[str] = set()
+    moments = []
+    for moment, request_id in requests:
+        if request_id in seen:
+            moments.append(moment)
+        seen.add(request_id)
+    return moments
--- a/src/irisstand/simulator/propagation_benchmark.py
+++ b/src/irisstand/simulator/propagation_benchmark.py
@@ -1,13 +1,23 @@
-"""Storms of changes and purges at several core nodes at once, measured in virtual time."""
+"""Propagation benchmark: changes and purges at all core nodes at once, measured in virtual time."""
 
 import asyncio
 import typing
 
 from irisstand import errors
-from irisstand.simulator import simulated_day, virtual_time
+from irisstand.simulator import day_kinds, simulated_day, virtual_time
+
+# Before the measurement quota shares and standbys come to rest.
+SETTLE_SECONDS = 40
+ROWS_IN_A_CHANGE_LIMIT = 500
+CORE_NODES = 5
+INVALID_EACH = 10
+QUANTILE = 0.99
+COUNTERS = ("ballots_held", "ballots_lost", "batches_confirmed")
 
 
 class PropagationFigures(typing.NamedTuple):
+    """What one run measured; latencies (`middle`: the median, `slowest`: of 99 in 100) in seconds."""
+
     confirmed: int
     refused: int
     not_confirmed: int
@@ -19,78 +29,102 @@
     bytes_each_second: float
 
 
+class Order(typing.NamedTuple):
+    """An operator's order."""
+
+    kind: str
+    payload: list[typing.Any]
+
+
 class PropagationBenchmark:
-    """Each client sends its next order as soon as the last is answered; every tenth order is invalid."""
+    """Clients that each send the next order once the last is answered; every tenth order is invalid.
+
+    Args:
+        seed: Seed of the run.
+        clients: Number of clients.
+        seconds: How long they send, in virtual seconds.
+        rows: Rows that are in the configuration before.
+    """
 
     def __init__(self, seed: int, clients: int, seconds: float, rows: int) -> None:
-        self.day = simulated_day.SimulatedDay(
-            seed, 0, simulated_day.DayKind(ceilings=simulated_day.HIGH_LIMITS)
-        )
+        kind = day_kinds.DayKind(limits=day_kinds.HIGH_LIMITS)
+        self.day = simulated_day.SimulatedDay(seed, 0, kind)
+        self.clients = clients
+        self.seconds = seconds
         self.rows = rows
-        self.clients, self.seconds = clients, seconds
         self.latencies: list[float] = []
         self.refused = 0
         self.not_confirmed = 0
 
-    def counted(self, name: str) -> float:
-        return sum(node.program.context.counters.total(name) for node in self.day.cluster.with_role("agency"))
-
     async def run(self) -> PropagationFigures:
+        """Run the clients and return what was measured."""
         await self.day.open()
         await self.fill()
-        # Let the shares and the rota come to rest, so that only the storm is measured.
-        await asyncio.sleep(40)
-        names = ("ballots_held", "ballots_lost", "batches_confirmed")
-        before = [self.counted(name) for name in names]
+        await asyncio.sleep(SETTLE_SECONDS)
+        counts_before = [self.counted(name) for name in COUNTERS]
         bytes_before = self.day.cluster.network.bytes_sent.total()
-        await asyncio.gather(*(self.client(number) for number in range(self.clients)))
-        counts = [self.counted(name) - old for name, old in zip(names, before, strict=True)]
-        sent = self.day.cluster.network.bytes_sent.total() - bytes_before
+        await asyncio.gather(*(self.run_client(number) for number in range(self.clients)))
+        held, lost, batches = (
+            self.counted(name) - before for name, before in zip(COUNTERS, counts_before, strict=True)
+        )
+        bytes_sent = self.day.cluster.network.bytes_sent.total() - bytes_before
         ordered = sorted(self.latencies)
         return PropagationFigures(
-            len(ordered),
-            self.refused,
-            self.not_confirmed,
-            ordered[len(ordered) // 2],
-            ordered[int(len(ordered) * 0.99)],
-            *counts,
-            sent / self.seconds / len(self.day.cluster.nodes),
+            confirmed=len(ordered),
+            refused=self.refused,
+            not_confirmed=self.not_confirmed,
+            middle=ordered[len(ordered) // 2],
+            slowest=ordered[int(len(ordered) * QUANTILE)],
+            ballots_held=held,
+            ballots_lost=lost,
+            batches=batches,
+            bytes_each_second=bytes_sent / self.seconds / len(self.day.cluster.nodes),
         )
 
+    def counted(self, name: str) -> float:
+        """Return the sum of a counter over the control plane nodes."""
+        nodes = self.day.cluster.with_role("agency")
+        return float(sum(node.program.context.counters.total(name) for node in nodes))
+
     async def fill(self) -> None:
-        """Rows that lie in the table and are not touched by the storm."""
+        """Add rows that the clients do not touch."""
         grants = [{"service": "content", "methods": ["GET"]}]
         rows = [
             {"kind": "path", "name": f"/filled/{number}", "value": {"grants": grants}}
             for number in range(self.rows)
         ]
-        for first in range(0, len(rows), 500):
-            await self.day.actors.order("agency-1", "change", rows[first : first + 500])
+        for first in range(0, len(rows), ROWS_IN_A_CHANGE_LIMIT):
+            await self.day.actors.order("agency-1", "change", rows[first : first + ROWS_IN_A_CHANGE_LIMIT])
 
-    async def client(self, number: int) -> None:
+    async def run_client(self, number: int) -> None:
+        """Send orders until the time is over."""
         loop = asyncio.get_running_loop()
         end = loop.time() + self.seconds
-        control_node = f"agency-{number % 5 + 1}"
+        control_node = f"agency-{number % CORE_NODES + 1}"
         count = 0
         while loop.time() < end:
             count += 1
-            kind, payload = self.order(number, count)
+            order = make_order(number, count)
             started = loop.time()
             try:
-                await self.day.actors.order(control_node, kind, payload)
+                await self.day.actors.order(control_node, order.kind, order.payload)
                 self.latencies.append(loop.time() - started)
             except (errors.InvalidChangeError, errors.StaleVersionError):
                 self.refused += 1
             except (errors.IrisError, TimeoutError):
                 self.not_confirmed += 1
 
-    def order(self, number: int, count: int) -> tuple[str, typing.Any]:
-        if count % 10 == 0:
-            return "change", [simulated_day.switch_row(number % simulated_day.SWITCHES, "nobody")]
-        if number % 2:
-            return "change", [{"kind": "site", "name": f"storm-{number}", "value": {"weight": count % 1000}}]
-        return "purge", [("path", f"/vacancies/{count % 50}")]
+
+def make_order(client: int, count: int) -> Order:
+    """Return a client's order by its count: invalid ones, changes and purges."""
+    if count % INVALID_EACH == 0:
+        return Order("change", [day_kinds.switch_row(client % day_kinds.SWITCHES, "nobody")])
+    if client % 2:
+        row = {"kind": "site", "name": f"storm-{client}", "value": {"weight": count % 1000}}
+        return Order("change", [row])
+    return Order("purge", [("path", f"/vacancies/{count % 50}")])
 
 
 def measure(seed: int, clients: int, seconds: float, rows: int) -> PropagationFigures:
+    """Run the benchmark once in virtual time."""
     return virtual_time.run(PropagationBenchmark(seed, clients, seconds, rows).run())
--- a/src/irisstand/simulator/simulated_actors.py
+++ b/src/irisstand/simulator/simulated_actors.py
@@ -1,4 +1,4 @@
-"""Stand-ins inside the simulator: the platform, clients and operators around the origins."""
+"""Actors around the simulated network: the platform, operators and clients, with what they are told."""
 
 import asyncio
 import collections
@@ -8,36 +8,80 @@
 from irisstand import errors
 from irisstand.controlplane.changes import orders
 from irisstand.controlplane.singletons import origin_source
-from irisstand.dataplane.nodes import edge as edges
+from irisstand.dataplane.nodes import edge
 from irisstand.dataplane.routing import snapshot
 from irisstand.emulators import origin_emulator
 from irisstand.localcluster import invariant_checker
 from irisstand.simulator import simulated_origins
 
+if typing.TYPE_CHECKING:
+    # The cluster makes its actors, so only the types are needed here.
+    from irisstand.simulator import simulated_cluster
+
+REQUEST_TIMEOUT_SECONDS = 8.0
+HTTP_OK = 200
+# The platform allows about one request each second.
+PLATFORM_WINDOW_SECONDS = 10
+PLATFORM_WINDOW_LIMIT = 12
+PLATFORM_SECOND_LIMIT = 2
+PLATFORM_DELAY_SECONDS = 0.01
+CREDENTIALS_EACH = 5
+KEYED_WRITE_PAUSE_SECONDS = 0.5
+
+
+class ClientResponse(typing.NamedTuple):
+    """What a client sees; status 0: no answer came. `result` is None without an answer of an origin."""
+
+    status: int
+    code: str
+    result: typing.Any
+
+
+class WriteOutcome(typing.NamedTuple):
+    """What a client was told of a write; `number` names the write in the origins' records."""
+
+    number: str
+    status: int
+    code: str
+
 
 class SimulatedActors:
-    """Everything around the network under test."""
+    """Everything around the network under test.
+
+    Attributes:
+        records: What the origins have done.
+        checker: Checks what clients and operators are told.
+        origins: The origins that the platform lists.
+        all_origins: All origins that there ever were.
+        counts: The least number of origins that each service had.
+        platform_outages: Times in which no node could learn what the platform lists.
+        evacuations: By site, times of [confirmed, taken back].
+        at: Origins by address.
+        platform_says: A list of origins to answer with instead of the true one, as sent.
+    """
 
-    def __init__(self, world: typing.Any) -> None:
-        self.cluster = world
+    def __init__(self, cluster: "simulated_cluster.SimulatedCluster") -> None:
+        self.cluster = cluster
         self.records = origin_emulator.OriginRecords()
         self.checker = invariant_checker.InvariantChecker(self.records)
-        # Those that the platform lists, and all that there ever were.
         self.origins: list[simulated_origins.SimulatedOrigin] = []
         self.all_origins: list[simulated_origins.SimulatedOrigin] = []
         self.counts: dict[str, int] = {}
-        self.asked: list[float] = []
-        # Times in which nobody could hear the platform, and evacuations by site as [confirmed, taken back].
+        self.platform_requests: list[float] = []
         self.platform_outages: list[tuple[float, float]] = []
         self.evacuations: dict[str, list[list[float]]] = collections.defaultdict(list)
         self.at: dict[tuple[str, int], simulated_origins.SimulatedOrigin] = {}
         self.platform_up = True
         self.platform_says: bytes | None = None
         self.number = 0
-        shape = world.shape
-        counts = (("content", shape.content_origins), ("application", shape.application_origins))
-        self.counts.update(counts)
-        for service, count in counts:
+        self.add_origins()
+
+    # -- origins and platform ------------------------------------------------------------------------
+    def add_origins(self) -> None:
+        """Add the origins of the cluster's shape, spread over its sites."""
+        shape = self.cluster.shape
+        self.counts = {"content": shape.content_origins, "application": shape.application_origins}
+        for service, count in self.counts.items():
             for index in range(count):
                 site, region = shape.sites[index % len(shape.sites)]
                 self.add_origin(service, f"{service}-{index + 1}", site, region)
@@ -45,6 +89,7 @@
     def add_origin(
         self, service: str, instance: str, site: str, region: str
     ) -> simulated_origins.SimulatedOrigin:
+        """Add an origin at an address of its own, and list it."""
         origin = simulated_origins.SimulatedOrigin(service, instance, site, self.records)
         origin.host = f"10.0.1.{len(self.at) + 1}"
         self.cluster.network.regions[origin.host] = region
@@ -54,20 +99,31 @@
         return origin
 
     def unlist(self, origin: simulated_origins.SimulatedOrigin) -> None:
+        """Take an origin out of the platform's list."""
         self.origins.remove(origin)
         left = sum(other.service == origin.service for other in self.origins)
         self.counts[origin.service] = min(self.counts[origin.service], left)
 
     def reaches(self, origin: simulated_origins.SimulatedOrigin, address: tuple[str, int]) -> bool:
+        """Return whether this origin still answers at this address."""
         return origin.up and self.at.get(address) is origin
 
     async def ask_platform(self) -> origin_source.PlatformAnswer:
+        """Return the platform's list of origins.
+
+        Raises:
+            ConnectionRefusedError: The platform is down.
+        """
         now = asyncio.get_running_loop().time()
-        self.asked = [moment for moment in self.asked if moment > now - 10] + [now]
+        recent = [moment for moment in self.platform_requests if moment > now - PLATFORM_WINDOW_SECONDS]
+        self.platform_requests = [*recent, now]
+        in_last_second = sum(moment > now - 0.99 for moment in self.platform_requests)
+        is_allowed = (
+            in_last_second <= PLATFORM_SECOND_LIMIT and len(self.platform_requests) <= PLATFORM_WINDOW_LIMIT
+        )
         rule = "the platform is asked no more often than it allows"
-        recent = sum(moment > now - 0.99 for moment in self.asked)
-        self.checker.check(rule, recent <= 2 and len(self.asked) <= 12, f"{self.asked} at {now:.2f}")
-        await asyncio.sleep(0.01)
+        self.checker.check(rule, is_allowed, f"{self.platform_requests} at {now:.2f}")
+        await asyncio.sleep(PLATFORM_DELAY_SECONDS)
         if not self.platform_up:
             raise ConnectionRefusedError("the platform is down")
         if self.platform_says is not None:
@@ -76,64 +132,78 @@
         return origin_source.PlatformAnswer(json.dumps({"origins": listed}).encode(), 0.0)
 
     # -- operators -----------------------------------------------------------------------------------
-    async def order(self, name: str, kind: str, payload: typing.Any, change: str = "") -> dict:
+    async def order(
+        self, name: str, kind: str, payload: typing.Any, change: str = ""
+    ) -> dict[str, typing.Any]:
+        """Send an operator's order to a node and return what it says.
+
+        Args:
+            name: The node.
+            kind: The kind of order.
+            payload: The order's content.
+            change: The change id; empty: a new one.
+
+        Raises:
+            errors.IrisError: The order was refused, or its outcome is unknown.
+            TimeoutError: No answer came.
+        """
         self.number += 1
         order = orders.Order(kind, change or f"change-{self.number}", payload)
         node = self.cluster.nodes[name]
-        # As its operators' page says it, or the closed listener behind it.
+        # The operators' interface says so, or its listener is closed.
         if node.program.context.is_draining:
             raise errors.DrainingError(f"{name} is shutting down")
-        actor = node.actor
-        actor.asks += 1
-        try:
-            return await node.do(node.program.submitter.submit_for_operator(order), 8.0)
-        finally:
-            actor.asks -= 1
-
-    # -- clients -----------------------------------------------------------------------------------
-    async def ask(self, edge: str, method: str, path: str, body: bytes = b"", **headers: str) -> tuple:
-        """(status, code, result): what a client sees; status 0 if nothing came back."""
-        node = self.cluster.nodes[edge]
+        with node.counted_request():
+            result: dict[str, typing.Any] = await node.do(
+                node.program.submitter.submit_for_operator(order), REQUEST_TIMEOUT_SECONDS
+            )
+            return result
+
+    # -- clients -------------------------------------------------------------------------------------
+    async def ask(
+        self, name: str, method: str, path: str, body: bytes = b"", **headers: str
+    ) -> ClientResponse:
+        """Send a client's request to an edge; underscores in names of headers stand for hyphens."""
+        node = self.cluster.nodes[name]
         # The listener of an edge that drains is closed.
         if not node.is_up or node.program.context.is_draining:
-            return 0, "no-answer", None
-        given = {name.replace("_", "-"): value for name, value in headers.items()}
-        request = edges.Request(method, path, "", given, body)
-        actor = node.actor
-        actor.asks += 1
+            return ClientResponse(0, "no-answer", None)
+        sent_headers = {header.replace("_", "-"): value for header, value in headers.items()}
+        request = edge.Request(method, path, "", sent_headers, body)
         try:
-            result = await node.do(node.program.role_node.handle(request), 8.0)
-            return result.status, "", result
+            with node.counted_request():
+                result = await node.do(node.program.role_node.handle(request), REQUEST_TIMEOUT_SECONDS)
+            return ClientResponse(result.status, "", result)
         except errors.IrisError as error:
             if error.code == "over-ceiling":
-                granted = node.program.role_node.view.authorize(method, path, "")
-                room = "had room" if self.has_room(granted) else "had none"
-                self.checker.results[f"over-ceiling while another shield {room}"] += 1
-            return error.status, error.code, None
+                self.count_capacity_elsewhere(node.program.role_node.view.authorize(method, path, ""))
+            return ClientResponse(error.status, error.code, None)
         except TimeoutError:
-            return 0, "no-answer", None
-        finally:
-            actor.asks -= 1
+            return ClientResponse(0, "no-answer", None)
+
+    def count_capacity_elsewhere(self, request: snapshot.AllowedRequest) -> None:
+        """Count a rejected request by whether another shield could have sent it."""
+        room = "had room" if self.has_capacity(request) else "had none"
+        self.checker.results[f"over-ceiling while another shield {room}"] += 1
 
-    def has_room(self, granted: snapshot.AllowedRequest) -> bool:
-        """Whether some shield that is up could have sent one more request of the service just now."""
+    def has_capacity(self, request: snapshot.AllowedRequest) -> bool:
+        """Return whether a shield that is up could have sent one more request of the service just now."""
         now = asyncio.get_running_loop().time()
         for node in self.cluster.with_role("shield"):
-            share = node.program.role_node.origin_client.shares.get(granted.service) if node.is_up else None
+            share = node.program.role_node.origin_client.shares.get(request.service) if node.is_up else None
             if share is not None:
-                rate, inflight = node.program.role_node.view.quota_share(granted.service, granted.limit)
-                if (
-                    sum(moment > now - 1 for moment in share.started.moments) < rate
-                    and share.in_flight() < inflight
-                ):
+                rate, in_flight = node.program.role_node.view.quota_share(request.service, request.limit)
+                started = sum(moment > now - 1 for moment in share.started.moments)
+                if started < rate and share.in_flight() < in_flight:
                     return True
         return False
 
-    async def read(self, edge: str, service: str, path: str) -> int:
-        # Some bear credentials, which takes another way through the edge.
-        given = {"authorization": "Bearer me"} if self.number % 5 == 0 else {}
+    async def read(self, name: str, service: str, path: str) -> int:
+        """Read a path through an edge, check the answer, and return its status."""
+        # Some requests bear credentials, which are handled by other code of the edge.
+        headers = {} if self.number % CREDENTIALS_EACH else {"authorization": "Bearer me"}
         self.number += 1
-        status, code, result = await self.ask(edge, "GET", path, **given)
+        status, code, result = await self.ask(name, "GET", path, b"", **headers)
         if result is not None:
             now = asyncio.get_running_loop().time()
             self.checker.read(service, path, status, dict(result.headers), result.body, now)
@@ -141,22 +211,32 @@
             self.checker.results[f"read {status} {code}"] += 1
         return status
 
-    async def write(self, edge: str, path: str = "/applications") -> tuple[str, int, str]:
+    async def write(self, name: str, path: str = "/applications") -> WriteOutcome:
+        """Write once through an edge, and note what the client was told."""
         self.number += 1
         number = f"application-{self.number}"
-        body = json.dumps({"number": number}).encode()
-        status, code, _ = await self.ask(edge, "POST", path, body)
-        self.checker.write(number, status, "outcome-unknown" if status == 0 else code)
-        return number, status, code
+        status, code, _ = await self.ask(name, "POST", path, write_body(number))
+        self.note_write(number, status, code)
+        return WriteOutcome(number, status, code)
 
-    async def write_until_known(self, edges: list[str]) -> None:
-        """A keyed write, sent again by other edges under the same key until its outcome is known."""
+    async def write_until_known(self, names: list[str]) -> None:
+        """Send a write through one edge after another, under one key, until its outcome is known."""
         self.number += 1
         number = f"keyed-{self.number}"
-        body = json.dumps({"number": number}).encode()
-        for edge in edges:
-            status, code, _ = await self.ask(edge, "POST", "/applications", body, idempotency_key=number)
-            self.checker.write(number, status, "outcome-unknown" if status == 0 else code)
-            if status == 200:
+        for name in names:
+            status, code, _ = await self.ask(
+                name, "POST", "/applications", write_body(number), idempotency_key=number
+            )
+            self.note_write(number, status, code)
+            if status == HTTP_OK:
                 return
-            await asyncio.sleep(0.5)
+            await asyncio.sleep(KEYED_WRITE_PAUSE_SECONDS)
+
+    def note_write(self, number: str, status: int, code: str) -> None:
+        """Note what a client was told of a write; without an answer its outcome is unknown."""
+        self.checker.write(number, status, "outcome-unknown" if status == 0 else code)
+
+
+def write_body(number: str) -> bytes:
+    """Return the body of a write with this number."""
+    return json.dumps({"number": number}).encode()
--- a/src/irisstand/simulator/simulated_day.py
+++ b/src/irisstand/simulator/simulated_day.py
@@ -1,4 +1,4 @@
-"""A day in the simulator: clients, operators and random trouble, and every rule checked all along."""
+"""A simulated day: clients, operators and random faults, with the invariants checked all along."""
 
 import asyncio
 import collections.abc
@@ -6,218 +6,192 @@
 import typing
 
 from irisstand import errors
-from irisstand.localcluster import processes
 from irisstand.simulator import (
-    cluster_faults,
+    configuration_invariants,
+    day_kinds,
     fault_injector,
     invariant_watcher,
     origin_invariants,
-    simulated_actors,
     simulated_cluster,
     virtual_time,
 )
 
-SHAPE = processes.ClusterShape(
-    3, 5, 2, (("north", "one"), ("south", "one"), ("east", "two"), ("west", "two")), 4, 4, 40, 3.0
-)
-SERVICES = ("content", "application")
-# Rate and in flight for each service. Low enough to be reached: one that nobody touches shows nothing.
-ServiceLimits = dict[str, tuple[int, int]]
-LOW_LIMITS: ServiceLimits = {"content": (30, 15), "application": (20, 12)}
-HIGH_LIMITS: ServiceLimits = {"content": (200, 100), "application": (200, 100)}
-SWITCHES = 3
-
-
-def first_configuration(
-    ceilings: ServiceLimits, shape: processes.ClusterShape, limit: int
-) -> list[dict[str, typing.Any]]:
-    """The first configuration of a simulated day."""
-    made = []
-    for name, (rate, inflight) in ceilings.items():
-        value = {"deadline": shape.deadline, "ceiling": {"rate": rate, "inflight": inflight}}
-        made.append({"kind": "service", "name": name, "value": value})
-    paths = {
-        "/vacancies/": {"grants": [{"service": "content", "methods": ["GET"]}], "life": 5},
-        "/shortlists/": {"grants": [{"service": "application", "methods": ["GET"]}]},
-        "/applications": {"grants": [{"service": "application", "methods": ["POST"]}]},
-    }
-    made += [{"kind": "path", "name": name, "value": value} for name, value in paths.items()]
-    made += [
-        {"kind": "shield", "name": f"shield-machine-{number + 1}", "value": {"limit": limit}}
-        for number in range(shape.shields)
-    ]
-    return made + [switch_row(number, "content") for number in range(SWITCHES)]
-
-
-def switch_row(number: int, service: str) -> dict[str, typing.Any]:
-    """A path that operators point now at one service, now at the other."""
-    value = {"grants": [{"service": service, "methods": ["GET"]}], "life": 2}
-    return {"kind": "path", "name": f"/switch-{number}", "value": value}
-
-
-class DayKind(typing.NamedTuple):
-    """How a day goes. No troubles named: all but total loss. `limit` is the shields'."""
-
-    shape: processes.ClusterShape = SHAPE
-    troubles: tuple[str, ...] = ()
-    pauses: tuple[float, float] = (0.5, 3.0)
-    limit: int = 100
-    ceilings: ServiceLimits = LOW_LIMITS
-    replace_after: float = 5.0
-
-
-# Plug-in point: a kind of day is an entry here.
-KINDS = {
-    "busy": DayKind(),
-    # One region, and no more than a second for any request.
-    "kildespor": DayKind(
-        SHAPE._replace(
-            sites=tuple((site, "one") for site in ("alpha", "beta", "gamma", "delta")), deadline=1.0
-        )
-    ),
-    # Long enough between losses for machines to go to rest, with limits that make each loss count.
-    "quiet": DayKind(
-        SHAPE._replace(edges=4, rate=25),
-        ("kill", "power", "freeze", "isolate", "drain", "wipe", "origin-down", "evacuate"),
-        (8.0, 25.0),
-        10,
-    ),
-    # Everything is lost now and again, in the midst of changes, purges and smaller losses.
-    "dark": DayKind(
-        troubles=("total-loss", "gone-after-yes", "kill", "wipe", "split", "stall"), pauses=(1.0, 5.0)
-    ),
-    # Operators at work all day: restarts in order, evacuations, machines replaced.
-    "planned": DayKind(
-        troubles=("roll", "drain", "evacuate", "core-replaced", "origin-leaves", "origins-replaced", "split"),
-        pauses=(2.0, 6.0),
-    ),
-}
+SEED_FACTOR = 7919
+CACHE_LIFE_SECONDS = {"vacancies": 5.0}
+READY_TIMEOUT_SECONDS = 20
+READY_AT_THE_END_TIMEOUT_SECONDS = 40
+ORIGINS_KNOWN_TIMEOUT_SECONDS = 10
+SETTLE_SECONDS = 2
+# A client's request is of the first kind whose bound is above the draw; otherwise of an ungranted path.
+CACHED_READ_BOUND = 0.5
+UNCACHED_READ_BOUND = 0.6
+WRITE_BOUND = 0.70
+KEYED_WRITE_BOUND = 0.75
+SWITCH_READ_BOUND = 0.97
+INVALID_CHANGE_LIKELIHOOD = 0.2
+CACHED_PATHS = 12
+UNCACHED_PATHS = 9
+
+Job = collections.abc.Coroutine[typing.Any, typing.Any, object]
 
 
 class SimulatedDay:
-    def __init__(self, seed: int, seconds: float, kind: DayKind = KINDS["busy"]) -> None:
-        shape = kind.shape
+    """One day of one seed.
+
+    Args:
+        seed: Seed of the cluster and of all draws of the day.
+        seconds: Length in virtual seconds.
+        kind: How the day goes.
+    """
+
+    def __init__(self, seed: int, seconds: float, kind: day_kinds.DayKind) -> None:
         self.kind = kind
-        self.randomness = random.Random(seed * 7919 + 1)
+        self.randomness = random.Random(seed * SEED_FACTOR + 1)
         self.seconds = seconds
-        self.cluster = simulated_cluster.SimulatedCluster(seed, shape)
+        self.cluster = simulated_cluster.SimulatedCluster(seed, kind.shape)
         self.cluster.replace_after = kind.replace_after
-        self.actors: simulated_actors.SimulatedActors = self.cluster.actors
+        self.actors = self.cluster.actors
         self.checker = self.actors.checker
-        self.checker.lives = {"vacancies": 5.0}
+        self.checker.lives = dict(CACHE_LIFE_SECONDS)
+        self.configuration_invariants = configuration_invariants.ConfigurationInvariants(self.cluster)
         self.watcher = invariant_watcher.InvariantWatcher(self.cluster)
+        self.origin_invariants = origin_invariants.OriginInvariants(self.cluster, dict(kind.limits))
         self.fault_injector = fault_injector.FaultInjector(
-            self.cluster, self.randomness, kind.troubles, kind.pauses
+            self.cluster, self.randomness, kind.faults, kind.pauses
         )
         self.fault_injector.change = self.change_at
-        self.origin_invariants = origin_invariants.OriginInvariants(self.cluster, kind.ceilings)
-        self.tasks: set[asyncio.Task] = set()
+        self.tasks: set[asyncio.Task[object]] = set()
 
     def now(self) -> float:
+        """Return the virtual time in seconds."""
         return asyncio.get_running_loop().time()
 
     async def open(self) -> None:
+        """Start all nodes, send the first configuration, and wait until origins are known everywhere."""
         await self.cluster.start_all()
+        control_nodes = self.cluster.with_role("agency")
         await self.cluster.wait_until(
-            lambda: all(map(self.cluster.is_ready, self.cluster.with_role("agency"))), 20
+            lambda: all(map(self.cluster.is_ready, control_nodes)), READY_TIMEOUT_SECONDS
         )
-        first = first_configuration(self.kind.ceilings, self.kind.shape, self.kind.limit)
-        result = await self.actors.order("agency-1", "change", first)
-        values = {f"{row['kind']}/{row['name']}": row["value"] for row in first}
-        self.watcher.confirmed_rows(values, result["serial"])
+        rows = day_kinds.first_configuration(self.kind)
+        result = await self.actors.order("agency-1", "change", rows)
+        values = {f"{row['kind']}/{row['name']}": row["value"] for row in rows}
+        self.configuration_invariants.add_confirmed(values, result["serial"])
         await self.cluster.wait_until_ready()
         ledger = self.cluster.nodes["agency-1"].program.context.ledger
         await self.cluster.wait_until(
-            lambda: len(list(ledger.items_with_prefix("origin/"))) == len(self.actors.origins), 10
+            lambda: len(list(ledger.items_with_prefix("origin/"))) == len(self.actors.origins),
+            ORIGINS_KNOWN_TIMEOUT_SECONDS,
         )
-        await asyncio.sleep(2)
+        await asyncio.sleep(SETTLE_SECONDS)
 
     async def run(self) -> None:
+        """Run the whole day and make the checks of its end."""
         await self.open()
-        jobs = [self.consume(), self.purge(), self.change(), self.fault_injector.run(self.seconds)]
+        jobs = [
+            self.run_clients(),
+            self.run_purges(),
+            self.run_changes(),
+            self.fault_injector.run(self.seconds),
+        ]
         watch = asyncio.create_task(self.watcher.run())
         await asyncio.gather(*jobs)
         if self.tasks:
             await asyncio.wait(self.tasks)
-        await self.fault_injector.mend()
-        await self.cluster.wait_until_ready(40)
-        await asyncio.sleep(2)
+        await self.fault_injector.repair_all()
+        await self.cluster.wait_until_ready(READY_AT_THE_END_TIMEOUT_SECONDS)
+        await asyncio.sleep(SETTLE_SECONDS)
         watch.cancel()
-        self.watcher.close()
+        self.configuration_invariants.close()
         self.origin_invariants.close()
         self.checker.close()
 
-    def start(self, coroutine: collections.abc.Coroutine) -> None:
-        task = asyncio.create_task(coroutine)
+    def start(self, job: Job) -> None:
+        """Run a job beside others; the day ends when all have."""
+        task = asyncio.create_task(job)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def consume(self) -> None:
+    # -- clients -------------------------------------------------------------------------------------
+    async def run_clients(self) -> None:
+        """Send clients' requests at the rate of the shape, whether or not earlier ones were answered."""
         end = self.now() + self.seconds
         edges = [node.placement.name for node in self.cluster.with_role("edge")]
         while self.now() < end:
-            edge, draw = self.randomness.choice(edges), self.randomness.random()
-            if draw < 0.5:
-                self.start(self.actors.read(edge, "content", f"/vacancies/{self.randomness.randrange(12)}"))
-            elif draw < 0.6:
-                path = f"/shortlists/{self.randomness.randrange(9)}"
-                self.start(self.actors.read(edge, "application", path))
-            elif draw < 0.70:
-                self.start(self.actors.write(edge))
-            elif draw < 0.75:
-                self.start(self.actors.write_until_known([edge, *edges]))
-            elif draw < 0.97:
-                self.start(self.watcher.read_switch(edge, self.randomness.randrange(SWITCHES)))
-            else:
-                self.start(self.watcher.read_ungranted(edge))
+            edge = self.randomness.choice(edges)
+            self.start(self.make_request(edge, edges))
             await asyncio.sleep(self.randomness.expovariate(self.cluster.shape.rate))
 
-    def some_control_node(self) -> str:
-        return cluster_faults.some_control_node(self.fault_injector)
-
-    async def purge(self) -> None:
+    def make_request(self, edge: str, edges: list[str]) -> Job:
+        """Draw the kind of one request and return the coroutine that sends it."""
+        draw = self.randomness.random()
+        if draw < CACHED_READ_BOUND:
+            return self.actors.read(edge, "content", self.draw_cached_path())
+        if draw < UNCACHED_READ_BOUND:
+            path = f"/shortlists/{self.randomness.randrange(UNCACHED_PATHS)}"
+            return self.actors.read(edge, "application", path)
+        if draw < WRITE_BOUND:
+            return self.actors.write(edge)
+        if draw < KEYED_WRITE_BOUND:
+            return self.actors.write_until_known([edge, *edges])
+        if draw < SWITCH_READ_BOUND:
+            number = self.randomness.randrange(day_kinds.SWITCHES)
+            return self.configuration_invariants.read_switch(edge, number)
+        return self.configuration_invariants.read_ungranted(edge)
+
+    def draw_cached_path(self) -> str:
+        """Draw a path whose answers are cached."""
+        return f"/vacancies/{self.randomness.randrange(CACHED_PATHS)}"
+
+    # -- operators -----------------------------------------------------------------------------------
+    async def run_purges(self) -> None:
+        """Purge random paths."""
         end = self.now() + self.seconds
         while self.now() < end:
             await asyncio.sleep(self.randomness.uniform(0.2, 1.0))
-            self.start(self.one_purge(f"/vacancies/{self.randomness.randrange(12)}"))
+            self.start(self.purge(self.draw_cached_path()))
 
-    async def one_purge(self, path: str) -> None:
+    async def purge(self, path: str) -> None:
+        """Change a path's content at the origins and purge it."""
         self.actors.records.versions[path] += 1
         version = self.actors.records.versions[path]
+        control_node = self.fault_injector.pick_control_node()
         try:
-            await self.actors.order(self.some_control_node(), "purge", [("path", path)])
-            self.checker.purged(path, self.now(), version)
-            self.checker.results["purge confirmed"] += 1
+            await self.actors.order(control_node, "purge", [("path", path)])
         except (errors.IrisError, TimeoutError):
             self.checker.results["purge not confirmed"] += 1
+        else:
+            self.checker.purged(path, self.now(), version)
+            self.checker.results["purge confirmed"] += 1
 
     async def change_at(self, control_node: str) -> None:
-        number = self.randomness.randrange(SWITCHES)
-        await self.watcher.change(control_node, number, switch_row(number, self.randomness.choice(SERVICES)))
+        """Send a random change to a node."""
+        number = self.randomness.randrange(day_kinds.SWITCHES)
+        row = day_kinds.switch_row(number, self.randomness.choice(day_kinds.SERVICES))
+        await self.configuration_invariants.change(control_node, row)
 
-    async def change(self) -> None:
-        """Changes now and then from two places at once, and now and then an invalid one."""
+    async def run_changes(self) -> None:
+        """Send changes, now and then two of one row at once, and now and then an invalid one."""
         end = self.now() + self.seconds
         while self.now() < end:
             await asyncio.sleep(self.randomness.uniform(0.3, 1.5))
-            number = self.randomness.randrange(SWITCHES)
+            number = self.randomness.randrange(day_kinds.SWITCHES)
             for _ in range(self.randomness.choice((1, 1, 2))):
-                service = self.randomness.choice(SERVICES)
-                self.start(self.watcher.change(self.some_control_node(), number, switch_row(number, service)))
-            if self.randomness.random() < 0.2:
-                self.start(
-                    self.watcher.invalid_change(self.some_control_node(), switch_row(number, "nobody"))
-                )
+                row = day_kinds.switch_row(number, self.randomness.choice(day_kinds.SERVICES))
+                control_node = self.fault_injector.pick_control_node()
+                self.start(self.configuration_invariants.change(control_node, row))
+            if self.randomness.random() < INVALID_CHANGE_LIKELIHOOD:
+                row = day_kinds.switch_row(number, "nobody")
+                control_node = self.fault_injector.pick_control_node()
+                self.start(self.configuration_invariants.send_invalid_change(control_node, row))
 
 
 def simulate(seed: int, seconds: float, kind: str = "busy") -> SimulatedDay:
-    """One day, from start to end in virtual time."""
-    made: list[SimulatedDay] = []
+    """Run one day in virtual time, from start to end, and return it."""
 
-    async def whole() -> None:
-        day = SimulatedDay(seed, seconds, KINDS[kind])
-        made.append(day)
+    async def run_day() -> SimulatedDay:
+        day = SimulatedDay(seed, seconds, day_kinds.KINDS[kind])
         await day.run()
+        return day
 
-    virtual_time.run(whole())
-    return made[0]
+    return virtual_time.run(run_day())
--- a/src/irisstand/simulator/simulated_folder.py
+++ b/src/irisstand/simulator/simulated_folder.py
@@ -1,18 +1,25 @@
-"""A folder in memory under the disk's own code: what a loss of power may do to it, name by name."""
+"""A directory in memory under the disk's own code: what a loss of power may do to it, name by name."""
 
 import errno
 import random
 
 
 class PowerLossError(Exception):
-    """The machine goes off at this file operation, which has not been done."""
+    """The machine loses its power at this file operation, which has not been done."""
 
 
 class SimulatedFolder:
-    """Contents count once written; each name that changed since the last sync is kept or lost by itself.
+    """Contents are durable once written; a power loss keeps or loses each name changed since the sync.
 
     Files are numbered as inodes are, so that a file which was renamed and then written anew can be found
     under its old name with its new content.
+
+    Attributes:
+        contents: Contents by file number.
+        entries: File numbers by name, as the running system sees them.
+        synced: File numbers by name, as of the last sync.
+        off_at: The operation at which the power is lost; None: never.
+        full_at: Operations during which the disk is full.
     """
 
     def __init__(self, randomness: random.Random) -> None:
@@ -21,51 +28,67 @@
         self.entries: dict[str, int] = {}
         self.synced: dict[str, int] = {}
         self.numbers = 0
-        self.operations = self.syncs = self.written = 0
+        self.operations = 0
+        self.syncs = 0
+        self.written = 0
         self.off_at: int | None = None
         self.full_at: range = range(0)
 
     def step(self) -> None:
+        """Count a file operation, and lose the power if this is its moment."""
         self.operations += 1
         if self.operations == self.off_at:
             raise PowerLossError
 
     def lose_power(self) -> None:
-        """Every entry made, renamed or removed since the last sync may be as it was or as it is."""
+        """Keep or lose each entry that was made, renamed or removed since the last sync."""
         kept = {}
         for name in sorted(self.synced.keys() | self.entries.keys()):
             chosen = self.randomness.choice((self.synced, self.entries))
             if name in chosen:
                 kept[name] = chosen[name]
-        self.entries, self.synced, self.off_at = dict(kept), kept, None
+        self.entries = dict(kept)
+        self.synced = kept
+        self.off_at = None
 
     # -- what a disk asks for ------------------------------------------------------------------------
     def make(self) -> None:
-        pass
+        """Make the directory, which is there already."""
 
     def names(self) -> list[str]:
+        """Return the names of all files in order."""
         return sorted(self.entries)
 
     def exists(self, name: str) -> bool:
+        """Return whether a file has this name."""
         return name in self.entries
 
     def read(self, name: str) -> bytes:
+        """Return a file's content."""
         return self.contents[self.entries[name]]
 
     def size(self, name: str) -> int:
+        """Return a file's size in bytes."""
         return len(self.read(name))
 
     def links(self, name: str) -> int:
+        """Return how many names a file has."""
         return list(self.entries.values()).count(self.entries[name])
 
     def write(self, name: str, content: bytes) -> None:
+        """Write over the beginning of a file, which is made if need be, and sync its content.
+
+        Raises:
+            OSError: The disk is full.
+            PowerLossError: The power is lost with half of it written.
+        """
         if name not in self.entries:
             self.numbers += 1
             self.entries[name] = self.numbers
             self.contents[self.numbers] = b""
         number = self.entries[name]
         old = self.contents[number]
-        # Halfway it is part new and part old.
+        # A loss of power in between leaves the first part new and the rest old.
         half = self.randomness.randrange(len(content))
         self.contents[number] = content[:half] + old[half:]
         self.step()
@@ -76,14 +99,17 @@
         self.written += len(content)
 
     def rename(self, name: str, other: str) -> None:
+        """Give a file another name, in place of a file that has it."""
         self.step()
         self.entries[other] = self.entries.pop(name)
 
     def unlink(self, name: str) -> None:
+        """Remove a name."""
         self.step()
         del self.entries[name]
 
     def sync(self) -> None:
+        """Make all entries durable."""
         self.step()
         self.synced = dict(self.entries)
         self.syncs += 1
--- a/src/irisstand/simulator/simulated_origins.py
+++ b/src/irisstand/simulator/simulated_origins.py
@@ -1,4 +1,4 @@
-"""Origins of the simulator, and lines to them in memory: they crash, lose answers and change hands."""
+"""Origins of the simulator and connections to them: they crash, spoil answers and change addresses."""
 
 import asyncio
 import contextvars
@@ -8,42 +8,66 @@
 from irisstand.dataplane.cache import objects
 from irisstand.dataplane.upstream import connections
 from irisstand.emulators import origin_emulator
+from irisstand.simulator import simulated_network
+
+NORMAL_DELAY_SECONDS = 0.003
+HEALTH_CHECK_DELAY_SECONDS = 0.002
+PORT = 9000
 
 
 class SimulatedOrigin:
+    """One origin instance.
+
+    Attributes:
+        state: What the platform lists: ready, cold or leaving.
+        warmup: Seconds of warming up that it says it needs.
+        generation: Number of its crashes; a connection of an earlier one is broken.
+        delay: Seconds that an answer takes.
+        faults: Ways in which it spoils its answers.
+        started: Time and request id of each request.
+        spans: Start and end of the work itself, which goes on when nobody waits any more.
+        cold: Start and length of each time of warming up.
+        leaves: Start and end of each time in which it is listed as leaving.
+    """
+
     def __init__(
         self, service: str, instance: str, site: str, records: origin_emulator.OriginRecords
     ) -> None:
-        self.service, self.instance, self.site, self.records = service, instance, site, records
-        self.host, self.port = "", 9000
-        self.state, self.warmup = "ready", 0.0
-        self.is_up, self.life = True, 0
-        self.delay = 0.003
+        self.service = service
+        self.instance = instance
+        self.site = site
+        self.records = records
+        self.host = ""
+        self.port = PORT
+        self.state = "ready"
+        self.warmup = 0.0
+        self.is_up = True
+        self.generation = 0
+        self.delay = NORMAL_DELAY_SECONDS
         self.faults: set[str] = set()
         self.started: list[tuple[float, str]] = []
-        # (start, end) of the work itself, which goes on when nobody waits any more.
         self.spans: list[tuple[float, float]] = []
-        # Each stretch of warming up as (from, for how long), and of leaving as (said at, taken back at).
         self.cold: list[tuple[float, float]] = []
         self.leaves: list[list[float]] = []
         self.connections = 0
 
     @property
     def up(self) -> bool:
+        """Whether it answers. A crash breaks its connections; after one its caches are empty."""
         return self.is_up
 
     @up.setter
     def up(self, value: bool) -> None:
-        """A crash breaks its connections, and who comes back has lost its caches."""
+        now = asyncio.get_running_loop().time()
         if value and not self.is_up and self.warmup:
-            self.cold.append((asyncio.get_running_loop().time(), self.warmup))
+            self.cold.append((now, self.warmup))
         if self.is_up and not value:
-            now = asyncio.get_running_loop().time()
-            self.life += 1
+            self.generation += 1
             self.spans = [(start, min(end, now)) for start, end in self.spans]
         self.is_up = value
 
     def listing(self) -> dict[str, typing.Any]:
+        """Return the platform's entry for it."""
         return {
             "id": self.instance,
             "service": self.service,
@@ -57,98 +81,152 @@
     def answer(
         self, method: str, target: str, headers: dict[str, str], body: bytes
     ) -> connections.Answer | None:
-        """What the origin does, whoever is still there to hear it. None: the answer is lost."""
+        """Carry out a request, whoever still waits for it.
+
+        Returns:
+            The answer; None: it is lost.
+        """
         if target == "/health":
             content = json.dumps({"service": self.service, "instance": self.instance}).encode()
             return connections.Answer(200, {"content-length": str(len(content))}, content)
         now = asyncio.get_running_loop().time()
-        self.started.append((now, headers.get("X-Request-Id", "")))
+        request_id = headers.get("X-Request-Id", "")
+        self.started.append((now, request_id))
         self.spans.append((now, now + self.delay))
+        tag = ""
         if method == "GET":
             content, tag = self.records.sealed_object(self.service, target, now)
         else:
-            content, tag = self.records.execute(self.service, self.instance, body), ""
-        kept = {
+            content = self.records.execute(self.service, self.instance, body)
+        answer_headers = {
             "content-length": str(len(content)),
             "content-digest": objects.digest_header(content),
-            "x-request-id": headers.get("X-Request-Id", ""),
+            "x-request-id": request_id,
             "content-type": "application/json",
         }
         if tag:
-            kept["cache-tag"] = tag
+            answer_headers["cache-tag"] = tag
+        return self.spoil(connections.Answer(200, answer_headers, content))
+
+    def spoil(self, answer: connections.Answer) -> connections.Answer | None:
+        """Return the answer as its faults leave it."""
+        status, headers, content = answer
         if "lose-answer" in self.faults:
             return None
         if "wrong-digest" in self.faults:
-            kept["content-digest"] = objects.digest_header(content + b"!")
+            headers["content-digest"] = objects.digest_header(content + b"!")
         if "no-seal" in self.faults:
-            del kept["content-digest"]
+            del headers["content-digest"]
         if "short" in self.faults:
             content = content[:-3]
         if "wrong-request" in self.faults:
-            kept["x-request-id"] = "somebody-else"
+            headers["x-request-id"] = "somebody-else"
         if "fails" in self.faults:
-            return connections.Answer(500, kept, content)
-        return connections.Answer(200, kept, content)
+            status = 500
+        return connections.Answer(status, headers, content)
+
+
+class OriginDirectory(typing.Protocol):
+    """Who answers at which address."""
+
+    at: dict[tuple[str, int], SimulatedOrigin]
+
+    def reaches(self, origin: SimulatedOrigin, address: tuple[str, int]) -> bool:
+        """Return whether this origin still answers at this address."""
+        ...
 
 
 class SimulatedConnection:
-    """One connection: it breaks with its origin and is never opened again."""
+    """One connection to an origin: it breaks with the origin and is never opened again."""
 
     def __init__(
-        self, stage: typing.Any, host: str, address: tuple[str, int], origin: SimulatedOrigin
+        self,
+        directory: OriginDirectory,
+        network: simulated_network.SimulatedNetwork,
+        host: str,
+        origin: SimulatedOrigin,
     ) -> None:
-        self.actors, self.host, self.address, self.origin = stage, host, address, origin
-        self.is_open, self.may_have_sent = True, False
-        self.life = origin.life
+        self.directory = directory
+        self.network = network
+        self.host = host
+        self.origin = origin
+        self.address = (origin.host, origin.port)
+        self.is_open = True
+        self.may_have_sent = False
+        self.generation = origin.generation
         origin.connections += 1
 
     async def send(
-        self, method: str, target: str, headers: dict[str, str], body: bytes, patience: float
+        self, method: str, target: str, headers: dict[str, str], body: bytes, timeout_seconds: float
     ) -> connections.Answer:
-        loop = asyncio.get_running_loop()
+        """Send one request and return its complete answer.
+
+        Raises:
+            connections.ConnectionReopenedError: The connection was closed before anything was sent.
+            ConnectionResetError: The answer was lost.
+            TimeoutError: No answer came in time.
+        """
         # A kept connection that the other end has closed is known as such before anything is written.
-        if not self.actors.reaches(self.origin, self.address) or self.life != self.origin.life:
+        if not self.directory.reaches(self.origin, self.address) or not self.is_same_generation():
             self.is_open = False
             raise connections.ConnectionReopenedError("the connection was gone")
         self.may_have_sent = True
-        future = loop.create_future()
+        loop = asyncio.get_running_loop()
+        future: asyncio.Future[connections.Answer] = loop.create_future()
 
-        def arrive() -> None:
-            if self.actors.cluster.network.is_cut(self.host, self.address[0]):
+        def deliver_request() -> None:
+            if self.is_cut():
                 return
-            there = self.origin.up and self.life == self.origin.life
-            answer = self.origin.answer(method, target, headers, body) if there else None
-            # A slow origin answers its probes as quickly as before.
-            delay = 0.002 if target == "/health" else self.origin.delay
-            loop.call_later(delay, back, answer, context=contextvars.Context())
-
-        def back(answer: connections.Answer | None) -> None:
-            if not future.done() and not self.actors.cluster.network.is_cut(self.host, self.address[0]):
-                if answer is None:
-                    future.set_exception(ConnectionResetError("the origin closed the connection"))
-                else:
-                    future.set_result(answer)
-
-        delay = self.actors.cluster.network.delay(self.host, self.address[0])
-        # In a context of its own: the origin runs on, whatever becomes of the process that asked.
-        loop.call_later(delay, arrive, context=contextvars.Context())
+            is_there = self.origin.up and self.is_same_generation()
+            answer = self.origin.answer(method, target, headers, body) if is_there else None
+            # A slow origin answers its health checks as quickly as before.
+            delay = HEALTH_CHECK_DELAY_SECONDS if target == "/health" else self.origin.delay
+            loop.call_later(delay, self.deliver_answer, future, answer, context=contextvars.Context())
+
+        delay = self.network.delay(self.host, self.address[0])
+        # In a context of its own: the origin runs on, whatever becomes of the process that sent the request.
+        loop.call_later(delay, deliver_request, context=contextvars.Context())
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout_seconds):
                 return await future
         except BaseException:
             self.is_open = False
             raise
 
+    def deliver_answer(
+        self, future: asyncio.Future[connections.Answer], answer: connections.Answer | None
+    ) -> None:
+        """Resolve the request's future, unless the answer cannot reach this host."""
+        if future.done() or self.is_cut():
+            return
+        if answer is None:
+            future.set_exception(ConnectionResetError("the origin closed the connection"))
+        else:
+            future.set_result(answer)
+
+    def is_cut(self) -> bool:
+        """Return whether a partition lies between this host and the origin."""
+        return self.network.is_cut(self.host, self.address[0])
+
+    def is_same_generation(self) -> bool:
+        """Return whether the origin has not crashed since the connection was opened."""
+        return self.generation == self.origin.generation
+
     async def close(self) -> None:
+        """Close the connection."""
         self.is_open = False
 
 
-def connection_opener(world: typing.Any, host: str) -> connections.ConnectionOpener:
-    async def open_line(origin_host: str, port: int) -> connections.UpstreamConnection:
-        await asyncio.sleep(world.network.delay(host, origin_host))
-        origin = world.actors.at.get((origin_host, port))
+def connection_opener(
+    directory: OriginDirectory, network: simulated_network.SimulatedNetwork, host: str
+) -> connections.ConnectionOpener:
+    """Return a function that opens connections from this host to origins."""
+
+    async def open_connection(origin_host: str, port: int) -> connections.UpstreamConnection:
+        await asyncio.sleep(network.delay(host, origin_host))
+        origin = directory.at.get((origin_host, port))
         if origin is None or not origin.up:
             raise ConnectionRefusedError(f"{origin_host}:{port}")
-        return SimulatedConnection(world.actors, host, (origin_host, port), origin)
+        return SimulatedConnection(directory, network, host, origin)
 
-    return open_line
+    return open_connection
--- a/tests/controlplane/test_operations.py
+++ b/tests/controlplane/test_operations.py
@@ -12,7 +12,7 @@
 import irisstand.errors as errors
 import irisstand.state.items as items
 import irisstand.validation.formats as formats
-from irisstand.simulator import simulated_cluster
+from irisstand.simulator import simulated_node
 
 
 def test_a_change_is_shown_with_its_rows_what_superseded_them_and_who_has_it_in_force():
@@ -55,7 +55,7 @@
 
 
 async def spare(day, name, site, region):
-    plan = simulated_cluster.NodePlacement(name, "agency", f"machine-{name}", site, region, "10.0.3.1")
+    plan = simulated_node.NodePlacement(name, "agency", f"machine-{name}", site, region, "10.0.3.1")
     await day.cluster.add(plan).start()
     await day.cluster.wait_until_ready()
     await day.cluster.wait_until(lambda: name in cluster.members(day, "agency-5"), 20)
--- a/tests/state/test_disk_faults.py
+++ b/tests/state/test_disk_faults.py
@@ -10,7 +10,7 @@
 import irisstand.state.digests as digests
 import irisstand.state.items as items
 import irisstand.state.versions as versions
-from irisstand.simulator import simulated_cluster, virtual_time
+from irisstand.simulator import simulated_cluster, simulated_node, virtual_time
 
 
 def votes_on_all_tables(day, name):
@@ -172,7 +172,7 @@
         result = await day.actors.order("agency-1", "change", [cluster.site_row(weight=6)])
         world.nodes["agency-2"].kill()
         where = ("shield-machine-9", "south", "one", "10.0.0.99")
-        spare = world.add(simulated_cluster.NodePlacement("agency-9", "agency", *where))
+        spare = world.add(simulated_node.NodePlacement("agency-9", "agency", *where))
         await spare.start()
         # Not before the missing voter has been gone for long: it may only be restarting.
         await asyncio.sleep(30)
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from irisstand.localcluster import processes
-from irisstand.simulator import simulated_day, virtual_time
+from irisstand.simulator import day_kinds, simulated_day, virtual_time
 
 SHAPE = processes.ClusterShape(
     2, 5, 1, (("north", "one"), ("south", "one"), ("east", "two"), ("west", "two")), 2, 2, 20, 3.0
@@ -17,7 +17,7 @@
 
     async def whole():
         day = simulated_day.SimulatedDay(
-            seed, 0, simulated_day.DayKind(shape, ceilings=simulated_day.HIGH_LIMITS, replace_after=60)
+            seed, 0, day_kinds.DayKind(shape, limits=day_kinds.HIGH_LIMITS, replace_after=60)
         )
         await day.open()
         try:
--- a/tests/transport/test_incarnations.py
+++ b/tests/transport/test_incarnations.py
@@ -8,7 +8,7 @@
 
 from irisstand import counters, errors
 from irisstand.controlplane.changes import orders
-from irisstand.simulator import memory_network, virtual_time
+from irisstand.simulator import memory_network, simulated_network, virtual_time
 from irisstand.state import items
 from irisstand.transport import codec, peers
 
@@ -19,9 +19,9 @@
     """Run a scenario with a caller and a peer whose handler of "do" requests is `handler`."""
 
     async def run():
-        simulated_network = memory_network.SimulatedNetwork(random.Random(1))
-        callee_network = memory_network.HostNetwork(simulated_network, "10.0.0.2")
-        caller_network = memory_network.HostNetwork(simulated_network, "10.0.0.1")
+        shared_network = simulated_network.SimulatedNetwork(random.Random(1))
+        callee_network = memory_network.HostNetwork(shared_network, "10.0.0.2")
+        caller_network = memory_network.HostNetwork(shared_network, "10.0.0.1")
         actor = virtual_time.Actor("peer")
         callee = peers.Transport(callee_network, counters.Counters(), "peer")
         caller = peers.Transport(caller_network, counters.Counters(), "caller")
--- a/tools/behaviour_digest.py
+++ b/tools/behaviour_digest.py
@@ -16,7 +16,7 @@
 import click
 import ormsgpack
 
-from irisstand.simulator import memory_disk, memory_network, simulated_day
+from irisstand.simulator import day_kinds, memory_disk, memory_network, simulated_day
 
 SAMPLES_OF_A_KIND = 4
 SAMPLE_BYTES_LIMIT = 4096
@@ -85,7 +85,7 @@
 
 
 @click.command()
-@click.option("--kind", type=click.Choice(sorted(simulated_day.KINDS)), default="busy", show_default=True)
+@click.option("--kind", type=click.Choice(sorted(day_kinds.KINDS)), default="busy", show_default=True)
 @click.option("--seed", type=int, default=201, show_default=True)
 @click.option("--seconds", type=float, default=8.0, show_default=True, help="Virtual seconds of the day.")
 @click.option("--samples", type=click.Path(path_type=pathlib.Path), help="Where to write recorded frames.")
