--- a/src/irisstand/controlplane/changes/evacuation_check.py
+++ b/src/irisstand/controlplane/changes/evacuation_check.py
@@ -4,7 +4,7 @@
 import collections.abc
 import typing
 
-from irisstand import control_errors, errors, node_context, setting_parsers
+from irisstand import control_errors, errors, node_context, node_tables, setting_parsers
 from irisstand.controlplane.singletons import fleet_view
 from irisstand.state import items, quorum
 
@@ -170,7 +170,11 @@
         An evacuation moves work and not voters, but who evacuates may be about to switch machines off.
         """
         voters = quorum.voters_from_wire(self.context.ledger.value(items.VOTERS_KEY))
-        up = {update.identity.name for update in self.context.members_of("agency") if not update.state}
+        up = {
+            update.identity.name
+            for update in self.context.members_of(node_tables.CONTROL_PLANE_ROLE)
+            if not update.state
+        }
         up.add(self.context.settings.name)
         evacuated = {
             item.key.split("/", 1)[1] for item in self.context.ledger.items_with_prefix("evacuated/")
--- a/src/irisstand/controlplane/singletons/fleet_view.py
+++ b/src/irisstand/controlplane/singletons/fleet_view.py
@@ -11,8 +11,10 @@
 
 # A node that does not answer within this time is not counted on.
 CALL_TIMEOUT_SECONDS = 0.5
+SHIELD_ROLE = "shield"
+EDGE_ROLE = "edge"
 # Requests a second that a machine may get where its row sets no limit.
-DEFAULT_CAPACITY_BY_ROLE = {"shield": 100.0, "edge": 200.0}
+DEFAULT_CAPACITY_BY_ROLE = {SHIELD_ROLE: 100.0, EDGE_ROLE: 200.0}
 
 
 class MeasuredLoad(typing.NamedTuple):
@@ -44,7 +46,7 @@
     def is_out_of_work(self, machine: str) -> bool:
         """Return whether a shield machine has no work by a recorded decision: standby or evacuation."""
         sites = {
-            update.node_info.machine: update.node_info.site for update in self.context.members_of("shield")
+            update.node_info.machine: update.node_info.site for update in self.context.members_of(SHIELD_ROLE)
         }
         if self.is_on_standby(machine):
             return True
@@ -57,7 +59,7 @@
     def shield_weights(self) -> dict[str, float]:
         """Return the weights of the shield machines that may be given work."""
         weights = {}
-        for update in self.context.members_of("shield"):
+        for update in self.context.members_of(SHIELD_ROLE):
             machine = update.node_info.machine
             site = update.node_info.site
             machine_weight = self.configuration_row("shield", machine).get("weight", 1)
@@ -101,7 +103,7 @@
     def planned_machine(self, role: str, update: updates.Update) -> standby_planning.Machine:
         """Return a member's machine with its capacity, and whether operators keep it awake."""
         machine = update.node_info.machine
-        row = self.configuration_row("shield", machine) if role == "shield" else {}
+        row = self.configuration_row("shield", machine) if role == SHIELD_ROLE else {}
         capacity = row.get("limit", DEFAULT_CAPACITY_BY_ROLE[role])
         is_pinned = bool(self.configuration_row("machine", machine).get("awake"))
         return standby_planning.Machine(machine, update.node_info.site, capacity, is_pinned)
--- a/src/irisstand/controlplane/singletons/rate_placement.py
+++ b/src/irisstand/controlplane/singletons/rate_placement.py
@@ -14,6 +14,9 @@
 STABLE_SECONDS = 2.0
 STABLE_WAIT_LIMIT_SECONDS = 6.0
 LONG_AGO = -1e9
+# Nodes that fetch objects for the other nodes of their zone, and edges that fetch for themselves.
+HOLDER_ROLE = "holder"
+DIRECT_EDGE_ROLE = "direct"
 
 
 class RatePlacement:
@@ -87,8 +90,8 @@
 
     def weights(self, units: dict[str, int], now: float) -> dict[str, float]:
         """Return who should own shares: nodes that are up, and owners that were up not long ago."""
-        holders = self.sites_of("holder")
-        edges = self.sites_of("direct")
+        holders = self.sites_of(HOLDER_ROLE)
+        edges = self.sites_of(DIRECT_EDGE_ROLE)
         present = {**holders, **edges}
         self.seen_at.update(dict.fromkeys(present, now))
         if any(self.is_waited_for(name, now) for name in units if name not in present):
