--- a/tests/dataplane/test_direct_edge_cache.py
+++ b/tests/dataplane/test_direct_edge_cache.py
@@ -10,7 +10,7 @@
 
 
 # -- objects -----------------------------------------------------------------------------------------------
-def test_an_object_is_fetched_once_for_all_who_ask_and_given_under_each_ones_id():
+def test_equal_reads_share_one_fetch_and_each_answer_has_its_own_request_id():
     async def scene(stage):
         async def origin(headers):
             await asyncio.sleep(0.05)
@@ -24,7 +24,7 @@
     assert play(scene) == (["r0", "r1", "r2", "r3", "r4", "r9"], 1)
 
 
-def test_a_range_is_cut_from_the_whole_and_conditions_do_not_reach_the_origin():
+def test_range_is_cut_from_the_complete_object_and_conditional_headers_do_not_reach_the_origin():
     async def scene(stage):
         stage.play = lambda key, headers, body: whole(headers["x-request-id"], b"abcdef")
         part = await stage.ask("/objects/1", range="bytes=2-3", if_none_match='"x"')
@@ -37,7 +37,7 @@
     assert len(sent) == 1 and "range" not in sent[0][3] and "if-none-match" not in sent[0][3]
 
 
-def test_an_object_past_its_life_is_revalidated_and_a_changed_one_fetched():
+def test_expired_object_is_revalidated_and_a_changed_one_fetched():
     async def scene(stage):
         version = ['"1"']
 
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("key", ["purge/path/h/objects/1", "purge/tag/t"])
-def test_a_purged_object_is_fetched_again_also_when_the_purge_comes_under_the_fetch(key):
+def test_purged_object_is_fetched_again_also_if_the_purge_comes_during_the_fetch(key):
     async def scene(stage):
         async def origin(headers):
             number = len(stage.sent)
@@ -78,7 +78,7 @@
     assert first == b"n1" and second == b"n3" and third == b"n3"
 
 
-def test_an_object_is_asked_for_a_second_time_under_no_ones_id():
+def test_retry_of_an_object_fetch_has_no_clients_request_id():
     async def scene(stage):
         def origin(key, headers, body):
             named = headers.get("x-request-id")
@@ -90,7 +90,7 @@
     assert play(scene) == b"good"
 
 
-def test_a_shorter_life_counts_for_what_is_cached_already_and_a_dropped_route_gives_out_nothing():
+def test_reduced_ttl_applies_to_cached_objects_and_a_dropped_route_serves_none():
     async def scene(stage):
         await stage.ask("/objects/1")
         await asyncio.sleep(3)
--- a/tests/dataplane/test_large_configurations.py
+++ b/tests/dataplane/test_large_configurations.py
@@ -73,7 +73,7 @@
 
 
 # -- what a change and a request cost -----------------------------------------------------------------------
-def test_a_change_of_one_route_compiles_that_one_alone(monkeypatch):
+def test_change_of_one_route_compiles_only_that_route(monkeypatch):
     async def scene(stage):
         many(stage)
         stage.part.table.refresh()
@@ -92,7 +92,7 @@
     assert play(scene) == (9.0, ["big-00007"], True)
 
 
-def test_a_lookup_does_not_walk_through_the_routes():
+def test_lookup_among_many_routes_compares_few_prefixes():
     async def scene(stage):
         many(stage)
         table = stage.part.table
@@ -107,7 +107,7 @@
     assert play(scene) <= 10
 
 
-def test_a_place_under_a_rate_does_not_ask_every_route_of_the_service(monkeypatch):
+def test_token_of_a_rate_limit_does_not_look_at_every_route_of_the_service(monkeypatch):
     async def scene(stage):
         names = many(stage)
         put_at_once(stage, [("route/far", {"version": 1, "item": route("far", regions=["two"])}, False)])
@@ -182,7 +182,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_taking_in_changes_comes_to_the_same_as_reading_all_anew(seed):
+def test_route_table_after_changes_equals_one_read_anew(seed):
     randomness = random.Random(seed)
 
     async def scene(stage):
@@ -208,7 +208,7 @@
     play(scene)
 
 
-def test_rows_forgotten_beyond_what_the_copy_remembers_are_gone_from_the_routes():
+def test_routes_removed_beyond_the_replicas_removal_records_are_gone():
     async def scene(stage):
         stage.context.configuration.removal_records = type(stage.context.configuration.removal_records)(
             maxlen=3
@@ -221,7 +221,7 @@
     assert set(play(scene)) == {None}
 
 
-def test_what_big_configurations_cost_can_be_measured():
+def test_cost_of_large_configurations_can_be_measured():
     figures = {entry.what: entry.figure for entry in large_configurations.measure(300)}
     assert figures["all rows in compressed parts"] < figures["all rows, packed"] / 4
     assert figures["a changed row on its way"] < 1000
--- a/tests/dataplane/test_listener.py
+++ b/tests/dataplane/test_listener.py
@@ -50,7 +50,7 @@
     return exchange.Answer(200, {"x-request-id": "a"}, request.body or b"whole")
 
 
-def test_a_body_that_stops_half_way_holds_its_connection_no_longer_than_the_limits_say():
+def test_body_that_stops_half_way_is_refused_after_the_idle_limit():
     async def scene(face):
         face.node.table.limits = face.node.table.limits._replace(header=1.0, idle=1.0)
         face.node.table.refresh = lambda: None
@@ -68,7 +68,7 @@
     assert b" 408 " in told.split(b"\r\n")[0] and asked == 0
 
 
-def test_a_body_that_comes_in_pieces_is_handed_on_whole():
+def test_body_that_comes_in_pieces_is_handed_on_complete():
     async def scene(face):
         reader, writer = await face.connect()
         writer.write(b"POST /writes/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nshort")
@@ -81,7 +81,7 @@
     assert b" 200 " in play(scene, quick).split(b"\r\n")[0]
 
 
-def test_clients_that_do_not_read_hold_no_task_after_the_end():
+def test_clients_that_do_not_read_leave_no_task_after_shutdown():
     asked = []
 
     async def large(request):
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("moment", [0.0, 0.02, 0.05, 0.06])
-def test_clients_that_go_away_crash_nothing_and_leave_no_work_counted(moment):
+def test_clients_that_disconnect_crash_nothing_and_leave_no_request_counted(moment):
     async def slow(request):
         await asyncio.sleep(0.05)
         return exchange.Answer(200, {}, b"x" * 200000)
@@ -128,7 +128,7 @@
     assert play(scene, slow) == ([], False, 0)
 
 
-def test_a_cancelled_reading_is_an_answer_of_its_own_and_not_the_clients_going():
+def test_cancelled_shared_read_is_answered_with_an_error():
     async def cancelled(request):
         raise asyncio.CancelledError
 
--- a/tests/dataplane/test_object_holders.py
+++ b/tests/dataplane/test_object_holders.py
@@ -1,4 +1,4 @@
-"""Holders of objects: what edges get from them, and what happens when they fail or know less."""
+"""Object holders: what edges get from them, also when a holder fails or has an older configuration."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class Site:
-    """Edges and holders whose questions to one another go by hand; `silent` ones answer nothing."""
+    """Edges and holders that call each other's handlers directly; `silent` ones answer nothing."""
 
     def __init__(self, edges=2, holders=1, **places):
         self.nodes, self.silent, self.asked, self.replies = {}, set(), [], []
@@ -58,7 +58,7 @@
     return virtual_time.run(run())
 
 
-def test_an_object_comes_to_a_site_once_and_from_then_on_out_of_each_edges_own_cache():
+def test_object_read_at_two_edges_is_fetched_once_by_the_holder_and_then_cached_at_each_edge():
     async def scene(site):
         for number, name in enumerate(("edge-1", "edge-2", "edge-1")):
             answer = await site.nodes[name].ask("/objects/1", request_id=f"r{number}")
@@ -68,7 +68,7 @@
     assert play(scene) == ({"holder-1": 1}, [("edge-1", "holder-1"), ("edge-2", "holder-1")])
 
 
-def test_what_is_no_object_never_goes_through_a_holder():
+def test_request_that_is_not_cacheable_is_never_sent_to_a_holder():
     async def scene(site):
         await site.nodes["edge-1"].ask("/reads/1")
         await site.nodes["edge-1"].ask("/writes/1", "POST")
@@ -77,7 +77,7 @@
     assert play(scene) == []
 
 
-def test_a_silent_holder_costs_one_wait_and_the_edge_fetches_by_itself():
+def test_holder_that_does_not_answer_is_waited_for_once_and_the_edge_fetches_by_itself():
     async def scene(site):
         site.silent = {"holder-1"}
         took = []
@@ -91,8 +91,8 @@
     assert took[0] < 0.8 and max(took[1:]) < 0.1 and sent == {"edge-1": 3} and asked == 1
 
 
-def test_a_holder_without_a_place_is_no_reason_for_its_edges_to_fetch_by_themselves():
-    """Each edge's own fetch would take a place from the owners of all, and serve that edge alone."""
+def test_edge_does_not_fetch_by_itself_when_its_holder_gets_no_token():
+    """Each edge's own fetch would take a token from the owners of all, and serve that edge alone."""
 
     async def scene(site):
         def full(*arguments):
@@ -106,7 +106,7 @@
     assert play(scene) == {}
 
 
-def test_a_purge_that_only_the_edge_has_heard_of_counts_at_the_holder_too():
+def test_purge_known_only_to_the_edge_makes_the_holder_fetch_again():
     async def scene(site):
         holder, edge = site.nodes["holder-1"], site.nodes["edge-1"]
         holder.play = lambda key, headers, body: whole(headers["x-request-id"], b"n%d" % len(holder.sent))
@@ -118,7 +118,7 @@
     assert play(scene) == (b"n1", b"n2")
 
 
-def test_a_holder_that_is_behind_the_edges_configuration_is_not_believed():
+def test_answer_of_a_holder_with_an_older_configuration_is_not_used():
     async def scene(site):
         # The edge's route goes to another service now; its holder still has the old one.
         edge = site.nodes["edge-1"]
@@ -131,7 +131,7 @@
     assert play(scene) == ({"edge-1": 1}, ["c"])
 
 
-def test_an_object_that_the_edge_still_has_comes_as_a_word_and_no_bytes():
+def test_holder_confirms_an_object_that_the_edge_still_has_without_sending_its_body():
     async def scene(site):
         holder = site.nodes["holder-1"]
         holder.play = lambda key, headers, body: whole(headers["x-request-id"], etag='"1"')
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize(("edges", "asked"), [(3, 0), (9, 1)])
-def test_outside_a_routes_regions_a_holder_takes_part_only_while_many_edges_inside_are_up(edges, asked):
+def test_holder_outside_a_routes_regions_is_asked_only_while_enough_edges_inside_are_up(edges, asked):
     async def scene(site):
         for node in site.nodes.values():
             node.route("objects", kind="cacheable", regions=["one"])
@@ -154,7 +154,7 @@
     assert play(scene, edges=edges, edge_1="east", holder_1="east") == (200, asked)
 
 
-def test_while_a_rate_is_scarce_one_holder_of_all_fetches_an_object_and_nobody_asks_in_a_ring():
+def test_scarce_rate_has_each_object_fetched_by_one_holder_and_no_request_forwarded_twice():
     async def scene(site):
         for node in site.nodes.values():
             node.put(
@@ -172,7 +172,7 @@
     assert sum(sent.values()) == 6 and set(sent) == {"holder-1", "holder-2"}
 
 
-def test_a_few_edges_fetch_for_themselves():
+def test_fleet_of_few_edges_fetches_without_holders():
     async def scene(site):
         for node in site.nodes.values():
             node.context.settings = node.context.settings._replace(holder_edges=3)
@@ -182,7 +182,7 @@
     assert play(scene) == {"edge-1": 1}
 
 
-def test_a_draining_holder_takes_nothing_more():
+def test_draining_holder_refuses_and_the_edge_fetches_by_itself():
     async def scene(site):
         site.nodes["holder-1"].context.is_draining = True
         assert (await site.nodes["edge-1"].ask("/objects/1")).status == 200
--- a/tests/dataplane/test_popularity.py
+++ b/tests/dataplane/test_popularity.py
@@ -28,7 +28,7 @@
     return [count for count in counts.values() if count]
 
 
-def test_a_hot_object_is_shared_by_two_shields_and_a_cold_one_stays_with_its_own():
+def test_popular_object_is_served_by_two_shields_and_another_by_one():
     async def scene(day):
         await test_placement.pin_all(day)
         cold = await shares_of(day, "/shortlists/cold", 10, 6)
--- a/tests/dataplane/test_served_objects.py
+++ b/tests/dataplane/test_served_objects.py
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("headers", [{}, {"authorization": "Bearer me"}])
 @pytest.mark.parametrize("purge", [("path", "/vacancies/7"), ("tag", "vacancies")])
-def test_an_answer_under_way_when_its_purge_is_confirmed_is_not_given_out_later(headers, purge):
+def test_answer_in_flight_when_its_purge_is_confirmed_is_not_served_later(headers, purge):
     async def scene(day):
         path = "/vacancies/7"
         await slow_origins(day, 2.4)
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("headers", [{}, {"authorization": "Bearer me"}])
-def test_purges_that_keep_striking_end_in_a_refusal_within_the_deadline(headers):
+def test_repeated_purges_during_a_read_end_in_an_error_within_the_deadline(headers):
     async def scene(day):
         path = "/vacancies/7"
         await slow_origins(day, 0.7)
@@ -45,7 +45,7 @@
     cluster.play(scene)
 
 
-def test_an_answer_that_has_outlived_its_life_on_the_way_is_not_given_out():
+def test_answer_that_expires_in_flight_is_not_served():
     async def scene(day):
         value = {"grants": [{"service": "content", "methods": ["GET"]}], "life": 0.5}
         await day.actors.order(
@@ -61,7 +61,7 @@
     cluster.play(scene)
 
 
-def test_whoever_joins_a_fetch_that_runs_out_of_time_still_has_all_of_its_own():
+def test_request_that_joins_a_fetch_that_times_out_keeps_its_own_deadline():
     async def scene(day):
         await slow_origins(day, 60)
         first = asyncio.create_task(day.actors.ask("edge-1", "GET", "/vacancies/1"))
--- a/tests/dataplane/test_token_leases.py
+++ b/tests/dataplane/test_token_leases.py
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_whatever_each_node_knows_all_of_them_keep_to_the_rate_in_any_five_seconds(seed):
+def test_rate_limit_holds_in_any_five_seconds_whatever_members_each_node_knows(seed):
     async def scene(fleet):
         disturbing = asyncio.create_task(trouble(fleet, random.Random(seed)))
         await crowd(fleet, list(fleet.nodes), 14, 12)
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("name", ["holder-1", "edge-1"])
-def test_a_node_that_alone_has_work_gets_most_of_the_rate_within_a_second(name):
+def test_only_busy_node_gets_most_of_the_rate_within_a_second(name):
     async def scene(fleet):
         await crowd(fleet, [name], 1, 100, "early")
         before = len(fleet.moments())
@@ -146,7 +146,7 @@
     assert play(scene) >= 0.85 * RATE
 
 
-def test_an_edge_whose_holders_are_all_silent_to_it_but_one_elsewhere_is_lent_places_by_that_one():
+def test_edge_that_reaches_only_one_distant_holder_leases_tokens_from_it():
     async def scene(fleet):
         fleet.cut = {("edge-1", name) for name in ("holder-1", "holder-2", "holder-3")}
         await crowd(fleet, ["edge-1"], 3, 20)
@@ -158,7 +158,7 @@
     assert sent >= 18 and found.count(200) >= 18
 
 
-def test_an_owner_whose_ledger_is_old_neither_uses_nor_lends_its_part():
+def test_owner_with_an_old_ledger_neither_uses_nor_lends_its_quota_share():
     async def scene(fleet):
         now = asyncio.get_running_loop().time()
         owner = fleet.nodes["holder-1"]
@@ -176,7 +176,7 @@
     assert early == ("places", 0.0) and used == 0.0 and late == ("places",)
 
 
-def test_a_lent_place_is_good_for_a_moment_only():
+def test_leased_token_expires_after_the_lease_time():
     async def scene(fleet):
         grants = fleet.nodes["edge-1"].part.endpoints.token_leases
         await asyncio.sleep(1)
@@ -190,7 +190,7 @@
     assert play(scene) == 0.0
 
 
-def test_a_process_that_was_killed_again_and_again_gets_no_burst_each_time():
+def test_process_restarted_many_times_gets_no_burst_after_each_start():
     async def scene(fleet):
         fleet.cut = {("holder-1", name) for name in fleet.nodes}
         used = 0
@@ -209,7 +209,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_cold_origin_gets_no_more_in_a_second_whatever_each_node_knows(seed):
+def test_cold_origin_gets_no_more_than_its_limit_whatever_members_each_node_knows(seed):
     async def scene(fleet):
         luck = random.Random(seed)
         for node in fleet.nodes.values():
--- a/tests/mutation/dataplane_mutations.py
+++ b/tests/mutation/dataplane_mutations.py
@@ -54,13 +54,13 @@
         "dataplane/retry/freshness_policy.py",
         "    return fetched.applied >= view.purged_at(path, fetched.tags) and not has_expired",
         "    return fetched.applied >= view.purged_at(path, fetched.tags)",
-        "dataplane/test_served_objects.py::test_an_answer_that_has_outlived_its_life_on_the_way_is_not_given_out",
+        "dataplane/test_served_objects.py::test_answer_that_expires_in_flight_is_not_served",
     ),
     (
         "dataplane/retry/freshness_policy.py",
         "        if now > self.deadline - MINIMUM_FETCH_SECONDS:",
         "        if False:",
-        "dataplane/test_served_objects.py::test_purges_that_keep_striking_end_in_a_refusal_within_the_deadline",
+        "dataplane/test_served_objects.py::test_repeated_purges_during_a_read_end_in_an_error_within_the_deadline",
     ),
     (
         "dataplane/retry/freshness_policy.py",
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -138,13 +138,13 @@
         "dataplane/routing/route_table.py",
         "        if copy.items is self.read_from and copy.applied > self.applied:",
         "        if False:\n            self.apply_changes(copy)\n        elif self.compiled.clear() or copy.items is None:",
-        "dataplane/test_large_configurations.py::test_a_change_of_one_route_compiles_that_one_alone",
+        "dataplane/test_large_configurations.py::test_change_of_one_route_compiles_only_that_route",
     ),
     (
         "dataplane/routing/route_table.py",
         '        if len(self.compiled) != copy.counts_by_prefix["route"] + copy.counts_by_prefix["upstream"]:',
         "        if False:",
-        "dataplane/test_large_configurations.py::test_rows_forgotten_beyond_what_the_copy_remembers_are_gone_from_the_routes",
+        "dataplane/test_large_configurations.py::test_routes_removed_beyond_the_replicas_removal_records_are_gone",
     ),
     (
         "dataplane/routing/prefix_map.py",
@@ -156,19 +156,19 @@
         "dataplane/ratelimit/quota_share.py",
         "        if limit is None or age is None or age > rate_quota.USABLE_SECONDS:",
         "        if limit is None:",
-        "dataplane/test_token_leases.py::test_an_owner_whose_ledger_is_old_neither_uses_nor_lends_its_part",
+        "dataplane/test_token_leases.py::test_owner_with_an_old_ledger_neither_uses_nor_lends_its_quota_share",
     ),
     (
         "dataplane/ratelimit/token_leases.py",
         "if now < token.expires_at]",
         "]",
-        "dataplane/test_token_leases.py::test_a_lent_place_is_good_for_a_moment_only",
+        "dataplane/test_token_leases.py::test_leased_token_expires_after_the_lease_time",
     ),
     (
         "balancing/rate_limiter.py",
         "token_bucket.TokenBucket(clock, 0.0, opened_at)",
         "token_bucket.TokenBucket(clock, 50.0, opened_at)",
-        "dataplane/test_token_leases.py::test_a_process_that_was_killed_again_and_again_gets_no_burst_each_time",
+        "dataplane/test_token_leases.py::test_process_restarted_many_times_gets_no_burst_after_each_start",
     ),
     (
         "controlplane/singletons/rate_placement.py",
--- a/tests/programs/test_deployed_programs.py
+++ b/tests/programs/test_deployed_programs.py
@@ -23,7 +23,7 @@
     return asyncio.run(whole())
 
 
-def test_all_kinds_of_requests_changes_purges_evacuations_and_a_planned_end(tmp_path):
+def test_deployed_programs_serve_requests_changes_purges_evacuations_and_a_graceful_shutdown(tmp_path):
     async def scene(fleet):
         # Requests of each kind; what comes back is what the origin sealed, under the asker's own id.
         for path, method, body in (
@@ -120,7 +120,7 @@
     play(scene, tmp_path)
 
 
-def test_senseless_clients_get_what_the_limits_say_and_the_node_goes_on(tmp_path):
+def test_malformed_requests_are_refused_by_the_limits_and_the_node_keeps_serving(tmp_path):
     async def raw(fleet, sent):
         """The status line of what comes back on a connection of its own, or nothing."""
         reader, writer = await asyncio.open_connection("127.0.7.4", fleet.ports[2])
@@ -161,7 +161,7 @@
         ("internal_ports = 7\n", "settings"),
     ],
 )
-def test_settings_that_do_not_do_are_named_in_a_line_and_end_with_2(program, content, named, tmp_path):
+def test_invalid_settings_are_named_in_a_line_each_and_exit_with_2(program, content, named, tmp_path):
     environment = {
         name: value
         for name, value in os.environ.items()
@@ -191,12 +191,12 @@
 )
 
 
-def test_nothing_outside_the_adapter_knows_the_platforms_names():
+def test_no_module_outside_the_adapter_names_the_platforms_terms():
     for path in sorted((deployed_programs.ROOT / "src").rglob("*.py")):
         assert not PLATFORM.findall(path.read_text()), path
 
 
-def test_the_adapter_stays_small_and_shadows_no_module():
+def test_adapter_is_below_its_size_limit_and_shadows_no_module():
     files = sorted((deployed_programs.ROOT / "platform").glob("*.py"))
     assert sum(len(path.read_text().splitlines()) for path in files) < 400
     names = {path.stem for path in files}
