--- a/src/irisstand/simulator/cluster_faults.py
+++ b/src/irisstand/simulator/cluster_faults.py
@@ -121,7 +121,7 @@
     """Cut the power of all nodes at once; the disks remain, and what was confirmed must be there again."""
     faults.is_exclusive = True
     # Other faults end first: this is one loss of everything, not a second one during a first.
-    while len([task for task in faults.tasks if not task.done()]) > 1:
+    while len([task for task in faults.tasks if not task.done()]) > 1:  # noqa: ASYNC110 - the draws and times of seeded days rest on polling
         await asyncio.sleep(0.1)
     await faults.repair_all()
     faults.record("total-loss", "")
--- a/src/irisstand/simulator/failure_detection_benchmark.py
+++ b/src/irisstand/simulator/failure_detection_benchmark.py
@@ -1,4 +1,7 @@
-"""How soon the death of a member is suspected, declared and known everywhere, in SWIM periods."""
+"""Failure-detection benchmark: how soon a dead member is suspected, confirmed and known, in SWIM periods.
+
+Source of the expected figures: Das, Gupta, Motivala, "SWIM", 2002, section 3.1.
+"""
 
 import asyncio
 import math
@@ -7,17 +10,27 @@
 from irisstand.membership import detector, updates
 from irisstand.simulator import simulated_cluster, virtual_time
 
-PERIOD = detector.Parameters.period_seconds
+PERIOD_SECONDS = detector.Parameters.period_seconds
 
 
 def spread(values: list[float]) -> str:
+    """Return mean, median, 90th percentile and maximum as a text."""
     ordered = sorted(values)
-    middle, tenth = ordered[len(ordered) // 2], ordered[int(len(ordered) * 0.9)]
+    middle = ordered[len(ordered) // 2]
+    tenth = ordered[int(len(ordered) * 0.9)]
     mean = sum(ordered) / len(ordered)
     return f"mean {mean:.2f}, median {middle:.2f}, 90th hundredth {tenth:.2f}, most {ordered[-1]:.2f}"
 
 
 class FailureDetectionBenchmark:
+    """Kills members one after another, and notes what the others learn.
+
+    Attributes:
+        first: When any member first took the victim for suspect or failed.
+        last: When the last member took it for failed.
+        victim: The member that is dead now.
+    """
+
     def __init__(self, seed: int, loss: float) -> None:
         self.cluster = simulated_cluster.SimulatedCluster(seed, processes.SHAPES["karbes"])
         self.loss = loss
@@ -26,12 +39,14 @@
         self.victim = ""
 
     def listen(self) -> None:
+        """Listen to the detectors of all present processes."""
         for node in self.cluster.nodes.values():
             listeners = node.program.context.detector.listeners
-            if self.heard not in listeners:
-                listeners.append(self.heard)
+            if self.on_update not in listeners:
+                listeners.append(self.on_update)
 
-    def heard(self, update: updates.Update) -> None:
+    def on_update(self, update: updates.Update) -> None:
+        """Note an update on the victim."""
         if update.identity.name == self.victim and update.state is not updates.MemberState.ALIVE:
             now = asyncio.get_running_loop().time()
             self.first.setdefault(update.state, now)
@@ -39,6 +54,7 @@
                 self.last = now
 
     def is_known(self) -> bool:
+        """Return whether no other member lists the victim any more."""
         others = [node for name, node in self.cluster.nodes.items() if name != self.victim]
         return all(
             all(who.name != self.victim for who in node.program.context.detector.member_list.members)
@@ -46,35 +62,36 @@
         )
 
     async def run(self, kills: int) -> list[str]:
-        world = self.cluster
-        await world.start_all()
-        await world.wait_until_ready()
-        world.network.loss = self.loss
+        """Kill so many members and return the lines to print."""
+        cluster = self.cluster
+        await cluster.start_all()
+        await cluster.wait_until_ready()
+        cluster.network.loss = self.loss
         suspicions: list[float] = []
         confirms: list[float] = []
         spreads: list[float] = []
         for _ in range(kills):
-            await asyncio.sleep(world.randomness.uniform(10, 20))
+            await asyncio.sleep(cluster.randomness.uniform(10, 20))
             self.listen()
-            self.victim = world.randomness.choice(list(world.nodes))
+            self.victim = cluster.randomness.choice(list(cluster.nodes))
             self.first.clear()
-            node = world.nodes[self.victim]
+            node = cluster.nodes[self.victim]
             node.kill(reset=False)
             killed = asyncio.get_running_loop().time()
-            await world.wait_until(self.is_known, 120)
-            suspicions.append((self.first[updates.MemberState.SUSPECT] - killed) / PERIOD)
-            confirms.append((self.first[updates.MemberState.CONFIRM] - killed) / PERIOD)
-            spreads.append((self.last - self.first[updates.MemberState.CONFIRM]) / PERIOD)
+            await cluster.wait_until(self.is_known, 120)
+            suspicions.append((self.first[updates.MemberState.SUSPECT] - killed) / PERIOD_SECONDS)
+            confirms.append((self.first[updates.MemberState.CONFIRM] - killed) / PERIOD_SECONDS)
+            spreads.append((self.last - self.first[updates.MemberState.CONFIRM]) / PERIOD_SECONDS)
             self.victim = ""
             await node.start()
-        members = len(world.nodes)
+        members = len(cluster.nodes)
         lines = [f"{members} members, {kills} kills, {self.loss:.0%} of packets lost; figures in periods"]
         lines.append(f"first suspicion: {spread(suspicions)}")
         lines.append(f"first Confirm: {spread(confirms)}")
         lines.append(f"spread of Confirm: {spread(spreads)}")
         expected = 1 / (1 - math.exp(-1))
         lines.append(f"the paper expects a first suspicion after {expected:.2f} periods, section 3.1")
-        contexts = [node.program.context for node in world.nodes.values()]
+        contexts = [node.program.context for node in cluster.nodes.values()]
         lines.append(
             "a suspicion ripens after "
             f"{max(context.detector.transmission_limit() for context in contexts)} periods"
@@ -85,4 +102,5 @@
 
 
 def measure(seed: int, kills: int, loss: float) -> list[str]:
+    """Run the benchmark in virtual time; `loss` is the share of datagrams that are lost."""
     return virtual_time.run(FailureDetectionBenchmark(seed, loss).run(kills))
--- a/src/irisstand/simulator/hostile_scripts.py
+++ b/src/irisstand/simulator/hostile_scripts.py
@@ -1,4 +1,7 @@
-"""Scripts of hostile origins, by seed, in virtual time: an edge's whole way to origins against an oracle."""
+"""Fuzzing with hostile origins, by seed, in virtual time.
+
+The answers of an edge are compared with what ran at the origins.
+"""
 
 import asyncio
 import concurrent.futures
@@ -10,7 +13,7 @@
 from irisstand.dataplane.routing import snapshot
 from irisstand.dataplane.upstream import exchange
 from irisstand.emulators import hostile_origin
-from irisstand.simulator import virtual_time
+from irisstand.simulator import memory_network, simulated_network, virtual_time
 from irisstand.state import items, versions
 
 SETTINGS = node_settings.Settings(
@@ -24,11 +27,19 @@
 KINDS = {"objects": "cacheable", "reads": "idempotent", "writes": "non_idempotent"}
 REQUESTS = 8
 # These tell a client that its request has not run.
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+HTTP_OK = 200
+# Some clients go away, at the moment of the answer too.
+CLIENT_TIMEOUTS_SECONDS = (0.012, 0.302, 5.0, 5.0, 5.0, 5.0)
+PAUSES_SECONDS = (0.0, 0.002, 0.05, 0.4)
+# By then whatever was still on its way has run.
+SETTLE_SECONDS = 3
+ALWAYS_CURRENT_SECONDS = 1e6
+SCRIPTS_IN_A_PIECE = 500
 
 
 class Script:
-    """One edge, two origins, some requests of each kind; `broken` names what the oracle found."""
+    """One edge, two origins and some requests of each kind; `broken` describes the violations."""
 
     def __init__(self, seed: int) -> None:
         self.randomness = random.Random(seed)
@@ -37,12 +48,21 @@
         self.answered = 0
         self.writes: set[str] = set()
         clock = clocks.LoopClock()
-        self.context = node_context.NodeContext(SETTINGS, "direct", clock, self.randomness, None)
+        network = memory_network.HostNetwork(
+            simulated_network.SimulatedNetwork(self.randomness), SETTINGS.host
+        )
+        self.context = node_context.NodeContext(SETTINGS, "direct", clock, self.randomness, network)
         self.context.drain_ending = asyncio.get_running_loop().create_future()
-        self.part = direct.DirectNode(
+        self.node = direct.DirectNode(
             self.context, snapshot.ConfigurationSnapshot(self.context), self.connect
         )
         self.counter = 0
+        self.put_configuration()
+        for replica in self.context.replicas.values():
+            replica.confirm_current(clock.now() + ALWAYS_CURRENT_SECONDS)
+
+    def put_configuration(self) -> None:
+        """Put a route of each kind, the service and its two origins."""
         for name, kind in KINDS.items():
             route = {"name": name, "version": 1, "host": "h", "prefix": f"/{name}/", "kind": kind}
             route |= {"timeout": 2.0, "target": 0.2, "attempts": 3, "cache_life": 10.0, "service": "s"}
@@ -50,39 +70,41 @@
         upstream = {"name": "s", "version": 1, "cold_rate": 5.0, "connections": 50}
         self.put(items.CONFIGURATION, "upstream/s", {"version": 1, "item": upstream})
         for key in "ab":
-            row = {"service": "s", "host": key, "port": 80, "site": "north", "state": "ready"}
-            self.put(items.LEDGER, f"origin/{key}", {**row, "warmup": 0, "slots": 2})
-        for copy in self.context.replicas.values():
-            copy.confirm_current(clock.now() + 1e6)
+            origin = {"service": "s", "host": key, "port": 80, "site": "north", "state": "ready"}
+            self.put(items.LEDGER, f"origin/{key}", {**origin, "warmup": 0, "slots": 2})
 
-    def put(self, table: str, key: str, value: dict) -> None:
-        copy = self.context.replicas[table]
+    def put(self, table: str, key: str, value: dict[str, typing.Any]) -> None:
+        """Put an item into one of the edge's tables under a new version."""
+        replica = self.context.replicas[table]
         self.counter += 1
-        copy.put(items.Item(key, versions.Version(self.counter, "n"), value))
-        copy.applied = versions.Version(self.counter, "n")
-        copy.notify_watchers()
+        version = versions.Version(self.counter, "n")
+        replica.put(items.Item(key, version, value))
+        replica.applied = version
+        replica.notify_watchers()
 
     async def connect(self, host: str, port: int) -> exchange.Exchange:
-        made = exchange.Exchange(hostile_origin.ID)
-        hostile_origin.join(made, hostile_origin.HostileOrigin(self.randomness, self.record))
-        return made
+        """Open a connection to a hostile origin, whichever address is wanted."""
+        connection = exchange.Exchange(hostile_origin.ID)
+        hostile_origin.join(connection, hostile_origin.HostileOrigin(self.randomness, self.record))
+        return connection
 
     async def request(self, number: int) -> None:
+        """Send one random request and check its answer."""
         kind = self.randomness.choice(tuple(KINDS))
         method = "POST" if kind == "writes" else self.randomness.choice(("GET", "GET", "HEAD"))
-        target, request_id = f"/{kind}/{number}", f"r{number}"
+        target = f"/{kind}/{number}"
+        request_id = f"r{number}"
         if kind == "writes":
             self.writes.add(request_id)
         body = b"body" if method == "POST" else b""
-        asked = direct.Request(method, target.encode(), "h", {hostile_origin.ID: request_id}, body)
+        request = direct.Request(method, target.encode(), "h", {hostile_origin.ID: request_id}, body)
         try:
-            # Some clients go away, at the moment of the answer too.
-            async with asyncio.timeout(self.randomness.choice((0.012, 0.302, 5.0, 5.0, 5.0, 5.0))):
-                answer = await self.part.handle(asked)
+            async with asyncio.timeout(self.randomness.choice(CLIENT_TIMEOUTS_SECONDS)):
+                answer = await self.node.handle(request)
         except TimeoutError:
             return
         except errors.IrisError as error:
-            await self.judge_refusal(kind, request_id, error)
+            await self.check_rejection(kind, request_id, error)
             return
         self.answered += 1
         expected = b"" if method == "HEAD" else f"{target} answered".encode()
@@ -90,31 +112,35 @@
             answer.body
         )
         is_own = answer.headers.get(hostile_origin.ID) == request_id
-        if answer.status in PROMISES and self.record.runs[request_id]:
+        if answer.status in NOT_RUN_STATUSES and self.record.runs[request_id]:
             self.broken.append(f"{request_id} was told {answer.status}, and ran")
-        if answer.status == 200 and (answer.body != expected or not is_sealed or not is_own):
+        if answer.status == HTTP_OK and (answer.body != expected or not is_sealed or not is_own):
             self.broken.append(f"{request_id} got {answer}")
 
-    async def judge_refusal(self, kind: str, request_id: str, error: errors.IrisError) -> None:
-        if kind != "writes" or error.status not in PROMISES:
+    async def check_rejection(self, kind: str, request_id: str, error: errors.IrisError) -> None:
+        """Check that a write whose client was told that it has not run never runs."""
+        if kind != "writes" or error.status not in NOT_RUN_STATUSES:
             return
-        await asyncio.sleep(3)
+        await asyncio.sleep(SETTLE_SECONDS)
         if self.record.runs[request_id]:
             self.broken.append(f"{request_id} was told {error.code}, and ran")
 
     async def play(self) -> None:
-        asking = []
+        """Send all requests, and check that no write ran twice."""
+        requests = []
         for number in range(REQUESTS):
-            asking.append(asyncio.get_running_loop().create_task(self.request(number)))
-            await asyncio.sleep(self.randomness.choice((0.0, 0.002, 0.05, 0.4)))
-        await asyncio.gather(*asking)
-        await asyncio.sleep(3)
+            requests.append(asyncio.get_running_loop().create_task(self.request(number)))
+            await asyncio.sleep(self.randomness.choice(PAUSES_SECONDS))
+        await asyncio.gather(*requests)
+        await asyncio.sleep(SETTLE_SECONDS)
         for name in sorted(self.writes):
             if self.record.runs[name] > 1:
                 self.broken.append(f"{name} ran {self.record.runs[name]} times")
 
 
 class FuzzResult(typing.NamedTuple):
+    """Numbers of scripts, of answered requests and of requests that ran, and the violations by seed."""
+
     scripts: int
     answered: int
     runs: int
@@ -123,25 +149,31 @@
 
 def play(seeds: range) -> FuzzResult:
     """Play these scripts, each on a loop of its own."""
-    answered, runs, broken = 0, 0, []
+    answered = 0
+    runs = 0
+    broken: list[str] = []
 
-    async def one(seed: int) -> Script:
+    async def play_script(seed: int) -> Script:
         script = Script(seed)
         await script.play()
         return script
 
     for seed in seeds:
-        script = virtual_time.run(one(seed))
+        script = virtual_time.run(play_script(seed))
         answered += script.answered
         runs += script.record.runs.total()
         broken += [f"seed {seed}: {what}" for what in script.broken]
     return FuzzResult(len(seeds), answered, runs, tuple(broken))
 
 
-def play_all(scripts: int, workers: int, first: int = 1, size: int = 500) -> FuzzResult:
-    """Play `scripts` scripts in so many processes."""
+def play_all(scripts: int, workers: int, first: int = 1, size: int = SCRIPTS_IN_A_PIECE) -> FuzzResult:
+    """Play scripts in several processes, `size` of them at a time, and return the sums."""
     pieces = [range(n, min(n + size, first + scripts)) for n in range(first, first + scripts, size)]
     with concurrent.futures.ProcessPoolExecutor(workers) as pool:
-        done = list(pool.map(play, pieces))
-    counts = [sum(figures[index] for figures in done) for index in range(3)]
-    return FuzzResult(*counts, tuple(what for figures in done for what in figures.broken))
+        results = list(pool.map(play, pieces))
+    return FuzzResult(
+        scripts=sum(result.scripts for result in results),
+        answered=sum(result.answered for result in results),
+        runs=sum(result.runs for result in results),
+        broken=tuple(violation for result in results for violation in result.broken),
+    )
--- a/src/irisstand/simulator/memory_disk.py
+++ b/src/irisstand/simulator/memory_disk.py
@@ -35,7 +35,7 @@
     async def turn(self) -> None:
         """Take the time of one disk operation."""
         await asyncio.sleep(self.randomness.uniform(0.1, 1.0) * self.slowness)
-        while self.stalled:
+        while self.stalled:  # noqa: ASYNC110 - the draws and times of seeded days rest on polling
             await asyncio.sleep(STALL_POLL_SECONDS)
 
     async def write(self, files: collections.abc.Sequence[tuple[str, bytes]]) -> None:
--- a/src/irisstand/simulator/memory_network.py
+++ b/src/irisstand/simulator/memory_network.py
@@ -160,7 +160,7 @@
             ConnectionRefusedError: Nobody listens there.
         """
         await asyncio.sleep(2 * self.network.delay(self.host, address[0]))
-        while self.network.is_cut(self.host, address[0]):
+        while self.network.is_cut(self.host, address[0]):  # noqa: ASYNC110 - the draws and times of seeded days rest on polling
             await asyncio.sleep(RETRANSMIT_SECONDS)
         if address not in self.network.listeners:
             raise ConnectionRefusedError(str(address))
--- a/src/irisstand/simulator/restart_measurement.py
+++ b/src/irisstand/simulator/restart_measurement.py
@@ -20,6 +20,8 @@
 
 
 class RestartFigures(typing.NamedTuple):
+    """What one measurement found: of the disk, of a restart from it, and of a wiped voter."""
+
     changes: int
     items: int
     files: int
@@ -31,7 +33,7 @@
 
 
 def change(live: replica.Replica, randomness: random.Random) -> None:
-    """One batch of one row; some remove what is there."""
+    """Apply one batch of one row; some remove what is there."""
     key = f"path/{randomness.randrange(KEYS)}"
     is_removal = key in live.items and randomness.random() < REMOVALS
     value = None if is_removal else {"grants": [{"service": "content"}], "life": randomness.random()}
@@ -40,6 +42,7 @@
 
 
 async def opened(folder: simulated_folder.SimulatedFolder) -> durable_store.DurableStore:
+    """Return a store that was opened on a directory."""
     disk = disks.FolderDisk(pathlib.Path("simulated"), folder)
     store = durable_store.DurableStore(disk, random.Random(1))
     await store.open()
@@ -47,28 +50,43 @@
 
 
 async def measure(changes: int) -> RestartFigures:
-    table, randomness = items.CONFIGURATION, random.Random(changes)
-    folder, live = simulated_folder.SimulatedFolder(random.Random(2)), replica.Replica(items.CONFIGURATION)
+    """Save so many changes, restart from the disk, and save the table on an empty one."""
+    table = items.CONFIGURATION
+    randomness = random.Random(changes)
+    folder = simulated_folder.SimulatedFolder(random.Random(2))
+    live = replica.Replica(table)
     store = await opened(folder)
     for _ in range(changes):
         change(live, randomness)
         await store.save_replica(table, live, store.records[table])
-    files, held = len(folder.entries), sum(folder.size(name) for name in folder.entries)
+    files = len(folder.entries)
+    folder_bytes = sum(folder.size(name) for name in folder.entries)
     started = time.process_time()
     again = await opened(folder)
     loading = time.process_time() - started
-    assert again.intact[table] and again.replicas[table].root_digest() == live.root_digest()
+    assert again.intact[table]
+    assert again.replicas[table].root_digest() == live.root_digest()
     empty = simulated_folder.SimulatedFolder(random.Random(3))
     wiped = await opened(empty)
-    started, syncs, written = time.process_time(), empty.syncs, empty.written
+    syncs = empty.syncs
+    written = empty.written
+    started = time.process_time()
     await wiped.save_replica(table, live, wiped.records[table])
-    took = time.process_time() - started
+    saving = time.process_time() - started
     return RestartFigures(
-        changes, len(live.items), files, held, loading, empty.syncs - syncs, empty.written - written, took
+        changes=changes,
+        items=len(live.items),
+        files=files,
+        folder_bytes=folder_bytes,
+        load_seconds=loading,
+        wiped_syncs=empty.syncs - syncs,
+        wiped_bytes=empty.written - written,
+        wiped_seconds=saving,
     )
 
 
 def main() -> None:
+    """Print one line for each number of changes."""
     for changes in CHANGES:
         print(asyncio.run(measure(changes)))
 
--- a/src/irisstand/simulator/sizes.py
+++ b/src/irisstand/simulator/sizes.py
@@ -1,5 +1,6 @@
-"""What rows, members and messages weigh, measured on the real code, for docs/CAPACITY.md."""
+"""Bytes of rows, members and messages, measured on the real code, for docs/CAPACITY.md."""
 
+import functools
 import random
 import time
 import tracemalloc
@@ -14,7 +15,16 @@
 from irisstand.transport import codec
 
 
-def card(number: int) -> updates.Update:
+class Figure(typing.NamedTuple):
+    """A measured figure: what was measured, its unit, and the figure."""
+
+    what: str
+    unit: str
+    figure: float
+
+
+def make_update(number: int) -> updates.Update:
+    """Return the update of a living member."""
     name = f"edge-zone-{number % 25}-{number}"
     zone, region = f"zone-{number % 25}", f"region-{number % 10}"
     place = updates.NodeInfo("direct", name, zone, region, "10.100.100.100", 7661, 8140)
@@ -22,7 +32,7 @@
 
 
 def grown(make: typing.Callable[[int], object], count: int) -> float:
-    """Bytes of memory for each of `count` things that `make` keeps somewhere."""
+    """Return the bytes of memory for each of `count` objects that `make` makes."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     kept = [make(number) for number in range(count)]
@@ -32,18 +42,22 @@
 
 
 def member_bytes(members: int) -> float:
-    clock, counters = clocks.MonotonicClock(), counting.Counters()
-    found = detector.FailureDetector("own", card(0).node_info, clock, random.Random(1), counters)
-    return grown(lambda number: found.apply_update(card(number + 1)), members)
+    """Return the bytes of memory for one of so many members."""
+    clock = clocks.MonotonicClock()
+    counters = counting.Counters()
+    found = detector.FailureDetector("own", make_update(0).node_info, clock, random.Random(1), counters)
+    return grown(lambda number: found.apply_update(make_update(number + 1)), members)
 
 
 def row_bytes(prefix: str, value: typing.Any, rows: int) -> float:
+    """Return the bytes of memory for one row of a table."""
     copy = replica.Replica(items.LEDGER)
     made = versions.Version(1, "core-1~ab")
     return grown(lambda n: copy.put(items.Item(f"{prefix}/{n:08d}", made, value)), rows)
 
 
 def object_bytes(body: int, count: int) -> float:
+    """Return the bytes of memory for one cached object, beside its body."""
     kept = object_cache.ObjectCache(1 << 40)
     head = (("etag", '"v1"'), ("content-type", "text/html"))
 
@@ -57,36 +71,35 @@
 
 
 def seconds(work: typing.Callable[[], object], times: int = 20) -> float:
-    """Processor seconds of one call."""
+    """Return the processor seconds of one call."""
     started = time.process_time()
     for _ in range(times):
         work()
     return (time.process_time() - started) / times
 
 
-def measure() -> list[tuple[str, str, float]]:
-    """(what, unit, figure) for each size."""
+def measure() -> list[Figure]:
+    """Return all sizes."""
     applied = (123456, "core-region-1-zone-1-1~0123456789ab")
     question = (("blueprint", applied, bytes(16)), ("ledger", applied, bytes(16)))
     same = ((applied, 0.12, bytes(16), ("same",)),) * 2
     purge = ("purge/path/host.example/objects/1234", applied, {"purge": "path"})
-    riding = tuple(card(number).to_wire() for number in range(6))
+    riding = tuple(make_update(number).to_wire() for number in range(6))
     ping = ("ping", 123456, ("edge-zone-1-1", "0" * 16), ("edge-zone-2-2", "0" * 16), riding)
-    found: list[tuple[str, str, float]] = [
-        ("a question for two tables", "bytes", len(codec.pack(("ask", 1234, ("after", question))))),
-        ("its answer when nothing is new", "bytes", len(codec.pack(("result", 1234, same)))),
-        ("a purge on its way", "bytes", len(codec.pack(("result", 1, purge)))),
-        ("a ping with six updates", "bytes", len(codec.pack(ping))),
-        ("a ping with none", "bytes", len(codec.pack((*ping[:4], ())))),
-        ("an object in a cache, beside its body", "bytes", object_bytes(6000, 2000)),
-        ("a purge's row", "bytes", row_bytes("purge", {"purge": "path"}, 5000)),
-        ("an origin's row", "bytes", row_bytes("origin", dict.fromkeys("abcdefg", "x" * 12), 5000)),
+    figures = [
+        Figure("a question for two tables", "bytes", len(codec.pack(("ask", 1234, ("after", question))))),
+        Figure("its answer when nothing is new", "bytes", len(codec.pack(("result", 1234, same)))),
+        Figure("a purge on its way", "bytes", len(codec.pack(("result", 1, purge)))),
+        Figure("a ping with six updates", "bytes", len(codec.pack(ping))),
+        Figure("a ping with none", "bytes", len(codec.pack((*ping[:4], ())))),
+        Figure("an object in a cache, beside its body", "bytes", object_bytes(6000, 2000)),
+        Figure("a purge's row", "bytes", row_bytes("purge", {"purge": "path"}, 5000)),
+        Figure("an origin's row", "bytes", row_bytes("origin", dict.fromkeys("abcdefg", "x" * 12), 5000)),
     ]
     for members in (50, 200, 800, 2100):
-        found.append((f"a member, of {members}", "bytes", member_bytes(members)))
+        figures.append(Figure(f"a member, of {members}", "bytes", member_bytes(members)))
         listed = [fleet_limits.Member(f"e{number}", "direct", f"z{number % 25}") for number in range(members)]
-        spent = seconds(
-            lambda listed=listed: fleet_limits.connection_limit("e1", listed, "o", 58, is_held=False)
-        )
-        found.append((f"an origin's connections split over {members}", "ms", spent * 1000))
-    return found
+        work = functools.partial(fleet_limits.connection_limit, "e1", listed, "o", 58, is_held=False)
+        spent = seconds(work)
+        figures.append(Figure(f"an origin's connections split over {members}", "ms", spent * 1000))
+    return figures
--- a/src/irisstand/simulator/standby_invariants.py
+++ b/src/irisstand/simulator/standby_invariants.py
@@ -159,4 +159,4 @@
     place = node.placement
     row = configuration.value(f"shield/{place.machine}") or {}
     capacity = row.get("limit", fleet_view.DEFAULT_CAPACITY_BY_ROLE[role])
-    return standby_planning.Machine(place.machine, place.site, capacity, False)
+    return standby_planning.Machine(place.machine, place.site, capacity, pinned=False)
--- a/src/irisstand/simulator/virtual_time.py
+++ b/src/irisstand/simulator/virtual_time.py
@@ -194,7 +194,7 @@
     """
     loop = asyncio.get_running_loop()
     if not isinstance(loop, VirtualLoop):
-        raise RuntimeError("this needs the loop of virtual time")
+        raise RuntimeError("this needs the loop of virtual time")  # noqa: TRY004 - as asyncio without a loop
     return loop
 
 
