--- a/src/irisstand/dataplane/upstream/attempts.py
+++ b/src/irisstand/dataplane/upstream/attempts.py
@@ -50,7 +50,8 @@
         try:
             if attempt.delay_seconds:
                 await asyncio.sleep(attempt.delay_seconds)
-            request_id = self.request_id(attempt)
+            given_id = attempt.request.headers.get(self.header_names.request_id, "")
+            request_id = "" if attempt.is_anonymous else given_id
             # Without an id nothing would tell a surplus answer to an earlier request from this one's.
             timeout = max(MINIMUM_CONNECT_SECONDS, attempt.retry_policy.remaining())
             connection = await endpoint.acquire(timeout, is_fresh=not request_id)
@@ -69,10 +70,6 @@
             if connection is not None:
                 endpoint.release(connection)
 
-    def request_id(self, attempt: Attempt) -> str:
-        """Return the id under which the request goes to the origin; empty if it has none."""
-        return "" if attempt.is_anonymous else attempt.request.headers.get(self.header_names.request_id, "")
-
     async def send(self, connection: exchange.Exchange, attempt: Attempt, request_id: str) -> exchange.Answer:
         """Send the request over a connection and return the answer, which may have any status."""
         request, words = attempt.request, self.header_names
--- a/src/irisstand/dataplane/upstream/client.py
+++ b/src/irisstand/dataplane/upstream/client.py
@@ -112,7 +112,8 @@
         )
         if isinstance(decision, actions.Reject):
             self.context.counters.add("rejected", code=decision.error.code)
-        return policy.response_of(decision)
+            raise decision.error
+        return decision.response
 
     def policy_for(
         self, route: routes.Route, service: str, remaining: float
--- a/src/irisstand/dataplane/upstream/endpoint_selection.py
+++ b/src/irisstand/dataplane/upstream/endpoint_selection.py
@@ -117,15 +117,13 @@
 
     def cost(self, endpoint: origin_endpoint.Endpoint) -> float:
         """Return the seconds until an answer, roughly: what this node has in flight there, and the way."""
+        site = endpoint.origin.site
+        settings = self.context.settings
+        travel_seconds = 0.0 if site == settings.site else OTHER_SITE_SECONDS
+        if self.fleet.region_of(site) != (self.fleet.region_of(settings.site) or settings.region):
+            travel_seconds = OTHER_REGION_SECONDS
         slots = max(1, endpoint.origin.slots)
         queued = max(0, len(endpoint.in_flight) + 1 - slots) / slots
         busy = len(endpoint.in_flight) / slots
         jitter = self.context.randomness.uniform(LEAST_JITTER_FACTOR, GREATEST_JITTER_FACTOR)
-        return endpoint.expected_seconds() * (1 + queued + busy) * jitter + self.distance(endpoint)
-
-    def distance(self, endpoint: origin_endpoint.Endpoint) -> float:
-        """Return how long a request travels to the endpoint, in seconds."""
-        site = endpoint.origin.site
-        if self.fleet.region_of(site) != self.fleet.own_region():
-            return OTHER_REGION_SECONDS
-        return 0.0 if site == self.context.settings.site else OTHER_SITE_SECONDS
+        return endpoint.expected_seconds() * (1 + queued + busy) * jitter + travel_seconds
