--- a/src/irisstand/emulators/hostile_origin.py
+++ b/src/irisstand/emulators/hostile_origin.py
@@ -1,4 +1,4 @@
-"""An origin that obeys no rule but its record: driven by a seed, on any transport, real or in memory."""
+"""Hostile origin: breaks the protocol in ways drawn by a seed, on any transport, and records what ran."""
 
 import asyncio
 import collections
@@ -6,37 +6,46 @@
 import random
 import typing
 
-ID, SEAL, NOT_RUN = "x-request-id", "content-digest", "x-not-run"
+ID = "x-request-id"
+SEAL = "content-digest"
+NOT_RUN = "x-not-run"
 # A request's head ends here.
 END = b"\r\n\r\n"
+LIKELIHOOD = 0.5
+PIPE_DELAY_SECONDS = 0.001
 
 
 def seal(body: bytes) -> str:
+    """Return the digest that an answer with this body bears."""
     return hashlib.sha256(body).hexdigest()[:16]
 
 
 class RequestLog:
-    """What began to run, by request id, and which request an answer's body is for."""
+    """How often each request began to run, by its id."""
 
     def __init__(self) -> None:
         self.runs: collections.Counter[str] = collections.Counter()
 
     def body(self, request_id: str, target: str) -> bytes:
+        """Run a request and return the body of its answer."""
         self.runs[request_id] += 1
         return f"{target} answered".encode()
 
 
 class ReceivedRequest(typing.NamedTuple):
+    """What the origin needs of a request."""
+
     request_id: str
     target: str
     method: str
 
 
 class HostileOrigin(asyncio.Protocol):
-    """One connection. `ways` are the methods `way_...`, one drawn for each request."""
+    """One connection. `ways` are the names of the methods `way_...`; one is drawn for each request."""
 
     def __init__(self, randomness: random.Random, record: RequestLog) -> None:
-        self.randomness, self.record = randomness, record
+        self.randomness = randomness
+        self.record = record
         self.received = b""
         self.free_at = 0.0
         self.transport: typing.Any = None
@@ -44,9 +53,11 @@
         self.ways = sorted(name for name in dir(self) if name.startswith("way_"))
 
     def connection_made(self, transport: typing.Any) -> None:
+        """Keep the transport."""
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
+        """Answer each request that has arrived in full."""
         self.received += data
         while END in self.received:
             head, _, rest = self.received.partition(END)
@@ -57,132 +68,168 @@
                 return
             self.received = rest[size:]
             method, target, _ = first.split(" ")
-            asked = ReceivedRequest(headers.get(ID, ""), target, method)
+            request = ReceivedRequest(headers.get(ID, ""), target, method)
             # Half of all requests are answered as they should be, so that connections are used again.
-            way = self.way_whole if self.randomness.random() < 0.5 else getattr(self, self.draw())
-            way(asked)
-            self.earlier = asked
+            way = self.way_whole if self.randomness.random() < LIKELIHOOD else getattr(self, self.draw_way())
+            way(request)
+            self.earlier = request
 
-    def draw(self) -> str:
+    def draw_way(self) -> str:
+        """Draw the name of a way."""
         return self.randomness.choice(self.ways)
 
     # -- pieces --------------------------------------------------------------------------------------
     def send(self, data: bytes, delay: float = 0.0) -> None:
+        """Send after a delay in seconds."""
         # In the order in which it was sent, as on any connection; timers of one moment keep none.
         loop = asyncio.get_running_loop()
         self.free_at = max(self.free_at + 1e-6, loop.time() + delay)
         loop.call_at(self.free_at, self.write, data)
 
     def write(self, data: bytes) -> None:
+        """Write unless the connection is closing."""
         if not self.transport.is_closing():
             self.transport.write(data)
 
-    def whole(
-        self, asked: ReceivedRequest, body: bytes | None = None, status: str = "200 OK", more: str = ""
+    def answer(
+        self, request: ReceivedRequest, body: bytes | None = None, status: str = "200 OK", more: str = ""
     ) -> bytes:
-        body = self.record.body(asked.request_id, asked.target) if body is None else body
-        named = f"{ID}: {asked.request_id}\r\n" if asked.request_id else ""
+        """Run a request and return its answer; with a body given, it does not run."""
+        body = self.record.body(request.request_id, request.target) if body is None else body
+        named = f"{ID}: {request.request_id}\r\n" if request.request_id else ""
         head = (
             f"HTTP/1.1 {status}\r\n{named}{SEAL}: {seal(body)}\r\n{more}content-length: {len(body)}\r\n\r\n"
         )
-        return head.encode() + (b"" if asked.method == "HEAD" else body)
+        return head.encode() + (b"" if request.method == "HEAD" else body)
 
-    def refusal(self, asked: ReceivedRequest, status: str = "503 Busy", named: bool = True) -> bytes:
-        told = f"{ID}: {asked.request_id}\r\n" if named and asked.request_id else ""
-        return f"HTTP/1.1 {status}\r\n{told}{NOT_RUN}: 1\r\ncontent-length: 0\r\n\r\n".encode()
+    def rejection(self, request: ReceivedRequest, status: str = "503 Busy", *, named: bool = True) -> bytes:
+        """Return an answer that says that the request did not run; `named`: with the request's id."""
+        id_header = f"{ID}: {request.request_id}\r\n" if named and request.request_id else ""
+        return f"HTTP/1.1 {status}\r\n{id_header}{NOT_RUN}: 1\r\ncontent-length: 0\r\n\r\n".encode()
 
     # -- ways ----------------------------------------------------------------------------------------
-    def way_whole(self, asked: ReceivedRequest) -> None:
-        self.send(self.whole(asked), self.randomness.choice((0.0, 0.01, 0.3)))
+    def way_whole(self, request: ReceivedRequest) -> None:
+        """Answer as one should, sooner or later."""
+        self.send(self.answer(request), self.randomness.choice((0.0, 0.01, 0.3)))
 
-    def way_did_not_run(self, asked: ReceivedRequest) -> None:
-        self.send(self.refusal(asked, self.randomness.choice(("503 Busy", "429 Many", "400 Bad"))))
+    def way_did_not_run(self, request: ReceivedRequest) -> None:
+        """Reject the request, which did not run."""
+        self.send(self.rejection(request, self.randomness.choice(("503 Busy", "429 Many", "400 Bad"))))
 
-    def way_another_instance(self, asked: ReceivedRequest) -> None:
-        self.send(self.refusal(asked, "421 Misdirected"))
+    def way_another_instance(self, request: ReceivedRequest) -> None:
+        """Say that another instance has this address."""
+        self.send(self.rejection(request, "421 Misdirected"))
 
-    def way_may_have_run(self, asked: ReceivedRequest) -> None:
+    def way_may_have_run(self, request: ReceivedRequest) -> None:
+        """Run the request and answer with a status of rejections."""
         status = self.randomness.choice(("503 Busy", "408 Late", "429 Many"))
-        self.send(self.whole(asked, status=status))
+        self.send(self.answer(request, status=status))
 
-    def way_surplus_refusal_before(self, asked: ReceivedRequest) -> None:
+    def way_surplus_refusal_before(self, request: ReceivedRequest) -> None:
+        """Send a rejection of an earlier request before the answer."""
         # Only a connection that was used may bring what belongs to an earlier request.
-        before = self.refusal(self.earlier, named=self.randomness.random() < 0.5)
-        self.send((b"" if self.earlier.target == "/earlier" else before) + self.whole(asked))
+        before = self.rejection(self.earlier, named=self.randomness.random() < LIKELIHOOD)
+        self.send((b"" if self.earlier.target == "/earlier" else before) + self.answer(request))
 
-    def way_surplus_answer_before(self, asked: ReceivedRequest) -> None:
-        self.send(self.whole(self.earlier, body=b"of an earlier one") + self.whole(asked))
+    def way_surplus_answer_before(self, request: ReceivedRequest) -> None:
+        """Send an answer to an earlier request before the answer."""
+        self.send(self.answer(self.earlier, body=b"of an earlier one") + self.answer(request))
 
-    def way_surplus_after(self, asked: ReceivedRequest) -> None:
-        whole = self.whole(asked)
+    def way_surplus_after(self, request: ReceivedRequest) -> None:
+        """Send something more after the answer."""
+        whole = self.answer(request)
         self.send(whole)
-        surplus = self.randomness.choice((whole, self.refusal(asked, named=False), b"\x00bytes"))
+        surplus = self.randomness.choice((whole, self.rejection(request, named=False), b"\x00bytes"))
         self.send(surplus, self.randomness.choice((0.0, 0.001, 0.05, 0.4)))
 
-    def way_silence(self, asked: ReceivedRequest) -> None:
-        self.record.body(asked.request_id, asked.target)
+    def way_silence(self, request: ReceivedRequest) -> None:
+        """Run the request and answer nothing."""
+        self.record.body(request.request_id, request.target)
 
-    def way_cut(self, asked: ReceivedRequest) -> None:
-        whole = self.whole(asked)
+    def way_cut(self, request: ReceivedRequest) -> None:
+        """Send a part of the answer and close."""
+        whole = self.answer(request)
         self.send(whole[: self.randomness.randrange(len(whole))])
         asyncio.get_running_loop().call_later(0.01, self.transport.close)
 
-    def way_closed(self, asked: ReceivedRequest) -> None:
-        self.record.body(asked.request_id, asked.target)
+    def way_closed(self, request: ReceivedRequest) -> None:
+        """Run the request and close."""
+        self.record.body(request.request_id, request.target)
         self.transport.close()
 
-    def way_length_too_long(self, asked: ReceivedRequest) -> None:
-        self.send(self.whole(asked).replace(b"content-length: ", b"content-length: 9"))
+    def way_length_too_long(self, request: ReceivedRequest) -> None:
+        """Announce a longer body than is sent."""
+        self.send(self.answer(request).replace(b"content-length: ", b"content-length: 9"))
 
-    def way_interim_first(self, asked: ReceivedRequest) -> None:
-        self.send(b"HTTP/1.1 100 Continue\r\n\r\n" + self.whole(asked))
+    def way_interim_first(self, request: ReceivedRequest) -> None:
+        """Send an interim answer first."""
+        self.send(b"HTTP/1.1 100 Continue\r\n\r\n" + self.answer(request))
 
-    def way_no_content_with_content(self, asked: ReceivedRequest) -> None:
-        self.send(self.whole(asked, status="204 None"))
+    def way_no_content_with_content(self, request: ReceivedRequest) -> None:
+        """Send a body with a status that has none."""
+        self.send(self.answer(request, status="204 None"))
 
-    def way_garbage(self, asked: ReceivedRequest) -> None:
-        self.record.body(asked.request_id, asked.target)
+    def way_garbage(self, request: ReceivedRequest) -> None:
+        """Send random bytes."""
+        self.record.body(request.request_id, request.target)
         self.send(self.randomness.randbytes(40))
 
-    def way_no_seal(self, asked: ReceivedRequest) -> None:
-        self.send(self.whole(asked).replace(SEAL.encode(), b"x-other"))
+    def way_no_seal(self, request: ReceivedRequest) -> None:
+        """Leave the digest out."""
+        self.send(self.answer(request).replace(SEAL.encode(), b"x-other"))
 
-    def way_in_pieces(self, asked: ReceivedRequest) -> None:
-        whole = self.whole(asked)
+    def way_in_pieces(self, request: ReceivedRequest) -> None:
+        """Send the answer byte by byte."""
+        whole = self.answer(request)
         for index in range(len(whole)):
             self.send(whole[index : index + 1], 0.001 * index)
 
 
-class Pipe:
-    """One end of a connection in memory, for both protocols; what is written arrives a little later."""
+class Pipe(asyncio.Transport):
+    """One end of a connection in memory, for both protocols; what is written arrives a little later.
+
+    Attributes:
+        peer: The other end; set by `join` before the pipe is used.
+    """
+
+    peer: "Pipe"
 
     def __init__(self, other: asyncio.Protocol, own: asyncio.Protocol) -> None:
-        self.other, self.own, self.peer = other, own, None
+        super().__init__()
+        self.other = other
+        self.own = own
         self.closed = False
 
-    def write(self, data: bytes) -> None:
-        asyncio.get_running_loop().call_later(0.001, self.arrive, data)
+    def write(self, data: bytes | bytearray | memoryview) -> None:
+        """Send data to the other protocol."""
+        asyncio.get_running_loop().call_later(PIPE_DELAY_SECONDS, self.arrive, data)
 
-    def arrive(self, data: bytes) -> None:
+    def arrive(self, data: bytes | bytearray | memoryview) -> None:
+        """Hand data to the other protocol, unless its end is closed."""
         if not self.peer.closed:
-            self.other.data_received(data)
+            self.other.data_received(bytes(data))
 
     def close(self) -> None:
+        """Close both ends."""
         if not self.closed:
             self.closed = True
-            asyncio.get_running_loop().call_later(0.001, self.peer.close)
+            asyncio.get_running_loop().call_later(PIPE_DELAY_SECONDS, self.peer.close)
             asyncio.get_running_loop().call_soon(self.own.connection_lost, None)
 
     def is_closing(self) -> bool:
+        """Return whether this end is closed."""
         return self.closed
 
     def get_write_buffer_size(self) -> int:
+        """Return 0: nothing is buffered."""
         return 0
 
 
 def join(client: asyncio.Protocol, origin: asyncio.Protocol) -> None:
     """Connect two protocols in memory."""
-    here, there = Pipe(origin, client), Pipe(client, origin)
-    here.peer, there.peer = there, here
-    client.connection_made(here)
-    origin.connection_made(there)
+    client_end = Pipe(origin, client)
+    origin_end = Pipe(client, origin)
+    client_end.peer = origin_end
+    origin_end.peer = client_end
+    client.connection_made(client_end)
+    origin.connection_made(origin_end)
--- a/src/irisstand/emulators/origin_emulator.py
+++ b/src/irisstand/emulators/origin_emulator.py
@@ -1,4 +1,4 @@
-"""Stand-in origins: a content store of versioned objects and an application that takes writes."""
+"""Emulated origins: a content store of versioned objects, an application that takes writes, a platform."""
 
 import asyncio
 import collections
@@ -11,18 +11,24 @@
 
 
 class OriginEmulator:
-    """What it sealed and what it ran is on record, for the judge."""
+    """One origin over HTTP. What it ran is on record for the invariant checker."""
 
     def __init__(self, service: str, instance: str, site: str, records: "OriginRecords") -> None:
-        self.service, self.instance, self.site, self.records = service, instance, site, records
-        self.host, self.port = "127.0.0.1", 0
-        self.state, self.warmup = "ready", 0.0
+        self.service = service
+        self.instance = instance
+        self.site = site
+        self.records = records
+        self.host = "127.0.0.1"
+        self.port = 0
+        self.state = "ready"
+        self.warmup = 0.0
         self.faults: dict[str, float] = {}
         self.requests = 0
-        self.connections: set = set()
+        self.connections: set[object] = set()
         self.runner: aiohttp.web.AppRunner | None = None
 
     async def start(self) -> None:
+        """Listen; the port is drawn if it is 0."""
         app = aiohttp.web.Application(client_max_size=4 * 1024 * 1024)
         app.router.add_get("/health", self.health)
         app.router.add_route("*", "/{rest:.*}", self.serve)
@@ -33,11 +39,13 @@
         self.port = self.runner.addresses[0][1]
 
     async def stop(self) -> None:
+        """Stop listening."""
         if self.runner is not None:
             await self.runner.cleanup()
             self.runner = None
 
     def listing(self) -> dict[str, typing.Any]:
+        """Return the platform's entry for it."""
         return {
             "id": self.instance,
             "service": self.service,
@@ -49,11 +57,13 @@
         }
 
     async def health(self, request: aiohttp.web.Request) -> aiohttp.web.Response:
+        """Answer a health check."""
         # Kept whole: an id alone would be given out again.
         self.connections.add(request.transport)
         return aiohttp.web.json_response({"service": self.service, "instance": self.instance})
 
     async def serve(self, request: aiohttp.web.Request) -> aiohttp.web.StreamResponse:
+        """Carry out a request as the faults have it."""
         self.requests += 1
         self.records.requests[self.service] += 1
         request_id = request.headers.get("X-Request-Id", "")
@@ -72,7 +82,8 @@
         if tag:
             headers["Cache-Tag"] = tag
         if self.faults.get("lose-answer"):
-            request.transport.abort()
+            if request.transport is not None:
+                request.transport.abort()
             return aiohttp.web.Response()
         if self.faults.get("wrong-digest"):
             headers["Content-Digest"] = objects.digest_header(body + b"!")
@@ -82,7 +93,7 @@
 
 
 class OriginRecords:
-    """Versions of objects and executions of writes, shared by the origins of a rehearsal."""
+    """Versions of objects and executions of writes, shared by all origins of a cluster."""
 
     def __init__(self) -> None:
         self.versions: collections.defaultdict[str, int] = collections.defaultdict(int)
@@ -90,6 +101,7 @@
         self.requests: collections.Counter[str] = collections.Counter()
 
     def sealed_object(self, service: str, target: str, now: float) -> tuple[bytes, str]:
+        """Return the present content of a target, made at `now`, and its cache tags."""
         path = target.partition("?")[0]
         tag = path.strip("/").partition("/")[0]
         content = {
@@ -102,6 +114,7 @@
         return json.dumps(content).encode(), f"{tag},{service}"
 
     def execute(self, service: str, instance: str, content: bytes) -> bytes:
+        """Run a write, count it by its number, and return the answer."""
         try:
             number = json.loads(content)["number"]
         except (ValueError, KeyError, TypeError):
@@ -122,6 +135,7 @@
         self.runner: aiohttp.web.AppRunner | None = None
 
     async def start(self) -> None:
+        """Listen; the port is drawn if it is 0."""
         app = aiohttp.web.Application()
         app.router.add_get("/origins", self.list_origins)
         self.runner = aiohttp.web.AppRunner(app, access_log=None)
@@ -130,10 +144,12 @@
         self.port = self.runner.addresses[0][1]
 
     async def stop(self) -> None:
+        """Stop listening."""
         if self.runner is not None:
             await self.runner.cleanup()
 
     async def list_origins(self, request: aiohttp.web.Request) -> aiohttp.web.Response:
+        """Answer with the list, or refuse a node that asks too often."""
         now = asyncio.get_running_loop().time()
         self.asked = [moment for moment in self.asked if moment > now - 1.0] + [now]
         if len(self.asked) > self.limit:
@@ -145,7 +161,7 @@
 
 
 async def run_emulators(platform_port: int, site: str) -> None:
-    """One content and one application origin and a platform that lists them, until interrupted."""
+    """Run one content and one application origin and a platform that lists them, until cancelled."""
     records = OriginRecords()
     made = [OriginEmulator(service, f"{service}-1", site, records) for service in ("content", "application")]
     for origin in made:
--- a/src/irisstand/emulators/upstream_emulator.py
+++ b/src/irisstand/emulators/upstream_emulator.py
@@ -1,4 +1,4 @@
-"""Stand-in origins for edges that reach them by themselves: they speak any vocabulary, and keep a record."""
+"""Emulated origins for edges that connect to them directly, with any header names; requests are recorded."""
 
 import asyncio
 import collections
@@ -24,16 +24,22 @@
     """One origin. `faults` by name: full, lost, slow (seconds), wrong (another instance has the address)."""
 
     def __init__(self, service: str, instance: str, site: str, words: vocabularies.HeaderNames) -> None:
-        self.service, self.instance, self.site, self.header_names = service, instance, site, words
-        self.state, self.cold = "ready", 0.0
+        self.service = service
+        self.instance = instance
+        self.site = site
+        self.header_names = words
+        self.state = "ready"
+        self.cold = 0.0
         self.faults: dict[str, float] = {}
         self.versions: collections.Counter[str] = collections.Counter()
-        self.arrivals, self.probes = 0, 0
+        self.arrivals = 0
+        self.probes = 0
         self.runs: list[RequestRecord] = []
         self.runner: aiohttp.web.AppRunner | None = None
         self.port = 0
 
     async def start(self, host: str = "127.0.0.1") -> None:
+        """Listen; the port is drawn if it is 0."""
         app = aiohttp.web.Application(client_max_size=64 * 1024 * 1024)
         app.router.add_get("/health", self.health)
         app.router.add_route("*", "/{rest:.*}", self.serve)
@@ -43,11 +49,13 @@
         self.port = self.runner.addresses[0][1]
 
     async def stop(self) -> None:
+        """Stop listening."""
         if self.runner is not None:
             await self.runner.cleanup()
             self.runner = None
 
     async def health(self, request: aiohttp.web.Request) -> aiohttp.web.Response:
+        """Answer a health check."""
         self.probes += 1
         headers = {
             self.header_names.instance: self.instance,
@@ -56,6 +64,7 @@
         return aiohttp.web.Response(status=200, headers=headers)
 
     async def serve(self, request: aiohttp.web.Request) -> aiohttp.web.StreamResponse:
+        """Carry out a request as the faults have it."""
         self.arrivals += 1
         words = self.header_names
         # Every answer names its request, those to what did not run among them.
@@ -73,7 +82,8 @@
         self.runs.append(RequestRecord(self.instance, request_id, request.method, request.path_qs, body))
         await asyncio.sleep(self.faults.get("slow", 0.002))
         if self.faults.get("lost"):
-            request.transport.close()
+            if request.transport is not None:
+                request.transport.close()
             return aiohttp.web.Response()
         version = self.versions[request.path]
         content = f"{self.service} {request.path_qs} v{version} ".encode() * 40 + body
@@ -88,5 +98,5 @@
 
 
 def is_whole(words: vocabularies.HeaderNames, headers: typing.Mapping[str, str], body: bytes) -> bool:
-    """Whether an answer is what the origin sealed."""
+    """Return whether an answer is what the origin sealed."""
     return headers.get(words.seal) == hashlib.sha256(body).hexdigest()[:16]
