--- a/src/irisstand/localcluster/day_plan.py
+++ b/src/irisstand/localcluster/day_plan.py
@@ -1,4 +1,4 @@
-"""A day's plan for the rehearsal: the brief's failures one after another, on real processes."""
+"""The plan of a day: the expected failures one after another, on real processes."""
 
 import asyncio
 import collections.abc
@@ -6,13 +6,16 @@
 import typing
 
 Say = collections.abc.Callable[[str], None]
-Rehearsal = typing.Any
+# The run of the cluster; its module imports the plans.
+ClusterRun = typing.Any
+HTTP_OK = 200
+SERVICE_BACK_LIMIT_SECONDS = 15
 
 
-async def herd(rehearsal: Rehearsal, say: Say) -> None:
-    """A whole site loses its power, and comes back."""
-    fleet = rehearsal.fleet
-    site = rehearsal.shape.sites[1][0]
+async def herd(cluster_run: ClusterRun, say: Say) -> None:
+    """Kill all processes of a site and restart them."""
+    fleet = cluster_run.fleet
+    site = cluster_run.shape.sites[1][0]
     names = [place.name for place in fleet.places.values() if place.site == site]
     say(f"site {site} goes: {', '.join(names)}")
     for name in names:
@@ -22,34 +25,34 @@
     await asyncio.sleep(3)
     for name in names:
         fleet.start(name)
-    await fleet.ready(rehearsal.load.session, names)
+    await fleet.ready(cluster_run.load.session, names)
 
 
-async def evacuate(rehearsal: Rehearsal, say: Say) -> None:
-    """A site is evacuated and returned; after five seconds none of its origins gets new work."""
-    site = rehearsal.shape.sites[2][0]
+async def evacuate(cluster_run: ClusterRun, say: Say) -> None:
+    """Evacuate a site and return it; after five seconds none of its origins may get new work."""
+    site = cluster_run.shape.sites[2][0]
     say(f"evacuating {site}")
-    status, answer = await rehearsal.load.order("PUT", f"/sites/{site}/evacuation")
-    rehearsal.checker.results[f"evacuation {status}"] += 1
-    if status != 200:
+    status, answer = await cluster_run.load.order("PUT", f"/sites/{site}/evacuation")
+    cluster_run.checker.results[f"evacuation {status}"] += 1
+    if status != HTTP_OK:
         say(f"not evacuated: {answer}")
         return
     await asyncio.sleep(5)
-    origins = [origin for origin in rehearsal.origins if origin.site == site]
+    origins = [origin for origin in cluster_run.origins if origin.site == site]
     before = {origin.instance: origin.requests for origin in origins}
     await asyncio.sleep(3)
     for origin in origins:
         new = origin.requests - before[origin.instance]
         rule = "an evacuated site gets no new work after 5 s"
-        rehearsal.checker.check(rule, new == 0, f"{origin.instance} got {new}")
+        cluster_run.checker.check(rule, new == 0, f"{origin.instance} got {new}")
     say(f"returning {site}")
-    await rehearsal.load.order("DELETE", f"/sites/{site}/evacuation")
+    await cluster_run.load.order("DELETE", f"/sites/{site}/evacuation")
 
 
-async def leave(rehearsal: Rehearsal, say: Say) -> None:
-    """The platform says that an origin leaves; two seconds later it gets no new work."""
+async def leave(cluster_run: ClusterRun, say: Say) -> None:
+    """List an origin as leaving; two seconds later it may get no new work."""
     for service in ("content", "application"):
-        origin = next(one for one in rehearsal.origins if one.service == service)
+        origin = next(one for one in cluster_run.origins if one.service == service)
         say(f"{origin.instance} is leaving")
         origin.state = "leaving"
         await asyncio.sleep(2)
@@ -57,7 +60,7 @@
         await asyncio.sleep(2)
         rule = "a leaving origin gets no new work 2 s after the platform says so"
         new = origin.requests - before
-        rehearsal.checker.check(rule, new == 0, f"{origin.instance} got {new}")
+        cluster_run.checker.check(rule, new == 0, f"{origin.instance} got {new}")
         # It is gone, and another comes in its place, cold.
         await origin.stop()
         await asyncio.sleep(1)
@@ -65,19 +68,20 @@
         await origin.start()
 
 
-async def replace_core(rehearsal: Rehearsal, say: Say) -> None:
+async def replace_core(cluster_run: ClusterRun, say: Say) -> None:
+    """Wipe a core node and start it again."""
     say("agency-2 loses its disk")
-    fleet = rehearsal.fleet
+    fleet = cluster_run.fleet
     fleet.kill("agency-2")
     await fleet.ended("agency-2")
     fleet.wipe("agency-2")
     fleet.start("agency-2")
-    await fleet.ready(rehearsal.load.session, ["agency-2"])
+    await fleet.ready(cluster_run.load.session, ["agency-2"])
 
 
-async def pause(rehearsal: Rehearsal, say: Say) -> None:
-    """An edge and a shield are frozen for a while; woken, they must not speak from the past."""
-    fleet = rehearsal.fleet
+async def pause(cluster_run: ClusterRun, say: Say) -> None:
+    """Freeze an edge and a shield for a while."""
+    fleet = cluster_run.fleet
     for name in ("edge-2", "shield-3"):
         say(f"freezing {name}")
         fleet.kill(name, signal.SIGSTOP)
@@ -87,11 +91,11 @@
     await asyncio.sleep(1)
 
 
-async def spoil(rehearsal: Rehearsal, say: Say) -> None:
-    """Origins send wrong bytes, lose answers and slow down."""
+async def spoil(cluster_run: ClusterRun, say: Say) -> None:
+    """Let origins send wrong bytes, lose answers and slow down."""
     for fault, value in (("wrong-digest", 1), ("lose-answer", 1), ("delay", 0.4), ("no-seal", 1)):
-        origin = rehearsal.origins[1]
-        other = rehearsal.origins[-1]
+        origin = cluster_run.origins[1]
+        other = cluster_run.origins[-1]
         say(f"{origin.instance} and {other.instance}: {fault}")
         origin.faults[fault] = other.faults[fault] = value
         await asyncio.sleep(2)
@@ -99,12 +103,12 @@
         other.faults.clear()
 
 
-async def total_loss(rehearsal: Rehearsal, say: Say) -> None:
-    """Everything at once; the disks are left. Service has 15 seconds to be back."""
-    fleet = rehearsal.fleet
-    # What is killed hard writes no ring, so each is asked for it first.
+async def total_loss(cluster_run: ClusterRun, say: Say) -> None:
+    """Kill all processes at once; the disks remain, and service must be back in time."""
+    fleet = cluster_run.fleet
+    # A process that is killed writes no event log, so each is asked for it before.
     for name in fleet.places:
-        await rehearsal.load.ask_node(name, "POST", "/_irisstand/ring")
+        await cluster_run.load.ask_node(name, "POST", "/_irisstand/ring")
     say("everything is killed at once")
     for name in fleet.places:
         fleet.kill(name)
@@ -113,10 +117,10 @@
     await asyncio.sleep(1)
     started = asyncio.get_running_loop().time()
     fleet.start_all()
-    back = await rehearsal.served_again(20)
+    back = await cluster_run.served_again(20)
     rule = "after a total loss service is back within 15 s"
     took = asyncio.get_running_loop().time() - started
-    rehearsal.checker.check(rule, back and took <= 15, f"{took:.1f} s")
+    cluster_run.checker.check(rule, back and took <= SERVICE_BACK_LIMIT_SECONDS, f"{took:.1f} s")
     say(f"service is back: {back}")
 
 
--- a/src/irisstand/localcluster/fault_injection.py
+++ b/src/irisstand/localcluster/fault_injection.py
@@ -1,11 +1,12 @@
-"""Trouble laid under the real programs: delay, cuts, lost datagrams, bad disks, clocks that jump.
+"""Fault injection under the real programs: delay, partitions, lost datagrams, bad disks, clocks that jump.
 
-A rehearsal starts its daemons by this module: it puts its own network and disk where the programs look for
-the real ones and then runs them unchanged. What the weather is stands in a file that the rehearsal rewrites.
+A local cluster starts its programs by this module, which puts its own network and disk where the programs
+look for the real ones and then runs them unchanged. The cluster rewrites the file that has the faults.
 """
 
 import asyncio
 import collections.abc
+import importlib
 import json
 import os
 import pathlib
@@ -15,16 +16,19 @@
 import typing
 
 from irisstand import errors
-from irisstand.state.storage import disk as disks
+from irisstand.state.storage import disk
 from irisstand.transport import network
 
 VARIABLE = "IRISSTAND_WEATHER"
-ONE_WAY = 0.006
-FULL, STALLED = "full", "stalled"
+DELAY_BETWEEN_REGIONS_SECONDS = 0.006
+POLL_SECONDS = 0.05
+READ_INTERVAL_SECONDS = 0.1
+FULL = "full"
+STALLED = "stalled"
 
 
-class Weather:
-    """What the file said last; read again ten times a second, on a thread."""
+class FaultFile:
+    """The faults as the file had them last; it is read ten times a second, on a thread."""
 
     def __init__(self, path: pathlib.Path) -> None:
         self.path = path
@@ -33,119 +37,145 @@
         self.own = self.content["self"][os.environ[VARIABLE + "_NAME"]]
 
     def read(self) -> None:
-        # Renamed into place by the rehearsal, so what is read is whole.
+        """Read the file, which the cluster replaces as a whole."""
         self.content = json.loads(self.path.read_text())
 
     async def follow(self) -> None:
+        """Read the file again and again."""
         while True:
             await asyncio.to_thread(self.read)
-            await asyncio.sleep(0.1)
+            await asyncio.sleep(READ_INTERVAL_SECONDS)
 
     def place(self, port: int) -> dict[str, str]:
-        return self.content["places"].get(str(port), self.own)
+        """Return name, site and region of the process at a port."""
+        place: dict[str, str] = self.content["places"].get(str(port), self.own)
+        return place
 
     def delay(self, port: int) -> float:
-        return ONE_WAY if self.place(port)["region"] != self.own["region"] else 0.0
+        """Return the delay to the process at a port, one way, in seconds."""
+        return DELAY_BETWEEN_REGIONS_SECONDS if self.place(port)["region"] != self.own["region"] else 0.0
 
     def is_cut(self, port: int) -> bool:
-        """A cut is a list of names on one side; everybody else is on the other."""
+        """Return whether a partition lies between: each is a list of the names on one side."""
         other = self.place(port)["name"]
         return any((self.own["name"] in side) != (other in side) for side in self.content["cuts"])
 
     def disk(self) -> str:
-        return self.content["disks"].get(self.own["name"], "")
+        """Return the fault of the own disk, or an empty text."""
+        fault: str = self.content["disks"].get(self.own["name"], "")
+        return fault
 
 
-class Stream:
-    """The caller's end of a connection, with the way there and the way back on it."""
+class FaultyStream:
+    """The caller's end of a connection, with the delays and partitions of both directions."""
 
-    def __init__(self, inner: network.Stream, weather: Weather, port: int) -> None:
-        self.inner, self.weather, self.port = inner, weather, port
+    def __init__(self, inner: network.Stream, faults: FaultFile, port: int) -> None:
+        self.inner = inner
+        self.faults = faults
+        self.port = port
         self.free_at = 0.0
 
     async def read(self) -> bytes:
+        """Return the next payload once it could have arrived."""
         payload = await self.inner.read()
-        await asyncio.sleep(self.weather.delay(self.port))
-        while self.weather.is_cut(self.port):
-            await asyncio.sleep(0.05)
+        await asyncio.sleep(self.faults.delay(self.port))
+        while self.faults.is_cut(self.port):  # noqa: ASYNC110 - another process changes the file
+            await asyncio.sleep(POLL_SECONDS)
         return payload
 
     def write(self, payload: bytes) -> None:
+        """Send a payload after the delay: in order and never lost, since TCP sends again."""
         loop = asyncio.get_running_loop()
-        # In order, and never lost: a cut holds what TCP would send again.
-        self.free_at = max(self.free_at, loop.time() + self.weather.delay(self.port))
+        self.free_at = max(self.free_at, loop.time() + self.faults.delay(self.port))
         loop.call_at(self.free_at, self.send, payload)
 
     def send(self, payload: bytes) -> None:
-        if self.weather.is_cut(self.port):
-            asyncio.get_running_loop().call_later(0.05, self.send, payload)
+        """Write a payload, or try again later across a partition."""
+        if self.faults.is_cut(self.port):
+            asyncio.get_running_loop().call_later(POLL_SECONDS, self.send, payload)
         else:
             self.inner.write(payload)
 
     async def flush(self) -> None:
+        """Wait until the queue of the real connection is short."""
         await self.inner.flush()
 
     def close(self) -> None:
+        """Close what is below."""
         self.inner.close()
 
 
-class Port:
-    def __init__(self, inner: network.Port, weather: Weather) -> None:
-        self.inner, self.weather = inner, weather
+class FaultyPort:
+    """A datagram port that loses datagrams."""
+
+    def __init__(self, inner: network.Port, faults: FaultFile) -> None:
+        self.inner = inner
+        self.faults = faults
 
     def send(self, payload: bytes, address: network.Address) -> None:
-        if self.weather.is_cut(address[1]) or random.random() < self.weather.content["loss"]:
+        """Send a datagram after the delay, or lose it."""
+        if self.faults.is_cut(address[1]) or random.random() < self.faults.content["loss"]:
             return
-        delay = self.weather.delay(address[1])
+        delay = self.faults.delay(address[1])
         asyncio.get_running_loop().call_later(delay, self.inner.send, payload, address)
 
     def close(self) -> None:
+        """Close what is below."""
         self.inner.close()
 
 
-REAL_NETWORK, REAL_DISK = network.RealNetwork, disks.FolderDisk
-
+class FaultyNetwork(network.RealNetwork):
+    """The real network with faults."""
 
-class Network(REAL_NETWORK):
-    weather: Weather
+    faults: FaultFile
 
     async def connect(self, address: network.Address) -> network.Stream:
-        while self.weather.is_cut(address[1]):
-            await asyncio.sleep(0.05)
-        return Stream(await super().connect(address), self.weather, address[1])
+        """Connect, across a partition once it has healed."""
+        while self.faults.is_cut(address[1]):  # noqa: ASYNC110 - another process changes the file
+            await asyncio.sleep(POLL_SECONDS)
+        return FaultyStream(await super().connect(address), self.faults, address[1])
 
     async def listen(self, address: network.Address, on_stream: network.OnStream) -> typing.Any:
-        self.following = asyncio.get_running_loop().create_task(self.weather.follow())
+        """Listen, and follow the file of faults from now on."""
+        self.following = asyncio.get_running_loop().create_task(self.faults.follow())
         return await super().listen(address, on_stream)
 
     async def datagrams(self, address: network.Address, on_datagram: network.OnDatagram) -> network.Port:
-        return Port(await super().datagrams(address, on_datagram), self.weather)
+        """Open a datagram port."""
+        return FaultyPort(await super().datagrams(address, on_datagram), self.faults)
+
 
+class FaultyDisk(disk.FolderDisk):
+    """The real disk, which may be stalled or full."""
 
-class Disk(REAL_DISK):
-    weather: Weather
+    faults: FaultFile
 
     async def write(self, files: collections.abc.Sequence[tuple[str, bytes]]) -> None:
-        while self.weather.disk() == STALLED:
-            await asyncio.sleep(0.05)
-        if self.weather.disk() == FULL:
+        """Write files once the disk is not stalled.
+
+        Raises:
+            errors.DiskFullError: The disk is full.
+        """
+        while self.faults.disk() == STALLED:  # noqa: ASYNC110 - another process changes the file
+            await asyncio.sleep(POLL_SECONDS)
+        if self.faults.disk() == FULL:
             raise errors.DiskFullError(f"no space left in {self.path}, says the rehearsal")
         await super().write(files)
 
 
 def main() -> None:
-    """fault_injection PROGRAM [FLAGS]: the program of that name, under these faults."""
-    weather = Weather(pathlib.Path(os.environ[VARIABLE]))
-    Network.weather = Disk.weather = weather
-    network.RealNetwork, disks.FolderDisk = Network, Disk
+    """Run the program that the first argument names, under faults, with the other arguments."""
+    faults = FaultFile(pathlib.Path(os.environ[VARIABLE]))
+    FaultyNetwork.faults = faults
+    FaultyDisk.faults = faults
+    # The programs look their network and disk up by these names.
+    setattr(network, "RealNetwork", FaultyNetwork)  # noqa: B010 - a class cannot be assigned to in typed code
+    setattr(disk, "FolderDisk", FaultyDisk)  # noqa: B010 - as above
     wall_clock = time.time
-    time.time = lambda: wall_clock() + weather.content["jump"]
+    time.time = lambda: wall_clock() + faults.content["jump"]
     program = sys.argv.pop(1)
-    if program == "controlplane":
-        from irisstand.controlplane import program as programs
-    else:
-        from irisstand.dataplane import program as programs
-    programs.main()
+    # Imported by name and late: the program must see the replaced classes, and two modules are called so.
+    importlib.import_module(f"irisstand.{program}.program").main()
 
 
 if __name__ == "__main__":
--- a/src/irisstand/localcluster/fault_plans.py
+++ b/src/irisstand/localcluster/fault_plans.py
@@ -1,37 +1,39 @@
-"""Plans of failures for a rehearsal. A plan is an entry in the registry."""
+"""Fault plans for a run of a local cluster. A plan is an entry in the registry."""
 
 import asyncio
+import collections.abc
 import signal
 import typing
 
 from irisstand.localcluster import day_plan
 
 
-async def calm(rehearsal: typing.Any, seconds: float, say: typing.Callable) -> None:
-    """No failure, only purges, so that every figure has something to be compared with."""
-    await purges(rehearsal, seconds)
+async def calm(cluster_run: day_plan.ClusterRun, seconds: float, say: day_plan.Say) -> None:
+    """Inject no fault, only purge, for figures that others can be compared with."""
+    await purges(cluster_run, seconds)
 
 
-async def purges(rehearsal: typing.Any, seconds: float) -> None:
+async def purges(cluster_run: day_plan.ClusterRun, seconds: float) -> None:
+    """Purge one path after another."""
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds - 3
     number = 0
     while loop.time() < end:
         path = f"/vacancies/{number % 5 + 1}"
         number += 1
-        rehearsal.records.versions[path] += 1
-        version = rehearsal.records.versions[path]
-        status, _ = await rehearsal.load.order("POST", "/purges", {"paths": [path]})
-        if status == 200:
-            rehearsal.checker.purged(path, loop.time(), version)
-        rehearsal.checker.results[f"purge {status}"] += 1
+        cluster_run.records.versions[path] += 1
+        version = cluster_run.records.versions[path]
+        status, _ = await cluster_run.load.order("POST", "/purges", {"paths": [path]})
+        if status == day_plan.HTTP_OK:
+            cluster_run.checker.purged(path, loop.time(), version)
+        cluster_run.checker.results[f"purge {status}"] += 1
         await asyncio.sleep(0.5)
 
 
-async def kills(rehearsal: typing.Any, seconds: float, say: typing.Callable) -> None:
-    """One node after another is killed hard and started again: a shield, its core, a store, an edge."""
-    streaming = asyncio.create_task(purges(rehearsal, seconds))
-    fleet = rehearsal.fleet
+async def kills(cluster_run: day_plan.ClusterRun, seconds: float, say: day_plan.Say) -> None:
+    """Kill one node after another and restart it."""
+    streaming = asyncio.create_task(purges(cluster_run, seconds))
+    fleet = cluster_run.fleet
     victims = ["shield-2", "agency-1", "store-1", "agency-3"]
     pause = seconds / (len(victims) + 1)
     for name in victims:
@@ -44,10 +46,10 @@
     await streaming
 
 
-async def wipes(rehearsal: typing.Any, seconds: float, say: typing.Callable) -> None:
-    """A core node loses its disk and comes back empty."""
-    streaming = asyncio.create_task(purges(rehearsal, seconds))
-    fleet = rehearsal.fleet
+async def wipes(cluster_run: day_plan.ClusterRun, seconds: float, say: day_plan.Say) -> None:
+    """Wipe a core node and restart it."""
+    streaming = asyncio.create_task(purges(cluster_run, seconds))
+    fleet = cluster_run.fleet
     await asyncio.sleep(seconds * 0.2)
     say("killing and wiping agency-2")
     fleet.kill("agency-2")
@@ -58,42 +60,43 @@
     await streaming
 
 
-async def roll(rehearsal: typing.Any, seconds: float, say: typing.Callable) -> None:
-    """Every process is asked to stop, one after another, and started again: nothing may be dropped."""
-    fleet = rehearsal.fleet
-    rehearsal.load.planned = True
+async def roll(cluster_run: day_plan.ClusterRun, seconds: float, say: day_plan.Say) -> None:
+    """Stop every process in order, one after another, and restart it: no answer may be dropped."""
+    fleet = cluster_run.fleet
+    cluster_run.load.planned = True
     for name in list(fleet.places):
         say(f"restarting {name}")
         fleet.kill(name, signal.SIGTERM)
         code = await fleet.ended(name, 15)
-        rehearsal.checker.check("SIGTERM drains and exits 0", code == 0, f"{name} exited {code}")
+        cluster_run.checker.check("SIGTERM drains and exits 0", code == 0, f"{name} exited {code}")
         fleet.start(name)
-        await fleet.ready(rehearsal.load.session, [name])
-        rehearsal.checker.check("a planned restart drops no answer under way", True)
+        await fleet.ready(cluster_run.load.session, [name])
+        cluster_run.checker.check("a planned restart drops no answer under way", holds=True)
     say("every process was restarted")
 
 
-async def day(rehearsal: typing.Any, seconds: float, say: typing.Callable) -> None:
-    """All of the brief's failures one after another, under purges, with calm between them."""
-    streaming = asyncio.create_task(purges(rehearsal, seconds))
+async def day(cluster_run: day_plan.ClusterRun, seconds: float, say: day_plan.Say) -> None:
+    """Run the steps of the day plan one after another, during purges."""
+    streaming = asyncio.create_task(purges(cluster_run, seconds))
     share = seconds / (len(day_plan.STEPS) + 1)
     loop = asyncio.get_running_loop()
     for number, step in enumerate(day_plan.STEPS):
         began = loop.time()
-        await step(rehearsal, say)
-        rehearsal.checker.results[f"step {step.__name__}"] += 1
+        await step(cluster_run, say)
+        cluster_run.checker.results[f"step {step.__name__}"] += 1
         if number < len(day_plan.STEPS) - 1:
             await asyncio.sleep(max(0.0, share - (loop.time() - began)))
     await streaming
 
 
-async def weather(rehearsal: typing.Any, seconds: float, say: typing.Callable) -> None:
-    """Nobody is killed: cuts, lost datagrams, stalled and full disks, clocks that jump, under purges."""
-    fleet, streaming = rehearsal.fleet, asyncio.create_task(purges(rehearsal, seconds))
-    sites = [site for site, _ in rehearsal.shape.sites]
+async def weather(cluster_run: day_plan.ClusterRun, seconds: float, say: day_plan.Say) -> None:
+    """Inject partitions, loss, bad disks and jumps of the clock, during purges; no process is killed."""
+    fleet = cluster_run.fleet
+    streaming = asyncio.create_task(purges(cluster_run, seconds))
+    sites = [site for site, _ in cluster_run.shape.sites]
     at = {site: [place.name for place in fleet.places.values() if place.site == site] for site in sites}
     machine = [p.name for p in fleet.places.values() if p.machine == "shield-machine-2"]
-    steps = [
+    steps: list[tuple[str, dict[str, typing.Any]]] = [
         ("a tenth of all datagrams is lost", {"loss": 0.1}),
         (f"site {sites[1]} is cut off", {"cuts": [at[sites[1]]]}),
         ("the sites are split two and two", {"cuts": [at[sites[0]] + at[sites[1]]]}),
@@ -109,12 +112,15 @@
         fleet.forecast(**change)
         await asyncio.sleep(share * 0.5)
         fleet.forecast(cuts=[], loss=0.0, disks={})
-        rehearsal.checker.results[f"step: {what}"] += 1
+        cluster_run.checker.results[f"step: {what}"] += 1
         await asyncio.sleep(share * 0.5)
     await streaming
 
 
-REGISTRY: dict[str, typing.Callable] = {
+Plan = collections.abc.Callable[
+    [day_plan.ClusterRun, float, day_plan.Say], collections.abc.Coroutine[typing.Any, typing.Any, None]
+]
+REGISTRY: dict[str, Plan] = {
     "calm": calm,
     "kills": kills,
     "wipes": wipes,
--- a/src/irisstand/localcluster/load_generator.py
+++ b/src/irisstand/localcluster/load_generator.py
@@ -1,4 +1,4 @@
-"""Stand-in clients and operators, in the brief's mix."""
+"""Load generator: clients and operators of a local cluster, in the expected mix of requests."""
 
 import asyncio
 import collections
@@ -12,9 +12,9 @@
 
 
 def first_configuration(shape: processes.ClusterShape) -> list[dict[str, typing.Any]]:
-    """The rows an operator of either deployment would send first."""
+    """Return the rows that operators send first."""
 
-    def row(kind: str, name: str, value: dict) -> dict:
+    def row(kind: str, name: str, value: dict[str, typing.Any]) -> dict[str, typing.Any]:
         return {"kind": kind, "name": name, "value": value}
 
     ceiling = {"rate": int(shape.rate * 3), "inflight": 200}
@@ -29,31 +29,44 @@
     return rows + [row("site", site, {"weight": 1}) for site, _ in shape.sites]
 
 
-# An edge that says one of these, or nothing, is not the one to ask just now.
+HTTP_OK = 200
+# A request is of the first kind whose bound is above the draw; otherwise it is a write.
+CONTENT_BOUND = 0.70
+LOGO_BOUND = 0.85
+SHORTLIST_BOUND = 0.92
+# With one of these codes a client turns to another edge.
 NOT_READY = ("connection refused", "stale-blueprint", "draining", "site-evacuated")
 
 
 class LoadGenerator:
+    """Sends requests at the rate of the cluster's shape.
+
+    Attributes:
+        failed_in: Number of failed requests by second of the run.
+        planned: Whether the plan only stops processes in order, so that no answer may be dropped.
+    """
+
     def __init__(
         self,
         fleet: processes.LocalCluster,
         session: aiohttp.ClientSession,
-        judge: invariant_checker.InvariantChecker,
+        checker: invariant_checker.InvariantChecker,
         seed: int,
     ) -> None:
-        self.fleet, self.session, self.checker = fleet, session, judge
+        self.fleet = fleet
+        self.session = session
+        self.checker = checker
         self.randomness = random.Random(seed)
         self.edges = [place.name for place in fleet.named("edge")]
-        self.tasks: set[asyncio.Task] = set()
+        self.tasks: set[asyncio.Task[None]] = set()
         self.number = 0
         self.sent = 0
         self.started = 0.0
         self.failed_in: collections.Counter[int] = collections.Counter()
-        # Set by a plan that only ever stops processes in order.
         self.planned = False
 
     async def run(self, seconds: float) -> None:
-        """Requests at the deployment's rate whether or not earlier ones have been answered."""
+        """Send for so many seconds, whether or not earlier requests have been answered."""
         loop = asyncio.get_running_loop()
         self.started = start = loop.time()
         while loop.time() < start + seconds:
@@ -68,22 +81,24 @@
             await asyncio.wait(self.tasks)
 
     async def one(self) -> None:
+        """Send one random request."""
         draw = self.randomness.random()
         edge = self.randomness.choice(self.edges)
-        if draw < 0.70:
+        if draw < CONTENT_BOUND:
             await self.read(edge, "content", f"/vacancies/{int(self.randomness.paretovariate(0.6)) % 400}")
-        elif draw < 0.85:
+        elif draw < LOGO_BOUND:
             await self.read(edge, "content", f"/logos/{self.randomness.randrange(60)}")
-        elif draw < 0.92:
+        elif draw < SHORTLIST_BOUND:
             await self.read(edge, "application", f"/shortlists/{self.randomness.randrange(50)}")
         else:
             await self.write(edge)
 
     def another(self, edge: str) -> str:
+        """Draw another edge."""
         return self.randomness.choice([name for name in self.edges if name != edge] or [edge])
 
-    async def read(self, edge: str, service: str, target: str, first: bool = True) -> None:
-        """As a phone would: another edge, once, where this one takes no connection or is not ready."""
+    async def read(self, edge: str, service: str, target: str, *, first: bool = True) -> None:
+        """Read as a client does: from another edge, once, where this one is not ready."""
         try:
             async with self.session.get(self.fleet.url(edge) + target) as response:
                 # Given out when its head came; this busy process may read the rest later.
@@ -91,7 +106,7 @@
                 body = await response.read()
                 headers = {name.lower(): value for name, value in response.headers.items()}
                 self.checker.read(service, target, response.status, headers, body, now)
-                if response.status == 200:
+                if response.status == HTTP_OK:
                     return
                 code = self.code(body)
         except (aiohttp.ClientError, TimeoutError) as error:
@@ -101,32 +116,35 @@
             code = "connection refused"
         if first and code in NOT_READY:
             self.checker.results[f"read turned to another edge: {code}"] += 1
-            await self.read(self.another(edge), service, target, False)
+            await self.read(self.another(edge), service, target, first=False)
         else:
             self.count_failure("read", code)
 
     def code(self, body: bytes) -> str:
+        """Return the code in an error's body, or an empty text."""
         try:
-            return json.loads(body).get("code", "")
+            return str(json.loads(body).get("code", ""))
         except (ValueError, AttributeError):
             return ""
 
     def count_failure(self, kind: str, code: str) -> None:
+        """Count a failed request under its second."""
         self.checker.results[f"{kind} failed: {code}"] += 1
         second = int(asyncio.get_running_loop().time() - self.started)
         self.failed_in[second] += 1
 
     def no_answer(self, kind: str, edge: str, error: Exception) -> None:
-        """A node that is not there takes no connection; one that drops an answer has taken one."""
+        """Count a request without an answer; one whose connection was accepted has been dropped."""
         if isinstance(error, aiohttp.ClientConnectorError):
             self.count_failure(kind, "connection refused")
             return
         self.count_failure(kind, type(error).__name__)
         if self.planned:
             rule = "a planned restart drops no answer under way"
-            self.checker.check(rule, False, f"{kind} at {edge}: {error!r}")
+            self.checker.check(rule, holds=False, example=f"{kind} at {edge}: {error!r}")
 
     async def write(self, edge: str) -> None:
+        """Send one write and note what the client was told."""
         self.number += 1
         number = f"application-{self.number}"
         try:
@@ -135,7 +153,7 @@
             ) as response:
                 code = self.code(await response.read())
                 self.checker.write(number, response.status, code)
-                if response.status != 200:
+                if response.status != HTTP_OK:
                     self.count_failure("write", code)
         except (aiohttp.ClientError, TimeoutError) as error:
             self.no_answer("write", edge, error)
@@ -144,8 +162,10 @@
                 invariant_checker.WriteResult.REJECTED if refused else invariant_checker.WriteResult.UNKNOWN
             )
 
-    async def order(self, method: str, path: str, content: typing.Any = None) -> tuple[int, dict]:
-        """An operator's call at the first control plane node that answers."""
+    async def order(
+        self, method: str, path: str, content: typing.Any = None
+    ) -> tuple[int, dict[str, typing.Any]]:
+        """Call the control plane at the first node that answers, and return status and content."""
         names = [place.name for place in self.fleet.named("agency")]
         for name in self.randomness.sample(names, len(names)):
             status, answer = await self.ask_node(name, method, path, content)
@@ -156,7 +176,8 @@
 
     async def ask_node(
         self, name: str, method: str, path: str, content: typing.Any = None
-    ) -> tuple[int, dict]:
+    ) -> tuple[int, dict[str, typing.Any]]:
+        """Call one control plane node; return status and content, status 0 without an answer."""
         try:
             url = self.fleet.url(name) + path
             async with self.session.request(method, url, json=content) as response:
--- a/src/irisstand/localcluster/processes.py
+++ b/src/irisstand/localcluster/processes.py
@@ -1,4 +1,4 @@
-"""A whole fleet as real processes on one machine. It ends only processes that it started, by their ids."""
+"""A local cluster: all programs as processes on one machine; it ends only processes that it started."""
 
 import asyncio
 import json
@@ -14,8 +14,12 @@
 
 from irisstand import errors
 
+HTTP_OK = 200
+
 
 class ProcessPlacement(typing.NamedTuple):
+    """Name, program, place and ports of a process."""
+
     name: str
     program: str
     role: str
@@ -27,12 +31,13 @@
 
 
 def free_ports(count: int) -> list[int]:
-    held = [socket.socket() for _ in range(count)]
-    for one in held:
-        one.bind(("127.0.0.1", 0))
-    ports = [one.getsockname()[1] for one in held]
-    for one in held:
-        one.close()
+    """Return so many TCP ports of 127.0.0.1 that are free now."""
+    sockets = [socket.socket() for _ in range(count)]
+    for bound in sockets:
+        bound.bind(("127.0.0.1", 0))
+    ports = [bound.getsockname()[1] for bound in sockets]
+    for bound in sockets:
+        bound.close()
     return ports
 
 
@@ -61,6 +66,7 @@
 
 
 def place_processes(shape: ClusterShape) -> list[ProcessPlacement]:
+    """Return the processes of a shape, spread over its sites."""
     places = []
     wanted = [("edge", shape.edges), ("shield", shape.shields), ("store", shape.stores)]
     ports = iter(free_ports(2 * (shape.edges + 2 * shape.shields + shape.stores)))
@@ -81,11 +87,19 @@
 
 
 class LocalCluster:
+    """The processes of one cluster, their settings files, and the file with the injected faults.
+
+    Attributes:
+        weather: The faults that `fault_injection` reads in each process.
+    """
+
     def __init__(self, shape: ClusterShape, folder: pathlib.Path, platform_port: int) -> None:
-        self.shape, self.folder, self.platform_port = shape, folder, platform_port
+        self.shape = shape
+        self.folder = folder
+        self.platform_port = platform_port
         self.places = {place.name: place for place in place_processes(shape)}
         self.lost = 0
-        self.processes: dict[str, subprocess.Popen] = {}
+        self.processes: dict[str, subprocess.Popen[bytes]] = {}
         control_nodes = [place for place in self.places.values() if place.program == "controlplane"]
         self.seeds = [f"127.0.0.1:{place.port}" for place in control_nodes[:3]]
         self.founding = len(control_nodes)
@@ -106,9 +120,11 @@
         self.forecast()
 
     def named(self, role: str) -> list[ProcessPlacement]:
+        """Return the processes of a role."""
         return [place for place in self.places.values() if place.role == role]
 
     def start(self, name: str) -> None:
+        """Write the settings of a process and start it."""
         place = self.places[name]
         settings = {
             "name": name,
@@ -135,29 +151,32 @@
             self.processes[name] = subprocess.Popen(command, stdout=log, stderr=log, env=environment)
 
     def forecast(self, **changes: typing.Any) -> None:
-        """Change the weather for all processes; they see it within about a tenth of a second."""
+        """Change the injected faults; the processes see it within about a tenth of a second."""
         self.weather |= changes
         aside = self.report.with_suffix(".aside")
         aside.write_text(json.dumps(self.weather))
         aside.rename(self.report)
 
     def start_all(self) -> None:
+        """Start all processes."""
         for name in self.places:
             self.start(name)
 
     def kill(self, name: str, number: int = signal.SIGKILL) -> None:
+        """Send a signal to a process."""
         self.processes[name].send_signal(number)
 
     async def ended(self, name: str, patience: float = 10.0) -> int:
-        """The exit code; an event loop is running here, so the wait is done on a thread."""
+        """Wait on a thread until a process has ended, and return its exit code."""
         return await asyncio.to_thread(self.processes[name].wait, patience)
 
     def wipe(self, name: str) -> None:
-        """The disk is lost; its folder is kept under another name, for whoever wants to look."""
+        """Lose a disk; its directory is kept under another name for inspection."""
         self.lost += 1
         (self.folder / name).rename(self.folder / f"{name}.lost-{self.lost}")
 
     def stop_all(self) -> None:
+        """End all processes, in order if they do."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -170,6 +189,7 @@
                 process.wait()
 
     def url(self, name: str) -> str:
+        """Return the base URL of a process."""
         return f"http://127.0.0.1:{self.places[name].http_port}"
 
     async def ready(self, session: aiohttp.ClientSession, names: list[str], patience: float = 30.0) -> None:
@@ -181,7 +201,7 @@
                     raise errors.IrisError(f"{name} ended; its log is {self.folder / name}.log")
                 try:
                     async with session.get(self.url(name) + "/_irisstand/ready") as response:
-                        if response.status == 200:
+                        if response.status == HTTP_OK:
                             break
                         why = await response.text()
                 except aiohttp.ClientError as error:
--- a/src/irisstand/localcluster/runner.py
+++ b/src/irisstand/localcluster/runner.py
@@ -1,23 +1,26 @@
-"""The rehearsal: a fleet, a load, failures by plan, and the judge's figures."""
+"""A run of a local cluster: processes, load, faults by plan, and the invariant checker's figures."""
 
 import asyncio
 import contextlib
 import pathlib
 import tempfile
-import typing
 
 import aiohttp
 
 from irisstand import errors
 from irisstand.emulators import origin_emulator
-from irisstand.localcluster import fault_plans, invariant_checker, load_generator, processes
+from irisstand.localcluster import day_plan, fault_plans, invariant_checker, load_generator, processes
 
-Say = typing.Callable[[str], None]
+Say = day_plan.Say
 
 
 class LocalClusterRun:
+    """One run, with its emulated origins and platform."""
+
     def __init__(self, shape: processes.ClusterShape, folder: pathlib.Path, seed: int) -> None:
-        self.shape, self.folder, self.seed = shape, folder, seed
+        self.shape = shape
+        self.folder = folder
+        self.seed = seed
         self.records = origin_emulator.OriginRecords()
         self.origins = self.make_origins()
         self.platform = origin_emulator.PlatformEmulator(self.origins)
@@ -25,6 +28,7 @@
         self.checker.lives = {"vacancies": 10.0, "logos": 60.0}
 
     def make_origins(self) -> list[origin_emulator.OriginEmulator]:
+        """Return the origins of the shape, spread over its sites."""
         made = []
         counts = (("content", self.shape.content_origins), ("application", self.shape.application_origins))
         for service, count in counts:
@@ -36,6 +40,7 @@
         return made
 
     async def run(self, seconds: float, plan: str, say: Say) -> int:
+        """Run for so many seconds under a plan, print the figures, and return the exit status."""
         for origin in self.origins:
             await origin.start()
         await self.platform.start()
@@ -76,12 +81,13 @@
         return 1 if sum(self.checker.broken.values()) else 0
 
     async def set_up(self, session: aiohttp.ClientSession) -> None:
+        """Send the first configuration and wait until all nodes serve."""
         control_nodes = [place.name for place in self.fleet.named("agency")]
         await self.fleet.ready(session, control_nodes)
         status, answer = await self.load.order(
             "POST", "/changes", {"rows": load_generator.first_configuration(self.shape)}
         )
-        if status != 200:
+        if status != day_plan.HTTP_OK:
             raise errors.IrisError(f"the blueprint was not confirmed: {status} {answer}")
         self.confirmed = answer
         others = [place.name for place in self.fleet.places.values() if place.program != "controlplane"]
@@ -95,7 +101,7 @@
             for target in ("/vacancies/1", "/shortlists/1"):
                 while True:
                     async with session.get(self.fleet.url(edge) + target) as response:
-                        if response.status == 200:
+                        if response.status == day_plan.HTTP_OK:
                             break
                         answer = await response.text()
                     if asyncio.get_running_loop().time() > end:
@@ -103,7 +109,7 @@
                     await asyncio.sleep(0.1)
 
     async def served_again(self, patience: float) -> bool:
-        """Until an edge answers a read that has to go all the way to an origin."""
+        """Wait until an edge answers a read that goes to an origin; False if none does in time."""
         loop = asyncio.get_running_loop()
         end = loop.time() + patience
         number = 0
@@ -112,7 +118,7 @@
             url = self.fleet.url(self.load.edges[number % len(self.load.edges)])
             try:
                 async with self.load.session.get(f"{url}/vacancies/again-{number}") as response:
-                    if response.status == 200:
+                    if response.status == day_plan.HTTP_OK:
                         return True
             except (aiohttp.ClientError, TimeoutError):
                 pass
@@ -120,13 +126,14 @@
         return False
 
     async def read_back(self, session: aiohttp.ClientSession) -> None:
+        """Check that each control plane node has the configuration that was confirmed."""
         wanted = {
             (row["kind"], row["name"]): row["value"] for row in load_generator.first_configuration(self.shape)
         }
         for place in self.fleet.named("agency"):
             try:
                 async with session.get(self.fleet.url(place.name) + "/rows") as response:
-                    if response.status != 200:
+                    if response.status != day_plan.HTTP_OK:
                         continue
                     table = await response.json()
             except aiohttp.ClientError:
@@ -135,7 +142,19 @@
             self.checker.check("the table read back is the one confirmed", got == wanted, str(got)[:200])
 
 
-def run(shape: str, seconds: float, plan: str, seed: int, folder: str, say: Say) -> int:
+def run(  # noqa: PLR0913, PLR0917 - each is an option of the command
+    shape: str, seconds: float, plan: str, seed: int, folder: str, say: Say
+) -> int:
+    """Run a local cluster and return the exit status: 1 if an invariant was broken.
+
+    Args:
+        shape: Name of the shape.
+        seconds: Length of the load.
+        plan: Name of the fault plan.
+        seed: Seed of the clients' draws.
+        folder: Where settings, data and logs are kept; empty: a temporary directory.
+        say: Prints one line.
+    """
     with contextlib.ExitStack() as stack:
         if not folder:
             folder = stack.enter_context(tempfile.TemporaryDirectory(prefix="irisstand-"))
