--- a/src/irisstand/web.py
+++ b/src/irisstand/web.py
@@ -53,6 +53,13 @@
     return json_response(error.to_json(), error.status, headers)
 
 
+class Readiness(typing.NamedTuple):
+    """Whether a node should be sent work, and why."""
+
+    ready: bool
+    why: str
+
+
 class HttpServer:
     """The HTTP listener of a node, with its pages for liveness, readiness, status, counters and event log.
 
@@ -131,20 +138,20 @@
         self.log.write_out(f"error in a request: {error!r}")
         return error_response(errors.IrisError("an error of this node's own"))
 
-    def readiness(self) -> tuple[bool, str]:
+    def readiness(self) -> Readiness:
         """Return whether this node should be sent work, and why."""
         context = self.context
         if context.is_lame_duck or context.is_draining:
-            return False, "draining"
+            return Readiness(ready=False, why="draining")
         for table in context.replicas.values():
             if not context.is_current(table):
-                return False, f"the {table.name} table is not known to be current"
+                return Readiness(ready=False, why=f"the {table.name} table is not known to be current")
         # The control plane works on wherever it is; only clients' work is kept away.
         if context.role == "edge" and context.is_evacuated(context.settings.site):
-            return False, f"site {context.settings.site} is evacuated"
+            return Readiness(ready=False, why=f"site {context.settings.site} is evacuated")
         if context.role == "edge" and context.is_standby(context.settings.machine):
-            return False, f"machine {context.settings.machine} rests"
-        return True, "ready"
+            return Readiness(ready=False, why=f"machine {context.settings.machine} rests")
+        return Readiness(ready=True, why="ready")
 
     async def live(self, _request: sanic.request.Request) -> Response:
         """Answer that the process runs."""
@@ -152,8 +159,8 @@
 
     async def ready(self, _request: sanic.request.Request) -> Response:
         """Answer whether this node should be sent work: status 200 or 503."""
-        is_ready, why = self.readiness()
-        return json_response({"ready": is_ready, "why": why}, STATUS_OK if is_ready else STATUS_UNAVAILABLE)
+        readiness = self.readiness()
+        return json_response(readiness._asdict(), STATUS_OK if readiness.ready else STATUS_UNAVAILABLE)
 
     async def status(self, _request: sanic.request.Request) -> Response:
         """Answer with the status of the node."""
