--- a/src/irisstand/emulators/upstream_emulator.py
+++ b/src/irisstand/emulators/upstream_emulator.py
@@ -7,7 +7,7 @@
 
 import aiohttp.web
 
-from irisstand.dataplane.http import header_names as vocabularies
+from irisstand.dataplane.http import header_names
 
 
 class RequestRecord(typing.NamedTuple):
@@ -23,7 +23,7 @@
 class UpstreamEmulator:
     """One origin. `faults` by name: full, lost, slow (seconds), wrong (another instance has the address)."""
 
-    def __init__(self, service: str, instance: str, site: str, words: vocabularies.HeaderNames) -> None:
+    def __init__(self, service: str, instance: str, site: str, words: header_names.HeaderNames) -> None:
         self.service = service
         self.instance = instance
         self.site = site
@@ -97,6 +97,6 @@
         return aiohttp.web.Response(body=content, headers=headers)
 
 
-def is_whole(words: vocabularies.HeaderNames, headers: typing.Mapping[str, str], body: bytes) -> bool:
+def is_whole(words: header_names.HeaderNames, headers: typing.Mapping[str, str], body: bytes) -> bool:
     """Return whether an answer is what the origin sealed."""
     return headers.get(words.seal) == hashlib.sha256(body).hexdigest()[:16]
--- a/src/irisstand/simulator/restart_measurement.py
+++ b/src/irisstand/simulator/restart_measurement.py
@@ -11,8 +11,7 @@
 
 from irisstand.simulator import simulated_folder
 from irisstand.state import items, replica
-from irisstand.state.storage import disk as disks
-from irisstand.state.storage import durable_store
+from irisstand.state.storage import disk, durable_store
 
 CHANGES = (300, 3000, 30000)
 KEYS = 2000
@@ -43,8 +42,8 @@
 
 async def opened(folder: simulated_folder.SimulatedFolder) -> durable_store.DurableStore:
     """Return a store that was opened on a directory."""
-    disk = disks.FolderDisk(pathlib.Path("simulated"), folder)
-    store = durable_store.DurableStore(disk, random.Random(1))
+    folder_disk = disk.FolderDisk(pathlib.Path("simulated"), folder)
+    store = durable_store.DurableStore(folder_disk, random.Random(1))
     await store.open()
     return store
 
--- a/src/irisstand/simulator/sizes.py
+++ b/src/irisstand/simulator/sizes.py
@@ -6,8 +6,7 @@
 import tracemalloc
 import typing
 
-from irisstand import clocks
-from irisstand import counters as counting
+from irisstand import clocks, counters
 from irisstand.balancing import fleet_limits
 from irisstand.dataplane.cache import object_cache, objects
 from irisstand.membership import detector, updates
@@ -44,8 +43,8 @@
 def member_bytes(members: int) -> float:
     """Return the bytes of memory for one of so many members."""
     clock = clocks.MonotonicClock()
-    counters = counting.Counters()
-    found = detector.FailureDetector("own", make_update(0).node_info, clock, random.Random(1), counters)
+    counted = counters.Counters()
+    found = detector.FailureDetector("own", make_update(0).node_info, clock, random.Random(1), counted)
     return grown(lambda number: found.apply_update(make_update(number + 1)), members)
 
 
