--- a/tools/behaviour_digest.py
+++ b/tools/behaviour_digest.py
@@ -35,6 +35,7 @@
         self.kinds_asked: dict[tuple[int, int], str] = {}
 
     def add(self, channel: str, name: str, payload: bytes) -> None:
+        """Count a payload under its channel, and take it into the channel's sum."""
         self.counts[channel] += 1
         digest = hashlib.sha256(f"{channel} {name}\n".encode() + payload).digest()
         # Sums, so that the order in which cancelled tasks of one moment come up makes no difference.
@@ -53,6 +54,7 @@
         self.keep(label, payload)
 
     def keep(self, label: str, payload: bytes) -> None:
+        """Keep a payload as a sample of its label, unless it is large or there are enough."""
         kept = self.samples[label]
         if len(kept) < SAMPLES_OF_A_KIND and len(payload) <= SAMPLE_BYTES_LIMIT and payload.hex() not in kept:
             kept.append(payload.hex())
