--- a/tests/controlplane/test_ballots.py
+++ b/tests/controlplane/test_ballots.py
@@ -6,15 +6,11 @@
 import cluster
 import pytest
 
-import irisstand.controlplane.consensus.acceptor as acceptor
-import irisstand.controlplane.consensus.messages as messages
-import irisstand.errors as errors
-import irisstand.state.items as items
-import irisstand.state.quorum as quorum
-import irisstand.state.replica as replica
-import irisstand.state.storage.durable_store as durable_store
-import irisstand.state.versions as versions
+from irisstand import errors
+from irisstand.controlplane.consensus import acceptor, messages
 from irisstand.simulator import memory_disk, virtual_time
+from irisstand.state import items, quorum, replica, versions
+from irisstand.state.storage import durable_store
 
 
 def test_of_changes_racing_from_the_same_version_exactly_one_wins():
--- a/tests/controlplane/test_bootstrap.py
+++ b/tests/controlplane/test_bootstrap.py
@@ -5,10 +5,8 @@
 import cluster
 import pytest
 
-import irisstand.state.items as items
-import irisstand.state.quorum as quorum
-import irisstand.state.versions as versions
 from irisstand.simulator import simulated_cluster, virtual_time
+from irisstand.state import items, quorum, versions
 
 SITES = (("north", "one"), ("south", "one"), ("east", "two"), ("west", "two"))
 
--- a/tests/controlplane/test_capacity_scaling.py
+++ b/tests/controlplane/test_capacity_scaling.py
@@ -6,7 +6,7 @@
 import cluster
 import pytest
 
-import irisstand.balancing.standby_planning as standby_planning
+from irisstand.balancing import standby_planning
 
 
 def resting(day, name="agency-2"):
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -5,7 +5,7 @@
 import cluster
 import pytest
 
-import irisstand.errors as errors
+from irisstand import errors
 
 
 def holder_of(day, duty_name):
--- a/tests/controlplane/test_idempotent_changes.py
+++ b/tests/controlplane/test_idempotent_changes.py
@@ -4,14 +4,9 @@
 
 import pytest
 
-import irisstand.controlplane.changes.amendment as amendment
-import irisstand.controlplane.changes.order_planning as order_planning
-import irisstand.controlplane.changes.orders as orders
-import irisstand.controlplane.changes.table_overlay as table_overlay
-import irisstand.errors as errors
-import irisstand.state.items as items
-import irisstand.state.replica as replica
-import irisstand.state.versions as versions
+from irisstand import errors
+from irisstand.controlplane.changes import amendment, order_planning, orders, table_overlay
+from irisstand.state import items, replica, versions
 
 ROUTE = {
     "name": "r1",
@@ -58,8 +53,10 @@
     before = table.root_digest()
     with pytest.raises(errors.IrisError) as raised:
         amend(table, call)
-    assert raised.value.status == 409 and raised.value.code == "version-taken"
-    assert raised.value.remedy and raised.value.to_json()["conflicts"]
+    assert raised.value.status == 409
+    assert raised.value.code == "version-taken"
+    assert raised.value.remedy
+    assert raised.value.to_json()["conflicts"]
     assert table.root_digest() == before
 
 
@@ -113,7 +110,8 @@
     amend(table, {"drop": {"routes": dropped, "upstreams": [{"name": "s1", "version": 9}]}})
     taker = route(9, name="r3", service="s2")
     amend(table, put(taker, upstreams=[{"name": "s2", "version": 9}]))
-    assert amend(table, call) == [] and amend(table, FIRST) == []
+    assert amend(table, call) == []
+    assert amend(table, FIRST) == []
 
 
 def test_a_repeat_with_one_overtaken_item_is_confirmed_and_writes_nothing():
@@ -222,7 +220,8 @@
     before = table.root_digest()
     with pytest.raises(errors.IrisError) as raised:
         change(table, "change", "mine", [{**row, "value": {"weight": 7}}])
-    assert raised.value.status == 409 and raised.value.code == "change-id-taken"
+    assert raised.value.status == 409
+    assert raised.value.code == "change-id-taken"
     assert table.root_digest() == before
 
 
--- a/tests/controlplane/test_idempotent_changes_racing.py
+++ b/tests/controlplane/test_idempotent_changes_racing.py
@@ -5,13 +5,11 @@
 import cluster
 import pytest
 
-import irisstand.control_errors as control_errors
-import irisstand.controlplane.changes.evacuation_check as evacuation_check
-import irisstand.controlplane.changes.orders as orders
-import irisstand.controlplane.consensus.ballot_plan as ballot_plan
 import irisstand.controlplane.consensus.proposer as proposers
-import irisstand.errors as errors
-import irisstand.state.items as items
+from irisstand import control_errors, errors
+from irisstand.controlplane.changes import evacuation_check, orders
+from irisstand.controlplane.consensus import ballot_plan
+from irisstand.state import items
 
 CORE = [f"agency-{number}" for number in range(1, 6)]
 
@@ -61,7 +59,8 @@
             asked = [insist(day, upstream(version, rate), places) for rate, places in sent]
             answers = await asyncio.gather(*asked)
             confirmed = {rate for (rate, _), answer in zip(sent, answers, strict=True) if answer}
-            assert len(confirmed) == 1 and sum(answers) == 2, answers
+            assert len(confirmed) == 1, answers
+            assert sum(answers) == 2, answers
             await asyncio.sleep(1)
             assert rates(day) == confirmed
 
@@ -154,7 +153,8 @@
             order = orders.Order("change", f"c-{number}", rows[number])
             proposer.queue.put_nowait(ballot_plan.PendingOrder(order, future, give_up_at, []))
         done = await asyncio.gather(*futures, return_exceptions=True)
-        assert lost and isinstance(done[1], dict), done
+        assert lost, done
+        assert isinstance(done[1], dict), done
         assert proposer.replica.value("site/north") == {"weight": 2}
 
     cluster.play(scene)
--- a/tests/controlplane/test_leases_under_partition.py
+++ b/tests/controlplane/test_leases_under_partition.py
@@ -6,8 +6,8 @@
 import cluster
 import pytest
 
-import irisstand.controlplane.singletons.lease as lease
-import irisstand.errors as errors
+from irisstand import errors
+from irisstand.controlplane.singletons import lease
 
 
 def holder_of(day, name="staffing"):
@@ -65,6 +65,7 @@
             await node.do(task.acquire(vacant), 8)
         task.submitter = real
         await node.do(task.acquire(vacant), 8)
-        assert task.fencing_token and task.lease_ends_at <= asked_at + task.lease_seconds
+        assert task.fencing_token
+        assert task.lease_ends_at <= asked_at + task.lease_seconds
 
     cluster.play(scene)
--- a/tests/controlplane/test_mutation_scenarios.py
+++ b/tests/controlplane/test_mutation_scenarios.py
@@ -6,12 +6,10 @@
 import cluster
 import pytest
 
-import irisstand.balancing.quota_shares as quota_shares
-import irisstand.controlplane.consensus.acceptor as acceptor
-import irisstand.controlplane.consensus.messages as messages
-import irisstand.errors as errors
-import irisstand.state.items as items
-import irisstand.state.versions as versions
+from irisstand import errors
+from irisstand.balancing import quota_shares
+from irisstand.controlplane.consensus import acceptor, messages
+from irisstand.state import items, versions
 
 
 async def accept_by_majority(day):
@@ -76,7 +74,8 @@
         ballot = versions.Version(applied.counter + 9, "x")
         reply = await node.do(owner.submit(acceptor.Accept(ballot, batch, "agency-1")), 1)
         assert reply == messages.Rejected(messages.VoteStatus.MOVED, applied)
-        assert owner.record.pending is None and owner.record.applied == applied
+        assert owner.record.pending is None
+        assert owner.record.applied == applied
 
     cluster.play(scene)
 
@@ -137,7 +136,8 @@
     ceilings = {"s": (10, 4)}
     rows, _ = quota_shares.plan({}, ceilings, {"a": 1, "b": 1}, ())
     rows, reduced = quota_shares.plan(rows, ceilings, {"b": 1}, ())
-    assert reduced == {"s"} and "s" not in rows["a"]
+    assert reduced == {"s"}
+    assert "s" not in rows["a"]
     held, _ = quota_shares.plan(rows, ceilings, {"b": 1}, reduced)
     assert held["b"]["s"][:2] == [5, 2]
     freed, _ = quota_shares.plan(rows, ceilings, {"b": 1}, ())
--- a/tests/controlplane/test_operations.py
+++ b/tests/controlplane/test_operations.py
@@ -7,12 +7,12 @@
 import cluster
 import pytest
 
-import irisstand.controlplane.changes.change_status as change_status
-import irisstand.controlplane.consensus.voter_administration as voter_administration
-import irisstand.errors as errors
-import irisstand.state.items as items
-import irisstand.validation.formats as formats
+from irisstand import errors
+from irisstand.controlplane.changes import change_status
+from irisstand.controlplane.consensus import voter_administration
 from irisstand.simulator import simulated_node
+from irisstand.state import items
+from irisstand.validation import formats
 
 
 def test_a_change_is_shown_with_its_rows_what_superseded_them_and_who_has_it_in_force():
@@ -29,9 +29,11 @@
         first = await node.do(shower.show("first"), 3)
         second = await node.do(shower.show("second"), 3)
         third = await node.do(shower.show("third"), 3)
-        assert first["rows"][0]["superseded_by"] == second["serial"] and not first["rows"][0]["in_force"]
+        assert first["rows"][0]["superseded_by"] == second["serial"]
+        assert not first["rows"][0]["in_force"]
         assert second["rows"] == [{"row": "site/north", "in_force": True}]
-        assert second["nodes"]["edge-1"] == "in force" and second["nodes"]["agency-4"] == "in force"
+        assert second["nodes"]["edge-1"] == "in force"
+        assert second["nodes"]["agency-4"] == "in force"
         # Cut off before the third: nobody hears it, and it would not answer by what it has.
         assert third["nodes"]["edge-2"] == "silent"
         assert (await node.do(shower.show("swept"), 3))["rows"][0]["row"] == "purge/path//vacancies/1"
@@ -49,7 +51,8 @@
         copy.applied = copy.applied._replace(counter=copy.applied.counter - 1)
         node = day.cluster.nodes["agency-1"]
         shown = await node.do(change_status.ChangeStatus(node.program.context).show("x"), 3)
-        assert shown["serial"] == result["serial"] and shown["nodes"]["store-1"] == "behind"
+        assert shown["serial"] == result["serial"]
+        assert shown["nodes"]["store-1"] == "behind"
 
     cluster.play(scene)
 
@@ -98,7 +101,8 @@
         # Two of five are at north: without one at another site, its loss would leave two of four.
         with pytest.raises((errors.InsufficientCapacityError, errors.InvalidChangeError)) as caught:
             await node.do(hand.retire("agency-2"), 8)
-        assert caught.value.figures["voters"] == 4 and len(voter_names(day)) == 5
+        assert caught.value.figures["voters"] == 4
+        assert len(voter_names(day)) == 5
         for _ in range(2):
             assert len((await node.do(hand.retire("agency-1"), 8))["voters"]) == 4
             await asyncio.sleep(1)
@@ -159,7 +163,8 @@
         ("path", "/vacancies/"),
         ("site", "north"),
     ]
-    assert rows[1]["expected"] == "7@agency-1~ab" and rows[2]["value"] is None
+    assert rows[1]["expected"] == "7@agency-1~ab"
+    assert rows[2]["value"] is None
     assert formats.read("rows.json", json.dumps(rows).encode()) == rows
 
 
@@ -207,7 +212,9 @@
     table[0]["value"] = {"deadline": 4}
     table.append({"kind": "site", "name": "south", "value": {}})
     found = formats.differences(wanted, table)
-    assert len(found) == 2 and found[0].startswith("other: service") and "not in the file" in found[1]
+    assert len(found) == 2
+    assert found[0].startswith("other: service")
+    assert "not in the file" in found[1]
 
 
 def test_origins_of_the_own_region_are_drawn_first_and_the_busier_give_way():
--- a/tests/controlplane/test_origin_discovery.py
+++ b/tests/controlplane/test_origin_discovery.py
@@ -5,7 +5,7 @@
 
 import cluster
 
-import irisstand.controlplane.singletons.origin_source as origin_source
+from irisstand.controlplane.singletons import origin_source
 
 
 def state(day, name="edge-1"):
@@ -34,7 +34,8 @@
         assert f"origin/{gone.instance}" not in listed(day)
         says(day, 6)
         await asyncio.sleep(4)
-        assert f"origin/{gone.instance}" not in listed(day) and state(day)["state"] == "lagging"
+        assert f"origin/{gone.instance}" not in listed(day)
+        assert state(day)["state"] == "lagging"
         # Nor for the next holder, which has heard nothing of the newer one itself.
         for node in day.cluster.with_role("agency"):
             if any(
@@ -45,7 +46,8 @@
         assert f"origin/{gone.instance}" not in listed(day)
         says(day, 8)
         await asyncio.sleep(4)
-        assert f"origin/{gone.instance}" in listed(day) and state(day)["state"] == "well"
+        assert f"origin/{gone.instance}" in listed(day)
+        assert state(day)["state"] == "well"
 
     cluster.play(scene)
 
@@ -54,7 +56,8 @@
     async def scene(day):
         says(day, age=30.0)
         await asyncio.sleep(3)
-        assert state(day)["state"] == "lagging" and "30 s old" in state(day)["why"]
+        assert state(day)["state"] == "lagging"
+        assert "30 s old" in state(day)["why"]
 
         async def dead():
             raise ConnectionRefusedError("nobody there")
@@ -62,7 +65,8 @@
         day.actors.ask_platform = dead
         before = listed(day)
         await asyncio.sleep(8)
-        assert state(day)["state"] == "silent" and listed(day) == before
+        assert state(day)["state"] == "silent"
+        assert listed(day) == before
         says(day)
         await asyncio.sleep(3)
         assert state(day)["state"] == "well"
@@ -81,7 +85,8 @@
         other.state = "leaving"
         says(day, without=content[:3])
         await asyncio.sleep(3)
-        assert state(day)["state"] == "shrunk" and "content" in state(day)["why"]
+        assert state(day)["state"] == "shrunk"
+        assert "content" in state(day)["why"]
         assert {f"origin/{name}" for name in content} <= listed(day)
         # What it says of the rest is in force meanwhile.
         ledger = cluster.context(day, "edge-1").ledger
--- a/tests/controlplane/test_origin_list.py
+++ b/tests/controlplane/test_origin_list.py
@@ -6,7 +6,7 @@
 import cluster
 import pytest
 
-import irisstand.errors as errors
+from irisstand import errors
 
 ORIGIN = {"id": "a", "service": "s", "host": "127.0.0.1", "port": 1, "site": "north", "state": "ready"}
 
@@ -72,7 +72,9 @@
             counts.append(len(fresh.started) - before)
         # Five to seven seconds a part: hardly anything at first, about its third of 300 in the end.
         assert 30 < day.watcher.now() - began < 60
-        assert counts[0] < 20 and counts[0] < counts[1] < counts[-1] and 60 < sum(counts[-2:]) < 140, counts
+        assert counts[0] < 20, counts
+        assert counts[0] < counts[1] < counts[-1], counts
+        assert 60 < sum(counts[-2:]) < 140, counts
 
     cluster.play(scene)
 
--- a/tests/controlplane/test_partitioned_nodes.py
+++ b/tests/controlplane/test_partitioned_nodes.py
@@ -7,13 +7,11 @@
 import cluster
 import pytest
 
-import irisstand.controlplane.api.operator_reads as operator_reads
-import irisstand.controlplane.changes.orders as orders
-import irisstand.controlplane.consensus.acceptor as acceptor
-import irisstand.controlplane.consensus.voter_administration as voter_administration
-import irisstand.errors as errors
-import irisstand.state.items as items
-import irisstand.state.versions as versions
+from irisstand import errors
+from irisstand.controlplane.api import operator_reads
+from irisstand.controlplane.changes import orders
+from irisstand.controlplane.consensus import acceptor, voter_administration
+from irisstand.state import items, versions
 
 PAGES = ("get_rows", "get_items", "get_ledger", "get_voters", "get_machines")
 # What an operator that was given no answer can rely on: nothing here is a refusal.
@@ -55,7 +53,8 @@
         with pytest.raises(errors.StaleConfigurationError) as raised:
             await read(day, "agency-5", page)
         assert day.now() - started < 0.8
-        assert raised.value.status == 503 and raised.value.retry_after
+        assert raised.value.status == 503
+        assert raised.value.retry_after
 
     cluster.play(scene)
 
--- a/tests/controlplane/test_placement.py
+++ b/tests/controlplane/test_placement.py
@@ -5,7 +5,7 @@
 
 import cluster
 
-import irisstand.controlplane.singletons.fleet_view as fleet_view
+from irisstand.controlplane.singletons import fleet_view
 
 
 def owners(day, name="agency-1"):
@@ -55,7 +55,8 @@
             now = owners(day)
             steps.append(sum(a != b for a, b in zip(last, now, strict=True)))
             last = now
-        assert max(steps) <= 8 and sum(steps) == share
+        assert max(steps) <= 8
+        assert sum(steps) == share
         assert last == before
 
     cluster.play(scene)
@@ -95,7 +96,8 @@
         await asyncio.sleep(20)
         watch.cancel()
         rule = "the shares of a ceiling add up to no more than it"
-        assert day.checker.checked[rule] > 1000 and not day.checker.broken[rule], day.checker.examples
+        assert day.checker.checked[rule] > 1000, day.checker.examples
+        assert not day.checker.broken[rule], day.checker.examples
         # And nothing of the ceiling is left lying: the living hold all of it in the end.
         shares = fleet_view.FleetView(cluster.context(day, "agency-2")).shares()
         assert sum(row["content"][0] for row in shares.values()) == 60
@@ -156,6 +158,8 @@
                 await asyncio.sleep(0.02)
             counts.append(len(back.started) - before)
         # Four to five seconds a part: little at first, its half of 200 once the ten seconds are over.
-        assert counts[0] < 60 and counts[0] < counts[1] < 110 and counts[2] > 75, counts
+        assert counts[0] < 60, counts
+        assert counts[0] < counts[1] < 110, counts
+        assert counts[2] > 75, counts
 
     cluster.play(scene)
--- a/tests/controlplane/test_rate_quota.py
+++ b/tests/controlplane/test_rate_quota.py
@@ -6,10 +6,10 @@
 import direct_edge
 import pytest
 
-import irisstand.balancing.rate_quota as rate_quota
-import irisstand.controlplane.singletons.rate_placement as rate_placement
-import irisstand.state.items as items
+from irisstand.balancing import rate_quota
+from irisstand.controlplane.singletons import rate_placement
 from irisstand.simulator import virtual_time
+from irisstand.state import items
 
 # For so long after its last row an owner may still start requests that one window of five seconds counts.
 STILL_COUNTS = rate_quota.USABLE_SECONDS + 5.0
--- a/tests/controlplane/test_retention.py
+++ b/tests/controlplane/test_retention.py
@@ -7,16 +7,16 @@
 import cluster
 import pytest
 
-import irisstand.controlplane.changes.idempotency_claims as idempotency_claims
-import irisstand.controlplane.changes.order_planning as order_planning
-import irisstand.controlplane.changes.orders as orders
-import irisstand.controlplane.changes.table_overlay as table_overlay
-import irisstand.controlplane.changes.table_time as table_time
-import irisstand.controlplane.singletons.retention as retention
-import irisstand.errors as errors
-import irisstand.state.items as items
-import irisstand.state.replica as replica
-import irisstand.state.versions as versions
+from irisstand import errors
+from irisstand.controlplane.changes import (
+    idempotency_claims,
+    order_planning,
+    orders,
+    table_overlay,
+    table_time,
+)
+from irisstand.controlplane.singletons import retention
+from irisstand.state import items, replica, versions
 
 PURGE = table_time.RetentionRule("purge", 75.0, 0.0, 5000)
 
@@ -79,7 +79,8 @@
         if newest.get(path, versions.NONE) > applied:
             refused += 1
             assert applied < purged
-    assert refused > 100 and ledger.copy.value(items.FORGOTTEN_PURGES_KEY)
+    assert refused > 100
+    assert ledger.copy.value(items.FORGOTTEN_PURGES_KEY)
 
 
 def test_a_node_that_was_cut_off_until_a_purge_expired_serves_no_purged_object():
@@ -106,7 +107,8 @@
         # Never heard of by this edge, and forgotten by all: its cached copy must go all the same.
         assert edge.ledger.value(f"purge/path/{path}") is None
         status, _, result = await day.actors.ask("edge-1", "GET", path)
-        assert status == 200 and json.loads(result.body)["version"] == 1
+        assert status == 200
+        assert json.loads(result.body)["version"] == 1
 
     cluster.play(scene)
 
@@ -169,7 +171,8 @@
     for _ in range(8):
         claims.tick(15, rule)
     claims.order("claim", ("another", "a", "print"))
-    assert "claim/k0" not in claims.copy.items and "claim/k99" in claims.copy.items
+    assert "claim/k0" not in claims.copy.items
+    assert "claim/k99" in claims.copy.items
 
 
 def test_an_idempotency_key_survives_total_loss_and_changes_of_lease_holder():
@@ -199,6 +202,7 @@
         # Hours in the dark are not counted: nobody could have asked again meanwhile.
         assert before < after < before + 45
         status, _, result = await day.actors.ask("edge-2", *ask, idempotency_key="once")
-        assert status == 200 and day.actors.records.executions["once"] == 1
+        assert status == 200
+        assert day.actors.records.executions["once"] == 1
 
     cluster.play(scene)
--- a/tests/controlplane/test_voter_target.py
+++ b/tests/controlplane/test_voter_target.py
@@ -12,11 +12,10 @@
     voters,
 )
 
-import irisstand.controlplane.changes.orders as orders
-import irisstand.controlplane.consensus.voter_target as voter_target
-import irisstand.errors as errors
-import irisstand.state.items as items
-import irisstand.state.quorum as quorum
+from irisstand import errors
+from irisstand.controlplane.changes import orders
+from irisstand.controlplane.consensus import voter_target
+from irisstand.state import items, quorum
 
 
 def test_two_newcomers_for_one_lost_voter_leave_the_same_voters_in_all_tables():
@@ -84,14 +83,16 @@
         pool = made(zones)
         for seeds in (pool[:3], pool[-3:], []):
             found = voter_target.target_voters(pool, seeds, set(), 5)
-            assert quorum.survives_any_site_loss(found) and len(found) == min(5, len(pool)), zones
+            assert quorum.survives_any_site_loss(found), zones
+            assert len(found) == min(5, len(pool)), zones
             # Reached once, it is left alone, in whatever order the candidates are told.
             assert voter_target.target_voters(pool[::-1], found, set(), 5) == found
     five = made("abcab")
     assert voter_target.target_voters(five[1:], five, {five[0].disk_id}, 5) == five
     spare = made("b", 7)
     repaired = voter_target.target_voters([*five[1:], *spare], five, {five[4].disk_id}, 5)
-    assert set(five[:4]) < set(repaired) and spare[0] in repaired
+    assert set(five[:4]) < set(repaired)
+    assert spare[0] in repaired
     # A place lost in one zone is not filled by one more of a zone whose loss would end the majority.
     assert (
         voter_target.target_voters([*five[:2], *five[3:], *made("a", 8)], five, {five[2].disk_id}, 5) == five
--- a/tests/dataplane/test_direct_edge.py
+++ b/tests/dataplane/test_direct_edge.py
@@ -6,9 +6,9 @@
 import pytest
 from direct_edge import play, whole
 
-import irisstand.dataplane.upstream.exchange as exchange
-import irisstand.errors as errors
-import irisstand.state.items as items
+from irisstand import errors
+from irisstand.dataplane.upstream import exchange
+from irisstand.state import items
 
 BROKEN = exchange.ConnectionBrokenError("cut")
 FULL = whole("", b"", 503, x_not_run="1", content_digest=None)
@@ -33,7 +33,8 @@
         await stage.ask("/writes/1", "POST")
 
     error, stage = fails(scene, errors.OutcomeUnknownError)
-    assert error.status not in (408, 421, 429, 503) and len(stage.sent) == 1
+    assert error.status not in (408, 421, 429, 503)
+    assert len(stage.sent) == 1
 
 
 def test_write_with_lost_answer_is_not_retried():
@@ -51,7 +52,8 @@
         await stage.ask("/writes/1", "POST")
 
     error, stage = fails(scene, errors.LimitExceededError)
-    assert error.status == 503 and 0 < error.retry_after < 1
+    assert error.status == 503
+    assert 0 < error.retry_after < 1
     assert sorted(stage.keys()) == ["a", "b"]
 
 
@@ -63,7 +65,8 @@
         return (await stage.ask("/writes/1", "POST")).status, stage.sent
 
     status, sent = play(scene)
-    assert status == 200 and [entry[0] for entry in sent] in (["a", "b"], ["b", "a"])
+    assert status == 200
+    assert [entry[0] for entry in sent] in (["a", "b"], ["b", "a"])
     assert all(entry[3]["x-expected-instance"] == entry[0] for entry in sent)
 
 
@@ -77,7 +80,8 @@
         await stage.ask("/writes/1", "POST")
 
     error, stage = fails(scene, errors.IrisError)
-    assert len(stage.sent) == 1 and error.status == 503
+    assert len(stage.sent) == 1
+    assert error.status == 503
 
 
 # -- reads -------------------------------------------------------------------------------------------------
@@ -90,7 +94,8 @@
         return await stage.ask("/reads/1"), stage.keys()
 
     answer, keys = play(scene)
-    assert (answer.status, answer.body) == (200, b"good") and sorted(keys) == ["a", "b"]
+    assert (answer.status, answer.body) == (200, b"good")
+    assert sorted(keys) == ["a", "b"]
 
 
 def test_read_of_a_silent_origin_is_hedged_and_its_first_attempt_not_cancelled():
@@ -108,7 +113,9 @@
         return answer.body, took, left, len(stage.part.origins.attempts)
 
     body, took, left, in_the_end = play(scene)
-    assert body == b"soon" and took < 0.5 and (left, in_the_end) == (1, 0)
+    assert body == b"soon"
+    assert took < 0.5
+    assert (left, in_the_end) == (1, 0)
 
 
 def test_retries_stay_within_this_edges_part_of_the_budget():
@@ -146,7 +153,8 @@
         await stage.ask("/reads/1")
 
     error, stage = fails(refused, errors.NotSentError)
-    assert error.status == 503 and not stage.sent
+    assert error.status == 503
+    assert not stage.sent
 
 
 def test_node_with_stale_tables_serves_nothing():
--- a/tests/dataplane/test_direct_edge_cache.py
+++ b/tests/dataplane/test_direct_edge_cache.py
@@ -5,8 +5,8 @@
 import pytest
 from direct_edge import play, whole
 
-import irisstand.errors as errors
-import irisstand.state.items as items
+from irisstand import errors
+from irisstand.state import items
 
 
 # -- objects -----------------------------------------------------------------------------------------------
@@ -33,8 +33,11 @@
 
     part, past, sent = play(scene)
     assert (part.status, part.body, part.headers["content-range"]) == (206, b"cd", "bytes 2-3/6")
-    assert part.headers["content-digest"] == "seal" and past.status == 416
-    assert len(sent) == 1 and "range" not in sent[0][3] and "if-none-match" not in sent[0][3]
+    assert part.headers["content-digest"] == "seal"
+    assert past.status == 416
+    assert len(sent) == 1
+    assert "range" not in sent[0][3]
+    assert "if-none-match" not in sent[0][3]
 
 
 def test_expired_object_is_revalidated_and_a_changed_one_fetched():
@@ -75,7 +78,9 @@
         return first.body, second.body, (await stage.ask("/objects/1", request_id="r3")).body
 
     first, second, third = play(scene)
-    assert first == b"n1" and second == b"n3" and third == b"n3"
+    assert first == b"n1"
+    assert second == b"n3"
+    assert third == b"n3"
 
 
 def test_retry_of_an_object_fetch_has_no_clients_request_id():
--- a/tests/dataplane/test_endpoint_pool.py
+++ b/tests/dataplane/test_endpoint_pool.py
@@ -6,8 +6,8 @@
 import pytest
 from direct_edge import play, whole
 
-import irisstand.errors as errors
-import irisstand.state.items as items
+from irisstand import errors
+from irisstand.state import items
 
 
 async def asks(stage, number, path="/reads/", pause=0.0):
@@ -93,7 +93,9 @@
         return most, set(statuses), len(times)
 
     most, statuses, sent = play(scene, edges=2)
-    assert most <= 20 * 5 * 1.1 + 5 and statuses == {200, 503} and sent > 150
+    assert most <= 20 * 5 * 1.1 + 5
+    assert statuses == {200, 503}
+    assert sent > 150
 
 
 def test_request_goes_to_no_more_origins_than_its_route_allows():
@@ -117,10 +119,11 @@
         stage.play = lambda key, headers, body: whole(headers.get("x-request-id", ""), x_instance=key)
         await asks(stage, 60, pause=0.1)
         running.cancel()
-        return tried, "a" in stage.keys()
+        return tried, "a" in stage
 
     tried, is_back = play(scene)
-    assert 1 <= tried < 10 and is_back
+    assert 1 <= tried < 10
+    assert is_back
 
 
 def test_origin_that_was_slow_once_is_used_again_though_another_is_faster():
--- a/tests/dataplane/test_exchange.py
+++ b/tests/dataplane/test_exchange.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-import irisstand.dataplane.upstream.exchange as exchange
+from irisstand.dataplane.upstream import exchange
 
 ID = "x-request-id"
 
--- a/tests/dataplane/test_exchange_hostile_origins.py
+++ b/tests/dataplane/test_exchange_hostile_origins.py
@@ -6,7 +6,7 @@
 import pytest
 from test_exchange import ID, answer, ask, talk
 
-import irisstand.dataplane.upstream.exchange as exchange
+from irisstand.dataplane.upstream import exchange
 
 NO_ID = b"HTTP/1.1 503 Busy\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n"
 
@@ -134,7 +134,8 @@
         return await stage.ask("/objects/1", range="bytes=999-")
 
     found = direct_edge.play(scene)
-    assert found.status == 416 and "content-digest" not in found.headers
+    assert found.status == 416
+    assert "content-digest" not in found.headers
 
 
 def test_request_without_an_id_goes_on_a_fresh_connection():
--- a/tests/dataplane/test_final_answers.py
+++ b/tests/dataplane/test_final_answers.py
@@ -6,8 +6,7 @@
 import cluster
 import pytest
 
-import irisstand.errors as errors
-import irisstand.web as web
+from irisstand import errors, web
 
 
 def kinds(root=errors.IrisError):
@@ -30,7 +29,9 @@
     error = kind(*ARGUMENTS.get(kind, ("what happened",)))
     response = web.error_response(error)
     content = json.loads(response.body)
-    assert content["code"] == kind.code and len(content["remedy"]) > 10 and response.status == kind.status
+    assert content["code"] == kind.code
+    assert len(content["remedy"]) > 10
+    assert response.status == kind.status
     assert response.headers["Cache-Control"] == "no-store"
     # Whoever could come back is told when; whoever must change something first is not told to hurry.
     assert ("Retry-After" in response.headers) == (kind.status in (502, 503, 504))
@@ -104,6 +105,7 @@
         first = edge.view.shields("content", f"{path}?")[0].identity.name
         day.cluster.nodes[first].kill(reset=False)
         (code, took) = await timed(day.actors.ask("edge-1", "GET", path))
-        assert code == "" and took < 2.9
+        assert code == ""
+        assert took < 2.9
 
     cluster.play(scene)
--- a/tests/dataplane/test_hostile_origin_scripts.py
+++ b/tests/dataplane/test_hostile_origin_scripts.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-import irisstand.dataplane.upstream.exchange as exchange
-import irisstand.errors as errors
+from irisstand import errors
+from irisstand.dataplane.upstream import exchange
 from irisstand.emulators import hostile_origin
 from irisstand.simulator import hostile_scripts
 
@@ -15,7 +15,8 @@
     figures = hostile_scripts.play(range(1, 301))
     assert not figures.broken, figures.broken[:5]
     # The scripts do reach answers, and runs beyond the answered ones.
-    assert figures.answered > 1000 and figures.runs > figures.answered
+    assert figures.answered > 1000
+    assert figures.runs > figures.answered
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/dataplane/test_large_configurations.py
+++ b/tests/dataplane/test_large_configurations.py
@@ -6,12 +6,10 @@
 import pytest
 from direct_edge import KINDS, UPSTREAM, play
 
-import irisstand.dataplane.routing.route_table as route_table
-import irisstand.dataplane.routing.routes as routes
-import irisstand.errors as errors
-import irisstand.state.items as items
-import irisstand.state.versions as versions
+from irisstand import errors
+from irisstand.dataplane.routing import route_table, routes
 from irisstand.simulator import large_configurations
+from irisstand.state import items, versions
 
 MANY = 5000
 HOSTS = ["a.example", "A.example", "b.example:80", "h"]
--- a/tests/dataplane/test_listener.py
+++ b/tests/dataplane/test_listener.py
@@ -7,9 +7,9 @@
 import direct_edge
 import pytest
 
-import irisstand.dataplane.http.listener as listener
-import irisstand.dataplane.upstream.exchange as exchange
-import irisstand.errors as errors
+from irisstand import errors
+from irisstand.dataplane.http import listener
+from irisstand.dataplane.upstream import exchange
 
 HEAD = b"GET /reads/1 HTTP/1.1\r\nHost: h\r\n\r\n"
 # Far more than the socket buffers of both ends hold.
@@ -65,7 +65,8 @@
         return told, face.context.counters.total("requests")
 
     told, asked = play(scene, quick)
-    assert b" 408 " in told.split(b"\r\n")[0] and asked == 0
+    assert b" 408 " in told.split(b"\r\n")[0]
+    assert asked == 0
 
 
 def test_body_that_comes_in_pieces_is_handed_on_complete():
--- a/tests/dataplane/test_messages.py
+++ b/tests/dataplane/test_messages.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-import irisstand.dataplane.messages as messages
-import irisstand.transport.codec as codec
+from irisstand.dataplane import messages
+from irisstand.transport import codec
 
 FRAMES = json.loads((pathlib.Path(__file__).parent.parent / "fixtures" / "wire" / "frames.json").read_text())
 SENT_AT = 0.0
--- a/tests/dataplane/test_object_holders.py
+++ b/tests/dataplane/test_object_holders.py
@@ -6,9 +6,9 @@
 import pytest
 from direct_edge import whole
 
-import irisstand.errors as errors
-import irisstand.state.items as items
+from irisstand import errors
 from irisstand.simulator import virtual_time
+from irisstand.state import items
 
 
 class Site:
@@ -62,7 +62,8 @@
     async def scene(site):
         for number, name in enumerate(("edge-1", "edge-2", "edge-1")):
             answer = await site.nodes[name].ask("/objects/1", request_id=f"r{number}")
-            assert answer.headers["x-request-id"] == f"r{number}" and answer.body == b"whole"
+            assert answer.headers["x-request-id"] == f"r{number}"
+            assert answer.body == b"whole"
         return site.sent(), site.asked
 
     assert play(scene) == ({"holder-1": 1}, [("edge-1", "holder-1"), ("edge-2", "holder-1")])
@@ -88,7 +89,10 @@
         return took, site.sent(), len(site.asked)
 
     took, sent, asked = play(scene)
-    assert took[0] < 0.8 and max(took[1:]) < 0.1 and sent == {"edge-1": 3} and asked == 1
+    assert took[0] < 0.8
+    assert max(took[1:]) < 0.1
+    assert sent == {"edge-1": 3}
+    assert asked == 1
 
 
 def test_edge_does_not_fetch_by_itself_when_its_holder_gets_no_token():
@@ -169,7 +173,8 @@
         return site.sent()
 
     sent = play(scene, holders=2, edge_2="south", holder_2="south")
-    assert sum(sent.values()) == 6 and set(sent) == {"holder-1", "holder-2"}
+    assert sum(sent.values()) == 6
+    assert set(sent) == {"holder-1", "holder-2"}
 
 
 def test_fleet_of_few_edges_fetches_without_holders():
--- a/tests/dataplane/test_origin_limits.py
+++ b/tests/dataplane/test_origin_limits.py
@@ -7,8 +7,8 @@
 import pytest
 
 import irisstand.balancing.retry_budget as budgets
-import irisstand.dataplane.retry.write_policy as write_policy
-import irisstand.errors as errors
+from irisstand import errors
+from irisstand.dataplane.retry import write_policy
 from irisstand.simulator import origin_faults, origin_invariants
 
 
--- a/tests/dataplane/test_popularity.py
+++ b/tests/dataplane/test_popularity.py
@@ -35,6 +35,7 @@
         assert len(cold) == 1
         await shares_of(day, "/shortlists/hot", 400, 4)
         hot = await shares_of(day, "/shortlists/hot", 400, 6)
-        assert len(hot) == 2 and max(hot) < 0.62 * sum(hot), hot
+        assert len(hot) == 2, hot
+        assert max(hot) < 0.62 * sum(hot), hot
 
     cluster.play(scene)
--- a/tests/dataplane/test_reads.py
+++ b/tests/dataplane/test_reads.py
@@ -24,7 +24,8 @@
         seen = [await read(day, f"/vacancies/{number}") for number in range(30)]
         assert len(bad.started) > 0
         targets = [content["target"] for status, _, content in seen if status == 200]
-        assert targets and all(target.startswith("/vacancies/") for target in targets)
+        assert targets
+        assert all(target.startswith("/vacancies/") for target in targets)
         good.faults.add(fault)
         await asyncio.sleep(11)
         seen = [await read(day, f"/vacancies/x{number}") for number in range(20)]
@@ -127,7 +128,8 @@
         for number in range(40):
             await read(day, f"/vacancies/{number}")
             await day.actors.write("edge-2")
-        assert stranger.started == [] and stranger.connections > 0
+        assert stranger.started == []
+        assert stranger.connections > 0
         assert len(other.started) > 20
 
     cluster.play(scene)
--- a/tests/dataplane/test_recorded_object_messages.py
+++ b/tests/dataplane/test_recorded_object_messages.py
@@ -5,11 +5,10 @@
 
 import pytest
 
-import irisstand.dataplane.cache.holder_messages as holder_messages
-import irisstand.dataplane.cache.objects as objects
-import irisstand.dataplane.ratelimit.token_leases as token_leases
-import irisstand.state.versions as versions
-import irisstand.transport.codec as codec
+from irisstand.dataplane.cache import holder_messages, objects
+from irisstand.dataplane.ratelimit import token_leases
+from irisstand.state import versions
+from irisstand.transport import codec
 
 FRAMES = json.loads((pathlib.Path(__file__).parent.parent / "fixtures" / "wire" / "frames.json").read_text())
 
--- a/tests/dataplane/test_retry_policies.py
+++ b/tests/dataplane/test_retry_policies.py
@@ -5,14 +5,16 @@
 
 import pytest
 
-import irisstand.balancing.retry_budget as retry_budget
-import irisstand.dataplane.retry.actions as actions
-import irisstand.dataplane.retry.events as events
-import irisstand.dataplane.retry.idempotent_attempt_policy as idempotent_attempt_policy
-import irisstand.dataplane.retry.read_policy as read_policy
-import irisstand.dataplane.retry.single_attempt_policy as single_attempt_policy
-import irisstand.dataplane.retry.write_policy as write_policy
-import irisstand.errors as errors
+from irisstand import errors
+from irisstand.balancing import retry_budget
+from irisstand.dataplane.retry import (
+    actions,
+    events,
+    idempotent_attempt_policy,
+    read_policy,
+    single_attempt_policy,
+    write_policy,
+)
 
 ROUTE = types.SimpleNamespace(timeout=2.0, target=0.2, attempts=2)
 GRANTED = types.SimpleNamespace(deadline=2.0)
--- a/tests/dataplane/test_served_objects.py
+++ b/tests/dataplane/test_served_objects.py
@@ -24,7 +24,8 @@
         await day.actors.order("agency-2", "purge", [purge])
         await slow_origins(day, 0.003)
         status, _, result = await fetching
-        assert status == 200 and json.loads(result.body)["version"] == 1
+        assert status == 200
+        assert json.loads(result.body)["version"] == 1
 
     cluster.play(scene)
 
--- a/tests/dataplane/test_token_leases.py
+++ b/tests/dataplane/test_token_leases.py
@@ -7,10 +7,10 @@
 import pytest
 import test_object_holders
 
-import irisstand.dataplane.ratelimit.token_leases as token_leases
-import irisstand.errors as errors
-import irisstand.state.items as items
+from irisstand import errors
+from irisstand.dataplane.ratelimit import token_leases
 from irisstand.simulator import virtual_time
+from irisstand.state import items
 
 RATE = 40.0
 WINDOW, OVERRUN, SLACK = 5.0, 1.1, 5
@@ -155,7 +155,8 @@
         return len(fleet.nodes["edge-1"].sent) - before, found
 
     sent, found = play(scene)
-    assert sent >= 18 and found.count(200) >= 18
+    assert sent >= 18
+    assert found.count(200) >= 18
 
 
 def test_owner_with_an_old_ledger_neither_uses_nor_lends_its_quota_share():
@@ -173,7 +174,9 @@
         return early, used, await grants.on_lease_request("edge-1", ["s", 1, 0.1])
 
     early, used, late = play(scene)
-    assert early == ("places", 0.0) and used == 0.0 and late == ("places",)
+    assert early == ("places", 0.0)
+    assert used == 0.0
+    assert late == ("places",)
 
 
 def test_leased_token_expires_after_the_lease_time():
@@ -237,5 +240,5 @@
     times = play(scene)
     settings = direct_edge.SETTINGS
     bound = direct_edge.UPSTREAM["cold_rate"] * settings.cold_factor + settings.cold_burst
-    assert 5 < len(times)
+    assert len(times) > 5
     assert max(sum(start <= other < start + 1.0 for other in times) for start in times) <= bound
--- a/tests/dataplane/test_upstream_connections.py
+++ b/tests/dataplane/test_upstream_connections.py
@@ -6,9 +6,9 @@
 import aiohttp.web
 import pytest
 
-import irisstand.dataplane.cache.objects as objects
-import irisstand.dataplane.upstream.connections as connections
-import irisstand.errors as errors
+from irisstand import errors
+from irisstand.dataplane.cache import objects
+from irisstand.dataplane.upstream import connections
 
 
 def test_connection_is_never_reopened_and_says_whether_a_byte_may_have_left():
@@ -41,7 +41,9 @@
         line = await opened()
         with pytest.raises(Exception):  # noqa: B017
             await line.send("GET", "/die", {}, b"", 5)
-        assert served.count("/die") == 1 and line.may_have_sent and not line.is_open
+        assert served.count("/die") == 1
+        assert line.may_have_sent
+        assert not line.is_open
         await line.close()
         # Closed while idle: nothing leaves, and nothing is opened in its place.
         line = await opened()
@@ -53,7 +55,9 @@
             await asyncio.sleep(0)
         with pytest.raises(connections.ConnectionReopenedError):
             await line.send("POST", "/write", {}, b"x", 5)
-        assert "/write" not in served and not line.may_have_sent and not line.is_open
+        assert "/write" not in served
+        assert not line.may_have_sent
+        assert not line.is_open
         await line.close()
         # Another service at the address gets the probe and nothing else.
         line = await connections.open_http("127.0.0.1", port)
--- a/tests/dataplane/test_writes.py
+++ b/tests/dataplane/test_writes.py
@@ -35,7 +35,8 @@
         first.up = False
         for _ in range(10):
             number, status, _ = await day.actors.write("edge-1")
-            assert status == 200 and runs(day, number) == 1
+            assert status == 200
+            assert runs(day, number) == 1
         assert len(second.started) >= 10
 
     cluster.play(scene)
@@ -124,9 +125,12 @@
             await asyncio.sleep(0.5)
             again = await keyed(day, "edge-2", key, key)
             first = next(result for status, _, result in told if status == 200)
-            assert again[0] == 200 and again[2].body == first.body and runs(day, key) == 1
+            assert again[0] == 200
+            assert again[2].body == first.body
+            assert runs(day, key) == 1
         other = await keyed(day, "edge-1", "key-1", "another-body")
-        assert other[:2] == (422, "key-reused") and runs(day, "another-body") == 0
+        assert other[:2] == (422, "key-reused")
+        assert runs(day, "another-body") == 0
 
     cluster.play(scene)
 
@@ -148,12 +152,15 @@
         for origin in applications(day):
             origin.up = True
         await asyncio.sleep(3)
-        assert (await keyed(day, "edge-2", "none", "none"))[0] == 200 and runs(day, "none") == 1
+        assert (await keyed(day, "edge-2", "none", "none"))[0] == 200
+        assert runs(day, "none") == 1
         # Without a majority a key cannot be claimed, and so nothing is sent.
         for name in ("agency-1", "agency-2", "agency-3"):
             day.cluster.nodes[name].kill()
         status, code, _ = await keyed(day, "edge-1", "late", "late")
-        assert status == 503 and code in ("no-claim", "stale-blueprint") and runs(day, "late") == 0
+        assert status == 503
+        assert code in ("no-claim", "stale-blueprint")
+        assert runs(day, "late") == 0
 
     cluster.play(scene)
 
@@ -182,7 +189,8 @@
                 jobs.append(asyncio.create_task(back(victim)))
         await asyncio.gather(*jobs)
         counts = [runs(day, f"k{step}") for step in range(40)]
-        assert max(counts) == 1 and sum(counts) > 30
+        assert max(counts) == 1
+        assert sum(counts) > 30
 
     async def back(node):
         await asyncio.sleep(1.5)
--- a/tests/docs/test_on_call.py
+++ b/tests/docs/test_on_call.py
@@ -31,7 +31,8 @@
         if name != owner or (method and call.func.attr != method) or not call.args:
             continue
         first = call.args[0]
-        assert isinstance(first, ast.Constant) and isinstance(first.value, str), ast.unparse(call)
+        assert isinstance(first, ast.Constant), ast.unparse(call)
+        assert isinstance(first.value, str), ast.unparse(call)
         found[first.value] |= {keyword.arg or "**" for keyword in call.keywords}
     return found
 
@@ -90,4 +91,5 @@
     assert set(re.findall(r"\(#([^)]+)\)", PAGE)) <= anchors
     alarms = PAGE.split("\n## Alarms\n")[1].split("\n## ")[0]
     named = set(re.findall(r"`([a-z]+_[a-z_]+)`", alarms))
-    assert named and named <= set(counters)
+    assert named
+    assert named <= set(counters)
--- a/tests/membership/test_datagrams.py
+++ b/tests/membership/test_datagrams.py
@@ -5,10 +5,9 @@
 
 import pytest
 
-import irisstand.errors as errors
-import irisstand.membership.messages as messages
-import irisstand.membership.updates as updates
-import irisstand.transport.codec as codec
+from irisstand import errors
+from irisstand.membership import messages, updates
+from irisstand.transport import codec
 
 FRAMES = json.loads((pathlib.Path(__file__).parent.parent / "fixtures" / "wire" / "frames.json").read_text())
 DATAGRAMS = [bytes.fromhex(payload) for payload in FRAMES["datagram"]]
@@ -36,7 +35,8 @@
 
 def test_a_kind_of_a_later_version_is_read_for_its_updates():
     datagram = messages.Datagram.from_wire(codec.pack(("ping-x", 1, SENDER, TARGET, (UPDATE,))))
-    assert datagram.kind == "ping-x" and [update.identity.name for update in datagram.piggybacked] == ["c"]
+    assert datagram.kind == "ping-x"
+    assert [update.identity.name for update in datagram.piggybacked] == ["c"]
 
 
 @pytest.mark.parametrize(
--- a/tests/membership/test_membership_faults.py
+++ b/tests/membership/test_membership_faults.py
@@ -35,7 +35,8 @@
         assert None not in seen
         assert set(states(day, "edge-1").values()) == {updates.MemberState.ALIVE}
         own = node.program.context.detector
-        assert own.incarnation_number >= 1 and own.identity.incarnation_id == incarnation_id
+        assert own.incarnation_number >= 1
+        assert own.identity.incarnation_id == incarnation_id
 
     cluster.play(scenario)
 
@@ -115,7 +116,8 @@
             cluster.context(day, name).counters.get("swim_updates", state="confirm")
             for name in day.cluster.nodes
         )
-        assert suspected > 0 and confirmed == 0
+        assert suspected > 0
+        assert confirmed == 0
 
     cluster.play(scenario)
 
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -64,7 +64,8 @@
             assert all(before.get(identity, 0) <= least for identity in chosen)
             if waiting:
                 assert len(chosen) >= 3
-    assert len(sent) == 20 and set(sent.values()) == {limit}
+    assert len(sent) == 20
+    assert set(sent.values()) == {limit}
 
 
 def test_successive_pings_of_a_member_are_at_most_2n_minus_1_periods_apart():
--- a/tests/programs/test_commands.py
+++ b/tests/programs/test_commands.py
@@ -68,7 +68,8 @@
         *groups, name = earlier.split()
         for word in groups:
             found = group.commands[word]
-            assert isinstance(found, click.Group) and found.hidden
+            assert isinstance(found, click.Group)
+            assert found.hidden
             group = found
         assert group.commands[name].hidden
         assert group.commands[name].params == command.params
@@ -130,11 +131,13 @@
 @pytest.mark.parametrize("path", VISIBLE, ids=" ".join)
 def test_every_option_has_help_and_its_default(path):
     command, text = VISIBLE[path], run(*path, "--help").stdout
-    assert command.help and command.help.endswith(".")
+    assert command.help
+    assert command.help.endswith(".")
     for parameter in command.params:
         if not isinstance(parameter, click.Option):
             continue
-        assert parameter.help and parameter.help.endswith("."), parameter.name
+        assert parameter.help, parameter.name
+        assert parameter.help.endswith("."), parameter.name
         # A flag is off and a repeated option without a default is empty unless given.
         if not parameter.is_flag and (not parameter.multiple or isinstance(parameter.default, tuple)):
             entry = re.split(rf"^  {parameter.opts[-1]}(?= )", text, flags=re.MULTILINE)[1]
--- a/tests/programs/test_deployed_programs.py
+++ b/tests/programs/test_deployed_programs.py
@@ -32,14 +32,15 @@
             ("/writes/1", "POST", b"claim"),
         ):
             status, headers, content = await fleet.ask(path, method, body, request_id="r-" + path[1:4])
-            assert status == 200 and upstream_emulator.is_whole(deployed_programs.WORDS, headers, content), (
-                path
-            )
+            assert status == 200, path
+            assert upstream_emulator.is_whole(deployed_programs.WORDS, headers, content), path
             assert headers["Attempt-Id"] == "r-" + path[1:4]
         assert [run.target for run in fleet.runs("app") if "?" in run.target] == ["/reads/1?a=%20b"]
         assert [run.body for run in fleet.runs("app") if run.method == "POST"] == [b"claim"]
         status, headers, part = await fleet.ask("/objects/1", request_id="r9", Range="bytes=5-9")
-        assert status == 206 and len(part) == 5 and headers["Attempt-Id"] == "r9"
+        assert status == 206
+        assert len(part) == 5
+        assert headers["Attempt-Id"] == "r9"
         assert (await fleet.ask("/nowhere/1"))[0] == 404
         # A change, an older one after it, a removal, and the table read back at another node.
         fleet.version = 7
@@ -49,7 +50,8 @@
         fleet.version = 5
         old = {"put": {"routes": [fleet.route("later", "idempotent", "app", prefix="/older/")]}}
         assert await fleet.took(old, node=3)
-        assert await fleet.answers("/later/1", 200) and await fleet.answers("/older/1", 404)
+        assert await fleet.answers("/later/1", 200)
+        assert await fleet.answers("/older/1", 404)
         assert await fleet.took({"drop": {"routes": [{"name": "later", "version": 8}]}}, node=3)
         await fleet.wait_until(lambda: fleet.answers("/later/1", 404), 2)
         found = (await fleet.call("GET", "/items", node=2))[1]
@@ -100,7 +102,8 @@
             settings.write_text(spoilt)
             fleet.processes["edge-1"].send_signal(signal.SIGHUP)
             await asyncio.sleep(0.3)
-        assert fleet.processes["edge-1"].returncode is None and await fleet.ready() == 200
+        assert fleet.processes["edge-1"].returncode is None
+        assert await fleet.ready() == 200
         # A planned end: readiness goes first, and what is under way gets its answer.
         for origin in fleet.origins:
             origin.faults["slow"] = 1.5
@@ -113,7 +116,8 @@
 
         await fleet.wait_until(is_leaving, 2)
         status, headers, content = await asking
-        assert status == 200 and upstream_emulator.is_whole(deployed_programs.WORDS, headers, content)
+        assert status == 200
+        assert upstream_emulator.is_whole(deployed_programs.WORDS, headers, content)
         assert await ending == 0
         assert await fleet.end("shield-2") == 0
 
@@ -146,7 +150,8 @@
         assert not idle or b" 408 " in idle
         writer.close()
         assert not [run for run in fleet.runs("app") if run.method == "POST"]
-        assert (await fleet.ask("/reads/1"))[0] == 200 and fleet.processes["edge-1"].returncode is None
+        assert (await fleet.ask("/reads/1"))[0] == 200
+        assert fleet.processes["edge-1"].returncode is None
 
     play(scene, tmp_path)
 
@@ -177,7 +182,9 @@
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 2 and named in done.stderr and ";" in done.stderr
+    assert done.returncode == 2
+    assert named in done.stderr
+    assert ";" in done.stderr
 
 
 # What only the platform says; the product has its own words for all of it.
@@ -201,6 +208,8 @@
     assert sum(len(path.read_text().splitlines()) for path in files) < 400
     names = {path.stem for path in files}
     own = {path.stem for path in (deployed_programs.ROOT / "src").rglob("*.py")}
-    assert "__init__" not in names and not names & (set(sys.stdlib_module_names) | own)
+    assert "__init__" not in names
+    assert not names & (set(sys.stdlib_module_names) | own)
     deploy = pathlib.Path(deployed_programs.ROOT / "deploy")
-    assert (deploy / "system.toml").is_file() and (deploy / "wire.toml").is_file()
+    assert (deploy / "system.toml").is_file()
+    assert (deploy / "wire.toml").is_file()
--- a/tests/programs/test_http.py
+++ b/tests/programs/test_http.py
@@ -52,9 +52,11 @@
     command = [sys.executable, "-m", "irisstand.dataplane.program", "--settings", str(settings)]
     done = subprocess.run([*command, "--port", "7000"], capture_output=True, text=True)
     assert done.returncode == 2
-    assert "port: 99999" not in done.stderr and "machine: nothing is set" in done.stderr
+    assert "port: 99999" not in done.stderr
+    assert "machine: nothing is set" in done.stderr
     done = subprocess.run(command, capture_output=True, text=True)
-    assert done.returncode == 2 and "port: 99999 does not do" in done.stderr
+    assert done.returncode == 2
+    assert "port: 99999 does not do" in done.stderr
     for program in ("irisstand.dataplane.program", "irisstand.controlplane.program", "irisstand.commands"):
         for flag in ("--help", "--version"):
             assert subprocess.run([sys.executable, "-m", program, flag], capture_output=True).returncode == 0
@@ -65,7 +67,8 @@
     assert runner.invoke(irisstand.commands.main, ["purge"]).exit_code == 2
     refused = processes.free_ports(1)[0]
     result = runner.invoke(irisstand.commands.main, ["rows", "get", "--core", f"127.0.0.1:{refused}"])
-    assert result.exit_code == 7 and "--core" in result.output
+    assert result.exit_code == 7
+    assert "--core" in result.output
 
 
 @pytest.fixture(scope="module")
@@ -120,38 +123,49 @@
 
     row = {"kind": "site", "name": "north", "value": {"weight": 2}}
     done = change([row], change="first")
-    assert done.status == 200 and done.content["confirmed"] and done.content["change"] == "first"
+    assert done.status == 200
+    assert done.content["confirmed"]
+    assert done.content["change"] == "first"
     assert change([row], change="first").content["serial"] == done.content["serial"]
     table = call(thin, "agency-1", "GET", "/rows").content
     assert table["rows"] == [{**row, "serial": done.content["serial"]}]
     stale = change([{**row, "expected": "1@nobody"}])
-    assert stale.status == 409 and stale.content["conflicts"][0]["in_force"] == done.content["serial"]
+    assert stale.status == 409
+    assert stale.content["conflicts"][0]["in_force"] == done.content["serial"]
     bad = change([{**row, "value": {"weight": "heavy"}}, {"kind": "oven", "name": "x", "value": {}}])
-    assert bad.status == 422 and [fault["row"] for fault in bad.content["faults"]] == [0, 1]
-    assert change([{**row, "colour": 1}]).status == 422 and change("x").status == 400
+    assert bad.status == 422
+    assert [fault["row"] for fault in bad.content["faults"]] == [0, 1]
+    assert change([{**row, "colour": 1}]).status == 422
+    assert change("x").status == 400
     assert call(thin, "agency-1", "POST", "/changes", raw=b"{").status == 400
     assert call(thin, "agency-1", "POST", "/changes", raw=b"[" * 100000).status == 400
     assert call(thin, "agency-1", "POST", "/changes", raw=b"x" * (5 * 1024 * 1024)).status == 413
     unknown = call(thin, "agency-1", "PUT", "/sites/atlantis/evacuation")
-    assert unknown.status == 404 and "north" in unknown.content["remedy"]
+    assert unknown.status == 404
+    assert "north" in unknown.content["remedy"]
     cannot = call(thin, "agency-1", "PUT", "/sites/north/evacuation")
-    assert cannot.status == 409 and cannot.content["figures"]["shield"]["machines_left"] == 0
+    assert cannot.status == 409
+    assert cannot.content["figures"]["shield"]["machines_left"] == 0
     insisted = call(thin, "agency-1", "PUT", "/sites/north/evacuation?insist=true")
-    assert insisted.status == 200 and "no majority" in insisted.content["notes"][-1]
+    assert insisted.status == 200
+    assert "no majority" in insisted.content["notes"][-1]
     assert call(thin, "agency-1", "PUT", "/sites/north/evacuation").status == 200
     assert call(thin, "agency-1", "DELETE", "/sites/north/evacuation").status == 200
     assert call(thin, "agency-1", "POST", "/purges", {"paths": ["no-slash"]}).status == 400
     assert call(thin, "agency-1", "POST", "/purges", {"tags": ["a"]}).status == 200
     taken = change([{**row, "value": {"weight": 3}}], change="first")
-    assert taken.status == 409 and taken.content["code"] == "change-id-taken"
+    assert taken.status == 409
+    assert taken.content["code"] == "change-id-taken"
     limits = {"put": {"limits": {"version": 3, "idle": 5}}}
     for again in (limits, {"put": {"limits": {"idle": 5.0, "version": 3.0, "note": None}}}):
         assert call(thin, "agency-1", "POST", "/amendments", again).status == 200
     limits["put"]["limits"]["idle"] = 6
     clash = call(thin, "agency-1", "POST", "/amendments", limits)
-    assert clash.status == 409 and clash.content["conflicts"][0]["item"] == "limits/all"
+    assert clash.status == 409
+    assert clash.content["conflicts"][0]["item"] == "limits/all"
     for answer in (stale, bad, unknown, cannot, taken, clash):
-        assert answer.content["code"] and answer.content["remedy"]
+        assert answer.content["code"]
+        assert answer.content["remedy"]
     names = {member["name"] for member in call(thin, "agency-1", "GET", "/members").content["members"]}
     assert names == {"agency-1", "shield-1", "edge-1"}
 
@@ -168,4 +182,5 @@
     ports = [f"--port={processes.free_ports(1)[0]}", f"--http-port={place.http_port}"]
     command = [sys.executable, "-m", "irisstand.dataplane.program", *settings, *ports]
     done = subprocess.run(command, capture_output=True, text=True, env=os.environ)
-    assert done.returncode == 2 and "free the port" in done.stderr
+    assert done.returncode == 2
+    assert "free the port" in done.stderr
--- a/tests/state/test_chunk_transfer.py
+++ b/tests/state/test_chunk_transfer.py
@@ -5,13 +5,10 @@
 import pytest
 import replicating_node
 
-import irisstand.errors as errors
-import irisstand.state.items as items
-import irisstand.state.replica as replica
-import irisstand.state.replication.chunk_transfer as chunk_transfer
-import irisstand.state.replication.messages as messages
-import irisstand.state.versions as versions
+from irisstand import errors
 from irisstand.simulator import virtual_time
+from irisstand.state import items, replica, versions
+from irisstand.state.replication import chunk_transfer, messages
 
 ROUTE_COUNT = 1480
 # Of an edge's link of 11 Mbit/s, what its clients leave free.
@@ -45,7 +42,8 @@
         return edge.context.clock.now(), max(size for *_, size in edge.replies)
 
     seconds, largest = virtual_time.run(scenario())
-    assert seconds < 1.0 and largest < 40_000
+    assert seconds < 1.0
+    assert largest < 40_000
 
 
 def test_items_staged_from_a_peer_that_falls_silent_are_not_requested_again():
@@ -76,7 +74,8 @@
         )
 
     is_same, chunk_count, wanted = virtual_time.run(scenario())
-    assert is_same and chunk_count <= wanted + 1
+    assert is_same
+    assert chunk_count <= wanted + 1
 
 
 def test_chunks_requested_by_many_nodes_are_cut_once(monkeypatch):
@@ -125,7 +124,9 @@
         )
 
     is_same, are_equal, kinds = virtual_time.run(scenario())
-    assert is_same and are_equal and "ranges" not in kinds
+    assert is_same
+    assert are_equal
+    assert "ranges" not in kinds
 
 
 def test_peer_without_chunks_is_compared_range_by_range():
@@ -185,4 +186,7 @@
         return is_settled, left_over, edge.copy.applied, {kind for _, kind, _ in edge.replies}
 
     is_settled, left_over, applied, kinds = virtual_time.run(scenario())
-    assert is_settled and not left_over and applied == versions.Version(3, "n") and "ranges" not in kinds
+    assert is_settled
+    assert not left_over
+    assert applied == versions.Version(3, "n")
+    assert "ranges" not in kinds
--- a/tests/state/test_disk_faults.py
+++ b/tests/state/test_disk_faults.py
@@ -5,12 +5,10 @@
 import cluster
 import pytest
 
-import irisstand.controlplane.consensus.acceptor as acceptor
-import irisstand.errors as errors
-import irisstand.state.digests as digests
-import irisstand.state.items as items
-import irisstand.state.versions as versions
+from irisstand import errors
+from irisstand.controlplane.consensus import acceptor
 from irisstand.simulator import simulated_cluster, simulated_node, virtual_time
+from irisstand.state import digests, items, versions
 
 
 def votes_on_all_tables(day, name):
@@ -186,7 +184,8 @@
         # The old one returns with its disk: it has no vote any more, and takes nobody's place.
         await world.nodes["agency-2"].start()
         await asyncio.sleep(10)
-        assert not votes_on_all_tables(day, "agency-2") and world.is_ready(world.nodes["agency-2"])
+        assert not votes_on_all_tables(day, "agency-2")
+        assert world.is_ready(world.nodes["agency-2"])
         world.nodes["agency-1"].kill()
         world.nodes["agency-3"].kill()
         await day.actors.order("agency-9", "change", [cluster.site_row(weight=8)])
--- a/tests/state/test_power_loss.py
+++ b/tests/state/test_power_loss.py
@@ -7,12 +7,10 @@
 import pytest
 import simulated_stores
 
-import irisstand.errors as errors
-import irisstand.state.items as items
-import irisstand.state.replica as replica
-import irisstand.state.storage.file_names as file_names
-import irisstand.state.versions as versions
+from irisstand import errors
 from irisstand.simulator import simulated_folder
+from irisstand.state import items, replica, versions
+from irisstand.state.storage import file_names
 
 STEPS_PER_LIFE = 120
 LIVES_PER_VOTER = 4
@@ -59,7 +57,8 @@
         for table, record in self.acknowledged.items():
             found = self.store.records[table]
             assert (found.promised, found.applied) >= (record.promised, record.applied)
-            assert found.promised >= record.promised and found.applied >= record.applied
+            assert found.promised >= record.promised
+            assert found.applied >= record.applied
             assert self.store.intact[table], f"{table} does not add up"
             # One record more than was acknowledged may have reached the disk, and nothing else.
             assert (found.promised, found.applied) in (
@@ -128,6 +127,7 @@
         other = items.Item("c", versions.Version(1, "n"), 1)
         await voter.store.disk.write([(file_names.item_file(table, other), content)])
         await voter.start()
-        assert voter.store.intact[table] and set(voter.store.replicas[table].items) == {"b"}
+        assert voter.store.intact[table]
+        assert set(voter.store.replicas[table].items) == {"b"}
 
     asyncio.run(scenario())
--- a/tests/state/test_quorum_loss.py
+++ b/tests/state/test_quorum_loss.py
@@ -5,8 +5,8 @@
 import cluster
 import pytest
 
-import irisstand.state.items as items
 from irisstand.simulator import simulated_cluster, virtual_time
+from irisstand.state import items
 
 FRESHNESS_BOUND_SECONDS, OUTAGE_BOUND_SECONDS = 1.5, 5.0
 
--- a/tests/state/test_records.py
+++ b/tests/state/test_records.py
@@ -3,8 +3,7 @@
 import ormsgpack
 import pytest
 
-import irisstand.state.items as items
-import irisstand.state.versions as versions
+from irisstand.state import items, versions
 from irisstand.state.storage import file_names, records
 
 VERSION = versions.Version(7, "core-1~ab")
@@ -49,5 +48,6 @@
     assert file_names.segment_file("claims", 3) == "claims.segment.000000000003"
     prefix, kind, key, counter, node = file_names.item_file("blueprint", item).split(".")
     assert (prefix, kind, counter) == ("blueprint", "item", "000000000007")
-    assert len(key) == 24 and len(node) == 8
+    assert len(key) == 24
+    assert len(node) == 8
     assert file_names.DISK_ID_FILE == "vault"
--- a/tests/state/test_replication.py
+++ b/tests/state/test_replication.py
@@ -5,9 +5,7 @@
 import cluster
 import pytest
 
-import irisstand.state.items as items
-import irisstand.state.replica as replica
-import irisstand.state.versions as versions
+from irisstand.state import items, replica, versions
 
 
 def filled_replica(count, first=1):
@@ -55,7 +53,8 @@
             lambda: all(node.program.participant.is_voter(table) for table in items.TABLES), 60
         )
         copies = [cluster.context(day, f"agency-{n}").replicas[items.IDEMPOTENCY_KEYS] for n in (1, 4)]
-        assert len(copies[1].items) > 2750 and copies[1].counts_by_prefix == copies[0].counts_by_prefix
+        assert len(copies[1].items) > 2750
+        assert copies[1].counts_by_prefix == copies[0].counts_by_prefix
 
     cluster.play(scenario)
 
@@ -66,15 +65,15 @@
     one.apply(items.Batch(versions.Version(21, "n"), one.applied, (("k3", None, True), ("k4", 5, False))))
     one.removal_records.clear()
     changed, forgotten = one.changes_since(other.applied)
-    assert [item.key for item in changed] == ["k4"] and not forgotten
+    assert [item.key for item in changed] == ["k4"]
+    assert not forgotten
     before = other.root_digest()
     assert not other.apply_changes(one.applied, one.root_digest(), changed, forgotten)
-    assert other.root_digest() == before and other.applied == versions.Version(20, "n")
+    assert other.root_digest() == before
+    assert other.applied == versions.Version(20, "n")
     changed, _ = one.changes_since(other.applied)
-    assert (
-        other.apply_changes(one.applied, one.root_digest(), changed, ["k3"])
-        and other.root_digest() == one.root_digest()
-    )
+    assert other.apply_changes(one.applied, one.root_digest(), changed, ["k3"])
+    assert other.root_digest() == one.root_digest()
     assert not other.apply_changes(versions.Version(5, "n"), one.root_digest(), [], [])
 
 
@@ -99,13 +98,14 @@
     fresh = replica.Replica("t")
     for item in copy.items.values():
         fresh.merge(item)
-    assert fresh.root_digest() == copy.root_digest() and list(fresh.keys_by_version) == list(
-        copy.keys_by_version
-    )
-    assert copy.counts_by_prefix["a"] == 1 and sum(copy.counts_by_prefix.values()) == len(copy.items)
+    assert fresh.root_digest() == copy.root_digest()
+    assert list(fresh.keys_by_version) == list(copy.keys_by_version)
+    assert copy.counts_by_prefix["a"] == 1
+    assert sum(copy.counts_by_prefix.values()) == len(copy.items)
     twin = copy.clone()
     twin.put(items.Item("z", versions.Version(99, "n"), 1))
-    assert twin.root_digest() != copy.root_digest() and "z" not in copy.items
+    assert twin.root_digest() != copy.root_digest()
+    assert "z" not in copy.items
 
 
 @pytest.mark.parametrize(
@@ -122,7 +122,8 @@
         original_call, node.program.context.transport.call = node.program.context.transport.call, reply
         await asyncio.sleep(1)
         assert {name: copy.root_digest() for name, copy in node.program.context.replicas.items()} == before
-        assert not node.actor.dead and node.program.context.counters.total("sync_failed") > 0
+        assert not node.actor.dead
+        assert node.program.context.counters.total("sync_failed") > 0
         node.program.context.transport.call = original_call
         await day.cluster.wait_until_ready()
 
--- a/tests/state/test_replication_messages.py
+++ b/tests/state/test_replication_messages.py
@@ -4,12 +4,8 @@
 import pytest
 import recorded_frames
 
-import irisstand.state.digests as digests
-import irisstand.state.items as items
-import irisstand.state.quorum as quorum
-import irisstand.state.replication.messages as messages
-import irisstand.state.replication.status_messages as status_messages
-import irisstand.state.versions as versions
+from irisstand.state import digests, items, quorum, versions
+from irisstand.state.replication import messages, status_messages
 
 MALFORMED_ERRORS = (ValueError, TypeError, KeyError)
 VERSION = versions.Version(7, "core-1~ab")
--- a/tests/state/test_restart_after_changes.py
+++ b/tests/state/test_restart_after_changes.py
@@ -11,9 +11,7 @@
 import simulated_stores
 
 import irisstand.counters
-import irisstand.state.items as items
-import irisstand.state.replica as replica
-import irisstand.state.versions as versions
+from irisstand.state import items, replica, versions
 from irisstand.state.replication import replicator
 from irisstand.state.storage import file_names
 
@@ -63,7 +61,8 @@
         started = time.process_time()
         again = await simulated_stores.open_store(folder)
         assert (time.process_time() - started) / PROCESSOR_SHARE < CATCH_UP_SECONDS / 10
-        assert again.disk_id == store.disk_id and again.intact[items.LEDGER]
+        assert again.disk_id == store.disk_id
+        assert again.intact[items.LEDGER]
         assert again.replicas[items.LEDGER].root_digest() == live.root_digest()
 
     asyncio.run(scenario())
@@ -84,7 +83,8 @@
         await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
         assert store.intact[items.LEDGER]
         again = await simulated_stores.open_store(folder)
-        assert again.intact[items.LEDGER] and len(again.replicas[items.LEDGER].items) == 100
+        assert again.intact[items.LEDGER]
+        assert len(again.replicas[items.LEDGER].items) == 100
 
     asyncio.run(scenario())
 
@@ -117,7 +117,8 @@
         answering = replicator.Replicator(context(peer))
         asking = replicator.Replicator(context(copy))
         await asking.repair(("h", 1), "peer", copy, in_chunks=False)
-        assert copy.root_digest() == peer.root_digest() and copy.applied == peer.applied
+        assert copy.root_digest() == peer.root_digest()
+        assert copy.applied == peer.applied
 
     asyncio.run(scenario())
 
@@ -189,13 +190,15 @@
             [*files, ("vault", b"its-id"), ("ledger.voter.000000000007", ormsgpack.packb(record))]
         )
         store = await simulated_stores.open_store(folder)
-        assert store.disk_id == "its-id" and store.intact[items.LEDGER]
+        assert store.disk_id == "its-id"
+        assert store.intact[items.LEDGER]
         assert store.replicas[items.LEDGER].root_digest() == live.root_digest()
         assert store.records[items.LEDGER].promised == versions.Version(number[0] + 5, "n")
         apply_random_changes(live, 300, random.Random(5))
         await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
         again = await simulated_stores.open_store(folder)
-        assert again.disk_id == "its-id" and again.intact[items.LEDGER]
+        assert again.disk_id == "its-id"
+        assert again.intact[items.LEDGER]
         assert again.replicas[items.LEDGER].root_digest() == live.root_digest()
 
     asyncio.run(scenario())
@@ -214,12 +217,14 @@
         folder.contents[folder.entries[segment]] = content[: len(content) // 2] if is_cut_short else altered
         again = await simulated_stores.open_store(folder)
         # The record is whole, so its promises hold; what it rests on is not, so there is no vote yet.
-        assert again.disk_id == store.disk_id and not again.intact[items.LEDGER]
+        assert again.disk_id == store.disk_id
+        assert not again.intact[items.LEDGER]
         assert not again.replicas[items.LEDGER].items
         await again.save_replica(items.LEDGER, live, again.records[items.LEDGER])
         assert again.intact[items.LEDGER]
         last = await simulated_stores.open_store(folder)
-        assert last.intact[items.LEDGER] and last.replicas[items.LEDGER].root_digest() == live.root_digest()
+        assert last.intact[items.LEDGER]
+        assert last.replicas[items.LEDGER].root_digest() == live.root_digest()
 
     asyncio.run(scenario())
 
--- a/tests/state/test_restart_freshness.py
+++ b/tests/state/test_restart_freshness.py
@@ -5,8 +5,7 @@
 
 import direct_edge
 
-import irisstand.clocks as clocks
-import irisstand.node_context as node_context
+from irisstand import clocks, node_context
 from irisstand.simulator import virtual_time
 
 
--- a/tests/state/test_slow_disks.py
+++ b/tests/state/test_slow_disks.py
@@ -4,8 +4,8 @@
 
 import cluster
 
-import irisstand.state.items as items
 import irisstand.state.storage.disk
+from irisstand.state import items
 
 
 def test_real_disk_keeps_only_synced_files_and_quarantines_corrupt_ones(tmp_path):
@@ -45,7 +45,8 @@
             await day.actors.order("agency-1", "change", [cluster.site_row(weight=weight)])
         await day.actors.order("agency-1", "change", [{**cluster.site_row(), "value": None}])
         await asyncio.sleep(1)
-        assert node.disk.writes - before[0] > 200 and node.disk.removals - before[1] <= 20
+        assert node.disk.writes - before[0] > 200
+        assert node.disk.removals - before[1] <= 20
         root = node.program.participant.store.replicas[items.CONFIGURATION].root_digest()
         node.kill()
         await node.start()
--- a/tests/support/direct_edge.py
+++ b/tests/support/direct_edge.py
@@ -4,17 +4,13 @@
 import collections
 import random
 
-import irisstand.clocks as clocks
-import irisstand.dataplane.nodes.direct as direct
-import irisstand.dataplane.routing.snapshot as snapshot
-import irisstand.dataplane.upstream.exchange as exchange
-import irisstand.errors as errors
-import irisstand.membership.updates as updates
-import irisstand.node_context as node_context
-import irisstand.node_settings as node_settings
-import irisstand.state.items as items
-import irisstand.state.versions as versions
+from irisstand import clocks, errors, node_context, node_settings
+from irisstand.dataplane.nodes import direct
+from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.upstream import exchange
+from irisstand.membership import updates
 from irisstand.simulator import virtual_time
+from irisstand.state import items, versions
 
 SETTINGS = node_settings.Settings(
     "edge-1",
--- a/tests/support/replicating_node.py
+++ b/tests/support/replicating_node.py
@@ -3,14 +3,11 @@
 import asyncio
 import types
 
-import irisstand.clocks as clocks
 import irisstand.counters as counting
-import irisstand.errors as errors
-import irisstand.state.items as items
-import irisstand.state.replica as replica
-import irisstand.state.replication.replicator as replicator
-import irisstand.state.versions as versions
-import irisstand.transport.codec as codec
+from irisstand import clocks, errors
+from irisstand.state import items, replica, versions
+from irisstand.state.replication import replicator
+from irisstand.transport import codec
 
 FRESHNESS_BOUND_SECONDS = 1.5
 
--- a/tests/support/voter_cluster.py
+++ b/tests/support/voter_cluster.py
@@ -4,9 +4,8 @@
 
 import cluster
 
-import irisstand.state.items as items
-import irisstand.state.quorum as quorum
 from irisstand.simulator import simulated_cluster, virtual_time
+from irisstand.state import items, quorum
 
 # What the platform's settings give on the small sites: to replace lost voters, and to reach the full set.
 CATCH_UP_SECONDS = 4.0
--- a/tests/tools/test_worst_days.py
+++ b/tests/tools/test_worst_days.py
@@ -33,4 +33,5 @@
         assert day == tool.draw_day(SITE, theme, seed)
         assert day["traffic"] == [{"zone": "a"}]
         entries = day["plan"] + day["faults"]
-        assert len(entries) >= 3 and all(0 < entry["at"] <= tool.LAST for entry in entries)
+        assert len(entries) >= 3
+        assert all(0 < entry["at"] <= tool.LAST for entry in entries)
--- a/tests/transport/test_fuzz.py
+++ b/tests/transport/test_fuzz.py
@@ -1,5 +1,6 @@
 """Fuzzing of codecs and state against an oracle."""
 
+import contextlib
 import random
 
 import ormsgpack
@@ -32,10 +33,8 @@
         for _ in range(randomness.randrange(4)):
             packed[randomness.randrange(len(packed))] = randomness.randrange(256)
         del packed[randomness.randrange(len(packed)) :]
-        try:
+        with contextlib.suppress(errors.MalformedFrameError):
             assert isinstance(codec.unpack(bytes(packed))[0], str)
-        except errors.MalformedFrameError:
-            pass
     for bad in (b"", b"\xc1", ormsgpack.packb((9, "ping")), ormsgpack.packb((True, "ping"))):
         with pytest.raises(errors.MalformedFrameError):
             codec.unpack(bad)
@@ -119,4 +118,5 @@
         differing = [
             a != b for a, b in zip(replicas[0].range_digests(), replicas[1].range_digests(), strict=True)
         ]
-        assert differing.index(True) == digests.range_number(changed) and sum(differing) == 1
+        assert differing.index(True) == digests.range_number(changed)
+        assert sum(differing) == 1
--- a/tests/transport/test_incarnations.py
+++ b/tests/transport/test_incarnations.py
@@ -1,6 +1,7 @@
 """Requests between nodes are meant for one incarnation of the peer and one version of the protocol."""
 
 import asyncio
+import contextlib
 import random
 
 import cluster
@@ -44,7 +45,8 @@
         with pytest.raises(errors.IncarnationEndedError) as raised:
             await caller.call(ADDRESS, "peer", "do", (), 1.0, "first")
         # Certainly not carried out, as every other kind that lets a caller ask elsewhere.
-        assert isinstance(raised.value, errors.NotSentError) and not runs
+        assert isinstance(raised.value, errors.NotSentError)
+        assert not runs
         assert callee.counters.total("asks_for_ended_lives") == 1
         assert await caller.call(ADDRESS, "peer", "do", (), 1.0, "second") == ["ran"]
         assert await caller.call(ADDRESS, "peer", "do", (), 1.0) == ["ran"]
@@ -59,11 +61,9 @@
 def test_late_response_to_a_cancelled_request_reaches_no_other_call():
     async def handler(sender, body):
         if body[0] == "slow":
-            try:
+            # Too late to be stopped: its reply comes all the same.
+            with contextlib.suppress(asyncio.CancelledError):
                 await asyncio.sleep(0.5)
-            except asyncio.CancelledError:
-                # Too late to be stopped: its reply comes all the same.
-                pass
         return (body[0],)
 
     async def scenario(caller, callee):
@@ -128,7 +128,8 @@
             await asyncio.sleep(0.1)
         await asyncio.sleep(2)
         assert node.program.context.configuration.value("site/north") == before
-        assert node.program.context.in_flight == 0 and proposer.queue.empty()
+        assert node.program.context.in_flight == 0
+        assert proposer.queue.empty()
         # What comes after it is decided as ever.
         assert await day.actors.order("agency-3", "change", [cluster.site_row(weight=4)])
 
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -104,7 +104,8 @@
     """Clocks jump at Kildespor; whatever reads one would be wrong there."""
     source = pathlib.Path(irisstand.__file__).parent
     daemons = [path for path in source.rglob("*.py") if "rehearsal" not in path.parts]
-    assert len(daemons) > 40 and items.TABLES
+    assert len(daemons) > 40
+    assert items.TABLES
     for path in daemons:
         found = re.findall(r"time\.time\(|datetime|time\.localtime|time\.gmtime", path.read_text())
         assert not found, (path, found)
--- a/tests/transport/test_recorded_frames.py
+++ b/tests/transport/test_recorded_frames.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-import irisstand.transport.codec as codec
+from irisstand.transport import codec
 
 FRAMES = json.loads((pathlib.Path(__file__).parent.parent / "fixtures" / "wire" / "frames.json").read_text())
 STREAM_FRAMES = [
--- a/tests/transport/test_wire_errors.py
+++ b/tests/transport/test_wire_errors.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-import irisstand.errors as errors
+from irisstand import errors
 
 
 def test_a_code_that_two_kinds_share_stands_for_the_one_of_changes():
--- a/tests/validation/test_validation.py
+++ b/tests/validation/test_validation.py
@@ -1,7 +1,7 @@
 """The checker: what it finds in a proposed configuration, and that a sound one passes."""
 
-import irisstand.validation.checker as checker
 from irisstand.localcluster import load_generator, processes
+from irisstand.validation import checker
 
 SHIELDS = [
     {"role": "shield", "machine": f"m{n}", "site": site, "state": "alive"} for n, site in enumerate("xxy")
--- a/tests/validation/test_versioned_items.py
+++ b/tests/validation/test_versioned_items.py
@@ -5,13 +5,9 @@
 
 import pytest
 
-import irisstand.control_errors as control_errors
-import irisstand.controlplane.changes.amendment as amendment
-import irisstand.controlplane.changes.table_overlay as table_overlay
-import irisstand.errors as errors
-import irisstand.state.items as items
-import irisstand.state.replica as replica
-import irisstand.state.versions as versions
+from irisstand import control_errors, errors
+from irisstand.controlplane.changes import amendment, table_overlay
+from irisstand.state import items, replica, versions
 
 ROUTE = {
     "name": "r1",
@@ -80,7 +76,8 @@
     before = table.root_digest()
     with pytest.raises(errors.InvalidChangeError) as raised:
         amend(table, changed(**fields))
-    assert raised.value.faults and table.root_digest() == before
+    assert raised.value.faults
+    assert table.root_digest() == before
 
 
 @pytest.mark.parametrize(
@@ -118,7 +115,8 @@
     root = table.root_digest()
     with pytest.raises(control_errors.VersionTakenError):
         amend(table, changed(version=7, timeout=1))
-    assert table.root_digest() == root and in_force(table) == before
+    assert table.root_digest() == root
+    assert in_force(table) == before
     assert amendment.as_amendment(table)["routes"][0]["timeout"] == 4
 
 
