--- a/tests/dataplane/test_direct_edge.py
+++ b/tests/dataplane/test_direct_edge.py
@@ -54,13 +54,13 @@
     error, stage = fails(scene, errors.LimitExceededError)
     assert error.status == 503
     assert 0 < error.retry_after < 1
-    assert sorted(stage.keys()) == ["a", "b"]
+    assert sorted(stage.instances_asked()) == ["a", "b"]
 
 
 def test_write_that_met_another_instance_has_not_run():
     async def scene(stage):
         stage.play = lambda key, headers, body: (
-            whole("", b"", 421) if key == stage.keys()[0] else whole(headers["x-request-id"])
+            whole("", b"", 421) if key == stage.instances_asked()[0] else whole(headers["x-request-id"])
         )
         return (await stage.ask("/writes/1", "POST")).status, stage.sent
 
@@ -91,7 +91,7 @@
         stage.play = lambda key, headers, body: (
             first if len(stage.sent) == 1 else whole(headers["x-request-id"], b"good")
         )
-        return await stage.ask("/reads/1"), stage.keys()
+        return await stage.ask("/reads/1"), stage.instances_asked()
 
     answer, keys = play(scene)
     assert (answer.status, answer.body) == (200, b"good")
--- a/tests/dataplane/test_endpoint_pool.py
+++ b/tests/dataplane/test_endpoint_pool.py
@@ -27,7 +27,7 @@
         stage.origin("c", site="east")
         stage.route("reads", kind="idempotent", regions=["two"])
         assert set(await asks(stage, 30)) == {200}
-        return set(stage.keys())
+        return set(stage.instances_asked())
 
     assert play(scene) == {"c"}
 
@@ -40,7 +40,7 @@
         else:
             stage.put(items.LEDGER, "origin/a", None)
         assert set(await asks(stage, 30)) == {200}
-        return set(stage.keys())
+        return set(stage.instances_asked())
 
     assert play(scene) == {"b"}
 
@@ -56,13 +56,13 @@
         await asyncio.sleep(5)
         stage.put(items.LEDGER, "evacuated/north", {"evacuated": True})
         await asks(stage, 30)
-        assert set(stage.keys()) == {"a"}
+        assert set(stage.instances_asked()) == {"a"}
         stage.put(items.LEDGER, "evacuated/north", None)
         await asks(stage, 30)
-        assert set(stage.keys()) == {"a"}
+        assert set(stage.instances_asked()) == {"a"}
         await asyncio.sleep(direct_edge.SETTINGS.platform_lag + 3.1)
         await asks(stage, 40)
-        return set(stage.keys())
+        return set(stage.instances_asked())
 
     assert play(scene) == {"a", "b"}
 
@@ -119,7 +119,7 @@
         stage.play = lambda key, headers, body: whole(headers.get("x-request-id", ""), x_instance=key)
         await asks(stage, 60, pause=0.1)
         running.cancel()
-        return tried, "a" in stage
+        return tried, "a" in stage.instances_asked()
 
     tried, is_back = play(scene)
     assert 1 <= tried < 10
@@ -140,11 +140,11 @@
         stage.play = lambda key, headers, body: origin(key, headers)
         # At once, so that both are asked.
         await asyncio.gather(*(stage.ask(f"/reads/{n}", request_id=f"r{n}") for n in range(8)))
-        before = stage.keys().count("a")
+        before = stage.instances_asked().count("a")
         for number in range(200):
             await stage.ask(f"/reads/{number}", request_id=f"s{number}")
             await asyncio.sleep(0.05)
-        return before, stage.keys().count("a")
+        return before, stage.instances_asked().count("a")
 
     before, after = direct_edge.play(scene)
     assert 0 < before < after
--- a/tests/dataplane/test_object_holders.py
+++ b/tests/dataplane/test_object_holders.py
@@ -130,7 +130,7 @@
         edge.origin("c", service="t")
         edge.route("objects", kind="cacheable", service="t")
         assert (await edge.ask("/objects/1")).status == 200
-        return site.sent(), edge.keys()
+        return site.sent(), edge.instances_asked()
 
     assert play(scene) == ({"edge-1": 1}, ["c"])
 
--- a/tests/support/direct_edge.py
+++ b/tests/support/direct_edge.py
@@ -147,7 +147,7 @@
         given = {"x-request-id": request_id, **{n.replace("_", "-"): v for n, v in headers.items()}}
         return await self.part.handle(direct.Request(method, path.encode(), host, given, body))
 
-    def keys(self):
+    def instances_asked(self):
         return [sent[0] for sent in self.sent]
 
 
