--- a/tests/controlplane/test_bootstrap.py
+++ b/tests/controlplane/test_bootstrap.py
@@ -4,6 +4,7 @@
 
 import cluster
 import pytest
+import voter_cluster
 
 from irisstand.simulator import simulated_cluster, virtual_time
 from irisstand.state import items, quorum, versions
@@ -24,10 +25,8 @@
 
 
 def voters(world, table=items.CONFIGURATION):
-    """The voters in force, as the newest copy of a living core node has them."""
-    cores = [node for node in world.with_role("agency") if node.is_up]
-    newest = max((node.program.context.replicas[table] for node in cores), key=lambda copy: copy.applied)
-    return quorum.voters_from_wire(newest.value(items.VOTERS_KEY))
+    """The voters in force for a table, the configuration unless another is named."""
+    return voter_cluster.voters(world, table)
 
 
 def all_vote(world, names):
