--- a/src/irisstand/dataplane/retry/forwarding_policy.py
+++ b/src/irisstand/dataplane/retry/forwarding_policy.py
@@ -43,7 +43,7 @@
 MINIMUM_RETRY_SECONDS = 0.05
 
 
-class ToShieldPolicy(policy.DeadlinePolicy):
+class ToShieldPolicy(policy.DeadlinePolicy, typing.Generic[ResponseT]):
     """Policy of a request at an edge: sends it to shields in order until the deadline."""
 
     def __init__(
@@ -57,6 +57,20 @@
         self.shields = shields
         self.full_shields = 0
 
+    def decide(self, event: events.Started | ToShieldEvent[ResponseT]) -> ToShieldAction[ResponseT]:
+        """Take note of `event` and return what to do next."""
+        match event:
+            case events.Started():
+                return self.send_to_next()
+            case events.ResponseReceived():
+                return actions.Respond(event.response)
+            case events.AttemptFailed():
+                return self.on_attempt_failed(event.error)
+
+    def on_attempt_failed(self, error: errors.IrisError) -> actions.SendToShield | actions.Reject:
+        """Decide what follows the failure at a shield: up to the kind of request."""
+        raise NotImplementedError
+
     def may_try_next(self, error: errors.IrisError) -> bool:
         """Whether another shield may take a request that this one certainly did not send on."""
         if type(error) in LIMIT_ERRORS:
--- a/src/irisstand/dataplane/retry/read_policy.py
+++ b/src/irisstand/dataplane/retry/read_policy.py
@@ -13,7 +13,7 @@
 SERVER_ERROR_STATUS = 500
 
 
-class EdgeReadPolicy(forwarding_policy.ToShieldPolicy, typing.Generic[ResponseT]):
+class EdgeReadPolicy(forwarding_policy.ToShieldPolicy[ResponseT]):
     """Policy of a read at an edge: a read that a shield did not answer may be sent to the next one."""
 
     def __init__(
@@ -27,18 +27,6 @@
         super().__init__(clock, allowed, shields, deadline)
         self.budget = budget
 
-    def decide(
-        self, event: events.Started | forwarding_policy.ToShieldEvent[ResponseT]
-    ) -> forwarding_policy.ToShieldAction[ResponseT]:
-        """Take note of `event` and return what to do next."""
-        match event:
-            case events.Started():
-                return self.send_to_next()
-            case events.ResponseReceived():
-                return actions.Respond(event.response)
-            case events.AttemptFailed():
-                return self.on_attempt_failed(event.error)
-
     def on_attempt_failed(self, error: errors.IrisError) -> actions.SendToShield | actions.Reject:
         """Send the read to the next shield if the error and the retry budget allow it."""
         # Nothing has left this node, so asking the next shield is still the first attempt.
--- a/src/irisstand/dataplane/retry/write_policy.py
+++ b/src/irisstand/dataplane/retry/write_policy.py
@@ -8,21 +8,9 @@
 ResponseT = typing.TypeVar("ResponseT")
 
 
-class EdgeWritePolicy(forwarding_policy.ToShieldPolicy, typing.Generic[ResponseT]):
+class EdgeWritePolicy(forwarding_policy.ToShieldPolicy[ResponseT]):
     """Policy of a write at an edge: sent to another shield only if the last one certainly did not send it."""
 
-    def decide(
-        self, event: events.Started | forwarding_policy.ToShieldEvent[ResponseT]
-    ) -> forwarding_policy.ToShieldAction[ResponseT]:
-        """Take note of `event` and return what to do next."""
-        match event:
-            case events.Started():
-                return self.send_to_next()
-            case events.ResponseReceived():
-                return actions.Respond(event.response)
-            case events.AttemptFailed():
-                return self.on_attempt_failed(event.error)
-
     def on_attempt_failed(self, error: errors.IrisError) -> actions.SendToShield | actions.Reject:
         """Send the write to the next shield if the error says that it has not run."""
         if self.may_try_next(error):
