--- a/src/irisstand/dataplane/cache/holder_messages.py
+++ b/src/irisstand/dataplane/cache/holder_messages.py
@@ -22,7 +22,7 @@
         headers: The request's headers, names in lower case.
         max_wait: How long the holder may work, in seconds.
         minimum_version: The object must have been fetched at this version of the ledger or later.
-        known_etag: The entity tag of the object that the asking node still has; empty without one.
+        cached_etag: The entity tag of the object that the asking node still has; empty without one.
         configuration_version: The configuration by which the asking node judged the request.
         is_from_holder: Whether another holder asks; then only an origin is asked further.
     """
@@ -34,7 +34,7 @@
     headers: dict[str, str]
     max_wait: float
     minimum_version: versions.Version
-    known_etag: str
+    cached_etag: str
     configuration_version: versions.Version
     is_from_holder: bool
 
@@ -70,7 +70,7 @@
             tuple(self.headers.items()),
             self.max_wait,
             tuple(self.minimum_version),
-            self.known_etag,
+            self.cached_etag,
             tuple(self.configuration_version),
             self.is_from_holder,
         )
@@ -84,7 +84,7 @@
     ttl: float
 
     @classmethod
-    def of(cls, content: objects.CachedObject, received_at: float) -> typing.Self:
+    def from_object(cls, content: objects.CachedObject, received_at: float) -> typing.Self:
         """Return the freshness of an object at the moment at which its request came."""
         return cls(content.applied, content.age_now(received_at), content.ttl)
 
@@ -93,7 +93,7 @@
         return (NOT_MODIFIED_RESPONSE_KIND, (tuple(self.applied), self.age, self.ttl))
 
 
-def response_with(content: objects.CachedObject, received_at: float) -> tuple[typing.Any, ...]:
+def object_response(content: objects.CachedObject, received_at: float) -> tuple[typing.Any, ...]:
     """Return a response with the complete object.
 
     Args:
@@ -105,22 +105,22 @@
 
 
 def object_from_wire(
-    body: typing.Any, asked_at: float, known: objects.CachedObject | None
+    body: typing.Any, sent_at: float, cached: objects.CachedObject | None
 ) -> objects.CachedObject:
     """Decode a response.
 
     Args:
         body: What the codec decoded.
-        asked_at: When the request was sent; the object's age counts on from then.
-        known: The object that this node still has, which a response may confirm.
+        sent_at: When the request was sent; the object's age counts on from then.
+        cached: The object that this node still has, which a response may confirm.
 
     Raises:
         ValueError: There is another number of fields, or a field is malformed.
         TypeError: A field that should be a sequence is none.
     """
     kind, fields = body
-    if kind == NOT_MODIFIED_RESPONSE_KIND and known is not None:
+    if kind == NOT_MODIFIED_RESPONSE_KIND and cached is not None:
         applied, age, ttl = fields
         version = versions.Version.from_wire(applied)
-        return known._replace(applied=version, age=age, as_of=asked_at, ttl=ttl)
-    return objects.from_wire(fields, asked_at)
+        return cached._replace(applied=version, age=age, as_of=sent_at, ttl=ttl)
+    return objects.from_wire(fields, sent_at)
--- a/src/irisstand/dataplane/cache/holder_read.py
+++ b/src/irisstand/dataplane/cache/holder_read.py
@@ -22,7 +22,7 @@
         holder: The holder's node name.
         call: The call to the holder.
         fetch_own: Fetches the object without the holder, within some seconds.
-        look: Tells how the holder is, once it is overdue.
+        check_holder: Tells how the holder is, once it is overdue.
     """
 
     def __init__(
@@ -30,12 +30,12 @@
         holder: str,
         call: Read,
         fetch_own: FetchOwn,
-        look: collections.abc.Callable[[], events.HolderOverdue],
+        check_holder: collections.abc.Callable[[], events.HolderOverdue],
     ) -> None:
         self.holder = holder
         self.call = call
         self.fetch_own = fetch_own
-        self.look = look
+        self.check_holder = check_holder
         self.tasks: dict[str, asyncio.Task[objects.CachedObject]] = {}
 
     async def run(self, read_policy: Policy) -> objects.CachedObject:
@@ -66,7 +66,7 @@
         tasks = list(self.tasks.values())
         done, _ = await asyncio.wait(tasks, timeout=action.seconds, return_when=asyncio.FIRST_COMPLETED)
         if not done:
-            return self.look()
+            return self.check_holder()
         # In the order of their start, so that a run can be repeated.
         source = next(name for name, task in self.tasks.items() if task in done)
         task = self.tasks.pop(source)
--- a/src/irisstand/dataplane/cache/object_holders.py
+++ b/src/irisstand/dataplane/cache/object_holders.py
@@ -58,28 +58,28 @@
             return self.choose_at_site(route, key)
         # A holder fetches by itself while the service has tokens left: that is the shorter way. Where its
         # rate is scarce, one holder of all fetches each object, and the others have it from there.
-        return self.choose_of_all(route, key) if self.origins.is_scarce(service) else None
+        return self.choose_in_regions(route, key) if self.origins.is_scarce(service) else None
 
     def choose_at_site(self, route: routes.Route, key: str) -> updates.Update | None:
         """Return the holder of this site that has the object for its edges."""
         site = self.context.settings.site
-        near = {update.identity.name: update for update in self.usable() if update.node_info.site == site}
-        ranked = rendezvous.ranked(key, [(name, 1.0) for name in near])
-        return near[ranked[0]] if ranked and self.origins.fleet.may_hold(route) else None
+        local = {update.identity.name: update for update in self.usable() if update.node_info.site == site}
+        ranked = rendezvous.ranked(key, [(name, 1.0) for name in local])
+        return local[ranked[0]] if ranked and self.origins.fleet.may_hold(route) else None
 
-    def choose_of_all(self, route: routes.Route, key: str) -> updates.Update | None:
+    def choose_in_regions(self, route: routes.Route, key: str) -> updates.Update | None:
         """Return the holder in the route's regions that fetches the object; None if it is this node."""
         settings = self.context.settings
-        allowed = {
+        eligible = {
             update.identity.name: update
             for update in self.usable()
             if not route.regions or update.node_info.region in route.regions
         }
-        candidates = [(name, 1.0) for name in allowed]
+        candidates = [(name, 1.0) for name in eligible]
         if not route.regions or settings.region in route.regions:
             candidates.append((settings.name, 1.0))
         ranked = rendezvous.ranked(key, candidates)
-        return allowed.get(ranked[0]) if ranked else None
+        return eligible.get(ranked[0]) if ranked else None
 
     def usable(self) -> list[updates.Update]:
         """Return the holders that can be asked now."""
@@ -95,7 +95,7 @@
         lookup: object_reader.ObjectLookup,
         minimum_version: versions.Version,
         remaining: float,
-        known: objects.CachedObject | None,
+        cached: objects.CachedObject | None,
         fetch_own: holder_read.FetchOwn,
     ) -> objects.CachedObject:
         """Return an object from its holder, or from an origin where no other node holds it or that one fails.
@@ -104,7 +104,7 @@
             lookup: What is read.
             minimum_version: The version of the ledger at which the object must have been fetched, or later.
             remaining: Seconds that the request has left.
-            known: The object that this node still has, which the holder may confirm.
+            cached: The object that this node still has, which the holder may confirm.
             fetch_own: Fetches the object without a holder, within some seconds.
 
         Raises:
@@ -118,12 +118,12 @@
         holder = self.choose(lookup.route, lookup.service, lookup.key)
         if holder is None:
             return await fetch_own(remaining)
-        call = self.ask(holder, self.request_for(lookup, minimum_version, remaining, known), known)
-        look = functools.partial(self.look_at, holder, asyncio.get_running_loop().time())
+        call = self.call_holder(holder, self.request_for(lookup, minimum_version, remaining, cached), cached)
+        check_holder = functools.partial(self.check_overdue_holder, holder, asyncio.get_running_loop().time())
         read_policy: holder_read.Policy = holder_policy.HolderReadPolicy(
             self.context.clock, remaining, is_refusal_final=self.context.role != HOLDER_ROLE
         )
-        read = holder_read.HolderRead(holder.identity.name, call, fetch_own, look)
+        read = holder_read.HolderRead(holder.identity.name, call, fetch_own, check_holder)
         # The holder has it, so it is in flight until the very end.
         with self.context.drain_guard.answer_at_end(lambda: drain_guard.WorkState.WITHDRAWABLE):
             return await read.run(read_policy)
@@ -133,7 +133,7 @@
         lookup: object_reader.ObjectLookup,
         minimum_version: versions.Version,
         remaining: float,
-        known: objects.CachedObject | None,
+        cached: objects.CachedObject | None,
     ) -> holder_messages.ObjectRequest:
         """Return the request for a lookup; see `fetch_from_holder`."""
         return holder_messages.ObjectRequest(
@@ -144,23 +144,23 @@
             lookup.request.headers,
             remaining,
             minimum_version,
-            object_reader.etag_of(known) or "",
+            object_reader.etag_of(cached) or "",
             self.context.configuration.applied,
             self.context.role == HOLDER_ROLE,
         )
 
-    async def ask(
+    async def call_holder(
         self,
         holder: updates.Update,
         request: holder_messages.ObjectRequest,
-        known: objects.CachedObject | None,
+        cached: objects.CachedObject | None,
     ) -> objects.CachedObject:
         """Ask a holder for an object, and count a failure.
 
         Raises:
             errors.IrisError: The holder raised it, or the call failed.
         """
-        asked_at = self.context.clock.now()
+        sent_at = self.context.clock.now()
         name = holder.identity.name
         try:
             body = await self.context.transport.call(
@@ -173,20 +173,20 @@
         except errors.IrisError as error:
             self.context.counters.add("holder_failures", code=error.code)
             if error.code in AVOIDANCE_CODES:
-                self.avoid(name)
+                self.pause_holder(name)
             raise
-        return holder_messages.object_from_wire(body, asked_at, known)
+        return holder_messages.object_from_wire(body, sent_at, cached)
 
-    def avoid(self, name: str) -> None:
+    def pause_holder(self, name: str) -> None:
         """Ask a holder for nothing more for a while."""
         self.avoided[name] = self.context.clock.now() + AVOIDANCE_SECONDS
 
-    def look_at(self, holder: updates.Update, asked_at: float) -> events.HolderOverdue:
+    def check_overdue_holder(self, holder: updates.Update, sent_at: float) -> events.HolderOverdue:
         """Return how an overdue holder is, which was asked at a moment of the event loop's clock."""
         name, address = holder.identity.name, holder.node_info.address
-        is_silent = self.context.transport.is_silent(address, asked_at)
+        is_silent = self.context.transport.is_silent(address, sent_at)
         if is_silent:
-            self.avoid(name)
+            self.pause_holder(name)
             self.context.transport.retire(address)
         is_failed = name not in {member.identity.name for member in self.context.members_of(HOLDER_ROLE)}
         return events.HolderOverdue(is_silent, is_failed)
@@ -206,31 +206,31 @@
                 judged.
         """
         received_at = self.context.clock.now()
-        asked = holder_messages.ObjectRequest.from_wire(body)
+        message = holder_messages.ObjectRequest.from_wire(body)
         if self.context.is_draining:
             raise errors.DrainingError("this holder is shutting down")
-        await self.catch_up(asked.configuration_version)
+        await self.catch_up(message.configuration_version)
         content = await typing.cast(object_reader.ObjectReader, self.reader).read(
-            self.lookup_for(asked), asked.minimum_version
+            self.lookup_for(message), message.minimum_version
         )
         # The asking node counts from its request on, so the time of this one's work must not count twice.
-        if asked.known_etag and content.ttl > 0 and object_reader.etag_of(content) == asked.known_etag:
-            return holder_messages.NotModified.of(content, received_at).to_wire()
-        return holder_messages.response_with(content, received_at)
+        if message.cached_etag and content.ttl > 0 and object_reader.etag_of(content) == message.cached_etag:
+            return holder_messages.NotModified.from_object(content, received_at).to_wire()
+        return holder_messages.object_response(content, received_at)
 
-    def lookup_for(self, asked: holder_messages.ObjectRequest) -> object_reader.ObjectLookup:
+    def lookup_for(self, message: holder_messages.ObjectRequest) -> object_reader.ObjectLookup:
         """Return the lookup that a request asks for, if this node's routes allow it.
 
         Raises:
             errors.StaleConfigurationError: The route is another one here. By another version of it the
                 request could go where the asking node's version does not allow.
         """
-        request = upstream_request.Request("GET", asked.target, asked.host, asked.headers, b"")
+        request = upstream_request.Request("GET", message.target, message.host, message.headers, b"")
         route = self.table.match(request.host, request.path)
-        if route.name != asked.route_name or not self.table.still_allows(route, asked.service):
+        if route.name != message.route_name or not self.table.still_allows(route, message.service):
             raise errors.StaleConfigurationError("the route is another one here")
         return object_reader.ObjectLookup(
-            route, str(asked.service), request, asked.max_wait, is_forwarded=asked.is_from_holder
+            route, str(message.service), request, message.max_wait, is_forwarded=message.is_from_holder
         )
 
     async def catch_up(self, applied: versions.Version) -> None:
--- a/src/irisstand/dataplane/cache/object_reader.py
+++ b/src/irisstand/dataplane/cache/object_reader.py
@@ -156,11 +156,11 @@
         deadline = self.context.clock.now() + remaining
         key = (lookup.key, minimum_version, lookup.is_forwarded)
         while True:
-            left = deadline - self.context.clock.now()
+            remaining_seconds = deadline - self.context.clock.now()
             is_joined = self.coalescer.is_in_flight(key)
-            fetch = functools.partial(self.fetch, lookup, minimum_version, left)
+            fetch = functools.partial(self.fetch, lookup, minimum_version, remaining_seconds)
             try:
-                async with asyncio.timeout(max(MIN_TIMEOUT_SECONDS, left)):
+                async with asyncio.timeout(max(MIN_TIMEOUT_SECONDS, remaining_seconds)):
                     return await self.coalescer.join(key, fetch)
             except TimeoutError:
                 raise errors.DeadlineExceededError("no origin gave a whole answer in time") from None
@@ -173,10 +173,10 @@
         self, lookup: ObjectLookup, minimum_version: versions.Version, remaining: float
     ) -> objects.CachedObject:
         """Fetch the object from its holder, or else from an origin, and keep it in the cache."""
-        known = self.cache.get(lookup.key)
-        fetch_own = functools.partial(self.fetch_from_origin, lookup, minimum_version, known)
+        cached = self.cache.get(lookup.key)
+        fetch_own = functools.partial(self.fetch_from_origin, lookup, minimum_version, cached)
         with self.context.count_in_flight():
-            fetched = await self.fetch_from_holder(lookup, minimum_version, remaining, known, fetch_own)
+            fetched = await self.fetch_from_holder(lookup, minimum_version, remaining, cached, fetch_own)
         if fetched.ttl > 0:
             self.cache.put(lookup.key, fetched)
         return fetched
@@ -185,35 +185,35 @@
         self,
         lookup: ObjectLookup,
         minimum_version: versions.Version,
-        known: objects.CachedObject | None,
+        cached: objects.CachedObject | None,
         remaining: float,
     ) -> objects.CachedObject:
         """Fetch the object from an origin, or have the one that is known confirmed by it."""
-        known_etag = etag_of(known)
-        headers = headers_for_origin(lookup.request, known_etag)
+        cached_etag = etag_of(cached)
+        headers = headers_for_origin(lookup.request, cached_etag)
         # Fetched from now on, so it has seen every purge that this node, or the asking one, knows of.
         applied = max(self.context.ledger.applied, minimum_version)
-        asked_at = self.context.clock.now()
+        sent_at = self.context.clock.now()
         answer = await self.origins.fetch(lookup.route, lookup.service, lookup.request, headers, remaining)
         ttl = lookup.route.cache_life
-        if answer.status == STATUS_NOT_MODIFIED and known is not None and known_etag:
+        if answer.status == STATUS_NOT_MODIFIED and cached is not None and cached_etag:
             self.context.counters.add("cache", at=self.context.role, result="revalidated")
-            return known._replace(applied=applied, age=0.0, as_of=asked_at, ttl=ttl)
+            return cached._replace(applied=applied, age=0.0, as_of=sent_at, ttl=ttl)
         if answer.status != STATUS_OK or "set-cookie" in answer.headers:
             ttl = 0.0
-        return self.object_from(answer, applied, asked_at, ttl)
+        return self.object_from(answer, applied, sent_at, ttl)
 
     def object_from(
-        self, answer: exchange.Answer, applied: versions.Version, asked_at: float, ttl: float
+        self, answer: exchange.Answer, applied: versions.Version, sent_at: float, ttl: float
     ) -> objects.CachedObject:
         """Make an object of an origin's answer; the id of the request that brought it is left out."""
         names = self.header_names
         headers = tuple((name, value) for name, value in answer.headers.items() if name != names.request_id)
         tags = header_names.split_tags(names, answer.headers.get(names.tags, ""))
-        return objects.CachedObject(answer.status, headers, answer.body, applied, 0.0, asked_at, ttl, tags)
+        return objects.CachedObject(answer.status, headers, answer.body, applied, 0.0, sent_at, ttl, tags)
 
 
-def headers_for_origin(request: upstream_request.Request, known_etag: str | None) -> list[tuple[str, str]]:
+def headers_for_origin(request: upstream_request.Request, cached_etag: str | None) -> list[tuple[str, str]]:
     """Return the headers for a fetch of the complete object.
 
     An object that is expired or purged may still be the newest: with its entity tag the origin can confirm
@@ -224,8 +224,8 @@
         for name, value in upstream_request.end_to_end_headers(request.headers)
         if name not in CONDITIONAL_HEADERS
     ]
-    if known_etag:
-        headers.append(("if-none-match", known_etag))
+    if cached_etag:
+        headers.append(("if-none-match", cached_etag))
     return headers
 
 
--- a/src/irisstand/dataplane/cache/objects.py
+++ b/src/irisstand/dataplane/cache/objects.py
@@ -66,12 +66,12 @@
     )
 
 
-def from_wire(fields: typing.Any, asked_at: float) -> CachedObject:
+def from_wire(fields: typing.Any, sent_at: float) -> CachedObject:
     """Decode an object that another node sent.
 
     Args:
         fields: What the codec decoded.
-        asked_at: When the request for it was sent; the age counts on from then, which adds up hop by hop.
+        sent_at: When the request for it was sent; the age counts on from then, which adds up hop by hop.
 
     Raises:
         ValueError: There is another number of fields, or a field is malformed.
@@ -80,7 +80,7 @@
     status, headers, body, applied, age, ttl, tags = fields
     pairs = tuple((name, value) for name, value in headers)
     version = versions.Version.from_wire(applied)
-    return CachedObject(status, pairs, body, version, age, asked_at, ttl, tuple(tags))
+    return CachedObject(status, pairs, body, version, age, sent_at, ttl, tuple(tags))
 
 
 def digest_header(body: bytes) -> str:
@@ -92,7 +92,7 @@
     return f"sha-256=:{base64.b64encode(hashlib.sha256(body).digest()).decode()}:"
 
 
-def check_seal(headers: dict[str, str], body: bytes, request_id: str) -> None:
+def check_integrity(headers: dict[str, str], body: bytes, request_id: str) -> None:
     """Check that an answer is complete and belongs to this request.
 
     Args:
@@ -112,7 +112,7 @@
 
 
 def from_origin(  # noqa: PLR0913, PLR0917 - the parts of an answer, when it was asked for, and its TTL
-    status: int, headers: dict[str, str], body: bytes, applied: versions.Version, asked_at: float, ttl: float
+    status: int, headers: dict[str, str], body: bytes, applied: versions.Version, sent_at: float, ttl: float
 ) -> CachedObject:
     """Make an object of an origin's answer.
 
@@ -121,13 +121,13 @@
         headers: The answer's headers, names in lower case.
         body: The answer's body.
         applied: The ledger's applied version when the fetch began.
-        asked_at: When the request was sent.
+        sent_at: When the request was sent.
         ttl: The time to live by the configuration, in seconds.
     """
     tags = tuple(tag.strip() for tag in headers.get("cache-tag", "").split(",") if tag.strip())
     forwarded = tuple((name, headers[name]) for name in FORWARDED_HEADERS if name in headers)
     allowed = allowed_ttl(status, headers, ttl)
-    return CachedObject(status, forwarded, body, applied, 0.0, asked_at, allowed, tags)
+    return CachedObject(status, forwarded, body, applied, 0.0, sent_at, allowed, tags)
 
 
 def allowed_ttl(status: int, headers: dict[str, str], ttl: float) -> float:
--- a/src/irisstand/dataplane/nodes/direct.py
+++ b/src/irisstand/dataplane/nodes/direct.py
@@ -57,7 +57,7 @@
         if route.is_cacheable and request.method == "GET":
             service = routes.pick_service(route, request.target.decode("latin-1"))
             lookup = object_reader.ObjectLookup(route, service, request, remaining)
-            return self.answer_with(request, await self.reader.read(lookup))
+            return self.answer_from_object(request, await self.reader.read(lookup))
         service = routes.pick_service(route, request.headers.get(self.header_names.request_id, request.path))
         headers = upstream_request.end_to_end_headers(request.headers)
         with self.context.count_in_flight():
@@ -65,10 +65,10 @@
 
     def remaining_seconds(self, request: Request, route: routes.Route) -> float:
         """Return how long the client waits: what it says in whole milliseconds, up to the route's timeout."""
-        given = grammar.whole_number(request.headers.get(self.header_names.remaining, ""))
-        return route.timeout if given is None else min(route.timeout, given / MILLISECONDS)
+        client_millis = grammar.whole_number(request.headers.get(self.header_names.remaining, ""))
+        return route.timeout if client_millis is None else min(route.timeout, client_millis / MILLISECONDS)
 
-    def answer_with(self, request: Request, content: objects.CachedObject) -> exchange.Answer:
+    def answer_from_object(self, request: Request, content: objects.CachedObject) -> exchange.Answer:
         """Answer a request with an object, or with the range of it that the client asks for.
 
         Raises:
--- a/src/irisstand/dataplane/nodes/edge.py
+++ b/src/irisstand/dataplane/nodes/edge.py
@@ -90,26 +90,26 @@
 
     async def read(self, allowed: snapshot.AllowedRequest, request: Request) -> Result:
         """Answer a read from the cache, or by way of a shield."""
-        read = self.read_of(allowed, request)
+        read = self.shield_read(allowed, request)
         freshness = freshness_policy.FreshnessPolicy(self.context.clock, self.view, allowed, request.path)
         minimum_version = self.view.purged_at(request.path, ())
         if read.is_shared:
-            key = self.key(allowed.service, read)
+            key = self.cache_key(allowed.service, read)
             cached = self.cache.get(key)
             if cached is not None:
                 if self.is_usable(cached, request.path, minimum_version):
                     self.context.counters.add("cache", at="edge", result="hit")
-                    return self.result(request, cached)
+                    return self.result_from(request, cached)
                 minimum_version = max(minimum_version, self.view.purged_at(request.path, cached.tags))
                 self.cache.drop(key)
             self.context.counters.add("cache", at="edge", result="miss")
         fetched = await self.fetch(read, minimum_version, freshness)
         if read.is_shared and fetched.content.ttl > 0:
             # Under the service that answered: the shield may have heard of a change before this node.
-            self.cache.put(self.key(fetched.service, read), fetched.content)
-        return self.result(request, fetched.content)
+            self.cache.put(self.cache_key(fetched.service, read), fetched.content)
+        return self.result_from(request, fetched.content)
 
-    def read_of(self, allowed: snapshot.AllowedRequest, request: Request) -> shield_client.Read:
+    def shield_read(self, allowed: snapshot.AllowedRequest, request: Request) -> shield_client.Read:
         """Return what is sent on of a read."""
         is_shared = not any(name in request.headers for name in CREDENTIAL_HEADERS)
         # Only headers that the configuration names may change a shared response, so only they are sent on.
@@ -121,7 +121,7 @@
         }
         return shield_client.Read(allowed, request.path, request.query, headers, is_shared)
 
-    def key(self, service: str, read: shield_client.Read) -> str:
+    def cache_key(self, service: str, read: shield_client.Read) -> str:
         """Return the key under which a shared object is cached."""
         return repr((service, read.path, read.query, sorted(read.headers.items())))
 
@@ -160,11 +160,11 @@
         # A response that may be meant for one client alone is fetched for it alone.
         if not read.is_shared:
             return await fetch()
-        key = (self.key(read.allowed.service, read), minimum_version)
+        key = (self.cache_key(read.allowed.service, read), minimum_version)
         fetched: messages.ReadResult = await self.coalescer.join(key, fetch)
         return fetched
 
-    def result(self, request: Request, content: objects.CachedObject) -> Result:
+    def result_from(self, request: Request, content: objects.CachedObject) -> Result:
         """Return the object as a result, if this node may still answer the request."""
         # This node may have been paused or cut off while the response was on its way.
         self.view.check_current()
--- a/src/irisstand/dataplane/nodes/idempotency_keys.py
+++ b/src/irisstand/dataplane/nodes/idempotency_keys.py
@@ -32,7 +32,7 @@
 SETTLE_ORDER = "settle"
 DONE = "done"
 
-Work = collections.abc.Callable[[], collections.abc.Awaitable[messages.WriteResult]]
+SendWrite = collections.abc.Callable[[], collections.abc.Awaitable[messages.WriteResult]]
 
 
 class IdempotencyKeys:
@@ -46,41 +46,43 @@
         self.context = context
 
     async def run_once(
-        self, allowed: snapshot.AllowedRequest, request: origin_client.OriginRequest, work: Work
+        self, allowed: snapshot.AllowedRequest, request: origin_client.OriginRequest, send_write: SendWrite
     ) -> messages.WriteResult:
         """Carry out a write, or return the result of an earlier one with the same key.
 
         Args:
             allowed: What the configuration allows.
             request: The write.
-            work: Carries it out.
+            send_write: Carries it out.
 
         Raises:
             errors.KeyReusedError: The key was used for another request.
             errors.KeyNotClaimedError: The core did not confirm the claim; the write was not sent.
             errors.OutcomeUnknownError: A write with this key may have run, and its result is not known.
-            errors.IrisError: What `work` raised.
+            errors.IrisError: What `send_write` raised.
         """
         method, target, headers, body, request_id = request
-        given = headers.get("idempotency-key")
+        client_key = headers.get("idempotency-key")
         # Without a key a repeated write is not recognised; each write is sent at most once all the same.
-        if not given:
-            return await work()
-        key = hashlib.sha256(f"{allowed.service}\0{given}".encode()).hexdigest()[:KEY_DIGITS]
+        if not client_key:
+            return await send_write()
+        key = hashlib.sha256(f"{allowed.service}\0{client_key}".encode()).hexdigest()[:KEY_DIGITS]
         fingerprint = hashlib.sha256(f"{method} {target}\0".encode() + body).hexdigest()[:FINGERPRINT_DIGITS]
         attempt = self.attempt_id(request_id)
         # Cut off with the client, it would leave a key that nobody could ever learn the result of; and the
         # same key may be asked for again at any moment (docs/departures.md).
-        return await self.context.carry_on(self.run_claimed(key, attempt, fingerprint, work))
+        return await self.context.carry_on(self.run_claimed(key, attempt, fingerprint, send_write))
 
-    async def run_claimed(self, key: str, attempt: str, fingerprint: str, work: Work) -> messages.WriteResult:
+    async def run_claimed(
+        self, key: str, attempt: str, fingerprint: str, send_write: SendWrite
+    ) -> messages.WriteResult:
         """Claim a key and carry out its write; see `run_once`."""
         try:
             await self.claim(key, attempt, fingerprint)
         except errors.KeyClaimedError as error:
             return self.replay(error.claim, fingerprint)
         try:
-            result = await work()
+            result = await send_write()
         except errors.OutcomeUnknownError:
             # It may have run: the claim stays, and nobody runs it again.
             raise
@@ -89,7 +91,7 @@
             # the next shield, and the client may come again.
             await self.settle(key, attempt, None, attempts_limit=RELEASE_ATTEMPTS_LIMIT)
             raise
-        self.context.start_task(self.settle(key, attempt, recorded(result)), "settle a claim")
+        self.context.start_task(self.settle(key, attempt, recorded_fields(result)), "settle a claim")
         return result
 
     def attempt_id(self, request_id: str) -> str:
@@ -128,7 +130,7 @@
         """
         for _ in range(CLAIM_ATTEMPTS_LIMIT):
             try:
-                await self.order(CLAIM_ORDER, (key, attempt, fingerprint))
+                await self.submit_order(CLAIM_ORDER, (key, attempt, fingerprint))
             except errors.ChangeOutcomeUnknownError:
                 # Sent again for the same attempt, which brings the one true result.
                 continue
@@ -147,14 +149,14 @@
         """Record the result of an attempt's write; None releases the key. A failure is counted."""
         for number in range(attempts_limit):
             try:
-                await self.order(SETTLE_ORDER, (key, attempt, result))
+                await self.submit_order(SETTLE_ORDER, (key, attempt, result))
             except errors.IrisError:
                 await asyncio.sleep(SETTLE_PAUSE_SECONDS + SETTLE_PAUSE_STEP_SECONDS * number)
                 continue
             return
         self.context.counters.add("claims_left_open")
 
-    async def order(self, kind: str, payload: tuple[typing.Any, ...]) -> order_messages.OrderResult:
+    async def submit_order(self, kind: str, payload: tuple[typing.Any, ...]) -> order_messages.OrderResult:
         """Send an order to a control plane node; this machine's own is asked first, as it is nearest.
 
         Raises:
@@ -183,7 +185,7 @@
         raise errors.KeyNotClaimedError("no agency can be reached")
 
 
-def recorded(result: messages.WriteResult) -> list[typing.Any]:
+def recorded_fields(result: messages.WriteResult) -> list[typing.Any]:
     """Return what is recorded of a result: status, headers, and the body unless it is too large."""
     status, headers, body = result
     return [status, list(headers), body if len(body) <= RESULT_LIMIT_BYTES else None]
--- a/src/irisstand/dataplane/nodes/shield.py
+++ b/src/irisstand/dataplane/nodes/shield.py
@@ -80,11 +80,11 @@
         with self.context.count_in_flight():
             # The deadline begins now: claiming the key is part of the request's time.
             retry_policy: WritePolicy = write_policy.ShieldWritePolicy(self.context.clock, allowed, remaining)
-            to_origin = origin_client.OriginRequest(
+            origin_request = origin_client.OriginRequest(
                 request.method, request.target, dict(request.headers), request.content, request.request_id
             )
-            write = functools.partial(self.write, allowed, retry_policy, to_origin)
-            return tuple(await self.idempotency_keys.run_once(allowed, to_origin, write))
+            write = functools.partial(self.write, allowed, retry_policy, origin_request)
+            return tuple(await self.idempotency_keys.run_once(allowed, origin_request, write))
 
     async def admit(self, request: messages.ReadRequest | messages.WriteRequest) -> Admitted:
         """Take up a request that an edge judged by a configuration at `request.applied_version`.
@@ -125,9 +125,9 @@
                 return cached
             self.cache.drop(key)
         self.context.counters.add("cache", at="shield", result="miss")
-        wanted = request._replace(minimum_version=minimum_version)
-        obtain = functools.partial(self.obtain, key, allowed, wanted, remaining)
-        fetched: objects.CachedObject = await self.coalescer.join((key, minimum_version), obtain)
+        versioned_request = request._replace(minimum_version=minimum_version)
+        fetch = functools.partial(self.read_through_store, key, allowed, versioned_request, remaining)
+        fetched: objects.CachedObject = await self.coalescer.join((key, minimum_version), fetch)
         return fetched
 
     def is_usable(self, cached: objects.CachedObject, path: str, minimum_version: versions.Version) -> bool:
@@ -135,7 +135,7 @@
         now = self.context.clock.now()
         return freshness_policy.is_usable(cached, path, self.view, minimum_version, now)
 
-    async def obtain(
+    async def read_through_store(
         self, key: str, allowed: snapshot.AllowedRequest, request: messages.ReadRequest, remaining: float
     ) -> objects.CachedObject:
         """Return a shared object from its store or from an origin, and keep it."""
@@ -159,7 +159,7 @@
     ) -> objects.CachedObject:
         """Return an object from an origin."""
         retry_policy = read_policy.ShieldReadPolicy(self.context.clock, allowed, remaining, self.budget)
-        to_origin = origin_client.OriginRequest(
+        origin_request = origin_client.OriginRequest(
             "GET", request.target, request.headers, b"", request.request_id
         )
 
@@ -167,7 +167,7 @@
             # Fetched from now on, so at least as new as all that this node or the edge has received.
             applied = max(self.context.ledger.applied, request.minimum_version)
             sent_at = self.context.clock.now()
-            event = await self.origin_client.attempt(allowed, to_origin, retry_policy)
+            event = await self.origin_client.attempt(allowed, origin_request, retry_policy)
             if not isinstance(event, events.ResponseReceived):
                 return event
             status, headers, body = event.response
--- a/src/irisstand/dataplane/nodes/store.py
+++ b/src/irisstand/dataplane/nodes/store.py
@@ -47,9 +47,9 @@
     async def on_put(self, _: str, body: typing.Any) -> tuple[typing.Any, ...]:
         """Keep an object under its key."""
         deposit = messages.StoreDeposit.from_wire(body, self.context.clock.now())
-        known = self.cache.get(deposit.key)
+        cached = self.cache.get(deposit.key)
         # Two shields may have fetched it: what was fetched at the newer version of the ledger stays.
-        if known is None or known.applied <= deposit.content.applied:
+        if cached is None or cached.applied <= deposit.content.applied:
             self.cache.put(deposit.key, deposit.content)
         return ()
 
--- a/src/irisstand/dataplane/nodes/store_client.py
+++ b/src/irisstand/dataplane/nodes/store_client.py
@@ -23,9 +23,9 @@
     def store_for(self, key: str) -> updates.Update | None:
         """Return the store that keeps the object of this key, by rendezvous hashing."""
         stores = self.context.members_of("store")
-        found = {update.identity.name: update for update in stores if not update.state}
-        names = rendezvous.ranked(key, [(name, 1.0) for name in found])
-        return found[names[0]] if names else None
+        alive = {update.identity.name: update for update in stores if not update.state}
+        names = rendezvous.ranked(key, [(name, 1.0) for name in alive])
+        return alive[names[0]] if names else None
 
     async def get(
         self, store: updates.Update, key: str, path: str, minimum_version: versions.Version
@@ -34,15 +34,15 @@
         sent_at = self.context.clock.now()
         lookup = messages.StoreLookup(key, path, minimum_version)
         try:
-            parts = await self.context.transport.call(
+            reply = await self.context.transport.call(
                 store.node_info.address,
                 store.identity.name,
                 messages.RequestKind.STORE_GET,
                 lookup.to_wire(),
                 GET_TIMEOUT_SECONDS,
             )
-            if parts:
-                cached = objects.from_wire(parts, sent_at)
+            if reply:
+                cached = objects.from_wire(reply, sent_at)
                 now = self.context.clock.now()
                 if freshness_policy.is_usable(cached, path, self.view, minimum_version, now):
                     return cached
--- a/src/irisstand/dataplane/ratelimit/quota_share.py
+++ b/src/irisstand/dataplane/ratelimit/quota_share.py
@@ -30,7 +30,7 @@
     def __init__(self, context: node_context.NodeContext, limit_of: LimitLookup) -> None:
         self.context = context
         self.limit_of = limit_of
-        self.opened_at = context.clock.now()
+        self.started_at = context.clock.now()
         self.rate_limiters: dict[str, rate_limiter.RateLimiter] = {}
         self.cold_windows: dict[str, sliding_window.SlidingWindow] = {}
 
@@ -55,7 +55,7 @@
         """Return the limiter of a service's rate, which begins when this process did."""
         limiter = self.rate_limiters.get(service)
         if limiter is None:
-            limiter = rate_limiter.RateLimiter(self.context.clock, self.opened_at)
+            limiter = rate_limiter.RateLimiter(self.context.clock, self.started_at)
             self.rate_limiters[service] = limiter
         return limiter
 
@@ -71,7 +71,7 @@
         """Return how long until the next token; None where that is not known."""
         if not name.startswith(COLD_PREFIX):
             return self.rate_limiter(name).seconds_until_token(self.share_of(name))
-        if self.context.clock.now() - self.opened_at < SETTLING_SECONDS:
+        if self.context.clock.now() - self.started_at < SETTLING_SECONDS:
             return None
         return 0.0 if self.window(name).count() < math.floor(self.share_of(name)) else None
 
--- a/src/irisstand/dataplane/ratelimit/token_leases.py
+++ b/src/irisstand/dataplane/ratelimit/token_leases.py
@@ -25,7 +25,7 @@
 FAILED_OWNER_PAUSE_SECONDS = 4.0
 EMPTY_OWNER_PAUSE_SECONDS = 0.08
 ROUNDING_SECONDS = 1e-6
-NEVER = -1e9
+LONG_AGO = -1e9
 # The name under which an owner is paused for all limits.
 ALL_LIMITS = ""
 # What a client is told to wait before it tries again.
@@ -40,7 +40,7 @@
     """Asks an owner for tokens of a limit; `max_wait` is the longest wait for a token, in seconds."""
 
     limit_name: str
-    wanted: int
+    token_count: int
     max_wait: float
 
     @classmethod
@@ -138,21 +138,21 @@
         tokens[:] = [token for token in tokens if now < token.expires_at]
         return [token for token in tokens if token.usable_at <= now + max_wait + ROUNDING_SECONDS]
 
-    def has_token(self, name: str, max_wait: float, wanted: int = 1) -> bool:
+    def has_token(self, name: str, max_wait: float, token_count: int = 1) -> bool:
         """Tell whether a token of this node's own comes in within `max_wait`, or enough are leased to it."""
         own_wait = self.own_quota.seconds_until_token(name)
         # The node's own next token costs no request and does not expire; others are leased only beyond it.
         if own_wait is not None and own_wait <= max(OWN_TOKEN_WAIT_SECONDS, max_wait):
             return True
-        return len(self.usable_tokens(name, max_wait)) >= wanted
+        return len(self.usable_tokens(name, max_wait)) >= token_count
 
     # -- borrowing -----------------------------------------------------------------------------------
     async def wait_for_token(self, name: str, max_wait: float) -> None:
         """Wait until this node has a token, or no owner that can be asked has one."""
-        end = self.context.clock.now() + BORROWING_TIMEOUT_SECONDS
+        deadline = self.context.clock.now() + BORROWING_TIMEOUT_SECONDS
         self.waiting[name] += 1
         try:
-            while self.context.clock.now() < end:
+            while self.context.clock.now() < deadline:
                 if self.has_token(name, max_wait, self.waiting[name]):
                     return
                 if not await asyncio.shield(self.borrowing_task(name, max_wait)):
@@ -170,8 +170,8 @@
 
     async def borrow(self, name: str, max_wait: float) -> bool:
         """Ask the owners one after the other, and return whether any leased a token."""
-        end = self.context.clock.now() + BORROWING_TIMEOUT_SECONDS
-        while self.context.clock.now() < end:
+        deadline = self.context.clock.now() + BORROWING_TIMEOUT_SECONDS
+        while self.context.clock.now() < deadline:
             owner = self.next_owner(name)
             if owner is None:
                 return False
@@ -188,29 +188,29 @@
             for update in self.context.detector.member_list.members.values()
             if units.get(update.identity.name)
             and not update.state
-            and now >= self.paused_until.get((update.identity.name, name), NEVER)
-            and now >= self.paused_until.get((update.identity.name, ALL_LIMITS), NEVER)
+            and now >= self.paused_until.get((update.identity.name, name), LONG_AGO)
+            and now >= self.paused_until.get((update.identity.name, ALL_LIMITS), LONG_AGO)
         ]
-        near = [update for update in owners if update.node_info.site == self.context.settings.site]
-        return self.context.randomness.choice(near or owners) if owners else None
+        local_owners = [update for update in owners if update.node_info.site == self.context.settings.site]
+        return self.context.randomness.choice(local_owners or owners) if owners else None
 
     async def borrow_from(self, owner: updates.Update, name: str, max_wait: float) -> bool:
         """Ask one owner for tokens, and return whether it leased any."""
-        lender = owner.identity.name
+        owner_name = owner.identity.name
         asked_at = self.context.clock.now()
         request = LeaseRequest(name, max(1, min(TOKENS_PER_LEASE_LIMIT, self.waiting[name])), max_wait)
         try:
             body = await self.context.transport.call(
-                owner.node_info.address, lender, LEASE_REQUEST_KIND, request.to_wire(), LEASE_SECONDS
+                owner.node_info.address, owner_name, LEASE_REQUEST_KIND, request.to_wire(), LEASE_SECONDS
             )
         except errors.IrisError as error:
             self.context.counters.add("rate_owners_failed", code=error.code)
-            self.paused_until[lender, ALL_LIMITS] = self.context.clock.now() + FAILED_OWNER_PAUSE_SECONDS
+            self.paused_until[owner_name, ALL_LIMITS] = self.context.clock.now() + FAILED_OWNER_PAUSE_SECONDS
             return False
         waits = LeaseResponse.from_wire(body).waits
         now = self.context.clock.now()
         if not waits:
-            self.paused_until[lender, name] = now + EMPTY_OWNER_PAUSE_SECONDS
+            self.paused_until[owner_name, name] = now + EMPTY_OWNER_PAUSE_SECONDS
             return False
         self.context.counters.add("rate_places_borrowed", len(waits))
         tokens = self.leased.setdefault(name, [])
@@ -224,7 +224,7 @@
         max_wait = max(0.0, min(request.max_wait, BORROWING_TIMEOUT_SECONDS))
         waits: list[float] = []
         if not self.context.is_draining:
-            for _number in range(min(request.wanted, TOKENS_PER_LEASE_LIMIT)):
+            for _number in range(min(request.token_count, TOKENS_PER_LEASE_LIMIT)):
                 # Of the same bucket as this node's own requests, so that neither starves the other.
                 wait = self.own_quota.take(request.limit_name, max_wait)
                 if wait is None:
--- a/src/irisstand/dataplane/upstream/origin_client.py
+++ b/src/irisstand/dataplane/upstream/origin_client.py
@@ -163,7 +163,7 @@
         headers = {**request.headers, "X-Request-Id": request.request_id}
         timeout = max(MINIMUM_TIMEOUT_SECONDS, retry_policy.remaining())
         answer = await connection.send(request.method, request.target, headers, request.body, timeout)
-        objects.check_seal(answer.headers, answer.body, request.request_id)
+        objects.check_integrity(answer.headers, answer.body, request.request_id)
         self.context.counters.add("origin_requests", service=allowed.service, method=request.method)
         return events.ResponseReceived(answer, origin.instance)
 
--- a/tests/dataplane/test_recorded_object_messages.py
+++ b/tests/dataplane/test_recorded_object_messages.py
@@ -42,9 +42,9 @@
         kinds.add(body[0])
         content = holder_messages.object_from_wire(body, 7.0, known)
         if body[0] == "same":
-            assert packed(holder_messages.NotModified.of(content, 7.0).to_wire()) == packed(body)
+            assert packed(holder_messages.NotModified.from_object(content, 7.0).to_wire()) == packed(body)
         else:
-            assert packed(holder_messages.response_with(content, 7.0)) == packed(body)
+            assert packed(holder_messages.object_response(content, 7.0)) == packed(body)
     assert kinds == {"object", "same"}
 
 
--- a/tests/dataplane/test_upstream_connections.py
+++ b/tests/dataplane/test_upstream_connections.py
@@ -101,10 +101,12 @@
         "content-digest": objects.digest_header(body),
         "x-request-id": "mine",
     }
-    objects.check_seal(good, body, "mine")
+    objects.check_integrity(good, body, "mine")
     for broken in ({"content-length": "8"}, {"content-digest": "sha-256=:AA==:"}, {"x-request-id": "x"}):
         with pytest.raises(errors.UnsealedResultError):
-            objects.check_seal({**good, **broken}, body, "mine")
+            objects.check_integrity({**good, **broken}, body, "mine")
     for missing in good:
         with pytest.raises(errors.UnsealedResultError):
-            objects.check_seal({key: value for key, value in good.items() if key != missing}, body, "mine")
+            objects.check_integrity(
+                {key: value for key, value in good.items() if key != missing}, body, "mine"
+            )
--- a/tests/mutation/dataplane_mutations.py
+++ b/tests/mutation/dataplane_mutations.py
@@ -29,7 +29,7 @@
     (
         "dataplane/nodes/idempotency_keys.py",
         "        except errors.KeyClaimedError as error:\n            return self.replay",
-        "        except errors.KeyClaimedError as error:\n            return await work()\n            return self.replay",
+        "        except errors.KeyClaimedError as error:\n            return await send_write()\n            return self.replay",
         "dataplane/test_writes.py::test_same_idempotency_key_at_two_edges_runs_once_with_one_result",
     ),
     (
