--- a/src/irisstand/dataplane/cache/__init__.py
+++ b/src/irisstand/dataplane/cache/__init__.py
@@ -1,1 +1,1 @@
-"""Cached objects: the caches of single nodes, the holders of objects, and reads of objects."""
+"""Caching of objects: the cache of each node, object holders shared by edges, and reads through both."""
--- a/src/irisstand/dataplane/cache/holder_messages.py
+++ b/src/irisstand/dataplane/cache/holder_messages.py
@@ -1,30 +1,31 @@
-"""Messages between an edge and the holder of an object, encoded by the order of their fields."""
+"""Messages by which a node reads an object from an object holder, encoded by the order of their fields."""
 
 import typing
 
 from irisstand.dataplane.cache import objects
 from irisstand.state import versions
 
-# The kind of the request, and the first field of its response.
+# The message kind of an object request, and the two kinds of its response (the first field of the response).
 OBJECT_REQUEST_KIND = "object"
 OBJECT_RESPONSE_KIND = "object"
 NOT_MODIFIED_RESPONSE_KIND = "same"
 
 
 class ObjectRequest(typing.NamedTuple):
-    """Asks a holder for an object.
+    """A request for an object, sent by an edge or by another holder to an object holder.
 
     Attributes:
-        route_name: The route by which the asking node judged the request.
-        service: The service that the route chose.
-        host: The request's host.
-        target: The request's path and query as they came.
-        headers: The request's headers, names in lower case.
-        max_wait: How long the holder may work, in seconds.
-        minimum_version: The object must have been fetched at this version of the ledger or later.
-        cached_etag: The entity tag of the object that the asking node still has; empty without one.
-        configuration_version: The configuration by which the asking node judged the request.
-        is_from_holder: Whether another holder asks; then only an origin is asked further.
+        route_name: The name of the route that the requesting node matched.
+        service: The service that the requesting node picked from that route.
+        host: The host of the client's request.
+        target: The path and query of the client's request, as the client sent them.
+        headers: The headers of the client's request, names in lower case.
+        max_wait: How long the holder may take to respond, in seconds.
+        minimum_version: The oldest ledger version at which the object may have been fetched.
+        cached_etag: The entity tag of the object in the requesting node's cache; empty without one.
+        configuration_version: The configuration version by which the requesting node matched the route.
+        is_from_holder: Whether another holder sent the request. If so, the receiver may fetch the object only
+            from an origin, so that no request is forwarded twice.
     """
 
     route_name: str
@@ -40,10 +41,10 @@
 
     @classmethod
     def from_wire(cls, body: typing.Any) -> typing.Self:
-        """Decode the body of a request.
+        """Decode the body of an object request.
 
         Raises:
-            ValueError: There is another number of fields, or a field is malformed.
+            ValueError: The number of fields is wrong, or a field is malformed.
             TypeError: A field has a wrong type.
         """
         route, service, host, target, headers, max_wait, minimum, etag, configuration, is_from_holder = body
@@ -61,7 +62,7 @@
         )
 
     def to_wire(self) -> tuple[typing.Any, ...]:
-        """Return the fields in their order, in types that the codec takes."""
+        """Return the fields in wire order, in types that the codec can encode."""
         return (
             self.route_name,
             self.service,
@@ -77,7 +78,13 @@
 
 
 class NotModified(typing.NamedTuple):
-    """A response without the body: the asking node has the object, and this is its freshness."""
+    """A response without a body: the object that the requesting node has cached is still the current one.
+
+    Attributes:
+        applied: The ledger version at which the holder last fetched or revalidated the object.
+        age: The object's age in seconds when the holder received the request.
+        ttl: The object's TTL in seconds.
+    """
 
     applied: versions.Version
     age: float
@@ -85,21 +92,22 @@
 
     @classmethod
     def from_object(cls, content: objects.CachedObject, received_at: float) -> typing.Self:
-        """Return the freshness of an object at the moment at which its request came."""
+        """Return the freshness of an object as of `received_at`, the time when the holder got the request."""
         return cls(content.applied, content.age_now(received_at), content.ttl)
 
     def to_wire(self) -> tuple[typing.Any, ...]:
-        """Return the response."""
+        """Return the body of the response."""
         return (NOT_MODIFIED_RESPONSE_KIND, (tuple(self.applied), self.age, self.ttl))
 
 
 def object_response(content: objects.CachedObject, received_at: float) -> tuple[typing.Any, ...]:
-    """Return a response with the complete object.
+    """Return the body of a response with the complete object.
 
     Args:
         content: The object.
-        received_at: When its request came. The age is given for that moment, and is below zero for an object
-            that was fetched later: whoever asked adds all the time since its request.
+        received_at: When the request arrived. The age in the response is the age at that time, and is
+            negative for an object that was fetched later: the requesting node adds all the time since it sent
+            the request.
     """
     return (OBJECT_RESPONSE_KIND, objects.to_wire(content, received_at))
 
@@ -107,16 +115,16 @@
 def object_from_wire(
     body: typing.Any, sent_at: float, cached: objects.CachedObject | None
 ) -> objects.CachedObject:
-    """Decode a response.
+    """Decode a holder's response to an object request.
 
     Args:
-        body: What the codec decoded.
-        sent_at: When the request was sent; the object's age counts on from then.
-        cached: The object that this node still has, which a response may confirm.
+        body: The body of the response, as the codec decoded it.
+        sent_at: When the request was sent; the age in the response is the age at that time.
+        cached: The object in this node's cache, which a `NotModified` response refers to; None without one.
 
     Raises:
-        ValueError: There is another number of fields, or a field is malformed.
-        TypeError: A field that should be a sequence is none.
+        ValueError: The number of fields is wrong, or a field is malformed.
+        TypeError: A field that must be a sequence is not one.
     """
     kind, fields = body
     if kind == NOT_MODIFIED_RESPONSE_KIND and cached is not None:
--- a/src/irisstand/dataplane/cache/holder_read.py
+++ b/src/irisstand/dataplane/cache/holder_read.py
@@ -1,4 +1,4 @@
-"""One read through an object holder: carries out what the policy decides, with the call and an own fetch."""
+"""One read of an object through its holder: carries out the actions that the holder read policy decides."""
 
 import asyncio
 import collections.abc
@@ -16,13 +16,13 @@
 
 
 class HolderRead:
-    """A read that a holder was asked for.
+    """A read of an object by a call to its holder and, where the policy decides so, by a fetch without it.
 
     Args:
         holder: The holder's node name.
-        call: The call to the holder.
-        fetch_own: Fetches the object without the holder, within some seconds.
-        check_holder: Tells how the holder is, once it is overdue.
+        call: The call to the holder, as a coroutine that was not started.
+        fetch_own: Fetches the object without the holder; it takes the timeout in seconds.
+        check_holder: Returns whether an overdue holder is silent or declared failed.
     """
 
     def __init__(
@@ -39,10 +39,10 @@
         self.tasks: dict[str, asyncio.Task[objects.CachedObject]] = {}
 
     async def run(self, read_policy: Policy) -> objects.CachedObject:
-        """Return the object; what is still in flight then is withdrawn.
+        """Return the object from whichever read succeeds first, and cancel what is still in flight.
 
         Raises:
-            errors.IrisError: What the holder or this node's own fetch raised.
+            errors.IrisError: The call to the holder or this node's own fetch raised it.
         """
         self.start(self.holder, self.call)
         try:
@@ -50,16 +50,16 @@
             return policy.response_of(await policy.execute(read_policy, perform))
         finally:
             for task in self.tasks.values():
-                # What has ended meanwhile counts as retrieved.
+                # Retrieve the exception of a task that has ended, so that asyncio does not log it as lost.
                 if not task.cancel() and not task.cancelled():
                     task.exception()
 
     def start(self, source: str, read: Read) -> None:
-        """Begin a read as a task of its own, under the name of where it reads."""
+        """Start a read as a task; `source` is the holder's node name, or empty for this node's own fetch."""
         self.tasks[source] = asyncio.get_running_loop().create_task(read)
 
     async def perform(self, read_policy: Policy, action: holder_policy.HolderAction) -> Event:
-        """Carry out one action of the policy."""
+        """Carry out one action of the policy, and return the event that ended it."""
         if isinstance(action, actions.FetchOwn):
             self.start("", self.fetch_own(read_policy.remaining()))
             return events.OWN_FETCH_STARTED
@@ -67,11 +67,12 @@
         done, _ = await asyncio.wait(tasks, timeout=action.seconds, return_when=asyncio.FIRST_COMPLETED)
         if not done:
             return self.check_holder()
-        # In the order of their start, so that a run can be repeated.
+        # The first of the finished tasks in the order of their start: a set has no fixed order, and simulated
+        # runs must be repeatable.
         source = next(name for name, task in self.tasks.items() if task in done)
         task = self.tasks.pop(source)
         with contextlib.suppress(errors.IrisError):
             return events.ResponseReceived(task.result(), source)
         error = task.exception()
-        assert isinstance(error, errors.IrisError), "anything else is raised above"
+        assert isinstance(error, errors.IrisError), "task.result() above raises every other exception"
         return events.HolderFailed(error) if source else events.AttemptFailed(error, "")
--- a/src/irisstand/dataplane/cache/object_cache.py
+++ b/src/irisstand/dataplane/cache/object_cache.py
@@ -1,4 +1,4 @@
-"""A cache bounded by bytes that drops the least recently used object; coalescing of equal requests."""
+"""An LRU cache of objects that is bounded by bytes, and the coalescing of equal requests."""
 
 import asyncio
 import collections
@@ -7,17 +7,17 @@
 
 from irisstand.dataplane.cache import objects
 
-# What an entry costs beside its body, about.
+# The approximate memory that a cache entry uses beside the body of its object.
 ENTRY_OVERHEAD_BYTES = 300
 
 Result = typing.TypeVar("Result")
 
 
 class ObjectCache:
-    """Objects by key, the least recently used first.
+    """A cache of objects by key that evicts the least recently used ones.
 
     Args:
-        limit: The most bytes of all entries together.
+        limit: The largest total size of all entries, in bytes.
 
     >>> from irisstand.state import versions
     >>> cache = ObjectCache(1000)
@@ -32,14 +32,14 @@
         self.entries: collections.OrderedDict[str, objects.CachedObject] = collections.OrderedDict()
 
     def get(self, key: str) -> objects.CachedObject | None:
-        """Return the object, which becomes the most recently used one; None if there is none."""
+        """Return the object of a key and mark it as the most recently used one; None if it is not cached."""
         cached = self.entries.get(key)
         if cached is not None:
             self.entries.move_to_end(key)
         return cached
 
     def put(self, key: str, content: objects.CachedObject) -> None:
-        """Keep the object, and drop others until all fit into the limit."""
+        """Cache an object, and evict the least recently used ones until all fit into the limit."""
         self.drop(key)
         self.entries[key] = content
         self.size += entry_bytes(content)
@@ -47,19 +47,19 @@
             self.drop(next(iter(self.entries)))
 
     def drop(self, key: str) -> None:
-        """Drop the object, if there is one."""
+        """Remove the object of a key from the cache, if it is there."""
         cached = self.entries.pop(key, None)
         if cached is not None:
             self.size -= entry_bytes(cached)
 
 
 def entry_bytes(content: objects.CachedObject) -> int:
-    """Return what an object counts in the cache, in bytes."""
+    """Return the size in bytes by which an object counts towards the cache's limit."""
     return len(content.body) + ENTRY_OVERHEAD_BYTES
 
 
 class SharedFetch:
-    """A fetch in flight, and the number of requests that wait for it."""
+    """A fetch in flight, with the number of requests that wait for its result."""
 
     def __init__(self, task: asyncio.Task[typing.Any]) -> None:
         self.task = task
@@ -67,13 +67,13 @@
 
 
 class RequestCoalescer:
-    """Lets equal requests share one fetch; it is cancelled with its last waiter, not with its first."""
+    """Lets equal requests share one fetch, which is cancelled when the last waiting request is cancelled."""
 
     def __init__(self) -> None:
         self.in_flight: dict[typing.Hashable, SharedFetch] = {}
 
     def is_in_flight(self, key: typing.Hashable) -> bool:
-        """Return whether a fetch with this key is in flight."""
+        """Return whether a fetch with the given key is in flight."""
         return key in self.in_flight
 
     async def join(
@@ -81,14 +81,14 @@
         key: typing.Hashable,
         fetch: collections.abc.Callable[[], collections.abc.Coroutine[typing.Any, typing.Any, Result]],
     ) -> Result:
-        """Wait for the fetch with this key, which is begun if none is in flight.
+        """Return the result of the fetch with the given key, and start that fetch if none is in flight.
 
         Args:
-            key: Equal for requests that may have the same result.
-            fetch: Begins the fetch.
+            key: The key of the fetch; requests that may share a result have equal keys.
+            fetch: Returns the coroutine that fetches.
 
         Raises:
-            Exception: Whatever the fetch raises.
+            Exception: The fetch raised it.
         """
         if not self.is_in_flight(key):
             task = asyncio.get_running_loop().create_task(fetch())
@@ -101,18 +101,18 @@
             return result
         finally:
             shared.waiters -= 1
-            # Nobody waits for the fetch any more, so it should not go on towards an origin.
+            # No request waits for the fetch any more, so it must not go on to load an origin.
             if not shared.waiters and not shared.task.done():
                 shared.task.cancel()
                 self.forget(key, shared.task)
 
     def on_done(self, key: typing.Hashable, task: asyncio.Task[typing.Any]) -> None:
-        """Forget a fetch that ended; its exception counts as retrieved, also where nobody waits for it."""
+        """Forget a fetch that ended, and retrieve its exception: asyncio logs one that nobody retrieves."""
         self.forget(key, task)
         if not task.cancelled():
             task.exception()
 
     def forget(self, key: typing.Hashable, task: asyncio.Task[typing.Any]) -> None:
-        """Forget the fetch, unless a new one has its key."""
+        """Forget a fetch, unless a newer fetch is in flight under the same key."""
         if key in self.in_flight and self.in_flight[key].task is task:
             del self.in_flight[key]
--- a/src/irisstand/dataplane/cache/object_holders.py
+++ b/src/irisstand/dataplane/cache/object_holders.py
@@ -1,8 +1,8 @@
-"""Object holders: the nodes of a site that fetch objects for its edges, so that each object comes there once.
+"""Object holders: nodes that fetch objects for the edges of a site, so that a site fetches each object once.
 
-An edge asks the holder that rendezvous hashing by the object's key chooses among those of its site. A holder
-from which nothing comes is not asked for a while, and the edge fetches by itself; one that is alive keeps a
-request until the request's own deadline, as an origin may be at work on it.
+An edge asks the holder of its site that rendezvous hashing by the object's key chooses. A holder that is
+silent is not asked for a while, and the edge fetches from an origin itself. A request to a holder that is
+alive stays open until the request's own deadline, as an origin may be working on it.
 """
 
 import asyncio
@@ -18,23 +18,23 @@
 from irisstand.membership import updates
 from irisstand.state import versions
 
-# How long a holder that did not answer is not asked.
+# How long a holder is not asked after it failed to respond.
 AVOIDANCE_SECONDS = 2.0
-# How long a holder waits for the version of the configuration by which an edge judged a request.
+# How long a holder waits until its configuration is as new as the one by which the requesting node routed.
 CATCH_UP_TIMEOUT_SECONDS = 0.3
 CATCH_UP_INTERVAL_SECONDS = 0.01
 HOLDER_ROLE = "holder"
-# Errors after which a holder is not asked for a while.
+# The codes of the errors after which a holder is not asked for `AVOIDANCE_SECONDS`.
 AVOIDANCE_CODES = ("unreached", "unanswered", "draining")
 
 
 class ObjectHolders:
-    """Asks other holders for objects, and answers nodes that ask this one.
+    """Requests objects from holders, and serves the object requests that other nodes send to this one.
 
     Args:
         context: The node's context.
-        table: The routes in force.
-        origins: The endpoints, whose rate limits decide whether a holder asks another one.
+        table: The route table.
+        origins: The origin endpoints; where their rate limit is scarce, a holder asks another holder.
     """
 
     def __init__(
@@ -49,26 +49,26 @@
         self.avoided = origins.avoided
         self.reader: object_reader.ObjectReader | None = None
 
-    # -- asking --------------------------------------------------------------------------------------
+    # -- requesting ----------------------------------------------------------------------------------
     def choose(self, route: routes.Route, service: str, key: str) -> updates.Update | None:
-        """Return the member that holds the object, or None where this node should fetch it by itself."""
+        """Return the holder to request an object from; None if this node should fetch it from an origin."""
         if not self.origins.fleet.uses_holders():
             return None
         if self.context.role != HOLDER_ROLE:
             return self.choose_at_site(route, key)
-        # A holder fetches by itself while the service has tokens left: that is the shorter way. Where its
-        # rate is scarce, one holder of all fetches each object, and the others have it from there.
+        # While the service has rate limit tokens left, a holder fetches from an origin, which saves a hop. If
+        # tokens are scarce, one holder of all sites fetches each object, and the others get it from there.
         return self.choose_in_regions(route, key) if self.origins.is_scarce(service) else None
 
     def choose_at_site(self, route: routes.Route, key: str) -> updates.Update | None:
-        """Return the holder of this site that has the object for its edges."""
+        """Return the holder of this site that fetches the object for the site's edges; None without one."""
         site = self.context.settings.site
         local = {update.identity.name: update for update in self.usable() if update.node_info.site == site}
         ranked = rendezvous.ranked(key, [(name, 1.0) for name in local])
         return local[ranked[0]] if ranked and self.origins.fleet.may_hold(route) else None
 
     def choose_in_regions(self, route: routes.Route, key: str) -> updates.Update | None:
-        """Return the holder in the route's regions that fetches the object; None if it is this node."""
+        """Return the holder of the route's regions that fetches the object; None if it is this node."""
         settings = self.context.settings
         eligible = {
             update.identity.name: update
@@ -82,7 +82,7 @@
         return eligible.get(ranked[0]) if ranked else None
 
     def usable(self) -> list[updates.Update]:
-        """Return the holders that can be asked now."""
+        """Return the holders that are alive and are not avoided after a recent failure."""
         now = self.context.clock.now()
         return [
             update
@@ -98,21 +98,21 @@
         cached: objects.CachedObject | None,
         fetch_own: holder_read.FetchOwn,
     ) -> objects.CachedObject:
-        """Return an object from its holder, or from an origin where no other node holds it or that one fails.
+        """Return an object from its holder, or from an origin if no other node holds it or the holder fails.
 
         Args:
-            lookup: What is read.
-            minimum_version: The version of the ledger at which the object must have been fetched, or later.
-            remaining: Seconds that the request has left.
-            cached: The object that this node still has, which the holder may confirm.
-            fetch_own: Fetches the object without a holder, within some seconds.
+            lookup: The object to read.
+            minimum_version: The oldest ledger version at which the object may have been fetched.
+            remaining: Seconds until the request's deadline.
+            cached: The object in this node's cache, if any, which the holder may confirm as current.
+            fetch_own: Fetches the object without a holder; takes the timeout in seconds.
 
         Raises:
-            errors.IrisError: What the holder or this node's own fetch raised. A holder's error that this node
-                may still avoid at an origin is not raised. On an edge it may not where the holder got no
-                token: that one has asked the owners of all, and another holder may have a token of its own.
+            errors.IrisError: The holder or this node's own fetch raised it. Most errors of a holder make this
+                node fetch by itself, but a holder without a rate limit token is final for an edge: the holder
+                has asked all owners of tokens. Not so for a requesting holder, which may own a token itself.
         """
-        # A lookup that another holder sent is sent on to no further holder.
+        # A lookup that another holder sent is not forwarded to a further holder.
         if lookup.is_forwarded:
             return await fetch_own(remaining)
         holder = self.choose(lookup.route, lookup.service, lookup.key)
@@ -124,7 +124,7 @@
             self.context.clock, remaining, is_refusal_final=self.context.role != HOLDER_ROLE
         )
         read = holder_read.HolderRead(holder.identity.name, call, fetch_own, check_holder)
-        # The holder has it, so it is in flight until the very end.
+        # The holder works on the request, so it may stay in flight until the end of a drain.
         with self.context.drain_guard.answer_at_end(lambda: drain_guard.WorkState.WITHDRAWABLE):
             return await read.run(read_policy)
 
@@ -135,7 +135,7 @@
         remaining: float,
         cached: objects.CachedObject | None,
     ) -> holder_messages.ObjectRequest:
-        """Return the request for a lookup; see `fetch_from_holder`."""
+        """Return the object request to send to a holder; the arguments are those of `fetch_from_holder`."""
         return holder_messages.ObjectRequest(
             lookup.route.name,
             lookup.service,
@@ -155,10 +155,10 @@
         request: holder_messages.ObjectRequest,
         cached: objects.CachedObject | None,
     ) -> objects.CachedObject:
-        """Ask a holder for an object, and count a failure.
+        """Request an object from a holder, and count a failure.
 
         Raises:
-            errors.IrisError: The holder raised it, or the call failed.
+            errors.IrisError: The holder answered with an error, or the call failed.
         """
         sent_at = self.context.clock.now()
         name = holder.identity.name
@@ -178,11 +178,11 @@
         return holder_messages.object_from_wire(body, sent_at, cached)
 
     def pause_holder(self, name: str) -> None:
-        """Ask a holder for nothing more for a while."""
+        """Stop requesting objects from a holder for `AVOIDANCE_SECONDS`."""
         self.avoided[name] = self.context.clock.now() + AVOIDANCE_SECONDS
 
     def check_overdue_holder(self, holder: updates.Update, sent_at: float) -> events.HolderOverdue:
-        """Return how an overdue holder is, which was asked at a moment of the event loop's clock."""
+        """Return whether an overdue holder, asked at the time `sent_at`, is silent or declared failed."""
         name, address = holder.identity.name, holder.node_info.address
         is_silent = self.context.transport.is_silent(address, sent_at)
         if is_silent:
@@ -191,19 +191,18 @@
         is_failed = name not in {member.identity.name for member in self.context.members_of(HOLDER_ROLE)}
         return events.HolderOverdue(is_silent, is_failed)
 
-    # -- answering -----------------------------------------------------------------------------------
+    # -- serving ------------------------------------------------------------------------------------
     def serve(self, reader: object_reader.ObjectReader) -> None:
-        """Answer other nodes' requests by this reader from now on."""
+        """Start to serve other nodes' object requests, by reads through the given reader."""
         self.reader = reader
         self.context.transport.handlers[holder_messages.OBJECT_REQUEST_KIND] = self.on_object_request
 
     async def on_object_request(self, _: str, body: list[typing.Any]) -> tuple[typing.Any, ...]:
-        """Answer a request for an object.
+        """Answer an object request of another node.
 
         Raises:
-            errors.DrainingError: This node takes no new work.
-            errors.StaleConfigurationError: This node's configuration is not the one by which the other
-                judged.
+            errors.DrainingError: This node is shutting down and takes no new requests.
+            errors.StaleConfigurationError: This node's configuration is too old or has another route.
         """
         received_at = self.context.clock.now()
         message = holder_messages.ObjectRequest.from_wire(body)
@@ -213,36 +212,38 @@
         content = await typing.cast(object_reader.ObjectReader, self.reader).read(
             self.lookup_for(message), message.minimum_version
         )
-        # The asking node counts from its request on, so the time of this one's work must not count twice.
+        # The requesting node adds the time since its request to the age, so this node must not add it too.
         if message.cached_etag and content.ttl > 0 and object_reader.etag_of(content) == message.cached_etag:
             return holder_messages.NotModified.from_object(content, received_at).to_wire()
         return holder_messages.object_response(content, received_at)
 
     def lookup_for(self, message: holder_messages.ObjectRequest) -> object_reader.ObjectLookup:
-        """Return the lookup that a request asks for, if this node's routes allow it.
+        """Return the lookup for an object request, if this node's routes allow it.
 
         Raises:
-            errors.StaleConfigurationError: The route is another one here. By another version of it the
-                request could go where the asking node's version does not allow.
+            errors.StaleConfigurationError: This node has another route for the request, by which it could go
+                to an origin that the requesting node's route does not allow.
         """
         request = upstream_request.Request("GET", message.target, message.host, message.headers, b"")
         route = self.table.match(request.host, request.path)
         if route.name != message.route_name or not self.table.still_allows(route, message.service):
-            raise errors.StaleConfigurationError("the route is another one here")
+            raise errors.StaleConfigurationError("this holder's route is not that of the requesting node")
         return object_reader.ObjectLookup(
             route, str(message.service), request, message.max_wait, is_forwarded=message.is_from_holder
         )
 
     async def catch_up(self, applied: versions.Version) -> None:
-        """Wait until this node's configuration is at the version, or later.
+        """Wait until this node's configuration has at least the given version.
 
         Raises:
-            errors.StaleConfigurationError: It did not come in time, or a table is not known to be current.
+            errors.StaleConfigurationError: The version did not arrive in time, or a replica is not current.
         """
         started = self.context.clock.now()
         while self.context.configuration.applied < applied:
             if self.context.clock.now() - started > CATCH_UP_TIMEOUT_SECONDS:
-                raise errors.StaleConfigurationError("this holder is behind the edge")
+                raise errors.StaleConfigurationError(
+                    "this holder's configuration is older than that of the requesting node"
+                )
             await asyncio.sleep(CATCH_UP_INTERVAL_SECONDS)
         if not all(map(self.context.is_current, self.context.replicas.values())):
             raise errors.StaleConfigurationError("this holder's tables are not known to be current")
--- a/src/irisstand/dataplane/cache/object_reader.py
+++ b/src/irisstand/dataplane/cache/object_reader.py
@@ -1,4 +1,4 @@
-"""Reads objects for clients and other nodes: from the cache, from the object's holder, or from an origin."""
+"""Reads objects for clients and other nodes: from the cache, from an object holder, or from an origin."""
 
 import asyncio
 import collections.abc
@@ -14,7 +14,7 @@
 from irisstand.http1 import locations
 from irisstand.state import versions
 
-# These must not reach an origin, as the complete object is wanted for all clients.
+# Client headers that are not sent to an origin: the complete object must be fetched, for all clients.
 CONDITIONAL_HEADERS = frozenset(
     (
         "range",
@@ -26,7 +26,7 @@
         "accept-encoding",
     )
 )
-# With less time left, an object that was purged on its way is not fetched again.
+# With less time than this before the deadline, an object that was purged in flight is not fetched again.
 MIN_REMAINING_SECONDS = 0.02
 MIN_TIMEOUT_SECONDS = 0.01
 STATUS_OK = 200
@@ -38,10 +38,10 @@
 
     Attributes:
         route: The route of the request.
-        service: The service that the route chose.
+        service: The service that was picked from the route.
         request: The client's request.
         remaining: Seconds until the client's deadline.
-        is_forwarded: Whether a holder asks; then an origin is asked, and no other holder.
+        is_forwarded: Whether an object holder sent the read; then no other holder is asked, only an origin.
     """
 
     route: routes.Route
@@ -52,22 +52,22 @@
 
     @property
     def key(self) -> str:
-        """The key in caches, and for the choice of a holder."""
+        """The object's key in caches, and in the rendezvous hashing that chooses its holder."""
         host = locations.normal_host(self.request.host)
         return f"{self.service} {host}{self.request.target.decode('latin-1')}"
 
     @property
     def purge_path(self) -> str:
-        """The name under which the object can be purged."""
+        """The host and path by which the object can be purged."""
         return locations.location(self.request.host, self.request.path)
 
 
-# Fetches an object without a holder, within some seconds.
+# Fetches an object without asking a holder; takes the timeout in seconds.
 FetchOwn = collections.abc.Callable[
     [float], collections.abc.Coroutine[typing.Any, typing.Any, objects.CachedObject]
 ]
-# Fetches an object from its holder: the lookup, the minimum version, the seconds left, the object known here,
-# and what fetches it where no other node holds it, or the holder failed.
+# Fetches an object from its holder. Takes the lookup, the minimum ledger version, the seconds until the
+# deadline, the object in this node's cache, and the fetch to use where there is no holder or it failed.
 FetchFromHolder = collections.abc.Callable[
     [ObjectLookup, versions.Version, float, objects.CachedObject | None, FetchOwn],
     collections.abc.Coroutine[typing.Any, typing.Any, objects.CachedObject],
@@ -79,9 +79,9 @@
 
     Args:
         context: The node's context.
-        view: The configuration in force.
-        origins: Sends requests to origins.
-        fetch_from_holder: Fetches an object from its holder, if it has one.
+        view: The replicated configuration and purges.
+        origins: The client that sends requests to origins.
+        fetch_from_holder: Fetches an object from its holder, or without one where it has none.
     """
 
     def __init__(
@@ -102,15 +102,16 @@
     async def read(
         self, lookup: ObjectLookup, minimum_version: versions.Version = versions.NONE
     ) -> objects.CachedObject:
-        """Return an object that may be used now.
+        """Return an object that may be served now: neither expired nor purged.
 
         Args:
-            lookup: What is read.
-            minimum_version: Purges up to this version of the ledger are known to the asking node.
+            lookup: The object to read, and the deadline.
+            minimum_version: The oldest ledger version at which the object may have been fetched; the node
+                that sent the read knows of purges up to this version.
 
         Raises:
-            errors.DeadlineExceededError: No object that may still be used came within the deadline.
-            errors.IrisError: What the holder or the origins raised.
+            errors.DeadlineExceededError: No object that may be served arrived before the deadline.
+            errors.IrisError: The holder or the origins raised it.
         """
         deadline = self.context.clock.now() + lookup.remaining
         minimum = max(minimum_version, self.view.purged_at(lookup.purge_path, ()))
@@ -126,19 +127,21 @@
             )
             if fetched.ttl <= 0 or is_usable:
                 return fetched
-            # It was purged while it was in flight, and is fetched again within the same deadline.
+            # The object was purged or expired in flight, so it is fetched again within the same deadline.
             minimum = max(minimum, self.view.purged_at(lookup.purge_path, fetched.tags))
             if deadline - self.context.clock.now() < MIN_REMAINING_SECONDS:
-                raise errors.DeadlineExceededError("no answer was still good by the time that it came")
+                raise errors.DeadlineExceededError(
+                    "every object fetched before the deadline had been purged or had expired when it arrived"
+                )
 
     def usable_from_cache(
         self, lookup: ObjectLookup, minimum_version: versions.Version
     ) -> objects.CachedObject | None:
-        """Return the cached object, if it is neither expired nor purged."""
+        """Return the cached object if it is neither expired nor purged, else None."""
         cached = self.cache.get(lookup.key)
         if cached is None:
             return None
-        # The route's TTL counts, should it have been reduced since the fetch.
+        # If the route's TTL was reduced since the object was fetched, the reduced TTL applies.
         cached = cached._replace(ttl=min(cached.ttl, lookup.route.cache_life))
         is_usable = freshness_policy.is_usable(
             cached, lookup.purge_path, self.view, minimum_version, self.context.clock.now()
@@ -151,7 +154,7 @@
         """Fetch the object, or wait for an equal fetch that is in flight.
 
         Raises:
-            errors.DeadlineExceededError: It did not come within `remaining` seconds.
+            errors.DeadlineExceededError: The object did not arrive within `remaining` seconds.
         """
         deadline = self.context.clock.now() + remaining
         key = (lookup.key, minimum_version, lookup.is_forwarded)
@@ -163,16 +166,19 @@
                 async with asyncio.timeout(max(MIN_TIMEOUT_SECONDS, remaining_seconds)):
                     return await self.coalescer.join(key, fetch)
             except TimeoutError:
-                raise errors.DeadlineExceededError("no origin gave a whole answer in time") from None
+                raise errors.DeadlineExceededError(
+                    "no origin sent a complete response before the deadline"
+                ) from None
             except errors.DeadlineExceededError:
-                # The deadline of the request that began the fetch, which may have been an earlier one.
+                # A shared fetch ends at the deadline of the request that started it; this request may have
+                # time left, and then fetches again.
                 if not is_joined or deadline - self.context.clock.now() < MIN_REMAINING_SECONDS:
                     raise
 
     async def fetch(
         self, lookup: ObjectLookup, minimum_version: versions.Version, remaining: float
     ) -> objects.CachedObject:
-        """Fetch the object from its holder, or else from an origin, and keep it in the cache."""
+        """Fetch the object from its holder, or else from an origin, and cache it if it has a TTL."""
         cached = self.cache.get(lookup.key)
         fetch_own = functools.partial(self.fetch_from_origin, lookup, minimum_version, cached)
         with self.context.count_in_flight():
@@ -188,10 +194,11 @@
         cached: objects.CachedObject | None,
         remaining: float,
     ) -> objects.CachedObject:
-        """Fetch the object from an origin, or have the one that is known confirmed by it."""
+        """Fetch the object from an origin, or have the origin revalidate the cached one by its entity tag."""
         cached_etag = etag_of(cached)
         headers = headers_for_origin(lookup.request, cached_etag)
-        # Fetched from now on, so it has seen every purge that this node, or the asking one, knows of.
+        # The fetch begins now, so its object is newer than every purge that this node, or the node that sent
+        # the read, knows of.
         applied = max(self.context.ledger.applied, minimum_version)
         sent_at = self.context.clock.now()
         answer = await self.origins.fetch(lookup.route, lookup.service, lookup.request, headers, remaining)
@@ -206,7 +213,7 @@
     def object_from(
         self, answer: exchange.Answer, applied: versions.Version, sent_at: float, ttl: float
     ) -> objects.CachedObject:
-        """Make an object of an origin's answer; the id of the request that brought it is left out."""
+        """Make a cached object from an origin's response, without the header that repeats the request id."""
         names = self.header_names
         headers = tuple((name, value) for name, value in answer.headers.items() if name != names.request_id)
         tags = header_names.split_tags(names, answer.headers.get(names.tags, ""))
@@ -214,10 +221,10 @@
 
 
 def headers_for_origin(request: upstream_request.Request, cached_etag: str | None) -> list[tuple[str, str]]:
-    """Return the headers for a fetch of the complete object.
+    """Return the request headers for fetching the complete object from an origin.
 
-    An object that is expired or purged may still be the newest: with its entity tag the origin can confirm
-    that without sending the body.
+    A cached object that is expired or purged may still be the origin's current version: if its entity tag is
+    given, the origin can revalidate it without sending the body.
     """
     headers = [
         (name, value)
@@ -230,5 +237,5 @@
 
 
 def etag_of(content: objects.CachedObject | None) -> str | None:
-    """Return the object's entity tag, if there is an object and it has one."""
+    """Return the entity tag of an object; None if there is no object, or it has no tag."""
     return None if content is None else dict(content.headers).get("etag")
--- a/src/irisstand/dataplane/cache/objects.py
+++ b/src/irisstand/dataplane/cache/objects.py
@@ -1,4 +1,4 @@
-"""Objects: complete answers of origins that were checked, with what decides how long they may be used."""
+"""Cached objects: verified complete responses of origins, with the fields that decide their freshness."""
 
 import base64
 import hashlib
@@ -10,7 +10,7 @@
 
 CACHEABLE_STATUSES = (200, 404)
 PRIVATE_DIRECTIVES = ("no-store", "no-cache", "private")
-# The headers of an origin's answer that clients get.
+# The headers of an origin's response that are forwarded to clients.
 FORWARDED_HEADERS = (
     "content-type",
     "content-digest",
@@ -25,18 +25,18 @@
 
 
 class CachedObject(typing.NamedTuple):
-    """An object and its freshness.
+    """An origin's response, with what decides how long it may be served.
 
     Attributes:
         status: The HTTP status.
-        headers: Names in lower case with their values.
+        headers: Pairs of header name, in lower case, and value.
         body: The complete body.
-        applied: The ledger's applied version that was known when the fetch began; later purges strike the
-            object.
-        age: Seconds since the origin answered, at the moment `as_of`.
-        as_of: A moment of this node's clock.
-        ttl: Time to live in seconds; 0 for an object that may not be shared.
-        tags: The tags by which it can be purged.
+        applied: The applied version of the ledger when the fetch began; purges with a later version apply to
+            the object.
+        age: The object's age in seconds at the time `as_of`.
+        as_of: The time, by this node's clock, to which `age` refers.
+        ttl: The TTL in seconds; 0 for an object that must not be cached.
+        tags: The tags by which the object can be purged.
     """
 
     status: int
@@ -49,12 +49,12 @@
     tags: tuple[str, ...]
 
     def age_now(self, now: float) -> float:
-        """Return the age in seconds at a moment of this node's clock."""
+        """Return the object's age in seconds at the time `now` of this node's clock."""
         return self.age + now - self.as_of
 
 
 def to_wire(content: CachedObject, now: float) -> tuple[typing.Any, ...]:
-    """Return the fields in the order of the wire, with the age as it is now in place of its moment."""
+    """Return the fields of an object in wire order; they have its age at `now`, and no `as_of`."""
     return (
         content.status,
         content.headers,
@@ -70,12 +70,13 @@
     """Decode an object that another node sent.
 
     Args:
-        fields: What the codec decoded.
-        sent_at: When the request for it was sent; the age counts on from then, which adds up hop by hop.
+        fields: The fields of the object, as the codec decoded them.
+        sent_at: When the request for the object was sent. The received age is taken as the age at that time,
+            so that the time on the wire counts as age at every hop.
 
     Raises:
-        ValueError: There is another number of fields, or a field is malformed.
-        TypeError: A field that should be a sequence is none.
+        ValueError: The number of fields is wrong, or a field is malformed.
+        TypeError: A field that must be a sequence is not one.
     """
     status, headers, body, applied, age, ttl, tags = fields
     pairs = tuple((name, value) for name, value in headers)
@@ -84,7 +85,7 @@
 
 
 def digest_header(body: bytes) -> str:
-    """Return the Content-Digest of RFC 9530.
+    """Return the Content-Digest header value of a body (RFC 9530, SHA-256).
 
     >>> digest_header(b"")
     'sha-256=:47DEQpj8HBSa+/TImW+5JCeuQeRkm5NMpJWZG3hSuFU=:'
@@ -93,36 +94,36 @@
 
 
 def check_integrity(headers: dict[str, str], body: bytes, request_id: str) -> None:
-    """Check that an answer is complete and belongs to this request.
+    """Check that an origin's response is complete and belongs to the request.
 
     Args:
-        headers: The answer's headers, names in lower case.
-        body: The answer's body.
-        request_id: The request's id, which the answer must repeat.
+        headers: The response's headers, names in lower case.
+        body: The response's body.
+        request_id: The id of the request, which the response must repeat.
 
     Raises:
         errors.UnsealedResultError: The length, the digest or the request id does not match.
     """
     if headers.get("content-length") != str(len(body)):
-        raise errors.UnsealedResultError("the body's length is not the one declared")
+        raise errors.UnsealedResultError("the length of the response body does not match its Content-Length")
     if headers.get("content-digest") != digest_header(body):
-        raise errors.UnsealedResultError("the body does not match its Content-Digest")
+        raise errors.UnsealedResultError("the response body does not match its Content-Digest")
     if headers.get("x-request-id") != request_id:
-        raise errors.UnsealedResultError("the answer names another request")
+        raise errors.UnsealedResultError("the X-Request-Id of the response is not that of the request")
 
 
-def from_origin(  # noqa: PLR0913, PLR0917 - the parts of an answer, when it was asked for, and its TTL
+def from_origin(  # noqa: PLR0913, PLR0917 - the parts of a response, the time of its request, and its TTL
     status: int, headers: dict[str, str], body: bytes, applied: versions.Version, sent_at: float, ttl: float
 ) -> CachedObject:
-    """Make an object of an origin's answer.
+    """Make a cached object from an origin's response.
 
     Args:
-        status: The answer's status.
-        headers: The answer's headers, names in lower case.
-        body: The answer's body.
-        applied: The ledger's applied version when the fetch began.
+        status: The response's status.
+        headers: The response's headers, names in lower case.
+        body: The response's body.
+        applied: The applied version of the ledger when the fetch began.
         sent_at: When the request was sent.
-        ttl: The time to live by the configuration, in seconds.
+        ttl: The configured TTL in seconds.
     """
     tags = tuple(tag.strip() for tag in headers.get("cache-tag", "").split(",") if tag.strip())
     forwarded = tuple((name, headers[name]) for name in FORWARDED_HEADERS if name in headers)
@@ -131,15 +132,15 @@
 
 
 def allowed_ttl(status: int, headers: dict[str, str], ttl: float) -> float:
-    """Return the configured time to live, reduced by what the origin says (RFC 9111, section 5.2).
+    """Return the TTL of a response: the configured one, limited by Cache-Control (RFC 9111, section 5.2).
 
     Args:
-        status: The answer's status.
-        headers: The answer's headers, names in lower case.
-        ttl: The time to live by the configuration, in seconds.
+        status: The response's status.
+        headers: The response's headers, names in lower case.
+        ttl: The configured TTL in seconds.
 
     Returns:
-        Seconds; 0 for what may not be shared.
+        The TTL in seconds; 0 for a response that must not be cached for other clients.
 
     >>> allowed_ttl(200, {"cache-control": "max-age=5"}, 30)
     5.0
--- a/src/irisstand/dataplane/cache/ranges.py
+++ b/src/irisstand/dataplane/cache/ranges.py
@@ -1,4 +1,4 @@
-"""Single byte ranges of complete objects that name their first byte (RFC 9110, section 14)."""
+"""Range requests for one byte range that states its first byte (RFC 9110, section 14); others are ignored."""
 
 import re
 
@@ -10,10 +10,10 @@
 
 
 def apply(answer: exchange.Answer, headers: dict[str, str]) -> exchange.Answer:
-    """Return the range that a request asks for, or the complete answer where it asks for none that is known.
+    """Return the part of a response that the Range header selects, or all of it without a supported range.
 
     Args:
-        answer: The complete answer.
+        answer: The response with the complete object.
         headers: The request's headers, names in lower case.
 
     >>> answer = exchange.Answer(200, {"etag": "a"}, b"abcdef")
--- a/src/irisstand/dataplane/nodes/direct.py
+++ b/src/irisstand/dataplane/nodes/direct.py
@@ -1,4 +1,4 @@
-"""A node that reaches origins by itself: an edge (`direct`), or a `holder` of objects for such edges."""
+"""Nodes that connect to origins themselves: edges (role `direct`), and object holders (role `holder`)."""
 
 import typing
 
@@ -16,12 +16,12 @@
 
 
 class DirectNode:
-    """Answers clients' requests out of its cache, from object holders, or from origins.
+    """Answers clients' requests from its cache, from object holders, or from origins.
 
     Args:
         context: The node's context.
-        view: The configuration in force.
-        connect: Opens connections to origins.
+        view: The replicated configuration and purges.
+        connect: Opens a connection to an origin, by its host and port.
     """
 
     def __init__(
@@ -41,14 +41,14 @@
         self.holders.serve(self.reader)
 
     async def run(self) -> None:
-        """Probe origins that are down, until cancelled."""
+        """Probe unhealthy origin endpoints until cancelled."""
         await self.endpoints.run()
 
     async def handle(self, request: Request) -> exchange.Answer:
-        """Answer a client's request, which is judged by one version of its route.
+        """Answer a client's request by the route that it matches when it arrives.
 
         Raises:
-            errors.IrisError: The request is refused or failed.
+            errors.IrisError: The request is refused or has failed.
         """
         self.view.check_current()
         route = self.table.match(request.host, request.path)
@@ -64,17 +64,17 @@
             return await self.origins.fetch(route, service, request, headers, remaining)
 
     def remaining_seconds(self, request: Request, route: routes.Route) -> float:
-        """Return how long the client waits: what it says in whole milliseconds, up to the route's timeout."""
+        """Return the request's timeout: the route's, or the one in the client's header if that is shorter."""
         client_millis = grammar.whole_number(request.headers.get(self.header_names.remaining, ""))
         return route.timeout if client_millis is None else min(route.timeout, client_millis / MILLISECONDS)
 
     def answer_from_object(self, request: Request, content: objects.CachedObject) -> exchange.Answer:
-        """Answer a request with an object, or with the range of it that the client asks for.
+        """Return the response with an object, or with the byte range of it that the client requested.
 
         Raises:
-            errors.StaleConfigurationError: This node may no longer answer by its tables.
+            errors.StaleConfigurationError: This node's replicas are no longer current.
         """
-        # This node may have been paused or cut off while the object was on its way.
+        # This node may have been paused or partitioned while it waited for the object.
         self.view.check_current()
         headers = dict(content.headers)
         if self.header_names.request_id in request.headers:
@@ -82,18 +82,18 @@
         complete = exchange.Answer(content.status, headers, content.body)
         answer = ranges.apply(complete, request.headers) if content.status == STATUS_OK else complete
         if answer.status == ranges.RANGE_NOT_SATISFIABLE:
-            # This node's own refusal: the origin sealed another status.
+            # The 416 response is this node's own, so the origin's integrity header does not belong to it.
             answer.headers.pop(self.header_names.seal, None)
         return answer
 
 
 def connector(settings: node_settings.Settings) -> exchange.Connect:
-    """Return what opens real connections to origins, by the header names of the settings."""
+    """Return the function that opens network connections to origins, with the configured header names."""
     return exchange.connector(header_names.REGISTRY[settings.vocabulary].request_id)
 
 
 def create(
     context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot, connect: typing.Any
 ) -> DirectNode:
-    """Make the node; `connect` is None for real connections."""
+    """Create the node; `connect` opens connections to origins, and None stands for network connections."""
     return DirectNode(context, view, connect or connector(context.settings))
--- a/src/irisstand/dataplane/nodes/edge.py
+++ b/src/irisstand/dataplane/nodes/edge.py
@@ -1,7 +1,7 @@
-"""The edge, which clients talk to: reads go through its cache, writes go straight to a shield.
+"""The edge role, which clients connect to: reads go through its cache, writes go straight to a shield.
 
-A request goes down through `handle` (is this node fit to serve, and what does the configuration allow?),
-`read` or `write`, and the shield client; its result comes back the same way.
+A request passes `handle`, which checks that this node may serve and what the configuration allows, then
+`read` or `write`, then the shield client; its result returns the same way.
 """
 
 import functools
@@ -16,9 +16,9 @@
 from irisstand.state import versions
 
 READ_METHODS = ("GET", "HEAD")
-# A response to a request with one of these headers may be meant for its sender alone.
+# The response to a request with one of these headers may be meant for one client, so it is not cached.
 CREDENTIAL_HEADERS = ("authorization", "cookie")
-# These concern the client's connection or its own copy of the object, and are not sent on.
+# Headers that concern the client's connection or the client's own cache; they are not forwarded.
 DROPPED_HEADERS = (
     "host",
     "connection",
@@ -48,7 +48,7 @@
 
 
 class Result(typing.NamedTuple):
-    """The response to a client; `age` in seconds."""
+    """The response to a client, with the object's age in seconds."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -57,7 +57,7 @@
 
 
 class Edge:
-    """Answers clients' requests."""
+    """Answers clients' requests from its cache, or by way of shields."""
 
     def __init__(self, context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot) -> None:
         self.context = context
@@ -67,15 +67,17 @@
         self.shields = shield_client.ShieldClient(context, view)
 
     async def handle(self, request: Request) -> Result:
-        """Return the result for the client.
+        """Return the response to a client's request.
 
         Raises:
-            IrisError: the request is rejected; the client is shown the error as JSON.
+            IrisError: The request is rejected; the client gets the error as JSON.
         """
-        # A draining edge takes no new connection, but what comes on a kept one is answered as ever.
+        # A draining edge accepts no new connection, but still answers requests on the connections it has.
         self.view.check_current()
         if self.view.is_evacuated(self.context.settings.site):
-            raise errors.SiteEvacuatedError(f"site {self.context.settings.site} takes no new work")
+            raise errors.SiteEvacuatedError(
+                f"site {self.context.settings.site} is evacuated and takes no new requests"
+            )
         self.context.load_gauge.record()
         allowed = self.view.authorize(request.method, request.path, request.query)
         self.context.counters.add("requests", method=request.method)
@@ -105,14 +107,15 @@
             self.context.counters.add("cache", at="edge", result="miss")
         fetched = await self.fetch(read, minimum_version, freshness)
         if read.is_shared and fetched.content.ttl > 0:
-            # Under the service that answered: the shield may have heard of a change before this node.
+            # Cached under the service that answered: the shield's configuration may be newer than this
+            # node's.
             self.cache.put(self.cache_key(fetched.service, read), fetched.content)
         return self.result_from(request, fetched.content)
 
     def shield_read(self, allowed: snapshot.AllowedRequest, request: Request) -> shield_client.Read:
-        """Return what is sent on of a read."""
+        """Return the read to send to a shield, with the headers that may be forwarded."""
         is_shared = not any(name in request.headers for name in CREDENTIAL_HEADERS)
-        # Only headers that the configuration names may change a shared response, so only they are sent on.
+        # A shared response may depend only on headers that the configuration names; only they are forwarded.
         varied = {name.lower() for name in allowed.vary}
         headers = {
             name: value
@@ -122,11 +125,11 @@
         return shield_client.Read(allowed, request.path, request.query, headers, is_shared)
 
     def cache_key(self, service: str, read: shield_client.Read) -> str:
-        """Return the key under which a shared object is cached."""
+        """Return the cache key of a shared object: its service, path, query and forwarded headers."""
         return repr((service, read.path, read.query, sorted(read.headers.items())))
 
     def is_usable(self, cached: objects.CachedObject, path: str, minimum_version: versions.Version) -> bool:
-        """Whether a cached object may be given out now."""
+        """Return whether a cached object may be served now: neither expired nor purged."""
         now = self.context.clock.now()
         return freshness_policy.is_usable(cached, path, self.view, minimum_version, now)
 
@@ -136,7 +139,7 @@
         minimum_version: versions.Version,
         freshness: freshness_policy.FreshnessPolicy,
     ) -> messages.ReadResult:
-        """Fetch an object until it is fit to be given out, within the one deadline of the read."""
+        """Fetch an object, again if it expired or was purged in flight, until the deadline of the read."""
         while True:
             try:
                 fetched = await self.fetch_once(read, minimum_version, freshness.deadline)
@@ -155,9 +158,9 @@
     async def fetch_once(
         self, read: shield_client.Read, minimum_version: versions.Version, deadline: float
     ) -> messages.ReadResult:
-        """Fetch an object; reads of one shared object at the same time share the fetch."""
+        """Fetch an object once; concurrent reads of the same shared object share the fetch."""
         fetch = functools.partial(self.shields.read, read, minimum_version, deadline)
-        # A response that may be meant for one client alone is fetched for it alone.
+        # A response that may be meant for one client is not shared with other requests.
         if not read.is_shared:
             return await fetch()
         key = (self.cache_key(read.allowed.service, read), minimum_version)
@@ -165,8 +168,8 @@
         return fetched
 
     def result_from(self, request: Request, content: objects.CachedObject) -> Result:
-        """Return the object as a result, if this node may still answer the request."""
-        # This node may have been paused or cut off while the response was on its way.
+        """Return the response with an object, if this node may still answer the request."""
+        # This node may have been paused or partitioned while it waited for the response.
         self.view.check_current()
         self.view.authorize(request.method, request.path, request.query)
         return Result(
@@ -174,7 +177,7 @@
         )
 
     async def write(self, allowed: snapshot.AllowedRequest, request: Request) -> Result:
-        """Answer a write by way of a shield."""
+        """Return the response to a write, which is sent to a shield."""
         headers = {name: value for name, value in request.headers.items() if name not in DROPPED_HEADERS}
         write = shield_client.Write(
             allowed, request.method, request.path, request.query, headers, request.body
@@ -185,5 +188,5 @@
 def create(
     context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot, connect: typing.Any
 ) -> Edge:
-    """Make the edge of a node; `connect` is not used, as edges do not reach origins."""
+    """Create the edge of a node; `connect` is not used, as this role does not connect to origins."""
     return Edge(context, view)
--- a/src/irisstand/dataplane/nodes/shield.py
+++ b/src/irisstand/dataplane/nodes/shield.py
@@ -1,8 +1,8 @@
-"""The shield: takes reads and writes from edges, and is the only role that sends them to origins.
+"""The shield role: it receives reads and writes from nodes of role `edge`, and sends them to origins.
 
-A request goes down through `on_read` or `on_write`, `admit` (is this node fit to serve, and what does the
-configuration allow?), for reads the cache and the store, and the origin client; its result comes back the
-same way.
+A request passes `on_read` or `on_write`, then `admit`, which checks that this node may serve and what the
+configuration allows, for reads the cache and the store, then the origin client; its result returns the same
+way.
 """
 
 import asyncio
@@ -27,8 +27,8 @@
 from irisstand.dataplane.upstream import connections, origin_client, origin_pool
 from irisstand.state import versions
 
-# Of the traffic, what shields may add to it by retries. With the edges' part this stays under the fifth that
-# is allowed over the whole fleet.
+# Retries of shields as a fraction of first attempts. With the fraction of the edges (0.07) this stays under
+# the fifth that is allowed over the whole fleet.
 RETRY_SHARE = 0.10
 RETRY_ALLOWANCE = 1
 CATCH_UP_TIMEOUT_SECONDS = 1.0
@@ -38,14 +38,14 @@
 
 
 class Admitted(typing.NamedTuple):
-    """What a request that this shield took up may do, and the seconds that it has left."""
+    """What the configuration allows for an admitted request, and the seconds until its deadline."""
 
     allowed: snapshot.AllowedRequest
     remaining_seconds: float
 
 
 class Shield:
-    """Answers edges' reads and writes."""
+    """Answers reads and writes of edges from its cache, from stores and from origins."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         context.transport.handlers[messages.RequestKind.WRITE] = self.on_write
 
     async def on_read(self, _: str, body: typing.Any) -> tuple[typing.Any, ...]:
-        """Answer an edge's read."""
+        """Answer a read that an edge sent."""
         request = messages.ReadRequest.from_wire(body)
         allowed, remaining = await self.admit(request)
         with self.context.count_in_flight():
@@ -74,11 +74,11 @@
             return messages.ReadResult(allowed.service, content).to_wire(self.context.clock.now())
 
     async def on_write(self, _: str, body: typing.Any) -> tuple[typing.Any, ...]:
-        """Answer an edge's write."""
+        """Answer a write that an edge sent."""
         request = messages.WriteRequest.from_wire(body)
         allowed, remaining = await self.admit(request)
         with self.context.count_in_flight():
-            # The deadline begins now: claiming the key is part of the request's time.
+            # The deadline runs from here on, so that claiming the idempotency key counts towards it.
             retry_policy: WritePolicy = write_policy.ShieldWritePolicy(self.context.clock, allowed, remaining)
             origin_request = origin_client.OriginRequest(
                 request.method, request.target, dict(request.headers), request.content, request.request_id
@@ -87,23 +87,25 @@
             return tuple(await self.idempotency_keys.run_once(allowed, origin_request, write))
 
     async def admit(self, request: messages.ReadRequest | messages.WriteRequest) -> Admitted:
-        """Take up a request that an edge judged by a configuration at `request.applied_version`.
+        """Admit a request that an edge authorized by the configuration version `request.applied_version`.
 
         Raises:
-            DrainingError: this shield is shutting down.
-            StaleConfigurationError: this shield's tables are not current, or older than the edge's.
-            IrisError: the configuration does not allow the request.
+            DrainingError: This shield is shutting down.
+            StaleConfigurationError: This shield's replicas are not current, or older than the edge's.
+            IrisError: The configuration does not allow the request.
         """
         started = self.context.clock.now()
         if self.context.is_draining:
             raise errors.DrainingError("this shield is shutting down")
         self.context.load_gauge.record()
-        # The edge may have received a change first. Judged by the older entries, its request would go where
-        # the newer ones do not allow; so this waits for the table rather than answer from the past.
+        # The edge may have a newer configuration, by which the request must not go where an older one allows.
+        # So the shield waits until its replica has the edge's version.
         while self.context.configuration.applied < request.applied_version:
             waited = self.context.clock.now() - started
             if waited > min(CATCH_UP_TIMEOUT_SECONDS, request.remaining_seconds / 2):
-                raise errors.StaleConfigurationError("this shield is behind the edge")
+                raise errors.StaleConfigurationError(
+                    "this shield's configuration is older than that of the edge"
+                )
             await asyncio.sleep(CATCH_UP_POLL_SECONDS)
         self.view.check_current()
         remaining = request.remaining_seconds - (self.context.clock.now() - started)
@@ -112,11 +114,11 @@
     async def read(
         self, allowed: snapshot.AllowedRequest, request: messages.ReadRequest, remaining: float
     ) -> objects.CachedObject:
-        """Return an object from the cache, from a store or from an origin."""
+        """Return an object from this shield's cache, from a store or from an origin."""
         if not request.is_shared:
             return await self.fetch(allowed, request, remaining)
         key = repr((allowed.service, request.path, request.query, sorted(request.headers.items())))
-        # The newest purge known to the edge counts here too, though this node may not have received it.
+        # The newest purge that the edge knows applies here too, though this node may not have received it.
         minimum_version = max(request.minimum_version, self.view.purged_at(request.path, ()))
         cached = self.cache.get(key)
         if cached is not None:
@@ -131,14 +133,14 @@
         return fetched
 
     def is_usable(self, cached: objects.CachedObject, path: str, minimum_version: versions.Version) -> bool:
-        """Whether a cached object may be given out now."""
+        """Return whether a cached object may be served now: neither expired nor purged."""
         now = self.context.clock.now()
         return freshness_policy.is_usable(cached, path, self.view, minimum_version, now)
 
     async def read_through_store(
         self, key: str, allowed: snapshot.AllowedRequest, request: messages.ReadRequest, remaining: float
     ) -> objects.CachedObject:
-        """Return a shared object from its store or from an origin, and keep it."""
+        """Return a shared object from its store, or else from an origin, and cache it."""
         store = self.stores.store_for(key)
         started = self.context.clock.now()
         if store is not None:
@@ -157,14 +159,14 @@
     async def fetch(
         self, allowed: snapshot.AllowedRequest, request: messages.ReadRequest, remaining: float
     ) -> objects.CachedObject:
-        """Return an object from an origin."""
+        """Return an object that is fetched from an origin."""
         retry_policy = read_policy.ShieldReadPolicy(self.context.clock, allowed, remaining, self.budget)
         origin_request = origin_client.OriginRequest(
             "GET", request.target, request.headers, b"", request.request_id
         )
 
         async def attempt(_: actions.SendAttempt) -> forwarding_policy.ToOriginEvent[objects.CachedObject]:
-            # Fetched from now on, so at least as new as all that this node or the edge has received.
+            # The fetch begins now, so its object is newer than every purge that this node or the edge knows.
             applied = max(self.context.ledger.applied, request.minimum_version)
             sent_at = self.context.clock.now()
             event = await self.origin_client.attempt(allowed, origin_request, retry_policy)
@@ -195,5 +197,5 @@
 def create(
     context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot, connect: typing.Any
 ) -> Shield:
-    """Make the shield of a node; `connect` opens connections to origins, None stands for real ones."""
+    """Create the shield of a node; `connect` opens connections to origins, None stands for network ones."""
     return Shield(context, view, connect or connections.open_http)
--- a/src/irisstand/dataplane/nodes/shield_client.py
+++ b/src/irisstand/dataplane/nodes/shield_client.py
@@ -1,4 +1,4 @@
-"""What an edge sends to shields: reads and writes, each to one shield after another as its policy decides."""
+"""The edge's client for shields: sends a request to one shield after another, as its policy decides."""
 
 import asyncio
 import functools
@@ -14,10 +14,10 @@
 from irisstand.membership import updates
 from irisstand.state import versions
 
-# Of the traffic, what edges may add to it by retries; shields have a part of their own.
+# Retries of edges as a fraction of first attempts; shields have a budget of their own.
 RETRY_SHARE = 0.07
 RETRY_ALLOWANCE = 1
-# How often a popular object is read from the second shield in place of the first.
+# The probability that a popular object is read from the second shield instead of the first.
 SECOND_SHIELD_PROBABILITY = 0.5
 
 ResultT = typing.TypeVar("ResultT")
@@ -25,7 +25,7 @@
 
 
 class Read(typing.NamedTuple):
-    """One read at an edge: what the configuration allows it, and what is sent on of it."""
+    """A read at an edge: what the configuration allows for it, and the fields that are sent to a shield."""
 
     allowed: snapshot.AllowedRequest
     path: str
@@ -35,7 +35,7 @@
 
 
 class Write(typing.NamedTuple):
-    """One write at an edge: what the configuration allows it, and what is sent on of it."""
+    """A write at an edge: what the configuration allows for it, and the fields that are sent to a shield."""
 
     allowed: snapshot.AllowedRequest
     method: str
@@ -46,7 +46,7 @@
 
 
 class ShieldClient:
-    """Sends the requests of one edge to shields."""
+    """Sends the reads and writes of one edge to shields."""
 
     def __init__(self, context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot) -> None:
         self.context = context
@@ -58,17 +58,17 @@
     async def read(
         self, read: Read, minimum_version: versions.Version, deadline: float
     ) -> messages.ReadResult:
-        """Read an object that was fetched at `minimum_version` or later.
+        """Return an object that was fetched at the ledger version `minimum_version` or later.
 
         Raises:
-            IrisError: no shield gave the object before `deadline`.
+            IrisError: No shield returned the object before `deadline`.
         """
         self.budget.record_first_attempt()
         shields = self.shields_for_read(read.allowed.service, f"{read.path}?{read.query}")
         retry_policy: read_policy.EdgeReadPolicy[messages.ReadResult] = read_policy.EdgeReadPolicy(
             self.context.clock, read.allowed, shields, self.budget, deadline
         )
-        # One id for all attempts, so that an origin's record shows retries for what they are.
+        # All attempts have the same id, so that the request log of an origin shows which ones are retries.
         request = messages.ReadRequest(
             request_id=self.new_request_id(),
             method="GET",
@@ -89,7 +89,7 @@
         retry_policy: read_policy.EdgeReadPolicy[messages.ReadResult],
         action: actions.SendToShield,
     ) -> Event[messages.ReadResult]:
-        """Make one attempt of a read at one shield."""
+        """Send one attempt of a read to one shield, and return its outcome as an event."""
         current = request._replace(
             remaining_seconds=action.timeout_seconds, applied_version=self.context.configuration.applied
         )
@@ -106,7 +106,7 @@
         request: messages.ReadRequest,
         retry_policy: read_policy.EdgeReadPolicy[messages.ReadResult],
     ) -> Event[typing.Any]:
-        """Call a shield, but leave it when it is suspected: one that lost its power closes no connection."""
+        """Call a shield, but give up when it is suspected: one that lost power closes no connection."""
         suspicion = self.suspicion_watcher.watch(action.shield.identity)
         call = asyncio.get_running_loop().create_task(
             self.call(action, messages.RequestKind.READ, request.to_wire())
@@ -114,7 +114,7 @@
         try:
             await asyncio.wait([call, suspicion], return_when=asyncio.FIRST_COMPLETED)
             if not call.done() and retry_policy.may_leave_shield():
-                error = errors.NotSentError("the shield is suspected to have failed")
+                error = errors.NotSentError("the failure detector suspects the shield that was asked")
                 return events.AttemptFailed(error, action.shield.identity.name)
             return await call
         finally:
@@ -122,7 +122,7 @@
             call.cancel()
 
     def shields_for_read(self, service: str, key: str) -> list[updates.Update]:
-        """Return the shields in order; for a popular object the first two take turns, if both can."""
+        """Return the shields in order; a popular object's first two swap at random if both can serve it."""
         shields = self.view.shields(service, key)
         if not self.popularity.record(key) or len(shields) <= 1:
             return shields
@@ -135,11 +135,11 @@
         return shields
 
     async def write(self, write: Write) -> messages.WriteResult:
-        """Send a write on, at most once.
+        """Send a write to shields, so that it runs at most once, and return its result.
 
         Raises:
-            OutcomeUnknownError: the write may have run.
-            IrisError: the write has not run.
+            OutcomeUnknownError: The write may have run.
+            IrisError: The write has not run.
         """
         request_id = self.new_request_id()
         key = write.headers.get("idempotency-key", request_id)
@@ -163,11 +163,11 @@
     async def send_write(
         self, request: messages.WriteRequest, action: actions.SendToShield
     ) -> Event[messages.WriteResult]:
-        """Make one attempt of a write at one shield."""
+        """Send one attempt of a write to one shield, and return its outcome as an event."""
         current = request._replace(
             remaining_seconds=action.timeout_seconds, applied_version=self.context.configuration.applied
         )
-        # A write is meant for the process that was chosen: one started anew in its place rejects it.
+        # Only the chosen incarnation of the process may accept the write: a restarted process rejects it.
         incarnation_id = action.shield.identity.incarnation_id
         event = await self.call(action, messages.RequestKind.WRITE, current.to_wire(), incarnation_id)
         if isinstance(event, events.AttemptFailed):
@@ -182,7 +182,7 @@
         body: tuple[typing.Any, ...],
         incarnation_id: str = "",
     ) -> Event[typing.Any]:
-        """Call one shield; with `incarnation_id`, only that incarnation of the process may answer."""
+        """Call one shield; with `incarnation_id`, any other incarnation of its process rejects the call."""
         shield = action.shield
         name = shield.identity.name
         try:
@@ -195,5 +195,5 @@
         return events.ResponseReceived(reply, name)
 
     def new_request_id(self) -> str:
-        """Return an id that no other request has."""
+        """Return a new unique request id."""
         return f"{self.context.settings.name}-{self.context.randomness.getrandbits(64):016x}"
--- a/src/irisstand/dataplane/nodes/store.py
+++ b/src/irisstand/dataplane/nodes/store.py
@@ -1,4 +1,4 @@
-"""The store: a shared cache in memory that shields ask before they ask an origin."""
+"""The store role: a shared in-memory cache that shields query before they send a read to an origin."""
 
 import typing
 
@@ -10,11 +10,11 @@
 
 
 class StoreNode:
-    """Keeps objects for shields, and hands them out while they are neither expired nor purged.
+    """Caches objects for shields, and returns them while they are neither expired nor purged.
 
     Args:
-        context: The node's context; its transport gets the handlers.
-        view: The configuration in force.
+        context: The node's context; the message handlers are registered at its transport.
+        view: The replicated configuration and purges.
     """
 
     def __init__(self, context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot) -> None:
@@ -25,10 +25,10 @@
         context.transport.handlers[messages.RequestKind.STORE_PUT] = self.on_put
 
     async def on_get(self, _: str, body: typing.Any) -> tuple[typing.Any, ...]:
-        """Answer with the object of a key; empty if there is none that may be used.
+        """Return the object of a key in wire form; empty if there is none that may be served.
 
         Raises:
-            errors.StaleConfigurationError: This node may not answer by its tables.
+            errors.StaleConfigurationError: This node's replicas are not current.
         """
         lookup = messages.StoreLookup.from_wire(body)
         now = self.context.clock.now()
@@ -45,21 +45,21 @@
         return objects.to_wire(cached, now)
 
     async def on_put(self, _: str, body: typing.Any) -> tuple[typing.Any, ...]:
-        """Keep an object under its key."""
+        """Cache an object that a shield sent, unless the cached one was fetched at a newer ledger version."""
         deposit = messages.StoreDeposit.from_wire(body, self.context.clock.now())
         cached = self.cache.get(deposit.key)
-        # Two shields may have fetched it: what was fetched at the newer version of the ledger stays.
+        # Two shields may have fetched the object: the one fetched at the newer ledger version is kept.
         if cached is None or cached.applied <= deposit.content.applied:
             self.cache.put(deposit.key, deposit.content)
         return ()
 
     def count(self, result: str) -> None:
-        """Count a request by its result."""
+        """Count a lookup by its result, the label of the counter."""
         self.context.counters.add("cache", at="store", result=result)
 
 
 def create(
     context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot, _connect: typing.Any
 ) -> StoreNode:
-    """Make the node; a store connects to no origin."""
+    """Create the node; the connection opener is not used, as a store connects to no origin."""
     return StoreNode(context, view)
--- a/src/irisstand/dataplane/nodes/store_client.py
+++ b/src/irisstand/dataplane/nodes/store_client.py
@@ -1,4 +1,4 @@
-"""What a shield asks of stores: objects that another shield has fetched before."""
+"""The shield's client for stores, which cache the objects that shields have fetched."""
 
 from irisstand import errors, node_context
 from irisstand.balancing import rendezvous
@@ -14,14 +14,14 @@
 
 
 class StoreClient:
-    """Looks objects up in stores and puts them there; without a store a read goes to an origin."""
+    """Looks up objects in stores and adds them; a read that no store answers goes to an origin."""
 
     def __init__(self, context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot) -> None:
         self.context = context
         self.view = view
 
     def store_for(self, key: str) -> updates.Update | None:
-        """Return the store that keeps the object of this key, by rendezvous hashing."""
+        """Return the store that rendezvous hashing chooses for a key; None if no store is alive."""
         stores = self.context.members_of("store")
         alive = {update.identity.name: update for update in stores if not update.state}
         names = rendezvous.ranked(key, [(name, 1.0) for name in alive])
@@ -30,7 +30,7 @@
     async def get(
         self, store: updates.Update, key: str, path: str, minimum_version: versions.Version
     ) -> objects.CachedObject | None:
-        """Return the object if the store has it and it may be given out now."""
+        """Return the object if the store has it and it may be served now, else None; failures are counted."""
         sent_at = self.context.clock.now()
         lookup = messages.StoreLookup(key, path, minimum_version)
         try:
@@ -51,7 +51,7 @@
         return None
 
     async def put(self, store: updates.Update, key: str, content: objects.CachedObject) -> None:
-        """Keep an object in the store; a failure is counted and otherwise ignored."""
+        """Add an object to a store; a failure is counted and otherwise ignored."""
         deposit = messages.StoreDeposit(key, content)
         try:
             await self.context.transport.call(
--- a/src/irisstand/dataplane/ratelimit/__init__.py
+++ b/src/irisstand/dataplane/ratelimit/__init__.py
@@ -1,1 +1,1 @@
-"""Rate limits over the whole fleet: the quota share that a node owns, and tokens leased from other owners."""
+"""Fleet-wide rate limits: the quota share that a node owns, and tokens leased from other owners."""
--- a/src/irisstand/dataplane/ratelimit/quota_share.py
+++ b/src/irisstand/dataplane/ratelimit/quota_share.py
@@ -1,6 +1,7 @@
-"""The quota share that this node owns: of each service's rate limit, and of what a cold origin may get.
+"""The quota share that this node owns of fleet-wide limits: service rates, and requests to cold origins.
 
-The ledger records the units of each owner (`irisstand.balancing.rate_quota`). See docs/control/ceilings.md.
+The ledger records the units of the quota that each node owns (`irisstand.balancing.rate_quota`). See
+docs/control/ceilings.md.
 """
 
 import collections.abc
@@ -9,22 +10,24 @@
 from irisstand import node_context
 from irisstand.balancing import rate_limiter, rate_quota, sliding_window
 
-# A limit has the name of its service, or this prefix and the instance name of a cold origin.
+# A limit is named by its service, or by this prefix and the instance name of a cold origin.
 COLD_PREFIX = "cold "
-# After a start it is not known what the earlier process sent: no cold origin gets anything for this time.
+# For this time after its start a process issues no tokens for cold origins, as it does not know how many an
+# earlier process of the node issued just before.
 SETTLING_SECONDS = 3.0
-# A token for a cold origin counts for the second of its limit, the time of a lease, and the way there.
+# How long a token for a cold origin counts against the limit: the one-second window of the limit, the time of
+# a lease, and the time that the request takes to reach the origin.
 COLD_WINDOW_SECONDS = 1.25
 
 LimitLookup = collections.abc.Callable[[str], float | None]
 
 
 class OwnedQuota:
-    """Tokens under the limits, within the share that this node owns.
+    """Issues tokens of fleet-wide limits, within the quota share that this node owns.
 
     Args:
         context: The node's context.
-        limit_of: Returns the limit over all nodes by its name, in requests per second; None without a limit.
+        limit_of: Returns a fleet-wide limit by its name, in requests per second; None if there is no limit.
     """
 
     def __init__(self, context: node_context.NodeContext, limit_of: LimitLookup) -> None:
@@ -35,15 +38,15 @@
         self.cold_windows: dict[str, sliding_window.SlidingWindow] = {}
 
     def units(self) -> dict[str, int]:
-        """Return the recorded units by owner."""
+        """Return the quota units that the ledger records, by the owner's node name."""
         row = self.context.ledger.value(rate_quota.ITEM_KEY)
         return row["units"] if row else {}
 
     def share_of(self, name: str) -> float:
         """Return this node's share of a limit, in requests per second.
 
-        It is 0 where the node's replica of the ledger has not been confirmed for too long: another node may
-        own the share by now.
+        The share is 0 if the node's replica of the ledger was not confirmed for `USABLE_SECONDS`: by then it
+        may have been given to another node.
         """
         age = self.context.ledger.age(self.context.clock.now())
         limit = self.limit_of(name)
@@ -52,7 +55,7 @@
         return limit * self.units().get(self.context.settings.name, 0) / rate_quota.TOTAL_UNITS
 
     def rate_limiter(self, service: str) -> rate_limiter.RateLimiter:
-        """Return the limiter of a service's rate, which begins when this process did."""
+        """Return the rate limiter of a service; its tokens accrue from the start of this process."""
         limiter = self.rate_limiters.get(service)
         if limiter is None:
             limiter = rate_limiter.RateLimiter(self.context.clock, self.started_at)
@@ -60,7 +63,7 @@
         return limiter
 
     def window(self, name: str) -> sliding_window.SlidingWindow:
-        """Return the window of the tokens taken for a cold origin."""
+        """Return the sliding window that counts the tokens taken for a cold origin."""
         window = self.cold_windows.get(name)
         if window is None:
             window = sliding_window.SlidingWindow(self.context.clock, COLD_WINDOW_SECONDS)
@@ -68,7 +71,7 @@
         return window
 
     def seconds_until_token(self, name: str) -> float | None:
-        """Return how long until the next token; None where that is not known."""
+        """Return the seconds until this node's next token of a limit; None if it has none to expect."""
         if not name.startswith(COLD_PREFIX):
             return self.rate_limiter(name).seconds_until_token(self.share_of(name))
         if self.context.clock.now() - self.started_at < SETTLING_SECONDS:
@@ -76,14 +79,14 @@
         return 0.0 if self.window(name).count() < math.floor(self.share_of(name)) else None
 
     def take(self, name: str, max_wait: float) -> float | None:
-        """Take a token of a limit.
+        """Take a token of a limit from this node's share.
 
         Args:
             name: The limit's name.
             max_wait: The longest wait that the request accepts, in seconds.
 
         Returns:
-            Seconds until the request may leave, or None where no token was taken.
+            Seconds until the request may be sent, or None if no token was taken.
         """
         if not name.startswith(COLD_PREFIX):
             return self.rate_limiter(name).take(self.share_of(name), max_wait)
--- a/src/irisstand/dataplane/ratelimit/token_leases.py
+++ b/src/irisstand/dataplane/ratelimit/token_leases.py
@@ -1,9 +1,9 @@
-"""Tokens under limits over the whole fleet: of this node's own quota share, or leased from another owner.
+"""Tokens of fleet-wide rate limits: from this node's own quota share, or leased from another owner.
 
 Each request to an origin uses one token of exactly one owner. A leased token may be used for `LEASE_SECONDS`,
-counted by the borrower's own clock from before it asked. So in any window all nodes together start no more
-requests than the shares yield in the window and `LEASE_SECONDS` more, and the owners' short bursts. See
-docs/control/ceilings.md.
+by the borrower's clock, from the time when the borrower sent its request. So in any window all nodes together
+start no more requests than the shares yield in the window plus `LEASE_SECONDS`, plus the owners' short
+bursts. See docs/control/ceilings.md.
 """
 
 import asyncio
@@ -15,29 +15,29 @@
 from irisstand.membership import updates
 
 LEASE_SECONDS = 0.15
-# Tokens in one lease.
+# The largest number of tokens in one lease.
 TOKENS_PER_LEASE_LIMIT = 8
-# A token of this node's own that comes in so soon is waited for, and none is borrowed.
+# If this node's own next token accrues within this time, the request waits for it and none is borrowed.
 OWN_TOKEN_WAIT_SECONDS = 0.02
-# What a request waits for all owners together.
+# How long a request waits for leases, over all owners that are asked.
 BORROWING_TIMEOUT_SECONDS = 0.25
-# How long an owner is not asked: after a failed call, and after it had no token of the limit.
+# How long an owner is not asked after a failed call, and after it had no token of the limit.
 FAILED_OWNER_PAUSE_SECONDS = 4.0
 EMPTY_OWNER_PAUSE_SECONDS = 0.08
 ROUNDING_SECONDS = 1e-6
 LONG_AGO = -1e9
-# The name under which an owner is paused for all limits.
+# The limit name by which `paused_until` pauses an owner for all limits.
 ALL_LIMITS = ""
-# What a client is told to wait before it tries again.
+# The time in the Retry-After header of a response that refuses a request over the limit.
 RETRY_AFTER_SECONDS = 0.2
 
-# The kind of the request, and the first field of its response.
+# The message kind of a lease request, and the first field of its response.
 LEASE_REQUEST_KIND = "rate-places"
 LEASE_RESPONSE_KIND = "places"
 
 
 class LeaseRequest(typing.NamedTuple):
-    """Asks an owner for tokens of a limit; `max_wait` is the longest wait for a token, in seconds."""
+    """A request to an owner for tokens of a limit; `max_wait` is the longest wait for a token, in seconds."""
 
     limit_name: str
     token_count: int
@@ -45,54 +45,54 @@
 
     @classmethod
     def from_wire(cls, body: typing.Any) -> "LeaseRequest":
-        """Decode a request's body.
+        """Decode the body of a lease request.
 
         Raises:
             ValueError: A number is malformed.
-            TypeError: A field is of no type that can be converted.
+            TypeError: A field has a type that cannot be converted.
             IndexError: A field is missing.
         """
         return cls(str(body[0]), int(body[1]), float(body[2]))
 
     def to_wire(self) -> tuple[typing.Any, ...]:
-        """Encode the request's body."""
+        """Return the body of the request, the fields in wire order."""
         return tuple(self)
 
 
 class LeaseResponse(typing.NamedTuple):
-    """The leased tokens: for each the seconds until it may be used, counted from when it was leased."""
+    """The tokens that an owner leases: for each the seconds from the lease until it may be used."""
 
     waits: tuple[float, ...]
 
     @classmethod
     def from_wire(cls, body: typing.Any) -> "LeaseResponse":
-        """Decode a response.
+        """Decode the body of a lease response.
 
         Raises:
-            ValueError: A wait is no number, or the response is empty.
-            TypeError: The response is no sequence.
+            ValueError: A wait is not a number, or the response is empty.
+            TypeError: The response is not a sequence.
         """
         _, *waits = body
         return cls(tuple(float(wait) for wait in waits))
 
     def to_wire(self) -> tuple[typing.Any, ...]:
-        """Encode the response."""
+        """Return the body of the response: its kind, then the waits."""
         return (LEASE_RESPONSE_KIND, *self.waits)
 
 
 class LeasedToken(typing.NamedTuple):
-    """A token leased to this node: by its own clock, from when and until when it may be used."""
+    """A token leased to this node, with the times, by its own clock, between which it may be used."""
 
     usable_at: float
     expires_at: float
 
 
 class TokenLeases:
-    """Takes tokens for this node's requests, borrows them from owners, and lends its own.
+    """Takes tokens for this node's requests, leases tokens from other owners, and leases its own to them.
 
     Args:
-        context: The node's context; its transport gets the handler of lease requests.
-        limit_of: Returns the limit over all nodes by its name; None without a limit.
+        context: The node's context; the handler of lease requests is registered at its transport.
+        limit_of: Returns a fleet-wide limit by its name, in requests per second; None if there is no limit.
     """
 
     def __init__(self, context: node_context.NodeContext, limit_of: quota_share.LimitLookup) -> None:
@@ -101,13 +101,13 @@
         self.leased: dict[str, list[LeasedToken]] = {}
         self.waiting: collections.Counter[str] = collections.Counter()
         self.borrowing: dict[str, asyncio.Task[bool]] = {}
-        # Until when an owner is not asked, by its name and the limit's.
+        # The time until which an owner is not asked, by the owner's node name and the limit's name.
         self.paused_until: dict[tuple[str, str], float] = {}
         context.transport.handlers[LEASE_REQUEST_KIND] = self.on_lease_request
 
     # -- using ---------------------------------------------------------------------------------------
     def acquire(self, name: str, max_wait: float) -> float:
-        """Take a token of a limit.
+        """Take a token of a limit, this node's own or a leased one.
 
         Args:
             name: The limit's name.
@@ -117,7 +117,7 @@
             Seconds until the token may be used.
 
         Raises:
-            errors.LimitExceededError: The wait would be longer.
+            errors.LimitExceededError: No token may be used within `max_wait`.
         """
         wait = self.own_quota.take(name, min(max_wait, OWN_TOKEN_WAIT_SECONDS))
         if wait is not None:
@@ -128,27 +128,29 @@
             return max(0.0, usable[0].usable_at - self.context.clock.now())
         wait = self.own_quota.take(name, max_wait)
         if wait is None:
-            raise errors.LimitExceededError(f"{name} is at its ceiling", retry_after=RETRY_AFTER_SECONDS)
+            raise errors.LimitExceededError(
+                f"the rate limit of {name} is used up", retry_after=RETRY_AFTER_SECONDS
+            )
         return wait
 
     def usable_tokens(self, name: str, max_wait: float) -> list[LeasedToken]:
-        """Return the leased tokens that may be used within `max_wait`, and drop the expired ones."""
+        """Return the leased tokens that may be used within `max_wait` seconds, and drop the expired ones."""
         now = self.context.clock.now()
         tokens = self.leased.setdefault(name, [])
         tokens[:] = [token for token in tokens if now < token.expires_at]
         return [token for token in tokens if token.usable_at <= now + max_wait + ROUNDING_SECONDS]
 
     def has_token(self, name: str, max_wait: float, token_count: int = 1) -> bool:
-        """Tell whether a token of this node's own comes in within `max_wait`, or enough are leased to it."""
+        """Return whether this node has an own token within `max_wait` seconds, or enough leased ones."""
         own_wait = self.own_quota.seconds_until_token(name)
-        # The node's own next token costs no request and does not expire; others are leased only beyond it.
+        # The node's own next token needs no lease request and does not expire, so it is used first.
         if own_wait is not None and own_wait <= max(OWN_TOKEN_WAIT_SECONDS, max_wait):
             return True
         return len(self.usable_tokens(name, max_wait)) >= token_count
 
     # -- borrowing -----------------------------------------------------------------------------------
     async def wait_for_token(self, name: str, max_wait: float) -> None:
-        """Wait until this node has a token, or no owner that can be asked has one."""
+        """Wait until this node has a token of a limit, or no owner that can be asked has one."""
         deadline = self.context.clock.now() + BORROWING_TIMEOUT_SECONDS
         self.waiting[name] += 1
         try:
@@ -161,7 +163,7 @@
             self.waiting[name] -= 1
 
     def borrowing_task(self, name: str, max_wait: float) -> "asyncio.Task[bool]":
-        """Return the task that borrows tokens of the limit; all requests that wait for them share it."""
+        """Return the task that leases tokens of a limit; all requests that wait for that limit share it."""
         task = self.borrowing.get(name)
         if task is None or task.done():
             task = asyncio.get_running_loop().create_task(self.borrow(name, max_wait))
@@ -169,7 +171,7 @@
         return task
 
     async def borrow(self, name: str, max_wait: float) -> bool:
-        """Ask the owners one after the other, and return whether any leased a token."""
+        """Ask owners one after the other until one leases a token, and return whether one did."""
         deadline = self.context.clock.now() + BORROWING_TIMEOUT_SECONDS
         while self.context.clock.now() < deadline:
             owner = self.next_owner(name)
@@ -180,7 +182,7 @@
         return False
 
     def next_owner(self, name: str) -> updates.Update | None:
-        """Return a random owner that can be asked, of this site if there is one."""
+        """Return a random owner that is not paused, one of this site if there is any; None without one."""
         now = self.context.clock.now()
         units = self.own_quota.units()
         owners = [
@@ -195,7 +197,7 @@
         return self.context.randomness.choice(local_owners or owners) if owners else None
 
     async def borrow_from(self, owner: updates.Update, name: str, max_wait: float) -> bool:
-        """Ask one owner for tokens, and return whether it leased any."""
+        """Request tokens of a limit from one owner, and return whether it leased any."""
         owner_name = owner.identity.name
         asked_at = self.context.clock.now()
         request = LeaseRequest(name, max(1, min(TOKENS_PER_LEASE_LIMIT, self.waiting[name])), max_wait)
@@ -219,13 +221,13 @@
 
     # -- lending -------------------------------------------------------------------------------------
     async def on_lease_request(self, _: str, body: list[typing.Any]) -> tuple[typing.Any, ...]:
-        """Answer a lease request with tokens of this node's own share."""
+        """Answer another node's lease request with tokens of this node's own quota share."""
         request = LeaseRequest.from_wire(body)
         max_wait = max(0.0, min(request.max_wait, BORROWING_TIMEOUT_SECONDS))
         waits: list[float] = []
         if not self.context.is_draining:
             for _number in range(min(request.token_count, TOKENS_PER_LEASE_LIMIT)):
-                # Of the same bucket as this node's own requests, so that neither starves the other.
+                # Taken from the same bucket as the tokens of this node's requests, so that neither starves.
                 wait = self.own_quota.take(request.limit_name, max_wait)
                 if wait is None:
                     break
