--- a/tests/controlplane/test_rate_quota.py
+++ b/tests/controlplane/test_rate_quota.py
@@ -31,7 +31,7 @@
             self.core.history.append((self.core.context.clock.now(), value["units"]))
 
 
-class Core(direct_edge.Scene):
+class Core(direct_edge.DirectNodeHarness):
     """The ledger, and one holder of the duty after the other."""
 
     def __init__(self):
@@ -83,12 +83,12 @@
 def test_sites_have_equal_quota_shares_and_an_owner_that_is_back_soon_keeps_its_share():
     async def scene(core):
         for name, site in (("h1", "north"), ("h2", "north"), ("h3", "south")):
-            core.member(name, "holder", site)
+            core.add_member(name, "holder", site)
         await core.go_on(5)
         first = core.units()
         core.lose("h3")
         await core.go_on(4)
-        core.member("h3", "holder", "south")
+        core.add_member("h3", "holder", "south")
         await core.go_on(30)
         return first, core.units()
 
@@ -99,7 +99,7 @@
 def test_the_quota_share_of_a_lost_owner_is_given_out_only_after_the_owner_has_certainly_stopped():
     async def scene(core):
         for name in ("h1", "h2"):
-            core.member(name, "holder")
+            core.add_member(name, "holder")
         await core.go_on(5)
         core.lose("h2")
         await core.go_on(60)
@@ -116,13 +116,13 @@
         luck = random.Random(seed)
         names = [f"holder-{number}" for number in range(8)]
         for name in names[:5]:
-            core.member(name, "holder", luck.choice(["north", "south"]))
+            core.add_member(name, "holder", luck.choice(["north", "south"]))
         for _ in range(40):
             kind = luck.choice(["lose", "lose", "come", "come", "holder", "nothing"])
             if kind == "lose":
                 core.lose(luck.choice(names))
             elif kind == "come":
-                core.member(luck.choice(names), "holder", luck.choice(["north", "south"]))
+                core.add_member(luck.choice(names), "holder", luck.choice(["north", "south"]))
             elif kind == "holder":
                 core.change_holder(luck.choice([0.0, 0.5, 3.0]))
             await core.go_on(luck.uniform(0.5, 14))
@@ -137,10 +137,10 @@
 def test_nothing_is_given_out_while_the_member_list_is_still_filling():
     async def scene(core):
         for number in range(1, 9):
-            core.member(f"holder-{number}", "holder", f"site-{number % 4}")
+            core.add_member(f"holder-{number}", "holder", f"site-{number % 4}")
             for edge in range(10 if number == 1 else 0):
                 for site in range(4):
-                    core.member(f"edge-{site}-{edge}", "direct", f"site-{site}")
+                    core.add_member(f"edge-{site}-{edge}", "direct", f"site-{site}")
             await core.go_on(0.6)
         await core.go_on(rate_placement.STABLE_SECONDS + 1.0)
         return core.units()
@@ -152,8 +152,8 @@
     async def scene(core):
         core.context.settings = core.context.settings._replace(holder_edges=5.0)
         for number in range(8):
-            core.member(f"fetching-{number}", "direct", f"site-{number % 4}")
-            core.member(f"holder-{number}", "holder", f"site-{number % 4}")
+            core.add_member(f"fetching-{number}", "direct", f"site-{number % 4}")
+            core.add_member(f"holder-{number}", "holder", f"site-{number % 4}")
         await core.go_on(rate_placement.STABLE_SECONDS + 2.0)
         return core.units()
 
--- a/tests/dataplane/test_client_departures.py
+++ b/tests/dataplane/test_client_departures.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from departing_clients import play
+from departing_clients import run_scenario
 from direct_edge import UPSTREAM
 
 from irisstand import errors
@@ -21,106 +21,108 @@
 @pytest.mark.parametrize("path", ["/reads/1", "/objects/1"])
 @pytest.mark.parametrize(("seconds", "attempts"), [(BEFORE_HEDGE, 1), (AFTER_HEDGE, 2)])
 def test_read_is_withdrawn_from_its_origins_when_its_client_leaves(path, seconds, attempts):
-    async def scene(stage):
-        await stage.visit(path, seconds)
+    async def scenario(harness):
+        await harness.request_and_disconnect(path, seconds)
         left_at = now()
         await asyncio.sleep(2)
-        return [run.ended_at - left_at for run in stage.origins.runs], stage.origins.cut()
+        return [run.ended_at - left_at for run in harness.origins.runs], harness.origins.cancelled()
 
-    ended, cut = play(scene)
+    ended, cut = run_scenario(scenario)
     assert cut == [True] * attempts
     assert max(ended) < 0.001
 
 
 @pytest.mark.parametrize("path", ["/reads/1", "/objects/1"])
 def test_no_attempt_begins_after_the_client_left(path):
-    async def scene(stage):
-        await stage.visit(path, BEFORE_HEDGE)
+    async def scenario(harness):
+        await harness.request_and_disconnect(path, BEFORE_HEDGE)
         await asyncio.sleep(2)
-        return len(stage.scene.sent)
+        return len(harness.node.sent)
 
-    assert play(scene) == 1
+    assert run_scenario(scenario) == 1
 
 
 @pytest.mark.parametrize("path", ["/reads/1", "/objects/1", "/writes/1"])
 def test_request_that_is_still_being_connected_is_never_sent(path):
-    async def scene(stage):
-        connect = stage.scene.connect
+    async def scenario(harness):
+        connect = harness.node.connect
 
         async def slow(host, port):
             await asyncio.sleep(0.3)
             return await connect(host, port)
 
-        for endpoint in stage.scene.part.endpoints.endpoints.values():
+        for endpoint in harness.node.direct_node.endpoints.endpoints.values():
             endpoint.connect = slow
-        await stage.visit(path, BEFORE_HEDGE, "GET" if path != "/writes/1" else "POST")
+        await harness.request_and_disconnect(path, BEFORE_HEDGE, "GET" if path != "/writes/1" else "POST")
         await asyncio.sleep(2)
-        return stage.scene.sent, len(stage.scene.part.origins.attempts)
+        return harness.node.sent, len(harness.node.direct_node.origins.attempts)
 
-    assert play(scene) == ([], 0)
+    assert run_scenario(scenario) == ([], 0)
 
 
 @pytest.mark.parametrize(
     ("path", "method"), [("/reads/1", "GET"), ("/objects/1", "GET"), ("/writes/1", "POST")]
 )
 def test_request_that_waits_for_a_limit_is_never_sent(path, method):
-    async def scene(stage):
-        stage.scene.put(items.CONFIGURATION, "upstream/s", {"version": 2, "item": {**UPSTREAM, "rate": 20.0}})
-        stage.origins.seconds = 0.001
+    async def scenario(harness):
+        harness.node.put(
+            items.CONFIGURATION, "upstream/s", {"version": 2, "item": {**UPSTREAM, "rate": 20.0}}
+        )
+        harness.origins.seconds = 0.001
         # The bucket has no token at first: each request waits for the next one, 50 ms apart.
-        clients = [stage.arrive(f"{path}{number}", method) for number in range(2)]
+        clients = [harness.start_request(f"{path}{number}", method) for number in range(2)]
         await asyncio.sleep(0.002)
-        waiting = len(stage.scene.sent)
+        waiting = len(harness.node.sent)
         for client in clients:
-            await stage.leave(client)
+            await harness.disconnect(client)
         await asyncio.sleep(2)
-        return waiting, len(stage.scene.sent), stage.context.in_flight
+        return waiting, len(harness.node.sent), harness.context.in_flight
 
-    assert play(scene) == (0, 0, 0)
+    assert run_scenario(scenario) == (0, 0, 0)
 
 
 def test_failure_after_the_client_left_is_not_retried():
-    async def scene(stage):
-        stage.origins.seconds = 0.15
-        stage.origins.status = 500
-        await stage.visit("/writes/1", BEFORE_HEDGE, "POST")
-        await stage.visit("/reads/1", BEFORE_HEDGE)
+    async def scenario(harness):
+        harness.origins.seconds = 0.15
+        harness.origins.status = 500
+        await harness.request_and_disconnect("/writes/1", BEFORE_HEDGE, "POST")
+        await harness.request_and_disconnect("/reads/1", BEFORE_HEDGE)
         await asyncio.sleep(2)
-        return len(stage.scene.sent), stage.origins.cut()
+        return len(harness.node.sent), harness.origins.cancelled()
 
-    assert play(scene) == (2, [False, True])
+    assert run_scenario(scenario) == (2, [False, True])
 
 
 def test_departure_is_counted_as_such_and_not_as_a_crash():
-    async def scene(stage):
-        client = stage.arrive("/reads/1")
+    async def scenario(harness):
+        client = harness.start_request("/reads/1")
         await asyncio.sleep(BEFORE_HEDGE)
-        await stage.leave(client)
-        counters = stage.context.counters
+        await harness.disconnect(client)
+        counters = harness.context.counters
         return client.cancelled(), counters.total("clients_left"), counters.total("requests_crashed")
 
-    assert play(scene) == (True, 1, 0)
+    assert run_scenario(scenario) == (True, 1, 0)
 
 
 def test_withdrawn_attempt_leaves_its_connection_unused_and_its_endpoint_free():
-    async def scene(stage):
-        await stage.visit("/reads/1", BEFORE_HEDGE)
+    async def scenario(harness):
+        await harness.request_and_disconnect("/reads/1", BEFORE_HEDGE)
         await asyncio.sleep(0.01)
-        endpoints = stage.scene.part.endpoints.endpoints.values()
-        return [(len(e.in_flight), len(e.idle)) for e in endpoints], stage.context.in_flight
+        endpoints = harness.node.direct_node.endpoints.endpoints.values()
+        return [(len(e.in_flight), len(e.idle)) for e in endpoints], harness.context.in_flight
 
-    assert play(scene) == ([(0, 0), (0, 0)], 0)
+    assert run_scenario(scenario) == ([(0, 0), (0, 0)], 0)
 
 
 def test_endpoint_whose_attempts_are_withdrawn_late_counts_as_slow():
-    async def scene(stage):
-        usual = {key: e.usual_seconds for key, e in stage.scene.part.endpoints.endpoints.items()}
-        await stage.visit("/reads/1", 0.19)
+    async def scenario(harness):
+        usual = {key: e.usual_seconds for key, e in harness.node.direct_node.endpoints.endpoints.items()}
+        await harness.request_and_disconnect("/reads/1", 0.19)
         await asyncio.sleep(0.01)
-        asked = f"origin/{stage.origins.runs[0].instance}"
-        return stage.scene.part.endpoints.endpoints[asked].usual_seconds - usual[asked]
+        asked = f"origin/{harness.origins.runs[0].instance}"
+        return harness.node.direct_node.endpoints.endpoints[asked].usual_seconds - usual[asked]
 
-    assert play(scene) > 0.01
+    assert run_scenario(scenario) > 0.01
 
 
 @pytest.mark.parametrize(
@@ -128,92 +130,92 @@
     [("/reads/1", "GET", 0.1), ("/objects/1", "GET", 0.1), ("/writes/1", "POST", 1.0)],
 )
 def test_attempt_ends_soon_after_the_deadline_of_a_client_that_was_not_answered(path, method, seconds):
-    async def scene(stage):
-        stage.origins.seconds = 60
+    async def scenario(harness):
+        harness.origins.seconds = 60
         started = now()
-        response = await stage.arrive(path, method)
+        response = await harness.start_request(path, method)
         # The route's timeout, less the way back.
         deadline = started + 2.0 - 0.015
         await asyncio.sleep(5)
-        return response.status, {round(run.ended_at - deadline, 3) for run in stage.origins.runs}
+        return response.status, {round(run.ended_at - deadline, 3) for run in harness.origins.runs}
 
-    assert play(scene) == (504, {seconds})
+    assert run_scenario(scenario) == (504, {seconds})
 
 
 # -- what goes on ------------------------------------------------------------------------------------------
 def test_write_at_its_origin_is_carried_on_and_counted_until_it_ends():
-    async def scene(stage):
-        await stage.visit("/writes/1", BEFORE_HEDGE, "POST")
-        counted = stage.context.in_flight
+    async def scenario(harness):
+        await harness.request_and_disconnect("/writes/1", BEFORE_HEDGE, "POST")
+        counted = harness.context.in_flight
         await asyncio.sleep(2)
-        return counted, stage.context.in_flight, stage.origins.cut(), len(stage.scene.sent)
+        return counted, harness.context.in_flight, harness.origins.cancelled(), len(harness.node.sent)
 
-    assert play(scene) == (1, 0, [False], 1)
+    assert run_scenario(scenario) == (1, 0, [False], 1)
 
 
 def test_shared_fetch_goes_on_while_another_client_waits():
-    async def scene(stage):
-        stage.origins.seconds = 0.3
-        first = stage.arrive("/objects/1")
+    async def scenario(harness):
+        harness.origins.seconds = 0.3
+        first = harness.start_request("/objects/1")
         await asyncio.sleep(0.05)
-        second = stage.arrive("/objects/1")
+        second = harness.start_request("/objects/1")
         await asyncio.sleep(0.05)
-        await stage.leave(first)
-        return (await second).status, len(stage.scene.sent), stage.origins.cut()
+        await harness.disconnect(first)
+        return (await second).status, len(harness.node.sent), harness.origins.cancelled()
 
-    status, sent, cut = play(scene)
+    status, sent, cut = run_scenario(scenario)
     assert (status, cut[0]) == (200, False)
     assert sent <= 2
 
 
 def test_shared_fetch_ends_with_its_last_client():
-    async def scene(stage):
-        clients = [stage.arrive("/objects/1") for _ in range(3)]
+    async def scenario(harness):
+        clients = [harness.start_request("/objects/1") for _ in range(3)]
         await asyncio.sleep(0.05)
         cut = []
         for client in clients:
-            await stage.leave(client)
+            await harness.disconnect(client)
             await asyncio.sleep(0.01)
-            cut.append(stage.origins.cut())
+            cut.append(harness.origins.cancelled())
         return cut
 
-    assert play(scene) == [[False], [False], [True]]
+    assert run_scenario(scenario) == [[False], [False], [True]]
 
 
 def test_read_after_an_abandoned_one_begins_anew():
-    async def scene(stage):
-        await stage.visit("/objects/1", 0.05)
-        stage.origins.seconds = 0.01
-        return (await stage.arrive("/objects/1")).status
+    async def scenario(harness):
+        await harness.request_and_disconnect("/objects/1", 0.05)
+        harness.origins.seconds = 0.01
+        return (await harness.start_request("/objects/1")).status
 
-    assert play(scene) == 200
+    assert run_scenario(scenario) == 200
 
 
 def test_client_that_stays_gets_the_error_of_a_read_that_was_cancelled_inside():
-    async def scene(stage):
+    async def scenario(harness):
         async def cancelled(_):
             raise asyncio.CancelledError
 
-        stage.scene.part.handle = cancelled
-        response = await stage.arrive("/reads/1")
-        return response.status, stage.context.counters.total("clients_left")
+        harness.node.direct_node.handle = cancelled
+        response = await harness.start_request("/reads/1")
+        return response.status, harness.context.counters.total("clients_left")
 
-    assert play(scene) == (errors.OutcomeUnknownError.status, 0)
+    assert run_scenario(scenario) == (errors.OutcomeUnknownError.status, 0)
 
 
 def test_during_a_drain_a_read_ends_with_its_client_and_a_write_is_waited_for():
-    async def scene(stage):
-        clients = [stage.arrive("/reads/1"), stage.arrive("/writes/1", "POST")]
+    async def scenario(harness):
+        clients = [harness.start_request("/reads/1"), harness.start_request("/writes/1", "POST")]
         await asyncio.sleep(0.05)
-        stage.context.is_lame_duck = stage.context.is_draining = True
+        harness.context.is_lame_duck = harness.context.is_draining = True
         for client in clients:
-            await stage.leave(client)
-        stage.context.detector.leave = lambda: None
+            await harness.disconnect(client)
+        harness.context.detector.leave = lambda: None
         began = now()
-        await stage.context.drain()
-        return stage.origins.cut(), stage.context.in_flight, now() - began
+        await harness.context.drain()
+        return harness.origins.cancelled(), harness.context.in_flight, now() - began
 
-    cut, in_flight, took = play(scene)
+    cut, in_flight, took = run_scenario(scenario)
     assert (sorted(cut), in_flight) == ([False, True], 0)
     # The write began 0.05 s before, and its origin works for 1.5 s.
     assert 1.44 < took < 1.6
--- a/tests/dataplane/test_decisions_after_waits.py
+++ b/tests/dataplane/test_decisions_after_waits.py
@@ -14,50 +14,50 @@
 WHILE_IT_WAITS = 0.1
 
 
-def play(scene):
+def run_scenario(scenario):
     """Run a scene whose service has a rate, and whose route lets a request wait for its tokens."""
 
-    async def whole(stage):
-        stage.put(
+    async def with_rate_limit(harness):
+        harness.put(
             items.CONFIGURATION,
             "upstream/s",
             {"version": 9, "item": {**direct_edge.UPSTREAM, "version": 9, "rate": RATE}},
         )
         for name, kind in direct_edge.KINDS.items():
-            stage.route(name, kind=kind, timeout=20.0, target=10.0)
-        for endpoint in stage.part.endpoints.endpoints.values():
-            keep_connection(stage, endpoint)
-        return await scene(stage)
+            harness.route(name, kind=kind, timeout=20.0, target=10.0)
+        for endpoint in harness.direct_node.endpoints.endpoints.values():
+            keep_connection(harness, endpoint)
+        return await scenario(harness)
 
-    return direct_edge.play(whole)
+    return direct_edge.run_scenario(with_rate_limit)
 
 
-def keep_connection(stage, endpoint):
+def keep_connection(harness, endpoint):
     """Give an endpoint a connection that has carried a request, so that none has to be opened."""
-    connection = direct_edge.Line(stage, endpoint.instance)
+    connection = direct_edge.ScriptedConnection(harness, endpoint.instance)
     connection.is_used = True
     endpoint.idle.append(connection)
 
 
-def leave(stage, key):
-    stage.origin(key, state="leaving")
+def leave(harness, key):
+    harness.origin(key, state="leaving")
 
 
-def evacuate(stage, key):
-    stage.origin("b" if key == "a" else "a", site="south")
-    stage.put(items.LEDGER, "evacuated/north", {"site": "north"})
+def evacuate(harness, key):
+    harness.origin("b" if key == "a" else "a", site="south")
+    harness.put(items.LEDGER, "evacuated/north", {"site": "north"})
 
 
-def remove(stage, key):
-    stage.put(items.LEDGER, f"origin/{key}", None)
+def remove(harness, key):
+    harness.put(items.LEDGER, f"origin/{key}", None)
 
 
-def turn_cold(stage, key):
-    stage.origin(key, state="cold", warmup=3)
+def turn_cold(harness, key):
+    harness.origin(key, state="cold", warmup=3)
 
 
-def fail(stage, key):
-    stage.part.endpoints.endpoints[f"origin/{key}"].mark_down("refused a connection")
+def fail(harness, key):
+    harness.direct_node.endpoints.endpoints[f"origin/{key}"].mark_down("refused a connection")
 
 
 @pytest.mark.parametrize(
@@ -67,22 +67,22 @@
     ("path", "method"), [("/reads/1", "GET"), ("/objects/1", "GET"), ("/writes/1", "POST")]
 )
 def test_origin_that_changed_while_a_request_waited_for_a_token_does_not_get_it(path, method, change):
-    async def scene(stage):
+    async def scenario(harness):
         chosen = []
-        choose = stage.part.endpoints.choose
+        choose = harness.direct_node.endpoints.choose
 
         def note(*arguments):
             chosen.append(choose(*arguments).instance)
-            return stage.part.endpoints.endpoints[f"origin/{chosen[-1]}"]
+            return harness.direct_node.endpoints.endpoints[f"origin/{chosen[-1]}"]
 
-        stage.part.endpoints.choose = note
-        request = asyncio.create_task(stage.ask(path, method))
+        harness.direct_node.endpoints.choose = note
+        request = asyncio.create_task(harness.ask(path, method))
         await asyncio.sleep(WHILE_IT_WAITS)
-        change(stage, chosen[0])
+        change(harness, chosen[0])
         answer = await request
-        return answer.status, stage.instances_asked(), chosen[0]
+        return answer.status, harness.instances_asked(), chosen[0]
 
-    status, asked, first = play(scene)
+    status, asked, first = run_scenario(scenario)
     assert (status, asked) == (200, ["b" if first == "a" else "a"])
 
 
@@ -93,43 +93,43 @@
 def test_origin_that_changed_while_a_connection_to_it_opened_does_not_get_the_request(path, method, change):
     """Guards against DRAIN and EVAC: an endpoint that was picked before the wait for its connection."""
 
-    async def scene(stage):
+    async def scenario(harness):
         opened = []
 
         async def connect(host, port):
             opened.append(chr(int(host.rpartition(".")[2])))
             if len(opened) == 1:
                 await asyncio.sleep(0.1)
-                change(stage, opened[0])
-            return direct_edge.Line(stage, opened[-1])
+                change(harness, opened[0])
+            return direct_edge.ScriptedConnection(harness, opened[-1])
 
-        for endpoint in stage.part.endpoints.endpoints.values():
+        for endpoint in harness.direct_node.endpoints.endpoints.values():
             endpoint.connect = connect
-        answer = await stage.ask(path, method)
-        return answer.status, stage.instances_asked(), opened[0]
+        answer = await harness.ask(path, method)
+        return answer.status, harness.instances_asked(), opened[0]
 
-    status, asked, first = direct_edge.play(scene)
+    status, asked, first = direct_edge.run_scenario(scenario)
     assert (status, asked) == (200, ["b" if first == "a" else "a"])
 
 
 def test_request_whose_route_went_to_another_service_while_it_waited_is_not_sent():
-    async def scene(stage):
-        request = asyncio.create_task(stage.ask("/writes/1", "POST"))
+    async def scenario(harness):
+        request = asyncio.create_task(harness.ask("/writes/1", "POST"))
         await asyncio.sleep(WHILE_IT_WAITS)
-        stage.put(items.CONFIGURATION, "upstream/t", {"version": 1, "item": {"name": "t", "version": 1}})
-        stage.route("writes", kind="non_idempotent", service="t")
+        harness.put(items.CONFIGURATION, "upstream/t", {"version": 1, "item": {"name": "t", "version": 1}})
+        harness.route("writes", kind="non_idempotent", service="t")
         with pytest.raises(errors.IrisError) as raised:
             await request
-        return raised.value.status, stage.sent
+        return raised.value.status, harness.sent
 
-    assert play(scene) == (503, [])
+    assert run_scenario(scenario) == (503, [])
 
 
 @pytest.mark.parametrize("change", ["leaving", "evacuated"])
 def test_shield_sends_nothing_to_an_origin_that_changed_while_its_connection_opened(change):
     """Guards against DRAIN and EVAC on role shield, whose connections wait for a probe's answer."""
 
-    async def scene(day):
+    async def scenario(day):
         origins = [origin for origin in day.actors.origins if origin.service == "application"]
         opened = []
         for node in day.cluster.with_role("shield"):
@@ -158,4 +158,4 @@
         status = (await day.actors.ask("edge-1", "GET", "/shortlists/1"))[0]
         return status, len(opened) > 1, opened[0].started
 
-    assert cluster.play(scene) == (200, True, [])
+    assert cluster.play(scenario) == (200, True, [])
--- a/tests/dataplane/test_departures_on_sockets.py
+++ b/tests/dataplane/test_departures_on_sockets.py
@@ -50,11 +50,11 @@
             probe.bind(("127.0.0.1", 0))
             self.address = probe.getsockname()
         self.origin = SilentOrigin(length)
-        self.stage = departing_clients.Stage(address=self.address)
+        self.stage = departing_clients.ListenerHarness(address=self.address)
 
     async def open(self):
         origin = await self.origin.open()
-        for endpoint in self.stage.scene.part.endpoints.endpoints.values():
+        for endpoint in self.stage.node.direct_node.endpoints.endpoints.values():
 
             async def connect(host, port):
                 return await exchange.connector("x-request-id")(*origin)
--- a/tests/dataplane/test_keyed_departures.py
+++ b/tests/dataplane/test_keyed_departures.py
@@ -12,7 +12,7 @@
 
 
 def test_keyed_write_whose_client_left_is_carried_on_and_its_result_kept():
-    async def scene(day):
+    async def scenario(day):
         for origin in day.actors.origins:
             origin.delay = 0.5
         client = asyncio.create_task(write(day, "edge-1", "left"))
@@ -23,12 +23,12 @@
         await asyncio.sleep(2)
         return await write(day, "edge-2", "left"), day.actors.records.executions["left"]
 
-    (status, code, _), runs = cluster.play(scene)
+    (status, code, _), runs = cluster.play(scenario)
     assert (status, code, runs) == (200, "", 1)
 
 
 def test_write_without_a_key_is_carried_on_at_its_origin_and_sent_nowhere_else():
-    async def scene(day):
+    async def scenario(day):
         for origin in day.actors.origins:
             origin.delay = 0.5
         client = asyncio.create_task(day.actors.write("edge-1"))
@@ -44,11 +44,11 @@
         runs = [runs for number, runs in day.actors.records.executions.items() if "application" in number]
         return carried_on, counted, left, runs
 
-    assert cluster.play(scene) == (1, 1, 0, [1])
+    assert cluster.play(scenario) == (1, 1, 0, [1])
 
 
 def test_read_at_an_origin_is_withdrawn_when_the_edge_that_asked_is_gone():
-    async def scene(day):
+    async def scenario(day):
         for origin in day.actors.origins:
             origin.delay = 0.5
         client = asyncio.create_task(day.actors.ask("edge-1", "GET", "/vacancies/1"))
@@ -61,4 +61,4 @@
         left = sum(len(program.role_node.origin_client.attempts) for program in shields)
         return withdrawn, left
 
-    assert cluster.play(scene) == (1, 0)
+    assert cluster.play(scenario) == (1, 0)
--- a/tests/dataplane/test_large_configurations.py
+++ b/tests/dataplane/test_large_configurations.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from direct_edge import KINDS, UPSTREAM, play
+from direct_edge import KINDS, UPSTREAM, run_scenario
 
 from irisstand import errors
 from irisstand.dataplane.routing import route_table, routes
@@ -46,8 +46,8 @@
 def put_at_once(stage, rows):
     """A batch as a change of many rows brings it: one version for all."""
     copy = stage.context.configuration
-    stage.counter += 1
-    version = versions.Version(stage.counter, "n")
+    stage.version_counter += 1
+    version = versions.Version(stage.version_counter, "n")
     copy.apply(items.Batch(version, copy.applied, tuple(rows)))
 
 
@@ -74,26 +74,26 @@
 def test_change_of_one_route_compiles_only_that_route(monkeypatch):
     async def scene(stage):
         many(stage)
-        stage.part.table.refresh()
+        stage.direct_node.table.refresh()
         compiled = counting_compiles(monkeypatch)
         stage.put(
             items.CONFIGURATION, "route/big-00007", {"version": 2, "item": route("big-00007", timeout=9)}
         )
-        found = stage.part.table.match("h", "/big-00007/x")
+        found = stage.direct_node.table.match("h", "/big-00007/x")
         stage.put(items.CONFIGURATION, "upstream/t", {"version": 1, "item": {"name": "t", "version": 1}})
         stage.put(items.CONFIGURATION, "~time", {"seconds": 1.0, "marks": [], "rules": []})
         stage.put(items.CONFIGURATION, "route/big-00008", {"version": 2, "item": None})
         with pytest.raises(errors.UnknownPathError):
-            stage.part.table.match("h", "/big-00008/x")
-        return found.timeout, compiled, "t" in stage.part.table.upstreams
+            stage.direct_node.table.match("h", "/big-00008/x")
+        return found.timeout, compiled, "t" in stage.direct_node.table.upstreams
 
-    assert play(scene) == (9.0, ["big-00007"], True)
+    assert run_scenario(scene) == (9.0, ["big-00007"], True)
 
 
 def test_lookup_among_many_routes_compares_few_prefixes():
     async def scene(stage):
         many(stage)
-        table = stage.part.table
+        table = stage.direct_node.table
         paths = [CountedPath("/big-04999/x"), CountedPath("/objects/1"), CountedPath("/nowhere")]
         for path in paths[:2]:
             assert path.startswith(table.match("h", path).prefix)
@@ -102,31 +102,31 @@
         return max(path.steps for path in paths)
 
     # As many steps as prefixes have lengths, twice where a host is looked up with its port and without.
-    assert play(scene) <= 10
+    assert run_scenario(scene) <= 10
 
 
 def test_token_of_a_rate_limit_does_not_look_at_every_route_of_the_service(monkeypatch):
     async def scene(stage):
         names = many(stage)
         put_at_once(stage, [("route/far", {"version": 1, "item": route("far", regions=["two"])}, False)])
-        stage.part.table.refresh()
+        stage.direct_node.table.refresh()
         asked = []
-        plain = stage.part.endpoints.fleet.may_hold
+        plain = stage.direct_node.endpoints.fleet.may_hold
         monkeypatch.setattr(
-            stage.part.endpoints.fleet, "may_hold", lambda r: asked.append(r.regions) or plain(r)
+            stage.direct_node.endpoints.fleet, "may_hold", lambda r: asked.append(r.regions) or plain(r)
         )
         put_at_once(
             stage, [("upstream/s", {"version": 9, "item": {**UPSTREAM, "version": 9, "rate": 1000.0}}, False)]
         )
-        stage.part.table.refresh()
+        stage.direct_node.table.refresh()
         for member in range(2, 5):
-            stage.member(f"holder-{member}", "holder")
+            stage.add_member(f"holder-{member}", "holder")
         await asyncio.sleep(1)
-        stage.part.endpoints.enter(stage.part.table.upstreams["s"], 1.0)
+        stage.direct_node.endpoints.enter(stage.direct_node.table.upstreams["s"], 1.0)
         return len(names), asked
 
     # A place is of this node's recorded part: which routes are held does not matter to it.
-    assert play(scene) == (MANY, [])
+    assert run_scenario(scene) == (MANY, [])
 
 
 # -- the same as a full rebuild -----------------------------------------------------------------------------
@@ -186,7 +186,7 @@
     randomness = random.Random(seed)
 
     async def scene(stage):
-        table, copy = stage.part.table, stage.context.configuration
+        table, copy = stage.direct_node.table, stage.context.configuration
         for _ in range(60):
             rows = dict(some_row(randomness) for _ in range(randomness.randrange(1, 6)))
             dead = [key for key, item in copy.items.items() if item.value is None]
@@ -205,7 +205,7 @@
                 for path in ("/", "/a", "/abc", "/a/b/c", "/b/c/d/e", "/objects/1", "/mended/1", "x"):
                     assert matched(table, host, path) == plainly(copy, host, path), (host, path)
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_routes_removed_beyond_the_replicas_removal_records_are_gone():
@@ -214,11 +214,11 @@
             maxlen=3
         )
         names = many(stage, 20)
-        stage.part.table.refresh()
+        stage.direct_node.table.refresh()
         put_at_once(stage, [(f"route/{name}", None, True) for name in names])
-        return [matched(stage.part.table, "h", f"/{name}/x") for name in names]
+        return [matched(stage.direct_node.table, "h", f"/{name}/x") for name in names]
 
-    assert set(play(scene)) == {None}
+    assert set(run_scenario(scene)) == {None}
 
 
 def test_cost_of_large_configurations_can_be_measured():
--- a/tests/dataplane/test_listener.py
+++ b/tests/dataplane/test_listener.py
@@ -23,14 +23,14 @@
     def __init__(self, play):
         # Sanic knows its applications by name for as long as the process lives.
         name = f"edge-{next(NUMBERS)}"
-        stage = direct_edge.Scene(settings=direct_edge.SETTINGS._replace(name=name))
-        self.context, stage.part.handle = stage.context, play
+        stage = direct_edge.DirectNodeHarness(settings=direct_edge.SETTINGS._replace(name=name))
+        self.context, stage.direct_node.handle = stage.context, play
         self.context.crashed = asyncio.get_running_loop().create_future()
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             self.address = probe.getsockname()
-        self.node = stage.part
-        self.listener = listener.ClientListener(self.context, stage.part, self.address)
+        self.node = stage.direct_node
+        self.listener = listener.ClientListener(self.context, stage.direct_node, self.address)
 
     async def connect(self):
         return await asyncio.open_connection(*self.address)
--- a/tests/dataplane/test_own_answers.py
+++ b/tests/dataplane/test_own_answers.py
@@ -3,36 +3,36 @@
 import asyncio
 
 import eliot
-from departing_clients import play
+from departing_clients import run_scenario
 
 
 def test_own_answers_are_counted_by_code_stage_of_the_shutdown_and_lateness():
-    async def scene(stage):
-        stage.origins.seconds = 9
-        stage.scene.route("reads", kind="idempotent", timeout=1.0)
-        await stage.arrive("/nowhere/1")
-        stage.context.is_lame_duck = True
-        await stage.arrive("/reads/1")
-        get = stage.context.counters.get
+    async def scenario(harness):
+        harness.origins.seconds = 9
+        harness.node.route("reads", kind="idempotent", timeout=1.0)
+        await harness.start_request("/nowhere/1")
+        harness.context.is_lame_duck = True
+        await harness.start_request("/reads/1")
+        get = harness.context.counters.get
         return (
             get("own_answers", code="unknown-path", stage="serving", late="False"),
             get("own_answers", code="deadline-passed", stage="lame-duck", late="True"),
-            stage.context.counters.total("own_answers"),
+            harness.context.counters.total("own_answers"),
         )
 
-    assert play(scene) == (1, 1, 2)
+    assert run_scenario(scenario) == (1, 1, 2)
 
 
 def test_end_of_a_drain_says_what_was_left_unanswered():
-    async def scene(stage):
-        stage.origins.seconds = 9
-        stage.context.settings = stage.context.settings._replace(drain=0.5)
-        stage.context.detector.leave = lambda: None
-        client = stage.arrive("/writes/1", "POST")
+    async def scenario(harness):
+        harness.origins.seconds = 9
+        harness.context.settings = harness.context.settings._replace(drain=0.5)
+        harness.context.detector.leave = lambda: None
+        client = harness.start_request("/writes/1", "POST")
         await asyncio.sleep(0.01)
         events = []
         eliot.add_destinations(events.append)
-        await stage.context.drain()
+        await harness.context.drain()
         eliot.remove_destination(events.append)
         client.cancel()
         await asyncio.wait([client])
@@ -43,4 +43,4 @@
         ]
 
     # The request counts twice, at the listener and at its exchange with the origins.
-    assert play(scene) == [(0.5, 2, False)]
+    assert run_scenario(scenario) == [(0.5, 2, False)]
--- a/tests/dataplane/test_popularity.py
+++ b/tests/dataplane/test_popularity.py
@@ -7,7 +7,7 @@
 import test_placement
 
 
-async def shares_of(day, path, rate, seconds):
+async def fetches_by_shield(day, path, rate, seconds):
     """How many fetches of the path each shield got, by the counters of the shields themselves."""
     gauges = {
         node.placement.name: node.program.context.load_gauge for node in day.cluster.with_role("shield")
@@ -16,12 +16,12 @@
     for gauge in gauges.values():
         gauge.window = 1000.0
         gauge.moments.clear()
-    jobs = []
+    requests = []
     for number in range(int(rate * seconds)):
         edge = f"edge-{number % 2 + 1}"
-        jobs.append(asyncio.create_task(day.actors.ask(edge, "GET", path)))
+        requests.append(asyncio.create_task(day.actors.ask(edge, "GET", path)))
         await asyncio.sleep(1 / rate)
-    results = await asyncio.gather(*jobs)
+    results = await asyncio.gather(*requests)
     assert {status for status, _, _ in results} == {200}
     for name, gauge in gauges.items():
         counts[name] = len(gauge.moments)
@@ -29,13 +29,13 @@
 
 
 def test_popular_object_is_served_by_two_shields_and_another_by_one():
-    async def scene(day):
+    async def scenario(day):
         await test_placement.pin_all(day)
-        cold = await shares_of(day, "/shortlists/cold", 10, 6)
+        cold = await fetches_by_shield(day, "/shortlists/cold", 10, 6)
         assert len(cold) == 1
-        await shares_of(day, "/shortlists/hot", 400, 4)
-        hot = await shares_of(day, "/shortlists/hot", 400, 6)
+        await fetches_by_shield(day, "/shortlists/hot", 400, 4)
+        hot = await fetches_by_shield(day, "/shortlists/hot", 400, 6)
         assert len(hot) == 2, hot
         assert max(hot) < 0.62 * sum(hot), hot
 
-    cluster.play(scene)
+    cluster.play(scenario)
--- a/tests/dataplane/test_served_objects.py
+++ b/tests/dataplane/test_served_objects.py
@@ -15,7 +15,7 @@
 @pytest.mark.parametrize("headers", [{}, {"authorization": "Bearer me"}])
 @pytest.mark.parametrize("purge", [("path", "/vacancies/7"), ("tag", "vacancies")])
 def test_answer_in_flight_when_its_purge_is_confirmed_is_not_served_later(headers, purge):
-    async def scene(day):
+    async def scenario(day):
         path = "/vacancies/7"
         await slow_origins(day, 2.4)
         fetching = asyncio.create_task(day.actors.ask("edge-1", "GET", path, **headers))
@@ -27,12 +27,12 @@
         assert status == 200
         assert json.loads(result.body)["version"] == 1
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 @pytest.mark.parametrize("headers", [{}, {"authorization": "Bearer me"}])
 def test_repeated_purges_during_a_read_end_in_an_error_within_the_deadline(headers):
-    async def scene(day):
+    async def scenario(day):
         path = "/vacancies/7"
         await slow_origins(day, 0.7)
         asking = asyncio.create_task(day.actors.ask("edge-1", "GET", path, **headers))
@@ -43,11 +43,11 @@
         assert asking.result()[0] == 504
         assert asyncio.get_running_loop().time() - began < 3.3
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_answer_that_expires_in_flight_is_not_served():
-    async def scene(day):
+    async def scenario(day):
         value = {"grants": [{"service": "content", "methods": ["GET"]}], "life": 0.5}
         await day.actors.order(
             "agency-1", "change", [{"kind": "path", "name": "/vacancies/", "value": value}]
@@ -59,11 +59,11 @@
         await slow_origins(day, 0.003)
         assert (await day.actors.ask("edge-1", "GET", "/vacancies/1"))[0] == 200
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_request_that_joins_a_fetch_that_times_out_keeps_its_own_deadline():
-    async def scene(day):
+    async def scenario(day):
         await slow_origins(day, 60)
         first = asyncio.create_task(day.actors.ask("edge-1", "GET", "/vacancies/1"))
         await asyncio.sleep(2.5)
@@ -73,4 +73,4 @@
         assert (await first)[0] == 504
         assert (await second)[0] == 200
 
-    cluster.play(scene)
+    cluster.play(scenario)
--- a/tests/dataplane/test_spellings.py
+++ b/tests/dataplane/test_spellings.py
@@ -35,7 +35,7 @@
         stage.route("objects", kind="cacheable", host=HOST)
         return await scene(stage)
 
-    return direct_edge.play(whole)
+    return direct_edge.run_scenario(whole)
 
 
 def purge(stage, host, path):
--- a/tests/dataplane/test_stopping_edges.py
+++ b/tests/dataplane/test_stopping_edges.py
@@ -3,8 +3,8 @@
 import asyncio
 
 import pytest
-from departing_clients import play
-from test_object_holders import play as play_site
+from departing_clients import run_scenario
+from test_object_holders import run_scenario as run_site_scenario
 from test_reads_through_holders import leave_no_token, send_each_read_once
 
 from irisstand import errors
@@ -14,7 +14,7 @@
 UPSTREAM = {"name": "s", "version": 2, "cold_rate": 5.0, "connections": 50}
 
 
-async def drained(context):
+async def drain(context):
     """Drain a node as its process does, with a drain of `DRAIN_SECONDS`."""
     context.settings = context.settings._replace(drain=DRAIN_SECONDS)
     context.detector.leave = lambda: None
@@ -24,71 +24,71 @@
 
 
 def test_request_that_comes_whole_during_the_drain_is_refused_and_never_sent():
-    async def scene(stage):
-        stage.context.is_draining = True
-        response = await stage.arrive("/writes/1", "POST")
-        return response.status, response.headers["Retry-After"], stage.scene.sent
+    async def scenario(harness):
+        harness.context.is_draining = True
+        response = await harness.start_request("/writes/1", "POST")
+        return response.status, response.headers["Retry-After"], harness.node.sent
 
-    assert play(scene) == (503, "0.10", [])
+    assert run_scenario(scenario) == (503, "0.10", [])
 
 
 @pytest.mark.parametrize(
     ("path", "method"), [("/reads/1", "GET"), ("/objects/1", "GET"), ("/writes/1", "POST")]
 )
 def test_request_that_waits_for_a_token_at_the_end_of_a_drain_is_refused_and_never_sent(path, method):
-    async def scene(stage):
+    async def scenario(harness):
         # With this rate the next token comes long after the drain.
-        stage.scene.put(items.CONFIGURATION, "upstream/s", {"version": 2, "item": {**UPSTREAM, "rate": 0.1}})
+        harness.node.put(items.CONFIGURATION, "upstream/s", {"version": 2, "item": {**UPSTREAM, "rate": 0.1}})
         for name, kind in (("reads", "idempotent"), ("objects", "cacheable"), ("writes", "non_idempotent")):
-            stage.scene.route(name, kind=kind, timeout=60.0, target=30.0)
-        client = stage.arrive(path, method)
+            harness.node.route(name, kind=kind, timeout=60.0, target=30.0)
+        client = harness.start_request(path, method)
         await asyncio.sleep(0.01)
-        took = await drained(stage.context)
-        return client.result().status, round(took, 1) <= DRAIN_SECONDS, stage.scene.sent
+        took = await drain(harness.context)
+        return client.result().status, round(took, 1) <= DRAIN_SECONDS, harness.node.sent
 
-    assert play(scene) == (503, True, [])
+    assert run_scenario(scenario) == (503, True, [])
 
 
 def test_read_at_an_origin_is_refused_only_at_the_very_end_of_a_drain():
-    async def scene(stage):
-        stage.scene.route("reads", kind="idempotent", timeout=60.0, attempts=1)
-        stage.origins.seconds = DRAIN_SECONDS - 0.1
-        finished = stage.arrive("/reads/1")
+    async def scenario(harness):
+        harness.node.route("reads", kind="idempotent", timeout=60.0, attempts=1)
+        harness.origins.seconds = DRAIN_SECONDS - 0.1
+        finished = harness.start_request("/reads/1")
         await asyncio.sleep(0.01)
-        stage.origins.seconds = 9
-        unfinished = stage.arrive("/reads/2")
+        harness.origins.seconds = 9
+        unfinished = harness.start_request("/reads/2")
         await asyncio.sleep(0.01)
-        await drained(stage.context)
-        return finished.result().status, unfinished.result().status, stage.origins.cut()
+        await drain(harness.context)
+        return finished.result().status, unfinished.result().status, harness.origins.cancelled()
 
-    assert play(scene) == (200, 503, [False, True])
+    assert run_scenario(scenario) == (200, 503, [False, True])
 
 
 def test_write_that_an_origin_may_have_begun_is_answered_and_not_refused_at_the_end_of_a_drain():
     """Guards against LOST: 503 would say that it has not run, and a connection that ends says nothing."""
 
-    async def scene(stage):
-        stage.scene.route("writes", kind="non_idempotent", timeout=60.0)
-        stage.origins.seconds = 9
-        client = stage.arrive("/writes/1", "POST")
+    async def scenario(harness):
+        harness.node.route("writes", kind="non_idempotent", timeout=60.0)
+        harness.origins.seconds = 9
+        client = harness.start_request("/writes/1", "POST")
         await asyncio.sleep(0.01)
-        took = await drained(stage.context)
-        return client.result().status, took >= DRAIN_SECONDS, stage.origins.cut()
+        took = await drain(harness.context)
+        return client.result().status, took >= DRAIN_SECONDS, harness.origins.cancelled()
 
-    assert play(scene) == (504, True, [False])
+    assert run_scenario(scenario) == (504, True, [False])
 
 
 def test_read_at_a_silent_holder_is_refused_at_the_end_of_a_drain():
-    async def scene(site):
-        site.silent = {"holder-1"}
+    async def scenario(site):
+        site.silent_nodes = {"holder-1"}
         send_each_read_once(site)
         edge = site.nodes["edge-1"]
         edge.route("objects", kind="cacheable", timeout=60.0)
         leave_no_token(edge)
         read = asyncio.create_task(edge.ask("/objects/1"))
         await asyncio.sleep(0.01)
-        await drained(edge.context)
+        await drain(edge.context)
         await asyncio.wait([read])
         return type(read.exception())
 
-    assert play_site(scene) is errors.DrainingError
+    assert run_site_scenario(scenario) is errors.DrainingError
--- a/tests/programs/test_stopping_listeners.py
+++ b/tests/programs/test_stopping_listeners.py
@@ -39,7 +39,7 @@
         settings = direct_edge.SETTINGS._replace(
             name=f"stops-{next(NUMBERS)}", host=address[0], http_port=address[1], drain=DRAIN_SECONDS
         )
-        context = direct_edge.Scene(settings=settings).context
+        context = direct_edge.DirectNodeHarness(settings=settings).context
         context.detector.leave = lambda: None
         server = web.HttpServer(context, event_log.EventLog())
         slow = SlowNode(context, seconds)
--- a/tests/simulator/test_departing_clients.py
+++ b/tests/simulator/test_departing_clients.py
@@ -140,7 +140,7 @@
     def __init__(self, stage, seed):
         self.stage, self.draw, self.record = stage, random.Random(seed), Record()
         stage.origins.answer, self.answer = self.recorded, stage.origins.answer
-        stage.scene.play = self.recorded
+        stage.node.respond = self.recorded
 
     async def recorded(self, key, headers, body):
         self.record.note_reached(headers.get("x-visit"))
@@ -149,20 +149,20 @@
     async def visit(self, number):
         name = str(number)
         path, method = self.draw.choice((("/reads/", "GET"), ("/objects/", "GET"), ("/writes/", "POST")))
-        client = self.stage.arrive(f"{path}{name}", method, x_visit=name)
+        client = self.stage.start_request(f"{path}{name}", method, x_visit=name)
         done, _ = await asyncio.wait([client], timeout=self.draw.choice((0.0, 0.01, 0.05, 0.3, 4.0)))
         if not done:
             self.record.note_left(name)
-            await self.stage.leave(client)
+            await self.stage.disconnect(client)
 
     def disturb(self):
-        draw, scene = self.draw, self.stage.scene
+        draw, scene = self.draw, self.stage.node
         self.stage.origins.seconds = draw.choice((0.003, 0.1, 0.4, 60.0))
         self.stage.origins.status = draw.choice((200, 200, 500))
         scene.refused = set(draw.choice(("", "", "a", "ab")))
         rate = draw.choice((None, None, 50.0))
-        item = {**UPSTREAM, "version": scene.counter, "rate": rate}
-        scene.put(items.CONFIGURATION, "upstream/s", {"version": scene.counter, "item": item})
+        item = {**UPSTREAM, "version": scene.version_counter, "rate": rate}
+        scene.put(items.CONFIGURATION, "upstream/s", {"version": scene.version_counter, "item": item})
 
     async def play(self):
         visits = []
@@ -176,7 +176,7 @@
 
     def in_flight(self):
         """What is left on the node: (counted, carried on, attempts, in flight at endpoints)."""
-        part, context = self.stage.scene.part, self.stage.context
+        part, context = self.stage.node.direct_node, self.stage.context
         at_endpoints = sum(len(endpoint.in_flight) for endpoint in part.endpoints.endpoints.values())
         return context.in_flight, len(context.carried_on), len(part.origins.attempts), at_endpoints
 
@@ -188,7 +188,7 @@
         await clients.play()
         return clients.record, clients.in_flight()
 
-    record, in_flight = departing_clients.play(scene)
+    record, in_flight = departing_clients.run_scenario(scene)
     assert len(record.left) > VISITS / 16
     assert record.late(0.0) == {}
     assert in_flight == (0, 0, 0, 0)
--- a/tests/support/departing_clients.py
+++ b/tests/support/departing_clients.py
@@ -27,71 +27,71 @@
         self.transport = types.SimpleNamespace(resume_reading=lambda: None)
 
 
-class Run:
+class OriginRun:
     """One run of an origin."""
 
     def __init__(self, instance):
         self.instance = instance
         self.started_at = asyncio.get_running_loop().time()
         self.ended_at = None
-        self.is_cut = False
+        self.is_cancelled = False
 
 
-class WorkingOrigins:
+class SlowOrigins:
     """Origins that work for `seconds` on each request, and drop one whose connection is closed."""
 
-    def __init__(self, stage, seconds=1.5, status=200):
+    def __init__(self, harness, seconds=1.5, status=200):
         self.seconds, self.status, self.runs = seconds, status, []
-        stage.play = self.answer
+        harness.respond = self.answer
 
     async def answer(self, key, headers, body):
-        run = Run(key)
+        run = OriginRun(key)
         self.runs.append(run)
         try:
             await asyncio.sleep(self.seconds)
         except asyncio.CancelledError:
-            run.is_cut = True
+            run.is_cancelled = True
             raise
         finally:
             run.ended_at = asyncio.get_running_loop().time()
-        return direct_edge.whole(headers.get("x-request-id", ""), status=self.status)
+        return direct_edge.complete_answer(headers.get("x-request-id", ""), status=self.status)
 
-    def cut(self):
-        return [run.is_cut for run in self.runs]
+    def cancelled(self):
+        return [run.is_cancelled for run in self.runs]
 
 
-class Stage:
+class ListenerHarness:
     """One node with a listener for clients, in virtual time."""
 
     def __init__(self, address=("127.0.0.1", 0), **fields):
         settings = direct_edge.SETTINGS._replace(name=f"departures-{next(NUMBERS)}")
-        self.scene = direct_edge.Scene(settings=settings, **fields)
-        self.scene.put("ledger", "rate-parts", {"units": {settings.name: 1000}})
-        self.context = self.scene.context
-        self.origins = WorkingOrigins(self.scene)
-        self.listener = listener.ClientListener(self.context, self.scene.part, address)
+        self.node = direct_edge.DirectNodeHarness(settings=settings, **fields)
+        self.node.put("ledger", "rate-parts", {"units": {settings.name: 1000}})
+        self.context = self.node.context
+        self.origins = SlowOrigins(self.node)
+        self.listener = listener.ClientListener(self.context, self.node.direct_node, address)
 
-    def arrive(self, path, method="GET", **headers):
+    def start_request(self, path, method="GET", **headers):
         """A client's request, as the task in which sanic runs the handler; it is cancelled as sanic does."""
         request = ClientRequest(path, method, **headers)
         return asyncio.get_running_loop().create_task(self.listener.serve(request))
 
-    async def leave(self, client):
+    async def disconnect(self, client):
         """End the client's connection."""
         client.cancel()
         await asyncio.wait([client])
 
-    async def visit(self, path, seconds, method="GET"):
+    async def request_and_disconnect(self, path, seconds, method="GET"):
         """Let a client ask, and leave after some seconds."""
-        client = self.arrive(path, method)
+        client = self.start_request(path, method)
         await asyncio.sleep(seconds)
-        await self.leave(client)
+        await self.disconnect(client)
 
 
-def play(scene, **fields):
+def run_scenario(scenario, **fields):
     """Run `scene(stage)` in virtual time."""
 
     async def run():
-        return await scene(Stage(**fields))
+        return await scenario(ListenerHarness(**fields))
 
     return virtual_time.run(run())
--- a/tests/support/direct_edge.py
+++ b/tests/support/direct_edge.py
@@ -33,17 +33,17 @@
 KINDS = {"objects": "cacheable", "reads": "idempotent", "writes": "non_idempotent"}
 
 
-def whole(request_id, body=b"whole", status=200, **more):
+def complete_answer(request_id, body=b"whole", status=200, **more):
     headers = {"content-digest": "seal", "x-request-id": request_id}
     headers |= {name.replace("_", "-"): value for name, value in more.items()}
     return exchange.Answer(status, {k: v for k, v in headers.items() if v is not None}, body)
 
 
-class Line:
+class ScriptedConnection:
     """A connection whose origin answers as `origin(number, headers, body)` says: an Answer, or an error."""
 
-    def __init__(self, scene, key):
-        self.scene, self.key = scene, key
+    def __init__(self, harness, key):
+        self.harness, self.key = harness, key
         self.is_open, self.may_have_sent, self.is_used = True, False, False
 
     def is_usable(self):
@@ -55,37 +55,37 @@
     async def send(self, method, target, headers, body, request_id):
         self.may_have_sent = self.is_used = True
         sent = dict(headers)
-        self.scene.sent.append((self.key, method, target.decode(), sent, asyncio.get_running_loop().time()))
-        played = self.scene.play(self.key, sent, body)
-        if asyncio.iscoroutine(played):
+        self.harness.sent.append((self.key, method, target.decode(), sent, asyncio.get_running_loop().time()))
+        outcome = self.harness.respond(self.key, sent, body)
+        if asyncio.iscoroutine(outcome):
             try:
-                played = await played
+                outcome = await outcome
             except asyncio.CancelledError:
                 # As of a real connection: half an exchange cannot be carried on.
                 self.is_open = False
                 raise
-        if isinstance(played, Exception):
+        if isinstance(outcome, Exception):
             self.is_open = False
-            raise played
-        return played
+            raise outcome
+        return outcome
 
 
-class Scene:
+class DirectNodeHarness:
     def __init__(self, edges=1, settings=SETTINGS):
         self.context = node_context.NodeContext(
             settings, settings.role, clocks.LoopClock(), random.Random(7), None
         )
         self.context.drain_ending = asyncio.get_running_loop().create_future()
-        self.context.transport.call = self.nobody
-        self.counter = 1
+        self.context.transport.call = self.refuse_call
+        self.version_counter = 1
         self.sent = []
         self.refused = set()
         self.connections = collections.Counter()
-        self.play = lambda key, headers, body: whole(headers.get("x-request-id", ""))
+        self.respond = lambda key, headers, body: complete_answer(headers.get("x-request-id", ""))
         for number in range(2, edges + 1):
-            self.member(f"edge-{number}", "direct")
+            self.add_member(f"edge-{number}", "direct")
         self.view = snapshot.ConfigurationSnapshot(self.context)
-        self.part = direct.DirectNode(self.context, self.view, self.connect)
+        self.direct_node = direct.DirectNode(self.context, self.view, self.connect)
         for name, kind in KINDS.items():
             self.route(name, kind=kind)
         self.put(items.CONFIGURATION, "upstream/s", {"version": 1, "item": UPSTREAM})
@@ -95,24 +95,24 @@
             self.origin(key)
         self.confirm_current()
 
-    async def nobody(self, address, name, kind, body, patience):
+    async def refuse_call(self, address, name, kind, body, timeout_seconds):
         raise errors.NotSentError(name)
 
-    def member(self, name, role, site="north", region="one"):
-        card = updates.NodeInfo(role, f"m-{name}", site, region, f"10.0.1.{len(name)}", 7000, 8000)
-        update = updates.Update(updates.MemberState.ALIVE, updates.Identity(name, "a"), 0, card)
+    def add_member(self, name, role, site="north", region="one"):
+        node_info = updates.NodeInfo(role, f"m-{name}", site, region, f"10.0.1.{len(name)}", 7000, 8000)
+        update = updates.Update(updates.MemberState.ALIVE, updates.Identity(name, "a"), 0, node_info)
         self.context.detector.apply_update(update)
 
     def confirm_current(self, for_seconds=1e6):
-        for copy in self.context.replicas.values():
-            copy.confirm_current(self.context.clock.now() + for_seconds)
+        for replica in self.context.replicas.values():
+            replica.confirm_current(self.context.clock.now() + for_seconds)
 
     def put(self, table, key, value):
-        copy = self.context.replicas[table]
-        self.counter += 1
-        copy.put(items.Item(key, versions.Version(self.counter, "n"), value))
-        copy.applied = versions.Version(self.counter, "n")
-        copy.notify_watchers()
+        replica = self.context.replicas[table]
+        self.version_counter += 1
+        replica.put(items.Item(key, versions.Version(self.version_counter, "n"), value))
+        replica.applied = versions.Version(self.version_counter, "n")
+        replica.notify_watchers()
 
     def route(self, name, **fields):
         item = {
@@ -127,7 +127,7 @@
             "service": "s",
             **fields,
         }
-        self.put(items.CONFIGURATION, f"route/{name}", {"version": self.counter, "item": item})
+        self.put(items.CONFIGURATION, f"route/{name}", {"version": self.version_counter, "item": item})
 
     def origin(self, key, site="north", state="ready", service="s", warmup=0, slots=2):
         row = {
@@ -146,20 +146,20 @@
         self.connections[key] += 1
         if key in self.refused:
             raise ConnectionRefusedError(key)
-        return Line(self, key)
+        return ScriptedConnection(self, key)
 
     async def ask(self, path, method="GET", request_id="r1", body=b"", host="h", **headers):
         given = {"x-request-id": request_id, **{n.replace("_", "-"): v for n, v in headers.items()}}
-        return await self.part.handle(direct.Request(method, path.encode(), host, given, body))
+        return await self.direct_node.handle(direct.Request(method, path.encode(), host, given, body))
 
     def instances_asked(self):
         return [sent[0] for sent in self.sent]
 
 
-def play(scene, **fields):
+def run_scenario(scenario, **fields):
     """Run `scene(stage)` in virtual time."""
 
     async def run():
-        return await scene(Scene(**fields))
+        return await scenario(DirectNodeHarness(**fields))
 
     return virtual_time.run(run())
