--- a/tests/dataplane/test_client_departures.py
+++ b/tests/dataplane/test_client_departures.py
@@ -1,4 +1,4 @@
-"""Clients that leave before they are answered: nothing goes on for them but what docs/departures.md names."""
+"""Clients that disconnect before the response: only work that docs/departures.md names goes on for them."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 from irisstand import errors
 from irisstand.state import items
 
-# Shorter than the time after which a second attempt is sent beside the first, and longer than it.
+# Times before and after the moment at which a hedged request is sent beside the first attempt.
 BEFORE_HEDGE, AFTER_HEDGE = 0.1, 0.35
 
 
@@ -17,7 +17,7 @@
     return asyncio.get_running_loop().time()
 
 
-# -- what ends with its client -----------------------------------------------------------------------------
+# -- work that ends when its client disconnects -------------------------------------------------------------
 @pytest.mark.parametrize("path", ["/reads/1", "/objects/1"])
 @pytest.mark.parametrize(("seconds", "attempts"), [(BEFORE_HEDGE, 1), (AFTER_HEDGE, 2)])
 def test_read_is_withdrawn_from_its_origins_when_its_client_leaves(path, seconds, attempts):
@@ -27,8 +27,8 @@
         await asyncio.sleep(2)
         return [run.ended_at - left_at for run in harness.origins.runs], harness.origins.cancelled()
 
-    ended, cut = run_scenario(scenario)
-    assert cut == [True] * attempts
+    ended, cancelled_runs = run_scenario(scenario)
+    assert cancelled_runs == [True] * attempts
     assert max(ended) < 0.001
 
 
@@ -69,7 +69,7 @@
             items.CONFIGURATION, "upstream/s", {"version": 2, "item": {**UPSTREAM, "rate": 20.0}}
         )
         harness.origins.seconds = 0.001
-        # The bucket has no token at first: each request waits for the next one, 50 ms apart.
+        # The token bucket is empty at first, so that both requests wait; tokens accrue every 50 ms.
         clients = [harness.start_request(f"{path}{number}", method) for number in range(2)]
         await asyncio.sleep(0.002)
         waiting = len(harness.node.sent)
@@ -119,8 +119,8 @@
         usual = {key: e.usual_seconds for key, e in harness.node.direct_node.endpoints.endpoints.items()}
         await harness.request_and_disconnect("/reads/1", 0.19)
         await asyncio.sleep(0.01)
-        asked = f"origin/{harness.origins.runs[0].instance}"
-        return harness.node.direct_node.endpoints.endpoints[asked].usual_seconds - usual[asked]
+        endpoint_key = f"origin/{harness.origins.runs[0].instance}"
+        return harness.node.direct_node.endpoints.endpoints[endpoint_key].usual_seconds - usual[endpoint_key]
 
     assert run_scenario(scenario) > 0.01
 
@@ -134,7 +134,7 @@
         harness.origins.seconds = 60
         started = now()
         response = await harness.start_request(path, method)
-        # The route's timeout, less the way back.
+        # The route's timeout of 2 s, less 15 ms that are kept for sending the response to the client.
         deadline = started + 2.0 - 0.015
         await asyncio.sleep(5)
         return response.status, {round(run.ended_at - deadline, 3) for run in harness.origins.runs}
@@ -142,7 +142,7 @@
     assert run_scenario(scenario) == (504, {seconds})
 
 
-# -- what goes on ------------------------------------------------------------------------------------------
+# -- work that goes on after its client disconnects ---------------------------------------------------------
 def test_write_at_its_origin_is_carried_on_and_counted_until_it_ends():
     async def scenario(harness):
         await harness.request_and_disconnect("/writes/1", BEFORE_HEDGE, "POST")
@@ -163,8 +163,8 @@
         await harness.disconnect(first)
         return (await second).status, len(harness.node.sent), harness.origins.cancelled()
 
-    status, sent, cut = run_scenario(scenario)
-    assert (status, cut[0]) == (200, False)
+    status, sent, cancelled_runs = run_scenario(scenario)
+    assert (status, cancelled_runs[0]) == (200, False)
     assert sent <= 2
 
 
@@ -172,12 +172,12 @@
     async def scenario(harness):
         clients = [harness.start_request("/objects/1") for _ in range(3)]
         await asyncio.sleep(0.05)
-        cut = []
+        cancelled_runs = []
         for client in clients:
             await harness.disconnect(client)
             await asyncio.sleep(0.01)
-            cut.append(harness.origins.cancelled())
-        return cut
+            cancelled_runs.append(harness.origins.cancelled())
+        return cancelled_runs
 
     assert run_scenario(scenario) == [[False], [False], [True]]
 
@@ -211,11 +211,11 @@
         for client in clients:
             await harness.disconnect(client)
         harness.context.detector.leave = lambda: None
-        began = now()
+        started_at = now()
         await harness.context.drain()
-        return harness.origins.cancelled(), harness.context.in_flight, now() - began
+        return harness.origins.cancelled(), harness.context.in_flight, now() - started_at
 
-    cut, in_flight, took = run_scenario(scenario)
-    assert (sorted(cut), in_flight) == ([False, True], 0)
-    # The write began 0.05 s before, and its origin works for 1.5 s.
-    assert 1.44 < took < 1.6
+    cancelled_runs, in_flight, drain_seconds = run_scenario(scenario)
+    assert (sorted(cancelled_runs), in_flight) == ([False, True], 0)
+    # The write began 0.05 s before the drain, and its origin works on it for 1.5 s.
+    assert 1.44 < drain_seconds < 1.6
--- a/tests/dataplane/test_decisions_after_waits.py
+++ b/tests/dataplane/test_decisions_after_waits.py
@@ -1,4 +1,4 @@
-"""What was decided before a request waited for a token is decided again after the wait."""
+"""The choice of an origin is checked again after a request has waited for a token or a connection."""
 
 import asyncio
 
@@ -9,13 +9,13 @@
 from irisstand import errors
 from irisstand.state import items
 
-# With a bucket that is empty at first, the only request waits for half a second.
+# The token bucket is empty at first, so at this rate a single request waits half a second for its token.
 RATE = 2.0
-WHILE_IT_WAITS = 0.1
+SECONDS_INTO_THE_WAIT = 0.1
 
 
 def run_scenario(scenario):
-    """Run a scene whose service has a rate, and whose route lets a request wait for its tokens."""
+    """Run a scenario with a rate limit, and with routes whose timeouts let requests wait for tokens."""
 
     async def with_rate_limit(harness):
         harness.put(
@@ -33,7 +33,7 @@
 
 
 def keep_connection(harness, endpoint):
-    """Give an endpoint a connection that has carried a request, so that none has to be opened."""
+    """Give an endpoint an idle connection that has carried a request, so that none has to be opened."""
     connection = direct_edge.ScriptedConnection(harness, endpoint.instance)
     connection.is_used = True
     endpoint.idle.append(connection)
@@ -71,13 +71,13 @@
         chosen = []
         choose = harness.direct_node.endpoints.choose
 
-        def note(*arguments):
+        def record_choice(*arguments):
             chosen.append(choose(*arguments).instance)
             return harness.direct_node.endpoints.endpoints[f"origin/{chosen[-1]}"]
 
-        harness.direct_node.endpoints.choose = note
+        harness.direct_node.endpoints.choose = record_choice
         request = asyncio.create_task(harness.ask(path, method))
-        await asyncio.sleep(WHILE_IT_WAITS)
+        await asyncio.sleep(SECONDS_INTO_THE_WAIT)
         change(harness, chosen[0])
         answer = await request
         return answer.status, harness.instances_asked(), chosen[0]
@@ -91,7 +91,7 @@
     ("path", "method"), [("/reads/1", "GET"), ("/objects/1", "GET"), ("/writes/1", "POST")]
 )
 def test_origin_that_changed_while_a_connection_to_it_opened_does_not_get_the_request(path, method, change):
-    """Guards against DRAIN and EVAC: an endpoint that was picked before the wait for its connection."""
+    """Guards against requests to leaving origins (DRAIN) or evacuated sites (EVAC) after a slow connect."""
 
     async def scenario(harness):
         opened = []
@@ -115,7 +115,7 @@
 def test_request_whose_route_went_to_another_service_while_it_waited_is_not_sent():
     async def scenario(harness):
         request = asyncio.create_task(harness.ask("/writes/1", "POST"))
-        await asyncio.sleep(WHILE_IT_WAITS)
+        await asyncio.sleep(SECONDS_INTO_THE_WAIT)
         harness.put(items.CONFIGURATION, "upstream/t", {"version": 1, "item": {"name": "t", "version": 1}})
         harness.route("writes", kind="non_idempotent", service="t")
         with pytest.raises(errors.IrisError) as raised:
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize("change", ["leaving", "evacuated"])
 def test_shield_sends_nothing_to_an_origin_that_changed_while_its_connection_opened(change):
-    """Guards against DRAIN and EVAC on role shield, whose connections wait for a probe's answer."""
+    """Guards against requests to leaving origins (DRAIN) or evacuated sites (EVAC) after a shield's probe."""
 
     async def scenario(day):
         origins = [origin for origin in day.actors.origins if origin.service == "application"]
--- a/tests/dataplane/test_direct_edge.py
+++ b/tests/dataplane/test_direct_edge.py
@@ -1,4 +1,4 @@
-"""Edges that reach origins by themselves: what may be asked where, how often, and what clients get."""
+"""Edges that connect to origins themselves: which requests they retry or hedge, and what they respond."""
 
 import asyncio
 
@@ -10,12 +10,12 @@
 from irisstand.dataplane.upstream import exchange
 from irisstand.state import items
 
-BROKEN_CONNECTION = exchange.ConnectionBrokenError("cut")
+BROKEN_CONNECTION = exchange.ConnectionBrokenError("connection reset")
 NOT_RUN = complete_answer("", b"", 503, x_not_run="1", content_digest=None)
 
 
 def error_of(scenario, kind, **fields):
-    """The error that a scene ends with."""
+    """Run a scenario that must raise an error of the given class; return the error and the harness."""
 
     async def run(harness):
         with pytest.raises(kind) as raised:
@@ -114,15 +114,15 @@
         )
         started = asyncio.get_running_loop().time()
         answer = await harness.ask("/reads/1")
-        took = asyncio.get_running_loop().time() - started
-        left = len(harness.direct_node.origins.attempts)
+        elapsed = asyncio.get_running_loop().time() - started
+        attempts_left = len(harness.direct_node.origins.attempts)
         await asyncio.sleep(2)
-        return answer.body, took, left, len(harness.direct_node.origins.attempts)
+        return answer.body, elapsed, attempts_left, len(harness.direct_node.origins.attempts)
 
-    body, took, left, in_the_end = run_scenario(scenario)
+    body, elapsed, attempts_left, attempts_left_later = run_scenario(scenario)
     assert body == b"soon"
-    assert took < 0.5
-    assert (left, in_the_end) == (1, 0)
+    assert elapsed < 0.5
+    assert (attempts_left, attempts_left_later) == (1, 0)
 
 
 def test_retries_stay_within_this_edges_part_of_the_budget():
--- a/tests/dataplane/test_direct_edge_cache.py
+++ b/tests/dataplane/test_direct_edge_cache.py
@@ -1,4 +1,4 @@
-"""Edges that reach origins by themselves: which copies of objects they give out, and how they fetch them."""
+"""The caches of direct edges: which objects they serve, and how they fetch and revalidate them."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 from irisstand.state import items
 
 
-# -- objects -----------------------------------------------------------------------------------------------
+# -- cacheable routes --------------------------------------------------------------------------------------
 def test_equal_reads_share_one_fetch_and_each_answer_has_its_own_request_id():
     async def scenario(harness):
         async def origin(headers):
@@ -27,14 +27,14 @@
 def test_range_is_cut_from_the_complete_object_and_conditional_headers_do_not_reach_the_origin():
     async def scenario(harness):
         harness.respond = lambda key, headers, body: complete_answer(headers["x-request-id"], b"abcdef")
-        part = await harness.ask("/objects/1", range="bytes=2-3", if_none_match='"x"')
-        past = await harness.ask("/objects/1", range="bytes=6-")
-        return part, past, harness.sent
-
-    part, past, sent = run_scenario(scenario)
-    assert (part.status, part.body, part.headers["content-range"]) == (206, b"cd", "bytes 2-3/6")
-    assert part.headers["content-digest"] == "seal"
-    assert past.status == 416
+        partial = await harness.ask("/objects/1", range="bytes=2-3", if_none_match='"x"')
+        unsatisfiable = await harness.ask("/objects/1", range="bytes=6-")
+        return partial, unsatisfiable, harness.sent
+
+    partial, unsatisfiable, sent = run_scenario(scenario)
+    assert (partial.status, partial.body, partial.headers["content-range"]) == (206, b"cd", "bytes 2-3/6")
+    assert partial.headers["content-digest"] == "seal"
+    assert unsatisfiable.status == 416
     assert len(sent) == 1
     assert "range" not in sent[0][3]
     assert "if-none-match" not in sent[0][3]
@@ -71,10 +71,10 @@
         harness.respond = lambda _, headers, body: origin(headers)
         first = await harness.ask("/objects/1")
         harness.put(items.LEDGER, key, {"purge": key.split("/")[1]})
-        asking = asyncio.get_running_loop().create_task(harness.ask("/objects/1", request_id="r2"))
+        fetching = asyncio.get_running_loop().create_task(harness.ask("/objects/1", request_id="r2"))
         await asyncio.sleep(0.05)
         harness.put(items.LEDGER, key, {"purge": key.split("/")[1]})
-        second = await asking
+        second = await fetching
         return first.body, second.body, (await harness.ask("/objects/1", request_id="r3")).body
 
     first, second, third = run_scenario(scenario)
--- a/tests/dataplane/test_keyed_departures.py
+++ b/tests/dataplane/test_keyed_departures.py
@@ -1,4 +1,4 @@
-"""Writes with an Idempotency-Key whose client leaves: its one run is carried on, and its result kept."""
+"""Clients that disconnect: a write goes on at its shield, with a key its result is recorded; a read ends."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
             origin.delay = 0.5
         client = asyncio.create_task(write(day, "edge-1", "left"))
         await asyncio.sleep(0.3)
-        # All its clients' connections end with the edge.
+        # The edge is killed, which ends all connections of its clients.
         day.cluster.nodes["edge-1"].kill(reset=True)
         client.cancel()
         await asyncio.sleep(2)
--- a/tests/dataplane/test_object_holders.py
+++ b/tests/dataplane/test_object_holders.py
@@ -1,4 +1,4 @@
-"""Object holders: what edges get from them, also when a holder fails or has an older configuration."""
+"""Reads through object holders, also when a holder is silent, drains or has an older configuration."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class Site:
-    """Edges and holders that call each other's handlers directly; `silent` ones answer nothing."""
+    """Edges and holders that call each other's handlers without a network; `silent_nodes` never reply."""
 
     def __init__(self, edges=2, holders=1, **sites):
         self.nodes, self.silent_nodes, self.calls, self.reply_kinds = {}, set(), [], []
@@ -82,28 +82,28 @@
 def test_holder_that_does_not_answer_is_waited_for_once_and_the_edge_fetches_by_itself():
     async def scenario(site):
         site.silent_nodes = {"holder-1"}
-        took = []
+        elapsed = []
         for number in range(3):
             started = asyncio.get_running_loop().time()
             assert (await site.nodes["edge-1"].ask(f"/objects/{number}")).status == 200
-            took.append(asyncio.get_running_loop().time() - started)
-        return took, site.sent(), len(site.calls)
+            elapsed.append(asyncio.get_running_loop().time() - started)
+        return elapsed, site.sent(), len(site.calls)
 
-    took, sent, calls = run_scenario(scenario)
-    assert took[0] < 0.8
-    assert max(took[1:]) < 0.1
+    elapsed, sent, calls = run_scenario(scenario)
+    assert elapsed[0] < 0.8
+    assert max(elapsed[1:]) < 0.1
     assert sent == {"edge-1": 3}
     assert calls == 1
 
 
 def test_edge_does_not_fetch_by_itself_when_its_holder_gets_no_token():
-    """Each edge's own fetch would take a token from the owners of all, and serve that edge alone."""
+    """Guards against edges that use up scarce tokens: an edge's own fetch would serve that edge alone."""
 
     async def scenario(site):
-        def full(*arguments):
-            raise errors.LimitExceededError("s is at its ceiling")
+        def refuse(*arguments):
+            raise errors.LimitExceededError("the rate limit of s is used up")
 
-        site.nodes["holder-1"].direct_node.endpoints.enter = full
+        site.nodes["holder-1"].direct_node.endpoints.enter = refuse
         with pytest.raises(errors.LimitExceededError):
             await site.nodes["edge-1"].ask("/objects/1")
         return site.sent()
@@ -127,7 +127,7 @@
 
 def test_answer_of_a_holder_with_an_older_configuration_is_not_used():
     async def scenario(site):
-        # The edge's route goes to another service now; its holder still has the old one.
+        # The edge has a new route, to another service; its holder still has the old route.
         edge = site.nodes["edge-1"]
         edge.put(items.CONFIGURATION, "upstream/t", {"version": 1, "item": {"name": "t", "version": 1}})
         edge.origin("c", service="t")
@@ -204,12 +204,12 @@
         origins = departing_clients.SlowOrigins(site.nodes["holder-1"])
         edges = [asyncio.create_task(site.nodes[f"edge-{n}"].ask("/objects/1")) for n in (1, 2)]
         await asyncio.sleep(0.05)
-        cut = []
+        cancelled_runs = []
         for edge in edges:
             edge.cancel()
             await asyncio.wait([edge])
             await asyncio.sleep(0.01)
-            cut.append(origins.cancelled())
-        return cut, site.sent()
+            cancelled_runs.append(origins.cancelled())
+        return cancelled_runs, site.sent()
 
     assert run_scenario(scenario) == ([[False], [True]], {"holder-1": 1})
--- a/tests/dataplane/test_own_answers.py
+++ b/tests/dataplane/test_own_answers.py
@@ -1,4 +1,4 @@
-"""What counters and the event log say of a node's own answers, and of what a drain leaves behind."""
+"""The counter of a node's own error responses, and the event that reports work left at the end of a drain."""
 
 import asyncio
 
@@ -42,5 +42,5 @@
             if event["message_type"] == "drained"
         ]
 
-    # The request counts twice, at the listener and at its exchange with the origins.
+    # The one request is counted twice: as in flight at the listener, and as an exchange with an origin.
     assert run_scenario(scenario) == [(0.5, 2, False)]
--- a/tests/dataplane/test_popularity.py
+++ b/tests/dataplane/test_popularity.py
@@ -1,4 +1,4 @@
-"""Hot objects: one shield does not bear them alone, and a cold object stays where it is."""
+"""Popular objects are served by two shields, and all others by one."""
 
 import asyncio
 import collections
@@ -8,7 +8,7 @@
 
 
 async def fetches_by_shield(day, path, rate, seconds):
-    """How many fetches of the path each shield got, by the counters of the shields themselves."""
+    """Send reads of a path at a rate, and return the numbers of fetches at the shields that got any."""
     gauges = {
         node.placement.name: node.program.context.load_gauge for node in day.cluster.with_role("shield")
     }
--- a/tests/dataplane/test_reads_through_holders.py
+++ b/tests/dataplane/test_reads_through_holders.py
@@ -1,4 +1,4 @@
-"""Reads that an edge has an object holder fetch: an answer of the edge's own never replaces the origin's."""
+"""Reads through object holders: no edge refuses or cancels a read that an origin works on for a holder."""
 
 import asyncio
 
@@ -9,17 +9,17 @@
 from irisstand import errors
 
 
-def leave_no_token(node):
-    """Refuse every token to a node's own requests, as where the rate is used up."""
+def refuse_all_tokens(node):
+    """Refuse every rate limit token to a node's own requests, as if the limit were used up."""
 
     def refuse(*arguments):
-        raise errors.LimitExceededError("s is at its ceiling")
+        raise errors.LimitExceededError("the rate limit of s is used up")
 
     node.direct_node.endpoints.enter = refuse
 
 
-def send_each_read_once(site):
-    """Let no node send a hedged request, so that each run belongs to one fetch."""
+def disable_hedging(site):
+    """Let no node send hedged requests or retries, so that each run at an origin belongs to one fetch."""
     for node in site.nodes.values():
         node.route("objects", kind="cacheable", attempts=1)
 
@@ -29,8 +29,8 @@
 def test_edge_does_not_refuse_a_read_that_an_origin_works_on_for_its_holder(seconds, is_stopping):
     async def scenario(site):
         origins = departing_clients.SlowOrigins(site.nodes["holder-1"], seconds)
-        send_each_read_once(site)
-        leave_no_token(site.nodes["edge-1"])
+        disable_hedging(site)
+        refuse_all_tokens(site.nodes["edge-1"])
         site.nodes["edge-1"].context.is_draining = is_stopping
         answer = await site.nodes["edge-1"].ask("/objects/1")
         return answer.status, origins.cancelled(), site.sent()
@@ -40,15 +40,17 @@
 
 def test_holder_does_not_break_off_a_read_that_an_origin_works_on_for_another_holder():
     async def scenario(site):
-        send_each_read_once(site)
-        fetching = [departing_clients.SlowOrigins(site.nodes[f"holder-{n}"], 0.5) for n in (1, 2)]
+        disable_hedging(site)
+        origins_by_holder = [departing_clients.SlowOrigins(site.nodes[f"holder-{n}"], 0.5) for n in (1, 2)]
         for node in site.nodes.values():
             node.direct_node.endpoints.is_scarce = lambda service: True
         statuses = [(await site.nodes["edge-1"].ask(f"/objects/{n}")).status for n in range(6)]
-        cut = [is_cancelled for origins in fetching for is_cancelled in origins.cancelled()]
-        return statuses, cut
+        cancelled_runs = [
+            is_cancelled for origins in origins_by_holder for is_cancelled in origins.cancelled()
+        ]
+        return statuses, cancelled_runs
 
-    # Both holders are asked by the edge's site in turn; half of the objects belong to the other one.
+    # The edge asks the holder of its site, which requests half of the objects from the other holder.
     assert run_scenario(scenario, holders=2, holder_2="south") == ([200] * 6, [False] * 6)
 
 
@@ -76,5 +78,5 @@
         statuses = [(await site.nodes["edge-1"].ask(f"/objects/{number}")).status for number in range(4)]
         return statuses, sum(site.sent().values())
 
-    # Some of the objects go from holder to holder; none is fetched again for its age.
+    # Some of the objects pass both holders. If the fetch counted twice in their age, they would have expired.
     assert run_scenario(scenario, holders=2, holder_2="south")[0] == [200] * 4
--- a/tests/dataplane/test_recorded_object_messages.py
+++ b/tests/dataplane/test_recorded_object_messages.py
@@ -1,4 +1,4 @@
-"""Object requests and lease requests against bodies recorded before these messages had types of their own."""
+"""Wire compatibility of object and lease messages with bodies that earlier versions of the code recorded."""
 
 import json
 import pathlib
--- a/tests/dataplane/test_token_leases.py
+++ b/tests/dataplane/test_token_leases.py
@@ -1,4 +1,4 @@
-"""A service's rate over all nodes: what is sent in any five seconds, whatever each knows of the others."""
+"""Fleet-wide rate limits: how many requests all nodes send in five seconds, whatever members each knows."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 class Fleet(test_object_holders.Site):
-    """A site whose links can be cut one way, and whose nodes can be killed and started again."""
+    """Nodes at two sites whose links can fail in one direction, and that can be killed and restarted."""
 
     def __init__(self, edges=4, **more):
         super().__init__(edges=edges, holders=4, **SITES, **more)
@@ -45,7 +45,7 @@
         return call
 
     def restart(self, name):
-        """SIGKILL and a new process at once: nothing of the old one's memory is left."""
+        """Replace a node by a new process with empty memory, as after SIGKILL and an immediate restart."""
         old_node = self.nodes[name]
         self.killed_nodes.append(old_node)
         new_node = direct_edge.DirectNodeHarness(settings=old_node.context.settings)
@@ -58,7 +58,7 @@
         self.configure(new_node)
 
     def forget(self, name, other):
-        """`name`'s list of members holds `other` no more."""
+        """Remove the node `other` from the member list of the node `name`."""
         members = self.nodes[name].context.detector.member_list.members
         for identity in [key for key in members if key == other or getattr(key, "name", "") == other]:
             del members[identity]
@@ -68,7 +68,7 @@
         return sorted(sent[4] for node in nodes for sent in node.sent)
 
 
-def most_in_a_window(times):
+def max_in_window(times):
     most, first = 0, 0
     for last, sent_at in enumerate(times):
         while times[first] <= sent_at - WINDOW:
@@ -78,7 +78,7 @@
 
 
 async def send_requests(fleet, names, seconds, per_second, prefix=""):
-    """Requests for objects that nobody has yet; returns the statuses."""
+    """Send requests for objects that no cache has, at a rate per node, and return the statuses."""
     loop = asyncio.get_running_loop()
     end, number, statuses = loop.time() + seconds, 0, []
 
@@ -127,12 +127,12 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_rate_limit_holds_in_any_five_seconds_whatever_members_each_node_knows(seed):
     async def scenario(fleet):
-        disturbing = asyncio.create_task(inject_faults(fleet, random.Random(seed)))
+        faults = asyncio.create_task(inject_faults(fleet, random.Random(seed)))
         await send_requests(fleet, list(fleet.nodes), 14, 12)
-        disturbing.cancel()
+        faults.cancel()
         return fleet.send_times()
 
-    assert most_in_a_window(run_scenario(scenario)) <= RATE * WINDOW * OVERRUN + SLACK
+    assert max_in_window(run_scenario(scenario)) <= RATE * WINDOW * OVERRUN + SLACK
 
 
 @pytest.mark.parametrize("name", ["holder-1", "edge-1"])
--- a/tests/mutation/dataplane_mutations.py
+++ b/tests/mutation/dataplane_mutations.py
@@ -1,4 +1,4 @@
-"""Mutations of the data plane: (file, text, what stands there when it is taken out, the test that must fail)."""
+"""Mutations of the data plane: (source file, its text, the text put in its place, the test that must fail)."""
 # ruff: noqa: E501
 
 GUARDS = [
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -1,4 +1,4 @@
-"""Mutations of nodes that reach origins by themselves, in the form of dataplane_mutations.py."""
+"""Mutations of nodes that connect to origins themselves, in the form of `dataplane_mutations.py`."""
 # ruff: noqa: E501
 
 GUARDS = [
--- a/tests/support/departing_clients.py
+++ b/tests/support/departing_clients.py
@@ -1,4 +1,4 @@
-"""Clients that leave before they are answered, and origins that note which of their runs were cut off."""
+"""Clients that disconnect before the response, and origins that record which of their runs were cancelled."""
 
 import asyncio
 import itertools
@@ -10,12 +10,12 @@
 from irisstand.http1 import request_head
 from irisstand.simulator import virtual_time
 
-# Sanic knows its applications by name for as long as the process lives.
+# Names of applications must be unique: sanic keeps each application by its name until the process ends.
 NUMBERS = itertools.count(1)
 
 
 class ClientRequest:
-    """What the listener takes of sanic's request: one that has come whole."""
+    """The attributes of a sanic request that the listener reads; the request has arrived completely."""
 
     def __init__(self, path, method="GET", **headers):
         self.method = method
@@ -28,7 +28,7 @@
 
 
 class OriginRun:
-    """One run of an origin."""
+    """The processing of one request at an origin."""
 
     def __init__(self, instance):
         self.instance = instance
@@ -38,7 +38,7 @@
 
 
 class SlowOrigins:
-    """Origins that work for `seconds` on each request, and drop one whose connection is closed."""
+    """Origins that work for `seconds` on each request, and cancel the work when the connection is closed."""
 
     def __init__(self, harness, seconds=1.5, status=200):
         self.seconds, self.status, self.runs = seconds, status, []
@@ -61,7 +61,7 @@
 
 
 class ListenerHarness:
-    """One node with a listener for clients, in virtual time."""
+    """One node with a listener for clients, whose requests are made without sockets."""
 
     def __init__(self, address=("127.0.0.1", 0), **fields):
         settings = direct_edge.SETTINGS._replace(name=f"departures-{next(NUMBERS)}")
@@ -72,24 +72,24 @@
         self.listener = listener.ClientListener(self.context, self.node.direct_node, address)
 
     def start_request(self, path, method="GET", **headers):
-        """A client's request, as the task in which sanic runs the handler; it is cancelled as sanic does."""
+        """Start a client's request, and return the task that runs the handler, as sanic starts one."""
         request = ClientRequest(path, method, **headers)
         return asyncio.get_running_loop().create_task(self.listener.serve(request))
 
     async def disconnect(self, client):
-        """End the client's connection."""
+        """Close the client's connection, which cancels the task of its request."""
         client.cancel()
         await asyncio.wait([client])
 
     async def request_and_disconnect(self, path, seconds, method="GET"):
-        """Let a client ask, and leave after some seconds."""
+        """Start a client's request, and close the client's connection after `seconds`."""
         client = self.start_request(path, method)
         await asyncio.sleep(seconds)
         await self.disconnect(client)
 
 
 def run_scenario(scenario, **fields):
-    """Run `scene(stage)` in virtual time."""
+    """Run `scenario(harness)` in virtual time, with a new `ListenerHarness`."""
 
     async def run():
         return await scenario(ListenerHarness(**fields))
--- a/tests/support/direct_edge.py
+++ b/tests/support/direct_edge.py
@@ -1,4 +1,4 @@
-"""Scenes for edges that reach origins by themselves: one edge, its tables, and origins that obey a script."""
+"""A test harness for direct edges: one edge, its replicas, and origins whose responses the test chooses."""
 
 import asyncio
 import collections
@@ -33,14 +33,14 @@
 KINDS = {"objects": "cacheable", "reads": "idempotent", "writes": "non_idempotent"}
 
 
-def complete_answer(request_id, body=b"whole", status=200, **more):
+def complete_answer(request_id, body=b"whole", status=200, **extra_headers):
     headers = {"content-digest": "seal", "x-request-id": request_id}
-    headers |= {name.replace("_", "-"): value for name, value in more.items()}
+    headers |= {name.replace("_", "-"): value for name, value in extra_headers.items()}
     return exchange.Answer(status, {k: v for k, v in headers.items() if v is not None}, body)
 
 
 class ScriptedConnection:
-    """A connection whose origin answers as `origin(number, headers, body)` says: an Answer, or an error."""
+    """A connection whose exchanges return or raise the result of `harness.respond(key, headers, body)`."""
 
     def __init__(self, harness, key):
         self.harness, self.key = harness, key
@@ -61,7 +61,7 @@
             try:
                 outcome = await outcome
             except asyncio.CancelledError:
-                # As of a real connection: half an exchange cannot be carried on.
+                # Like a real connection, it cannot be used again after an incomplete exchange.
                 self.is_open = False
                 raise
         if isinstance(outcome, Exception):
@@ -71,6 +71,8 @@
 
 
 class DirectNodeHarness:
+    """A direct node without a network: the test writes its replicas, `respond` answers for the origins."""
+
     def __init__(self, edges=1, settings=SETTINGS):
         self.context = node_context.NodeContext(
             settings, settings.role, clocks.LoopClock(), random.Random(7), None
@@ -157,7 +159,7 @@
 
 
 def run_scenario(scenario, **fields):
-    """Run `scene(stage)` in virtual time."""
+    """Run `scenario(harness)` in virtual time, with a new `DirectNodeHarness`."""
 
     async def run():
         return await scenario(DirectNodeHarness(**fields))
