--- a/src/irisstand/dataplane/cache/object_reader.py
+++ b/src/irisstand/dataplane/cache/object_reader.py
@@ -159,11 +159,11 @@
         deadline = self.context.clock.now() + remaining
         key = (lookup.key, minimum_version, lookup.is_forwarded)
         while True:
-            remaining_seconds = deadline - self.context.clock.now()
+            seconds_left = deadline - self.context.clock.now()
             is_joined = self.coalescer.is_in_flight(key)
-            fetch = functools.partial(self.fetch, lookup, minimum_version, remaining_seconds)
+            fetch = functools.partial(self.fetch, lookup, minimum_version, seconds_left)
             try:
-                async with asyncio.timeout(max(MIN_TIMEOUT_SECONDS, remaining_seconds)):
+                async with asyncio.timeout(max(MIN_TIMEOUT_SECONDS, seconds_left)):
                     return await self.coalescer.join(key, fetch)
             except TimeoutError:
                 raise errors.DeadlineExceededError(
