--- a/src/irisstand/membership/updates.py
+++ b/src/irisstand/membership/updates.py
@@ -41,7 +41,7 @@
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "NodeInfo":
         """Check decoded fields; raises ValueError or TypeError if they are no node info."""
-        info = cls(*_sequence(fields, len(cls._fields)))
+        info = cls(*_checked_fields(fields, len(cls._fields)))
         _check_texts(info.role, info.machine, info.site, info.region, info.host)
         _check_numbers(info.port, info.http_port)
         if not 0 < info.port < PORT_LIMIT or info.http_port >= PORT_LIMIT:
@@ -116,7 +116,7 @@
     return new.incarnation_number > old.incarnation_number
 
 
-def _sequence(fields: typing.Any, length: int) -> list[typing.Any]:
+def _checked_fields(fields: typing.Any, length: int) -> list[typing.Any]:
     found = list(fields)
     if len(found) != length:
         raise ValueError(f"{len(found)} fields in place of {length}")
--- a/src/irisstand/modelcheck/invariants.py
+++ b/src/irisstand/modelcheck/invariants.py
@@ -64,10 +64,10 @@
         if batch.version <= batch.base:
             self.fail(f"{batch.version} was applied on the higher {batch.base}")
 
-    def on_current(self, node: str, table_replica: replica.Replica, moment: float) -> None:
+    def on_current(self, node: str, table_replica: replica.Replica, current_at: float) -> None:
         """Check that a replica which is current as of a moment has all that was confirmed before it."""
         for entry in self.history.confirmed:
-            if entry.confirmed_at < moment and not self.history.includes(state_of(table_replica), entry):
+            if entry.confirmed_at < current_at and not self.history.includes(state_of(table_replica), entry):
                 self.fail(
                     f"{node} is called current at {table_replica.applied}, without confirmed {entry.version}"
                 )
@@ -183,10 +183,10 @@
         self.checker.on_applied(self.node, self.replica.applied, batch)
         self.apply_to_replica(batch)
 
-    def confirm_current(self, moment: float) -> None:
+    def confirm_current(self, current_at: float) -> None:
         """Check the replica before it counts as current as of a moment."""
-        self.checker.on_current(self.node, self.replica, moment)
-        self.confirm_replica(moment)
+        self.checker.on_current(self.node, self.replica, current_at)
+        self.confirm_replica(current_at)
 
     def compare(self) -> None:
         """Check that the replica did not go back and holds a decided state item by item."""
--- a/src/irisstand/simulator/large_configurations.py
+++ b/src/irisstand/simulator/large_configurations.py
@@ -50,7 +50,7 @@
     cursor = messages.Cursor(versions.NONE, replica.KEY_UPPER_BOUND)
     found: list[chunk_transfer.Chunk] = []
     while not found or found[-1].end is not None:
-        found.append(chunk_transfer.cut_chunk(copy, cursor))
+        found.append(chunk_transfer.build_chunk(copy, cursor))
         cursor = found[-1].end or cursor
     return found
 
--- a/src/irisstand/state/digests.py
+++ b/src/irisstand/state/digests.py
@@ -70,14 +70,14 @@
         return self._known_root
 
 
-def legacy_root_digest(held: collections.abc.Iterable[items.Item]) -> bytes:
+def legacy_root_digest(sorted_items: collections.abc.Iterable[items.Item]) -> bytes:
     """Return the root digest that the first version wrote to disk, over sixteen ranges.
 
     Args:
-        held: The items of the table in the order of their keys.
+        sorted_items: The items of the table in the order of their keys.
     """
     hashes = [hashlib.sha256() for _ in range(LEGACY_RANGE_COUNT)]
-    for item in held:
+    for item in sorted_items:
         packed = ormsgpack.packb(item.to_wire(), option=ormsgpack.OPT_SORT_KEYS)
         hashes[zlib.crc32(item.key.encode()) % LEGACY_RANGE_COUNT].update(packed)
     shortened = b"".join(one.digest()[:SHORT_DIGEST_BYTES] for one in hashes)
--- a/src/irisstand/state/item_table.py
+++ b/src/irisstand/state/item_table.py
@@ -102,11 +102,11 @@
 
     def replace_ranges(self, ranges: dict[int, list[items.Item]]) -> None:
         """Make whole ranges equal to a peer's: what the peer lacks was removed, or is damage."""
-        kept = {item.key for held in ranges.values() for item in held}
+        kept = {item.key for range_items in ranges.values() for item in range_items}
         for key in [key for key in self.items if digests.range_number(key) in ranges and key not in kept]:
             self.remove(key)
-        for held in ranges.values():
-            for item in held:
+        for range_items in ranges.values():
+            for item in range_items:
                 if self.items.get(item.key) != item:
                     self.put(item)
 
--- a/src/irisstand/state/replica.py
+++ b/src/irisstand/state/replica.py
@@ -52,10 +52,10 @@
         """Return for how many seconds changes may have been missed, or None if that is not known."""
         return None if self.current_as_of is None else now - self.current_as_of
 
-    def confirm_current(self, moment: float) -> None:
+    def confirm_current(self, current_at: float) -> None:
         """Record that nothing was missing at `moment`: when a request was sent, not when it was answered."""
-        if self.current_as_of is None or moment > self.current_as_of:
-            self.current_as_of = moment
+        if self.current_as_of is None or current_at > self.current_as_of:
+            self.current_as_of = current_at
 
     def changes_since(self, applied: versions.Version) -> Changes:
         """Return the items and removals above a version.
@@ -151,12 +151,12 @@
 
     def clone(self) -> "Replica":
         """Return a replica with the same content, without watchers and with unknown age."""
-        twin = Replica(self.name)
-        twin.items = self.items.copy()
-        twin.keys_by_version = self.keys_by_version.copy()
-        twin.item_digests = dict(self.item_digests)
-        twin.digests = self.digests.copy()
-        twin.counts_by_prefix = self.counts_by_prefix.copy()
-        twin.removal_records = self.removal_records.copy()
-        twin.applied = self.applied
-        return twin
+        cloned = Replica(self.name)
+        cloned.items = self.items.copy()
+        cloned.keys_by_version = self.keys_by_version.copy()
+        cloned.item_digests = dict(self.item_digests)
+        cloned.digests = self.digests.copy()
+        cloned.counts_by_prefix = self.counts_by_prefix.copy()
+        cloned.removal_records = self.removal_records.copy()
+        cloned.applied = self.applied
+        return cloned
--- a/src/irisstand/state/replication/chunk_transfer.py
+++ b/src/irisstand/state/replication/chunk_transfer.py
@@ -65,7 +65,7 @@
         local = self.context.replicas[request.table]
         if local.applied < max(request.base, request.cursor.version):
             raise errors.StaleConfigurationError(f"the {request.table} table is older here than the asker's")
-        chunk = self.chunk_behind(local, request.cursor)
+        chunk = self.chunk_after(local, request.cursor)
         removed_keys = tuple(local.changes_since(request.base).removed_keys) if chunk.end is None else ()
         age = local.age(self.context.clock.now())
         root_digest = local.root_digest()
@@ -74,18 +74,20 @@
         )
         return reply.to_wire()
 
-    def chunk_behind(self, local: replica.Replica, cursor: messages.Cursor) -> Chunk:
+    def chunk_after(self, local: replica.Replica, cursor: messages.Cursor) -> Chunk:
         """Return the chunk behind a cursor, compressed once for all nodes that ask for it."""
         is_outdated = self.cached_at_version.get(local.name) != local.applied
         if is_outdated or len(self.cached_chunks) >= CACHED_CHUNKS_LIMIT:
             self.cached_chunks = {
-                place: chunk for place, chunk in self.cached_chunks.items() if place[0] != local.name
+                cache_key: chunk
+                for cache_key, chunk in self.cached_chunks.items()
+                if cache_key[0] != local.name
             }
             self.cached_at_version[local.name] = local.applied
-        place = (local.name, cursor)
-        if place not in self.cached_chunks:
-            self.cached_chunks[place] = cut_chunk(local, cursor)
-        return self.cached_chunks[place]
+        cache_key = (local.name, cursor)
+        if cache_key not in self.cached_chunks:
+            self.cached_chunks[cache_key] = build_chunk(local, cursor)
+        return self.cached_chunks[cache_key]
 
     # -- asking --------------------------------------------------------------------------------------
     def drop_outdated(self) -> None:
@@ -123,7 +125,7 @@
             staged.items.update({item.key: item for item in unpack_items(reply.packed_items)})
             if reply.end is None:
                 return self.finish(local, staged, reply, sent_at)
-            staged.cursor = checked_next(staged.cursor, reply.end)
+            staged.cursor = checked_next_cursor(staged.cursor, reply.end)
         return False
 
     def staged_items(self, local: replica.Replica) -> StagedItems:
@@ -149,7 +151,7 @@
         return True
 
 
-def cut_chunk(local: replica.Replica, cursor: messages.Cursor) -> Chunk:
+def build_chunk(local: replica.Replica, cursor: messages.Cursor) -> Chunk:
     """Return the items behind a cursor in the order of their versions, as many as a chunk has room for."""
     packed: list[bytes] = []
     size = 0
@@ -184,7 +186,7 @@
     return [items.Item.from_wire(ormsgpack.unpackb(one)) for one in ormsgpack.unpackb(plain)]
 
 
-def checked_next(before: messages.Cursor, end: messages.Cursor) -> messages.Cursor:
+def checked_next_cursor(before: messages.Cursor, end: messages.Cursor) -> messages.Cursor:
     """Return `end` if it lies behind `before`; otherwise requests for chunks would never come to an end.
 
     Raises:
--- a/src/irisstand/state/replication/messages.py
+++ b/src/irisstand/state/replication/messages.py
@@ -197,19 +197,19 @@
     """All items of one range."""
 
     number: int
-    held: tuple[items.Item, ...]
+    range_items: tuple[items.Item, ...]
 
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "RangeContent":
         """Decode the content of a range."""
-        number, held = fields
+        number, range_items = fields
         if type(number) is not int or not 0 <= number < digests.RANGE_COUNT:
             raise ValueError("not a range")
-        return cls(number, tuple(items.Item.from_wire(item) for item in held))
+        return cls(number, tuple(items.Item.from_wire(item) for item in range_items))
 
     def to_wire(self) -> tuple[int, tuple[items.WireItem, ...]]:
         """Return the content as plain tuples."""
-        return (self.number, tuple(item.to_wire() for item in self.held))
+        return (self.number, tuple(item.to_wire() for item in self.range_items))
 
 
 class RangesReply(typing.NamedTuple):
--- a/src/irisstand/state/replication/quorum_loss.py
+++ b/src/irisstand/state/replication/quorum_loss.py
@@ -42,27 +42,27 @@
     async def check_voters(self, local: replica.Replica) -> None:
         """Ask all voters of one table at once, and record a loss if a majority of them counts as lost."""
         # The evidence counts from here: a voter may have come back after it was asked.
-        started = self.context.clock.now()
+        started_at = self.context.clock.now()
         voters = quorum.voters_from_wire(local.value(items.VOTERS_KEY))
-        unable = await self.unable_voters(voters, local)
-        if quorum.is_majority(voters, unable):
-            self.context.quorum_lost_as_of[local.name] = started
+        unable_disk_ids = await self.unable_voters(voters, local)
+        if quorum.is_majority(voters, unable_disk_ids):
+            self.context.quorum_lost_as_of[local.name] = started_at
             self.context.counters.add("core_found_out", table=local.name)
 
     async def unable_voters(self, voters: list[quorum.Voter], local: replica.Replica) -> set[str]:
         """Return the disk ids of voters that cannot confirm anything; stop once they are a majority."""
         loop = asyncio.get_running_loop()
         voter_by_task = {loop.create_task(self.cannot_confirm(voter, local)): voter for voter in voters}
-        unable: set[str] = set()
+        unable_disk_ids: set[str] = set()
         pending = set(voter_by_task)
         try:
-            while pending and not quorum.is_majority(voters, unable):
+            while pending and not quorum.is_majority(voters, unable_disk_ids):
                 done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
-                unable |= {voter_by_task[task].disk_id for task in done if task.result()}
+                unable_disk_ids |= {voter_by_task[task].disk_id for task in done if task.result()}
         finally:
             for task in pending:
                 task.cancel()
-        return unable
+        return unable_disk_ids
 
     async def cannot_confirm(self, voter: quorum.Voter, local: replica.Replica) -> bool:
         """Return whether there is evidence that one voter cannot confirm anything."""
--- a/src/irisstand/state/replication/refresher.py
+++ b/src/irisstand/state/replication/refresher.py
@@ -14,9 +14,9 @@
 ROUND_TIMEOUT_SECONDS = 1.1
 # The longest time from the start of one round to the next while a table is not fresh.
 UNFRESH_INTERVAL_SECONDS = 0.06
-PAUSE_LEAST_SECONDS = 0.01
+MIN_PAUSE_SECONDS = 0.01
 # A wait shorter than this might not move the clock, and a loop of such waits would never end.
-WAIT_LEAST_SECONDS = 0.001
+MIN_WAIT_SECONDS = 0.001
 # The role of control plane nodes, as members tell it.
 CONTROL_PLANE_ROLE = "agency"
 # Peers outside the control plane that are asked in one round, beside the one that answered last.
@@ -47,18 +47,18 @@
         own_site = self.context.settings.site
         nodes = self.shuffled(update for update in members if update.node_info.role == CONTROL_PLANE_ROLE)
         nodes.sort(key=lambda update: (update.state, update.node_info.site != own_site))
-        core = [source_of(update) for update in nodes]
+        control_plane = [source_of(update) for update in nodes]
         nodes = self.shuffled(update for update in members if update.node_info.role != CONTROL_PLANE_ROLE)
         others = [source_of(update) for update in nodes[:OTHER_SOURCES_LIMIT]]
-        if self.answered_last in core[1:]:
-            core.remove(self.answered_last)
-            core.insert(1, self.answered_last)
-        elif self.answered_last is not None and self.answered_last not in core:
+        if self.answered_last in control_plane[1:]:
+            control_plane.remove(self.answered_last)
+            control_plane.insert(1, self.answered_last)
+        elif self.answered_last is not None and self.answered_last not in control_plane:
             others.insert(0, self.answered_last)
         # Alternate, so that a node cut off from the control plane need not wait for all of its nodes.
         for number, source in enumerate(dict.fromkeys(others)):
-            core.insert(1 + 2 * number, source)
-        return core
+            control_plane.insert(1 + 2 * number, source)
+        return control_plane
 
     def shuffled(self, members: collections.abc.Iterable[updates.Update]) -> list[updates.Update]:
         """Return members in random order."""
@@ -88,8 +88,10 @@
                 )
                 if any(task.result() for task in done):
                     return
-            while pending and (left := ends_at - self.context.clock.now()) > WAIT_LEAST_SECONDS:
-                done, pending = await asyncio.wait(pending, timeout=left, return_when=asyncio.FIRST_COMPLETED)
+            while pending and (remaining_seconds := ends_at - self.context.clock.now()) > MIN_WAIT_SECONDS:
+                done, pending = await asyncio.wait(
+                    pending, timeout=remaining_seconds, return_when=asyncio.FIRST_COMPLETED
+                )
                 if any(task.result() for task in done):
                     return
         finally:
@@ -102,14 +104,14 @@
         if context.settings.outage_bound:
             context.start_task(quorum_loss.QuorumLossDetector(context).run(), "outage watch")
         while True:
-            started = context.clock.now()
+            started_at = context.clock.now()
             await self.refresh()
             interval = context.settings.freshness_interval
             # A node that cannot serve yet asks again at once: the control plane may be back at this moment.
             if not all(map(context.is_fresh, context.replicas.values())):
                 interval = min(interval, UNFRESH_INTERVAL_SECONDS)
-            pause = interval - (context.clock.now() - started)
-            await asyncio.sleep(max(PAUSE_LEAST_SECONDS, pause))
+            pause = interval - (context.clock.now() - started_at)
+            await asyncio.sleep(max(MIN_PAUSE_SECONDS, pause))
 
 
 def source_of(update: updates.Update) -> Source:
--- a/src/irisstand/state/replication/replicator.py
+++ b/src/irisstand/state/replication/replicator.py
@@ -96,10 +96,10 @@
             all_current = all_current and is_recent and self.context.is_fresh(local)
         return all_current
 
-    def is_recent(self, moment: float) -> bool:
+    def is_recent(self, current_at: float) -> bool:
         """Return whether a peer that was current at `moment` need not be followed by another."""
         bound_seconds = self.context.settings.freshness_bound
-        return moment > self.context.clock.now() - RECENT_FRACTION * bound_seconds
+        return current_at > self.context.clock.now() - RECENT_FRACTION * bound_seconds
 
     async def apply_reply(
         self, address: network.Address, name: str, local: replica.Replica, reply: messages.ChangesReply
@@ -150,7 +150,7 @@
         for _ in range(RANGES_REQUESTS_LIMIT):
             sent_at = self.context.clock.now()
             reply = await self.request_ranges(address, name, repaired)
-            repaired.replace_ranges({content.number: list(content.held) for content in reply.ranges})
+            repaired.replace_ranges({content.number: list(content.range_items) for content in reply.ranges})
             repaired.applied = reply.applied
             self.context.counters.add("ranges_mended", len(reply.ranges), table=local.name)
             if repaired.root_digest() != reply.root_digest:
@@ -206,18 +206,18 @@
         grouped[digests.range_number(item.key)].append(item)
     ranges = []
     size = 0
-    for number, held in grouped.items():
+    for number, range_items in grouped.items():
         if size > RANGES_LIMIT_BYTES:
             break
-        size += estimated_size(held, RANGES_LIMIT_BYTES)
-        ranges.append(messages.RangeContent(number, tuple(held)))
+        size += estimated_size(range_items, RANGES_LIMIT_BYTES)
+        ranges.append(messages.RangeContent(number, tuple(range_items)))
     return tuple(ranges)
 
 
-def estimated_size(held: collections.abc.Iterable[items.Item], limit: int) -> int:
+def estimated_size(counted_items: collections.abc.Iterable[items.Item], limit: int) -> int:
     """Return about how many bytes items take up in a frame, counted no further than just over the limit."""
     size = 0
-    for item in held:
+    for item in counted_items:
         size += len(item.key) + ITEM_OVERHEAD_BYTES + len(repr(item.value))
         if size > limit:
             break
--- a/src/irisstand/state/storage/durable_store.py
+++ b/src/irisstand/state/storage/durable_store.py
@@ -52,7 +52,7 @@
             self.load_table(table, files)
             has_lost_promises = has_lost_promises or self.is_newest_record_corrupt(table, corrupt)
             self.skip_used_numbers(table, [*files, *corrupt])
-        await self.identify(files, has_lost_promises=has_lost_promises)
+        await self.choose_disk_id(files, has_lost_promises=has_lost_promises)
         for table in items.TABLES:
             self.records.setdefault(table, records.BLANK_RECORD)
 
@@ -78,9 +78,9 @@
         self.replicas[table] = saved
         self.layouts[table] = layout
         # Left over from the last run: all but the newest record and what it names.
-        counted = layout.names() | set(record_files[-1:])
+        used_names = layout.names() | set(record_files[-1:])
         self.obsolete_files[table] = [
-            name for name in files if name.startswith(f"{table}.") and name not in counted
+            name for name in files if name.startswith(f"{table}.") and name not in used_names
         ]
         root_digests = (saved.root_digest(), digests.legacy_root_digest(saved.items.values()))
         self.intact[table] = not record_files or record.root_digest in root_digests
@@ -100,7 +100,7 @@
         used = [file_names.file_number(name) for name in names if name.startswith(prefixes)]
         self.record_numbers[table] = max([self.record_numbers[table], *used])
 
-    async def identify(self, files: dict[str, bytes], *, has_lost_promises: bool) -> None:
+    async def choose_disk_id(self, files: dict[str, bytes], *, has_lost_promises: bool) -> None:
         """Take the disk id from the disk, or choose a new one and forget all records."""
         if file_names.DISK_ID_FILE in files and not has_lost_promises:
             self.disk_id = files[file_names.DISK_ID_FILE].decode()
@@ -145,17 +145,17 @@
         Raises:
             DiskFullError: There is no space left; the disk counts as it was before.
         """
-        outdated = self.outdated_items(table, live)
+        unsaved = self.unsaved_items(table, live)
         applied = live.applied
         root_digest = live.root_digest()
         segment = file_names.segment_file(table, self.record_numbers[table] + 1)
         layout, files = item_files.plan(
-            self.replicas[table], self.layouts[table], outdated, segment, rewrite=not self.intact[table]
+            self.replicas[table], self.layouts[table], unsaved, segment, rewrite=not self.intact[table]
         )
         self.orphaned_files[table] |= {name for name, _ in files}
         if files:
             await self.disk.write(files)
-        obsolete = self.files_outside(table, layout)
+        obsolete = self.unused_files(table, layout)
         # Obsolete items are still on the disk, but a removed key must not come back with a restart.
         changed = record._replace(
             applied=applied,
@@ -169,11 +169,11 @@
         self.obsolete_files[table] = [*obsolete, *self.obsolete_files[table][-1:]]
         self.orphaned_files[table].clear()
         self.layouts[table] = layout
-        update_saved(self.replicas[table], outdated, applied)
+        update_saved(self.replicas[table], unsaved, applied)
         self.intact[table] = self.replicas[table].root_digest() == root_digest
         await self.remove_obsolete_files(table)
 
-    def outdated_items(self, table: str, live: replica.Replica) -> dict[str, items.Item | None]:
+    def unsaved_items(self, table: str, live: replica.Replica) -> dict[str, items.Item | None]:
         """Return the items that the disk does not hold as they are, by key; None for removed keys."""
         saved = self.replicas[table]
         changed, removed_keys = live.changes_since(saved.applied)
@@ -184,21 +184,21 @@
         wanted = {key: live.items.get(key) for key in keys}
         return {key: item for key, item in wanted.items() if item != saved.items.get(key)}
 
-    def files_outside(self, table: str, layout: item_files.Layout) -> list[str]:
+    def unused_files(self, table: str, layout: item_files.Layout) -> list[str]:
         """Return the names of all files of a table that do not count once the layout is in force."""
-        counted = layout.names()
+        used_names = layout.names()
         item_names = sorted(self.layouts[table].names() | self.orphaned_files[table])
         names = dict.fromkeys((*item_names, *self.obsolete_files[table]))
-        return [name for name in names if name not in counted]
+        return [name for name in names if name not in used_names]
 
 
 def update_saved(
     saved: replica.Replica,
-    outdated: collections.abc.Mapping[str, items.Item | None],
+    unsaved: collections.abc.Mapping[str, items.Item | None],
     applied: versions.Version,
 ) -> None:
     """Bring the image of the disk up to what was written."""
-    for key, item in outdated.items():
+    for key, item in unsaved.items():
         if item is None:
             saved.remove(key)
         else:
--- a/src/irisstand/state/storage/item_files.py
+++ b/src/irisstand/state/storage/item_files.py
@@ -66,9 +66,9 @@
     return items.Item.from_wire(ormsgpack.unpackb(content))
 
 
-def pack_segment(held: collections.abc.Iterable[items.Item]) -> bytes:
+def pack_segment(segment_items: collections.abc.Iterable[items.Item]) -> bytes:
     """Return the content of a segment."""
-    return ormsgpack.packb(tuple(item.to_wire() for item in held))
+    return ormsgpack.packb(tuple(item.to_wire() for item in segment_items))
 
 
 def unpack_segment(content: bytes) -> list[items.Item]:
@@ -93,9 +93,9 @@
         obsolete_items: The item files that the record names as obsolete.
     """
     for name in segments:
-        held = unpack_segment(files[name]) if name in files else []
-        layout.segments[name] = frozenset(item.key for item in held)
-        for item in held:
+        segment_items = unpack_segment(files[name]) if name in files else []
+        layout.segments[name] = frozenset(item.key for item in segment_items)
+        for item in segment_items:
             merge(saved, layout, item)
     item_by_file: dict[str, items.Item] = {}
     for name, content in files.items():
@@ -124,7 +124,7 @@
 def plan(
     saved: replica.Replica,
     layout: Layout,
-    outdated: dict[str, items.Item | None],
+    unsaved: dict[str, items.Item | None],
     segment: str,
     *,
     rewrite: bool,
@@ -134,22 +134,22 @@
     Args:
         saved: What the disk holds.
         layout: Where it holds it.
-        outdated: The items to write by key; None for keys to remove.
+        unsaved: The items to write by key; None for keys to remove.
         segment: The name of a segment, should one be written.
         rewrite: Whether the whole table is to be written, because the disk does not hold what it should.
     """
-    changed = {key: item for key, item in outdated.items() if item is not None}
+    changed = {key: item for key, item in unsaved.items() if item is not None}
     removed = dict(layout.removed)
-    for key, item in outdated.items():
+    for key, item in unsaved.items():
         if item is None and key in saved.items and layout.is_in_segment(key):
             removed[key] = saved.items[key].version
-    kept_files = {key: name for key, name in layout.item_files.items() if key not in outdated}
+    kept_files = {key: name for key, name in layout.item_files.items() if key not in unsaved}
     needs_segment = (
         len(changed) > ITEM_FILES_AT_ONCE_LIMIT or len(changed) + len(kept_files) > ITEM_FILES_LIMIT
     )
     is_crowded = len(layout.segments) >= SEGMENTS_LIMIT and needs_segment
     if rewrite or is_crowded or len(removed) > REMOVED_KEYS_LIMIT:
-        unchanged = {key: item for key, item in saved.items.items() if key not in outdated}
+        unchanged = {key: item for key, item in saved.items.items() if key not in unsaved}
         return segment_plan({}, {}, unchanged | changed, segment)
     if needs_segment:
         gathered = {key: saved.items[key] for key in kept_files}
@@ -162,11 +162,11 @@
 def segment_plan(
     segments: dict[str, frozenset[str]],
     removed: dict[str, versions.Version],
-    held: dict[str, items.Item],
+    segment_items: dict[str, items.Item],
     segment: str,
 ) -> WritePlan:
     """Return a plan that writes these items as one more segment and leaves no item files."""
-    if not held:
+    if not segment_items:
         return WritePlan(Layout({}, dict(segments), removed), [])
-    layout = Layout({}, {**segments, segment: frozenset(held)}, removed)
-    return WritePlan(layout, [(segment, pack_segment(held.values()))])
+    layout = Layout({}, {**segments, segment: frozenset(segment_items)}, removed)
+    return WritePlan(layout, [(segment, pack_segment(segment_items.values()))])
--- a/tests/membership/test_membership_faults.py
+++ b/tests/membership/test_membership_faults.py
@@ -24,15 +24,15 @@
         node = day.cluster.nodes["edge-1"]
         incarnation_id = node.program.context.detector.identity.incarnation_id
         node.freeze()
-        seen = set()
+        seen_states = set()
         await day.cluster.wait_until(
             lambda: updates.MemberState.SUSPECT in states(day, "edge-1").values(), 10
         )
         node.thaw()
         for _ in range(int(20 * PERIOD / 0.1)):
-            seen |= set(states(day, "edge-1").values())
+            seen_states |= set(states(day, "edge-1").values())
             await asyncio.sleep(0.1)
-        assert None not in seen
+        assert None not in seen_states
         assert set(states(day, "edge-1").values()) == {updates.MemberState.ALIVE}
         own = node.program.context.detector
         assert own.incarnation_number >= 1
@@ -126,7 +126,7 @@
     async def scenario(day):
         await day.cluster.nodes["edge-1"].stop()
         await day.cluster.wait_until(lambda: set(states(day, "edge-1").values()) == {None}, 10 * PERIOD)
-        seen = cluster.context(day, "agency-1").detector.member_list.failed.values()
-        assert [update.has_left for update in seen if update.identity.name == "edge-1"] == [True]
+        failed_updates = cluster.context(day, "agency-1").detector.member_list.failed.values()
+        assert [update.has_left for update in failed_updates if update.identity.name == "edge-1"] == [True]
 
     cluster.play(scenario)
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -15,7 +15,7 @@
 }
 
 # (new, old) -> by which relation of incarnations the new one wins, as section 4.2 of the paper lists it.
-TABLE = {
+OVERRIDE_CONDITIONS = {
     ("alive", "suspect"): lambda new, old: new > old,
     ("alive", "alive"): lambda new, old: new > old,
     ("alive", "confirm"): lambda new, old: False,
@@ -32,14 +32,19 @@
     return updates.Update(STATES[state], updates.Identity(name, "1"), incarnation, NODE_INFO)
 
 
-@pytest.mark.parametrize(("new", "old"), TABLE)
+@pytest.mark.parametrize(("new", "old"), OVERRIDE_CONDITIONS)
 def test_override_order(new, old):
-    for mine, theirs in itertools.product(range(3), repeat=2):
+    for new_number, old_number in itertools.product(range(3), repeat=2):
         members = member_list.MemberList(random.Random(1))
-        members.apply(update("a", old, theirs))
-        wins = members.apply(update("a", new, mine))
-        assert wins == TABLE[(new, old)](mine, theirs), (new, mine, old, theirs)
-        expected = update("a", new, mine) if wins else update("a", old, theirs)
+        members.apply(update("a", old, old_number))
+        wins = members.apply(update("a", new, new_number))
+        assert wins == OVERRIDE_CONDITIONS[(new, old)](new_number, old_number), (
+            new,
+            new_number,
+            old,
+            old_number,
+        )
+        expected = update("a", new, new_number) if wins else update("a", old, old_number)
         assert members.get(updates.Identity("a", "1")) == expected
 
 
@@ -50,14 +55,14 @@
         buffer.add(update(f"present-{number}"))
         buffer.add(update(f"failed-{number}", "confirm"))
     sent = {}
-    while picked := buffer.select(6, limit):
-        assert len(picked) <= 6
+    while selected := buffer.select(6, limit):
+        assert len(selected) <= 6
         before = dict(sent)
-        for one in picked:
-            sent[one.identity] = sent.get(one.identity, 0) + 1
+        for entry in selected:
+            sent[entry.identity] = sent.get(entry.identity, 0) + 1
         for kind in ("present", "failed"):
             waiting = [identity for identity in buffer.updates if identity.name.startswith(kind)]
-            chosen = [one.identity for one in picked if one.identity.name.startswith(kind)]
+            chosen = [entry.identity for entry in selected if entry.identity.name.startswith(kind)]
             # Nothing that was left waiting had been sent less often than what was chosen of its list.
             left = [before.get(identity, 0) for identity in waiting if identity not in chosen]
             least = min(left, default=99)
--- a/tests/mutation/state_mutations.py
+++ b/tests/mutation/state_mutations.py
@@ -52,7 +52,7 @@
     ),
     (
         "state/storage/durable_store.py",
-        'name.startswith(f"{table}.") and name not in counted',
+        'name.startswith(f"{table}.") and name not in used_names',
         "name in record.obsolete_items",
         "state/test_power_loss.py",
     ),
@@ -82,8 +82,8 @@
     ),
     (
         "state/replication/quorum_loss.py",
-        "        if quorum.is_majority(voters, unable):",
-        "        if unable:",
+        "        if quorum.is_majority(voters, unable_disk_ids):",
+        "        if unable_disk_ids:",
         "state/test_quorum_loss.py::test_stopped_voter_processes_are_evidence_only_if_more_than_half",
     ),
     (
@@ -130,8 +130,8 @@
     ),
     (
         "state/replication/chunk_transfer.py",
-        "            staged.cursor = checked_next(staged.cursor, reply.end)\n",
-        "            self.staged.pop(local.name, None)\n            staged.cursor = checked_next(staged.cursor, reply.end)\n",
+        "            staged.cursor = checked_next_cursor(staged.cursor, reply.end)\n",
+        "            self.staged.pop(local.name, None)\n            staged.cursor = checked_next_cursor(staged.cursor, reply.end)\n",
         "state/test_chunk_transfer.py::test_items_staged_from_a_peer_that_falls_silent_are_not_requested_again",
     ),
     (
@@ -142,7 +142,7 @@
     ),
     (
         "state/replication/chunk_transfer.py",
-        "        if place not in self.cached_chunks:",
+        "        if cache_key not in self.cached_chunks:",
         "        if True:",
         "state/test_chunk_transfer.py::test_chunks_requested_by_many_nodes_are_cut_once",
     ),
--- a/tests/state/test_disk_faults.py
+++ b/tests/state/test_disk_faults.py
@@ -110,28 +110,29 @@
         day.cluster.partition_off(["agency-3"])
         await node.start()
         await asyncio.sleep(3)
-        core = node.program.participant
+        participant = node.program.participant
         assert not day.cluster.is_ready(node)
         if part == ".item.":
             with pytest.raises(errors.NotBootstrappedError):
                 await node.do(
-                    core.acceptors[items.CONFIGURATION].submit(
+                    participant.acceptors[items.CONFIGURATION].submit(
                         acceptor.Prepare(versions.Version(10**6, "x"))
                     ),
                     1,
                 )
-            assert core.context.configuration.value("site/north") is None
+            assert participant.context.configuration.value("site/north") is None
         else:
-            assert core.store.disk_id != before
+            assert participant.store.disk_id != before
         day.cluster.network.heal()
         await day.cluster.wait_until(
             lambda: votes_on_all_tables(day, "agency-3") and day.cluster.is_ready(node), 15
         )
         await asyncio.sleep(1)
-        assert core.context.configuration.value("site/north") == {"weight": 2}
-        assert all(core.store.intact.values())
+        assert participant.context.configuration.value("site/north") == {"weight": 2}
+        assert all(participant.store.intact.values())
         assert (
-            core.store.replicas[items.CONFIGURATION].root_digest() == core.context.configuration.root_digest()
+            participant.store.replicas[items.CONFIGURATION].root_digest()
+            == participant.context.configuration.root_digest()
         )
 
     cluster.play(scenario)
@@ -139,14 +140,14 @@
 
 def test_empty_voters_bootstrap_only_together_and_never_beside_a_bootstrapped_one():
     async def scenario():
-        world = simulated_cluster.SimulatedCluster(3, cluster.SHAPE)
-        control_nodes = world.with_role("agency")
+        simulated = simulated_cluster.SimulatedCluster(3, cluster.SHAPE)
+        control_nodes = simulated.with_role("agency")
         for node in control_nodes[:4]:
             await node.start()
         await asyncio.sleep(8)
         assert all(not node.program.participant.voters(items.LEDGER) for node in control_nodes[:4])
         await control_nodes[4].start()
-        await world.wait_until(
+        await simulated.wait_until(
             lambda: all(node.program.participant.is_voter(items.LEDGER) for node in control_nodes), 10
         )
         voters = control_nodes[0].program.participant.voters(items.LEDGER)
@@ -159,35 +160,35 @@
         # Four empty disks and one founded: nobody founds again, and nobody votes from an empty memory.
         for node in control_nodes:
             assert node.program.participant.voters(items.LEDGER) == voters
-            assert not world.is_ready(node)
+            assert not simulated.is_ready(node)
 
     virtual_time.run(scenario())
 
 
 def test_empty_machine_elsewhere_replaces_a_voter_that_is_gone_for_good():
     async def scenario(day):
-        world = day.cluster
+        simulated = day.cluster
         result = await day.actors.order("agency-1", "change", [cluster.site_row(weight=6)])
-        world.nodes["agency-2"].kill()
-        where = ("shield-machine-9", "south", "one", "10.0.0.99")
-        spare = world.add(simulated_node.NodePlacement("agency-9", "agency", *where))
+        simulated.nodes["agency-2"].kill()
+        placement = ("shield-machine-9", "south", "one", "10.0.0.99")
+        spare = simulated.add(simulated_node.NodePlacement("agency-9", "agency", *placement))
         await spare.start()
         # Not before the missing voter has been gone for long: it may only be restarting.
         await asyncio.sleep(30)
         assert not votes_on_all_tables(day, "agency-9")
-        took = await world.wait_until(lambda: votes_on_all_tables(day, "agency-9"), 90)
+        took = await simulated.wait_until(lambda: votes_on_all_tables(day, "agency-9"), 90)
         assert took > 20
         for table in items.TABLES:
-            names = {voter.name for voter in world.nodes["agency-1"].program.participant.voters(table)}
+            names = {voter.name for voter in simulated.nodes["agency-1"].program.participant.voters(table)}
             assert names == {"agency-1", "agency-3", "agency-4", "agency-5", "agency-9"}
         assert str(cluster.context(day, "agency-9").configuration.version("site/north")) == result["serial"]
         # The old one returns with its disk: it has no vote any more, and takes nobody's place.
-        await world.nodes["agency-2"].start()
+        await simulated.nodes["agency-2"].start()
         await asyncio.sleep(10)
         assert not votes_on_all_tables(day, "agency-2")
-        assert world.is_ready(world.nodes["agency-2"])
-        world.nodes["agency-1"].kill()
-        world.nodes["agency-3"].kill()
+        assert simulated.is_ready(simulated.nodes["agency-2"])
+        simulated.nodes["agency-1"].kill()
+        simulated.nodes["agency-3"].kill()
         await day.actors.order("agency-9", "change", [cluster.site_row(weight=8)])
 
     cluster.play(scenario)
@@ -196,10 +197,10 @@
 def test_voters_that_one_site_loss_would_leave_without_majority_are_refused():
     async def scenario(day):
         voters = day.cluster.nodes["agency-1"].program.participant.voters(items.LEDGER)
-        newcomer = ("agency-9", "vault", "north", "10.0.0.99", 7000, "m")
+        new_voter = ("agency-9", "vault", "north", "10.0.0.99", 7000, "m")
         assert [voter.site for voter in voters].count("north") == 2
         with pytest.raises(errors.InvalidChangeError) as raised:
-            await day.actors.order("agency-1", "enrol-ledger", (newcomer, "agency-2"))
+            await day.actors.order("agency-1", "enrol-ledger", (new_voter, "agency-2"))
         assert "one site" in raised.value.faults[0]["message"]
         assert day.cluster.nodes["agency-3"].program.participant.voters(items.LEDGER) == voters
 
--- a/tests/state/test_power_loss.py
+++ b/tests/state/test_power_loss.py
@@ -12,8 +12,8 @@
 from irisstand.state import items, replica, versions
 from irisstand.state.storage import file_names
 
-STEPS_PER_LIFE = 120
-LIVES_PER_VOTER = 4
+STEPS_PER_RUN = 120
+RUNS_PER_VOTER = 4
 
 
 class Voter:
@@ -22,11 +22,11 @@
     def __init__(self, seed):
         self.randomness = random.Random(seed)
         self.folder = simulated_folder.SimulatedFolder(random.Random(seed + 1))
-        self.live = {table: replica.Replica(table) for table in items.TABLES}
+        self.replicas = {table: replica.Replica(table) for table in items.TABLES}
         self.acknowledged = {}
         self.sent = {}
         self.store = None
-        self.identity = ""
+        self.original_disk_id = ""
 
     async def start(self):
         self.store = await simulated_stores.open_store(self.folder, self.randomness)
@@ -41,43 +41,45 @@
             await self.store.save_record(table, changed)
         else:
             self.decide(table, 200 if draw > 0.97 else self.randomness.randrange(1, 6))
-            self.sent[table] = record._replace(applied=self.live[table].applied)
-            await self.store.save_replica(table, self.live[table], record)
+            self.sent[table] = record._replace(applied=self.replicas[table].applied)
+            await self.store.save_replica(table, self.replicas[table], record)
         self.acknowledged[table] = self.store.records[table]
 
     def decide(self, table, count):
-        live = self.live[table]
+        local = self.replicas[table]
         rows = []
         for key in {f"key/{self.randomness.randrange(40)}" for _ in range(count)}:
-            rows.append((key, self.randomness.random(), key in live.items and self.randomness.random() < 0.4))
-        live.apply(items.Batch(live.applied.successor("n"), live.applied, tuple(rows)))
+            rows.append(
+                (key, self.randomness.random(), key in local.items and self.randomness.random() < 0.4)
+            )
+        local.apply(items.Batch(local.applied.successor("n"), local.applied, tuple(rows)))
 
     def check(self):
-        assert self.store.disk_id == self.identity, "the disk has lost its vote"
+        assert self.store.disk_id == self.original_disk_id, "the disk has lost its vote"
         for table, record in self.acknowledged.items():
-            found = self.store.records[table]
-            assert (found.promised, found.applied) >= (record.promised, record.applied)
-            assert found.promised >= record.promised
-            assert found.applied >= record.applied
+            stored = self.store.records[table]
+            assert (stored.promised, stored.applied) >= (record.promised, record.applied)
+            assert stored.promised >= record.promised
+            assert stored.applied >= record.applied
             assert self.store.intact[table], f"{table} does not add up"
             # One record more than was acknowledged may have reached the disk, and nothing else.
-            assert (found.promised, found.applied) in (
+            assert (stored.promised, stored.applied) in (
                 (record.promised, record.applied),
                 (self.sent[table].promised, self.sent[table].applied),
             )
 
 
-async def live_and_lose_power(seed, full=False):
+async def run_with_power_losses(seed, full=False):
     voter = Voter(seed)
     await voter.start()
-    voter.identity = voter.store.disk_id
-    for _ in range(LIVES_PER_VOTER):
+    voter.original_disk_id = voter.store.disk_id
+    for _ in range(RUNS_PER_VOTER):
         if full:
             start = voter.folder.operations + voter.randomness.randrange(100)
             voter.folder.full_at = range(start, start + voter.randomness.randrange(1, 20))
         voter.folder.off_at = voter.folder.operations + voter.randomness.randrange(1, 600)
         try:
-            for _ in range(STEPS_PER_LIFE):
+            for _ in range(STEPS_PER_RUN):
                 try:
                     await voter.step()
                 except errors.DiskFullError:
@@ -103,13 +105,13 @@
 @pytest.mark.parametrize("block", range(6))
 def test_power_loss_at_any_file_operation_keeps_all_that_was_acknowledged(block):
     for seed in range(block * 20, block * 20 + 20):
-        asyncio.run(live_and_lose_power(seed))
+        asyncio.run(run_with_power_losses(seed))
 
 
 @pytest.mark.parametrize("block", range(3))
 def test_disk_that_fills_at_any_write_stays_consistent(block):
     for seed in range(1000 + block * 20, 1000 + block * 20 + 20):
-        asyncio.run(live_and_lose_power(seed, full=True))
+        asyncio.run(run_with_power_losses(seed, full=True))
 
 
 def test_item_file_under_the_name_of_another_item_is_ignored():
@@ -118,10 +120,10 @@
     async def scenario():
         voter = Voter(7)
         await voter.start()
-        table, live = items.LEDGER, voter.live[items.LEDGER]
+        table, local = items.LEDGER, voter.replicas[items.LEDGER]
         for number, row in enumerate([("a", 1, False), ("b", 2, False), ("a", None, True)], 1):
-            live.apply(items.Batch(versions.Version(number, "n"), live.applied, (row,)))
-            await voter.store.save_replica(table, live, voter.store.records[table])
+            local.apply(items.Batch(versions.Version(number, "n"), local.applied, (row,)))
+            await voter.store.save_replica(table, local, voter.store.records[table])
         removed = items.Item("a", versions.Version(1, "n"), 1)
         content = ormsgpack.packb(removed.to_wire())
         other = items.Item("c", versions.Version(1, "n"), 1)
--- a/tests/state/test_replication.py
+++ b/tests/state/test_replication.py
@@ -9,11 +9,11 @@
 
 
 def filled_replica(count, first=1):
-    copy = replica.Replica("t")
+    local = replica.Replica("t")
     for number in range(first, first + count):
         version = versions.Version(number, "n")
-        copy.apply(items.Batch(version, copy.applied, ((f"k{number}", number, False),)))
-    return copy
+        local.apply(items.Batch(version, local.applied, ((f"k{number}", number, False),)))
+    return local
 
 
 async def bytes_sent_for_changes(day, count):
@@ -52,9 +52,9 @@
         await day.cluster.wait_until(
             lambda: all(node.program.participant.is_voter(table) for table in items.TABLES), 60
         )
-        copies = [cluster.context(day, f"agency-{n}").replicas[items.IDEMPOTENCY_KEYS] for n in (1, 4)]
-        assert len(copies[1].items) > 2750
-        assert copies[1].counts_by_prefix == copies[0].counts_by_prefix
+        replicas = [cluster.context(day, f"agency-{n}").replicas[items.IDEMPOTENCY_KEYS] for n in (1, 4)]
+        assert len(replicas[1].items) > 2750
+        assert replicas[1].counts_by_prefix == replicas[0].counts_by_prefix
 
     cluster.play(scenario)
 
@@ -79,33 +79,33 @@
 
 def test_replica_damaged_in_memory_is_repaired_range_by_range():
     async def scenario(day):
-        copy = cluster.context(day, "store-1").configuration
-        good = copy.items["service/content"]
-        copy.put(good._replace(value={"spoilt": True}))
-        copy.remove("path/vacancies/")
-        await day.cluster.wait_until(lambda: copy.items["service/content"] == good, 3)
-        assert copy.root_digest() == cluster.context(day, "agency-1").configuration.root_digest()
+        local = cluster.context(day, "store-1").configuration
+        good = local.items["service/content"]
+        local.put(good._replace(value={"spoilt": True}))
+        local.remove("path/vacancies/")
+        await day.cluster.wait_until(lambda: local.items["service/content"] == good, 3)
+        assert local.root_digest() == cluster.context(day, "agency-1").configuration.root_digest()
         assert cluster.context(day, "store-1").counters.total("ranges_mended") <= 4
 
     cluster.play(scenario)
 
 
 def test_every_change_updates_version_order_counts_and_digests():
-    copy = filled_replica(30)
+    local = filled_replica(30)
     for number in range(0, 30, 3):
-        copy.remove_and_record(f"k{number}", versions.Version(40 + number, "n"))
-    copy.put(items.Item("a/b", versions.Version(90, "n"), None))
+        local.remove_and_record(f"k{number}", versions.Version(40 + number, "n"))
+    local.put(items.Item("a/b", versions.Version(90, "n"), None))
     fresh = replica.Replica("t")
-    for item in copy.items.values():
+    for item in local.items.values():
         fresh.merge(item)
-    assert fresh.root_digest() == copy.root_digest()
-    assert list(fresh.keys_by_version) == list(copy.keys_by_version)
-    assert copy.counts_by_prefix["a"] == 1
-    assert sum(copy.counts_by_prefix.values()) == len(copy.items)
-    twin = copy.clone()
-    twin.put(items.Item("z", versions.Version(99, "n"), 1))
-    assert twin.root_digest() != copy.root_digest()
-    assert "z" not in copy.items
+    assert fresh.root_digest() == local.root_digest()
+    assert list(fresh.keys_by_version) == list(local.keys_by_version)
+    assert local.counts_by_prefix["a"] == 1
+    assert sum(local.counts_by_prefix.values()) == len(local.items)
+    clone = local.clone()
+    clone.put(items.Item("z", versions.Version(99, "n"), 1))
+    assert clone.root_digest() != local.root_digest()
+    assert "z" not in local.items
 
 
 @pytest.mark.parametrize(
@@ -114,14 +114,14 @@
 def test_malformed_reply_changes_nothing(answer):
     async def scenario(day):
         node = day.cluster.nodes["store-1"]
-        before = {name: copy.root_digest() for name, copy in node.program.context.replicas.items()}
+        before = {name: local.root_digest() for name, local in node.program.context.replicas.items()}
 
         async def reply(*_):
             return answer
 
         original_call, node.program.context.transport.call = node.program.context.transport.call, reply
         await asyncio.sleep(1)
-        assert {name: copy.root_digest() for name, copy in node.program.context.replicas.items()} == before
+        assert {name: local.root_digest() for name, local in node.program.context.replicas.items()} == before
         assert not node.actor.dead
         assert node.program.context.counters.total("sync_failed") > 0
         node.program.context.transport.call = original_call
--- a/tests/state/test_restart_after_changes.py
+++ b/tests/state/test_restart_after_changes.py
@@ -59,11 +59,11 @@
         assert len([name for name in folder.entries if not name.endswith(".spare")]) < 256
         folder.lose_power()
         started = time.process_time()
-        again = await simulated_stores.open_store(folder)
+        reopened = await simulated_stores.open_store(folder)
         assert (time.process_time() - started) / PROCESSOR_SHARE < CATCH_UP_SECONDS / 10
-        assert again.disk_id == store.disk_id
-        assert again.intact[items.LEDGER]
-        assert again.replicas[items.LEDGER].root_digest() == live.root_digest()
+        assert reopened.disk_id == store.disk_id
+        assert reopened.intact[items.LEDGER]
+        assert reopened.replicas[items.LEDGER].root_digest() == live.root_digest()
 
     asyncio.run(scenario())
 
@@ -77,37 +77,37 @@
         fill = tuple((f"key/{number}", number, False) for number in range(2500))
         live.apply(items.Batch(versions.Version(1, "n"), versions.NONE, fill))
         await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
-        gone = tuple((f"key/{number}", None, True) for number in range(2400))
-        live.apply(items.Batch(versions.Version(2, "n"), live.applied, gone))
+        removals = tuple((f"key/{number}", None, True) for number in range(2400))
+        live.apply(items.Batch(versions.Version(2, "n"), live.applied, removals))
         assert len(live.removal_records) == replica.REMOVAL_RECORDS_LIMIT
         await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
         assert store.intact[items.LEDGER]
-        again = await simulated_stores.open_store(folder)
-        assert again.intact[items.LEDGER]
-        assert len(again.replicas[items.LEDGER].items) == 100
+        reopened = await simulated_stores.open_store(folder)
+        assert reopened.intact[items.LEDGER]
+        assert len(reopened.replicas[items.LEDGER].items) == 100
 
     asyncio.run(scenario())
 
 
 def test_repair_overtaken_by_commits_goes_on_until_it_has_caught_up():
     async def scenario():
-        peer, copy = replica.Replica(items.LEDGER), replica.Replica(items.LEDGER)
+        peer, local = replica.Replica(items.LEDGER), replica.Replica(items.LEDGER)
         apply_random_changes(peer, 50, random.Random(1))
-        apply_random_changes(copy, 50, random.Random(1))
-        copy.remove(next(iter(copy.items)))
+        apply_random_changes(local, 50, random.Random(1))
+        local.remove(next(iter(local.items)))
 
-        async def ask(address, name, kind, body, patience):
+        async def call(address, name, kind, body, timeout_seconds):
             reply = await answering.on_ranges_request("", list(body))
             # The commit of the next batch comes in before the answer, three times over.
             if peer.applied.counter < 53:
                 key = f"late/{peer.applied.counter}"
                 batch = items.Batch(peer.applied.successor("n"), peer.applied, ((key, 1, False),))
                 peer.apply(batch)
-                copy.apply(batch)
+                local.apply(batch)
             return reply
 
         def context(table):
-            transport = types.SimpleNamespace(handlers={}, call=ask)
+            transport = types.SimpleNamespace(handlers={}, call=call)
             clock = types.SimpleNamespace(now=lambda: 1.0)
             counted = irisstand.counters.Counters()
             return types.SimpleNamespace(
@@ -115,10 +115,10 @@
             )
 
         answering = replicator.Replicator(context(peer))
-        asking = replicator.Replicator(context(copy))
-        await asking.repair(("h", 1), "peer", copy, in_chunks=False)
-        assert copy.root_digest() == peer.root_digest()
-        assert copy.applied == peer.applied
+        asking = replicator.Replicator(context(local))
+        await asking.repair(("h", 1), "peer", local, in_chunks=False)
+        assert local.root_digest() == peer.root_digest()
+        assert local.applied == peer.applied
 
     asyncio.run(scenario())
 
@@ -155,13 +155,13 @@
                 node.program.participant.is_voter(table) for table in items.TABLES
             ) and day.cluster.is_ready(node)
 
-        def never_old():
+        def serves_nothing_outdated():
             # Whatever it calls current holds all that was confirmed before it started.
             configuration = node.program.context.configuration
             assert not node.program.context.is_current(configuration) or configuration.applied >= highest
             return serves()
 
-        took_seconds = await day.cluster.wait_until(never_old, CATCH_UP_SECONDS)
+        took_seconds = await day.cluster.wait_until(serves_nothing_outdated, CATCH_UP_SECONDS)
         assert took_seconds < CATCH_UP_SECONDS
         await changing
         assert len(confirmed) > 400
@@ -196,10 +196,10 @@
         assert store.records[items.LEDGER].promised == versions.Version(number[0] + 5, "n")
         apply_random_changes(live, 300, random.Random(5))
         await store.save_replica(items.LEDGER, live, store.records[items.LEDGER])
-        again = await simulated_stores.open_store(folder)
-        assert again.disk_id == "its-id"
-        assert again.intact[items.LEDGER]
-        assert again.replicas[items.LEDGER].root_digest() == live.root_digest()
+        reopened = await simulated_stores.open_store(folder)
+        assert reopened.disk_id == "its-id"
+        assert reopened.intact[items.LEDGER]
+        assert reopened.replicas[items.LEDGER].root_digest() == live.root_digest()
 
     asyncio.run(scenario())
 
@@ -215,13 +215,13 @@
         content = folder.contents[folder.entries[segment]]
         altered = content[:-1] + bytes([content[-1] ^ 0xFF])
         folder.contents[folder.entries[segment]] = content[: len(content) // 2] if is_cut_short else altered
-        again = await simulated_stores.open_store(folder)
+        reopened = await simulated_stores.open_store(folder)
         # The record is whole, so its promises hold; what it rests on is not, so there is no vote yet.
-        assert again.disk_id == store.disk_id
-        assert not again.intact[items.LEDGER]
-        assert not again.replicas[items.LEDGER].items
-        await again.save_replica(items.LEDGER, live, again.records[items.LEDGER])
-        assert again.intact[items.LEDGER]
+        assert reopened.disk_id == store.disk_id
+        assert not reopened.intact[items.LEDGER]
+        assert not reopened.replicas[items.LEDGER].items
+        await reopened.save_replica(items.LEDGER, live, reopened.records[items.LEDGER])
+        assert reopened.intact[items.LEDGER]
         last = await simulated_stores.open_store(folder)
         assert last.intact[items.LEDGER]
         assert last.replicas[items.LEDGER].root_digest() == live.root_digest()
@@ -242,7 +242,7 @@
         # The start puts it aside, and that name alone is kept: the power goes before the new id is written.
         folder.rename(newest, newest + ".torn")
         folder.sync()
-        again = await simulated_stores.open_store(folder, random.Random(6))
-        assert again.disk_id != store.disk_id
+        reopened = await simulated_stores.open_store(folder, random.Random(6))
+        assert reopened.disk_id != store.disk_id
 
     asyncio.run(scenario())
--- a/tests/state/test_restart_freshness.py
+++ b/tests/state/test_restart_freshness.py
@@ -9,7 +9,7 @@
 from irisstand.simulator import virtual_time
 
 
-def test_restarted_node_uses_no_table_that_may_be_older_than_in_its_former_life():
+def test_restarted_node_uses_no_table_that_may_be_older_than_before_the_restart():
     """Found by seeds 3020 (busy) and 3012 (planned): a peer's copy, well within the bound, was older."""
 
     async def scenario():
@@ -19,10 +19,10 @@
             settings, settings.role, clocks.LoopClock(), random.Random(1), None
         )
         started = context.clock.now()
-        copy = context.configuration
-        copy.confirm_current(started - 0.5)
-        before = context.is_fresh(copy)
-        copy.confirm_current(started)
-        return before, context.is_fresh(copy)
+        local = context.configuration
+        local.confirm_current(started - 0.5)
+        before = context.is_fresh(local)
+        local.confirm_current(started)
+        return before, context.is_fresh(local)
 
     assert virtual_time.run(scenario()) == (False, True)
--- a/tests/state/test_round_of_requests.py
+++ b/tests/state/test_round_of_requests.py
@@ -29,7 +29,7 @@
         edge.peers["peer"] = peer
         for node in (edge, peer):
             node.apply(1, [("site/north", {"weight": 1}, False)])
-        peer.copy.current_as_of = None
+        peer.replica.current_as_of = None
         return await edge.pull("peer")
 
     assert not virtual_time.run(scenario())
--- a/tests/state/test_slow_disks.py
+++ b/tests/state/test_slow_disks.py
@@ -61,17 +61,17 @@
     async def scenario(day):
         for node in day.cluster.with_role("agency"):
             node.disk.slowness = 0.12
-        taken = []
+        durations_seconds = []
         for weight in range(1, 11):
             started = asyncio.get_running_loop().time()
             await day.actors.order(f"agency-{weight % 5 + 1}", "change", [cluster.site_row(weight=weight)])
-            taken.append(asyncio.get_running_loop().time() - started)
+            durations_seconds.append(asyncio.get_running_loop().time() - started)
             for node in day.cluster.with_role("agency"):
                 assert day.cluster.is_ready(node)
-        assert max(taken) < 3
-        duties = [duty for node in day.cluster.with_role("agency") for duty in node.program.singleton_tasks]
+        assert max(durations_seconds) < 3
+        tasks = [task for node in day.cluster.with_role("agency") for task in node.program.singleton_tasks]
         await day.cluster.wait_until(
-            lambda: len({duty.name for duty in duties if duty.holds_lease()}) == 3, 10
+            lambda: len({task.name for task in tasks if task.holds_lease()}) == 3, 10
         )
 
     cluster.play(scenario)
--- a/tests/support/replicating_node.py
+++ b/tests/support/replicating_node.py
@@ -21,29 +21,29 @@
         self.free_at = 0.0
         self.handlers = {}
         settings = types.SimpleNamespace(freshness_bound=FRESHNESS_BOUND_SECONDS)
-        copies = {items.CONFIGURATION: replica.Replica(items.CONFIGURATION)}
+        replicas = {items.CONFIGURATION: replica.Replica(items.CONFIGURATION)}
         self.context = types.SimpleNamespace(
-            replicas=copies,
+            replicas=replicas,
             clock=clocks.LoopClock(),
             counters=counting.Counters(),
             transport=self,
             settings=settings,
-            is_fresh=lambda copy: copy.age(self.context.clock.now()) is not None,
+            is_fresh=lambda local: local.age(self.context.clock.now()) is not None,
         )
-        self.copy = copies[items.CONFIGURATION]
+        self.replica = replicas[items.CONFIGURATION]
         self.replicator = replicator.Replicator(self.context)
 
     def apply(self, number, rows):
-        self.copy.apply(items.Batch(versions.Version(number, "n"), self.copy.applied, tuple(rows)))
-        self.copy.confirm_current(self.context.clock.now())
+        self.replica.apply(items.Batch(versions.Version(number, "n"), self.replica.applied, tuple(rows)))
+        self.replica.confirm_current(self.context.clock.now())
 
     async def call(self, address, name, kind, body, timeout_seconds):
         """As the real transport: a reply to a node that gave up waiting still takes up the link."""
         handlers = self.peers[name].handlers
         if kind not in handlers:
             raise errors.UnknownNameError(f"no handler for {kind}")
-        asked = codec.unpack(codec.pack(("ask", 1, (kind, body))))[2][1]
-        reply = codec.pack(("result", 1, await handlers[kind](self.name, asked)))
+        received_body = codec.unpack(codec.pack(("ask", 1, (kind, body))))[2][1]
+        reply = codec.pack(("result", 1, await handlers[kind](self.name, received_body)))
         self.replies.append((name, kind, len(reply)))
         now = asyncio.get_running_loop().time()
         if self.rate:
