--- a/src/irisstand/membership/__init__.py
+++ b/src/irisstand/membership/__init__.py
@@ -1,1 +1,1 @@
-"""SWIM membership: failure detector, dissemination, joining (docs/swim.md)."""
+"""SWIM membership protocol: failure detector, dissemination of updates, and joining (docs/swim.md)."""
--- a/src/irisstand/membership/detector.py
+++ b/src/irisstand/membership/detector.py
@@ -9,15 +9,18 @@
 
 Parameters = membership_state.Parameters
 
-# How many members a node tells at once that it leaves; the others learn it from them.
+# How many members a leaving node informs directly; the other members learn it from those.
 LEAVE_MESSAGES = 4
 
 
 class FailureDetector(membership_state.MembershipState):
-    """Pings one member in each protocol period, and answers the pings of others.
+    """Pings one member in each protocol period, and acknowledges the pings of other members.
 
     Attributes:
-        port: Where datagrams are sent from; None until the node is open.
+        port: The port that sends datagrams; None until the node has opened it.
+        sequence_number: The number of the last ping or ping-req that this node sent.
+        pending_acks: Futures of the pings that wait for an ack, by sequence number. The result of each is the
+            identity that the ack names.
     """
 
     def __init__(
@@ -31,12 +34,12 @@
         super().__init__(name, node_info, clock, randomness, counters)
         self.port: network.Port | None = None
         self.sequence_number = 0
-        # By sequence number of the ping: done with the identity that the ack names.
+        # Each future is completed with the identity that the ack names.
         self.pending_acks: dict[int, asyncio.Future[updates.Identity]] = {}
 
     # -- datagrams -----------------------------------------------------------------------------------
     def send(self, kind: str, number: int, address: network.Address, target: updates.Identity) -> None:
-        """Send a datagram with the updates whose turn it is."""
+        """Send a datagram that also carries the next updates of the dissemination buffer."""
         datagram = messages.Datagram(kind, number, self.identity, target, self.updates_to_send())
         payload = datagram.to_wire()
         self.counters.add("swim_packets", kind=kind)
@@ -45,7 +48,7 @@
             self.port.send(payload, address)
 
     def on_datagram(self, payload: bytes, source: network.Address) -> None:
-        """Take the updates of a datagram, and answer it; a malformed one is counted and dropped."""
+        """Apply the updates of a received datagram and answer it; a malformed one is counted and dropped."""
         try:
             datagram = messages.Datagram.from_wire(payload)
         except (errors.MalformedFrameError, ValueError, TypeError):
@@ -53,7 +56,7 @@
             return
         for update in datagram.piggybacked:
             self.apply_update(update)
-        # A sender that was declared failed must learn that, or it would never start a new incarnation.
+        # A sender that was declared failed has to learn of it, or it would never start a new incarnation.
         if datagram.sender in self.member_list.failed:
             self.buffer.add(self.member_list.failed[datagram.sender])
         self.last_received_at = self.clock.now()
@@ -66,7 +69,7 @@
                 self._on_ack(datagram)
 
     def _on_ping(self, ping: messages.Datagram, source: network.Address) -> None:
-        # The ack names the incarnation that gives it: another one at the address is no sign of the one meant.
+        # The ack names the incarnation that sends it, as it is no evidence that another incarnation is alive.
         self.send(messages.MessageKind.ACK, ping.sequence_number, source, self.identity)
         if ping.target != self.identity and ping.target.name == self.identity.name:
             self.buffer.add(self.own_update())
@@ -90,7 +93,7 @@
 
     # -- the protocol period -------------------------------------------------------------------------
     async def run(self) -> None:
-        """Run protocol periods for as long as the process lives."""
+        """Run protocol periods for as long as the process runs."""
         period = self.parameters.period_seconds
         started_at: float = self.clock.now()
         while True:
@@ -119,10 +122,15 @@
             self.suspect(target.identity)
 
     async def ping(self, target: updates.Update, number: int, timeout_seconds: float) -> bool:
-        """Ping a member.
+        """Ping a member and wait for its ack.
+
+        Args:
+            target: The newest update about the member to ping.
+            number: The sequence number of the ping.
+            timeout_seconds: How long to wait for the ack.
 
         Returns:
-            Whether that very incarnation of the member acknowledged the ping in time.
+            Whether the pinged incarnation of the member acknowledged the ping in time.
         """
         future: asyncio.Future[updates.Identity] = asyncio.get_running_loop().create_future()
         self.pending_acks[number] = future
@@ -134,7 +142,7 @@
             return False
         finally:
             self.pending_acks.pop(number, None)
-        # Another node answers at the address, or a new incarnation of the same one: the old one has ended.
+        # Another node, or a new incarnation of the pinged one, has answered: the pinged one has ended.
         if answerer != target.identity:
             self.apply_update(target._replace(state=updates.MemberState.CONFIRM))
         return answerer == target.identity
@@ -146,7 +154,7 @@
             self.send(messages.MessageKind.PING_REQ, number, member.node_info.address, target.identity)
         try:
             async with asyncio.timeout(max(0.0, ends_at - self.clock.now())):
-                # A late direct ack counts as well: it bears the same number.
+                # A late ack of the direct ping counts too, because it has the same sequence number.
                 return await future == target.identity
         except TimeoutError:
             return False
@@ -154,7 +162,7 @@
             self.pending_acks.pop(number, None)
 
     def leave(self) -> None:
-        """Tell a few members at once that this node leaves; they pass it on."""
+        """Inform a few members that this node leaves; they disseminate it to the others."""
         self.has_left = True
         self.buffer.add(self.own_update())
         for member in self.member_list.random_members(LEAVE_MESSAGES, self.identity):
--- a/src/irisstand/membership/dissemination_buffer.py
+++ b/src/irisstand/membership/dissemination_buffer.py
@@ -1,4 +1,4 @@
-"""The buffer of recent updates that pings, ping-reqs and acks carry (SWIM paper, section 4.1)."""
+"""The buffer of recent updates that pings, ping-reqs and acks piggyback (SWIM paper, section 4.1)."""
 
 import math
 import typing
@@ -7,7 +7,7 @@
 
 
 def transmission_limit(factor: float, members: int) -> int:
-    """Return how many times one update is sent: lambda times log n, as the paper's prototype rounds it.
+    """Return how many times one update is sent: lambda times log n, rounded as in the paper's prototype.
 
     >>> transmission_limit(3, 20)
     12
@@ -16,33 +16,38 @@
 
 
 class WaitingUpdates(typing.NamedTuple):
-    """Whose updates wait to be sent, the least sent first: of failed members, and of all others."""
+    """The members whose updates wait to be sent, least sent first: failed members, and all others."""
 
     failed: list[updates.Identity]
     present: list[updates.Identity]
 
 
 class DisseminationBuffer:
-    """The newest update about each member, with the number of times that it was sent."""
+    """Holds the newest update about each member, and how many times that update has been sent.
+
+    Attributes:
+        transmissions: How many times the update about a member has been sent, by its identity.
+        updates: The newest update about each member, by its identity.
+    """
 
     def __init__(self) -> None:
         self.transmissions: dict[updates.Identity, int] = {}
         self.updates: dict[updates.Identity, updates.Update] = {}
 
     def add(self, update: updates.Update) -> None:
-        """Add an update; it takes the place of an older one about the member, and has not been sent yet."""
+        """Add an update that has not been sent yet; it replaces an older update about the same member."""
         self.updates[update.identity] = update
         self.transmissions[update.identity] = 0
 
     def select(self, count: int, limit: int) -> list[updates.Update]:
-        """Return the updates for one message, and count them as sent once more.
+        """Return the updates to piggyback on one message, and count each of them as sent once more.
 
-        Half of them are about failed members and half about others, the least-sent first in each half. A half
-        that cannot be filled leaves the rest to the other.
+        Half of the updates are about failed members and half about others, the least-sent first in each half.
+        If one half cannot be filled, the other half uses the remaining room.
 
         Args:
-            count: The most updates to return.
-            limit: How many times an update is sent before it is removed.
+            count: The highest number of updates to return.
+            limit: How many times an update is sent before it is removed from the buffer.
         """
         failed, present = self._least_sent_first()
         from_failed = min(len(failed), max(count // 2, count - len(present)))
--- a/src/irisstand/membership/joining.py
+++ b/src/irisstand/membership/joining.py
@@ -1,4 +1,4 @@
-"""Joining by seeds, and the exchange of member lists: what the SWIM paper leaves open (docs/swim.md)."""
+"""Joining through seeds, and exchange of member lists, which the SWIM paper leaves open (docs/swim.md)."""
 
 import asyncio
 import typing
@@ -7,15 +7,17 @@
 from irisstand.membership import detector, updates
 from irisstand.transport import network, peers
 
-# The kind of request on the wire.
+# The kind of the request between nodes that exchanges member lists.
 EXCHANGE_KIND = "roster"
+# How many protocol periods lie between two exchanges of member lists.
 EXCHANGE_INTERVAL_PERIODS = 10
 EXCHANGE_TIMEOUT_SECONDS = 2.0
-# How often an exchange is with a seed, whatever its state: after a partition, nobody else may be on the list.
+# The share of exchanges that are made with a seed, listed as a member or not: after a partition the member
+# list may lack every node on the other side.
 SEED_EXCHANGE_PROBABILITY = 0.3
-# Between calls of the seeds while no member is known.
+# The pause between requests to the seeds while no member is known.
 SEED_RETRY_SECONDS = 0.08
-# What an exchange may end with: a failed call, or a malformed reply.
+# The errors of a failed exchange: the request failed, or the reply is malformed.
 EXCHANGE_ERRORS = (errors.IrisError, ValueError, TypeError)
 
 
@@ -23,33 +25,38 @@
     """A request for a peer's member list.
 
     Attributes:
-        digest: Of the caller's list. A peer with an equal list sends nothing back; "" asks for all of it.
-        member_updates: What the caller tells of itself or of all members.
+        digest: The digest of the requester's member list. A peer whose list has the same digest returns
+            nothing; "" requests the whole list.
+        member_updates: The requester's update about itself, or its updates about all members.
     """
 
     digest: typing.Any
     member_updates: list[updates.Update]
 
     def to_wire(self) -> tuple[typing.Any, ...]:
-        """Return the body of the request."""
+        """Return the body of the request in the form that is sent."""
         return (self.digest, tuple(update.to_wire() for update in self.member_updates))
 
     @classmethod
     def from_wire(cls, body: typing.Any) -> "ExchangeRequest":
-        """Check a decoded body; raises ValueError or TypeError if it is no request for a member list."""
+        """Decode and check a body; raises ValueError or TypeError if it is not an exchange request."""
         digest, packed = body
         return cls(digest, [updates.Update.from_wire(fields) for fields in packed])
 
 
 class Peer(typing.NamedTuple):
-    """Whom to exchange member lists with; the name is empty for whoever answers at the address."""
+    """A peer to exchange member lists with; an empty name means whichever node answers at the address."""
 
     address: network.Address
     name: str
 
 
 class Joiner:
-    """Finds the first members by the seeds, and later compares member lists with others."""
+    """Finds the first members through the seeds, and then regularly exchanges member lists with other nodes.
+
+    Attributes:
+        joined: Set once a member is known, or if there are no seeds.
+    """
 
     def __init__(
         self,
@@ -65,12 +72,12 @@
         transport.handlers[EXCHANGE_KIND] = self.on_exchange
 
     def set_seeds(self, seeds: list[network.Address]) -> None:
-        """Take other seeds; this node's own address is left out."""
+        """Replace the addresses of the seeds; this node's own address is left out."""
         own = self.detector.node_info.address
         self.seeds = [(host, port) for host, port in seeds if (host, port) != own]
 
     async def on_exchange(self, _sender: str, body: typing.Any) -> tuple[typing.Any, ...]:
-        """Take a peer's updates, and return those of all members if its list differs from this node's."""
+        """Apply a peer's updates, and return the updates about all members if the peer's list differs."""
         request = ExchangeRequest.from_wire(body)
         for update in request.member_updates:
             self.detector.apply_update(update)
@@ -79,12 +86,12 @@
         return tuple(update.to_wire() for update in self._all_updates())
 
     async def exchange(self, address: network.Address, name: str, *, sends_all: bool) -> None:
-        """Send updates to a peer and take those that it sends back.
+        """Send updates to a peer and apply the updates that it returns.
 
         Args:
-            address: The peer's address.
-            name: The peer's node name; "" for whoever answers there.
-            sends_all: Whether to send the updates of all members and ask for the peer's whole list.
+            address: The address of the peer.
+            name: The node name of the peer; "" for whichever node answers at the address.
+            sends_all: Whether to send the updates about all members and request the peer's whole list.
         """
         if sends_all:
             request = ExchangeRequest("", self._all_updates())
@@ -103,7 +110,7 @@
         return [self.detector.own_update(), *self.detector.member_list.all_updates()]
 
     async def run(self) -> None:
-        """Join, and exchange member lists for as long as the process lives."""
+        """Join the cluster, then exchange member lists for as long as the process runs."""
         period = self.detector.parameters.period_seconds
         while True:
             members = list(self.detector.member_list.members.values())
@@ -112,14 +119,14 @@
             if self.detector.member_list.members or not self.seeds:
                 self.joined.set()
             if not members:
-                # All nodes may have been started at this moment: the first one up should not wait for long.
+                # All nodes may be starting now, and the first one up should not wait long for the others.
                 await asyncio.sleep(period if self.detector.member_list.members else SEED_RETRY_SECONDS)
                 continue
             await asyncio.sleep(EXCHANGE_INTERVAL_PERIODS * period)
             await self._exchange_with_random_peer(members)
 
     async def _call_seeds(self) -> None:
-        # All at once, until one has answered: a seed without power answers nothing at all.
+        # All seeds are called at once until one has answered: one that has lost power never replies.
         loop = asyncio.get_running_loop()
         tasks = [loop.create_task(self.exchange(seed, "", sends_all=True)) for seed in self.seeds]
         pending = set(tasks)
--- a/src/irisstand/membership/member_list.py
+++ b/src/irisstand/membership/member_list.py
@@ -1,21 +1,23 @@
-"""The member list and the round-robin order in which members are pinged (SWIM paper, section 4.3)."""
+"""The member list, and the round-robin order in which members are pinged (SWIM paper, section 4.3)."""
 
 import hashlib
 import random
 
 from irisstand.membership import updates
 
-# How many failed incarnations are remembered, so that old Alive messages do not bring them back.
+# How many failed incarnations are remembered, so that outdated Alive updates do not restore them.
 FAILED_MEMBERS_LIMIT = 512
 DIGEST_CHARACTERS = 16
 
 
 class MemberList:
-    """The members that one node knows, itself not counted.
+    """The members that a node knows, except for the node itself.
 
     Attributes:
-        members: Alive and suspected members.
-        failed: Incarnations that were declared failed, the oldest first.
+        members: The newest update about each alive or suspected member, by identity.
+        failed: The update about each incarnation that was declared failed, the oldest first, by identity.
+        ping_order: The identities of the members in the order in which they are pinged.
+        ping_position: The index in `ping_order` of the member to ping next.
     """
 
     def __init__(self, randomness: random.Random) -> None:
@@ -26,11 +28,11 @@
         self.ping_position = 0
 
     def get(self, identity: updates.Identity) -> updates.Update | None:
-        """Return the newest update about an incarnation of a member, failed or not."""
+        """Return the newest update about an incarnation of a member, whether it has failed or not."""
         return self.members.get(identity) or self.failed.get(identity)
 
     def apply(self, update: updates.Update) -> bool:
-        """Take an update if it overrides what is known; return whether it did."""
+        """Apply an update if it overrides what is known of the member. Return whether it was applied."""
         known = self.get(update.identity)
         if known is not None and not updates.overrides(update, known):
             return False
@@ -57,7 +59,7 @@
             self.ping_position -= position < self.ping_position
 
     def next_ping_target(self) -> updates.Update | None:
-        """Return the next member in turn: each once in a traversal, then again in a new random order."""
+        """Return the next member to ping: each member once per pass, and each pass in a new random order."""
         if not self.ping_order:
             return None
         if self.ping_position >= len(self.ping_order):
@@ -68,19 +70,19 @@
         return self.members[identity]
 
     def random_members(self, count: int, excluded: updates.Identity) -> list[updates.Update]:
-        """Return `count` random members, or all if there are fewer, without the excluded one."""
+        """Return `count` random members, or all if there are fewer, except for the excluded one."""
         others = [update for update in self.members.values() if update.identity != excluded]
         return self.randomness.sample(others, min(count, len(others)))
 
     def all_updates(self) -> list[updates.Update]:
-        """Return the updates about all members, those declared failed included."""
+        """Return the updates about all members, including those that were declared failed."""
         return [*self.members.values(), *self.failed.values()]
 
     def digest(self, own: updates.Update) -> str:
-        """Return a digest; equal ones mean equal lists of members not declared failed.
+        """Return a digest of the list; equal digests mean equal lists of members not declared failed.
 
         Args:
-            own: What the node that has this list says of itself, which is counted in.
+            own: The update of the node that has this list about itself, which is included in the digest.
         """
         lines = sorted(_digest_line(update) for update in [own, *self.members.values()])
         return hashlib.sha256("\n".join(lines).encode()).hexdigest()[:DIGEST_CHARACTERS]
--- a/src/irisstand/membership/membership_state.py
+++ b/src/irisstand/membership/membership_state.py
@@ -1,4 +1,4 @@
-"""What one node knows of the members and says of itself, without I/O (SWIM paper, sections 4.1 and 4.2)."""
+"""One node's view of the members and of itself, without I/O (SWIM paper, sections 4.1 and 4.2)."""
 
 import collections.abc
 import dataclasses
@@ -12,14 +12,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Parameters:
-    """The parameters of the protocol; docs/swim.md says why each differs from the paper's prototype.
+    """The parameters of the protocol; docs/swim.md explains why each differs from the paper's prototype.
 
     Attributes:
-        period_seconds: The protocol period T'.
-        ping_timeout_seconds: How long a direct ack may take before the indirect pings.
-        ping_req_members: The size k of the group that is asked for indirect pings.
-        updates_per_message: The most updates in one datagram.
-        dissemination_factor: The factor lambda of the number of times that an update is sent.
+        period_seconds: The length of the protocol period, T' in the paper.
+        ping_timeout_seconds: How long a node waits for a direct ack before it pings indirectly.
+        ping_req_members: The number k of members that are asked to ping indirectly.
+        updates_per_message: The highest number of updates in one datagram.
+        dissemination_factor: The factor lambda in the number of times that an update is sent.
     """
 
     period_seconds: float = 0.5
@@ -30,13 +30,14 @@
 
 
 class MembershipState:
-    """The member list, the updates that wait for dissemination, and this node's own identity.
+    """The member list, the updates that wait for dissemination, and the node's own identity.
 
     Attributes:
-        identity: This node and its current incarnation.
-        incarnation_number: The paper's number, raised to refute a suspicion.
-        listeners: Called with each update that changed the member list.
-        last_received_at: When the last valid datagram of any member came, by the clock.
+        identity: The name and the current incarnation id of this node.
+        incarnation_number: The incarnation number of the paper, which is raised to refute a suspicion.
+        suspected_at: When each suspected member became suspected, in seconds of the clock, by identity.
+        listeners: Callbacks that are called with each update that changed the member list.
+        last_received_at: When the last valid datagram from any member arrived, in seconds of the clock.
     """
 
     def __init__(
@@ -63,37 +64,37 @@
         self.start_new_incarnation()
 
     def start_new_incarnation(self) -> None:
-        """Take an identity that no member knows: at the start, and after a false Confirm."""
+        """Choose an identity that no member knows, at the start and after a false Confirm."""
         incarnation_id = f"{self.randomness.getrandbits(64):016x}"
         self.identity = updates.Identity(self.identity.name, incarnation_id)
         self.incarnation_number = 0
         self.buffer.add(self.own_update())
 
     def own_update(self) -> updates.Update:
-        """Return what this node says of itself."""
+        """Return the update of this node about itself."""
         state = updates.MemberState.CONFIRM if self.has_left else updates.MemberState.ALIVE
         return updates.Update(state, self.identity, self.incarnation_number, self.node_info, self.has_left)
 
     def transmission_limit(self) -> int:
-        """Return how many times an update is sent, which is also the suspicion time-out in periods."""
+        """Return how many times an update is sent, which is also the suspicion timeout in periods."""
         members = len(self.member_list.members) + 1
         return dissemination_buffer.transmission_limit(self.parameters.dissemination_factor, members)
 
     def suspicion_timeout_seconds(self) -> float:
-        """Return how long a member may be suspected before it is confirmed as failed."""
+        """Return how long a member is suspected before it is confirmed as failed, in seconds."""
         return self.transmission_limit() * self.parameters.period_seconds
 
     def updates_to_send(self) -> tuple[updates.Update, ...]:
-        """Return the updates for the next datagram, and count them as sent once more."""
+        """Return the updates to piggyback on the next datagram, and count each of them as sent once more."""
         limit = self.transmission_limit()
         return tuple(self.buffer.select(self.parameters.updates_per_message, limit))
 
     def apply_update(self, update: updates.Update) -> None:
-        """Take one update, whoever sent it, and pass it on if it changed the member list."""
+        """Apply an update from any sender, and disseminate it if it changed the member list."""
         if update.identity == self.identity:
             self.refute(update)
             return
-        # Another incarnation of this node is an earlier one, and only this node may end it for all.
+        # Another incarnation of this node is an earlier one, which only this node may confirm as ended.
         if update.identity.name == self.identity.name and update.state is not updates.MemberState.CONFIRM:
             self.apply_update(update._replace(state=updates.MemberState.CONFIRM))
             return
@@ -114,11 +115,11 @@
             listener(update)
 
     def refute(self, update: updates.Update) -> None:
-        """Answer an update about this very node that says that it is suspected or failed."""
+        """Refute an update which claims that this node itself is suspected or has failed."""
         if self.has_left:
             return
         if update.state is updates.MemberState.CONFIRM:
-            # Confirm is final for an incarnation, so a node falsely declared failed needs a new one.
+            # Confirm is final for an incarnation, so a node that is falsely confirmed needs a new one.
             self.counters.add("swim_lives")
             self.start_new_incarnation()
             return
@@ -128,19 +129,23 @@
             self.buffer.add(self.own_update())
 
     def suspect(self, identity: updates.Identity) -> None:
-        """Suspect a member that answered neither directly nor indirectly."""
+        """Mark a member as suspected after it acknowledged neither the direct nor the indirect pings."""
         current = self.member_list.members.get(identity)
         if current is not None and current.state is updates.MemberState.ALIVE:
             self.apply_update(current._replace(state=updates.MemberState.SUSPECT))
 
     def postpone_suspicions(self, seconds: float) -> None:
-        """Add a pause of this process to all suspicion time-outs: it has watched nobody in that time."""
+        """Extend all suspicion timeouts by a pause of this process, which received no acks meanwhile.
+
+        Args:
+            seconds: How long the process was paused.
+        """
         self.suspected_at = {identity: at + seconds for identity, at in self.suspected_at.items()}
 
     def confirm_expired_suspicions(self) -> None:
-        """Declare the members failed whose suspicion has lasted for the time-out."""
+        """Declare those members failed that have been suspected for the suspicion timeout."""
         now = self.clock.now()
-        # A node that hears nobody is the one cut off: it must not declare the whole fleet failed.
+        # A node that receives no datagrams is itself partitioned, and must not declare all others failed.
         if now - self.last_received_at > 2 * self.parameters.period_seconds:
             self.suspected_at = dict.fromkeys(self.suspected_at, now)
             return
--- a/src/irisstand/membership/updates.py
+++ b/src/irisstand/membership/updates.py
@@ -1,21 +1,22 @@
-"""What SWIM says about a member, and which of two updates overrides the other (SWIM paper, section 4.2)."""
+"""SWIM updates about members, and which of two updates overrides the other (SWIM paper, section 4.2)."""
 
 import enum
 import typing
 
-# Limits of what is accepted from other nodes.
+# Limits on the texts and numbers that are accepted from other nodes.
 TEXT_LENGTH_LIMIT = 128
 NUMBER_LIMIT = 2**53
 PORT_LIMIT = 2**16
 
 
 class Identity(typing.NamedTuple):
-    """A node and one incarnation of its process; Confirm is final for that incarnation.
+    """A node and one incarnation of its process; Confirm is final for this incarnation.
 
     Attributes:
-        name: The node's name.
-        incarnation_id: Random, drawn at each start and after each false Confirm. It is not the number of the
-            paper, which `Update.incarnation_number` is: a node without a disk would forget that one.
+        name: The name of the node.
+        incarnation_id: A random id, which is chosen at each start and after each false Confirm. It is not the
+            incarnation number of the paper, which is `Update.incarnation_number`: a node without a disk would
+            forget that number when it restarts.
     """
 
     name: str
@@ -23,7 +24,7 @@
 
 
 class NodeInfo(typing.NamedTuple):
-    """Where a member is and what it is; it never changes within an incarnation."""
+    """The role, location and ports of a member, which never change within an incarnation."""
 
     role: str
     machine: str
@@ -35,22 +36,22 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where peers reach the member."""
+        """The host and port at which peers reach the member."""
         return (self.host, self.port)
 
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "NodeInfo":
-        """Check decoded fields; raises ValueError or TypeError if they are no node info."""
+        """Decode and check received fields; raises ValueError or TypeError if they are not a node info."""
         info = cls(*_checked_fields(fields, len(cls._fields)))
         _check_texts(info.role, info.machine, info.site, info.region, info.host)
         _check_numbers(info.port, info.http_port)
         if not 0 < info.port < PORT_LIMIT or info.http_port >= PORT_LIMIT:
-            raise ValueError("a port of an update is out of range")
+            raise ValueError("a port in an update is out of range")
         return info
 
 
 class MemberState(enum.IntEnum):
-    """The states of the paper: Alive, Suspect, Confirm."""
+    """The states of a member in the SWIM paper: Alive, Suspect, Confirm."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -58,14 +59,15 @@
 
 
 class Update(typing.NamedTuple):
-    """One piece of news about a member.
+    """A statement about the state of a member, which is disseminated to all members.
 
     Attributes:
-        state: What the member is said to be.
-        identity: The member.
-        incarnation_number: The paper's number, which only the member itself raises, to refute a suspicion.
-        node_info: Where the member is and what it is.
-        has_left: Whether the member itself said Confirm, at its shutdown.
+        state: The state that the member is said to be in.
+        identity: The member and its incarnation.
+        incarnation_number: The incarnation number of the paper, which only the member itself raises, to
+            refute a suspicion.
+        node_info: The role, location and ports of the member.
+        has_left: Whether the member itself sent this Confirm when it shut down.
     """
 
     state: MemberState
@@ -75,7 +77,7 @@
     has_left: bool = False
 
     def to_wire(self) -> tuple[typing.Any, ...]:
-        """Return the fields as they are sent, of types that msgpack can encode."""
+        """Return the fields of the update as plain values, which msgpack can encode."""
         return (
             int(self.state),
             tuple(self.identity),
@@ -86,18 +88,18 @@
 
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "Update":
-        """Check decoded fields; raises ValueError or TypeError if they are no update."""
+        """Decode and check received fields; raises ValueError or TypeError if they are not an update."""
         state, (name, incarnation_id), incarnation_number, node_info, has_left = fields
         _check_texts(name, incarnation_id)
         _check_numbers(incarnation_number)
         if type(has_left) is not bool or not name:
-            raise ValueError("an update names no member")
+            raise ValueError("an update has no member name, or a has_left flag that is not a bool")
         identity = Identity(name, incarnation_id)
         return cls(MemberState(state), identity, incarnation_number, NodeInfo.from_wire(node_info), has_left)
 
 
 def overrides(new: Update, old: Update) -> bool:
-    """Return whether `new` takes the place of `old`, by the order of the paper; the sender does not matter.
+    """Return whether `new` overrides `old` in the order of the paper, whichever member sent it.
 
     >>> node_info = NodeInfo("edge", "m", "s", "r", "127.0.0.1", 1, 2)
     >>> me = Identity("a", "1")
@@ -119,16 +121,16 @@
 def _checked_fields(fields: typing.Any, length: int) -> list[typing.Any]:
     found = list(fields)
     if len(found) != length:
-        raise ValueError(f"{len(found)} fields in place of {length}")
+        raise ValueError(f"a node info has {len(found)} fields in place of {length}")
     return found
 
 
 def _check_texts(*texts: typing.Any) -> None:
     if not all(isinstance(text, str) and len(text) <= TEXT_LENGTH_LIMIT for text in texts):
-        raise ValueError("a text of an update is not a short string")
+        raise ValueError("a text in an update is not a string, or is too long")
 
 
 def _check_numbers(*numbers: typing.Any) -> None:
-    # bool is an int to Python.
+    # A bool is an int in Python, so the exact type is checked.
     if not all(type(number) is int and 0 <= number < NUMBER_LIMIT for number in numbers):
-        raise ValueError("a number of an update is not a number in range")
+        raise ValueError("a number in an update is not an integer in range")
--- a/src/irisstand/state/__init__.py
+++ b/src/irisstand/state/__init__.py
@@ -1,1 +1,1 @@
-"""Items, versions, tables, disk, digests and repair."""
+"""Replicated state: items and their versions, tables, durable storage, digests, replication and repair."""
--- a/src/irisstand/state/item_table.py
+++ b/src/irisstand/state/item_table.py
@@ -1,4 +1,4 @@
-"""Items by key and by version, with their digests and numbers kept up to date."""
+"""A map of items by key and by version, which keeps digests and counts of the items up to date."""
 
 import collections
 import collections.abc
@@ -10,14 +10,14 @@
 
 
 class ItemTable:
-    """A sorted map of items.
+    """A sorted map of the items of one table.
 
     Attributes:
-        items: The items by key, sorted.
-        keys_by_version: Pairs of version and key, sorted.
-        item_digests: The digest of each item by key.
-        digests: The digests of all ranges.
-        counts_by_prefix: The number of items by the part of their keys before the first slash.
+        items: All items by key, tombstones included, sorted by key.
+        keys_by_version: A pair of version and key for each item, sorted.
+        item_digests: The digest of each item, by key.
+        digests: The digests of all key ranges.
+        counts_by_prefix: The number of items, by the part of their keys before the first slash.
     """
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
         return versions.NONE if item is None else item.version
 
     def items_with_prefix(self, prefix: str) -> collections.abc.Iterator[items.Item]:
-        """Yield the items, but no tombstones, whose keys begin with the prefix, in the order of keys."""
+        """Yield the items whose keys begin with the prefix, sorted by key; tombstones are left out."""
         for key in self.items.irange(prefix):
             if not key.startswith(prefix):
                 return
@@ -47,19 +47,24 @@
                 yield self.items[key]
 
     def items_in_ranges(self, numbers: set[int]) -> list[items.Item]:
-        """Return the items of these ranges, in the order of their keys."""
+        """Return the items whose keys belong to the ranges with the given numbers, sorted by key."""
         return [item for key, item in self.items.items() if digests.range_number(key) in numbers]
 
     def range_digests(self) -> tuple[bytes, ...]:
-        """Return the digest of each range in the form that is sent to a peer."""
+        """Return the digest of each range, shortened to what is sent to a peer."""
         return self.digests.shortened()
 
     def root_digest(self) -> bytes:
-        """Return one digest over all items."""
+        """Return one digest over all items of the table."""
         return self.digests.root()
 
     def digests_with(self, keys: collections.abc.Iterable[str], other: "ItemTable") -> digests.RangeDigests:
-        """Return the digests that this table would have with these keys as they are in the other one."""
+        """Return the range digests that this table would have if it held some keys as another table does.
+
+        Args:
+            keys: The keys to take from the other table; a key that it lacks counts as removed.
+            other: The other table.
+        """
         changed = self.digests.copy()
         for key in keys:
             changed.subtract(key, self.item_digests.get(key, 0))
@@ -68,11 +73,11 @@
 
     # -- changing ------------------------------------------------------------------------------------
     def put(self, item: items.Item, known_digest: int | None = None) -> None:
-        """Store an item, whatever version its key holds.
+        """Store an item and replace the one with the same key, whatever its version.
 
         Args:
-            item: The item.
-            known_digest: Its digest, if the caller has worked it out already.
+            item: The item to store.
+            known_digest: The digest of the item, if the caller has already computed it.
         """
         self.remove(item.key)
         self.items[item.key] = item
@@ -83,7 +88,7 @@
         self.counts_by_prefix[key_prefix(item.key)] += 1
 
     def remove(self, key: str) -> bool:
-        """Remove a key. Return whether it was there."""
+        """Remove a key and its item. Return whether the table held the key."""
         item = self.items.pop(key, None)
         if item is None:
             return False
@@ -93,7 +98,7 @@
         return True
 
     def merge(self, item: items.Item) -> bool:
-        """Store an item unless its key holds the same or a higher version. Return whether it was stored."""
+        """Store an item if its key is absent or has a lower version. Return whether it was stored."""
         known = self.items.get(item.key)
         if known is not None and known.version >= item.version:
             return False
@@ -101,7 +106,11 @@
         return True
 
     def replace_ranges(self, ranges: dict[int, list[items.Item]]) -> None:
-        """Make whole ranges equal to a peer's: what the peer lacks was removed, or is damage."""
+        """Make whole ranges equal to a peer's: items that the peer lacks were removed, or are corrupt here.
+
+        Args:
+            ranges: All items that the peer holds in each of these ranges, by range number.
+        """
         kept = {item.key for range_items in ranges.values() for item in range_items}
         for key in [key for key in self.items if digests.range_number(key) in ranges and key not in kept]:
             self.remove(key)
--- a/src/irisstand/state/items.py
+++ b/src/irisstand/state/items.py
@@ -1,26 +1,28 @@
-"""Items, the rows of the state tables, and batches of rows that are decided together."""
+"""Items, which are the entries of replicated tables, and batches of rows that are decided together."""
 
 import typing
 
 from irisstand.state import versions
 
-# Names of the tables on the wire and on disk.
+# Names of the replicated tables, as they are sent between nodes and written to disk.
 CONFIGURATION = "blueprint"
 LEDGER = "ledger"
 IDEMPOTENCY_KEYS = "claims"
 TABLES = (CONFIGURATION, LEDGER, IDEMPOTENCY_KEYS)
-# Only control plane nodes replicate idempotency keys: there are many, and no other node reads them.
+# The tables that every node replicates. Only control plane nodes replicate the table of idempotency keys:
+# there are many of them, and no other node reads them.
 REPLICATED_TABLES = (CONFIGURATION, LEDGER)
-# Keys with this prefix belong to the system and are not shown to operators.
+# Keys with this prefix are for internal use and are not shown to operators.
 RESERVED_PREFIX = "~"
-# Holds the voters of the table (see `quorum.Voter`).
+# The key under which each table stores its voters (see `quorum.Voter`).
 VOTERS_KEY = "~voters"
-# Holds the table's logical time in seconds.
+# The key under which each table stores its logical time, in seconds.
 TABLE_TIME_KEY = "~time"
-# Holds the highest version whose purge may have been dropped; objects fetched under an older applied version
-# are not served from the cache.
+# The key under which the ledger stores the highest version whose purge may have been dropped. A cached
+# object that was fetched at an older applied version is not served.
 FORGOTTEN_PURGES_KEY = "~purged"
 
+# The longest key that is accepted from disk or from another node.
 KEY_CHARACTERS_LIMIT = 4096
 
 WireItem: typing.TypeAlias = tuple[str, versions.WireVersion, typing.Any]
@@ -29,7 +31,7 @@
 
 
 class Item(typing.NamedTuple):
-    """A key, the version that wrote it, and its value; a value of None marks a tombstone."""
+    """A key, the version at which it was written, and its value; a value of None is a tombstone."""
 
     key: str
     version: versions.Version
@@ -37,24 +39,24 @@
 
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "Item":
-        """Decode an item.
+        """Decode an item from the fields that `to_wire` returns.
 
         Raises:
             ValueError: A field has a wrong type or length.
-            TypeError: `fields` is no sequence.
+            TypeError: `fields` or the version is not a sequence.
         """
         key, version, value = fields
         if not isinstance(key, str) or len(key) > KEY_CHARACTERS_LIMIT:
-            raise ValueError("not a key")
+            raise ValueError("the key of an item is not a string, or is too long")
         return cls(key, versions.Version.from_wire(version), value)
 
     def to_wire(self) -> WireItem:
-        """Return the item as plain tuples, as it is packed on the wire and on disk."""
+        """Return the item as plain tuples, which are packed for other nodes and for the disk."""
         return (self.key, self.version.to_wire(), self.value)
 
 
 class Row(typing.NamedTuple):
-    """One change of a batch: set `key` to `value`, or remove the key without leaving a tombstone."""
+    """One change in a batch: sets `key` to `value`, or removes the key without leaving a tombstone."""
 
     key: str
     value: typing.Any
@@ -62,20 +64,20 @@
 
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "Row":
-        """Decode a row.
+        """Decode a row from the sequence of its three fields.
 
         Raises:
-            ValueError: A field has a wrong type, or there is another number of fields.
-            TypeError: `fields` is no sequence.
+            ValueError: A field has a wrong type, or the number of fields is wrong.
+            TypeError: `fields` is not a sequence.
         """
         key, value, is_removal = fields
         if not isinstance(key, str) or type(is_removal) is not bool:
-            raise ValueError("not a row")
+            raise ValueError("a row has a key that is not a string, or a removal flag that is not a bool")
         return cls(key, value, is_removal)
 
 
 class Batch(typing.NamedTuple):
-    """Rows that are decided together and applied at once, on top of the applied version `base`."""
+    """Rows that are decided together and applied atomically, on top of the applied version `base`."""
 
     version: versions.Version
     base: versions.Version
@@ -83,16 +85,16 @@
 
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "Batch":
-        """Decode a batch.
+        """Decode a batch from the fields that `to_wire` returns.
 
         Raises:
             ValueError: A field has a wrong type or length.
-            TypeError: A field is no sequence.
+            TypeError: `fields` or one of its fields is not a sequence.
         """
         version, base, rows = fields
         checked = tuple(Row.from_wire(row) for row in rows)
         return cls(versions.Version.from_wire(version), versions.Version.from_wire(base), checked)
 
     def to_wire(self) -> WireBatch:
-        """Return the batch as plain tuples, as it is packed on the wire and on disk."""
+        """Return the batch as plain tuples, which are packed for other nodes and for the disk."""
         return (self.version.to_wire(), self.base.to_wire(), tuple(tuple(row) for row in self.rows))
--- a/src/irisstand/state/replica.py
+++ b/src/irisstand/state/replica.py
@@ -1,4 +1,4 @@
-"""A node's replica of one table: its items, the applied version, removals, and its known age."""
+"""A node's replica of one table: its items, its applied version, recent removals, and how old it may be."""
 
 import collections
 import collections.abc
@@ -6,36 +6,36 @@
 
 from irisstand.state import digests, item_table, items, versions
 
-# Removed keys that are remembered, so that a peer that is not far behind can be sent their names.
+# How many removals a replica remembers. A peer that is only a little behind is sent the removed keys.
 REMOVAL_RECORDS_LIMIT = 2000
-# Sorts after every key: a search from (version, KEY_UPPER_BOUND) starts after that version.
+# Sorts after every key, so a search from (version, KEY_UPPER_BOUND) starts after that version.
 KEY_UPPER_BOUND = chr(0x10FFFF)
 
 
 class RemovalRecord(typing.NamedTuple):
-    """A key that a batch removed without leaving a tombstone, and the version of that batch."""
+    """A key that a batch removed without leaving a tombstone, and the version of the batch."""
 
     version: versions.Version
     key: str
 
 
 class Changes(typing.NamedTuple):
-    """Items that were written, and keys that were removed, after some version."""
+    """The items that were written to a table, and the keys that were removed, after some version."""
 
     changed: list[items.Item]
     removed_keys: list[str]
 
 
 class Replica(item_table.ItemTable):
-    """The items of one table as far as this node knows them.
+    """A node's replica of one table.
 
     Attributes:
         name: The name of the table.
-        removal_records: The latest removals, oldest first.
+        removal_records: The most recent removals, the oldest first.
         applied: The newest version whose changes the replica holds.
-        current_as_of: The moment, in seconds of the node's clock, up to which nothing is missing here; None
-            if that is not known.
-        watchers: Functions that are called after each change.
+        current_as_of: The time, in seconds of the node's clock, up to which the replica holds every confirmed
+            change; None if no such time is known.
+        watchers: Callbacks that are called after each change of the replica.
     """
 
     def __init__(self, name: str) -> None:
@@ -49,18 +49,23 @@
         self.watchers: list[collections.abc.Callable[[], None]] = []
 
     def age(self, now: float) -> float | None:
-        """Return for how many seconds changes may have been missed, or None if that is not known."""
+        """Return for how many seconds the replica may have missed changes, or None if that is unknown."""
         return None if self.current_as_of is None else now - self.current_as_of
 
     def confirm_current(self, current_at: float) -> None:
-        """Record that nothing was missing at `moment`: when a request was sent, not when it was answered."""
+        """Record that the replica held every confirmed change at a time.
+
+        Args:
+            current_at: When the confirming request was sent, not when its reply arrived, in seconds of the
+                node's clock.
+        """
         if self.current_as_of is None or current_at > self.current_as_of:
             self.current_as_of = current_at
 
     def changes_since(self, applied: versions.Version) -> Changes:
-        """Return the items and removals above a version.
+        """Return the items that were written and the keys that were removed above a version.
 
-        Older removals may have been dropped; the receiver sees that by comparing root digests.
+        Removals that are no longer remembered are missing; the receiver detects that by the root digest.
         """
         changed = [self.items[key] for _, key in self.keys_by_version.irange((applied, KEY_UPPER_BOUND))]
         removed = [
@@ -69,12 +74,12 @@
         return Changes(changed, removed)
 
     def remove_and_record(self, key: str, version: versions.Version) -> None:
-        """Remove a key and remember with which version, for peers that are behind it."""
+        """Remove a key, and record the version of its removal for peers that have not applied it yet."""
         if self.remove(key):
             self.removal_records.append(RemovalRecord(version, key))
 
     def apply(self, batch: items.Batch) -> None:
-        """Apply a decided batch."""
+        """Apply a batch that consensus has decided, and set the applied version to the batch's version."""
         for key, value, is_removal in batch.rows:
             if is_removal:
                 self.remove_and_record(key, batch.version)
@@ -90,16 +95,16 @@
         changed: list[items.Item],
         removed_keys: list[str],
     ) -> bool:
-        """Apply what a peer has above this replica's applied version, if the outcome equals its replica.
+        """Apply what a peer holds above this replica's applied version, if that makes the replicas equal.
 
-        A removal that the peer no longer remembers would leave an item here that is gone everywhere else;
-        then the root digests differ and nothing is changed.
+        If the peer no longer remembers a removal, an item that all others have removed would remain here.
+        In that case the root digests differ and nothing is changed.
 
         Args:
-            applied: The applied version of the peer.
-            root_digest: The root digest of the peer.
-            changed: The items above this replica's applied version.
-            removed_keys: The keys that were removed above it.
+            applied: The applied version of the peer's replica.
+            root_digest: The root digest of the peer's replica.
+            changed: The peer's items above this replica's applied version.
+            removed_keys: The keys that the peer removed above this replica's applied version.
 
         Returns:
             Whether the changes were applied.
@@ -123,7 +128,7 @@
         return True
 
     def replace_unless_older(self, other: "Replica") -> bool:
-        """Take over a repaired replica at once, so that no reader sees one that is half repaired.
+        """Take over the content of a repaired replica in one step, so no reader sees a half-repaired table.
 
         Returns:
             Whether the other replica was at least as new as this one and was taken over.
@@ -135,7 +140,7 @@
         return True
 
     def replace_content(self, other: "Replica") -> None:
-        """Take over the content and the applied version of another replica, which must not be used again."""
+        """Take over the content and applied version of another replica, which must not be used afterwards."""
         self.items = other.items
         self.keys_by_version = other.keys_by_version
         self.item_digests = other.item_digests
@@ -145,12 +150,12 @@
         self.applied = other.applied
 
     def notify_watchers(self) -> None:
-        """Call all watchers."""
+        """Call all registered watchers of the replica."""
         for watcher in self.watchers:
             watcher()
 
     def clone(self) -> "Replica":
-        """Return a replica with the same content, without watchers and with unknown age."""
+        """Return a new replica with the same content, without watchers and with an unknown age."""
         cloned = Replica(self.name)
         cloned.items = self.items.copy()
         cloned.keys_by_version = self.keys_by_version.copy()
--- a/src/irisstand/state/replication/__init__.py
+++ b/src/irisstand/state/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Replication: carrying changed items between nodes and repairing what differs."""
+"""Replication of tables between nodes: transferring changed items, and repairing replicas that differ."""
--- a/src/irisstand/state/replication/chunk_transfer.py
+++ b/src/irisstand/state/replication/chunk_transfer.py
@@ -1,8 +1,9 @@
-"""Transfer of many changed items in small compressed chunks, for links that a whole table would fill.
+"""Transfer of many changed items in small compressed chunks, since a whole table would fill a slow link.
 
-A node that is far behind asks for one chunk after the other, from the oldest version on. It stages what it
-received, also when the peer falls silent: the next peer goes on behind it. The staged items are applied at
-once when the last chunk is there and the outcome equals the peer's replica, so no reader sees half a table.
+A node that is far behind requests one chunk after another, from the oldest version on. It keeps the received
+items staged even if the peer stops replying, and requests the remaining items from the next peer. The staged
+items are applied in one step once the last chunk has arrived and the result equals the peer's replica, so
+that no reader sees an incomplete table.
 """
 
 import collections.abc
@@ -17,17 +18,20 @@
 from irisstand.state.replication import messages
 from irisstand.transport import codec, network
 
+# How long a node waits for a peer's reply to a request for a chunk.
 REPLY_TIMEOUT_SECONDS = 0.6
-# The size of the items of one chunk before they are compressed.
+# The size of the items of one chunk before compression.
 CHUNK_BYTES = 64 * 1024
+# How many chunks one transfer may request.
 CHUNKS_LIMIT = 1000
-# Compressed chunks that are cached: after a large change, all nodes ask for the same ones.
+# How many compressed chunks are cached. After a large change, all nodes request the same chunks.
 CACHED_CHUNKS_LIMIT = 64
+# The zlib level that compresses fastest.
 FASTEST_COMPRESSION = 1
 
 
 class Chunk(typing.NamedTuple):
-    """Compressed items behind a cursor, and the cursor where they end; None if nothing is behind them."""
+    """The compressed items after a cursor, and the cursor of the last item; None if no items follow."""
 
     packed_items: bytes
     end: messages.Cursor | None
@@ -35,7 +39,7 @@
 
 @dataclasses.dataclass
 class StagedItems:
-    """Items above the applied version `base` that were received so far, the last one at `cursor`."""
+    """The items above the applied version `base` that have been received so far, the last one at `cursor`."""
 
     base: versions.Version
     cursor: messages.Cursor
@@ -43,7 +47,7 @@
 
 
 class ChunkTransfer:
-    """Answers requests for chunks, and requests them; a table has at most one transfer at a time."""
+    """Answers requests for chunks, and requests chunks from peers, with at most one transfer per table."""
 
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
@@ -59,12 +63,14 @@
         """Answer a `ChunkRequest` with a `ChunkReply`.
 
         Raises:
-            StaleConfigurationError: The node that asks has newer items than this one.
+            StaleConfigurationError: The requesting node has newer items than this one.
         """
         request = messages.ChunkRequest.from_wire(body)
         local = self.context.replicas[request.table]
         if local.applied < max(request.base, request.cursor.version):
-            raise errors.StaleConfigurationError(f"the {request.table} table is older here than the asker's")
+            raise errors.StaleConfigurationError(
+                f"the {request.table} table is older here than on the requesting node"
+            )
         chunk = self.chunk_after(local, request.cursor)
         removed_keys = tuple(local.changes_since(request.base).removed_keys) if chunk.end is None else ()
         age = local.age(self.context.clock.now())
@@ -75,7 +81,7 @@
         return reply.to_wire()
 
     def chunk_after(self, local: replica.Replica, cursor: messages.Cursor) -> Chunk:
-        """Return the chunk behind a cursor, compressed once for all nodes that ask for it."""
+        """Return the chunk after a cursor; it is compressed once for all nodes that request it."""
         is_outdated = self.cached_at_version.get(local.name) != local.applied
         if is_outdated or len(self.cached_chunks) >= CACHED_CHUNKS_LIMIT:
             self.cached_chunks = {
@@ -91,13 +97,13 @@
 
     # -- asking --------------------------------------------------------------------------------------
     def drop_outdated(self) -> None:
-        """Drop items that were staged above a version which the replica has left in another way."""
+        """Drop staged items whose base version is not the replica's applied version any more."""
         for name, staged in list(self.staged.items()):
             if staged.base != self.context.replicas[name].applied:
                 del self.staged[name]
 
     async def transfer(self, address: network.Address, name: str, local: replica.Replica) -> bool:
-        """Request chunk after chunk from one peer and apply them at the end.
+        """Request all chunks of a table from one peer, and apply their items after the last one.
 
         Args:
             address: The address of the peer.
@@ -105,10 +111,10 @@
             local: The replica to bring up to date.
 
         Returns:
-            False if the outcome would not equal the peer's replica, or there are too many chunks.
+            False if the result would not equal the peer's replica, or if there are too many chunks.
 
         Raises:
-            IrisError: The peer did not answer, or answered with an error.
+            IrisError: The peer did not reply, or replied with an error.
             ValueError, TypeError: The reply is malformed.
         """
         staged = self.staged_items(local)
@@ -119,7 +125,7 @@
                 address, name, messages.MessageKind.CHUNK, request.to_wire(), REPLY_TIMEOUT_SECONDS
             )
             if local.applied != staged.base:
-                # It was brought up to date in another way; the next round asks from there.
+                # The replica was brought up to date in another way; the next round starts from there.
                 return True
             reply = messages.ChunkReply.from_wire(fields)
             staged.items.update({item.key: item for item in unpack_items(reply.packed_items)})
@@ -129,7 +135,7 @@
         return False
 
     def staged_items(self, local: replica.Replica) -> StagedItems:
-        """Return what was received so far for the replica as it is now, from whichever peer."""
+        """Return the items received so far, from any peer, on top of the replica's applied version."""
         staged = self.staged.get(local.name)
         if staged is None or staged.base != local.applied:
             staged = StagedItems(local.applied, messages.Cursor(local.applied, replica.KEY_UPPER_BOUND), {})
@@ -139,7 +145,7 @@
     def finish(
         self, local: replica.Replica, staged: StagedItems, reply: messages.ChunkReply, sent_at: float
     ) -> bool:
-        """Apply the staged items after the last chunk. Return whether the outcome is the peer's replica."""
+        """Apply the staged items after the last chunk. Return whether the result is the peer's replica."""
         self.staged.pop(local.name, None)
         removed_keys = set(reply.removed_keys)
         changed = [item for item in staged.items.values() if item.key not in removed_keys]
@@ -152,7 +158,7 @@
 
 
 def build_chunk(local: replica.Replica, cursor: messages.Cursor) -> Chunk:
-    """Return the items behind a cursor in the order of their versions, as many as a chunk has room for."""
+    """Return the chunk of items after a cursor, in the order of versions, up to about `CHUNK_BYTES`."""
     packed: list[bytes] = []
     size = 0
     end = cursor
@@ -166,32 +172,32 @@
 
 
 def pack_items(packed: collections.abc.Sequence[bytes]) -> bytes:
-    """Compress items that are packed one by one."""
+    """Compress a sequence of items, each of which is packed already."""
     return zlib.compress(ormsgpack.packb(packed), FASTEST_COMPRESSION)
 
 
 def unpack_items(packed_items: bytes) -> list[items.Item]:
-    """Decompress items, but never to more than a frame may have, whatever the peer sent.
+    """Decompress the items of a chunk, but never to more bytes than a frame may have.
 
     Raises:
-        ValueError: The bytes are no chunk, or one that is too large.
+        ValueError: The bytes are not a chunk, or the chunk is too large.
     """
     unpacker = zlib.decompressobj()
     try:
         plain = unpacker.decompress(packed_items, codec.FRAME_LIMIT_BYTES)
     except zlib.error as error:
-        raise ValueError(f"not a part: {error}") from None
+        raise ValueError(f"a chunk cannot be decompressed: {error}") from None
     if not unpacker.eof:
-        raise ValueError("a part larger than a frame")
+        raise ValueError("a decompressed chunk is larger than a frame")
     return [items.Item.from_wire(ormsgpack.unpackb(one)) for one in ormsgpack.unpackb(plain)]
 
 
 def checked_next_cursor(before: messages.Cursor, end: messages.Cursor) -> messages.Cursor:
-    """Return `end` if it lies behind `before`; otherwise requests for chunks would never come to an end.
+    """Return `end` if it lies after `before`; otherwise the requests for chunks would never end.
 
     Raises:
-        ValueError: The chunk does not lead on.
+        ValueError: The chunk does not end after the previous one.
     """
     if end <= before:
-        raise ValueError("a part that does not lead on")
+        raise ValueError("a chunk does not end after the cursor that was requested")
     return end
--- a/src/irisstand/state/replication/messages.py
+++ b/src/irisstand/state/replication/messages.py
@@ -1,7 +1,7 @@
-"""Requests and replies of replication, each encoded by field order.
+"""Requests and replies of replication, each of which is encoded as a sequence of its fields.
 
-`from_wire` raises ValueError or TypeError for a wrong length or type, and KeyError for an unknown table; the
-transport answers all three with the code `bad-request`.
+The `from_wire` methods raise ValueError or TypeError for a field of a wrong length or type, and KeyError for
+an unknown table; the transport answers all three with the error code `bad-request`.
 """
 
 import enum
@@ -13,7 +13,7 @@
 
 
 class MessageKind(enum.StrEnum):
-    """The kinds of requests between nodes that replication sends."""
+    """The kinds of requests that replication sends to other nodes."""
 
     CHANGES = "after"
     CHUNK = "part"
@@ -23,9 +23,9 @@
 
 
 class ReplyKind(enum.StrEnum):
-    """What a peer answers about one table.
+    """The kinds of reply to a `ChangesRequest`.
 
-    SAME: both replicas are equal. BEHIND: the peer has nothing newer. CHANGES: the changes follow.
+    SAME: both replicas are equal. BEHIND: the peer has nothing newer. CHANGES: the reply has the changes.
     REPAIR: the changes are too large for one reply, or the replicas differ at the same applied version.
     """
 
@@ -36,28 +36,28 @@
 
 
 def table_from_wire(name: typing.Any) -> str:
-    """Return the name of a table, or raise KeyError or TypeError if it is none."""
+    """Return a received table name; raise KeyError or TypeError if it is not the name of a table."""
     if name not in TABLE_NAMES:
         raise KeyError(name)
     return str(name)
 
 
 def age_from_wire(age: typing.Any) -> float | None:
-    """Return the age of a replica in seconds, or None if the peer does not know it."""
+    """Return a received replica age in seconds; None means that the peer does not know it."""
     if age is not None and not isinstance(age, int | float):
-        raise TypeError("not an age")
+        raise TypeError("the age of a replica is neither a number nor None")
     return age
 
 
 def digest_from_wire(digest: typing.Any) -> bytes:
-    """Return a root digest."""
+    """Return a received root digest."""
     if not isinstance(digest, bytes):
-        raise TypeError("not a digest")
+        raise TypeError("a root digest is not a byte string")
     return digest
 
 
 class ChangesRequest(typing.NamedTuple):
-    """Asks for what was changed in one table after `applied`; a request holds one of these for each table."""
+    """Requests the changes of one table above `applied`; one message contains several of these requests."""
 
     table: str
     applied: versions.Version
@@ -65,17 +65,17 @@
 
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "ChangesRequest":
-        """Decode the request; the digest is only compared, so a wrong one asks for a repair."""
+        """Decode a `ChangesRequest`. The digest is only compared, so a malformed one leads to a repair."""
         table, applied, root_digest = fields
         return cls(table_from_wire(table), versions.Version.from_wire(applied), root_digest)
 
     def to_wire(self) -> tuple[str, versions.WireVersion, bytes]:
-        """Return the request as plain tuples."""
+        """Return the `ChangesRequest` as a plain tuple."""
         return (self.table, self.applied.to_wire(), self.root_digest)
 
 
 class ChangesReply(typing.NamedTuple):
-    """What a peer has of one table: applied version, age in seconds, root digest, and the changes."""
+    """The state of one table on a peer (applied version, age in seconds, root digest), and the changes."""
 
     applied: versions.Version
     age: float | None
@@ -86,7 +86,7 @@
 
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "ChangesReply":
-        """Decode the reply."""
+        """Decode a `ChangesReply`."""
         applied, age, root_digest, (kind_value, *changes) = fields
         kind = ReplyKind(kind_value)
         changed, removed_keys = changes if kind is ReplyKind.CHANGES else ((), ())
@@ -100,7 +100,7 @@
         )
 
     def to_wire(self) -> tuple[typing.Any, ...]:
-        """Return the reply as plain tuples."""
+        """Return the `ChangesReply` as a plain tuple."""
         content: tuple[typing.Any, ...] = (self.kind.value,)
         if self.kind is ReplyKind.CHANGES:
             content = (self.kind.value, tuple(item.to_wire() for item in self.changed), self.removed_keys)
@@ -108,24 +108,24 @@
 
 
 class Cursor(typing.NamedTuple):
-    """A position in the order of versions and keys: the item that came last."""
+    """A position in a table's items, sorted by version and key: that of the last item received."""
 
     version: versions.Version
     key: str
 
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "Cursor":
-        """Decode the cursor."""
+        """Decode a `Cursor`."""
         version, key = fields
         return cls(versions.Version.from_wire(version), str(key))
 
     def to_wire(self) -> tuple[versions.WireVersion, str]:
-        """Return the cursor as plain tuples."""
+        """Return the `Cursor` as a plain tuple."""
         return (self.version.to_wire(), self.key)
 
 
 class ChunkRequest(typing.NamedTuple):
-    """Asks for the items behind `cursor`; `base` is the applied version of the replica that asks."""
+    """Requests the items after `cursor`; `base` is the applied version of the requesting replica."""
 
     table: str
     base: versions.Version
@@ -133,17 +133,17 @@
 
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "ChunkRequest":
-        """Decode the request."""
+        """Decode a `ChunkRequest`."""
         table, base, (version, key) = fields
         return cls(table_from_wire(table), versions.Version.from_wire(base), Cursor.from_wire((version, key)))
 
     def to_wire(self) -> tuple[str, versions.WireVersion, tuple[versions.WireVersion, str]]:
-        """Return the request as plain tuples."""
+        """Return the `ChunkRequest` as a plain tuple."""
         return (self.table, self.base.to_wire(), self.cursor.to_wire())
 
 
 class ChunkReply(typing.NamedTuple):
-    """Compressed items, and where they end; with the last chunk, `end` is None and the removals follow."""
+    """A chunk of compressed items that ends at `end`; the last chunk has removed keys and no `end`."""
 
     applied: versions.Version
     age: float | None
@@ -154,10 +154,10 @@
 
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "ChunkReply":
-        """Decode the reply; the items stay packed."""
+        """Decode a `ChunkReply`, without unpacking its items."""
         applied, age, root_digest, packed_items, end, removed_keys = fields
         if not isinstance(packed_items, bytes):
-            raise TypeError("not packed items")
+            raise TypeError("the packed items of a chunk are not a byte string")
         return cls(
             versions.Version.from_wire(applied),
             age_from_wire(age),
@@ -168,52 +168,52 @@
         )
 
     def to_wire(self) -> tuple[typing.Any, ...]:
-        """Return the reply as plain tuples."""
+        """Return the `ChunkReply` as a plain tuple."""
         end = None if self.end is None else self.end.to_wire()
         return (self.applied.to_wire(), self.age, self.root_digest, self.packed_items, end, self.removed_keys)
 
 
 class RangesRequest(typing.NamedTuple):
-    """Asks for the ranges of one table whose digests differ from these."""
+    """Requests the content of the ranges of one table whose digests differ from `range_digests`."""
 
     table: str
     range_digests: tuple[bytes, ...]
 
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "RangesRequest":
-        """Decode the request; the digests are only compared, so a wrong one asks for its range."""
+        """Decode a `RangesRequest`. Digests are only compared, so a malformed one requests its range."""
         table, range_digests = fields
         table = table_from_wire(table)
         if len(range_digests) != digests.RANGE_COUNT:
-            raise ValueError("another number of ranges")
+            raise ValueError("the number of range digests is not the number of ranges")
         return cls(table, tuple(range_digests))
 
     def to_wire(self) -> tuple[str, tuple[bytes, ...]]:
-        """Return the request as plain tuples."""
+        """Return the `RangesRequest` as a plain tuple."""
         return (self.table, self.range_digests)
 
 
 class RangeContent(typing.NamedTuple):
-    """All items of one range."""
+    """All items of a table whose keys belong to one range, which has the given number."""
 
     number: int
     range_items: tuple[items.Item, ...]
 
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "RangeContent":
-        """Decode the content of a range."""
+        """Decode a `RangeContent`."""
         number, range_items = fields
         if type(number) is not int or not 0 <= number < digests.RANGE_COUNT:
-            raise ValueError("not a range")
+            raise ValueError("the number of a range is not an integer in range")
         return cls(number, tuple(items.Item.from_wire(item) for item in range_items))
 
     def to_wire(self) -> tuple[int, tuple[items.WireItem, ...]]:
-        """Return the content as plain tuples."""
+        """Return the `RangeContent` as a plain tuple."""
         return (self.number, tuple(item.to_wire() for item in self.range_items))
 
 
 class RangesReply(typing.NamedTuple):
-    """The ranges that differ, as many as fit one reply."""
+    """The content of the ranges that differ between two replicas, as many as fit into one reply."""
 
     applied: versions.Version
     age: float | None
@@ -222,7 +222,7 @@
 
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "RangesReply":
-        """Decode the reply."""
+        """Decode a `RangesReply`."""
         applied, age, root_digest, ranges = fields
         return cls(
             versions.Version.from_wire(applied),
@@ -232,6 +232,6 @@
         )
 
     def to_wire(self) -> tuple[typing.Any, ...]:
-        """Return the reply as plain tuples."""
+        """Return the `RangesReply` as a plain tuple."""
         ranges = tuple(content.to_wire() for content in self.ranges)
         return (self.applied.to_wire(), self.age, self.root_digest, ranges)
--- a/src/irisstand/state/replication/quorum_loss.py
+++ b/src/irisstand/state/replication/quorum_loss.py
@@ -1,7 +1,7 @@
-"""Detection of quorum loss: evidence, asked of each voter, that most of them cannot confirm anything.
+"""Detection of quorum loss: each voter is asked for evidence that most voters cannot confirm anything.
 
-Nodes of the data plane may then use tables that are older than the freshness
-bound, up to a second bound. Silence is never taken for evidence.
+On such evidence, data plane nodes may use tables that are older than the freshness bound, up to a second
+bound. A voter that does not reply is never taken as evidence.
 """
 
 import asyncio
@@ -10,38 +10,40 @@
 from irisstand.state import items, quorum, replica
 from irisstand.state.replication import messages, status_messages
 
+# How long a node waits for a reply from a voter, and for a connection to it.
 REPLY_TIMEOUT_SECONDS = 0.4
+# The pause between two rounds of questions to the voters.
 ROUND_PAUSE_SECONDS = 0.1
-# The age, as a fraction of the freshness bound, from which a table is doubtful.
+# The voters are asked about a table once its age exceeds this fraction of the freshness bound.
 DOUBTFUL_FRACTION = 0.6
 
 
 class QuorumLossDetector:
-    """Asks the voters of a table that grows old, and records when more than half cannot confirm anything.
+    """Asks the voters of an ageing table, and records if more than half cannot confirm anything.
 
-    A voter counts if its port refuses connections, so that it does not run; or if it answers that it has no
-    majority either, and knows of nothing newer than this node has, decided or pending. A voter that is
-    silent, frozen or not reached does not count: that may as well be a fault of this node.
+    A voter is counted as unable if its port refuses connections, which shows that it does not run, or if it
+    replies that it has no majority and knows of no newer batch than this node, decided or pending. A voter
+    that does not reply, is frozen or is not reachable is not counted: the fault may be this node's own.
     """
 
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
 
     async def run(self) -> None:
-        """Check all doubtful tables, round after round, for as long as the node runs."""
+        """Ask the voters of all ageing tables, round after round, for as long as the node runs."""
         while True:
             doubtful = [local for local in self.context.replicas.values() if self.is_doubtful(local)]
             await asyncio.gather(*(self.check_voters(local) for local in doubtful))
             await asyncio.sleep(ROUND_PAUSE_SECONDS)
 
     def is_doubtful(self, local: replica.Replica) -> bool:
-        """Return whether a table that was confirmed once is near the freshness bound or beyond."""
+        """Return whether a table that was once confirmed is now near the freshness bound or past it."""
         age = local.age(self.context.clock.now())
         return age is not None and age > DOUBTFUL_FRACTION * self.context.settings.freshness_bound
 
     async def check_voters(self, local: replica.Replica) -> None:
-        """Ask all voters of one table at once, and record a loss if a majority of them counts as lost."""
-        # The evidence counts from here: a voter may have come back after it was asked.
+        """Ask all voters of a table at once, and record a quorum loss if most cannot confirm anything."""
+        # The evidence is as old as the start of the round: a voter may have recovered after it was asked.
         started_at = self.context.clock.now()
         voters = quorum.voters_from_wire(local.value(items.VOTERS_KEY))
         unable_disk_ids = await self.unable_voters(voters, local)
@@ -50,7 +52,7 @@
             self.context.counters.add("core_found_out", table=local.name)
 
     async def unable_voters(self, voters: list[quorum.Voter], local: replica.Replica) -> set[str]:
-        """Return the disk ids of voters that cannot confirm anything; stop once they are a majority."""
+        """Return the disk ids of voters that cannot confirm anything, as soon as these are a majority."""
         loop = asyncio.get_running_loop()
         voter_by_task = {loop.create_task(self.cannot_confirm(voter, local)): voter for voter in voters}
         unable_disk_ids: set[str] = set()
@@ -65,7 +67,7 @@
         return unable_disk_ids
 
     async def cannot_confirm(self, voter: quorum.Voter, local: replica.Replica) -> bool:
-        """Return whether there is evidence that one voter cannot confirm anything."""
+        """Return whether there is evidence that one voter cannot confirm any changes of a table."""
         address = (voter.host, voter.port)
         transport = self.context.transport
         try:
@@ -87,7 +89,7 @@
             return False
 
     async def is_connection_refused(self, voter: quorum.Voter) -> bool:
-        """Return whether the voter's machine answers that no process listens, so none accepts batches."""
+        """Return whether a voter's machine refuses connections, which shows that the voter does not run."""
         try:
             async with asyncio.timeout(REPLY_TIMEOUT_SECONDS):
                 stream = await self.context.net.connect((voter.host, voter.port))
@@ -105,10 +107,10 @@
     statuses: list[status_messages.TableStatus],
     state: status_messages.VoterState,
 ) -> bool:
-    """Return whether a voter says that it has no majority, and knows of nothing that this node lacks."""
-    # A voter that says nothing about the table may well be able to confirm it.
+    """Return whether a voter reports that it has no majority and knows of nothing that this node lacks."""
+    # A voter that does not report the table is assumed to be able to confirm it.
     is_current = {status.table: status.is_current for status in statuses}.get(local.name, True)
     if state.disk_id != voter.disk_id or is_current or state.applied > local.applied:
         return False
-    # A pending batch on this node's applied version may have been confirmed to a client.
+    # A pending batch on top of this node's applied version may have been confirmed to a client already.
     return state.pending_base is None or state.pending_base < local.applied
--- a/src/irisstand/state/replication/replicator.py
+++ b/src/irisstand/state/replication/replicator.py
@@ -1,8 +1,8 @@
-"""Replication of tables between nodes: a node asks a peer for changes, and repairs replicas that differ.
+"""Replication of tables between nodes: a node requests changes from a peer and repairs differing replicas.
 
-A request names the applied version and the root digest of each table. The peer answers with the changes
-above that version. If they are too large for one reply they are transferred in chunks; if the outcome does
-not equal the peer's replica, the two are compared range by range (anti-entropy).
+A request names the applied version and the root digest of each table. The peer replies with the changes
+above that version. Changes that are too large for one reply are transferred in chunks. If the result does
+not equal the peer's replica, the two replicas are compared range by range (anti-entropy).
 """
 
 import collections.abc
@@ -13,27 +13,29 @@
 from irisstand.state.replication import chunk_transfer, messages
 from irisstand.transport import network
 
+# How long a node waits for a peer's reply before the request counts as failed.
 REPLY_TIMEOUT_SECONDS = 0.6
-# Approximate size of the changes in one reply. Several peers are asked within one round, and each answers:
-# large replies together fill a slow link, none comes in time, and the next round asks for all of them again.
+# The approximate size limit of the changes in one reply. A node asks several peers in one round, and each
+# replies: large replies would fill a slow link, all be late, and be requested again in the next round.
 CHANGES_LIMIT_BYTES = 32 * 1024
-# Approximate size of a reply with whole ranges.
+# The approximate size limit of a reply that contains whole key ranges.
 RANGES_LIMIT_BYTES = 1024 * 1024
+# How many requests for ranges one repair may send.
 RANGES_REQUESTS_LIMIT = 1000
-# How often a repair asks again because commits have carried the replica past the answer.
+# How often a repair is repeated because commits advanced the replica beyond the peer's reply.
 OVERTAKEN_LIMIT = 20
-# The age, as a fraction of the freshness bound, above which the answer of a peer does not end a round.
+# A reply from a replica older than this fraction of the freshness bound does not end a round of requests.
 RECENT_FRACTION = 0.6
-# What msgpack and the version add to a key and a value, approximately.
+# The approximate size that msgpack and the version add to the key and the value of an item.
 ITEM_OVERHEAD_BYTES = 60
 
 
 class Replicator:
-    """Answers requests for the tables of this node, and requests those of a peer."""
+    """Answers requests for the tables of this node, and requests changes of its tables from peers."""
 
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
-        # Tables under repair: a second repair at the same time would only transfer the same items twice.
+        # The tables under repair. A second repair of a table at the same time would transfer the same items.
         self.repairing: set[str] = set()
         self.chunks = chunk_transfer.ChunkTransfer(context)
         context.transport.handlers[messages.MessageKind.CHANGES] = self.on_changes_request
@@ -41,7 +43,7 @@
 
     # -- answering -----------------------------------------------------------------------------------
     async def on_changes_request(self, _: str, body: typing.Any) -> tuple[tuple[typing.Any, ...], ...]:
-        """Answer a `ChangesRequest` for each of several tables with a `ChangesReply` for each."""
+        """Answer a list of `ChangesRequest`, one for each table, with a list of `ChangesReply`."""
         now = self.context.clock.now()
         replies = []
         for fields in body:
@@ -59,25 +61,25 @@
 
     # -- asking --------------------------------------------------------------------------------------
     async def pull(self, address: network.Address, name: str, tables: tuple[str, ...] = ()) -> bool:
-        """Ask one peer, in one request, for the changes of all tables, and apply them.
+        """Request the changes of several tables from one peer, in a single request, and apply them.
 
         Args:
             address: The address of the peer.
             name: The node name of the peer.
-            tables: The tables to ask for; all that this node holds if empty.
+            tables: The names of the tables to request; if empty, all tables that this node holds.
 
         Returns:
-            Whether every table is now known to be current, well within the freshness bound.
+            Whether all requested tables are known to be current, well within the freshness bound.
 
         Raises:
-            IrisError: The peer did not answer, or answered with an error.
+            IrisError: The peer did not reply, or replied with an error.
             ValueError, TypeError: The reply is malformed.
         """
         replicas = [self.context.replicas[table] for table in tables or self.context.replicas]
         requests = [
             messages.ChangesRequest(local.name, local.applied, local.root_digest()) for local in replicas
         ]
-        # The age counts from here: what changed after the request was sent is not confirmed.
+        # Replicas are confirmed as of this time, because the reply may lack what changed after the request.
         sent_at = self.context.clock.now()
         body = tuple(request.to_wire() for request in requests)
         replies = await self.context.transport.call(
@@ -87,7 +89,7 @@
         for local, request, fields in zip(replicas, requests, replies, strict=True):
             reply = messages.ChangesReply.from_wire(fields)
             age = reply.age
-            # A replica that changed meanwhile was sent the changes above a version that it has left.
+            # If the replica advanced meanwhile, the reply has the changes above a version that is outdated.
             if local.applied == request.applied and not await self.apply_reply(address, name, local, reply):
                 age = None
             if age is not None and reply.applied == local.applied:
@@ -97,17 +99,21 @@
         return all_current
 
     def is_recent(self, current_at: float) -> bool:
-        """Return whether a peer that was current at `moment` need not be followed by another."""
+        """Return whether a replica that was current at a time is recent enough to ask no further peer.
+
+        Args:
+            current_at: The time, in seconds of the node's clock, as of which the peer's replica was current.
+        """
         bound_seconds = self.context.settings.freshness_bound
         return current_at > self.context.clock.now() - RECENT_FRACTION * bound_seconds
 
     async def apply_reply(
         self, address: network.Address, name: str, local: replica.Replica, reply: messages.ChangesReply
     ) -> bool:
-        """Apply a reply, or repair the replica.
+        """Apply a peer's reply about one table, or repair the replica.
 
         Returns:
-            False after a repair: the replies of the repair confirm the age.
+            False after a repair, which confirms the replica's age by its own requests.
         """
         match reply.kind:
             case messages.ReplyKind.SAME | messages.ReplyKind.BEHIND:
@@ -125,7 +131,7 @@
     async def repair(
         self, address: network.Address, name: str, local: replica.Replica, *, in_chunks: bool
     ) -> None:
-        """Make a replica equal to a peer's, chunk by chunk, or range by range where that does not succeed."""
+        """Make a replica equal to a peer's, in chunks if possible, otherwise range by range."""
         if local.name in self.repairing:
             return
         self.repairing.add(local.name)
@@ -136,15 +142,15 @@
             self.repairing.discard(local.name)
 
     async def transfer_chunks(self, address: network.Address, name: str, local: replica.Replica) -> bool:
-        """Return whether the replica was brought up to date in chunks."""
+        """Transfer a peer's changes in chunks. Return whether the replica was brought up to date."""
         try:
             return await self.chunks.transfer(address, name, local)
         except errors.UnknownNameError:
-            # A peer of the version before sends no chunks.
+            # The peer runs the previous version, which does not support chunks.
             return False
 
     async def repair_ranges(self, address: network.Address, name: str, local: replica.Replica) -> None:
-        """Make a clone equal to a peer's replica, range by range, then take it over at once."""
+        """Make a clone equal to a peer's replica, range by range, then take over the clone in one step."""
         repaired = local.clone()
         overtaken = 0
         for _ in range(RANGES_REQUESTS_LIMIT):
@@ -159,7 +165,7 @@
                 if reply.age is not None:
                     local.confirm_current(sent_at - reply.age)
                 return
-            # A commit came in while the answer was on its way: the clone has nearly all of it.
+            # A commit advanced the local replica meanwhile: the next request transfers only the rest.
             overtaken += 1
             if overtaken > OVERTAKEN_LIMIT:
                 return
@@ -167,7 +173,7 @@
     async def request_ranges(
         self, address: network.Address, name: str, repaired: replica.Replica
     ) -> messages.RangesReply:
-        """Ask a peer for the ranges in which its replica differs."""
+        """Request from a peer the content of the ranges whose digests differ between the two replicas."""
         request = messages.RangesRequest(repaired.name, repaired.range_digests())
         fields = await self.context.transport.call(
             address, name, messages.MessageKind.RANGES, request.to_wire(), REPLY_TIMEOUT_SECONDS
@@ -178,16 +184,16 @@
 def changes_reply(
     local: replica.Replica, request: messages.ChangesRequest, now: float
 ) -> messages.ChangesReply:
-    """Return the changes above the applied version of the node that asks, if they fit one reply."""
+    """Return the reply to a request for changes, with the changes themselves if they fit into one reply."""
     root_digest = local.root_digest()
     reply = messages.ChangesReply(local.applied, local.age(now), root_digest, messages.ReplyKind.SAME)
-    # A node that is ahead is sent nothing: it would have to throw it away.
+    # A node that is ahead of this one is sent no changes, because it would discard them.
     if local.applied < request.applied or local.applied == versions.NONE:
         return reply._replace(kind=messages.ReplyKind.BEHIND)
     if request.root_digest == root_digest and local.applied == request.applied:
         return reply
     changed, removed_keys = local.changes_since(request.applied)
-    # Replicas that differ at the same applied version are damaged.
+    # Replicas that differ at the same applied version are corrupt and need a repair.
     if local.applied == request.applied or estimated_size(changed, CHANGES_LIMIT_BYTES) > CHANGES_LIMIT_BYTES:
         return reply._replace(kind=messages.ReplyKind.REPAIR)
     return reply._replace(
@@ -198,7 +204,7 @@
 def differing_ranges(
     local: replica.Replica, range_digests: collections.abc.Sequence[bytes]
 ) -> tuple[messages.RangeContent, ...]:
-    """Return the ranges whose digests differ from the given ones, as many as fit one reply."""
+    """Return the content of the ranges whose digests differ from a peer's, as many as fit into one reply."""
     own = local.range_digests()
     differing = {number for number in range(digests.RANGE_COUNT) if own[number] != range_digests[number]}
     grouped: dict[int, list[items.Item]] = {number: [] for number in differing}
@@ -215,7 +221,7 @@
 
 
 def estimated_size(counted_items: collections.abc.Iterable[items.Item], limit: int) -> int:
-    """Return about how many bytes items take up in a frame, counted no further than just over the limit."""
+    """Return the approximate size of items in a frame, in bytes; counting stops once it exceeds the limit."""
     size = 0
     for item in counted_items:
         size += len(item.key) + ITEM_OVERHEAD_BYTES + len(repr(item.value))
--- a/src/irisstand/state/replication/status_messages.py
+++ b/src/irisstand/state/replication/status_messages.py
@@ -1,4 +1,4 @@
-"""What nodes say of their own state: the applied versions of their tables, and the state of a voter."""
+"""Messages in which nodes report their state: the applied versions of their tables, and a voter's state."""
 
 import typing
 
@@ -6,7 +6,7 @@
 
 
 class TableStatus(typing.NamedTuple):
-    """The applied version of one table, and whether the node answers reads from it at this moment."""
+    """The applied version of one table, and whether the node currently answers reads from it."""
 
     table: str
     applied: versions.Version
@@ -14,7 +14,7 @@
 
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "TableStatus":
-        """Decode the status.
+        """Decode a `TableStatus`.
 
         Raises:
             ValueError: A field has a wrong length or value.
@@ -22,16 +22,16 @@
         """
         table, applied, is_current = fields
         if not isinstance(table, str) or type(is_current) is not bool:
-            raise TypeError("not the status of a table")
+            raise TypeError("a table status has a name that is not a string, or a flag that is not a bool")
         return cls(table, versions.Version.from_wire(applied), is_current)
 
     def to_wire(self) -> tuple[str, versions.WireVersion, bool]:
-        """Return the status as plain tuples."""
+        """Return the `TableStatus` as a plain tuple."""
         return (self.table, self.applied.to_wire(), self.is_current)
 
 
 class VoterState(typing.NamedTuple):
-    """Where a voter stands with one table; `pending_base` is the base of a batch it accepted, if any."""
+    """The state of a voter for one table; `pending_base` is the base of a batch that it accepted, or None."""
 
     disk_id: str
     applied: versions.Version
@@ -40,7 +40,7 @@
 
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "VoterState":
-        """Decode the state.
+        """Decode a `VoterState`.
 
         Raises:
             ValueError: A field has a wrong length or value.
@@ -48,7 +48,7 @@
         """
         disk_id, applied, pending_base, promised = fields
         if not isinstance(disk_id, str):
-            raise TypeError("not a disk id")
+            raise TypeError("the disk id of a voter is not a string")
         return cls(
             disk_id,
             versions.Version.from_wire(applied),
@@ -57,6 +57,6 @@
         )
 
     def to_wire(self) -> tuple[str, versions.WireVersion, versions.WireVersion | None, versions.WireVersion]:
-        """Return the state as plain tuples."""
+        """Return the `VoterState` as a plain tuple."""
         pending_base = None if self.pending_base is None else self.pending_base.to_wire()
         return (self.disk_id, self.applied.to_wire(), pending_base, self.promised.to_wire())
--- a/src/irisstand/state/storage/__init__.py
+++ b/src/irisstand/state/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable storage of a voter: files, records and segments on its disk."""
+"""Durable storage of a voter: the files, records and segments on its disk."""
--- a/src/irisstand/state/storage/disk.py
+++ b/src/irisstand/state/storage/disk.py
@@ -1,4 +1,4 @@
-"""A disk that keeps small files: with a checksum, written under a temporary name, synced, then renamed."""
+"""Storage of small files with checksums: written under temporary names, synced, then renamed."""
 
 import asyncio
 import collections.abc
@@ -12,91 +12,92 @@
 from irisstand import errors
 from irisstand.state.storage import folder
 
-# Length and checksum stand before the content, in network byte order.
+# Each file begins with the length and the checksum of its content, in network byte order.
 HEADER = struct.Struct("!I16s")
 CHECKSUM_BYTES = 16
+# How many spare files are kept. A spare is an obsolete file that is overwritten when a new one is needed.
 SPARES_LIMIT = 512
-# Larger files are no spares: a small file written over them would take up their room.
+# Larger files are not kept as spares: a small file that overwrites one would occupy all of its space.
 SPARE_LIMIT_BYTES = 64 * 1024
-# A file that is being written.
+# Marks a file that is being written.
 TEMPORARY_SUFFIX = ".aside"
-# A file that is kept to be written over.
+# Marks an obsolete file that is kept to be overwritten.
 SPARE_SUFFIX = ".spare"
-# A spare or temporary file of an earlier run.
+# Marks a spare or temporary file that an earlier run of the process left behind.
 LEFTOVER_SUFFIX = ".old"
-# A file whose checksum did not match.
+# Marks a quarantined file, whose checksum did not match.
 QUARANTINE_SUFFIX = ".torn"
 
 
 def checksum(content: bytes) -> bytes:
-    """Return the checksum of a content."""
+    """Return the checksum of a file's content."""
     return hashlib.sha256(content).digest()[:CHECKSUM_BYTES]
 
 
 def add_checksum(content: bytes) -> bytes:
-    """Return the bytes of the file that holds a content."""
+    """Return a file's bytes for a content: a header with its length and checksum, then the content."""
     return HEADER.pack(len(content), checksum(content)) + content
 
 
 def strip_checksum(stored: bytes) -> bytes:
-    """Return the content of a file; what lies behind it is left over from the file's earlier use.
+    """Return the content from the bytes of a file; bytes after the content are left from an earlier use.
 
     >>> strip_checksum(add_checksum(b"x") + b"older")
     b'x'
 
     Raises:
-        TornFileError: The checksum does not match.
+        TornFileError: The file is too short or its checksum does not match.
     """
     if len(stored) >= HEADER.size:
         length, expected = HEADER.unpack_from(stored)
         content = stored[HEADER.size : HEADER.size + length]
         if len(content) == length and checksum(content) == expected:
             return content
-    raise errors.TornFileError("the checksum does not match")
+    raise errors.TornFileError("the file is too short, or its checksum does not match its content")
 
 
 class LoadedFiles(typing.NamedTuple):
-    """The contents of intact files by name, and the names of corrupt files that were quarantined."""
+    """The contents of all intact files by name, and the names of the corrupt files that were quarantined."""
 
     intact: dict[str, bytes]
     corrupt: list[str]
 
 
 class Disk(typing.Protocol):
-    """Where a voter keeps its files.
+    """The disk on which a voter keeps its files.
 
     Attributes:
-        quarantined: Names of files that an earlier load found corrupt.
+        quarantined: The names of files that an earlier load found corrupt.
     """
 
     quarantined: list[str]
 
     async def write(self, files: collections.abc.Sequence[tuple[str, bytes]]) -> None:
-        """Write files, given as pairs of name and content; all are durable when it returns.
+        """Write files, given as pairs of name and content; all of them are durable when this returns.
 
         Raises:
-            DiskFullError: There is no space left; none of the files may be counted on.
+            DiskFullError: The disk has no space left. None of the files can be relied on.
         """
         ...
 
     async def remove(self, names: collections.abc.Sequence[str]) -> None:
-        """Remove files; those that do not exist are skipped."""
+        """Remove the files with these names; names that do not exist are skipped."""
         ...
 
     async def load(self) -> LoadedFiles:
-        """Return all files, after quarantining corrupt ones."""
+        """Quarantine the corrupt files, then return the contents of all others."""
         ...
 
 
 class FolderDisk:
-    """The real disk. One writer thread does all waiting, so the event loop never does.
+    """A disk on a folder of the file system. A writer thread waits for the disk, not the event loop.
 
-    Obsolete files are not deleted but kept as spares and written anew: on file systems that discard freed
-    blocks, each deletion makes a later sync wait a hundred times as long as it does by itself.
+    Obsolete files are not deleted but kept as spares and overwritten: on file systems that discard freed
+    blocks, each deletion makes a later sync take a hundred times as long as it would otherwise.
 
     Args:
         path: The path of the data folder.
-        file_operations: What carries out the file operations; the real folder by default.
+        file_operations: The implementation of the file operations; by default that of the real folder.
     """
 
     def __init__(self, path: pathlib.Path, file_operations: folder.Folder | None = None) -> None:
@@ -108,23 +109,23 @@
         self.executor = concurrent.futures.ThreadPoolExecutor(1, "disk")
 
     async def write(self, files: collections.abc.Sequence[tuple[str, bytes]]) -> None:
-        """Write files; all are durable when it returns.
+        """Write files, given as pairs of name and content; all of them are durable when this returns.
 
         Raises:
-            DiskFullError: There is no space left; none of the files may be counted on.
+            DiskFullError: The disk has no space left. None of the files can be relied on.
         """
         await asyncio.get_running_loop().run_in_executor(self.executor, self.write_blocking, list(files))
 
     async def remove(self, names: collections.abc.Sequence[str]) -> None:
-        """Remove files; those that do not exist are skipped."""
+        """Remove the files with these names; names that do not exist are skipped."""
         await asyncio.get_running_loop().run_in_executor(self.executor, self.remove_blocking, list(names))
 
     async def load(self) -> LoadedFiles:
-        """Return all files, after quarantining corrupt ones."""
+        """Quarantine the corrupt files, then return the contents of all others."""
         return await asyncio.get_running_loop().run_in_executor(self.executor, self.load_blocking)
 
     def write_blocking(self, files: list[tuple[str, bytes]]) -> None:
-        """Write all files under temporary names, rename them, and sync the folder."""
+        """Write all files under temporary names, rename them and sync the folder, in the writer thread."""
         temporary: list[str] = []
         try:
             for name, content in files:
@@ -142,15 +143,15 @@
             raise
 
     def remove_blocking(self, names: list[str]) -> None:
-        """Make spares of files, where they exist."""
+        """Turn the existing files among `names` into spares, in the writer thread."""
         for name in names:
             if self.folder.exists(name):
                 self.make_spare(name)
 
     def make_spare(self, name: str) -> None:
-        """Keep a file to be written over, or delete it if it does not suit."""
+        """Keep a file as a spare to be overwritten later, or delete it if it is not suitable."""
         is_large = self.folder.size(name) > SPARE_LIMIT_BYTES
-        # After a loss of power a file may be there under two names, of which the other counts.
+        # After a power loss a file may have two names. The other name may be in use, so this one is deleted.
         if is_large or self.folder.links(name) > 1 or len(self.spares) >= SPARES_LIMIT:
             self.folder.unlink(name)
             return
@@ -160,12 +161,12 @@
         self.spares.append(spare)
 
     def load_blocking(self) -> LoadedFiles:
-        """Read all files, quarantine corrupt ones, and make spares of what earlier runs left over."""
+        """Read all files, quarantine corrupt ones, and make spares of files that earlier runs left behind."""
         self.folder.make()
         loaded = LoadedFiles({}, [])
         self.quarantined = []
         for name in self.folder.names():
-            # What was only written under a temporary name was never promised to anybody.
+            # A file that still has its temporary name was never acknowledged, so it is not read.
             if name.endswith((TEMPORARY_SUFFIX, SPARE_SUFFIX)):
                 self.folder.rename(name, f"{name}{LEFTOVER_SUFFIX}")
             elif name.endswith(QUARANTINE_SUFFIX):
@@ -178,7 +179,7 @@
         return loaded
 
     def load_file(self, name: str, loaded: LoadedFiles) -> None:
-        """Read one file into `loaded`, or quarantine it."""
+        """Read one file into `loaded`, or quarantine it if it is corrupt."""
         try:
             loaded.intact[name] = strip_checksum(self.folder.read(name))
         except errors.TornFileError:
--- a/src/irisstand/state/storage/durable_store.py
+++ b/src/irisstand/state/storage/durable_store.py
@@ -1,4 +1,4 @@
-"""What a voter keeps on its disk: the disk id, and for each table a record and files with items."""
+"""Durable store of a voter: the disk id, and for each table a record and files that hold its items."""
 
 import collections.abc
 import random
@@ -7,24 +7,24 @@
 from irisstand.state import digests, items, replica, versions
 from irisstand.state.storage import disk, file_names, item_files, records
 
-# Obsolete files stay until there are more than this, and are then removed all at once.
+# Obsolete files are kept until there are more than this many, and are then all removed at once.
 OBSOLETE_FILES_LIMIT = 32
 DISK_ID_BITS = 48
 
 
 class DurableStore:
-    """The files of one voter.
+    """The files of one voter, and what they hold.
 
     Attributes:
-        disk_id: Identifies the disk; a disk that was wiped, or has lost promises, gets a new id.
-        record_numbers: The number of the newest record by table.
-        records: The newest record by table.
-        replicas: What the disk holds by table.
-        layouts: Where the disk holds it by table.
-        intact: Whether the items on the disk are those of the record, by table.
-        obsolete_files: Names of files that do not count any more, by table.
-        orphaned_files: Names of files written for a record that was not written, by table: they may be on
-            the disk, and do not count.
+        disk_id: Identifies the disk. A disk that was wiped, or that has lost promises, gets a new id.
+        record_numbers: The number of the newest record of each table, by table.
+        records: The newest record of each table, by table.
+        replicas: The replica that the disk holds of each table, by table.
+        layouts: Which files hold the items of each table, by table.
+        intact: Whether the items on the disk have the root digest that the record names, by table.
+        obsolete_files: The names of files that are no longer in use, by table.
+        orphaned_files: The names of files whose record was never written, by table.
+            They may be on the disk, but are not in use.
     """
 
     def __init__(self, voter_disk: disk.Disk, randomness: random.Random) -> None:
@@ -41,11 +41,11 @@
 
     # -- opening -------------------------------------------------------------------------------------
     async def open(self) -> None:
-        """Read the disk. Choose a new disk id if there is none, or if promises may have been lost."""
+        """Read the disk, and choose a new disk id if the disk has none or may have lost promises."""
         files, corrupt = await self.disk.load()
         if corrupt:
             event_log.record("torn-files", names=corrupt)
-        # The second were quarantined by a start that lost power before the disk had a new id to show for it.
+        # `quarantined` has files of an earlier start, which may have lost power before writing a new disk id.
         corrupt = [*corrupt, *self.disk.quarantined]
         has_lost_promises = file_names.DISK_ID_FILE in corrupt
         for table in items.TABLES:
@@ -57,10 +57,10 @@
             self.records.setdefault(table, records.BLANK_RECORD)
 
     def load_table(self, table: str, files: dict[str, bytes]) -> None:
-        """Read the newest record of a table and the items that it names.
+        """Read the newest record of a table and the items in the files that the record names.
 
         Args:
-            table: The name of the table.
+            table: The name of the table to read.
             files: The contents of all intact files by name.
         """
         saved = replica.Replica(table)
@@ -77,7 +77,7 @@
         self.record_numbers[table] = number
         self.replicas[table] = saved
         self.layouts[table] = layout
-        # Left over from the last run: all but the newest record and what it names.
+        # Every file except the newest record and the files that it names is left over from an earlier run.
         used_names = layout.names() | set(record_files[-1:])
         self.obsolete_files[table] = [
             name for name in files if name.startswith(f"{table}.") and name not in used_names
@@ -86,22 +86,22 @@
         self.intact[table] = not record_files or record.root_digest in root_digests
 
     def is_newest_record_corrupt(self, table: str, corrupt: list[str]) -> bool:
-        """Return whether a record newer than the one that was read is corrupt.
+        """Return whether a record of the table that is newer than the one that was read is corrupt.
 
-        The older record in its place would take promises back, so that disk must not vote. A corrupt older
-        record is a file written anew that a loss of power has left under its earlier name.
+        Using the older record would take back promises, so this disk must not vote. A corrupt record that is
+        older is harmless: it is an overwritten file that a power loss has left under its earlier name.
         """
         names = [name for name in corrupt if name.startswith(file_names.record_prefix(table))]
         return any(file_names.file_number(name) > self.record_numbers[table] for name in names)
 
     def skip_used_numbers(self, table: str, names: list[str]) -> None:
-        """Make the numbers of later records and segments higher than those of all files there are."""
+        """Make later records and segments of a table get higher numbers than those of all existing files."""
         prefixes = (file_names.record_prefix(table), file_names.segment_prefix(table))
         used = [file_names.file_number(name) for name in names if name.startswith(prefixes)]
         self.record_numbers[table] = max([self.record_numbers[table], *used])
 
     async def choose_disk_id(self, files: dict[str, bytes], *, has_lost_promises: bool) -> None:
-        """Take the disk id from the disk, or choose a new one and forget all records."""
+        """Use the disk id on the disk, or choose a new one and discard all records if it cannot be kept."""
         if file_names.DISK_ID_FILE in files and not has_lost_promises:
             self.disk_id = files[file_names.DISK_ID_FILE].decode()
             return
@@ -111,16 +111,16 @@
 
     # -- saving --------------------------------------------------------------------------------------
     async def save_record(self, table: str, record: records.Record) -> None:
-        """Write a record; it is durable when this returns.
+        """Write a record of a table; the record is durable when this returns.
 
         Raises:
-            DiskFullError: There is no space left.
+            DiskFullError: The disk has no space left.
         """
         await self.write_record(table, record)
         await self.remove_obsolete_files(table)
 
     async def write_record(self, table: str, record: records.Record) -> None:
-        """Write a record under the next number; the one before becomes obsolete."""
+        """Write a record of a table under the next number, and mark the file of the last one as obsolete."""
         self.record_numbers[table] += 1
         number = self.record_numbers[table]
         await self.disk.write([(file_names.record_file(table, number), record.encode())])
@@ -128,22 +128,22 @@
         self.obsolete_files[table].append(file_names.record_file(table, number - 1))
 
     async def remove_obsolete_files(self, table: str) -> None:
-        """Remove obsolete files if there are many."""
+        """Remove the obsolete files of a table if there are more than `OBSOLETE_FILES_LIMIT`."""
         if len(self.obsolete_files[table]) > OBSOLETE_FILES_LIMIT:
             names = self.obsolete_files[table]
             self.obsolete_files[table] = []
             await self.disk.remove(names)
 
     async def save_replica(self, table: str, live: replica.Replica, record: records.Record) -> None:
-        """Write what changed in a table, then the record that confirms it; only then remove old files.
+        """Write a table's changed items, then the record that names their files; then remove old files.
 
         Args:
             table: The name of the table.
-            live: The replica to save as it is now; it may change while the disk is waited for.
-            record: The record to write, whose fields about the items are filled in here.
+            live: The replica to save in its present state; it may change while this waits for the disk.
+            record: The record to write. Its fields about the items are filled in here.
 
         Raises:
-            DiskFullError: There is no space left; the disk counts as it was before.
+            DiskFullError: The disk has no space left. The previous state on the disk remains valid.
         """
         unsaved = self.unsaved_items(table, live)
         applied = live.applied
@@ -156,7 +156,7 @@
         if files:
             await self.disk.write(files)
         obsolete = self.unused_files(table, layout)
-        # Obsolete items are still on the disk, but a removed key must not come back with a restart.
+        # The record lists obsolete item files still on the disk, so that a restart restores no removed key.
         changed = record._replace(
             applied=applied,
             root_digest=root_digest,
@@ -164,7 +164,7 @@
             segments=tuple(layout.segments),
             removed=tuple(layout.removed.items()),
         )
-        # Until this record is written, the files before it are what counts.
+        # Until this record is written, the files that the previous record names remain valid.
         await self.write_record(table, changed)
         self.obsolete_files[table] = [*obsolete, *self.obsolete_files[table][-1:]]
         self.orphaned_files[table].clear()
@@ -174,18 +174,18 @@
         await self.remove_obsolete_files(table)
 
     def unsaved_items(self, table: str, live: replica.Replica) -> dict[str, items.Item | None]:
-        """Return the items that the disk does not hold as they are, by key; None for removed keys."""
+        """Return the items that differ from what the disk holds, by key; None stands for a removed key."""
         saved = self.replicas[table]
         changed, removed_keys = live.changes_since(saved.applied)
         keys = {item.key for item in changed} | set(removed_keys)
-        # A removal that the live replica no longer remembers shows in the digests: then all are compared.
+        # If the live replica no longer remembers a removal, the digests differ; then all items are compared.
         if not self.intact[table] or saved.digests_with(keys, live) != live.digests:
             keys = set(saved.items) | set(live.items)
         wanted = {key: live.items.get(key) for key in keys}
         return {key: item for key, item in wanted.items() if item != saved.items.get(key)}
 
     def unused_files(self, table: str, layout: item_files.Layout) -> list[str]:
-        """Return the names of all files of a table that do not count once the layout is in force."""
+        """Return the names of all files of a table that are not in use once a new layout is valid."""
         used_names = layout.names()
         item_names = sorted(self.layouts[table].names() | self.orphaned_files[table])
         names = dict.fromkeys((*item_names, *self.obsolete_files[table]))
@@ -197,7 +197,7 @@
     unsaved: collections.abc.Mapping[str, items.Item | None],
     applied: versions.Version,
 ) -> None:
-    """Bring the image of the disk up to what was written."""
+    """Update the replica that mirrors the disk with the items that were written."""
     for key, item in unsaved.items():
         if item is None:
             saved.remove(key)
--- a/src/irisstand/state/storage/file_names.py
+++ b/src/irisstand/state/storage/file_names.py
@@ -1,42 +1,42 @@
-"""Names of the files in the data folder of a voter."""
+"""Names of the files in a voter's data folder."""
 
 import hashlib
 
 from irisstand.state import items
 
-# Holds the disk id.
+# The file that stores the disk id.
 DISK_ID_FILE = "vault"
 
 
 def record_prefix(table: str) -> str:
-    """Return how the names of all records of a table begin."""
+    """Return the prefix that the file names of a table's records share."""
     return f"{table}.voter."
 
 
 def record_file(table: str, number: int) -> str:
-    """Return the name of a voter's record for one table; the highest number counts."""
+    """Return the file name of a voter's record for one table; the record with the highest number is valid."""
     return f"{record_prefix(table)}{number:012d}"
 
 
 def segment_prefix(table: str) -> str:
-    """Return how the names of all segments of a table begin."""
+    """Return the prefix that the file names of a table's segments share."""
     return f"{table}.segment."
 
 
 def segment_file(table: str, number: int) -> str:
-    """Return the name of a file that holds many items."""
+    """Return the name of a segment, which is a file that holds many items."""
     return f"{segment_prefix(table)}{number:012d}"
 
 
 def item_prefix(table: str) -> str:
-    """Return how the names of all item files of a table begin."""
+    """Return the prefix that the names of a table's item files share."""
     return f"{table}.item."
 
 
 def item_file(table: str, item: items.Item) -> str:
-    """Return the name of a file that holds one item.
+    """Return the name of the file that holds one item.
 
-    It tells key and version, so that a new version never overwrites an old one.
+    The name is made of the key and the version, so that a new version never overwrites an older one.
     """
     key = hashlib.sha256(item.key.encode()).hexdigest()[:24]
     node = hashlib.sha256(item.version.node.encode()).hexdigest()[:8]
@@ -44,7 +44,7 @@
 
 
 def file_number(name: str) -> int:
-    """Return the number of a record or a segment.
+    """Return the number in the file name of a record or a segment.
 
     >>> file_number(record_file("ledger", 7))
     7
--- a/src/irisstand/state/storage/folder.py
+++ b/src/irisstand/state/storage/folder.py
@@ -1,4 +1,4 @@
-"""The file operations that durable storage needs, and the real folder behind them."""
+"""The file operations that durable storage needs, and their implementation on a real folder."""
 
 import os
 import pathlib
@@ -6,18 +6,21 @@
 
 
 class Folder(typing.Protocol):
-    """One flat folder. A name is durable only once `sync` has returned, a content once `write` has."""
+    """A folder without subfolders.
+
+    A file name is durable once `sync` has returned, and a file's content once `write` has returned.
+    """
 
     def make(self) -> None:
         """Create the folder if it does not exist."""
         ...
 
     def names(self) -> list[str]:
-        """Return the names of all files, sorted."""
+        """Return the names of all files in the folder, sorted."""
         ...
 
     def exists(self, name: str) -> bool:
-        """Return whether a file is there."""
+        """Return whether the folder has a file with this name."""
         ...
 
     def read(self, name: str) -> bytes:
@@ -29,15 +32,15 @@
         ...
 
     def links(self, name: str) -> int:
-        """Return the number of names of a file; a loss of power may leave a renamed one under both."""
+        """Return the number of hard links of a file; after a power loss a renamed file may have two."""
         ...
 
     def write(self, name: str, content: bytes) -> None:
-        """Write over what the file held, without truncating it, and sync the content."""
+        """Overwrite a file's content without truncating the file first, and sync the content to disk."""
         ...
 
     def rename(self, name: str, other: str) -> None:
-        """Rename a file, replacing one that has the other name."""
+        """Rename a file to `other`, replacing a file that already has that name."""
         ...
 
     def unlink(self, name: str) -> None:
@@ -45,29 +48,29 @@
         ...
 
     def sync(self) -> None:
-        """Make all names durable."""
+        """Make all names in the folder durable."""
         ...
 
 
 class RealFolder:
-    """A folder of the operating system; the methods do what `Folder` says."""
+    """A folder of the operating system, with the operations that `Folder` describes."""
 
     def __init__(self, path: pathlib.Path) -> None:
         self.path = path
 
     def make(self) -> None:
-        """Create the folder and make its name durable in its parent."""
+        """Create the folder, and make its name durable in the parent folder."""
         if self.path.is_dir():
             return
         self.path.mkdir(parents=True, exist_ok=True)
         RealFolder(self.path.parent).sync()
 
     def names(self) -> list[str]:
-        """Return the names of all files, sorted."""
+        """Return the names of all files in the folder, sorted."""
         return sorted(entry.name for entry in os.scandir(self.path) if entry.is_file())
 
     def exists(self, name: str) -> bool:
-        """Return whether a file is there."""
+        """Return whether the folder has a file with this name."""
         return os.path.exists(os.path.join(self.path, name))
 
     def read(self, name: str) -> bytes:
@@ -79,12 +82,12 @@
         return os.stat(os.path.join(self.path, name)).st_size
 
     def links(self, name: str) -> int:
-        """Return the number of names of a file."""
+        """Return the number of hard links of a file."""
         return os.stat(os.path.join(self.path, name)).st_nlink
 
     def write(self, name: str, content: bytes) -> None:
-        """Write over what the file held, and sync the content."""
-        # Never truncated: freeing its blocks is what must not happen.
+        """Overwrite a file's content without truncating the file first, and sync the content to disk."""
+        # Not truncated: on file systems that discard freed blocks, freeing them slows down later syncs.
         descriptor = os.open(os.path.join(self.path, name), os.O_WRONLY | os.O_CREAT, 0o644)
         with open(descriptor, "wb") as handle:
             handle.write(content)
@@ -92,7 +95,7 @@
             os.fsync(handle.fileno())
 
     def rename(self, name: str, other: str) -> None:
-        """Rename a file, replacing one that has the other name."""
+        """Rename a file to `other`, replacing a file that already has that name."""
         os.rename(os.path.join(self.path, name), os.path.join(self.path, other))
 
     def unlink(self, name: str) -> None:
@@ -100,7 +103,7 @@
         os.unlink(os.path.join(self.path, name))
 
     def sync(self) -> None:
-        """Make all names durable."""
+        """Make all names in the folder durable."""
         handle = os.open(self.path, os.O_RDONLY)
         try:
             os.fsync(handle)
--- a/src/irisstand/state/storage/item_files.py
+++ b/src/irisstand/state/storage/item_files.py
@@ -1,7 +1,8 @@
-"""Which files hold the items of one table on a voter's disk: single items, and segments that hold many.
+"""The files that hold the items of one table on a voter's disk: item files and segments.
 
-A segment is written once and never changed. Of several versions of a key the highest counts, so only the
-removal of a key has to be remembered while older versions of it lie in segments.
+An item file holds one item and a segment holds many. A segment is written once and never changed. If files
+hold several versions of a key, the highest is valid; therefore only the removal of a key has to be recorded
+for as long as segments hold older versions of it.
 """
 
 import collections.abc
@@ -15,21 +16,21 @@
 
 # More changed items than this are written as one segment, since each file costs a sync of its own.
 ITEM_FILES_AT_ONCE_LIMIT = 8
-# More item files than this are gathered in a segment: a start reads file by file.
+# More item files than this are merged into a segment, because a start of the process reads each file.
 ITEM_FILES_LIMIT = 128
-# More segments, or removed keys, than this are merged into one segment that holds the whole table.
+# More segments or removed keys than this are merged into a single segment that holds the whole table.
 SEGMENTS_LIMIT = 8
 REMOVED_KEYS_LIMIT = 128
 
 
 @dataclasses.dataclass
 class Layout:
-    """Where the items of a table lie.
+    """Which files hold the items of a table.
 
     Attributes:
-        item_files: The names of item files by key.
-        segments: The keys in each segment, by its name.
-        removed: Removed keys that lie in segments, with the highest version that does not count.
+        item_files: The name of the item file of each key that has one, by key.
+        segments: The keys that each segment holds, by the name of the segment.
+        removed: The removed keys that segments still hold, each with the highest version to be ignored.
     """
 
     item_files: dict[str, str] = dataclasses.field(default_factory=dict)
@@ -37,23 +38,23 @@
     removed: dict[str, versions.Version] = dataclasses.field(default_factory=dict)
 
     def names(self) -> set[str]:
-        """Return the names of all files that count."""
+        """Return the names of all files that are in use."""
         return set(self.item_files.values()) | set(self.segments)
 
     def is_in_segment(self, key: str) -> bool:
-        """Return whether a segment holds some version of a key."""
+        """Return whether a segment holds any version of a key."""
         return any(key in keys for keys in self.segments.values())
 
 
 class WritePlan(typing.NamedTuple):
-    """The layout to come, and the files to write for it, as pairs of name and content."""
+    """The new layout of a table's files, and the files to write for it as pairs of name and content."""
 
     layout: Layout
     files: list[tuple[str, bytes]]
 
 
 def pack_item(item: items.Item) -> bytes:
-    """Return the content of an item file."""
+    """Return the content of a file that holds one item."""
     return ormsgpack.packb(item.to_wire())
 
 
@@ -61,18 +62,18 @@
     """Decode the content of an item file.
 
     Raises:
-        ValueError, TypeError: It is no item.
+        ValueError, TypeError: The content is not an item.
     """
     return items.Item.from_wire(ormsgpack.unpackb(content))
 
 
 def pack_segment(segment_items: collections.abc.Iterable[items.Item]) -> bytes:
-    """Return the content of a segment."""
+    """Return the content of a segment that holds these items."""
     return ormsgpack.packb(tuple(item.to_wire() for item in segment_items))
 
 
 def unpack_segment(content: bytes) -> list[items.Item]:
-    """Decode the content of a segment."""
+    """Decode the content of a segment into its items."""
     return [items.Item.from_wire(fields) for fields in ormsgpack.unpackb(content)]
 
 
@@ -83,14 +84,14 @@
     segments: collections.abc.Iterable[str],
     obsolete_items: set[str],
 ) -> None:
-    """Fill a replica and its layout from the files that count.
+    """Load the valid items of a table into a replica, and their file names into a layout.
 
     Args:
-        saved: The replica, with its applied version set.
-        layout: The layout, with its removed keys set.
+        saved: The replica to fill, with its applied version set.
+        layout: The layout to fill, with its removed keys set.
         files: The contents of all intact files by name.
-        segments: The segments that the record names.
-        obsolete_items: The item files that the record names as obsolete.
+        segments: The names of the segments that the table's record lists as in use.
+        obsolete_items: The names of the item files that the table's record lists as obsolete.
     """
     for name in segments:
         segment_items = unpack_segment(files[name]) if name in files else []
@@ -105,7 +106,7 @@
             item = unpack_item(content)
         except (ValueError, TypeError):
             continue
-        # A file written anew may come back under its earlier name with its later content.
+        # After a power loss, an overwritten file may have its earlier name and its later content.
         if file_names.item_file(saved.name, item) == name:
             item_by_file[name] = item
             merge(saved, layout, item)
@@ -115,8 +116,8 @@
 
 
 def merge(saved: replica.Replica, layout: Layout, item: items.Item) -> None:
-    """Store an item that was read, unless it does not count."""
-    # Versions newer than the applied version belong to a commit that was cut short; it is done again.
+    """Store an item that was read from disk, unless its version is to be ignored."""
+    # A version above the applied version is from an interrupted commit, which will be carried out again.
     if item.version <= saved.applied and item.version > layout.removed.get(item.key, versions.NONE):
         saved.merge(item)
 
@@ -129,14 +130,14 @@
     *,
     rewrite: bool,
 ) -> WritePlan:
-    """Return how the disk gets from what it holds to what it should hold, with few files and few syncs.
+    """Return a plan for saving changed items that takes few files and few syncs.
 
     Args:
-        saved: What the disk holds.
-        layout: Where it holds it.
+        saved: The replica as the disk holds it.
+        layout: The files that hold it.
         unsaved: The items to write by key; None for keys to remove.
-        segment: The name of a segment, should one be written.
-        rewrite: Whether the whole table is to be written, because the disk does not hold what it should.
+        segment: The name for a new segment, in case the plan writes one.
+        rewrite: Whether to write the whole table, because the disk does not hold the items that it should.
     """
     changed = {key: item for key, item in unsaved.items() if item is not None}
     removed = dict(layout.removed)
@@ -165,7 +166,7 @@
     segment_items: dict[str, items.Item],
     segment: str,
 ) -> WritePlan:
-    """Return a plan that writes these items as one more segment and leaves no item files."""
+    """Return a plan that writes the given items as an additional segment and keeps no item files."""
     if not segment_items:
         return WritePlan(Layout({}, dict(segments), removed), [])
     layout = Layout({}, {**segments, segment: frozenset(segment_items)}, removed)
--- a/src/irisstand/state/storage/records.py
+++ b/src/irisstand/state/storage/records.py
@@ -1,4 +1,4 @@
-"""The record that a voter keeps on its disk for each table."""
+"""The record that a voter keeps on its disk for each table: promises, accepted batch and file names."""
 
 import typing
 
@@ -8,18 +8,18 @@
 
 
 class Record(typing.NamedTuple):
-    """What a voter has promised and accepted, and which files hold its table.
+    """What a voter has promised and accepted for one table, and which files hold the table's items.
 
     Attributes:
-        promised: The highest ballot that the voter promised to take part in.
+        promised: The highest ballot that the voter has promised to take part in.
         applied: The applied version of the items on the disk.
-        root_digest: The root digest of these items, which shows whether all are there.
-        accepted: The ballot of the pending batch, or `versions.NONE`.
-        pending: A batch that the voter accepted and that may or may not be decided.
-        obsolete_items: Item files that do not count any more, but may not be removed yet.
-        segments: The segment files that count.
-        removed: Removed keys of which older versions lie in segments, each with the highest version that
-            does not count.
+        root_digest: The root digest of the items on the disk, which shows whether all of them are there.
+        accepted: The ballot at which the voter accepted the pending batch, or `versions.NONE`.
+        pending: A batch that the voter has accepted and that may or may not have been decided; None if none.
+        obsolete_items: The names of item files that are no longer in use but may still be on the disk.
+        segments: The names of the segment files that are in use.
+        removed: The removed keys of which segments still hold older versions, each with the highest version
+            that is to be ignored.
     """
 
     promised: versions.Version
@@ -33,10 +33,10 @@
 
     @classmethod
     def decode(cls, content: bytes) -> "Record":
-        """Decode the content of a record's file; records of the version before have no last two fields.
+        """Decode the content of a record file; records of the previous version lack the last two fields.
 
         Raises:
-            ValueError: A field has a wrong length or value.
+            ValueError: A field has a wrong length or value, or the number of fields is wrong.
             TypeError: A field has a wrong type.
         """
         promised, applied, root_digest, accepted, pending, obsolete_items, *more = ormsgpack.unpackb(content)
@@ -53,7 +53,7 @@
         )
 
     def encode(self) -> bytes:
-        """Return the content of the record's file."""
+        """Return the content of the file that stores the record."""
         fields = (
             self.promised.to_wire(),
             self.applied.to_wire(),
@@ -67,5 +67,5 @@
         return ormsgpack.packb(fields)
 
 
-# The record of a voter that has promised nothing and knows nothing.
+# The record of a voter that has promised, accepted and applied nothing.
 BLANK_RECORD = Record(versions.NONE, versions.NONE, b"", versions.NONE, None)
