--- a/tests/membership/test_datagrams.py
+++ b/tests/membership/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams of the failure detector: recorded ones keep their bytes, malformed ones are refused."""
+"""Datagrams of the failure detector: recorded ones encode to the same bytes, malformed ones are refused."""
 
 import json
 import pathlib
--- a/tests/membership/test_membership_faults.py
+++ b/tests/membership/test_membership_faults.py
@@ -1,4 +1,4 @@
-"""SWIM under trouble, in virtual time."""
+"""SWIM membership while nodes pause, fail, leave or are partitioned, in virtual time."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 def states(day, about):
-    """How every other node sees the node: its state, or None where it is not on the list."""
+    """Return the state of a node in the member list of every other running node; None if it is not listed."""
     found = {}
     for name, node in day.cluster.nodes.items():
         if name != about and node.is_up:
@@ -49,7 +49,7 @@
         node.kill()
         took = await day.cluster.wait_until(lambda: set(states(day, "store-1").values()) == {None}, 60)
         limit = node.program.context.detector.transmission_limit()
-        # 2n-1 periods until some node probes it, the suspicion's time-out, and the spread of the news.
+        # It takes up to 2n-1 periods until a node pings it, then the suspicion timeout and the dissemination.
         assert took <= (2 * members - 1 + 2 * limit) * PERIOD
         await node.start()
         await day.cluster.wait_until(
@@ -66,7 +66,7 @@
         identity = node.program.context.detector.identity
         day.cluster.partition_off(["edge-2"])
         await day.cluster.wait_until(lambda: set(states(day, "edge-2").values()) == {None}, 60)
-        # Cut off, it has kept the others on its list: it hears nobody, so it is the one that is ill.
+        # While partitioned it kept all others on its list: it received no datagrams, so it confirmed nobody.
         assert len(cluster.members(day, "edge-2")) == len(day.cluster.nodes) - 1
         day.cluster.network.heal()
         await day.cluster.wait_until(
@@ -74,7 +74,7 @@
         )
         assert node.program.context.detector.identity.name == identity.name
         assert node.program.context.detector.identity.incarnation_id != identity.incarnation_id
-        # And it has not taken anybody else down with it.
+        # No other node was confirmed by mistake and needed a new incarnation.
         for name in day.cluster.nodes:
             if name != "edge-2":
                 assert cluster.context(day, name).counters.get("swim_lives") == 0
@@ -100,7 +100,10 @@
 
 
 def test_loss_of_ten_percent_of_datagrams_confirms_no_living_member():
-    """The paper's harsh run (section 5.3) left 12 of 17; with k = 3 and these time-outs nobody goes."""
+    """The paper's run with loss (section 5.3) ended with 12 of 17 members.
+
+    With k = 3 and these timeouts, no member that runs may be confirmed as failed.
+    """
 
     async def scenario(day):
         day.cluster.network.loss = 0.1
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -1,4 +1,4 @@
-"""SWIM: the override order over all pairs, the bounds on piggybacking, the round-robin bound."""
+"""SWIM: the override order over all pairs of states, the bound on piggybacking and the round-robin bound."""
 
 import itertools
 import random
@@ -14,7 +14,8 @@
     "confirm": updates.MemberState.CONFIRM,
 }
 
-# (new, old) -> by which relation of incarnations the new one wins, as section 4.2 of the paper lists it.
+# For each pair of states (new, old): the condition on the incarnation numbers under which the new update
+# overrides the old one, from section 4.2 of the paper.
 OVERRIDE_CONDITIONS = {
     ("alive", "suspect"): lambda new, old: new > old,
     ("alive", "alive"): lambda new, old: new > old,
@@ -63,7 +64,7 @@
         for kind in ("present", "failed"):
             waiting = [identity for identity in buffer.updates if identity.name.startswith(kind)]
             chosen = [entry.identity for entry in selected if entry.identity.name.startswith(kind)]
-            # Nothing that was left waiting had been sent less often than what was chosen of its list.
+            # No update that was left waiting had been sent less often than one chosen from the same list.
             left = [before.get(identity, 0) for identity in waiting if identity not in chosen]
             least = min(left, default=99)
             assert all(before.get(identity, 0) <= least for identity in chosen)
--- a/tests/mutation/state_mutations.py
+++ b/tests/mutation/state_mutations.py
@@ -1,4 +1,4 @@
-"""Mutations of state and of the acceptor: file, text, its replacement, and the test that must fail."""
+"""Mutations of the state package and the acceptor: file, code, its replacement, the test that must fail."""
 # ruff: noqa: E501
 
 GUARDS = [
--- a/tests/state/test_chunk_transfer.py
+++ b/tests/state/test_chunk_transfer.py
@@ -1,4 +1,4 @@
-"""Transfer of big changes: a slow link is never filled, and nothing is transferred over it twice."""
+"""Transfer of large changes: a slow link is never filled, and nothing is transferred over it twice."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 from irisstand.state.replication import chunk_transfer, messages
 
 ROUTE_COUNT = 1480
-# Of an edge's link of 11 Mbit/s, what its clients leave free.
+# What the clients of an edge leave free of its link of 11 Mbit/s.
 LINK_BYTES_PER_SECOND = 700_000
 
 
@@ -22,7 +22,7 @@
 
 
 def far_behind(rate=LINK_BYTES_PER_SECOND, peers=6, routes=ROUTE_COUNT):
-    """An edge that lacks a change of so many routes, and its peers."""
+    """Return an edge that lacks a change of `routes` routes, and control plane nodes that have applied it."""
     edge = replicating_node.ReplicatingNode("edge", rate)
     control_nodes = [replicating_node.ReplicatingNode(f"core-{number}") for number in range(peers)]
     for node in (edge, *control_nodes):
--- a/tests/state/test_digests.py
+++ b/tests/state/test_digests.py
@@ -1,4 +1,4 @@
-"""Digests of ranges: the root follows every change."""
+"""Digests of key ranges: the root digest depends on every change."""
 
 from irisstand.state import digests
 
--- a/tests/state/test_disk_faults.py
+++ b/tests/state/test_disk_faults.py
@@ -1,4 +1,4 @@
-"""Disks of voters that are lost, wiped, full, stalled or corrupt; bootstrap; loss of power everywhere."""
+"""Lost, wiped, full, stalled and corrupt disks of voters; bootstrap; power loss on all nodes."""
 
 import asyncio
 
@@ -47,7 +47,7 @@
         node.wipe()
         await node.start()
         assert not votes_on_all_tables(day, victim)
-        # Asked under its old disk's name it has no vote, whatever its memory holds.
+        # A request that names its old disk id gets no vote, whatever the node holds in memory.
         with pytest.raises(errors.NotBootstrappedError):
             await node.do(
                 node.program.participant.handle_prepare("x", [items.CONFIGURATION, (999, "x"), old]), 1
@@ -57,7 +57,7 @@
         for table in items.TABLES:
             assert len(day.cluster.nodes["agency-2"].program.participant.voters(table)) == 5
         assert str(cluster.context(day, victim).configuration.version("site/north")) == result["serial"]
-        # Its vote counts again: with two others gone it makes up the majority.
+        # Its vote counts again: with two other voters killed, a majority needs it.
         others = [name for name in ("agency-2", "agency-3", "agency-5") if name != victim][:2]
         for name in others:
             day.cluster.nodes[name].kill()
@@ -74,7 +74,7 @@
         assert "data folder" in raised.value.remedy
         await day.actors.order("agency-2", "change", [cluster.site_row(weight=3)])
         await asyncio.sleep(2)
-        # It keeps serving what is in force, though it can keep none of it.
+        # The node keeps serving the configuration in force, though it cannot store it on its full disk.
         assert cluster.context(day, "agency-1").configuration.value("site/north") == {"weight": 3}
         assert day.cluster.is_ready(day.cluster.nodes["agency-1"])
         day.cluster.nodes["agency-1"].disk.full = False
@@ -106,7 +106,7 @@
         before = node.program.participant.store.disk_id
         node.kill()
         assert node.disk.corrupt(part)
-        # Alone, it must not serve or vote from what it finds.
+        # While partitioned, the node must not serve or vote from what is on its disk.
         day.cluster.partition_off(["agency-3"])
         await node.start()
         await asyncio.sleep(3)
@@ -157,7 +157,7 @@
         for node in control_nodes[1:]:
             await node.start()
         await asyncio.sleep(10)
-        # Four empty disks and one founded: nobody founds again, and nobody votes from an empty memory.
+        # Four disks are empty and one was bootstrapped: nobody bootstraps again or votes from an empty disk.
         for node in control_nodes:
             assert node.program.participant.voters(items.LEDGER) == voters
             assert not simulated.is_ready(node)
@@ -173,7 +173,7 @@
         placement = ("shield-machine-9", "south", "one", "10.0.0.99")
         spare = simulated.add(simulated_node.NodePlacement("agency-9", "agency", *placement))
         await spare.start()
-        # Not before the missing voter has been gone for long: it may only be restarting.
+        # The missing voter is not replaced before it has been gone for long, as it may only be restarting.
         await asyncio.sleep(30)
         assert not votes_on_all_tables(day, "agency-9")
         took = await simulated.wait_until(lambda: votes_on_all_tables(day, "agency-9"), 90)
@@ -182,7 +182,7 @@
             names = {voter.name for voter in simulated.nodes["agency-1"].program.participant.voters(table)}
             assert names == {"agency-1", "agency-3", "agency-4", "agency-5", "agency-9"}
         assert str(cluster.context(day, "agency-9").configuration.version("site/north")) == result["serial"]
-        # The old one returns with its disk: it has no vote any more, and takes nobody's place.
+        # The replaced voter restarts with its disk: it has no vote any more, and replaces no other voter.
         await simulated.nodes["agency-2"].start()
         await asyncio.sleep(10)
         assert not votes_on_all_tables(day, "agency-2")
@@ -208,7 +208,10 @@
 
 
 def test_data_folder_with_root_digests_of_the_first_version_starts():
-    """Its records bear a root over sixteen ranges; a core that took that for damage would be lost whole."""
+    """The records of the first version hold a root digest over sixteen ranges.
+
+    If they were taken for corrupt, no control plane node could vote after an upgrade.
+    """
 
     async def scenario(day):
         await day.actors.order("agency-1", "change", [cluster.site_row(weight=7)])
--- a/tests/state/test_power_loss.py
+++ b/tests/state/test_power_loss.py
@@ -1,4 +1,4 @@
-"""A loss of power keeps or loses each unsynced name by itself; what was acknowledged must survive it."""
+"""A power loss keeps or loses each unsynced file name by itself; what was acknowledged must survive it."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 
 
 class Voter:
-    """One voter's disk and what it has acknowledged, which no loss of power may take back."""
+    """The disk of one voter, and the records that it has acknowledged, which no power loss may take back."""
 
     def __init__(self, seed):
         self.randomness = random.Random(seed)
@@ -55,14 +55,14 @@
         local.apply(items.Batch(local.applied.successor("n"), local.applied, tuple(rows)))
 
     def check(self):
-        assert self.store.disk_id == self.original_disk_id, "the disk has lost its vote"
+        assert self.store.disk_id == self.original_disk_id, "the disk id has changed, so the vote is lost"
         for table, record in self.acknowledged.items():
             stored = self.store.records[table]
             assert (stored.promised, stored.applied) >= (record.promised, record.applied)
             assert stored.promised >= record.promised
             assert stored.applied >= record.applied
-            assert self.store.intact[table], f"{table} does not add up"
-            # One record more than was acknowledged may have reached the disk, and nothing else.
+            assert self.store.intact[table], f"the items of {table} do not match its record"
+            # The record on the disk is the last acknowledged one, or the next one that was sent to the disk.
             assert (stored.promised, stored.applied) in (
                 (record.promised, record.applied),
                 (self.sent[table].promised, self.sent[table].applied),
@@ -89,7 +89,7 @@
         voter.folder.full_at = range(0)
         voter.folder.lose_power()
         try:
-            # It may go off again while it starts.
+            # The power may fail again while the store is opened.
             if voter.randomness.random() < 0.3:
                 voter.folder.off_at = voter.folder.operations + voter.randomness.randrange(1, 40)
                 await voter.start()
@@ -115,7 +115,7 @@
 
 
 def test_item_file_under_the_name_of_another_item_is_ignored():
-    """As a folder of the version before may hold it, where a file came back under its old name."""
+    """In the previous version, a power loss could restore an overwritten file under its earlier name."""
 
     async def scenario():
         voter = Voter(7)
--- a/tests/state/test_quorum_loss.py
+++ b/tests/state/test_quorum_loss.py
@@ -1,4 +1,4 @@
-"""The data plane uses old tables for longer only on evidence that the voters cannot confirm anything."""
+"""Data plane nodes use old tables for longer only on evidence that the voters cannot confirm anything."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 def play(scenario):
-    """Run on nodes that may use tables for the outage bound longer after a quorum loss."""
+    """Run a scenario on a cluster whose data plane may use old tables longer after a quorum loss."""
 
     async def run_scenario():
         simulated = simulated_cluster.SimulatedCluster(1, cluster.SHAPE)
@@ -28,8 +28,8 @@
     virtual_time.run(run_scenario())
 
 
-def partition(simulated, some, others):
-    simulated.network.cut(simulated.hosts(some), simulated.hosts(others))
+def partition(simulated, names, other_names):
+    simulated.network.cut(simulated.hosts(names), simulated.hosts(other_names))
 
 
 def voter_names(simulated, *numbers):
@@ -37,7 +37,7 @@
 
 
 async def seconds_until_unready(simulated, name="edge-1", longest=8.0):
-    """Until the node takes its tables for current no more."""
+    """Wait until a node stops treating its tables as current. Return how many seconds that took."""
     return await simulated.wait_until(lambda: not simulated.is_ready(simulated.nodes[name]), longest)
 
 
@@ -95,7 +95,7 @@
         for _ in range(300):
             await asyncio.sleep(0.02)
             unready += not simulated.is_ready(simulated.nodes["edge-1"])
-        # All but a moment in which nobody had said so yet.
+        # The edge may be unready for a moment, before a majority of the voters has reported the loss.
         assert unready <= 15
         assert (
             await seconds_until_unready(simulated)
@@ -106,7 +106,10 @@
 
 
 def test_voters_partitioned_from_one_another_but_reaching_a_hub_are_no_evidence():
-    """Four of five have no majority of their own, and still decide for the fifth, cut from the edge."""
+    """Four of the five voters reach only the fifth, which has a majority with them but cannot reach the edge.
+
+    So the four report that they have no majority, while the fifth still decides batches with them.
+    """
 
     async def scenario(simulated):
         other_voters = voter_names(simulated, 2, 3, 4, 5)
@@ -148,7 +151,7 @@
         killed_names = voter_names(simulated)[:killed]
         for name in killed_names:
             simulated.nodes[name].kill()
-        # The others run, and neither they nor anybody else is reached from here.
+        # The other voters run, but neither they nor any other node can be reached from the edge.
         partition(
             simulated, ["edge-1"], [name for name in simulated.nodes if name not in [*killed_names, "edge-1"]]
         )
--- a/tests/state/test_recorded_data_folder.py
+++ b/tests/state/test_recorded_data_folder.py
@@ -1,4 +1,4 @@
-"""A data folder written by the code before the packages were renamed starts under today's code."""
+"""A data folder that was recorded before the packages were renamed is read by the present code."""
 
 import asyncio
 import base64
--- a/tests/state/test_records.py
+++ b/tests/state/test_records.py
@@ -1,4 +1,4 @@
-"""Records of a voter: what is written is read back, and what is no record is refused."""
+"""Records of a voter: an encoded record is decoded unchanged, and malformed content is refused."""
 
 import ormsgpack
 import pytest
--- a/tests/state/test_replication.py
+++ b/tests/state/test_replication.py
@@ -1,4 +1,4 @@
-"""Replication: its cost follows what changed, and replicas that differ are repaired."""
+"""Replication: its cost depends on what changed, and replicas that differ are repaired."""
 
 import asyncio
 
@@ -60,30 +60,30 @@
 
 
 def test_changes_are_applied_only_if_the_outcome_equals_the_peers_replica():
-    one, other = filled_replica(20), filled_replica(20)
-    # More is forgotten than is remembered, so that a peer that is behind cannot be told all of it.
-    one.apply(items.Batch(versions.Version(21, "n"), one.applied, (("k3", None, True), ("k4", 5, False))))
-    one.removal_records.clear()
-    changed, forgotten = one.changes_since(other.applied)
+    peer, behind = filled_replica(20), filled_replica(20)
+    # The removal records are cleared, so the peer cannot report every removal to a replica that is behind.
+    peer.apply(items.Batch(versions.Version(21, "n"), peer.applied, (("k3", None, True), ("k4", 5, False))))
+    peer.removal_records.clear()
+    changed, removed_keys = peer.changes_since(behind.applied)
     assert [item.key for item in changed] == ["k4"]
-    assert not forgotten
-    before = other.root_digest()
-    assert not other.apply_changes(one.applied, one.root_digest(), changed, forgotten)
-    assert other.root_digest() == before
-    assert other.applied == versions.Version(20, "n")
-    changed, _ = one.changes_since(other.applied)
-    assert other.apply_changes(one.applied, one.root_digest(), changed, ["k3"])
-    assert other.root_digest() == one.root_digest()
-    assert not other.apply_changes(versions.Version(5, "n"), one.root_digest(), [], [])
+    assert not removed_keys
+    before = behind.root_digest()
+    assert not behind.apply_changes(peer.applied, peer.root_digest(), changed, removed_keys)
+    assert behind.root_digest() == before
+    assert behind.applied == versions.Version(20, "n")
+    changed, _ = peer.changes_since(behind.applied)
+    assert behind.apply_changes(peer.applied, peer.root_digest(), changed, ["k3"])
+    assert behind.root_digest() == peer.root_digest()
+    assert not behind.apply_changes(versions.Version(5, "n"), peer.root_digest(), [], [])
 
 
 def test_replica_damaged_in_memory_is_repaired_range_by_range():
     async def scenario(day):
         local = cluster.context(day, "store-1").configuration
-        good = local.items["service/content"]
-        local.put(good._replace(value={"spoilt": True}))
+        original_item = local.items["service/content"]
+        local.put(original_item._replace(value={"spoilt": True}))
         local.remove("path/vacancies/")
-        await day.cluster.wait_until(lambda: local.items["service/content"] == good, 3)
+        await day.cluster.wait_until(lambda: local.items["service/content"] == original_item, 3)
         assert local.root_digest() == cluster.context(day, "agency-1").configuration.root_digest()
         assert cluster.context(day, "store-1").counters.total("ranges_mended") <= 4
 
--- a/tests/state/test_replication_messages.py
+++ b/tests/state/test_replication_messages.py
@@ -1,4 +1,4 @@
-"""Messages of replication: recorded bodies decode and encode back; malformed ones are refused."""
+"""Replication messages: recorded bodies are decoded and encoded unchanged, malformed ones are refused."""
 
 import ormsgpack
 import pytest
@@ -33,7 +33,7 @@
     status_messages.VoterState("0a1b2c3d4e5f", VERSION, None, VERSION),
     status_messages.VoterState("0a1b2c3d4e5f", VERSION, versions.NONE, VERSION),
 ]
-# What a field of each message must not hold, by message and field number.
+# Values that a message must not hold: the message, the number of the field, and the malformed value.
 WRONG_FIELDS = [
     (VERSION, 0, -1),
     (VERSION, 0, 2**60),
@@ -84,7 +84,7 @@
 
 
 def sent(message):
-    """What the peer decodes."""
+    """Return the fields of a message as the receiving peer unpacks them."""
     fields = message.to_wire() if hasattr(message, "to_wire") else tuple(message)
     return ormsgpack.unpackb(ormsgpack.packb(fields))
 
@@ -137,7 +137,7 @@
     ],
 )
 def test_recorded_bodies_decode_and_encode_to_the_same_bytes(label, message_type, is_list):
-    # Days with hostile peers were recorded, too: their bodies were answered with `bad-request`.
+    # Some recorded days had hostile peers, whose malformed requests were answered with `bad-request`.
     recorded = recorded_frames.bodies(label)
     bodies = [entry for body in recorded for entry in (body if is_list and type(body) is list else [body])]
     well_formed = [body for body in bodies if not is_malformed(message_type, body)]
--- a/tests/state/test_restart_after_changes.py
+++ b/tests/state/test_restart_after_changes.py
@@ -1,4 +1,4 @@
-"""A voter that restarts, or comes back empty, after hundreds of changes and more: its disk and its copy."""
+"""Voters that restart, with their disk or an empty one, after hundreds of changes or more."""
 
 import asyncio
 import random
@@ -15,9 +15,11 @@
 from irisstand.state.replication import replicator
 from irisstand.state.storage import file_names
 
+# How long one sync of a simulated disk takes.
 SYNC_SECONDS = 0.005
+# How long a restarted voter may take to catch up.
 CATCH_UP_SECONDS = 4.0
-# Of a core, what a core machine has on the small sites.
+# The share of one processor that a control plane node has on the small sites.
 PROCESSOR_SHARE = 0.645
 
 
@@ -69,7 +71,7 @@
 
 
 def test_more_removals_than_are_remembered_leave_the_disk_with_its_vote():
-    """Before, the record was written for a disk that did not add up; until the next change it had no vote."""
+    """Removals beyond those remembered once left a record that did not match the disk, so it had no vote."""
 
     async def scenario():
         folder, live = simulated_stores.new_folder(), replica.Replica(items.LEDGER)
@@ -98,7 +100,7 @@
 
         async def call(address, name, kind, body, timeout_seconds):
             reply = await answering.on_ranges_request("", list(body))
-            # The commit of the next batch comes in before the answer, three times over.
+            # A commit arrives on both replicas before the reply, three times in a row.
             if peer.applied.counter < 53:
                 key = f"late/{peer.applied.counter}"
                 batch = items.Batch(peer.applied.successor("n"), peer.applied, ((key, 1, False),))
@@ -156,7 +158,7 @@
             ) and day.cluster.is_ready(node)
 
         def serves_nothing_outdated():
-            # Whatever it calls current holds all that was confirmed before it started.
+            # A table that the node calls current holds all that was confirmed before the node started.
             configuration = node.program.context.configuration
             assert not node.program.context.is_current(configuration) or configuration.applied >= highest
             return serves()
@@ -170,7 +172,7 @@
 
 
 def test_data_folder_whose_records_know_no_segments_starts_and_is_upgraded():
-    """As the version before wrote it: six fields a record, and each item in a file of its own."""
+    """The previous version wrote records of six fields, and each item to a file of its own."""
 
     async def scenario():
         folder, live = simulated_stores.new_folder(), replica.Replica(items.LEDGER)
@@ -216,7 +218,7 @@
         altered = content[:-1] + bytes([content[-1] ^ 0xFF])
         folder.contents[folder.entries[segment]] = content[: len(content) // 2] if is_cut_short else altered
         reopened = await simulated_stores.open_store(folder)
-        # The record is whole, so its promises hold; what it rests on is not, so there is no vote yet.
+        # The record is intact, so its promises are valid; its items are not, so the table has no vote yet.
         assert reopened.disk_id == store.disk_id
         assert not reopened.intact[items.LEDGER]
         assert not reopened.replicas[items.LEDGER].items
@@ -239,7 +241,7 @@
         await store.save_record(items.LEDGER, record._replace(promised=versions.Version(99, "n")))
         newest = max(name for name in folder.entries if ".voter." in name)
         folder.contents[folder.entries[newest]] = b"torn"
-        # The start puts it aside, and that name alone is kept: the power goes before the new id is written.
+        # A start quarantines the record and syncs its new name, but loses power before a new id is written.
         folder.rename(newest, newest + ".torn")
         folder.sync()
         reopened = await simulated_stores.open_store(folder, random.Random(6))
--- a/tests/state/test_restart_freshness.py
+++ b/tests/state/test_restart_freshness.py
@@ -1,4 +1,4 @@
-"""Which tables a node may use right after a restart."""
+"""Which tables a node may use immediately after a restart."""
 
 import asyncio
 import random
@@ -10,7 +10,11 @@
 
 
 def test_restarted_node_uses_no_table_that_may_be_older_than_before_the_restart():
-    """Found by seeds 3020 (busy) and 3012 (planned): a peer's copy, well within the bound, was older."""
+    """Guards against serving older data after a restart than before it.
+
+    A peer's replica that is current within the freshness bound may lack changes that this node has served
+    before. Found by seeds 3020 (busy) and 3012 (planned).
+    """
 
     async def scenario():
         await asyncio.sleep(10)
--- a/tests/state/test_round_of_requests.py
+++ b/tests/state/test_round_of_requests.py
@@ -1,4 +1,4 @@
-"""Which answer of a peer ends a round of requests."""
+"""Which reply of a peer ends a round of requests for changes."""
 
 import asyncio
 
--- a/tests/state/test_slow_disks.py
+++ b/tests/state/test_slow_disks.py
@@ -1,4 +1,4 @@
-"""The real disk, and slow disks: faults that were found on real file systems."""
+"""The disk on a real folder, and slow disks: guards against faults that occurred on real file systems."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
         assert [name for name in names if not name.endswith(".spare")] == ["a", "b.torn"]
         await disk.remove(["a", "never-there"])
         assert await disk.load() == ({}, [])
-        # A longer file is written anew with a shorter content: the rest of it does not count.
+        # A longer file is overwritten with a shorter content: the bytes after the content are ignored.
         await disk.write([("long", b"x" * 9000)])
         await disk.remove(["long"])
         before = len(list((tmp_path / "data").iterdir()))
@@ -36,7 +36,7 @@
 
 
 def test_obsolete_files_are_removed_in_bulk_and_not_read_after_a_restart():
-    """Found in rehearsal: with a removal for each write, every sync waited for the file system's discard."""
+    """In a rehearsal that removed a file after each write, every sync waited for the discard of its blocks."""
 
     async def scenario(day):
         node = day.cluster.nodes["agency-3"]
--- a/tests/support/random_values.py
+++ b/tests/support/random_values.py
@@ -2,7 +2,7 @@
 
 
 def random_value(randomness, depth=0):
-    """Return a value with at most three levels of lists and maps."""
+    """Return a random value, with at most three levels of nested lists and maps."""
     kinds = [None, True, 0, -1, 2**40, 1.5, "", "x" * 20, b"\xff", "é"]
     if depth < 3 and randomness.random() < 0.5:
         if randomness.random() < 0.7:
--- a/tests/support/replicating_node.py
+++ b/tests/support/replicating_node.py
@@ -1,4 +1,4 @@
-"""A node that has a replicator and nothing else, on a link of limited rate."""
+"""A test node that has only a replicator, on a link with a limited rate."""
 
 import asyncio
 import types
@@ -13,7 +13,13 @@
 
 
 class ReplicatingNode:
-    """A node's replicator, whose transport is a link of so many bytes a second that all replies share."""
+    """A node with a replicator, whose replies share a link of `rate` bytes per second; None means no limit.
+
+    Attributes:
+        peers: The nodes that this node can call, by name.
+        replies: The peer, the kind and the size in bytes of each reply that this node was sent.
+        free_at: When the link has transferred all replies so far, in seconds of the loop's clock.
+    """
 
     def __init__(self, name, rate=None):
         self.name, self.rate = name, rate
@@ -38,7 +44,7 @@
         self.replica.confirm_current(self.context.clock.now())
 
     async def call(self, address, name, kind, body, timeout_seconds):
-        """As the real transport: a reply to a node that gave up waiting still takes up the link."""
+        """Call a peer as the real transport does: a reply that arrives too late still uses the link."""
         handlers = self.peers[name].handlers
         if kind not in handlers:
             raise errors.UnknownNameError(f"no handler for {kind}")
@@ -61,7 +67,7 @@
             return False
 
     async def round(self, names):
-        """A round of questions: another peer after each 0.12 s, until one has been answered."""
+        """Run a round of requests: ask another peer every 0.12 s, until one reply makes all current."""
         pending = set()
         for name in names:
             pending.add(asyncio.create_task(self.pull(name)))
--- a/tests/support/simulated_stores.py
+++ b/tests/support/simulated_stores.py
@@ -1,4 +1,4 @@
-"""Durable stores on simulated folders, whose power a test can cut."""
+"""Durable stores on simulated folders, whose power a test can switch off."""
 
 import pathlib
 import random
@@ -8,7 +8,7 @@
 
 
 def new_folder(seed=3):
-    """An empty folder that draws from this seed what a loss of power keeps."""
+    """Return an empty folder. The seed decides which unsynced names a power loss keeps."""
     return simulated_folder.SimulatedFolder(random.Random(seed))
 
 
@@ -17,7 +17,7 @@
 
 
 async def open_store(folder, randomness=None):
-    """A store as a start of the process finds it on this folder."""
+    """Open the store on a folder, as a starting process does."""
     store = durable_store.DurableStore(disk_on(folder), randomness or random.Random(5))
     await store.open()
     return store
