--- a/tests/state/test_slow_disks.py
+++ b/tests/state/test_slow_disks.py
@@ -36,7 +36,7 @@
 
 
 def test_obsolete_files_are_removed_in_bulk_and_not_read_after_a_restart():
-    """In a rehearsal that removed a file after each write, every sync waited for the discard of its blocks."""
+    """In a rehearsal that removed a file after each write, every sync waited for the discard of blocks."""
 
     async def scenario(day):
         node = day.cluster.nodes["agency-3"]
