--- a/src/irisstand/membership/detector.py
+++ b/src/irisstand/membership/detector.py
@@ -69,7 +69,7 @@
                 self._on_ack(datagram)
 
     def _on_ping(self, ping: messages.Datagram, source: network.Address) -> None:
-        # The ack names the incarnation that sends it, as it is no evidence that another incarnation is alive.
+        # The ack names the incarnation that sends it: it does not show that a different, pinged one is alive.
         self.send(messages.MessageKind.ACK, ping.sequence_number, source, self.identity)
         if ping.target != self.identity and ping.target.name == self.identity.name:
             self.buffer.add(self.own_update())
--- a/src/irisstand/membership/joining.py
+++ b/src/irisstand/membership/joining.py
@@ -11,6 +11,7 @@
 EXCHANGE_KIND = "roster"
 # How many protocol periods lie between two exchanges of member lists.
 EXCHANGE_INTERVAL_PERIODS = 10
+# How long an exchange waits for the peer's reply.
 EXCHANGE_TIMEOUT_SECONDS = 2.0
 # The share of exchanges that are made with a seed, listed as a member or not: after a partition the member
 # list may lack every node on the other side.
--- a/src/irisstand/state/replication/quorum_loss.py
+++ b/src/irisstand/state/replication/quorum_loss.py
@@ -52,7 +52,7 @@
             self.context.counters.add("core_found_out", table=local.name)
 
     async def unable_voters(self, voters: list[quorum.Voter], local: replica.Replica) -> set[str]:
-        """Return the disk ids of voters that cannot confirm anything, as soon as these are a majority."""
+        """Return the disk ids of voters that cannot confirm anything; stop once they are a majority."""
         loop = asyncio.get_running_loop()
         voter_by_task = {loop.create_task(self.cannot_confirm(voter, local)): voter for voter in voters}
         unable_disk_ids: set[str] = set()
--- a/src/irisstand/state/storage/durable_store.py
+++ b/src/irisstand/state/storage/durable_store.py
@@ -23,8 +23,8 @@
         layouts: Which files hold the items of each table, by table.
         intact: Whether the items on the disk have the root digest that the record names, by table.
         obsolete_files: The names of files that are no longer in use, by table.
-        orphaned_files: The names of files whose record was never written, by table.
-            They may be on the disk, but are not in use.
+        orphaned_files: The names of files whose record was never written, by table. They may be on the disk,
+            but are not in use.
     """
 
     def __init__(self, voter_disk: disk.Disk, randomness: random.Random) -> None:
--- a/src/irisstand/state/storage/item_files.py
+++ b/src/irisstand/state/storage/item_files.py
@@ -106,7 +106,7 @@
             item = unpack_item(content)
         except (ValueError, TypeError):
             continue
-        # After a power loss, an overwritten file may have its earlier name and its later content.
+        # After a power loss, a file may have an earlier name than its content has; such a file is ignored.
         if file_names.item_file(saved.name, item) == name:
             item_by_file[name] = item
             merge(saved, layout, item)
