--- a/tests/state/test_restart_freshness.py
+++ b/tests/state/test_restart_freshness.py
@@ -1,4 +1,4 @@
-"""Which tables a node may use right after a restart."""
+"""Which tables a node may use immediately after a restart."""
 
 import asyncio
 import random
@@ -9,8 +9,12 @@
 from irisstand.simulator import virtual_time
 
 
-def test_restarted_node_uses_no_table_that_may_be_older_than_in_its_former_life():
-    """Found by seeds 3020 (busy) and 3012 (planned): a peer's copy, well within the bound, was older."""
+def test_restarted_node_uses_no_table_that_may_be_older_than_before_the_restart():
+    """Guards against serving older data after a restart than before it.
+
+    A peer's replica that is current within the freshness bound may lack changes that this node has served
+    before. Found by seeds 3020 (busy) and 3012 (planned).
+    """
 
     async def scenario():
         await asyncio.sleep(10)
@@ -19,10 +23,10 @@
             settings, settings.role, clocks.LoopClock(), random.Random(1), None
         )
         started = context.clock.now()
-        copy = context.configuration
-        copy.confirm_current(started - 0.5)
-        before = context.is_fresh(copy)
-        copy.confirm_current(started)
-        return before, context.is_fresh(copy)
+        local = context.configuration
+        local.confirm_current(started - 0.5)
+        before = context.is_fresh(local)
+        local.confirm_current(started)
+        return before, context.is_fresh(local)
 
     assert virtual_time.run(scenario()) == (False, True)
--- a/tests/support/replicating_node.py
+++ b/tests/support/replicating_node.py
@@ -1,4 +1,4 @@
-"""A node that has a replicator and nothing else, on a link of limited rate."""
+"""A test node that has only a replicator, on a link with a limited rate."""
 
 import asyncio
 import types
@@ -13,7 +13,13 @@
 
 
 class ReplicatingNode:
-    """A node's replicator, whose transport is a link of so many bytes a second that all replies share."""
+    """A node with a replicator, whose replies share a link of `rate` bytes per second; None means no limit.
+
+    Attributes:
+        peers: The nodes that this node can call, by name.
+        replies: The peer, the kind and the size in bytes of each reply that this node was sent.
+        free_at: When the link has transferred all replies so far, in seconds of the loop's clock.
+    """
 
     def __init__(self, name, rate=None):
         self.name, self.rate = name, rate
@@ -21,29 +27,29 @@
         self.free_at = 0.0
         self.handlers = {}
         settings = types.SimpleNamespace(freshness_bound=FRESHNESS_BOUND_SECONDS)
-        copies = {items.CONFIGURATION: replica.Replica(items.CONFIGURATION)}
+        replicas = {items.CONFIGURATION: replica.Replica(items.CONFIGURATION)}
         self.context = types.SimpleNamespace(
-            replicas=copies,
+            replicas=replicas,
             clock=clocks.LoopClock(),
             counters=counting.Counters(),
             transport=self,
             settings=settings,
-            is_fresh=lambda copy: copy.age(self.context.clock.now()) is not None,
+            is_fresh=lambda local: local.age(self.context.clock.now()) is not None,
         )
-        self.copy = copies[items.CONFIGURATION]
+        self.replica = replicas[items.CONFIGURATION]
         self.replicator = replicator.Replicator(self.context)
 
     def apply(self, number, rows):
-        self.copy.apply(items.Batch(versions.Version(number, "n"), self.copy.applied, tuple(rows)))
-        self.copy.confirm_current(self.context.clock.now())
+        self.replica.apply(items.Batch(versions.Version(number, "n"), self.replica.applied, tuple(rows)))
+        self.replica.confirm_current(self.context.clock.now())
 
     async def call(self, address, name, kind, body, timeout_seconds):
-        """As the real transport: a reply to a node that gave up waiting still takes up the link."""
+        """Call a peer as the real transport does: a reply that arrives too late still uses the link."""
         handlers = self.peers[name].handlers
         if kind not in handlers:
             raise errors.UnknownNameError(f"no handler for {kind}")
-        asked = codec.unpack(codec.pack(("ask", 1, (kind, body))))[2][1]
-        reply = codec.pack(("result", 1, await handlers[kind](self.name, asked)))
+        received_body = codec.unpack(codec.pack(("ask", 1, (kind, body))))[2][1]
+        reply = codec.pack(("result", 1, await handlers[kind](self.name, received_body)))
         self.replies.append((name, kind, len(reply)))
         now = asyncio.get_running_loop().time()
         if self.rate:
@@ -61,7 +67,7 @@
             return False
 
     async def round(self, names):
-        """A round of questions: another peer after each 0.12 s, until one has been answered."""
+        """Run a round of requests: ask another peer every 0.12 s, until one reply makes all current."""
         pending = set()
         for name in names:
             pending.add(asyncio.create_task(self.pull(name)))
