--- a/src/irisstand/controlplane/consensus/acceptor.py
+++ b/src/irisstand/controlplane/consensus/acceptor.py
@@ -182,7 +182,7 @@
         self.check_vote()
         record = self.record
         if ballot <= record.promised:
-            return messages.Rejected(messages.VoteStatus.LOST, record.promised)
+            return messages.Rejected(messages.VoteStatus.HIGHER_BALLOT_PROMISED, record.promised)
         await self.store.save_record(self.table, record._replace(promised=ballot))
         return messages.Promised(record.applied, record.accepted, record.pending)
 
@@ -192,7 +192,7 @@
         """Accept a batch on the applied version unless a higher ballot was promised."""
         # Versions only rise along the chain of batches, whatever a proposer of another version may send.
         if batch.version <= batch.base:
-            return messages.Rejected(messages.VoteStatus.MOVED, batch.base)
+            return messages.Rejected(messages.VoteStatus.BASE_MISMATCH, batch.base)
         # A voter behind the base learns the table first: it must never skip a decided batch.
         if self.record.applied < batch.base or not self.store.intact[self.table]:
             if self.replica.applied < batch.base:
@@ -201,9 +201,9 @@
         self.check_vote()
         record = self.record
         if record.promised > ballot:
-            return messages.Rejected(messages.VoteStatus.LOST, record.promised)
+            return messages.Rejected(messages.VoteStatus.HIGHER_BALLOT_PROMISED, record.promised)
         if record.applied != batch.base:
-            return messages.Rejected(messages.VoteStatus.MOVED, record.applied)
+            return messages.Rejected(messages.VoteStatus.BASE_MISMATCH, record.applied)
         changed = record._replace(promised=ballot, accepted=ballot, pending=batch)
         await self.store.save_record(self.table, changed)
         return messages.Accepted()
--- a/src/irisstand/controlplane/consensus/bootstrap.py
+++ b/src/irisstand/controlplane/consensus/bootstrap.py
@@ -140,9 +140,9 @@
     async def _learn_tables(self) -> None:
         """Pull the tables from the first control plane node that has any."""
         # Other roles do not hold all tables; one peer's refusal must not end the round before the next.
-        control_nodes = {update.identity.name for update in self.context.members_of("agency")}
+        control_plane_names = {update.identity.name for update in self.context.members_of("agency")}
         sources = self.participant.refresher.sources()
-        for address, name in [source for source in sources if source[1] in control_nodes]:
+        for address, name in [source for source in sources if source[1] in control_plane_names]:
             try:
                 await self.participant.replicator.pull(address, name)
             except (errors.IrisError, ValueError, TypeError):
@@ -163,16 +163,16 @@
                 continue
             if self.participant.is_voter(table) or not self.context.is_current(table_replica):
                 continue
-            replaced = self._replaceable_voter(table)
+            replaced_name = self._replaceable_voter(table)
             # Without one this is a spare, which waits until a voter is gone.
-            if replaced:
-                await self._enrol(table, replaced)
+            if replaced_name:
+                await self._enrol(table, replaced_name)
 
-    async def _enrol(self, table: str, replaced: str) -> None:
+    async def _enrol(self, table: str, replaced_name: str) -> None:
         await self.participant.acceptors[table].submit(acceptor.Persist())
-        payload = (tuple(self.participant.own_voter()), replaced)
+        payload = (tuple(self.participant.own_voter()), replaced_name)
         await self.submitter.submit(orders.Order(f"enrol-{table}", "", payload))
-        event_log.record("enrolled", table=table, leaves=replaced)
+        event_log.record("enrolled", table=table, leaves=replaced_name)
 
     def _replaceable_voter(self, table: str) -> str:
         """Return the name of a voter that this node may replace: its own older disk, or one long missing.
@@ -184,13 +184,15 @@
         voters = self.participant.voters(table)
         if any(voter.name == settings.name for voter in voters):
             return settings.name
-        present = {update.identity.name for update in self.context.members_of("agency")}
+        member_names = {update.identity.name for update in self.context.members_of("agency")}
         for voter in voters:
-            if voter.name in present:
+            if voter.name in member_names:
                 self.missing_since.pop(voter.name, None)
         # A machine that is restarted must not lose its vote over it.
         for voter in voters:
-            since = self.missing_since.setdefault(voter.name, now) if voter.name not in present else now
-            if now - since >= settings.replace_after:
+            member_missing_since = (
+                self.missing_since.setdefault(voter.name, now) if voter.name not in member_names else now
+            )
+            if now - member_missing_since >= settings.replace_after:
                 return voter.name
         return ""
--- a/src/irisstand/controlplane/consensus/heartbeat.py
+++ b/src/irisstand/controlplane/consensus/heartbeat.py
@@ -43,7 +43,7 @@
         while True:
             started = self.context.clock.now()
             try:
-                await self.beat()
+                await self.run_round()
             except (errors.IrisError, proposer.BallotLostError, *MALFORMED_REPLY_ERRORS):
                 self.context.counters.add("pulse_failed", table=self.table)
             pause = self.context.settings.freshness_interval - (self.context.clock.now() - started)
@@ -79,11 +79,11 @@
         self.next_read_round = None
         try:
             async with asyncio.timeout(READ_ROUND_TIMEOUT_SECONDS):
-                return await self.beat()
+                return await self.run_round()
         except (TimeoutError, errors.IrisError, proposer.BallotLostError, *MALFORMED_REPLY_ERRORS):
             return False
 
-    async def beat(self) -> bool:
+    async def run_round(self) -> bool:
         """Run one round; return whether the replica holds all that was confirmed before the round began.
 
         Raises:
--- a/src/irisstand/controlplane/consensus/messages.py
+++ b/src/irisstand/controlplane/consensus/messages.py
@@ -18,9 +18,9 @@
     PROMISED = "promised"
     ACCEPTED = "accepted"
     # A higher ballot number was promised.
-    LOST = "lost"
+    HIGHER_BALLOT_PROMISED = "lost"
     # The batch stands on another base than the voter's applied version.
-    MOVED = "moved"
+    BASE_MISMATCH = "moved"
 
 
 # -- votes --------------------------------------------------------------------------------------------------
@@ -51,13 +51,13 @@
 class Rejected:
     """No vote; `version` is the ballot number or applied version that stands in the way."""
 
-    status: typing.Literal[VoteStatus.LOST, VoteStatus.MOVED]
+    status: typing.Literal[VoteStatus.HIGHER_BALLOT_PROMISED, VoteStatus.BASE_MISMATCH]
     version: versions.Version
 
     @classmethod
     def from_wire(cls, status: VoteStatus, fields: list[typing.Any]) -> "Rejected":
         """Decode the reply, its status apart from the other fields."""
-        if status not in (VoteStatus.LOST, VoteStatus.MOVED):
+        if status not in (VoteStatus.HIGHER_BALLOT_PROMISED, VoteStatus.BASE_MISMATCH):
             raise ValueError(f"{status} is no reply to this request")
         (version,) = fields
         return cls(status, versions.Version.from_wire(version))
--- a/src/irisstand/controlplane/consensus/node_messages.py
+++ b/src/irisstand/controlplane/consensus/node_messages.py
@@ -90,47 +90,47 @@
 
 
 # -- choice of voters ---------------------------------------------------------------------------------------
-class SilentDisk(typing.NamedTuple):
+class ReplyAge(typing.NamedTuple):
     """A voter's disk and the seconds since the reporting node had a reply from it."""
 
     disk_id: str
-    silent_seconds: float
+    seconds_since_reply: float
 
     @classmethod
-    def from_wire(cls, fields: typing.Any) -> "SilentDisk":
+    def from_wire(cls, fields: typing.Any) -> "ReplyAge":
         """Decode an entry; ValueError or TypeError if it is malformed."""
-        disk_id, silent_seconds = fields
-        if not isinstance(silent_seconds, int | float):
+        disk_id, seconds_since_reply = fields
+        if not isinstance(seconds_since_reply, int | float):
             raise TypeError("not a number of seconds")
-        return cls(disk_id, silent_seconds)
+        return cls(disk_id, seconds_since_reply)
 
 
 class ReachabilityReport(typing.NamedTuple):
     """A voter's disk, and how long each other voter's disk has been silent towards it."""
 
     disk_id: str
-    others: tuple[SilentDisk, ...]
+    reply_ages: tuple[ReplyAge, ...]
 
     @classmethod
     def from_wire(cls, body: typing.Any) -> "ReachabilityReport":
         """Decode the reply; ValueError or TypeError if it is malformed."""
-        disk_id, others = body
-        return cls(disk_id, tuple(SilentDisk.from_wire(fields) for fields in others))
+        disk_id, reply_ages = body
+        return cls(disk_id, tuple(ReplyAge.from_wire(fields) for fields in reply_ages))
 
     def to_wire(self) -> request.WireBody:
         """Return the reply as plain tuples."""
-        return (self.disk_id, tuple(tuple(entry) for entry in self.others))
+        return (self.disk_id, tuple(tuple(entry) for entry in self.reply_ages))
 
 
-def silent_count(reports: list[ReachabilityReport], disk_id: str, seconds: float) -> int:
+def count_unreachable_reports(reports: list[ReachabilityReport], disk_id: str, seconds: float) -> int:
     """Return to how many reporting voters a disk has been silent for at least so long.
 
-    >>> reports = [ReachabilityReport("a", (SilentDisk("c", 2.0), SilentDisk("b", 0.1)))]
-    >>> silent_count(reports, "c", 1.0), silent_count(reports, "b", 1.0)
+    >>> reports = [ReachabilityReport("a", (ReplyAge("c", 2.0), ReplyAge("b", 0.1)))]
+    >>> count_unreachable_reports(reports, "c", 1.0), count_unreachable_reports(reports, "b", 1.0)
     (1, 0)
     """
     return sum(
-        any(entry.disk_id == disk_id and entry.silent_seconds >= seconds for entry in report.others)
+        any(entry.disk_id == disk_id and entry.seconds_since_reply >= seconds for entry in report.reply_ages)
         for report in reports
     )
 
--- a/src/irisstand/controlplane/consensus/participant.py
+++ b/src/irisstand/controlplane/consensus/participant.py
@@ -128,13 +128,13 @@
         self._detect_pause()
         now = self.context.clock.now()
         own = self.store.disk_id
-        voting = {voter.disk_id for table in items.TABLES for voter in self.voters(table)}
-        silent = tuple(
-            node_messages.SilentDisk(disk_id, now - since)
-            for disk_id, since in self.last_replies.items()
-            if disk_id in voting and disk_id != own
+        voter_disk_ids = {voter.disk_id for table in items.TABLES for voter in self.voters(table)}
+        reply_ages = tuple(
+            node_messages.ReplyAge(disk_id, now - last_reply_at)
+            for disk_id, last_reply_at in self.last_replies.items()
+            if disk_id in voter_disk_ids and disk_id != own
         )
-        return node_messages.ReachabilityReport(own, silent).to_wire()
+        return node_messages.ReachabilityReport(own, reply_ages).to_wire()
 
     def _detect_pause(self) -> None:
         """Count silence anew after a pause: a process that did not run could not receive replies."""
@@ -165,7 +165,7 @@
     async def gather_replies(
         self,
         voters: list[quorum.Voter],
-        message_to: collections.abc.Callable[[quorum.Voter], request.Request[ReplyT]],
+        request_to: collections.abc.Callable[[quorum.Voter], request.Request[ReplyT]],
         are_enough: collections.abc.Callable[[Replies[ReplyT]], bool],
     ) -> Replies[ReplyT]:
         """Call voters side by side until there are enough replies.
@@ -174,14 +174,14 @@
 
         Args:
             voters: Whom to call.
-            message_to: Returns the request for a voter.
+            request_to: Returns the request for a voter.
             are_enough: Is given the replies so far.
 
         Returns:
             The replies by disk id.
         """
         replies: Replies[ReplyT] = {}
-        tasks = {self._start_call(voter, message_to(voter)): voter for voter in voters}
+        tasks = {self._start_call(voter, request_to(voter)): voter for voter in voters}
         waiting = set(tasks)
         while waiting and not are_enough(replies):
             done, waiting = await asyncio.wait(
--- a/src/irisstand/controlplane/consensus/proposer.py
+++ b/src/irisstand/controlplane/consensus/proposer.py
@@ -34,7 +34,7 @@
         self.replica = self.context.replicas[table]
         self.queue: asyncio.Queue[ballot_plan.PendingOrder] = asyncio.Queue()
         # The highest ballot number chosen here or reported by a voter.
-        self.highest = versions.NONE
+        self.highest_ballot = versions.NONE
         # One ballot at a time, or this node's own would defeat each other.
         self.ballot_lock = asyncio.Lock()
 
@@ -143,10 +143,12 @@
 
     def _choose_ballot_number(self) -> versions.Version:
         record = self.participant.store.records[self.table]
-        seen = max(self.highest, record.promised, self.replica.applied)
+        highest_known = max(self.highest_ballot, record.promised, self.replica.applied)
         # With the disk id in the name a wiped disk never chooses its predecessor's numbers again.
-        self.highest = seen.successor(f"{self.context.settings.name}~{self.participant.store.disk_id}")
-        return self.highest
+        self.highest_ballot = highest_known.successor(
+            f"{self.context.settings.name}~{self.participant.store.disk_id}"
+        )
+        return self.highest_ballot
 
     # -- phase 1 -----------------------------------------------------------------------------------------
     async def prepare(self, voters: list[quorum.Voter], ballot: versions.Version) -> items.Batch | None:
@@ -183,7 +185,7 @@
             lambda replies: quorum.is_majority(voters, {*vote_counting.promises_of(replies), own.disk_id}),
         )
         replies[own.disk_id] = own_reply
-        self._note_higher(replies)
+        self._record_higher_versions(replies)
         promises = vote_counting.promises_of(replies)
         if not quorum.is_majority(voters, set(promises)):
             raise BallotLostError("no majority promised")
@@ -211,13 +213,13 @@
             BallotLostError: No durable majority accepted; the batch may still be decided by another proposer.
         """
         voter_sets = vote_counting.voter_sets_of(voters, batch)
-        everyone = list({voter.disk_id: voter for members in voter_sets for voter in members}.values())
+        all_voters = list({voter.disk_id: voter for members in voter_sets for voter in members}.values())
         replies = await self.participant.gather_replies(
-            everyone,
+            all_voters,
             lambda voter: messages.AcceptRequest(self.table, ballot, batch, voter.disk_id),
             lambda replies: vote_counting.is_decided(voter_sets, replies),
         )
-        self._note_higher(replies)
+        self._record_higher_versions(replies)
         if not vote_counting.is_decided(voter_sets, replies):
             raise BallotLostError("no durable majority accepted")
         if self.replica.applied == batch.base:
@@ -225,9 +227,9 @@
         self.context.counters.add("batches_confirmed", table=self.table)
         commit = messages.CommitRequest(self.table, batch)
         # The commits are only sent: nobody waits for their replies.
-        await self.participant.gather_replies(everyone, lambda _voter: commit, lambda _replies: True)
+        await self.participant.gather_replies(all_voters, lambda _voter: commit, lambda _replies: True)
 
-    def _note_higher(self, replies: collections.abc.Mapping[str, object]) -> None:
+    def _record_higher_versions(self, replies: collections.abc.Mapping[str, object]) -> None:
         for reply in replies.values():
             if isinstance(reply, messages.Rejected):
-                self.highest = max(self.highest, reply.version)
+                self.highest_ballot = max(self.highest_ballot, reply.version)
--- a/src/irisstand/controlplane/consensus/submitter.py
+++ b/src/irisstand/controlplane/consensus/submitter.py
@@ -21,10 +21,10 @@
 # The last winner may have met the very loss that an order of these kinds is about. One that does not even
 # report its state, which it does from memory, is waited for no longer, and the order is proposed here. Only
 # one order can take a lease from a version, and its holder finds its own in the ledger.
-KINDS_PROPOSED_HERE_IN_DOUBT = (*IDEMPOTENT_KINDS, orders.OrderKind.LEASE)
+KINDS_RETRIED_LOCALLY = (*IDEMPOTENT_KINDS, orders.OrderKind.LEASE)
 # Without an answer for so long a voter is asked for its state; time-out of that.
-DOUBT_AFTER_SECONDS = 0.35
-STATE_TIMEOUT_SECONDS = 0.3
+LIVENESS_CHECK_INTERVAL_SECONDS = 0.35
+LIVENESS_CHECK_TIMEOUT_SECONDS = 0.3
 
 
 class Submitter:
@@ -62,9 +62,9 @@
         """
         with self.context.count_in_flight():
             task = asyncio.get_running_loop().create_task(self.submit(order))
-            ends = [future for future in (task, self.context.drain_ending) if future is not None]
+            awaited = [future for future in (task, self.context.drain_ending) if future is not None]
             try:
-                await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
             except asyncio.CancelledError:
                 # Its sender hung up: it must not be carried out after whatever that sender orders next.
                 task.cancel()
@@ -108,7 +108,7 @@
             except errors.UnansweredError as error:
                 # With a change id it can be sent again to anybody for the one true result; without one it
                 # must not be, unless deciding it twice is harmless.
-                if is_voter and (order.change or order.kind in KINDS_PROPOSED_HERE_IN_DOUBT):
+                if is_voter and (order.change or order.kind in KINDS_RETRIED_LOCALLY):
                     break
                 raise errors.ChangeOutcomeUnknownError(str(error)) from None
             except (errors.BadRequestError, errors.UnknownNameError) as error:
@@ -126,25 +126,28 @@
         transport = self.context.transport
         address = (voter.host, voter.port)
         timeout_seconds = FORWARD_TIMEOUT_SECONDS if is_voter else FORWARD_ONLY_TIMEOUT_SECONDS
-        is_watched = is_voter and order.kind in KINDS_PROPOSED_HERE_IN_DOUBT
+        is_liveness_checked = is_voter and order.kind in KINDS_RETRIED_LOCALLY
         message = order_messages.OrderRequest(order)
         task = asyncio.get_running_loop().create_task(
             request.call(transport, address, voter.name, message, timeout_seconds)
         )
         try:
-            while is_watched and not (await asyncio.wait([task], timeout=DOUBT_AFTER_SECONDS))[0]:
-                await self._check_answers(voter, orders.table_of(order.kind))
+            while (
+                is_liveness_checked
+                and not (await asyncio.wait([task], timeout=LIVENESS_CHECK_INTERVAL_SECONDS))[0]
+            ):
+                await self._check_liveness(voter, orders.table_of(order.kind))
             return await task
         finally:
             task.cancel()
 
-    async def _check_answers(self, voter: quorum.Voter, table: str) -> None:
+    async def _check_liveness(self, voter: quorum.Voter, table: str) -> None:
         address = (voter.host, voter.port)
         body = messages.VoterStateRequest(table).to_wire()
         try:
             # Whatever it answers, it runs: the reply is not decoded.
             await self.context.transport.call(
-                address, voter.name, request.MessageKind.VOTER_STATE, body, STATE_TIMEOUT_SECONDS
+                address, voter.name, request.MessageKind.VOTER_STATE, body, LIVENESS_CHECK_TIMEOUT_SECONDS
             )
         except errors.IrisError:
             raise errors.UnansweredError(f"{voter.name} does not say where it stands") from None
--- a/src/irisstand/controlplane/consensus/voter_administration.py
+++ b/src/irisstand/controlplane/consensus/voter_administration.py
@@ -30,36 +30,38 @@
         """Return each table's voters, which of them answer now, and who could replace one, as JSON."""
         voters: dict[str, typing.Any] = {}
         for table in items.TABLES:
-            up = await self._names_up(self.voters_of(table), table)
-            voters[table] = [_voter_to_json(voter, is_up=voter.name in up) for voter in self.voters_of(table)]
-        known = self._voter_names()
+            names_up = await self._names_up(self.voters_of(table), table)
+            voters[table] = [
+                _voter_to_json(voter, is_up=voter.name in names_up) for voter in self.voters_of(table)
+            ]
+        known_names = self._voter_names()
         members = self.context.members_of("agency")
-        spares = [update.identity.name for update in members if update.identity.name not in known]
+        spares = [update.identity.name for update in members if update.identity.name not in known_names]
         return {"voters": voters, "spares": sorted(spares)}
 
     def _voter_names(self) -> set[str]:
         return {voter.name for table in items.TABLES for voter in self.voters_of(table)}
 
     async def _names_up(self, voters: list[quorum.Voter], table: str) -> set[str]:
-        answers = await asyncio.gather(*(self.view.is_voting(voter, table) for voter in voters))
-        return {voter.name for voter, is_up in zip(voters, answers, strict=True) if is_up}
+        voting_flags = await asyncio.gather(*(self.view.is_voting(voter, table) for voter in voters))
+        return {voter.name for voter, is_up in zip(voters, voting_flags, strict=True) if is_up}
 
-    async def check(self, table: str, following: list[quorum.Voter]) -> None:
+    async def check(self, table: str, next_voters: list[quorum.Voter]) -> None:
         """Check that what is up survives a loss as well with the following voters as it does now.
 
         Raises:
             irisstand.errors.InsufficientCapacityError: It does not, or no majority of them is up.
         """
-        present = self.voters_of(table)
-        everyone = list({voter.disk_id: voter for voter in [*present, *following]}.values())
-        up = await self._names_up(everyone, table)
-        is_majority = 2 * sum(voter.name in up for voter in following) > len(following)
-        survives_now = standby_planning.core_survives_any_loss(quorum.placements(present), up)
+        current_voters = self.voters_of(table)
+        checked_voters = list({voter.disk_id: voter for voter in [*current_voters, *next_voters]}.values())
+        names_up = await self._names_up(checked_voters, table)
+        is_majority = 2 * sum(voter.name in names_up for voter in next_voters) > len(next_voters)
+        survives_now = standby_planning.core_survives_any_loss(quorum.placements(current_voters), names_up)
         is_worse = survives_now and not standby_planning.core_survives_any_loss(
-            quorum.placements(following), up
+            quorum.placements(next_voters), names_up
         )
-        if not is_majority or is_worse or not following:
-            raise _insufficient(table, following, up, is_majority=is_majority)
+        if not is_majority or is_worse or not next_voters:
+            raise _insufficient(table, next_voters, names_up, is_majority=is_majority)
 
     async def retire(self, name: str) -> dict[str, typing.Any]:
         """Take a voter out of all tables; all are checked before the first is written.
@@ -69,20 +71,22 @@
             irisstand.errors.InsufficientCapacityError: The others could not bear a loss.
         """
         members = {update.identity.name for update in self.context.members_of("agency")}
-        known = self._voter_names() | members | {self.context.settings.name}
-        if name not in known:
-            raise errors.UnknownNameError(f"no core node {name!r}", f"use one of {', '.join(sorted(known))}")
-        left = {
+        known_names = self._voter_names() | members | {self.context.settings.name}
+        if name not in known_names:
+            raise errors.UnknownNameError(
+                f"no core node {name!r}", f"use one of {', '.join(sorted(known_names))}"
+            )
+        remaining_voters = {
             table: [voter for voter in self.voters_of(table) if voter.name != name] for table in items.TABLES
         }
-        for table, following in left.items():
-            if len(following) < len(self.voters_of(table)):
-                await self.check(table, following)
+        for table, next_voters in remaining_voters.items():
+            if len(next_voters) < len(self.voters_of(table)):
+                await self.check(table, next_voters)
         for table in items.TABLES:
             await self.submitter.submit_for_operator(orders.Order(f"retire-{table}", "", name))
-        return {"retired": name, "voters": sorted(voter.name for voter in left[items.LEDGER])}
+        return {"retired": name, "voters": sorted(voter.name for voter in remaining_voters[items.LEDGER])}
 
-    async def replace(self, old: str, new: str) -> dict[str, typing.Any]:
+    async def replace(self, old_name: str, new_name: str) -> dict[str, typing.Any]:
         """Have a spare, which first puts all tables on its disk, replace a voter in all tables.
 
         Ordered again after a fault, the tables that are left are changed.
@@ -92,14 +96,14 @@
             irisstand.errors.BadRequestError: Both are voters.
             irisstand.errors.InsufficientCapacityError: The new set could not bear a loss.
         """
-        newcomer = await self._durable_spare(new)
+        newcomer = await self._durable_spare(new_name)
         names: list[str] = []
         for table in items.TABLES:
-            names = await self._check_replacement(table, old, new, newcomer)
+            names = await self._check_replacement(table, old_name, new_name, newcomer)
         for table in items.TABLES:
-            order = orders.Order(f"enrol-{table}", "", (tuple(newcomer), old))
+            order = orders.Order(f"enrol-{table}", "", (tuple(newcomer), old_name))
             await self.submitter.submit_for_operator(order)
-        return {"replaced": old, "by": new, "voters": sorted({*names, new} - {old})}
+        return {"replaced": old_name, "by": new_name, "voters": sorted({*names, new_name} - {old_name})}
 
     async def _durable_spare(self, name: str) -> quorum.Voter:
         members = self.context.members_of("agency")
@@ -112,16 +116,22 @@
         address = spare.node_info.address
         return await request.call(self.context.transport, address, name, message, DURABILITY_TIMEOUT_SECONDS)
 
-    async def _check_replacement(self, table: str, old: str, new: str, newcomer: quorum.Voter) -> list[str]:
+    async def _check_replacement(
+        self, table: str, old_name: str, new_name: str, newcomer: quorum.Voter
+    ) -> list[str]:
         """Check one table's replacement, and return the names of its present voters."""
-        known = [voter.name for voter in self.voters_of(table)]
-        if new in known and old in known:
-            raise errors.BadRequestError(f"{new} votes already", f"retire {old} instead of replacing it")
-        if new not in known and old not in known:
-            raise errors.UnknownNameError(f"{old!r} is no voter of {table}", f"use one of {', '.join(known)}")
-        kept = [voter for voter in self.voters_of(table) if voter.name not in (old, new)]
+        known_names = [voter.name for voter in self.voters_of(table)]
+        if new_name in known_names and old_name in known_names:
+            raise errors.BadRequestError(
+                f"{new_name} votes already", f"retire {old_name} instead of replacing it"
+            )
+        if new_name not in known_names and old_name not in known_names:
+            raise errors.UnknownNameError(
+                f"{old_name!r} is no voter of {table}", f"use one of {', '.join(known_names)}"
+            )
+        kept = [voter for voter in self.voters_of(table) if voter.name not in (old_name, new_name)]
         await self.check(table, [*kept, newcomer])
-        return known
+        return known_names
 
 
 def _voter_to_json(voter: quorum.Voter, *, is_up: bool) -> dict[str, typing.Any]:
@@ -135,13 +145,13 @@
 
 
 def _insufficient(
-    table: str, following: list[quorum.Voter], up: set[str], *, is_majority: bool
+    table: str, next_voters: list[quorum.Voter], names_up: set[str], *, is_majority: bool
 ) -> errors.InsufficientCapacityError:
     figures = {
         "table": table,
-        "voters": len(following),
-        "up": sorted(voter.name for voter in following if voter.name in up),
-        "sites": sorted({voter.site for voter in following}),
+        "voters": len(next_voters),
+        "up": sorted(voter.name for voter in next_voters if voter.name in names_up),
+        "sites": sorted({voter.site for voter in next_voters}),
     }
     reason = "the loss of one machine or site could not be borne" if is_majority else "no majority is up"
     error = errors.InsufficientCapacityError(f"with these voters of {table}, {reason}", figures)
--- a/src/irisstand/controlplane/consensus/voter_planner.py
+++ b/src/irisstand/controlplane/consensus/voter_planner.py
@@ -16,12 +16,12 @@
 INTERVAL_SECONDS = 0.25
 INTERVAL_FACTORS = (0.5, 1.0)
 # After a change of the set, while it is not changed again without need.
-SETTLING_SECONDS = 1.0
+MIN_CHANGE_INTERVAL_SECONDS = 1.0
 # A set that needs nothing is planned all the same after so long, and at once if a voter is silent.
 REPLAN_SECONDS = 2.0
-SILENCE_SECONDS = 0.6
+MISSING_REPLY_SECONDS = 0.6
 # For an answer from memory, for all tables to be on a newcomer's disk, for the voters to decide.
-ANSWER_TIMEOUT_SECONDS = 0.4
+REPLY_TIMEOUT_SECONDS = 0.4
 DURABILITY_TIMEOUT_SECONDS = 1.5
 ORDER_TIMEOUT_SECONDS = 2.0
 # Of handing a vote over; it ends when so much of the drain is left.
@@ -32,7 +32,7 @@
 PLAN_ERRORS = (errors.IrisError, ValueError, TypeError, IndexError)
 
 
-class Situation(typing.NamedTuple):
+class PlanInputs(typing.NamedTuple):
     """What a target depends on, as far as it is known here without calling anybody."""
 
     members: tuple[tuple[updates.Identity, updates.MemberState], ...]
@@ -48,11 +48,11 @@
         self.participant = node_participant
         self.context = node_participant.context
         self.submitter = node_submitter
-        self.seen_version = ""
-        self.changed_at = 0.0
+        self.last_voters_version = ""
+        self.voters_changed_at = 0.0
         # When it was last planned, and from what.
         self.planned_at = 0.0
-        self.planned_situation: Situation | None = None
+        self.planned_inputs: PlanInputs | None = None
         # At a shutdown: whether the vote was handed over, or cannot be.
         self.has_handed_over = False
         if self.is_enabled:
@@ -71,35 +71,37 @@
         """Plan at intervals until the node shuts down, then hand the vote over."""
         while self.is_enabled and not self.context.is_lame_duck:
             try:
-                if not self._is_quiet():
-                    await self._improve()
+                if not self._is_plan_current():
+                    await self._apply_target()
             except PLAN_ERRORS as error:
                 event_log.record("voters-not-changed", error=str(error))
             await asyncio.sleep(self.context.randomness.uniform(*INTERVAL_FACTORS) * INTERVAL_SECONDS)
         if self.is_enabled:
             await self._hand_over()
 
-    def _situation(self) -> Situation:
+    def _plan_inputs(self) -> PlanInputs:
         members = tuple((update.identity, update.state) for update in self.context.members_of("agency"))
-        return Situation(members, tuple(tuple(self.participant.voters(table)) for table in items.TABLES))
+        return PlanInputs(members, tuple(tuple(self.participant.voters(table)) for table in items.TABLES))
 
-    def _is_quiet(self) -> bool:
+    def _is_plan_current(self) -> bool:
         """Return whether all voters reply and nothing has changed since the last plan."""
         now = self.context.clock.now()
-        disk_ids = {voter.disk_id for voter in self.participant.voters(items.LEDGER)}
-        others = disk_ids - {self.participant.store.disk_id}
+        voter_disk_ids = {voter.disk_id for voter in self.participant.voters(items.LEDGER)}
+        other_disk_ids = voter_disk_ids - {self.participant.store.disk_id}
         last_replies = self.participant.last_replies
-        are_replying = all(now - last_replies.get(disk_id, now) < SILENCE_SECONDS for disk_id in others)
-        is_planned = now - self.planned_at < REPLAN_SECONDS and self.planned_situation == self._situation()
+        are_replying = all(
+            now - last_replies.get(disk_id, now) < MISSING_REPLY_SECONDS for disk_id in other_disk_ids
+        )
+        is_planned = now - self.planned_at < REPLAN_SECONDS and self.planned_inputs == self._plan_inputs()
         return are_replying and is_planned
 
     # -- handover ----------------------------------------------------------------------------------------
     async def _hand_over(self) -> None:
         """Have another control plane node that holds everything take this one's vote."""
-        end = self.context.clock.now() + self.context.settings.drain - HANDOVER_RESERVE_SECONDS
+        deadline = self.context.clock.now() + self.context.settings.drain - HANDOVER_RESERVE_SECONDS
         try:
             for _ in range(HANDOVER_ATTEMPTS_LIMIT):
-                seconds_left = end - self.context.clock.now()
+                seconds_left = deadline - self.context.clock.now()
                 if seconds_left <= 0 or await self._try_handing_over(seconds_left):
                     break
         finally:
@@ -109,7 +111,7 @@
         """Return whether there is nothing more to be done."""
         try:
             async with asyncio.timeout(timeout_seconds):
-                await self._improve(frozenset({self.participant.store.disk_id}))
+                await self._apply_target(frozenset({self.participant.store.disk_id}))
         except (*PLAN_ERRORS, TimeoutError) as error:
             event_log.record("vote-not-handed-over", error=str(error))
             return False
@@ -118,7 +120,7 @@
         return True
 
     # -- plans -------------------------------------------------------------------------------------------
-    async def _improve(self, leaving: frozenset[str] = frozenset()) -> None:
+    async def _apply_target(self, leaving: frozenset[str] = frozenset()) -> None:
         """Change all tables to one target, worked out from the ledger's voters.
 
         Args:
@@ -129,40 +131,43 @@
         current = self.participant.voters(items.LEDGER)
         missing = await self._missing_disks(current) | leaving
         candidates = [voter for voter in await self._candidates() if voter.disk_id not in missing]
-        wanted = self.context.settings.voters
-        target = voter_target.target_voters(candidates, current, missing, wanted)
-        if self._is_settling(current, target, missing):
+        wanted_voters = self.context.settings.voters
+        target = voter_target.target_voters(candidates, current, missing, wanted_voters)
+        if self._was_changed_recently(current, target, missing):
             return
         self.planned_at = self.context.clock.now()
-        self.planned_situation = self._situation()
+        self.planned_inputs = self._plan_inputs()
         # Side by side: a voter that shuts down has seconds for all of them.
         await asyncio.gather(*(self._change_voters(table, target) for table in items.TABLES))
 
-    def _is_settling(
+    def _was_changed_recently(
         self, current: list[quorum.Voter], target: list[quorum.Voter], missing: set[str]
     ) -> bool:
         """Return whether a set just changed is to be left alone; never if a lost voter is to be replaced."""
         now = self.context.clock.now()
         version = str(self.context.replicas[items.LEDGER].version(items.VOTERS_KEY))
-        if version != self.seen_version:
-            self.seen_version = version
-            self.changed_at = now
-        kept = {voter.disk_id for voter in target}
-        known = {voter.disk_id for voter in current}
-        renewed = {voter.name for voter in target if voter.disk_id not in known}
+        if version != self.last_voters_version:
+            self.last_voters_version = version
+            self.voters_changed_at = now
+        target_disk_ids = {voter.disk_id for voter in target}
+        current_disk_ids = {voter.disk_id for voter in current}
+        names_with_new_disk = {voter.name for voter in target if voter.disk_id not in current_disk_ids}
         is_repair = any(
-            voter.disk_id not in kept and (voter.disk_id in missing or voter.name in renewed)
+            voter.disk_id not in target_disk_ids
+            and (voter.disk_id in missing or voter.name in names_with_new_disk)
             for voter in current
         )
-        return not is_repair and target != current and now - self.changed_at < SETTLING_SECONDS
+        return (
+            not is_repair and target != current and now - self.voters_changed_at < MIN_CHANGE_INTERVAL_SECONDS
+        )
 
     async def _change_voters(self, table: str, target: list[quorum.Voter]) -> None:
         current = self.participant.voters(table)
-        known = {voter.disk_id for voter in current}
-        if known == {voter.disk_id for voter in target} or not self.participant.is_voter(table):
+        current_disk_ids = {voter.disk_id for voter in current}
+        if current_disk_ids == {voter.disk_id for voter in target} or not self.participant.is_voter(table):
             return
         expected = str(self.context.replicas[table].version(items.VOTERS_KEY))
-        newcomers = [voter for voter in target if voter.disk_id not in known]
+        newcomers = [voter for voter in target if voter.disk_id not in current_disk_ids]
         await asyncio.gather(*(self._check_durability(voter) for voter in newcomers))
         payload = (expected, tuple(tuple(voter) for voter in target))
         order = orders.Order(f"voters-{table}", "", payload)
@@ -183,28 +188,28 @@
         transport = self.context.transport
         if voter.disk_id == self.participant.store.disk_id:
             reply = await transport.handlers[message.kind](voter.name, list(message.to_wire()))
-            answering = message.decode_reply(reply)
+            replying_voter = message.decode_reply(reply)
         else:
             address = (voter.host, voter.port)
-            answering = await request.call(
+            replying_voter = await request.call(
                 transport, address, voter.name, message, DURABILITY_TIMEOUT_SECONDS
             )
-        if answering != voter:
+        if replying_voter != voter:
             raise errors.NotBootstrappedError(f"{voter.name} has another disk than a moment ago")
 
     # -- what others report ------------------------------------------------------------------------------
     async def _candidates(self) -> list[quorum.Voter]:
         """Return the control plane nodes that know the tables and are not shutting down, this one last."""
         members = self.context.members_of("agency")
-        found = await asyncio.gather(*(self._candidate(update) for update in members))
-        return [voter for voter in [*found, self.participant.own_voter()] if voter is not None]
+        candidates_found = await asyncio.gather(*(self._candidate(update) for update in members))
+        return [voter for voter in [*candidates_found, self.participant.own_voter()] if voter is not None]
 
     async def _candidate(self, update: updates.Update) -> quorum.Voter | None:
         address = update.node_info.address
         message = node_messages.NodeStateRequest()
         try:
             state = await request.call(
-                self.context.transport, address, update.identity.name, message, ANSWER_TIMEOUT_SECONDS
+                self.context.transport, address, update.identity.name, message, REPLY_TIMEOUT_SECONDS
             )
         except errors.IrisError:
             return None
@@ -212,26 +217,28 @@
 
     async def _missing_disks(self, voters: list[quorum.Voter]) -> set[str]:
         """Return the disks that have long been silent towards a majority; one bad link proves nothing."""
-        reports = await asyncio.gather(*(self._report(voter) for voter in voters))
-        longest = self.context.settings.replace_after
-        credible = [
+        reports = await asyncio.gather(*(self._reachability_report(voter) for voter in voters))
+        replace_after_seconds = self.context.settings.replace_after
+        credible_reports = [
             report
             for voter, report in zip(voters, reports, strict=True)
             # A voter that reaches nobody at all reports on itself: it was cut off, or paused.
             if report is not None
             and report.disk_id == voter.disk_id
-            and any(entry.silent_seconds < longest for entry in report.others)
+            and any(entry.seconds_since_reply < replace_after_seconds for entry in report.reply_ages)
         ]
         missing = set()
         for voter in voters:
-            silent = node_messages.silent_count(credible, voter.disk_id, longest)
-            if 2 * silent > len(voters):
+            reports_without_reply = node_messages.count_unreachable_reports(
+                credible_reports, voter.disk_id, replace_after_seconds
+            )
+            if 2 * reports_without_reply > len(voters):
                 missing.add(voter.disk_id)
         return missing
 
-    async def _report(self, voter: quorum.Voter) -> node_messages.ReachabilityReport | None:
+    async def _reachability_report(self, voter: quorum.Voter) -> node_messages.ReachabilityReport | None:
         try:
-            async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
+            async with asyncio.timeout(REPLY_TIMEOUT_SECONDS):
                 return await self.participant.call_voter(voter, node_messages.ReachabilityRequest())
         except (errors.IrisError, TimeoutError):
             return None
--- a/src/irisstand/modelcheck/clients.py
+++ b/src/irisstand/modelcheck/clients.py
@@ -85,7 +85,7 @@
         """Run a step as the node, and note its result."""
         try:
             if step.kind is scenarios.StepKind.READ:
-                await node.heartbeat.beat()
+                await node.heartbeat.run_round()
                 self.results[number] = scenarios.StepResult.READ
             else:
                 await self.submit(number, self.order_of(step), node)
--- a/src/irisstand/modelcheck/cluster.py
+++ b/src/irisstand/modelcheck/cluster.py
@@ -168,7 +168,7 @@
             (node.participant.store.records[model_node.TABLE], node.table_replica.root_digest())
             for node in self.nodes.values()
         ]
-        highest = tuple(node.proposer.highest for node in self.nodes.values())
+        highest = tuple(node.proposer.highest_ballot for node in self.nodes.values())
         refused = tuple(order.change for order in self.checker.history.refused)
         return hash(repr((tables, highest, self.sorted_results(), self.confirmed(), refused)))
 
--- a/tests/controlplane/test_ballots.py
+++ b/tests/controlplane/test_ballots.py
@@ -14,65 +14,65 @@
 
 
 def test_of_changes_racing_from_the_same_version_exactly_one_wins():
-    async def scene(day):
+    async def scenario(day):
         for round_number in range(12):
             expected = str(cluster.context(day, "agency-1").configuration.version("site/north"))
             rows = [[cluster.site_row(weight=weight, expected=expected)] for weight in (1, 2, 3)]
             orders = [day.actors.order(f"agency-{number + 1}", "change", rows[number]) for number in range(3)]
             results = await asyncio.gather(*orders, return_exceptions=True)
-            won = [result for result in results if isinstance(result, dict)]
-            assert len(won) == 1, results
+            confirmed = [result for result in results if isinstance(result, dict)]
+            assert len(confirmed) == 1, results
             assert all(isinstance(result, dict | errors.StaleVersionError) for result in results)
-            weight = results.index(won[0]) + 1
+            weight = results.index(confirmed[0]) + 1
             await asyncio.sleep(1)
             for name in ("agency-4", "edge-1", "shield-3", "store-1"):
                 configuration = cluster.context(day, name).configuration
                 assert configuration.value("site/north") == {"weight": weight}, round_number
-                assert str(configuration.version("site/north")) == won[0]["serial"]
+                assert str(configuration.version("site/north")) == confirmed[0]["serial"]
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_change_id_sent_again_to_another_node_returns_the_first_result():
-    async def scene(day):
+    async def scenario(day):
         first = await day.actors.order("agency-1", "change", [cluster.site_row(weight=5)], "mine")
         await day.actors.order("agency-2", "change", [cluster.site_row(weight=6)], "other")
-        again = await day.actors.order("agency-3", "change", [cluster.site_row(weight=5)], "mine")
-        assert again == first
+        repeated_result = await day.actors.order("agency-3", "change", [cluster.site_row(weight=5)], "mine")
+        assert repeated_result == first
         assert cluster.context(day, "agency-3").configuration.value("site/north") == {"weight": 6}
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_invalid_change_is_refused_as_a_whole_with_every_fault():
-    async def scene(day):
-        before = cluster.context(day, "agency-1").configuration.applied
-        bad = [
+    async def scenario(day):
+        version_before = cluster.context(day, "agency-1").configuration.applied
+        invalid_rows = [
             cluster.site_row(),
             cluster.site_row("south", weight=-1),
             {"kind": "path", "name": "/x/", "value": {"grants": [{"service": "nobody", "methods": ["GET"]}]}},
         ]
         with pytest.raises(errors.InvalidChangeError) as raised:
-            await day.actors.order("agency-1", "change", bad)
+            await day.actors.order("agency-1", "change", invalid_rows)
         assert [(fault["row"], fault["field"]) for fault in raised.value.faults] == [(1, "weight")]
         with pytest.raises(errors.InvalidChangeError) as raised:
-            await day.actors.order("agency-4", "change", [bad[0], bad[2]])
+            await day.actors.order("agency-4", "change", [invalid_rows[0], invalid_rows[2]])
         assert "nobody" in raised.value.faults[0]["message"]
         # A service that a path still grants cannot be removed under it either.
         with pytest.raises(errors.InvalidChangeError):
             await day.actors.order(
                 "agency-1", "change", [{"kind": "service", "name": "content", "value": None}]
             )
-        assert cluster.context(day, "agency-1").configuration.applied == before
+        assert cluster.context(day, "agency-1").configuration.applied == version_before
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_change_id_sent_again_after_its_proposer_was_killed_returns_the_one_result(seed):
     """The id sent again brings the result; what was said yes to stays, whatever was killed right after."""
 
-    async def scene(day):
+    async def scenario(day):
         randomness = random.Random(seed)
         for number in range(6):
             proposer = f"agency-{randomness.randrange(5) + 1}"
@@ -81,19 +81,19 @@
             task = asyncio.create_task(day.actors.order(proposer, "change", rows, f"c{number}"))
             await asyncio.sleep(randomness.uniform(0, 0.05))
             day.cluster.nodes[proposer].kill(reset=randomness.random() < 0.5)
-            told = task.result() if task.done() and not task.exception() else None
-            again = await day.actors.order(other, "change", rows, f"c{number}")
-            assert told is None or told["serial"] == again["serial"]
+            first_result = task.result() if task.done() and not task.exception() else None
+            repeated_result = await day.actors.order(other, "change", rows, f"c{number}")
+            assert first_result is None or first_result["serial"] == repeated_result["serial"]
             task.cancel()
             await day.cluster.nodes[proposer].start()
             await day.cluster.wait_until_ready()
             assert cluster.context(day, proposer).configuration.value("site/north") == {"weight": number + 1}
 
-    cluster.play(scene, seed)
+    cluster.play(scenario, seed)
 
 
 def test_minority_partition_accepts_no_change_and_stops_serving():
-    async def scene(day):
+    async def scenario(day):
         day.cluster.partition_off(["agency-1", "agency-2", "edge-1"])
         with pytest.raises(errors.NoQuorumError):
             await day.actors.order("agency-1", "change", [cluster.site_row(weight=9)])
@@ -105,13 +105,13 @@
         # Refused means never: the row did not come into force with the healing either.
         assert cluster.context(day, "agency-3").configuration.value("site/north") is None
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_batch_numbered_below_its_base_is_rejected():
     """Found by seed 4 of the simulator: such a batch made every node take the newer table for the older."""
 
-    async def scene():
+    async def scenario():
         disk = memory_disk.MemoryDisk(random.Random(1))
         store = durable_store.DurableStore(disk, random.Random(1))
         await store.open()
@@ -122,17 +122,17 @@
         base = versions.Version(22, "b")
         first = items.Batch(base, versions.NONE, (items.Row(items.VOTERS_KEY, [tuple(voter)], False),))
         await ledger_acceptor.submit(acceptor.InstallFirstBatch(first))
-        ballot, earlier = versions.Version(30, "c"), versions.Version(29, "c")
+        ballot, lower_ballot = versions.Version(30, "c"), versions.Version(29, "c")
         rows = (items.Row("row", 1, False),)
-        low = items.Batch(versions.Version(21, "c"), base, rows)
-        moved = messages.Rejected(messages.VoteStatus.MOVED, base)
-        assert await ledger_acceptor.submit(acceptor.Accept(ballot, low, "c")) == moved
-        good = items.Batch(versions.Version(23, "c"), base, rows)
-        assert await ledger_acceptor.submit(acceptor.Accept(ballot, good, "c")) == messages.Accepted()
+        invalid_batch = items.Batch(versions.Version(21, "c"), base, rows)
+        base_mismatch = messages.Rejected(messages.VoteStatus.BASE_MISMATCH, base)
+        assert await ledger_acceptor.submit(acceptor.Accept(ballot, invalid_batch, "c")) == base_mismatch
+        valid_batch = items.Batch(versions.Version(23, "c"), base, rows)
+        assert await ledger_acceptor.submit(acceptor.Accept(ballot, valid_batch, "c")) == messages.Accepted()
         # And once promised, lower ballots are refused.
-        lost = messages.Rejected(messages.VoteStatus.LOST, ballot)
-        assert await ledger_acceptor.submit(acceptor.Accept(earlier, good, "c")) == lost
-        assert await ledger_acceptor.submit(acceptor.Prepare(ballot)) == lost
+        ballot_too_low = messages.Rejected(messages.VoteStatus.HIGHER_BALLOT_PROMISED, ballot)
+        assert await ledger_acceptor.submit(acceptor.Accept(lower_ballot, valid_batch, "c")) == ballot_too_low
+        assert await ledger_acceptor.submit(acceptor.Prepare(ballot)) == ballot_too_low
         task.cancel()
 
-    virtual_time.run(scene())
+    virtual_time.run(scenario())
--- a/tests/controlplane/test_bootstrap.py
+++ b/tests/controlplane/test_bootstrap.py
@@ -12,161 +12,161 @@
 SITES = (("north", "one"), ("south", "one"), ("east", "two"), ("west", "two"))
 
 
-def play(scene, seed=1, outage_bound=0.0):
-    async def whole():
-        world = simulated_cluster.SimulatedCluster(seed, cluster.SHAPE)
-        world.by_seeds, world.replace_after, world.outage_bound = True, 1.2, outage_bound
-        await world.start_all()
-        found = await scene(world)
+def play(scenario, seed=1, outage_bound=0.0):
+    async def run():
+        simulation = simulated_cluster.SimulatedCluster(seed, cluster.SHAPE)
+        simulation.by_seeds, simulation.replace_after, simulation.outage_bound = True, 1.2, outage_bound
+        await simulation.start_all()
+        result = await scenario(simulation)
         assert not asyncio.get_running_loop().faults, asyncio.get_running_loop().faults[0]
-        return found
+        return result
 
-    return virtual_time.run(whole())
+    return virtual_time.run(run())
 
 
-def voters(world, table=items.CONFIGURATION):
+def voters(simulation, table=items.CONFIGURATION):
     """The voters in force for a table, the configuration unless another is named."""
-    return voter_cluster.voters(world, table)
+    return voter_cluster.voters(simulation, table)
 
 
-def all_vote(world, names):
-    return all({voter.name for voter in voters(world, table)} == set(names) for table in items.TABLES)
+def all_vote(simulation, names):
+    return all({voter.name for voter in voters(simulation, table)} == set(names) for table in items.TABLES)
 
 
-FIVE = [f"agency-{number}" for number in range(1, 6)]
+FIVE_VOTERS = [f"agency-{number}" for number in range(1, 6)]
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
 def test_voters_grow_from_three_seeds_to_five_and_survive_any_site_loss_throughout(seed):
-    async def scene(world):
-        worst = []
+    async def scenario(simulation):
+        vulnerable_sets = []
 
-        async def look():
+        async def watch_voter_sets():
             while True:
-                for node in world.with_role("agency"):
-                    known = quorum.voters_from_wire(
+                for node in simulation.with_role("agency"):
+                    voter_set = quorum.voters_from_wire(
                         node.program.context.replicas[items.CONFIGURATION].value(items.VOTERS_KEY)
                     )
-                    if known and not quorum.survives_any_site_loss(known):
-                        worst.append(known)
+                    if voter_set and not quorum.survives_any_site_loss(voter_set):
+                        vulnerable_sets.append(voter_set)
                 await asyncio.sleep(0.01)
 
-        watching = asyncio.get_running_loop().create_task(look())
-        await world.wait_until(lambda: all_vote(world, FIVE), 10)
-        watching.cancel()
-        assert not worst
+        watch_task = asyncio.get_running_loop().create_task(watch_voter_sets())
+        await simulation.wait_until(lambda: all_vote(simulation, FIVE_VOTERS), 10)
+        watch_task.cancel()
+        assert not vulnerable_sets
 
-    play(scene, seed)
+    play(scenario, seed)
 
 
 def test_nodes_whose_disks_were_all_lost_do_not_bootstrap_again():
-    async def scene(world):
-        await world.wait_until(lambda: all_vote(world, FIVE), 10)
-        for node in world.with_role("agency"):
+    async def scenario(simulation):
+        await simulation.wait_until(lambda: all_vote(simulation, FIVE_VOTERS), 10)
+        for node in simulation.with_role("agency"):
             node.kill()
             node.wipe()
-        for node in world.with_role("agency"):
+        for node in simulation.with_role("agency"):
             await node.start()
         await asyncio.sleep(20)
-        for node in world.with_role("agency"):
+        for node in simulation.with_role("agency"):
             assert node.program.context.replicas[items.CONFIGURATION].applied == versions.NONE
 
-    play(scene)
+    play(scenario)
 
 
 def test_seed_with_a_wiped_disk_learns_the_tables_and_votes_again():
-    async def scene(world):
-        await world.wait_until(lambda: all_vote(world, FIVE), 10)
-        node = world.nodes["agency-1"]
-        old = node.program.participant.store.disk_id
+    async def scenario(simulation):
+        await simulation.wait_until(lambda: all_vote(simulation, FIVE_VOTERS), 10)
+        node = simulation.nodes["agency-1"]
+        old_disk_id = node.program.participant.store.disk_id
         node.kill()
         node.wipe()
         await node.start()
-        await world.wait_until(
-            lambda: any(v.disk_id == node.program.participant.store.disk_id for v in voters(world)), 4
+        await simulation.wait_until(
+            lambda: any(v.disk_id == node.program.participant.store.disk_id for v in voters(simulation)), 4
         )
-        assert old not in {voter.disk_id for voter in voters(world)}
+        assert old_disk_id not in {voter.disk_id for voter in voters(simulation)}
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_empty_machine_replaces_a_lost_voter_within_four_seconds(seed):
-    async def scene(world):
-        await world.wait_until(lambda: all_vote(world, FIVE), 10)
-        lost = world.nodes["agency-2"]
-        lost.kill(reset=False)
-        world.retire(lost)
+    async def scenario(simulation):
+        await simulation.wait_until(lambda: all_vote(simulation, FIVE_VOTERS), 10)
+        lost_node = simulation.nodes["agency-2"]
+        lost_node.kill(reset=False)
+        simulation.retire(lost_node)
         await asyncio.sleep(1)
-        plan = lost.placement._replace(name="agency-9", machine="m-9", host="10.0.0.99")
-        await world.add(plan).start()
-        names = [name for name in FIVE if name != "agency-2"] + ["agency-9"]
-        await world.wait_until(lambda: all_vote(world, names), 4)
+        placement = lost_node.placement._replace(name="agency-9", machine="m-9", host="10.0.0.99")
+        await simulation.add(placement).start()
+        names = [name for name in FIVE_VOTERS if name != "agency-2"] + ["agency-9"]
+        await simulation.wait_until(lambda: all_vote(simulation, names), 4)
 
-    play(scene, seed)
+    play(scenario, seed)
 
 
 @pytest.mark.parametrize("site", ["north", "south", "east", "west"])
 def test_confirmed_change_survives_wiped_disks_of_a_site_and_power_loss_of_all_others(site):
-    async def scene(world):
-        await world.wait_until(lambda: all_vote(world, FIVE), 10)
-        proposer = next(node for node in world.with_role("agency") if node.placement.site == site)
+    async def scenario(simulation):
+        await simulation.wait_until(lambda: all_vote(simulation, FIVE_VOTERS), 10)
+        proposer = next(node for node in simulation.with_role("agency") if node.placement.site == site)
         item = {"name": "s1", "version": 4}
         payload = [("upstream/s1", {"version": 4, "item": item})]
-        await world.actors.order(proposer.placement.name, "amend", payload)
-        for node in world.with_role("agency"):
+        await simulation.actors.order(proposer.placement.name, "amend", payload)
+        for node in simulation.with_role("agency"):
             node.kill(reset=False)
             if node.placement.site == site:
                 node.wipe()
         await asyncio.sleep(1)
-        for node in world.with_role("agency"):
+        for node in simulation.with_role("agency"):
             await node.start()
-        await world.wait_until(lambda: all(map(world.is_ready, world.with_role("agency"))), 15)
-        for node in world.with_role("agency"):
+        await simulation.wait_until(lambda: all(map(simulation.is_ready, simulation.with_role("agency"))), 15)
+        for node in simulation.with_role("agency"):
             assert node.program.context.configuration.value("upstream/s1") == payload[0][1]
 
-    play(scene)
+    play(scenario)
 
 
 def test_edge_cut_off_from_the_control_plane_stays_ready_through_its_peers():
-    async def scene(world):
-        await world.wait_until_ready()
-        cores = [node.placement.host for node in world.with_role("agency")]
-        edge = world.nodes["edge-1"]
-        world.network.cut([edge.placement.host], cores)
-        stale = 0
+    async def scenario(simulation):
+        await simulation.wait_until_ready()
+        control_plane_hosts = [node.placement.host for node in simulation.with_role("agency")]
+        edge = simulation.nodes["edge-1"]
+        simulation.network.cut([edge.placement.host], control_plane_hosts)
+        unready_checks = 0
         for _ in range(400):
             await asyncio.sleep(0.02)
-            stale += not world.is_ready(edge)
-        assert not stale
+            unready_checks += not simulation.is_ready(edge)
+        assert not unready_checks
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize(("bound", "stale_after"), [(0.0, 1.5), (5.0, 6.5)])
 def test_tables_are_used_for_the_configured_time_after_the_control_plane_is_lost(bound, stale_after):
-    async def scene(world):
-        await world.wait_until_ready()
-        for node in world.with_role("agency"):
+    async def scenario(simulation):
+        await simulation.wait_until_ready()
+        for node in simulation.with_role("agency"):
             node.kill()
-        edge = world.nodes["edge-1"]
-        took = await world.wait_until(lambda: not world.is_ready(edge), 10)
-        assert stale_after - 0.6 <= took <= stale_after + 0.1
+        edge = simulation.nodes["edge-1"]
+        elapsed_seconds = await simulation.wait_until(lambda: not simulation.is_ready(edge), 10)
+        assert stale_after - 0.6 <= elapsed_seconds <= stale_after + 0.1
         # No moment without: the bound for a core that answers is over before the core is known to be out.
         await asyncio.sleep(0.5)
-        assert not world.is_ready(edge)
+        assert not simulation.is_ready(edge)
 
-    play(scene, outage_bound=bound)
+    play(scenario, outage_bound=bound)
 
 
 def test_paused_node_does_not_take_its_own_pause_for_a_quorum_loss():
-    async def scene(world):
-        await world.wait_until_ready()
-        edge = world.nodes["edge-1"]
+    async def scenario(simulation):
+        await simulation.wait_until_ready()
+        edge = simulation.nodes["edge-1"]
         edge.freeze()
         await asyncio.sleep(4)
         edge.thaw()
         assert not any(map(edge.program.context.is_quorum_lost, edge.program.context.replicas.values()))
-        await world.wait_until(lambda: world.is_ready(edge), 1)
+        await simulation.wait_until(lambda: simulation.is_ready(edge), 1)
 
-    play(scene, outage_bound=5.0)
+    play(scenario, outage_bound=5.0)
--- a/tests/controlplane/test_consensus_messages.py
+++ b/tests/controlplane/test_consensus_messages.py
@@ -129,7 +129,7 @@
         (messages.VoterStateRequest, ["ledger"]),
         (messages.VoterState, ["disk", VERSION, None, VERSION]),
         (node_messages.ReachabilityReport, ["disk", [["other", 0.5]]]),
-        (node_messages.SilentDisk, ["other", 0.5]),
+        (node_messages.ReplyAge, ["other", 0.5]),
         (order_messages.OrderRequest, ["change", "id", []]),
         (order_messages.OrderReply, ["done", {}]),
         (quorum.Voter, VOTER),
--- a/tests/controlplane/test_halved_core.py
+++ b/tests/controlplane/test_partitioned_control_plane.py
@@ -5,7 +5,7 @@
 import cluster
 import pytest
 import test_partitioned_nodes
-from test_partitioned_nodes import NOT_REFUSED
+from test_partitioned_nodes import UNDECIDED_ERRORS
 
 from irisstand import errors
 
@@ -13,55 +13,55 @@
 CHANGES = 16
 
 
-def names(numbers):
+def node_names(numbers):
     return [f"agency-{number}" for number in numbers]
 
 
-async def change(day, number):
+async def order_change(day, number):
     """Order one change at one node after the other until it is confirmed; return whether it was."""
     rows = [cluster.site_row(name="north", weight=number + 1)]
     for attempt in range(4):
         try:
             # The same order each time: it counts once, whichever of them is carried out.
             await day.actors.order(f"agency-{(number + attempt) % 5 + 1}", "change", rows, f"halved-{number}")
-        except NOT_REFUSED:
+        except UNDECIDED_ERRORS:
             await asyncio.sleep(0.2)
         else:
             return True
     return False
 
 
-async def weights_shown(day):
+async def read_weights(day):
     """What each node answers a read that begins now; a node that refuses is left out."""
-    shown = {}
-    for name in names(range(1, 6)):
+    shown_weights = {}
+    for name in node_names(range(1, 6)):
         try:
             rows = await test_partitioned_nodes.read(day, name)
-        except (errors.StaleConfigurationError, *NOT_REFUSED):
+        except (errors.StaleConfigurationError, *UNDECIDED_ERRORS):
             continue
-        shown[name] = test_partitioned_nodes.weight_of(rows)
-    return shown
+        shown_weights[name] = test_partitioned_nodes.weight_of(rows)
+    return shown_weights
 
 
 @pytest.mark.parametrize("halves", HALVES)
-def test_core_in_halves_confirms_on_one_side_and_shows_no_older_state(halves):
-    async def scene(day):
-        confirmed, answered = 0, 0
+def test_partitioned_control_plane_confirms_on_one_side_and_shows_no_older_state(halves):
+    async def scenario(day):
+        changes_confirmed, reads_answered = 0, 0
         for number in range(CHANGES):
             if number == 3:
-                day.cluster.network.cut(*(day.cluster.hosts(names(half)) for half in halves))
+                day.cluster.network.cut(*(day.cluster.hosts(node_names(half)) for half in halves))
             if number == CHANGES - 3:
                 day.cluster.network.heal()
-            if await change(day, number):
-                confirmed += 1
-                shown = await weights_shown(day)
-                answered += len(shown)
-                assert set(shown.values()) <= {number + 1}, (number, shown)
+            if await order_change(day, number):
+                changes_confirmed += 1
+                shown_weights = await read_weights(day)
+                reads_answered += len(shown_weights)
+                assert set(shown_weights.values()) <= {number + 1}, (number, shown_weights)
         await asyncio.sleep(3)
-        return confirmed, answered, await weights_shown(day)
+        return changes_confirmed, reads_answered, await read_weights(day)
 
-    confirmed, answered, at_the_end = cluster.play(scene)
+    changes_confirmed, reads_answered, final_weights = cluster.play(scenario)
     # The greater half confirms throughout, and answers reads.
-    assert confirmed == CHANGES
-    assert answered >= 3 * CHANGES - 6
-    assert at_the_end == dict.fromkeys(names(range(1, 6)), CHANGES)
+    assert changes_confirmed == CHANGES
+    assert reads_answered >= 3 * CHANGES - 6
+    assert final_weights == dict.fromkeys(node_names(range(1, 6)), CHANGES)
--- a/tests/controlplane/test_partitioned_nodes.py
+++ b/tests/controlplane/test_partitioned_nodes.py
@@ -15,7 +15,7 @@
 
 PAGES = ("get_rows", "get_items", "get_ledger", "get_voters", "get_machines")
 # What an operator that was given no answer can rely on: nothing here is a refusal.
-NOT_REFUSED = (
+UNDECIDED_ERRORS = (
     errors.NoQuorumError,
     errors.ChangeOutcomeUnknownError,
     errors.NotBootstrappedError,
@@ -23,74 +23,74 @@
 )
 
 
-def reads_of(day, name):
+def operator_reads_of(day, name):
     """The operators' pages of one node, without the listener before them."""
-    body = day.cluster.nodes[name].program
+    program = day.cluster.nodes[name].program
     server = types.SimpleNamespace(app=types.SimpleNamespace(add_route=lambda *_, **__: None))
-    members = voter_administration.VoterAdministration(body.context, body.submitter)
-    return operator_reads.OperatorReads(body.context, members, body.read_index, server)
+    administration = voter_administration.VoterAdministration(program.context, program.submitter)
+    return operator_reads.OperatorReads(program.context, administration, program.read_index, server)
 
 
 async def read(day, name, page="get_rows", *arguments):
-    reads = reads_of(day, name)
+    reads = operator_reads_of(day, name)
     response = await day.cluster.nodes[name].do(getattr(reads, page)(None, *arguments), 5)
     return json.loads(response.body)
 
 
 def weight_of(rows, site="north"):
-    found = [row["value"]["weight"] for row in rows["rows"] if (row["kind"], row["name"]) == ("site", site)]
-    return found[0] if found else None
+    weights = [row["value"]["weight"] for row in rows["rows"] if (row["kind"], row["name"]) == ("site", site)]
+    return weights[0] if weights else None
 
 
 # -- reads -------------------------------------------------------------------------------------------
 @pytest.mark.parametrize("page", PAGES)
 def test_control_node_just_cut_off_refuses_reads_at_once(page):
-    async def scene(day):
+    async def scenario(day):
         day.cluster.partition_off(["agency-5"])
         # Well inside the freshness bound: by its age alone this node's copy still counts.
         await day.actors.order("agency-2", "change", [cluster.site_row(weight=7)])
-        started = day.now()
+        started_at = day.now()
         with pytest.raises(errors.StaleConfigurationError) as raised:
             await read(day, "agency-5", page)
-        assert day.now() - started < 0.8
+        assert day.now() - started_at < 0.8
         assert raised.value.status == 503
         assert raised.value.retry_after
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_control_node_cut_off_refuses_to_report_a_change_it_does_not_know():
-    async def scene(day):
+    async def scenario(day):
         day.cluster.partition_off(["agency-5"])
         await day.actors.order("agency-2", "change", [cluster.site_row(weight=7)], "mine")
         with pytest.raises(errors.StaleConfigurationError):
             await read(day, "agency-5", "get_change", "mine")
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_read_after_a_confirmed_change_shows_it_at_every_node():
-    async def scene(day):
+    async def scenario(day):
         for weight in range(1, 13):
             await day.actors.order(f"agency-{weight % 5 + 1}", "change", [cluster.site_row(weight=weight)])
             for number in range(1, 6):
                 assert weight_of(await read(day, f"agency-{number}")) == weight
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_read_shows_a_batch_that_a_majority_accepted_or_is_refused():
-    async def scene(day):
-        core = day.cluster.nodes["agency-1"].program.participant
-        applied = core.context.configuration.applied
-        ballot = versions.Version(applied.counter + 5, f"agency-1~{core.store.disk_id}")
+    async def scenario(day):
+        participant = day.cluster.nodes["agency-1"].program.participant
+        applied = participant.context.configuration.applied
+        ballot = versions.Version(applied.counter + 5, f"agency-1~{participant.store.disk_id}")
         batch = items.Batch(ballot, applied, (("site/south", {"weight": 9}, False),))
         day.cluster.nodes["agency-1"].kill()
         for name in ("agency-2", "agency-3", "agency-4"):
             node = day.cluster.nodes[name]
-            owner = node.program.participant.acceptors[items.CONFIGURATION]
-            await node.do(owner.submit(acceptor.Prepare(ballot)), 1)
-            await node.do(owner.submit(acceptor.Accept(ballot, batch, "agency-1")), 1)
+            table_acceptor = node.program.participant.acceptors[items.CONFIGURATION]
+            await node.do(table_acceptor.submit(acceptor.Prepare(ballot)), 1)
+            await node.do(table_acceptor.submit(acceptor.Accept(ballot, batch, "agency-1")), 1)
         # Its proposer may have said yes to its operator a moment ago.
         try:
             assert weight_of(await read(day, "agency-5"), "south") == 9
@@ -98,43 +98,43 @@
             await asyncio.sleep(1)
             assert weight_of(await read(day, "agency-5"), "south") == 9
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_concurrent_reads_share_a_heartbeat_round():
-    async def scene(day):
+    async def scenario(day):
         node = day.cluster.nodes["agency-1"]
-        reads = reads_of(day, "agency-1")
-        before = node.program.context.counters.text()
-        told = await asyncio.gather(*(node.do(reads.get_rows(None), 5) for _ in range(200)))
-        assert len({response.body for response in told}) == 1
-        after = node.program.context.counters.text()
-        assert asked(after) - asked(before) < 40
+        reads = operator_reads_of(day, "agency-1")
+        counters_before = node.program.context.counters.text()
+        results = await asyncio.gather(*(node.do(reads.get_rows(None), 5) for _ in range(200)))
+        assert len({response.body for response in results}) == 1
+        counters_after = node.program.context.counters.text()
+        assert count_state_requests(counters_after) - count_state_requests(counters_before) < 40
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_read_does_not_join_a_round_that_began_before_it():
-    async def scene(day):
+    async def scenario(day):
         node = day.cluster.nodes["agency-1"]
-        check = node.program.heartbeats[items.LEDGER]
+        heartbeat = node.program.heartbeats[items.LEDGER]
 
-        async def slow_beat():
+        async def slow_round():
             await asyncio.sleep(0.2)
             return True
 
-        check.beat = slow_beat
-        first = node.actor.start(check.confirm_read())
+        heartbeat.run_round = slow_round
+        first = node.actor.start(heartbeat.confirm_read())
         await asyncio.sleep(0.1)
         asked_at = day.now()
-        await node.do(check.confirm_read(), 2)
+        await node.do(heartbeat.confirm_read(), 2)
         assert day.now() >= asked_at + 0.2
         await first
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
-def asked(counters):
+def count_state_requests(counters):
     return sum(float(line.split()[-1]) for line in counters.splitlines() if 'kind="stand"' in line)
 
 
@@ -142,108 +142,107 @@
 def test_order_is_not_refused_for_rows_that_were_only_proposed():
     """Two orders in one batch: the second was refused for the first, which then came to nothing."""
 
-    async def scene(day):
+    async def scenario(day):
         node = day.cluster.nodes["agency-1"]
         proposer = node.program.proposers[items.CONFIGURATION]
         expected = str(node.program.context.configuration.version("site/north"))
         rows = [[cluster.site_row(weight=weight, expected=expected)] for weight in (1, 2)]
-        proposing = proposer.propose
+        original_propose = proposer.propose
 
-        async def cut_before_accept(*arguments):
+        async def partition_before_accept(*arguments):
             day.cluster.partition_off(["agency-1"])
-            await proposing(*arguments)
+            await original_propose(*arguments)
 
-        proposer.propose = cut_before_accept
-        decided = [proposer.submit(orders.Order("change", f"c{n}", rows[n])) for n in range(2)]
-        told = await node.do(asyncio.wait_for(gather_all(decided), 20), 30)
+        proposer.propose = partition_before_accept
+        submissions = [proposer.submit(orders.Order("change", f"c{n}", rows[n])) for n in range(2)]
+        results = await node.do(asyncio.wait_for(gather_results(submissions), 20), 30)
         # No majority heard of either: neither may be told that another change came first.
-        assert all(isinstance(result, NOT_REFUSED) for result in told), told
+        assert all(isinstance(result, UNDECIDED_ERRORS) for result in results), results
         day.cluster.network.heal()
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
-async def gather_all(waiting):
-    return await asyncio.gather(*waiting, return_exceptions=True)
+async def gather_results(awaitables):
+    return await asyncio.gather(*awaitables, return_exceptions=True)
 
 
 def test_order_whose_sender_hung_up_is_not_decided_later():
-    async def scene(day):
+    async def scenario(day):
         node = day.cluster.nodes["agency-1"]
         day.cluster.partition_off(["agency-1"])
-        answering = node.actor.start(
+        order_task = node.actor.start(
             node.program.submitter.submit_for_operator(
                 orders.Order("change", "left", [cluster.site_row(weight=8)])
             )
         )
         await asyncio.sleep(0.3)
         # The listener cancels what a closed connection asked for.
-        answering.cancel()
+        order_task.cancel()
         await asyncio.sleep(0.1)
         day.cluster.network.heal()
         await asyncio.sleep(8)
         assert cluster.context(day, "agency-2").configuration.value("site/north") is None
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_order_forwarded_to_a_frozen_voter_is_not_decided_after_a_later_opposite_order():
-    async def scene(day):
+    async def scenario(day):
         await day.actors.order("agency-2", "purge", [("tag", "vacancies")])
-        frozen = day.cluster.nodes["agency-2"]
-        frozen.freeze()
-        evacuate, back = orders.Order("evacuate", "", "north"), orders.Order("return", "", "north")
+        frozen_node = day.cluster.nodes["agency-2"]
+        frozen_node.freeze()
+        evacuate, restore = orders.Order("evacuate", "", "north"), orders.Order("return", "", "north")
         node = day.cluster.nodes["agency-1"]
         await node.do(node.program.submitter.submit_for_operator(evacuate), 8)
-        await node.do(node.program.submitter.submit_for_operator(back), 8)
-        frozen.thaw()
+        await node.do(node.program.submitter.submit_for_operator(restore), 8)
+        frozen_node.thaw()
         await asyncio.sleep(6)
         assert not cluster.context(day, "agency-3").is_evacuated("north")
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
-@pytest.mark.parametrize("trouble", ["cut", "freeze", "kill"])
-def test_concurrent_changes_at_a_node_that_returns_are_not_refused(trouble):
-    async def scene(day):
+@pytest.mark.parametrize("fault", ["cut", "freeze", "kill"])
+def test_concurrent_changes_at_a_node_that_returns_are_not_refused(fault):
+    async def scenario(day):
         node = day.cluster.nodes["agency-1"]
         first = await day.actors.order("agency-1", "change", [cluster.site_row(weight=1)])
         assert first["serial"]
         {"cut": lambda: day.cluster.partition_off(["agency-1"]), "freeze": node.freeze, "kill": node.kill}[
-            trouble
+            fault
         ]()
         for weight in range(2, 22):
             await day.actors.order(f"agency-{weight % 4 + 2}", "change", [cluster.site_row(weight=weight)])
             await asyncio.sleep(1)
         # It expects what was confirmed while this node was away: to refuse it would be ignorance.
         expected = str(cluster.context(day, "agency-3").configuration.version("site/north"))
-        pairs = [
-            asyncio.create_task(until_known(day, f"pair-{n}", cluster.site_row(site, 50, expected=version)))
+        change_tasks = [
+            asyncio.create_task(
+                retry_until_decided(day, f"pair-{n}", cluster.site_row(site, 50, expected=version))
+            )
             for n, (site, version) in enumerate((("north", expected), ("west", "0.")))
         ]
         await asyncio.sleep(0.3)
-        if trouble == "kill":
+        if fault == "kill":
             await node.start()
         else:
             day.cluster.network.heal()
             node.thaw()
-        told = await asyncio.gather(*pairs)
-        assert all(isinstance(result, dict) for result in told), told
+        results = await asyncio.gather(*change_tasks)
+        assert all(isinstance(result, dict) for result in results), results
         assert weight_of(await read(day, "agency-4")) == 50
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
-async def until_known(day, change, row):
+async def retry_until_decided(day, change, row):
     """As the operator does it: the same change again and again to that very node, until it answers."""
     if row["expected"] == "0.":
         row = {key: value for key, value in row.items() if key != "expected"}
     for _ in range(40):
         try:
             return await asyncio.wait_for(day.actors.order("agency-1", "change", [row], change), 1)
-        except NOT_REFUSED + (errors.StaleConfigurationError, errors.NotSentError, errors.DrainingError):
+        except UNDECIDED_ERRORS + (errors.StaleConfigurationError, errors.NotSentError, errors.DrainingError):
             await asyncio.sleep(0.1)
     return None
-
-
-# -- duties ------------------------------------------------------------------------------------------
--- a/tests/controlplane/test_voter_target.py
+++ b/tests/controlplane/test_voter_target.py
@@ -19,59 +19,61 @@
 
 
 def test_two_newcomers_for_one_lost_voter_leave_the_same_voters_in_all_tables():
-    async def scene(world):
-        await world.wait_until(lambda: has_full_voters(world), BUILD_SECONDS)
-        lost = world.nodes["agency-5"]
-        kill_and_wipe(lost)
-        world.retire(lost)
+    async def scenario(simulation):
+        await simulation.wait_until(lambda: has_full_voters(simulation), BUILD_SECONDS)
+        lost_node = simulation.nodes["agency-5"]
+        kill_and_wipe(lost_node)
+        simulation.retire(lost_node)
         for number in (8, 9):
-            plan = lost.placement._replace(
+            placement = lost_node.placement._replace(
                 name=f"agency-{number}", machine=f"m-{number}", host=f"10.0.0.9{number}"
             )
-            await world.add(plan).start()
-        await world.wait_until(lambda: has_full_voters(world), CATCH_UP_SECONDS)
-        assert len(voters(world)) == 5
+            await simulation.add(placement).start()
+        await simulation.wait_until(lambda: has_full_voters(simulation), CATCH_UP_SECONDS)
+        assert len(voters(simulation)) == 5
 
-    play(scene, "abcab")
+    play(scenario, "abcab")
 
 
 def test_tables_with_different_voters_are_given_the_same():
-    async def scene(world):
-        await world.wait_until(lambda: has_full_voters(world), BUILD_SECONDS)
+    async def scenario(simulation):
+        await simulation.wait_until(lambda: has_full_voters(simulation), BUILD_SECONDS)
         await asyncio.sleep(2)
-        node = world.nodes[voters(world)[0].name]
-        copy = node.program.context.replicas[items.IDEMPOTENCY_KEYS]
-        fewer = tuple(tuple(voter) for voter in {voter.site: voter for voter in voters(world)}.values())
-        payload = (str(copy.version(items.VOTERS_KEY)), fewer)
+        node = simulation.nodes[voters(simulation)[0].name]
+        claims_replica = node.program.context.replicas[items.IDEMPOTENCY_KEYS]
+        three_voters = tuple(
+            tuple(voter) for voter in {voter.site: voter for voter in voters(simulation)}.values()
+        )
+        payload = (str(claims_replica.version(items.VOTERS_KEY)), three_voters)
         await node.do(node.program.submitter.submit(orders.Order("voters-claims", "", payload)), 3)
-        assert len(voters(world, items.IDEMPOTENCY_KEYS)) == 3
-        await world.wait_until(lambda: has_full_voters(world), CATCH_UP_SECONDS)
+        assert len(voters(simulation, items.IDEMPOTENCY_KEYS)) == 3
+        await simulation.wait_until(lambda: has_full_voters(simulation), CATCH_UP_SECONDS)
 
-    play(scene, "abcabc")
+    play(scenario, "abcabc")
 
 
 def test_voter_change_from_an_older_set_or_to_a_weaker_one_is_refused():
-    async def scene(world):
-        await world.wait_until(lambda: has_full_voters(world), BUILD_SECONDS)
-        node = world.nodes[voters(world)[0].name]
+    async def scenario(simulation):
+        await simulation.wait_until(lambda: has_full_voters(simulation), BUILD_SECONDS)
+        node = simulation.nodes[voters(simulation)[0].name]
         version = str(node.program.context.replicas[items.LEDGER].version(items.VOTERS_KEY))
-        in_force = [tuple(voter) for voter in voters(world)]
+        in_force = [tuple(voter) for voter in voters(simulation)]
         one_zone = [voter for voter in in_force if voter[2] == "a"]
-        for payload, kind in (
+        for payload, error_class in (
             (("1@founding", tuple(in_force)), errors.StaleVersionError),
             ((version, tuple(one_zone)), errors.InvalidChangeError),
             ((version, tuple([*in_force, in_force[0]])), errors.InvalidChangeError),
             ((version, ()), errors.InvalidChangeError),
         ):
-            with pytest.raises(kind):
+            with pytest.raises(error_class):
                 await node.do(node.program.submitter.submit(orders.Order("voters-ledger", "", payload)), 3)
-        assert [tuple(voter) for voter in voters(world)] == in_force
+        assert [tuple(voter) for voter in voters(simulation)] == in_force
 
-    play(scene, "abcab")
+    play(scenario, "abcab")
 
 
-def made(zones, start=0):
-    names = [f"n{number + start:02}" for number in range(len(zones))]
+def voters_in_zones(zones, first_number=0):
+    names = [f"n{number + first_number:02}" for number in range(len(zones))]
     return [
         quorum.Voter(name, f"disk-{name}", zone, "h", 1, name)
         for name, zone in zip(names, zones, strict=True)
@@ -80,22 +82,34 @@
 
 def test_target_spans_most_sites_with_fewest_changes_and_is_never_smaller():
     for zones in ("abc", "aabbc", "aaabbcc", "abcdabcd", "aaaabcd", "abcdeabcdea"):
-        pool = made(zones)
-        for seeds in (pool[:3], pool[-3:], []):
-            found = voter_target.target_voters(pool, seeds, set(), 5)
-            assert quorum.survives_any_site_loss(found), zones
-            assert len(found) == min(5, len(pool)), zones
+        pool = voters_in_zones(zones)
+        for current in (pool[:3], pool[-3:], []):
+            target = voter_target.target_voters(pool, current, set(), 5)
+            assert quorum.survives_any_site_loss(target), zones
+            assert len(target) == min(5, len(pool)), zones
             # Reached once, it is left alone, in whatever order the candidates are told.
-            assert voter_target.target_voters(pool[::-1], found, set(), 5) == found
-    five = made("abcab")
-    assert voter_target.target_voters(five[1:], five, {five[0].disk_id}, 5) == five
-    spare = made("b", 7)
-    repaired = voter_target.target_voters([*five[1:], *spare], five, {five[4].disk_id}, 5)
-    assert set(five[:4]) < set(repaired)
+            assert voter_target.target_voters(pool[::-1], target, set(), 5) == target
+    five_voters = voters_in_zones("abcab")
+    assert (
+        voter_target.target_voters(five_voters[1:], five_voters, {five_voters[0].disk_id}, 5) == five_voters
+    )
+    spare = voters_in_zones("b", 7)
+    repaired = voter_target.target_voters(
+        [*five_voters[1:], *spare], five_voters, {five_voters[4].disk_id}, 5
+    )
+    assert set(five_voters[:4]) < set(repaired)
     assert spare[0] in repaired
     # A place lost in one zone is not filled by one more of a zone whose loss would end the majority.
     assert (
-        voter_target.target_voters([*five[:2], *five[3:], *made("a", 8)], five, {five[2].disk_id}, 5) == five
+        voter_target.target_voters(
+            [*five_voters[:2], *five_voters[3:], *voters_in_zones("a", 8)],
+            five_voters,
+            {five_voters[2].disk_id},
+            5,
+        )
+        == five_voters
+    )
+    voter_with_new_disk = five_voters[0]._replace(disk_id="new")
+    assert voter_with_new_disk in voter_target.target_voters(
+        [voter_with_new_disk, *five_voters[1:]], five_voters, set(), 5
     )
-    renewed = five[0]._replace(disk_id="new")
-    assert renewed in voter_target.target_voters([renewed, *five[1:]], five, set(), 5)
--- a/tests/modelcheck/test_model_check.py
+++ b/tests/modelcheck/test_model_check.py
@@ -117,16 +117,16 @@
 
 
 def test_a_read_that_loses_its_ballot_ends_with_no_and_breaks_nothing(monkeypatch):
-    beat = heartbeat.Heartbeat.beat
+    run_round = heartbeat.Heartbeat.run_round
     # Only the client's read fails; those at the end of the run bring what every replica must have.
     failures = iter([proposer.BallotLostError()])
 
     async def lose_first_ballot(self):
         if error := next(failures, None):
             raise error
-        return await beat(self)
+        return await run_round(self)
 
-    monkeypatch.setattr(heartbeat.Heartbeat, beat.__name__, lose_first_ballot)
+    monkeypatch.setattr(heartbeat.Heartbeat, run_round.__name__, lose_first_ballot)
     result = runs.replay(scenarios.REGISTRY["single"], ())
     assert not result.violation
     assert result.cluster.clients.results[1] == "no"
--- a/tests/mutation/consensus_mutations.py
+++ b/tests/mutation/consensus_mutations.py
@@ -88,14 +88,14 @@
     ),
     (
         "controlplane/consensus/voter_target.py",
-        "    site_limit = (size - 1) // 2 if len({voter.site for voter in pool}) >= SITES_FOR_A_CAP else size",
+        "    site_limit = (size - 1) // 2 if len({voter.site for voter in pool}) >= MIN_SITES_FOR_SITE_LIMIT else size",
         "    site_limit = size",
         "controlplane/test_voter_target.py::test_target_spans_most_sites_with_fewest_changes_and_is_never_smaller",
     ),
     (
         "controlplane/consensus/voter_planner.py",
-        "            if 2 * silent > len(voters):",
-        "            if silent:",
+        "            if 2 * reports_without_reply > len(voters):",
+        "            if reports_without_reply:",
         "controlplane/test_voter_sets.py::test_broken_link_between_two_voters_replaces_neither",
     ),
     (
@@ -124,7 +124,7 @@
     ),
     (
         "controlplane/consensus/bootstrap.py",
-        "        for address, name in [source for source in sources if source[1] in control_nodes]:\n            try:\n                await self.participant.replicator.pull(address, name)\n            except (errors.IrisError, ValueError, TypeError):",
+        "        for address, name in [source for source in sources if source[1] in control_plane_names]:\n            try:\n                await self.participant.replicator.pull(address, name)\n            except (errors.IrisError, ValueError, TypeError):",
         "        for address, name in sources:\n            try:\n                await self.participant.replicator.pull(address, name)\n            except (errors.NotSentError, errors.UnansweredError):",
         "controlplane/test_voter_sets.py::test_lost_zone_is_replaced_in_time_for_the_loss_of_another",
     ),
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -12,20 +12,20 @@
 )
 
 
-def play(scene, seed=1, shape=SHAPE):
+def play(scenario, seed=1, shape=SHAPE):
     """Run `scene(day)` in virtual time on an opened fleet, and return what it returns."""
 
-    async def whole():
+    async def run():
         day = simulated_day.SimulatedDay(
             seed, 0, day_kinds.DayKind(shape, limits=day_kinds.HIGH_LIMITS, replace_after=60)
         )
         await day.open()
         try:
-            return await scene(day)
+            return await scenario(day)
         finally:
             assert not asyncio.get_running_loop().faults, asyncio.get_running_loop().faults[0]
 
-    return virtual_time.run(whole())
+    return virtual_time.run(run())
 
 
 def context(day, name):
--- a/tests/support/voter_cluster.py
+++ b/tests/support/voter_cluster.py
@@ -18,55 +18,55 @@
     async def run():
         sites = tuple((zone, "one" if zone < "c" else "two") for zone in zones)
         shape = cluster.SHAPE._replace(shields=len(zones), sites=sites, edges=1)
-        world = simulated_cluster.SimulatedCluster(seed, shape)
-        world.by_seeds = True
-        world.replace_after = 1.2
-        await world.start_all()
-        result = await scenario(world)
+        simulation = simulated_cluster.SimulatedCluster(seed, shape)
+        simulation.by_seeds = True
+        simulation.replace_after = 1.2
+        await simulation.start_all()
+        result = await scenario(simulation)
         assert not asyncio.get_running_loop().faults, asyncio.get_running_loop().faults[0]
         return result
 
     return virtual_time.run(run())
 
 
-def voters(world, table=items.LEDGER):
+def voters(simulation, table=items.LEDGER):
     """Return the voters of a table as the newest replica of the nodes that are up has them."""
-    up = [node for node in world.with_role("agency") if node.is_up]
+    up = [node for node in simulation.with_role("agency") if node.is_up]
     newest = max((node.program.context.replicas[table] for node in up), key=lambda replica: replica.applied)
     return quorum.voters_from_wire(newest.value(items.VOTERS_KEY))
 
 
-def up_voters(world, table):
+def up_voters(simulation, table):
     """Return the voters of a table that run on the disk that was voted in."""
-    up = {node.program.participant.store.disk_id for node in world.with_role("agency") if node.is_up}
-    return [voter for voter in voters(world, table) if voter.disk_id in up]
+    up = {node.program.participant.store.disk_id for node in simulation.with_role("agency") if node.is_up}
+    return [voter for voter in voters(simulation, table) if voter.disk_id in up]
 
 
-def has_full_voters(world, size=5):
+def has_full_voters(simulation, size=5):
     """Return whether all tables have the same voters, all up, and the loss of any zone leaves a majority."""
-    sets = [{voter.disk_id for voter in voters(world, table)} for table in items.TABLES]
-    in_force = voters(world)
+    sets = [{voter.disk_id for voter in voters(simulation, table)} for table in items.TABLES]
+    in_force = voters(simulation)
     are_same = all(disk_ids == sets[0] for disk_ids in sets)
-    are_up = all(len(up_voters(world, table)) == len(in_force) for table in items.TABLES)
+    are_up = all(len(up_voters(simulation, table)) == len(in_force) for table in items.TABLES)
     return are_same and are_up and len(in_force) >= size and quorum.survives_any_site_loss(in_force)
 
 
-async def confirm_change(world, number):
+async def confirm_change(simulation, number):
     """Have a change confirmed by any voter that is up; `check_confirmed_changes` expects it from then on."""
-    first = up_voters(world, items.CONFIGURATION)[0]
+    first = up_voters(simulation, items.CONFIGURATION)[0]
     row = {"kind": "site", "name": f"zone-{number}", "value": {"weight": number}}
-    await world.actors.order(first.name, "change", [row])
+    await simulation.actors.order(first.name, "change", [row])
     return number
 
 
-async def check_confirmed_changes(world, numbers):
+async def check_confirmed_changes(simulation, numbers):
     """Check that every ready node has the confirmed changes, and that another one can be confirmed."""
     for number in numbers:
-        for node in world.with_role("agency"):
-            if node.is_up and world.is_ready(node):
+        for node in simulation.with_role("agency"):
+            if node.is_up and simulation.is_ready(node):
                 value = node.program.context.configuration.value(f"site/zone-{number}")
                 assert value == {"weight": number}
-    await confirm_change(world, 99)
+    await confirm_change(simulation, 99)
 
 
 def kill_and_wipe(node):
