--- a/src/irisstand/controlplane/consensus/__init__.py
+++ b/src/irisstand/controlplane/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Consensus of the core: ballots, voters, heartbeats and the read index."""
+"""Consensus between the control plane nodes: Paxos ballots, voter sets, heartbeats and the read index."""
--- a/src/irisstand/controlplane/consensus/ballot_plan.py
+++ b/src/irisstand/controlplane/consensus/ballot_plan.py
@@ -1,6 +1,7 @@
 """Plans what one ballot proposes: which queued orders go into its batch, and which are refused.
 
-Does no I/O: whether a refusal may be told at once hangs on what was proposed and decided before.
+The plan does no I/O. It also determines whether a refusal may be reported immediately or only after the batch
+is decided, which depends on earlier proposals of the order and on the other rows of the batch.
 """
 
 import asyncio
@@ -11,12 +12,18 @@
 from irisstand.controlplane.consensus import order_messages
 from irisstand.state import replica, versions
 
-# What is more than fits into one frame is left for the next ballot.
+# A batch has to fit into one frame; once it reaches this size, further orders wait for the next ballot.
 BATCH_BYTES_LIMIT = 2 * 1024 * 1024
 
 
 class Proposal(typing.NamedTuple):
-    """A batch with an order in it that voters may have been sent: its base, its version, the order's keys."""
+    """A proposed batch that contains a given order and that voters may have received.
+
+    Attributes:
+        base: The applied version that the batch is based on.
+        version: The version of the batch.
+        keys: The keys that the order writes.
+    """
 
     base: versions.Version
     version: versions.Version
@@ -24,7 +31,14 @@
 
 
 class PendingOrder(typing.NamedTuple):
-    """An order that waits to be decided, until `give_up_at` by the node's clock, in seconds."""
+    """An order that waits to be decided.
+
+    Attributes:
+        order: The order.
+        future: Receives the result or the error of the order.
+        give_up_at: When to stop trying, in seconds of the node's clock.
+        proposals: The proposed batches that contained the order so far.
+    """
 
     order: orders.Order
     future: asyncio.Future[order_messages.OrderResult]
@@ -32,38 +46,38 @@
     proposals: list[Proposal]
 
     def resolve(self, version: versions.Version, keys: list[str]) -> None:
-        """Return the result of a confirmed order."""
+        """Set the result of a confirmed order, unless its submitter has stopped waiting."""
         if not self.future.done():
             self.future.set_result({"serial": str(version), "rows": keys})
 
     def fail(self, error: errors.IrisError) -> None:
-        """Raise an error at whoever waits for the order."""
+        """Make the order fail with an error, unless its submitter has stopped waiting."""
         if not self.future.done():
             self.future.set_exception(error)
 
 
 class BatchedOrder(typing.NamedTuple):
-    """An order whose rows are in the batch, or that needs none, and its result once the batch is decided."""
+    """An order that is part of the batch or needs no rows, with the plan that holds its result."""
 
     pending: PendingOrder
     planned: order_planning.PlannedOrder
 
 
 class RefusedOrder(typing.NamedTuple):
-    """An order that was refused with rows of the same batch in place, which count only once decided."""
+    """An order that is refused because of other rows of its batch, so only if the batch is decided."""
 
     pending: PendingOrder
     error: errors.IrisError
 
 
 class BallotPlan(typing.NamedTuple):
-    """The orders of one ballot.
+    """What one ballot does with the queued orders.
 
     Attributes:
-        batched: Get their result when the batch is decided.
-        refused: Get their error when the batch is decided.
-        is_base_undecided: Whether an order was proposed on this very base before: a batch must be decided on
-            it before the order may be refused, be it an empty one.
+        batched: Orders that receive their result when the batch is decided.
+        refused: Orders that receive their error when the batch is decided.
+        is_base_undecided: Whether an order was refused that had been proposed on the current base before. A
+            batch, even an empty one, must be decided on this base before the refusal is certain.
     """
 
     batched: list[BatchedOrder]
@@ -71,12 +85,12 @@
     is_base_undecided: bool
 
     def record_proposals(self, base: versions.Version, ballot: versions.Version) -> None:
-        """Remember with each batched order that voters may hear of it from now on."""
+        """Record in each batched order that voters may have received it with this ballot."""
         for entry in self.batched:
             entry.pending.proposals.append(Proposal(base, ballot, entry.planned.keys))
 
     def publish_results(self) -> None:
-        """Return results and errors; for a batch that is decided, or that needed no rows."""
+        """Report results and errors of all orders, once the batch is decided or if it has no rows."""
         for entry in self.batched:
             entry.pending.resolve(entry.planned.version, entry.planned.keys)
         for refusal in self.refused:
@@ -86,7 +100,11 @@
 def plan_ballot(
     overlay: table_overlay.Overlay, table_replica: replica.Replica, pending_orders: list[PendingOrder]
 ) -> BallotPlan:
-    """Put the rows of orders on the overlay; refuse at once only what the decided base refuses."""
+    """Add the rows of orders to the overlay, and collect the orders that are refused.
+
+    An order fails immediately if decided data alone cause the refusal (the overlay still has no rows) and the
+    order was not proposed on this base before.
+    """
     batched: list[BatchedOrder] = []
     refused: list[RefusedOrder] = []
     is_base_undecided = False
@@ -99,8 +117,9 @@
         try:
             batched.append(BatchedOrder(entry, order_planning.plan(overlay, entry.order)))
         except errors.IrisError as error:
-            # Proposed on this very base, it may lie accepted with a voter that did not answer, and
-            # another proposer may yet finish it: only a decision on the base makes a refusal true.
+            # If the order was proposed on this base before, a voter that did not reply may have accepted it
+            # and another proposer may still get it decided. The refusal is certain only after some batch has
+            # been decided on this base.
             if any(proposal.base == table_replica.applied for proposal in entry.proposals):
                 is_base_undecided = True
             elif overlay.rows:
@@ -111,7 +130,8 @@
 
 
 def _resolve_if_confirmed(entry: PendingOrder, table_replica: replica.Replica) -> None:
-    # Another proposer may have finished an earlier proposal of it: then it is confirmed, not stale.
+    # Another proposer may have completed an earlier proposal with this order. The order is confirmed then,
+    # and must not be refused as stale because of its own rows.
     for proposal in entry.proposals:
         if any(table_replica.version(key) == proposal.version for key in proposal.keys):
             entry.resolve(proposal.version, proposal.keys)
--- a/src/irisstand/controlplane/consensus/bootstrap.py
+++ b/src/irisstand/controlplane/consensus/bootstrap.py
@@ -1,4 +1,4 @@
-"""Bootstrap: installs the first voters once, and has nodes whose disk is new replace lost voters."""
+"""Bootstrap: installs the first voters once, and lets nodes with a new disk replace lost voters."""
 
 import asyncio
 import typing
@@ -9,21 +9,21 @@
 from irisstand.state import items, quorum, versions
 from irisstand.transport import network
 
-# The version of the batch that names the first voters.
+# The version of the first batch of each table, which sets the first voters.
 FIRST_VERSION = versions.Version(1, "founding")
 ROUND_INTERVAL_SECONDS = 0.5
 NODE_STATE_TIMEOUT_SECONDS = 1.0
 
 
 class Peer(typing.NamedTuple):
-    """Another control plane node; a seed's name is not known and empty."""
+    """Address and name of another control plane node; the name is empty for a seed, as it is unknown."""
 
     address: network.Address
     name: str
 
 
 class Bootstrap:
-    """Installs the first voters if nobody has any, and keeps this node enrolled as a voter after that."""
+    """Installs the first voters if no node has any, and later enrols this node as a voter where needed."""
 
     def __init__(
         self, node_participant: participant.Participant, node_submitter: submitter.Submitter
@@ -31,40 +31,41 @@
         self.participant = node_participant
         self.context = node_participant.context
         self.submitter = node_submitter
-        # By name of a voter, since when it has not been a member; in seconds of the node's clock.
+        # By voter name: since when the voter has not been a member, in seconds of the node's clock.
         self.missing_since: dict[str, float] = {}
         handlers = self.context.transport.handlers
         handlers[request.MessageKind.NODE_STATE] = self.handle_node_state
         handlers[request.MessageKind.DURABILITY_CHECK] = self.handle_durability_check
 
     async def handle_node_state(self, _sender: str, _body: typing.Any) -> request.WireBody:
-        """Answer who this node is, whether it is empty and whether it is shutting down."""
+        """Reply with this node as a voter, and whether it is empty and whether it is shutting down."""
         state = node_messages.NodeState(
             self.participant.own_voter(), self.is_empty(), self.context.is_lame_duck
         )
         return state.to_wire()
 
     async def handle_durability_check(self, sender: str, body: typing.Any) -> request.WireBody:
-        """Put all tables on the disk, none older than the sender's, and answer who this node is.
+        """Save all tables to the disk, none older than the sender's, and reply with this node as a voter.
 
         Raises:
-            irisstand.errors.NotBootstrappedError: This node cannot hold what a voter has to.
+            irisstand.errors.NotBootstrappedError: This node cannot become a voter: it is behind the sender,
+                is shutting down, or has no current replica of a table.
         """
         for table, applied in node_messages.DurabilityCheck.from_wire(body).known_versions:
             if self.context.replicas[table].applied < applied:
                 await self.participant.catch_up(table, sender)
             if self.context.replicas[table].applied < applied:
-                raise errors.NotBootstrappedError("this node is behind the one that asks")
+                raise errors.NotBootstrappedError("this node's replica of a table is older than the sender's")
         if self.context.is_lame_duck:
-            raise errors.NotBootstrappedError("this node is about to end")
+            raise errors.NotBootstrappedError("this node is shutting down and cannot become a voter")
         for table in items.TABLES:
             if not self.context.is_current(self.context.replicas[table]):
-                raise errors.NotBootstrappedError("this node has not learnt the tables yet")
+                raise errors.NotBootstrappedError("this node has no current replica of a table")
             await self.participant.acceptors[table].submit(acceptor.Persist())
         return tuple(self.participant.own_voter())
 
     def is_empty(self) -> bool:
-        """Return whether neither the disk nor the memory of this node holds any table."""
+        """Return whether this node holds no table, neither on its disk nor in memory."""
         records = self.participant.store.records
         return all(
             records[table].applied == versions.NONE and self.context.replicas[table].applied == versions.NONE
@@ -72,7 +73,7 @@
         )
 
     async def run(self) -> None:
-        """Bootstrap or enrol, again and again, until cancelled."""
+        """Try to bootstrap while this node is empty, and to enrol it afterwards, until cancelled."""
         while True:
             try:
                 if self.is_empty():
@@ -85,13 +86,13 @@
 
     # -- bootstrap ---------------------------------------------------------------------------------------
     async def _try_bootstrap(self) -> None:
-        """Install the first voters if every first voter is up and empty; the lowest name does it for all."""
+        """Install the first voters if all are up and empty; only the node with the lowest name does so."""
         settings = self.context.settings
         if not settings.may_found:
             await self._learn_tables()
             return
         voters = await self._empty_voters()
-        # A node that has been bootstrapped, or that cannot be called and may have been.
+        # No list means that some node has been bootstrapped, or cannot be reached and may have been.
         if voters is None:
             await self._learn_tables()
             return
@@ -99,7 +100,7 @@
             await self._install(voters)
 
     async def _empty_voters(self) -> list[quorum.Voter] | None:
-        """Return all first voters that are up, sorted; None if one is not empty or cannot be called."""
+        """Return the first voters, sorted; None if one of them is not empty or cannot be reached."""
         transport = self.context.transport
         message = node_messages.NodeStateRequest()
         states = [node_messages.NodeState(self.participant.own_voter(), is_empty=True)]
@@ -125,7 +126,7 @@
         settings = self.context.settings
         if not settings.found_by_seeds:
             return len(voters) == settings.founding
-        # Every node has the same seeds: they become the first voters, and vote the others in.
+        # All nodes have the same seeds, which become the first voters and later vote for other nodes to join.
         is_seed = (settings.host, settings.port) in settings.seeds
         return is_seed and len(voters) == len(settings.seeds)
 
@@ -138,8 +139,8 @@
         event_log.record("founded", voters=[voter.name for voter in voters])
 
     async def _learn_tables(self) -> None:
-        """Pull the tables from the first control plane node that has any."""
-        # Other roles do not hold all tables; one peer's refusal must not end the round before the next.
+        """Pull the tables from the first control plane node that holds any."""
+        # Nodes of other roles do not hold all tables. If one peer refuses, the next one is tried.
         control_plane_names = {update.identity.name for update in self.context.members_of("agency")}
         sources = self.participant.refresher.sources()
         for address, name in [source for source in sources if source[1] in control_plane_names]:
@@ -147,24 +148,24 @@
                 await self.participant.replicator.pull(address, name)
             except (errors.IrisError, ValueError, TypeError):
                 continue
-            # Another empty node answers, too, and has nothing to learn from.
+            # An empty peer replies without an error too, but then this node is still empty.
             if not self.is_empty():
                 return
 
     # -- enrolment ---------------------------------------------------------------------------------------
     async def _try_enrolling(self) -> None:
-        """Have this node voted in where it may replace a voter, once its disk holds the tables."""
+        """Make this node a voter of each table in which it may replace one, once its disk holds the table."""
         for table in items.TABLES:
             table_replica = self.context.replicas[table]
             if table_replica.applied == versions.NONE:
                 await self._learn_tables()
-            # Where the seeds are the first voters, the voters plan who votes: see voter_planner.
+            # If the seeds are the first voters, the voters themselves change the set: see voter_planner.
             if self.context.settings.found_by_seeds:
                 continue
             if self.participant.is_voter(table) or not self.context.is_current(table_replica):
                 continue
             replaced_name = self._replaceable_voter(table)
-            # Without one this is a spare, which waits until a voter is gone.
+            # If there is no voter to replace, this node stays a spare until a voter is lost.
             if replaced_name:
                 await self._enrol(table, replaced_name)
 
@@ -175,9 +176,9 @@
         event_log.record("enrolled", table=table, leaves=replaced_name)
 
     def _replaceable_voter(self, table: str) -> str:
-        """Return the name of a voter that this node may replace: its own older disk, or one long missing.
+        """Return the name of a voter that this node may replace, or an empty string if there is none.
 
-        Empty if there is none.
+        This is the node itself if it votes with an earlier disk, else a voter that has long been missing.
         """
         now = self.context.clock.now()
         settings = self.context.settings
@@ -188,7 +189,7 @@
         for voter in voters:
             if voter.name in member_names:
                 self.missing_since.pop(voter.name, None)
-        # A machine that is restarted must not lose its vote over it.
+        # A voter is replaced only after `replace_after` seconds, so that a restart does not cost its vote.
         for voter in voters:
             member_missing_since = (
                 self.missing_since.setdefault(voter.name, now) if voter.name not in member_names else now
--- a/src/irisstand/controlplane/consensus/heartbeat.py
+++ b/src/irisstand/controlplane/consensus/heartbeat.py
@@ -1,7 +1,7 @@
-"""Heartbeats to a majority: each control plane node confirms that its replica of a table is current.
+"""Heartbeats to a majority of voters, by which a control plane node proves that its replicas are current.
 
-The same round serves as a read index (Raft, section 8): a read that waits for a round begun after it came in
-sees every change that was confirmed to anybody before.
+Heartbeat rounds also serve as a read index (Raft, section 8): a read that waits for a round that began after
+the read arrived sees every change that was confirmed to any client before.
 """
 
 import asyncio
@@ -12,21 +12,21 @@
 from irisstand.state import quorum, versions
 
 ATTEMPTS_LIMIT = 5
-# The attempt from which a pending batch is finished here: until then its proposer may do so.
+# From this attempt on, this node completes a pending batch itself; before, it leaves that to the proposer.
 FINISH_PENDING_ATTEMPT = 2
 ATTEMPT_PAUSE_SECONDS = 0.04
-# The least pause between two heartbeats.
+# The minimum pause between two heartbeats.
 SHORTEST_PAUSE_SECONDS = 0.01
-# A round that reads wait for: a voter that is cut off is not waited for any longer.
+# Timeout of a heartbeat round that reads wait for, so that an unreachable voter does not delay them more.
 READ_ROUND_TIMEOUT_SECONDS = 0.6
-# How long a read waits, the round in flight before its own included.
+# Timeout of a read, which may first have to wait for the round that was in flight when it arrived.
 READ_TIMEOUT_SECONDS = 0.75
 
 MALFORMED_REPLY_ERRORS = (ValueError, TypeError)
 
 
 class Heartbeat:
-    """Confirms one table of this node with a majority of its voters, at intervals and for reads."""
+    """Proves, at intervals and for reads, that this node's replica of one table is current."""
 
     def __init__(self, node_participant: participant.Participant, table_proposer: proposer.Proposer) -> None:
         self.participant = node_participant
@@ -34,12 +34,12 @@
         self.context = node_participant.context
         self.table = table_proposer.table
         self.replica = table_proposer.replica
-        # The round for reads that is in flight, and the one that has not begun, which reads may join.
+        # The round in flight for reads, and the next one, which has not begun and which new reads join.
         self.read_round: asyncio.Task[bool] | None = None
         self.next_read_round: asyncio.Task[bool] | None = None
 
     async def run(self) -> None:
-        """Send a heartbeat in each freshness interval until cancelled."""
+        """Run a heartbeat round in each freshness interval until cancelled."""
         while True:
             started = self.context.clock.now()
             try:
@@ -50,15 +50,15 @@
             await asyncio.sleep(max(SHORTEST_PAUSE_SECONDS, pause))
 
     async def confirm_read(self) -> None:
-        """Return once a round that began after this call has proved the replica current.
+        """Return once a heartbeat round that began after this call has proved the replica current.
 
-        Reads that come while a round is in flight share the next one.
+        Reads that arrive while a round is in flight share the next round.
 
         Raises:
-            irisstand.errors.StaleConfigurationError: No majority confirmed it in time.
+            irisstand.errors.StaleConfigurationError: No round succeeded in time.
         """
         is_confirmed = False
-        # A node without a majority for longer than the bound will not find one within the time-out.
+        # A node that has had no majority for the freshness bound will not find one within the timeout.
         if self.context.is_fresh(self.replica):
             if self.next_read_round is None:
                 self.next_read_round = asyncio.get_running_loop().create_task(self._run_read_round())
@@ -68,13 +68,13 @@
         if not is_confirmed:
             self.context.counters.add("reads_put_off", table=self.table)
             raise errors.StaleConfigurationError(
-                f"no majority confirms the {self.table} table to this node now"
+                f"no majority of the voters confirmed in time that this node's {self.table} table is current"
             )
 
     async def _run_read_round(self) -> bool:
         if self.read_round is not None:
             await asyncio.wait([self.read_round])
-        # From here on the round is in flight: a read that comes later needs another.
+        # From here on this round is in flight: a read that arrives later has to wait for the next one.
         self.read_round = self.next_read_round
         self.next_read_round = None
         try:
@@ -84,11 +84,11 @@
             return False
 
     async def run_round(self) -> bool:
-        """Run one round; return whether the replica holds all that was confirmed before the round began.
+        """Run one round, and return whether the replica holds all changes confirmed before the round began.
 
         Raises:
-            irisstand.errors.IrisError: The newest table could not be learnt, or a ballot failed.
-            irisstand.controlplane.consensus.proposer.BallotLostError: A pending batch could not be finished.
+            irisstand.errors.IrisError: The newest replica could not be fetched, or a ballot failed.
+            irisstand.controlplane.consensus.proposer.BallotLostError: A pending batch could not be completed.
         """
         voters = self.participant.voters(self.table)
         if not voters:
@@ -103,7 +103,7 @@
         for attempt in range(ATTEMPTS_LIMIT):
             if self.replica.applied < applied or attempt:
                 await self.participant.catch_up(self.table, name)
-            # The voters may have been changed by what was just learnt: then another set must be called.
+            # If catching up changed the voter set, the replies came from the wrong voters.
             if self.participant.voters(self.table) != voters:
                 return False
             if self._is_proved_current(applied, is_pending=is_pending):
@@ -125,11 +125,11 @@
         return vote_counting.voter_states_of(replies)
 
     def _is_proved_current(self, applied: versions.Version, *, is_pending: bool) -> bool:
-        # A batch seen pending may have been confirmed: only a version beyond it proves what became of it.
+        # A pending batch may have been confirmed to a client; only a newer applied version shows its outcome.
         return self.replica.applied > applied or (self.replica.applied == applied and not is_pending)
 
     def _start_persisting(self) -> None:
-        """Bring the disk of a voter that missed commits up to date; readers do not wait for it."""
+        """Start to save the replica if the one on the disk is older or damaged; readers do not wait for it."""
         record = self.participant.store.records[self.table]
         is_behind = record.applied < self.replica.applied or not self.participant.store.intact[self.table]
         if is_behind and self.participant.acceptors[self.table].queue.empty():
@@ -143,15 +143,15 @@
 
 
 class ReadIndex:
-    """Proves tables current for one read, by a round to a majority for each."""
+    """Proves that the tables which a read uses are current, by one heartbeat round for each table."""
 
     def __init__(self, heartbeats: dict[str, Heartbeat]) -> None:
         self.heartbeats = heartbeats
 
     async def confirm(self, *tables: str) -> None:
-        """Return once every table holds all that was confirmed before this call.
+        """Return once this node's replicas of the tables hold all changes confirmed before this call.
 
         Raises:
-            irisstand.errors.StaleConfigurationError: A table could not be confirmed in time.
+            irisstand.errors.StaleConfigurationError: A replica could not be proved current in time.
         """
         await asyncio.gather(*(self.heartbeats[table].confirm_read() for table in tables))
--- a/src/irisstand/controlplane/consensus/messages.py
+++ b/src/irisstand/controlplane/consensus/messages.py
@@ -1,7 +1,7 @@
 """Requests and replies of ballots and heartbeats between control plane nodes.
 
-Each request is encoded as a tuple of its fields in order and decodes its own reply. The values of the enums
-are what earlier versions sent as plain strings. An unknown table is refused where the table is looked up.
+Each request is encoded as a tuple of its fields in order, and decodes its own reply. The values of the enums
+are the plain strings that earlier releases sent. An unknown table is refused by the code that looks it up.
 """
 
 import dataclasses
@@ -17,16 +17,22 @@
 
     PROMISED = "promised"
     ACCEPTED = "accepted"
-    # A higher ballot number was promised.
+    # The voter has promised a higher ballot number.
     HIGHER_BALLOT_PROMISED = "lost"
-    # The batch stands on another base than the voter's applied version.
+    # The base of the batch is not the applied version of the voter.
     BASE_MISMATCH = "moved"
 
 
 # -- votes --------------------------------------------------------------------------------------------------
 @dataclasses.dataclass(frozen=True)
 class Promised:
-    """The voter takes no lower ballot any more; `pending` is what it accepted under ballot `accepted`."""
+    """A voter's promise to accept no batch under a lower ballot.
+
+    Attributes:
+        applied: The applied version of the voter's replica.
+        accepted: The ballot under which the voter accepted the pending batch.
+        pending: The batch that the voter has accepted and not yet applied, if there is one.
+    """
 
     applied: versions.Version
     accepted: versions.Version
@@ -40,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Accepted:
-    """The batch is on the voter's disk."""
+    """A voter's acceptance: the batch is saved on its disk."""
 
     def to_wire(self) -> request.WireBody:
         """Return the reply as a plain tuple."""
@@ -49,14 +55,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Rejected:
-    """No vote; `version` is the ballot number or applied version that stands in the way."""
+    """A refusal to vote.
+
+    Attributes:
+        status: The reason of the refusal.
+        version: The higher ballot number that the voter promised, or its applied version.
+    """
 
     status: typing.Literal[VoteStatus.HIGHER_BALLOT_PROMISED, VoteStatus.BASE_MISMATCH]
     version: versions.Version
 
     @classmethod
     def from_wire(cls, status: VoteStatus, fields: list[typing.Any]) -> "Rejected":
-        """Decode the reply, its status apart from the other fields."""
+        """Decode a rejection from its status and the remaining fields of the reply."""
         if status not in (VoteStatus.HIGHER_BALLOT_PROMISED, VoteStatus.BASE_MISMATCH):
             raise ValueError(f"{status} is no reply to this request")
         (version,) = fields
@@ -73,7 +84,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PrepareRequest(request.Request[PrepareReply]):
-    """Ask the voter with this disk to take no ballot below `ballot` any more."""
+    """Asks the voter with the disk `disk_id` to accept no batch under a ballot lower than `ballot`."""
 
     kind = request.MessageKind.PREPARE
     table: str
@@ -91,7 +102,7 @@
         return (self.table, self.ballot.to_wire(), self.disk_id)
 
     def decode_reply(self, body: typing.Any) -> PrepareReply:
-        """Decode a promise or a rejection."""
+        """Decode the reply to a prepare request: a promise or a rejection."""
         status, *fields = body
         if status != VoteStatus.PROMISED:
             return Rejected.from_wire(VoteStatus(status), fields)
@@ -102,7 +113,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class AcceptRequest(request.Request[AcceptReply]):
-    """Ask the voter with this disk to accept a batch under a ballot."""
+    """Asks the voter with the disk `disk_id` to accept a batch under a ballot."""
 
     kind = request.MessageKind.ACCEPT
     table: str
@@ -121,19 +132,19 @@
         return (self.table, self.ballot.to_wire(), self.batch.to_wire(), self.disk_id)
 
     def decode_reply(self, body: typing.Any) -> AcceptReply:
-        """Decode an acceptance or a rejection."""
+        """Decode the reply to an accept request: an acceptance or a rejection."""
         status, *fields = body
         if status != VoteStatus.ACCEPTED:
             return Rejected.from_wire(VoteStatus(status), fields)
         if fields:
-            raise ValueError("too many values in an acceptance")
+            raise ValueError("the acceptance has fields besides its status")
         return Accepted()
 
 
 # -- decided batches ----------------------------------------------------------------------------------------
 @dataclasses.dataclass(frozen=True)
 class CommitRequest(request.Request[None]):
-    """Tell a node that a batch is decided. Its reply has no content."""
+    """Tells a node that a batch is decided; the reply has no content."""
 
     kind = request.MessageKind.COMMIT
     table: str
@@ -150,12 +161,19 @@
         return (self.table, self.batch.to_wire())
 
     def decode_reply(self, body: typing.Any) -> None:
-        """Ignore the reply, which only ends the request."""
+        """Ignore the body of the reply, which has no content."""
 
 
 # -- heartbeats ---------------------------------------------------------------------------------------------
 class VoterState(typing.NamedTuple):
-    """What a voter knows of a table: the newest applied version, and the base of its pending batch."""
+    """The state of a table at a voter.
+
+    Attributes:
+        disk_id: Identifies the disk of the voter.
+        applied: The newest version that the voter has applied, in memory or on its disk.
+        pending_base: The base of the batch that the voter has accepted and not yet applied, if there is one.
+        promised: The highest ballot number that the voter has promised.
+    """
 
     disk_id: str
     applied: versions.Version
@@ -164,7 +182,7 @@
 
     @classmethod
     def from_wire(cls, body: typing.Any) -> "VoterState":
-        """Decode the reply; ValueError or TypeError if it is malformed."""
+        """Decode the state; ValueError or TypeError if it is malformed."""
         disk_id, applied, pending, promised = body
         pending_base = None if pending is None else versions.Version.from_wire(pending)
         decode = versions.Version.from_wire
@@ -178,7 +196,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class VoterStateRequest(request.Request[VoterState]):
-    """Ask a voter for its state of a table, which it answers from memory."""
+    """Asks a voter for its state of a table; the voter replies from memory, without reading its disk."""
 
     kind = request.MessageKind.VOTER_STATE
     table: str
@@ -194,5 +212,5 @@
         return (self.table,)
 
     def decode_reply(self, body: typing.Any) -> VoterState:
-        """Decode the voter's state."""
+        """Decode the state of the table at the voter."""
         return VoterState.from_wire(body)
--- a/src/irisstand/controlplane/consensus/node_messages.py
+++ b/src/irisstand/controlplane/consensus/node_messages.py
@@ -1,6 +1,6 @@
-"""Requests and replies about the nodes themselves: bootstrap, reachability, durability and readiness to vote.
+"""Requests and replies about control plane nodes: their state, bootstrap, reachability and durability.
 
-Encoded like those of ballots: see `messages`.
+They are encoded in the same way as the messages of ballots in `messages`.
 """
 
 import dataclasses
@@ -12,7 +12,13 @@
 
 # -- bootstrap ----------------------------------------------------------------------------------------------
 class NodeState(typing.NamedTuple):
-    """A control plane node as a voter, whether it holds no table yet, and whether it is shutting down."""
+    """The state of a control plane node.
+
+    Attributes:
+        voter: The node as a voter.
+        is_empty: Whether the node holds no table yet.
+        is_leaving: Whether the node is shutting down.
+    """
 
     voter: quorum.Voter
     is_empty: bool
@@ -20,16 +26,16 @@
 
     @classmethod
     def from_wire(cls, body: typing.Any) -> "NodeState":
-        """Decode the reply; versions before this one send no `is_leaving`, later ones may send more.
+        """Decode the state; earlier releases do not send `is_leaving`, and later ones may send more fields.
 
         Raises:
-            ValueError: A field has a wrong type, or there are too few.
-            TypeError: The voter has another number of fields.
+            ValueError: A field has a wrong type, or there are too few fields.
+            TypeError: The voter has a wrong number of fields.
         """
         voter, is_empty, *more = body
         is_leaving = bool(more) and more[0]
         if type(is_empty) is not bool or type(is_leaving) is not bool:
-            raise ValueError("not a node's state")
+            raise ValueError("is_empty or is_leaving of a node's state is not a boolean")
         return cls(quorum.Voter.from_wire(voter), is_empty, is_leaving)
 
     def to_wire(self) -> request.WireBody:
@@ -39,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class NodeStateRequest(request.Request[NodeState]):
-    """Ask a control plane node who it is and whether it holds anything."""
+    """Asks a control plane node for its identity as a voter, and whether it is empty or shutting down."""
 
     kind = request.MessageKind.NODE_STATE
 
@@ -48,12 +54,12 @@
         return ()
 
     def decode_reply(self, body: typing.Any) -> NodeState:
-        """Decode the node's state."""
+        """Decode the state of the node."""
         return NodeState.from_wire(body)
 
 
 class FirstBatch(typing.NamedTuple):
-    """The first batch of a table, which names its voters."""
+    """The first batch of a table, which sets the voters of the table."""
 
     table: str
     batch: items.Batch
@@ -61,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class BootstrapRequest(request.Request[None]):
-    """Install the first batches on an empty node."""
+    """Asks an empty node to apply the first batch of each table."""
 
     kind = request.MessageKind.BOOTSTRAP
     batches: tuple[FirstBatch, ...]
@@ -76,11 +82,11 @@
         return tuple((table, batch.to_wire()) for table, batch in self.batches)
 
     def decode_reply(self, body: typing.Any) -> None:
-        """Ignore the reply: whether the node has the batches shows when it votes."""
+        """Ignore the reply: a node that did not apply the batches refuses to vote later."""
 
 
 class BootstrapReply(typing.NamedTuple):
-    """The version that the node has applied, for each table of the request."""
+    """The applied versions of a node after a bootstrap request, in the order of the request's tables."""
 
     applied: tuple[versions.Version, ...]
 
@@ -89,31 +95,31 @@
         return tuple((version.to_wire(),) for version in self.applied)
 
 
-# -- choice of voters ---------------------------------------------------------------------------------------
+# -- reachability and durability ----------------------------------------------------------------------------
 class ReplyAge(typing.NamedTuple):
-    """A voter's disk and the seconds since the reporting node had a reply from it."""
+    """The seconds since the reporting node last received a reply from the voter with the disk `disk_id`."""
 
     disk_id: str
     seconds_since_reply: float
 
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "ReplyAge":
-        """Decode an entry; ValueError or TypeError if it is malformed."""
+        """Decode a reply age; ValueError or TypeError if it is malformed."""
         disk_id, seconds_since_reply = fields
         if not isinstance(seconds_since_reply, int | float):
-            raise TypeError("not a number of seconds")
+            raise TypeError("the seconds since the last reply are not a number")
         return cls(disk_id, seconds_since_reply)
 
 
 class ReachabilityReport(typing.NamedTuple):
-    """A voter's disk, and how long each other voter's disk has been silent towards it."""
+    """How long ago each other voter last replied to the reporting voter, whose disk is `disk_id`."""
 
     disk_id: str
     reply_ages: tuple[ReplyAge, ...]
 
     @classmethod
     def from_wire(cls, body: typing.Any) -> "ReachabilityReport":
-        """Decode the reply; ValueError or TypeError if it is malformed."""
+        """Decode the report; ValueError or TypeError if it is malformed."""
         disk_id, reply_ages = body
         return cls(disk_id, tuple(ReplyAge.from_wire(fields) for fields in reply_ages))
 
@@ -123,7 +129,7 @@
 
 
 def count_unreachable_reports(reports: list[ReachabilityReport], disk_id: str, seconds: float) -> int:
-    """Return to how many reporting voters a disk has been silent for at least so long.
+    """Return how many reporting voters have had no reply from a disk for at least `seconds`.
 
     >>> reports = [ReachabilityReport("a", (ReplyAge("c", 2.0), ReplyAge("b", 0.1)))]
     >>> count_unreachable_reports(reports, "c", 1.0), count_unreachable_reports(reports, "b", 1.0)
@@ -137,7 +143,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReachabilityRequest(request.Request[ReachabilityReport]):
-    """Ask a voter which other voters it reaches."""
+    """Asks a voter how long ago each other voter last replied to it."""
 
     kind = request.MessageKind.REACHABILITY
 
@@ -146,12 +152,12 @@
         return ()
 
     def decode_reply(self, body: typing.Any) -> ReachabilityReport:
-        """Decode the report."""
+        """Decode the reachability report of the voter."""
         return ReachabilityReport.from_wire(body)
 
 
 class KnownVersion(typing.NamedTuple):
-    """The version of a table that the sender has applied."""
+    """The version of a table that the sender of a durability check has applied."""
 
     table: str
     applied: versions.Version
@@ -159,7 +165,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class DurabilityCheck(request.Request[quorum.Voter]):
-    """Ask a voter to be to have all tables on its disk, none older than given; it replies who it is."""
+    """Asks a prospective voter to save all tables to its disk; it replies with itself as a voter.
+
+    Attributes:
+        known_versions: The sender's applied versions; the saved replicas must not be older than these.
+    """
 
     kind = request.MessageKind.DURABILITY_CHECK
     known_versions: tuple[KnownVersion, ...] = ()
@@ -174,5 +184,5 @@
         return tuple((table, applied.to_wire()) for table, applied in self.known_versions)
 
     def decode_reply(self, body: typing.Any) -> quorum.Voter:
-        """Decode the voter."""
+        """Decode the node that replied, as a voter."""
         return quorum.Voter.from_wire(body)
--- a/src/irisstand/controlplane/consensus/order_messages.py
+++ b/src/irisstand/controlplane/consensus/order_messages.py
@@ -1,4 +1,4 @@
-"""Orders that one control plane node forwards to a voter, and the voter's reply."""
+"""Messages by which a control plane node forwards an order to a voter and receives the result."""
 
 import dataclasses
 import enum
@@ -10,14 +10,19 @@
 
 
 class OrderResult(typing.TypedDict):
-    """The result of a confirmed order, as operators receive it: its version, and the keys it wrote."""
+    """The result of a confirmed order, as operators receive it.
+
+    Attributes:
+        serial: The version of the batch that contains the order, as a string.
+        rows: The keys that the order wrote.
+    """
 
     serial: str
     rows: list[str]
 
 
 class OrderStatus(enum.StrEnum):
-    """The first field of a reply to an order; codes of `control_errors.DetailedError` stand there, too."""
+    """The status of a reply to an order, unless that is the `code` of a `control_errors.DetailedError`."""
 
     DONE = "done"
     INVALID_CHANGE = "bad-change"
@@ -27,20 +32,20 @@
 
 
 class OrderReply(typing.NamedTuple):
-    """A status, and the result or the details of the refusal."""
+    """A voter's reply to an order: a status, and as content the result or the details of the refusal."""
 
     status: str
     content: typing.Any
 
     @classmethod
     def from_wire(cls, body: typing.Any) -> "OrderReply":
-        """Decode the reply; ValueError or TypeError if it is malformed."""
+        """Decode the reply to an order; ValueError or TypeError if it is malformed."""
         status, content = body
         return cls(status, content)
 
     @classmethod
     def from_error(cls, error: errors.IrisError) -> "OrderReply | None":
-        """Return the reply that carries a refusal with its details; None for errors that travel as faults."""
+        """Return a reply with the details of a refusal; None for errors that are sent as error responses."""
         match error:
             case errors.InvalidChangeError():
                 return cls(OrderStatus.INVALID_CHANGE.value, error.faults)
@@ -62,7 +67,7 @@
         """Return the order's result.
 
         Raises:
-            irisstand.errors.IrisError: The order was refused, or its outcome is not known.
+            irisstand.errors.IrisError: The order was refused, or its outcome is unknown.
         """
         match self.status:
             case OrderStatus.DONE:
@@ -78,20 +83,22 @@
         refusal = control_errors.rebuild(self.status, self.content)
         if refusal is not None:
             raise refusal
-        # A status of later software is no confirmation.
-        raise errors.ChangeOutcomeUnknownError(f"the voter answered {self.status!r}")
+        # An unknown status, which a later release may send, does not confirm the order.
+        raise errors.ChangeOutcomeUnknownError(
+            f"the voter replied to the order with the unknown status {self.status!r}"
+        )
 
 
 @dataclasses.dataclass(frozen=True)
 class OrderRequest(request.Request[OrderReply]):
-    """Ask a voter to have an order decided."""
+    """Asks a voter to have an order decided."""
 
     kind = request.MessageKind.ORDER
     order: orders.Order
 
     @classmethod
     def from_wire(cls, body: typing.Any) -> "OrderRequest":
-        """Decode the request; TypeError if it has another number of fields."""
+        """Decode the request; TypeError if it has a wrong number of fields."""
         return cls(orders.Order(*body))
 
     def to_wire(self) -> request.WireBody:
@@ -99,5 +106,5 @@
         return tuple(self.order)
 
     def decode_reply(self, body: typing.Any) -> OrderReply:
-        """Decode the status and content."""
+        """Decode the reply, which has a status and a content."""
         return OrderReply.from_wire(body)
--- a/src/irisstand/controlplane/consensus/participant.py
+++ b/src/irisstand/controlplane/consensus/participant.py
@@ -1,4 +1,4 @@
-"""A control plane node's part in consensus: its durable store, its acceptors and its calls to the voters."""
+"""A control plane node as a participant in consensus: its durable store, acceptors and calls to voters."""
 
 import asyncio
 import collections.abc
@@ -11,7 +11,7 @@
 from irisstand.state.storage import disk, durable_store
 
 CALL_TIMEOUT_SECONDS = 1.0
-# Without a call made or answered for so long, this process was paused.
+# If the process neither made nor answered a call for this long, it is assumed to have been paused.
 PAUSE_DETECTION_SECONDS = 0.8
 
 ReplyT = typing.TypeVar("ReplyT")
@@ -19,12 +19,12 @@
 
 
 class Participant:
-    """Answers and makes the calls of consensus.
+    """Answers the consensus requests of other nodes, and calls the voters.
 
     Attributes:
-        acceptors: By table.
-        last_replies: By disk id of a voter, when it last reported its state, or was first called. In seconds
-            of the node's clock.
+        acceptors: The acceptor of each table.
+        last_replies: For the disk id of each voter, when the voter last reported its state, or was first
+            called if it never did. In seconds of the node's clock.
     """
 
     def __init__(self, context: node_context.NodeContext, node_disk: disk.Disk) -> None:
@@ -45,18 +45,18 @@
         handlers[request.MessageKind.REACHABILITY] = self.handle_reachability
 
     async def open(self) -> None:
-        """Read the disk and start an acceptor for each table."""
+        """Load the tables from the disk, and start an acceptor for each table."""
         await self.store.open()
         for table in items.TABLES:
             table_replica = self.context.replicas[table]
-            # Damaged files are not read from, and so do not spread.
+            # Damaged data are not loaded, so that they are not replicated to other nodes.
             if self.store.intact[table]:
                 table_replica.replace_content(self.store.replicas[table].clone())
             self.acceptors[table] = acceptor.Acceptor(self.store, table_replica, self.catch_up)
-            self.context.start_task(self.acceptors[table].run(), f"owner of {table}")
+            self.context.start_task(self.acceptors[table].run(), f"acceptor of {table}")
 
     async def catch_up(self, table: str, name: str) -> None:
-        """Learn a table from the node of that name, if its address is known."""
+        """Copy newer data of a table from the node of that name, if the node's address is known."""
         addresses = {voter.name: (voter.host, voter.port) for voter in self.voters(table)}
         for update in self.context.members_of("agency"):
             addresses[update.identity.name] = update.node_info.address
@@ -64,7 +64,7 @@
             await self.replicator.pull(addresses[name], name, (table,))
 
     def voters(self, table: str) -> list[quorum.Voter]:
-        """Return the voters of a table as this node's replica has them."""
+        """Return the voters of a table according to this node's replica."""
         return quorum.voters_from_wire(self.context.replicas[table].value(items.VOTERS_KEY))
 
     def own_voter(self) -> quorum.Voter:
@@ -78,16 +78,16 @@
         """Return whether this node's disk has a vote on a table."""
         return any(voter.disk_id == self.store.disk_id for voter in self.voters(table))
 
-    # -- answers to peers --------------------------------------------------------------------------------
+    # -- requests of other nodes -------------------------------------------------------------------------
     async def handle_prepare(self, _sender: str, body: typing.Any) -> request.WireBody:
-        """Answer a prepare request."""
+        """Promise the ballot of a prepare request if possible, and return the reply."""
         prepare = messages.PrepareRequest.from_wire(body)
         self._check_disk_id(prepare.disk_id)
         reply = await self.acceptors[prepare.table].submit(acceptor.Prepare(prepare.ballot))
         return reply.to_wire()
 
     async def handle_accept(self, sender: str, body: typing.Any) -> request.WireBody:
-        """Answer an accept request."""
+        """Accept the batch of an accept request if possible, and return the reply."""
         accept = messages.AcceptRequest.from_wire(body)
         self._check_disk_id(accept.disk_id)
         command = acceptor.Accept(accept.ballot, accept.batch, sender)
@@ -95,18 +95,20 @@
         return reply.to_wire()
 
     def _check_disk_id(self, disk_id: str) -> None:
-        # A wiped node does not know what its earlier disk promised.
+        # A node with a new disk does not know what it promised on its earlier disk, so it must not vote for it.
         if disk_id != self.store.disk_id:
-            raise errors.NotBootstrappedError("the disk that was asked for is not this node's any more")
+            raise errors.NotBootstrappedError(
+                "this node no longer has the disk that the request is addressed to"
+            )
 
     async def handle_commit(self, _sender: str, body: typing.Any) -> request.WireBody:
-        """Apply a decided batch; the reply is empty."""
+        """Apply a decided batch, and return an empty reply."""
         commit = messages.CommitRequest.from_wire(body)
         await self.acceptors[commit.table].submit(acceptor.Commit(commit.batch))
         return ()
 
     async def handle_bootstrap(self, _sender: str, body: typing.Any) -> request.WireBody:
-        """Install the first batches of empty tables."""
+        """Apply the first batch to each empty table, and reply with the applied versions."""
         bootstrap = node_messages.BootstrapRequest.from_wire(body)
         applied = [
             await self.acceptors[table].submit(acceptor.InstallFirstBatch(batch))
@@ -115,7 +117,7 @@
         return node_messages.BootstrapReply(tuple(applied)).to_wire()
 
     async def handle_voter_state(self, _sender: str, body: typing.Any) -> request.WireBody:
-        """Answer from memory with what this node knows of a table: its disk may be stalled."""
+        """Reply with this node's state of a table, from memory, as its disk may be stalled."""
         self._detect_pause()
         table = messages.VoterStateRequest.from_wire(body).table
         record = self.store.records[table]
@@ -124,7 +126,7 @@
         return messages.VoterState(self.store.disk_id, applied, pending_base, record.promised).to_wire()
 
     async def handle_reachability(self, _sender: str, _body: typing.Any) -> request.WireBody:
-        """Answer with how long each other voter's disk has been silent towards this node."""
+        """Reply with how long ago each other voter last replied to this node."""
         self._detect_pause()
         now = self.context.clock.now()
         own = self.store.disk_id
@@ -137,7 +139,7 @@
         return node_messages.ReachabilityReport(own, reply_ages).to_wire()
 
     def _detect_pause(self) -> None:
-        """Count silence anew after a pause: a process that did not run could not receive replies."""
+        """Reset the times of the last replies after a pause, as a paused process could not receive replies."""
         now = self.context.clock.now()
         if now - self.last_activity_at > PAUSE_DETECTION_SECONDS:
             self.last_replies = dict.fromkeys(self.last_replies, now)
@@ -148,8 +150,9 @@
         """Send a request to a voter, which may be this node, and return its reply.
 
         Raises:
-            irisstand.errors.IrisError: The voter could not be called, did not answer or refused.
-            ValueError: The reply is malformed; TypeError likewise.
+            irisstand.errors.IrisError: The voter could not be reached, did not reply or refused.
+            ValueError: A field of the reply has a wrong type or value.
+            TypeError: The reply does not have the structure of such a reply.
         """
         if voter.disk_id == self.store.disk_id:
             handler = self.context.transport.handlers[message.kind]
@@ -168,17 +171,17 @@
         request_to: collections.abc.Callable[[quorum.Voter], request.Request[ReplyT]],
         are_enough: collections.abc.Callable[[Replies[ReplyT]], bool],
     ) -> Replies[ReplyT]:
-        """Call voters side by side until there are enough replies.
+        """Call voters concurrently until there are enough replies.
 
-        Calls that are still in flight then are not cancelled; a voter whose call failed has no reply.
+        The remaining calls are not cancelled. A voter whose call failed has no entry in the result.
 
         Args:
-            voters: Whom to call.
-            request_to: Returns the request for a voter.
-            are_enough: Is given the replies so far.
+            voters: The voters to call.
+            request_to: Returns the request to send to a given voter.
+            are_enough: Returns whether the replies received so far, by disk id, are enough.
 
         Returns:
-            The replies by disk id.
+            The replies received so far, by the disk id of the voter.
         """
         replies: Replies[ReplyT] = {}
         tasks = {self._start_call(voter, request_to(voter)): voter for voter in voters}
@@ -189,7 +192,7 @@
             )
             if not done:
                 break
-            # In the order of the calls: a set has none of its own, and a run must be repeatable.
+            # Iterate in the order of the calls: sets are unordered, and simulated runs must be repeatable.
             for task, voter in tasks.items():
                 if task in done and not task.cancelled() and task.exception() is None:
                     replies[voter.disk_id] = task.result()
--- a/src/irisstand/controlplane/consensus/proposer.py
+++ b/src/irisstand/controlplane/consensus/proposer.py
@@ -1,7 +1,7 @@
-"""The proposer: queues orders for one table and has the voters decide them in batches, one ballot each.
+"""The Paxos proposer of one table: queues orders, and has the voters decide them in one batch per ballot.
 
-A ballot has the two phases of Paxos: a majority promises to take no lower ballot number, then a durable
-majority accepts the batch. See docs/architecture.md.
+A ballot has the two phases of Paxos: first, a majority promises to accept no lower ballot number; then, a
+durable majority accepts the batch. See docs/architecture.md.
 """
 
 import asyncio
@@ -14,18 +14,18 @@
 
 ORDER_TIMEOUT_SECONDS = 4.0
 BATCH_ORDERS_LIMIT = 64
-# A lost ballot is repeated after a random time in this range, times the number of attempts up to the limit.
+# A lost ballot is retried after a random pause in this range, times the number of attempts up to the limit.
 LOST_BALLOT_PAUSE_SECONDS = (0.01, 0.03)
 LOST_BALLOT_FACTOR_LIMIT = 8
 FAILED_BALLOT_PAUSE_SECONDS = 0.05
 
 
 class BallotLostError(Exception):
-    """This ballot decided nothing; another one may."""
+    """Raised when a ballot decides nothing, or not the given orders; a later ballot may still decide them."""
 
 
 class Proposer:
-    """Proposes the orders of one table for this node."""
+    """Proposes the orders that were submitted to this node for one table."""
 
     def __init__(self, node_participant: participant.Participant, table: str) -> None:
         self.participant = node_participant
@@ -33,9 +33,9 @@
         self.table = table
         self.replica = self.context.replicas[table]
         self.queue: asyncio.Queue[ballot_plan.PendingOrder] = asyncio.Queue()
-        # The highest ballot number chosen here or reported by a voter.
+        # The highest version that this node has chosen as a ballot number or that a voter reported.
         self.highest_ballot = versions.NONE
-        # One ballot at a time, or this node's own would defeat each other.
+        # Only one ballot runs at a time, as concurrent ballots of this node would preempt each other.
         self.ballot_lock = asyncio.Lock()
 
     async def submit(
@@ -44,8 +44,8 @@
         """Have an order decided and return its result.
 
         Raises:
-            irisstand.errors.NoQuorumError: In time; no voter was sent the order.
-            irisstand.errors.ChangeOutcomeUnknownError: Not decided in time, but voters were sent the order.
+            irisstand.errors.NoQuorumError: The timeout expired, and the order was sent to no voter.
+            irisstand.errors.ChangeOutcomeUnknownError: The timeout expired after the order was sent to voters.
             irisstand.errors.IrisError: The order was refused.
         """
         future: asyncio.Future[order_messages.OrderResult] = asyncio.get_running_loop().create_future()
@@ -54,7 +54,7 @@
         return await future
 
     async def run(self) -> None:
-        """Take orders from the queue in batches until cancelled."""
+        """Take orders from the queue and have them decided in batches, until cancelled."""
         while True:
             pending_orders = [await self.queue.get()]
             while not self.queue.empty() and len(pending_orders) < BATCH_ORDERS_LIMIT:
@@ -70,7 +70,7 @@
             except BallotLostError as reason:
                 self.context.counters.add("ballots_lost", table=self.table)
                 event_log.record("ballot-lost", table=self.table, reason=str(reason))
-                # Random and growing, or two proposers would meet again at the same moment.
+                # The pause is random and grows, so that competing proposers do not collide again.
                 pause = self.context.randomness.uniform(*LOST_BALLOT_PAUSE_SECONDS)
                 await asyncio.sleep(pause * min(attempts, LOST_BALLOT_FACTOR_LIMIT))
             except errors.IrisError as error:
@@ -85,45 +85,45 @@
         for entry in pending_orders:
             if now < entry.give_up_at:
                 continue
-            # Once any voter was sent the batch nobody may call the order refused.
+            # An order that was sent to a voter may still be decided, so it must not be reported as refused.
             if entry.proposals:
-                entry.fail(errors.ChangeOutcomeUnknownError("the voters have not settled it in time"))
+                entry.fail(errors.ChangeOutcomeUnknownError("the voters did not decide the order in time"))
             else:
-                entry.fail(errors.NoQuorumError("no majority of the voters answered"))
+                entry.fail(errors.NoQuorumError("no majority of the voters replied in time"))
 
     def _refuse_unproposed(
         self, pending_orders: list[ballot_plan.PendingOrder], error: errors.IrisError
     ) -> None:
-        # A full disk will not be emptied within the time-out of an order.
+        # A full disk is not expected to be freed within the timeout of an order.
         for entry in pending_orders:
             if not entry.proposals:
                 entry.fail(error)
 
     async def finish_pending(self) -> None:
-        """Run a ballot without orders: it decides what a voter has accepted and nobody has committed."""
+        """Run a ballot without orders, which decides a batch that was accepted and not yet committed."""
         await self.run_ballot([])
 
     async def run_ballot(self, pending_orders: list[ballot_plan.PendingOrder]) -> None:
-        """Run one ballot; it finishes a pending batch if there is one, else it proposes the orders.
+        """Run one ballot, which completes a pending batch if there is one, and else proposes the orders.
 
         Raises:
-            BallotLostError: Nothing was decided, or not the orders.
+            BallotLostError: The ballot decided nothing, or a pending batch instead of the orders.
             irisstand.errors.IrisError: The ballot could not be run.
         """
         async with self.ballot_lock:
             voters = self.participant.voters(self.table)
             if not voters:
-                raise errors.NotBootstrappedError("no core has been founded yet")
+                raise errors.NotBootstrappedError("the control plane has not been bootstrapped yet")
             if not self.participant.is_voter(self.table):
                 raise BallotLostError("this node has no vote yet")
             ballot = self._choose_ballot_number()
             pending = await self.prepare(voters, ballot)
             self.context.counters.add("ballots_held", table=self.table)
             if pending is not None:
-                # It may have been confirmed already, so it is finished before anything new.
+                # The pending batch may have been confirmed to a client already, so it is decided before new orders.
                 await self.propose(voters, ballot, pending)
                 if pending_orders:
-                    raise BallotLostError("finished a pending batch first")
+                    raise BallotLostError("the ballot completed a pending batch instead of the orders")
                 return
             await self._propose_orders(voters, ballot, pending_orders)
 
@@ -135,7 +135,7 @@
     ) -> None:
         overlay = table_overlay.Overlay(self.replica, ballot)
         plan = ballot_plan.plan_ballot(overlay, self.replica, pending_orders)
-        # A batch without rows moves the applied version, so that an earlier proposal can never count.
+        # Even an empty batch advances the applied version, after which no earlier proposal can be decided.
         if overlay.rows or plan.is_base_undecided:
             plan.record_proposals(self.replica.applied, ballot)
             await self.propose(voters, ballot, overlay.batch())
@@ -144,7 +144,7 @@
     def _choose_ballot_number(self) -> versions.Version:
         record = self.participant.store.records[self.table]
         highest_known = max(self.highest_ballot, record.promised, self.replica.applied)
-        # With the disk id in the name a wiped disk never chooses its predecessor's numbers again.
+        # As it contains the disk id, a node with a new disk never reuses a ballot number of its earlier disk.
         self.highest_ballot = highest_known.successor(
             f"{self.context.settings.name}~{self.participant.store.disk_id}"
         )
@@ -152,10 +152,10 @@
 
     # -- phase 1 -----------------------------------------------------------------------------------------
     async def prepare(self, voters: list[quorum.Voter], ballot: versions.Version) -> items.Batch | None:
-        """Get promises from a majority, learn the newest applied version, return what is pending on it.
+        """Collect promises of a majority, catch up to its newest version, and return the batch pending on it.
 
         Raises:
-            BallotLostError: No majority promised, or the table moved on meanwhile.
+            BallotLostError: No majority promised, or the voters or the applied version changed meanwhile.
         """
         promises = await self._collect_promises(voters, ballot)
         await self._learn_newest(voters, ballot, promises)
@@ -175,10 +175,10 @@
             return messages.PrepareRequest(self.table, ballot, voter.disk_id)
 
         own = next(voter for voter in voters if voter.disk_id == self.participant.store.disk_id)
-        # Its own promise is synced first: after a crash this number must not be chosen again.
+        # This node syncs its own promise first, so that it does not reuse the ballot number after a crash.
         own_reply = await self.participant.call_voter(own, request_to(own))
         if not isinstance(own_reply, messages.Promised):
-            raise BallotLostError("promised higher itself")
+            raise BallotLostError("this node has already promised a ballot at least as high")
         replies = await self.participant.gather_replies(
             [voter for voter in voters if voter is not own],
             request_to,
@@ -188,7 +188,7 @@
         self._record_higher_versions(replies)
         promises = vote_counting.promises_of(replies)
         if not quorum.is_majority(voters, set(promises)):
-            raise BallotLostError("no majority promised")
+            raise BallotLostError("no majority of the voters promised the ballot")
         return promises
 
     async def _learn_newest(
@@ -199,15 +199,15 @@
             name = next(voter.name for voter in voters if voter.disk_id == disk_id)
             await self.participant.catch_up(self.table, name)
         if self.replica.applied < applied or self.participant.voters(self.table) != voters:
-            raise BallotLostError("was behind the voters")
-        # The applied version may have passed this ballot's number while the promises came in. A batch
-        # numbered below its own base would be taken for an older table wherever versions are compared.
+            raise BallotLostError("this node's replica is behind the voters, or its voter set has changed")
+        # The applied version may have passed the ballot number while the promises arrived. A batch with a
+        # version below its own base would be taken for older data wherever versions are compared.
         if ballot <= self.replica.applied:
-            raise BallotLostError("the tip overtook the ballot")
+            raise BallotLostError("the applied version is at least as high as the ballot number")
 
     # -- phase 2 -----------------------------------------------------------------------------------------
     async def propose(self, voters: list[quorum.Voter], ballot: versions.Version, batch: items.Batch) -> None:
-        """Have a durable majority accept a batch, apply it and send the commits.
+        """Have a durable majority accept a batch, apply the batch and send commits to all voters.
 
         Raises:
             BallotLostError: No durable majority accepted; the batch may still be decided by another proposer.
@@ -221,12 +221,12 @@
         )
         self._record_higher_versions(replies)
         if not vote_counting.is_decided(voter_sets, replies):
-            raise BallotLostError("no durable majority accepted")
+            raise BallotLostError("no durable majority of the voters accepted the batch")
         if self.replica.applied == batch.base:
             self.replica.apply(batch)
         self.context.counters.add("batches_confirmed", table=self.table)
         commit = messages.CommitRequest(self.table, batch)
-        # The commits are only sent: nobody waits for their replies.
+        # The commits are sent without waiting for the replies.
         await self.participant.gather_replies(all_voters, lambda _voter: commit, lambda _replies: True)
 
     def _record_higher_versions(self, replies: collections.abc.Mapping[str, object]) -> None:
--- a/src/irisstand/controlplane/consensus/request.py
+++ b/src/irisstand/controlplane/consensus/request.py
@@ -1,4 +1,4 @@
-"""What all requests between control plane nodes have in common: kind, wire form and reply."""
+"""The base class of all consensus requests between control plane nodes, and the function that sends them."""
 
 import abc
 import enum
@@ -11,7 +11,7 @@
 
 
 class MessageKind(enum.StrEnum):
-    """Kinds of requests, as they stand on the wire and in the counters' label `kind`."""
+    """Kinds of requests, with the values used on the wire and in the label `kind` of counters."""
 
     PREPARE = "promise"
     ACCEPT = "accept"
@@ -31,15 +31,15 @@
 
     @abc.abstractmethod
     def to_wire(self) -> WireBody:
-        """Return the body as plain tuples."""
+        """Return the body of the request as plain tuples."""
 
     @abc.abstractmethod
     def decode_reply(self, body: typing.Any) -> ReplyT:
-        """Decode the result that the receiver sent.
+        """Decode the body of the reply to this request.
 
         Raises:
-            ValueError: A field has a wrong type or value, or there is another number of fields.
-            TypeError: A field is no sequence.
+            ValueError: A field has a wrong type or value, or the number of fields is wrong.
+            TypeError: A field is not a sequence.
         """
 
 
@@ -53,8 +53,9 @@
     """Send a request to a node and return its decoded reply.
 
     Raises:
-        irisstand.errors.IrisError: The node could not be asked, did not answer or refused.
-        ValueError: The reply is malformed; TypeError likewise.
+        irisstand.errors.IrisError: The node could not be reached, did not reply or refused.
+        ValueError: A field of the reply has a wrong type or value, or the number of fields is wrong.
+        TypeError: A field of the reply is not a sequence.
     """
     body = await transport.call(address, name, request.kind, request.to_wire(), timeout_seconds)
     return request.decode_reply(body)
