--- a/src/irisstand/controlplane/consensus/heartbeat.py
+++ b/src/irisstand/controlplane/consensus/heartbeat.py
@@ -129,7 +129,7 @@
         return self.replica.applied > applied or (self.replica.applied == applied and not is_pending)
 
     def _start_persisting(self) -> None:
-        """Start to save the replica if the one on the disk is older or damaged; readers do not wait for it."""
+        """Start saving the replica if the disk holds an older or damaged one; readers do not wait for it."""
         record = self.participant.store.records[self.table]
         is_behind = record.applied < self.replica.applied or not self.participant.store.intact[self.table]
         if is_behind and self.participant.acceptors[self.table].queue.empty():
--- a/src/irisstand/controlplane/consensus/order_messages.py
+++ b/src/irisstand/controlplane/consensus/order_messages.py
@@ -84,9 +84,7 @@
         if refusal is not None:
             raise refusal
         # An unknown status, which a later release may send, does not confirm the order.
-        raise errors.ChangeOutcomeUnknownError(
-            f"the voter replied to the order with the unknown status {self.status!r}"
-        )
+        raise errors.ChangeOutcomeUnknownError(f"unknown status {self.status!r} in the voter's reply")
 
 
 @dataclasses.dataclass(frozen=True)
--- a/src/irisstand/controlplane/consensus/participant.py
+++ b/src/irisstand/controlplane/consensus/participant.py
@@ -95,11 +95,9 @@
         return reply.to_wire()
 
     def _check_disk_id(self, disk_id: str) -> None:
-        # A node with a new disk does not know what it promised on its earlier disk, so it must not vote for it.
+        # A node with a new disk does not know what its earlier disk promised, so it must not vote for it.
         if disk_id != self.store.disk_id:
-            raise errors.NotBootstrappedError(
-                "this node no longer has the disk that the request is addressed to"
-            )
+            raise errors.NotBootstrappedError("the request is addressed to an earlier disk of this node")
 
     async def handle_commit(self, _sender: str, body: typing.Any) -> request.WireBody:
         """Apply a decided batch, and return an empty reply."""
@@ -139,7 +137,7 @@
         return node_messages.ReachabilityReport(own, reply_ages).to_wire()
 
     def _detect_pause(self) -> None:
-        """Reset the times of the last replies after a pause, as a paused process could not receive replies."""
+        """Reset the times of the last replies after a pause: a paused process could not receive replies."""
         now = self.context.clock.now()
         if now - self.last_activity_at > PAUSE_DETECTION_SECONDS:
             self.last_replies = dict.fromkeys(self.last_replies, now)
--- a/src/irisstand/controlplane/consensus/proposer.py
+++ b/src/irisstand/controlplane/consensus/proposer.py
@@ -45,7 +45,7 @@
 
         Raises:
             irisstand.errors.NoQuorumError: The timeout expired, and the order was sent to no voter.
-            irisstand.errors.ChangeOutcomeUnknownError: The timeout expired after the order was sent to voters.
+            irisstand.errors.ChangeOutcomeUnknownError: The timeout expired, and a voter may have the order.
             irisstand.errors.IrisError: The order was refused.
         """
         future: asyncio.Future[order_messages.OrderResult] = asyncio.get_running_loop().create_future()
@@ -120,7 +120,7 @@
             pending = await self.prepare(voters, ballot)
             self.context.counters.add("ballots_held", table=self.table)
             if pending is not None:
-                # The pending batch may have been confirmed to a client already, so it is decided before new orders.
+                # The pending batch may have been confirmed to a client, so it is decided before new orders.
                 await self.propose(voters, ballot, pending)
                 if pending_orders:
                     raise BallotLostError("the ballot completed a pending batch instead of the orders")
--- a/src/irisstand/controlplane/consensus/submitter.py
+++ b/src/irisstand/controlplane/consensus/submitter.py
@@ -1,4 +1,4 @@
-"""Routes an order: to this node's own proposer, or to the one of another voter."""
+"""Routes each order to a proposer: the one of this node, or the one of another voter."""
 
 import asyncio
 import typing
@@ -8,27 +8,28 @@
 from irisstand.controlplane.consensus import messages, order_messages, participant, proposer, request
 from irisstand.state import quorum
 
-# To another voter, where this node could propose the order itself, and where it has no vote.
+# Timeouts for forwarding an order to another voter, if this node is a voter itself and if it is not.
 FORWARD_TIMEOUT_SECONDS = 1.5
 FORWARD_ONLY_TIMEOUT_SECONDS = 5.0
-# Decided twice, these are the same as decided once.
+# Orders of these kinds have the same effect if they are decided twice.
 IDEMPOTENT_KINDS = (
     orders.OrderKind.AMEND,
     orders.OrderKind.PURGE,
     orders.OrderKind.EVACUATE,
     orders.OrderKind.RETURN,
 )
-# The last winner may have met the very loss that an order of these kinds is about. One that does not even
-# report its state, which it does from memory, is waited for no longer, and the order is proposed here. Only
-# one order can take a lease from a version, and its holder finds its own in the ledger.
+# Orders of these kinds often follow the loss of nodes, which may include the voter that an order is forwarded
+# to. If that voter does not even report its state, which it does from memory, this node stops waiting and
+# proposes the order itself. This is safe for leases too: only one order can acquire a lease from a given
+# version, and the holder finds its own acquisition in the ledger.
 KINDS_RETRIED_LOCALLY = (*IDEMPOTENT_KINDS, orders.OrderKind.LEASE)
-# Without an answer for so long a voter is asked for its state; time-out of that.
+# While a forwarded order has no reply, its voter is asked for its state at this interval, with this timeout.
 LIVENESS_CHECK_INTERVAL_SECONDS = 0.35
 LIVENESS_CHECK_TIMEOUT_SECONDS = 0.3
 
 
 class Submitter:
-    """Has orders decided, by this node or by another voter."""
+    """Submits orders to be decided, by this node's proposers or by another voter."""
 
     def __init__(
         self, node_participant: participant.Participant, proposers: dict[str, proposer.Proposer]
@@ -39,11 +40,11 @@
         self.context.transport.handlers[request.MessageKind.ORDER] = self.handle_order
 
     async def handle_order(self, _sender: str, body: typing.Any) -> request.WireBody:
-        """Have a peer's order decided; typed refusals keep their details on the way back."""
+        """Have an order of another node decided, and reply with the result or the details of the refusal."""
         order = order_messages.OrderRequest.from_wire(body).order
         table = orders.table_of(order.kind)
         if not self.participant.is_voter(table):
-            raise errors.NotBootstrappedError("this node has no vote either")
+            raise errors.NotBootstrappedError("this node has no vote, so it cannot propose the order")
         try:
             with self.context.count_in_flight():
                 result = await self.proposers[table].submit(order)
@@ -55,10 +56,11 @@
         return order_messages.OrderReply(order_messages.OrderStatus.DONE.value, result).to_wire()
 
     async def submit_for_operator(self, order: orders.Order) -> order_messages.OrderResult:
-        """Submit an operator's order, who gets an answer also if this node shuts down before it is decided.
+        """Submit an operator's order, and return early with an error if this node finishes draining before.
 
         Raises:
-            irisstand.errors.IrisError: As for `submit`.
+            irisstand.errors.ChangeOutcomeUnknownError: The order may have been decided, or may still be.
+            irisstand.errors.IrisError: The order was refused or certainly not decided, as for `submit`.
         """
         with self.context.count_in_flight():
             task = asyncio.get_running_loop().create_task(self.submit(order))
@@ -66,29 +68,29 @@
             try:
                 await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
             except asyncio.CancelledError:
-                # Its sender hung up: it must not be carried out after whatever that sender orders next.
+                # The sender closed its connection: the order must not take effect after its next order.
                 task.cancel()
                 raise
             if not task.done():
                 task.cancel()
                 raise errors.ChangeOutcomeUnknownError(
-                    "this node is shutting down, and it is not settled yet"
+                    "this node is shutting down, and the order is not decided yet"
                 )
             return task.result()
 
     async def submit(self, order: orders.Order) -> order_messages.OrderResult:
-        """Have an order decided by the voter that won last, if it can be reached, else by whoever can.
+        """Have an order decided by the proposer of the last batch if it is reachable, else by another voter.
 
-        Any voter could propose it: safety needs no preference. But proposers that meet defeat each other's
-        ballots, so orders gather where the last batch was decided.
+        Any voter may propose an order safely. But concurrent proposers preempt each other's ballots, so all
+        nodes prefer the voter that proposed the last decided batch.
 
         Raises:
-            irisstand.errors.NoQuorumError: Certainly not decided.
-            irisstand.errors.ChangeOutcomeUnknownError: It may have been decided.
+            irisstand.errors.NoQuorumError: The order was certainly not decided.
+            irisstand.errors.ChangeOutcomeUnknownError: The order may have been decided.
             irisstand.errors.IrisError: The order was refused.
         """
         table = orders.table_of(order.kind)
-        # A node without a majority for longer than the bound will not find one within the time-out.
+        # A node that has had no majority for the freshness bound will not find one within the timeout.
         if not self.context.is_current(self.context.replicas[table]):
             raise errors.NoQuorumError("this node has lost the majority of the voters")
         is_voter = self.participant.is_voter(table)
@@ -103,26 +105,26 @@
                 errors.DiskFullError,
                 errors.NoQuorumError,
             ):
-                # All of these say that no voter was sent the order's batch.
+                # Each of these errors means that the order was not sent to any voter in a batch.
                 continue
             except errors.UnansweredError as error:
-                # With a change id it can be sent again to anybody for the one true result; without one it
-                # must not be, unless deciding it twice is harmless.
+                # An order with a change id can be submitted again anywhere and gets the same result. Another
+                # order must not be, unless it is of a kind for which being decided twice is harmless.
                 if is_voter and (order.change or order.kind in KINDS_RETRIED_LOCALLY):
                     break
                 raise errors.ChangeOutcomeUnknownError(str(error)) from None
             except (errors.BadRequestError, errors.UnknownNameError) as error:
-                # Nothing about the order: this voter could not read the message, being older or newer.
+                # The order was not refused: a voter of another release could not decode the message.
                 raise errors.ChangeOutcomeUnknownError(str(error)) from None
             return reply.result()
         if not is_voter:
-            raise errors.NoQuorumError("no voter can be reached from here")
+            raise errors.NoQuorumError("this node is no voter and cannot reach any voter")
         return await self.proposers[table].submit(order)
 
     async def _forward(
         self, voter: quorum.Voter, order: orders.Order, *, is_voter: bool
     ) -> order_messages.OrderReply:
-        """Send an order to a voter; if it could be proposed here, watch that the voter still answers."""
+        """Forward an order to a voter; for some kinds, check while waiting that the voter is alive."""
         transport = self.context.transport
         address = (voter.host, voter.port)
         timeout_seconds = FORWARD_TIMEOUT_SECONDS if is_voter else FORWARD_ONLY_TIMEOUT_SECONDS
@@ -145,21 +147,21 @@
         address = (voter.host, voter.port)
         body = messages.VoterStateRequest(table).to_wire()
         try:
-            # Whatever it answers, it runs: the reply is not decoded.
+            # Any reply shows that the voter is running, so the reply is not decoded.
             await self.context.transport.call(
                 address, voter.name, request.MessageKind.VOTER_STATE, body, LIVENESS_CHECK_TIMEOUT_SECONDS
             )
         except errors.IrisError:
-            raise errors.UnansweredError(f"{voter.name} does not say where it stands") from None
+            raise errors.UnansweredError(f"the voter {voter.name} does not report its state") from None
 
     def _by_preference(self, table: str) -> list[quorum.Voter]:
-        """Return the last winner first, unless it is suspected; then this node; then the others."""
-        last_winner = self.context.replicas[table].applied.node.partition("~")[0]
+        """Return the voters, sorted: the proposer of the last batch if alive, then this node, then others."""
+        last_proposer = self.context.replicas[table].applied.node.partition("~")[0]
         alive = {update.identity.name for update in self.context.members_of("agency") if not update.state}
 
         def rank(voter: quorum.Voter) -> tuple[bool, bool, bool, str]:
-            is_last_winner = voter.name == last_winner and voter.name in alive
+            is_last_proposer = voter.name == last_proposer and voter.name in alive
             is_other = voter.disk_id != self.participant.store.disk_id
-            return (not is_last_winner, is_other, voter.name not in alive, voter.name)
+            return (not is_last_proposer, is_other, voter.name not in alive, voter.name)
 
         return sorted(self.participant.voters(table), key=rank)
--- a/src/irisstand/controlplane/consensus/vote_counting.py
+++ b/src/irisstand/controlplane/consensus/vote_counting.py
@@ -1,4 +1,4 @@
-"""Counts replies of voters: promises, acceptances, and whether a batch is decided by them."""
+"""Evaluates the replies of voters: their promises, their states, and whether they decide a batch."""
 
 import collections.abc
 
@@ -9,15 +9,15 @@
 def promises_of(
     replies: collections.abc.Mapping[str, messages.PrepareReply],
 ) -> dict[str, messages.Promised]:
-    """Return the promises among replies, by disk id."""
+    """Return those replies to a prepare request that are promises, by disk id."""
     return {disk_id: reply for disk_id, reply in replies.items() if isinstance(reply, messages.Promised)}
 
 
 def voter_sets_of(voters: list[quorum.Voter], batch: items.Batch) -> list[list[quorum.Voter]]:
-    """Return the voter sets that must accept a batch: the one in force, and one that the batch brings."""
+    """Return the voter sets that must accept a batch: the current one, and a new one set by the batch."""
     voter_sets = [voters]
     for row in batch.rows:
-        # New voters must hold the change too, or they could lose what the old ones confirmed.
+        # The new voters must hold the batch too, or they could lose a change that the old voters confirmed.
         if row.key == items.VOTERS_KEY:
             voter_sets.append(quorum.voters_from_wire(row.value))
     return voter_sets
@@ -26,7 +26,7 @@
 def is_decided(
     voter_sets: list[list[quorum.Voter]], replies: collections.abc.Mapping[str, messages.AcceptReply]
 ) -> bool:
-    """Return whether a durable majority of every set accepted."""
+    """Return whether a durable majority of each voter set has accepted the batch."""
     accepted = {disk_id for disk_id, reply in replies.items() if isinstance(reply, messages.Accepted)}
     return all(quorum.is_durable(members, accepted) for members in voter_sets)
 
@@ -34,5 +34,5 @@
 def voter_states_of(
     replies: collections.abc.Mapping[str, messages.VoterState],
 ) -> dict[str, messages.VoterState]:
-    """Return the states that the called voters' own disks reported, by disk id."""
+    """Return the voter states by disk id, without those that were reported by a different disk."""
     return {disk_id: reply for disk_id, reply in replies.items() if reply.disk_id == disk_id}
--- a/src/irisstand/controlplane/consensus/voter_administration.py
+++ b/src/irisstand/controlplane/consensus/voter_administration.py
@@ -1,4 +1,4 @@
-"""Voters changed by operators: replaced by a spare node or retired, and only if the core can bear it."""
+"""Changes of voters by operators, who replace a voter by a spare node or retire it if that is safe."""
 
 import asyncio
 import typing
@@ -10,12 +10,12 @@
 from irisstand.controlplane.singletons import fleet_view
 from irisstand.state import items, quorum
 
-# For all tables to be on the disk of a spare.
+# Timeout for a spare node to save all tables to its disk.
 DURABILITY_TIMEOUT_SECONDS = 5.0
 
 
 class VoterAdministration:
-    """Carries out what operators order about voters, and shows them."""
+    """Retires, replaces and describes voters on behalf of operators."""
 
     def __init__(self, context: node_context.NodeContext, node_submitter: submitter.Submitter) -> None:
         self.context = context
@@ -23,11 +23,11 @@
         self.view = fleet_view.FleetView(context)
 
     def voters_of(self, table: str) -> list[quorum.Voter]:
-        """Return the voters of a table as this node's replica has them."""
+        """Return the voters of a table according to this node's replica."""
         return quorum.voters_from_wire(self.context.replicas[table].value(items.VOTERS_KEY))
 
     async def describe(self) -> dict[str, typing.Any]:
-        """Return each table's voters, which of them answer now, and who could replace one, as JSON."""
+        """Return, as JSON, the voters of each table, whether each is up, and the spare nodes."""
         voters: dict[str, typing.Any] = {}
         for table in items.TABLES:
             names_up = await self._names_up(self.voters_of(table), table)
@@ -47,10 +47,15 @@
         return {voter.name for voter, is_up in zip(voters, voting_flags, strict=True) if is_up}
 
     async def check(self, table: str, next_voters: list[quorum.Voter]) -> None:
-        """Check that what is up survives a loss as well with the following voters as it does now.
+        """Check that a majority of the next voters is up, and that they tolerate failures as now.
+
+        Args:
+            table: The table whose voters are to be changed.
+            next_voters: The voters of the table after the change.
 
         Raises:
-            irisstand.errors.InsufficientCapacityError: It does not, or no majority of them is up.
+            irisstand.errors.InsufficientCapacityError: No majority of the next voters is up, or the loss of
+                one machine or site would end the majority though the current voters would survive it.
         """
         current_voters = self.voters_of(table)
         checked_voters = list({voter.disk_id: voter for voter in [*current_voters, *next_voters]}.values())
@@ -64,17 +69,17 @@
             raise _insufficient(table, next_voters, names_up, is_majority=is_majority)
 
     async def retire(self, name: str) -> dict[str, typing.Any]:
-        """Take a voter out of all tables; all are checked before the first is written.
+        """Remove a voter from all tables, after checking that each table allows it.
 
         Raises:
             irisstand.errors.UnknownNameError: There is no control plane node of that name.
-            irisstand.errors.InsufficientCapacityError: The others could not bear a loss.
+            irisstand.errors.InsufficientCapacityError: The remaining voters would tolerate fewer failures.
         """
         members = {update.identity.name for update in self.context.members_of("agency")}
         known_names = self._voter_names() | members | {self.context.settings.name}
         if name not in known_names:
             raise errors.UnknownNameError(
-                f"no core node {name!r}", f"use one of {', '.join(sorted(known_names))}"
+                f"there is no control plane node {name!r}", f"use one of {', '.join(sorted(known_names))}"
             )
         remaining_voters = {
             table: [voter for voter in self.voters_of(table) if voter.name != name] for table in items.TABLES
@@ -87,14 +92,18 @@
         return {"retired": name, "voters": sorted(voter.name for voter in remaining_voters[items.LEDGER])}
 
     async def replace(self, old_name: str, new_name: str) -> dict[str, typing.Any]:
-        """Have a spare, which first puts all tables on its disk, replace a voter in all tables.
+        """Replace a voter in all tables by a spare node, which first saves all tables to its disk.
+
+        If a replacement fails midway, repeating it changes the remaining tables.
 
-        Ordered again after a fault, the tables that are left are changed.
+        Args:
+            old_name: The name of the voter to replace.
+            new_name: The name of the spare node.
 
         Raises:
-            irisstand.errors.UnknownNameError: The spare is not up, or `old` is no voter.
-            irisstand.errors.BadRequestError: Both are voters.
-            irisstand.errors.InsufficientCapacityError: The new set could not bear a loss.
+            irisstand.errors.UnknownNameError: The spare is not up, or `old_name` is not a voter.
+            irisstand.errors.BadRequestError: Both nodes are voters.
+            irisstand.errors.InsufficientCapacityError: The new voters would tolerate fewer failures.
         """
         newcomer = await self._durable_spare(new_name)
         names: list[str] = []
@@ -111,7 +120,7 @@
         if spare is None:
             names = sorted(update.identity.name for update in members)
             remedy = f"start it first; up are: {', '.join(names) or 'none'}"
-            raise errors.UnknownNameError(f"no core node {name!r} is up", remedy)
+            raise errors.UnknownNameError(f"no control plane node {name!r} is up", remedy)
         message = node_messages.DurabilityCheck()
         address = spare.node_info.address
         return await request.call(self.context.transport, address, name, message, DURABILITY_TIMEOUT_SECONDS)
@@ -119,15 +128,15 @@
     async def _check_replacement(
         self, table: str, old_name: str, new_name: str, newcomer: quorum.Voter
     ) -> list[str]:
-        """Check one table's replacement, and return the names of its present voters."""
+        """Check that a voter of one table may be replaced, and return the names of the current voters."""
         known_names = [voter.name for voter in self.voters_of(table)]
         if new_name in known_names and old_name in known_names:
             raise errors.BadRequestError(
-                f"{new_name} votes already", f"retire {old_name} instead of replacing it"
+                f"{new_name} is already a voter", f"retire {old_name} instead of replacing it"
             )
         if new_name not in known_names and old_name not in known_names:
             raise errors.UnknownNameError(
-                f"{old_name!r} is no voter of {table}", f"use one of {', '.join(known_names)}"
+                f"{old_name!r} is not a voter of the {table} table", f"use one of {', '.join(known_names)}"
             )
         kept = [voter for voter in self.voters_of(table) if voter.name not in (old_name, new_name)]
         await self.check(table, [*kept, newcomer])
@@ -153,7 +162,7 @@
         "up": sorted(voter.name for voter in next_voters if voter.name in names_up),
         "sites": sorted({voter.site for voter in next_voters}),
     }
-    reason = "the loss of one machine or site could not be borne" if is_majority else "no majority is up"
-    error = errors.InsufficientCapacityError(f"with these voters of {table}, {reason}", figures)
+    reason = "the loss of a machine or site would end the majority" if is_majority else "no majority is up"
+    error = errors.InsufficientCapacityError(f"with the new voters of the {table} table, {reason}", figures)
     error.remedy = "bring back the voters that are down, or put a spare in the place of the one"
     return error
--- a/src/irisstand/controlplane/consensus/voter_planner.py
+++ b/src/irisstand/controlplane/consensus/voter_planner.py
@@ -1,6 +1,7 @@
-"""Keeps the voters as good as the machines that are up allow, and hands a vote over before a shutdown.
+"""Keeps the voter set as fault-tolerant as the available nodes allow, and hands over votes before shutdowns.
 
-Every voter plans; the version of the voter set that a plan was made from settles the races.
+All voters plan concurrently. A change names the version of the voter set that it was planned from and is
+refused if that is no longer current, so that concurrent plans cannot conflict.
 """
 
 import asyncio
@@ -12,35 +13,36 @@
 from irisstand.membership import updates
 from irisstand.state import items, quorum
 
-# Between plans, times a random factor.
+# The interval between plans, which is multiplied by a random factor in the range below.
 INTERVAL_SECONDS = 0.25
 INTERVAL_FACTORS = (0.5, 1.0)
-# After a change of the set, while it is not changed again without need.
+# After a change, the voter set is not changed again for this long, except to replace a lost voter.
 MIN_CHANGE_INTERVAL_SECONDS = 1.0
-# A set that needs nothing is planned all the same after so long, and at once if a voter is silent.
+# The voters are planned again after this time even if nothing has changed.
 REPLAN_SECONDS = 2.0
+# The voters are planned again immediately if one of them has not replied for this time.
 MISSING_REPLY_SECONDS = 0.6
-# For an answer from memory, for all tables to be on a newcomer's disk, for the voters to decide.
+# Timeouts: for a reply from memory, for saving all tables to a new voter's disk, for deciding an order.
 REPLY_TIMEOUT_SECONDS = 0.4
 DURABILITY_TIMEOUT_SECONDS = 1.5
 ORDER_TIMEOUT_SECONDS = 2.0
-# Of handing a vote over; it ends when so much of the drain is left.
+# The attempts of a node that shuts down to hand its vote over, and how long before the drain ends they stop.
 HANDOVER_ATTEMPTS_LIMIT = 3
 HANDOVER_RESERVE_SECONDS = 0.4
 
-# An IndexError, ValueError or TypeError comes of a malformed reply.
+# Malformed replies raise a ValueError, a TypeError or an IndexError.
 PLAN_ERRORS = (errors.IrisError, ValueError, TypeError, IndexError)
 
 
 class PlanInputs(typing.NamedTuple):
-    """What a target depends on, as far as it is known here without calling anybody."""
+    """The inputs of a plan that this node knows without calling other nodes."""
 
     members: tuple[tuple[updates.Identity, updates.MemberState], ...]
     voters_by_table: tuple[tuple[quorum.Voter, ...], ...]
 
 
 class VoterPlanner:
-    """Changes the voters of all tables to the set that survives most losses."""
+    """Changes the voters of all tables to the most fault-tolerant set that is available."""
 
     def __init__(
         self, node_participant: participant.Participant, node_submitter: submitter.Submitter
@@ -50,25 +52,25 @@
         self.submitter = node_submitter
         self.last_voters_version = ""
         self.voters_changed_at = 0.0
-        # When it was last planned, and from what.
+        # The time and the inputs of the last plan.
         self.planned_at = 0.0
         self.planned_inputs: PlanInputs | None = None
-        # At a shutdown: whether the vote was handed over, or cannot be.
+        # During a shutdown: whether the vote has been handed over, or the attempts to do so have ended.
         self.has_handed_over = False
         if self.is_enabled:
             self.context.pending_work_checks.append(self.is_handing_over)
 
     @property
     def is_enabled(self) -> bool:
-        """Whether voters are planned: those of a fixed number are changed by operators alone."""
+        """Whether voters are planned automatically; a fixed number of voters is changed by operators only."""
         return self.context.settings.found_by_seeds
 
     def is_handing_over(self) -> bool:
-        """Return whether a shutdown has to wait for the vote to be handed over."""
+        """Return whether a shutdown still has to wait for this node's vote to be handed over."""
         return not self.has_handed_over
 
     async def run(self) -> None:
-        """Plan at intervals until the node shuts down, then hand the vote over."""
+        """Plan at intervals until this node shuts down, then hand its vote over."""
         while self.is_enabled and not self.context.is_lame_duck:
             try:
                 if not self._is_plan_current():
@@ -84,7 +86,7 @@
         return PlanInputs(members, tuple(tuple(self.participant.voters(table)) for table in items.TABLES))
 
     def _is_plan_current(self) -> bool:
-        """Return whether all voters reply and nothing has changed since the last plan."""
+        """Return whether all voters reply, and the last plan is recent and was made from the same inputs."""
         now = self.context.clock.now()
         voter_disk_ids = {voter.disk_id for voter in self.participant.voters(items.LEDGER)}
         other_disk_ids = voter_disk_ids - {self.participant.store.disk_id}
@@ -97,7 +99,7 @@
 
     # -- handover ----------------------------------------------------------------------------------------
     async def _hand_over(self) -> None:
-        """Have another control plane node that holds everything take this one's vote."""
+        """Have another control plane node, which has saved all tables, replace this node as a voter."""
         deadline = self.context.clock.now() + self.context.settings.drain - HANDOVER_RESERVE_SECONDS
         try:
             for _ in range(HANDOVER_ATTEMPTS_LIMIT):
@@ -108,7 +110,7 @@
             self.has_handed_over = True
 
     async def _try_handing_over(self, timeout_seconds: float) -> bool:
-        """Return whether there is nothing more to be done."""
+        """Try once to hand this node's vote over, and return whether no other attempt is needed."""
         try:
             async with asyncio.timeout(timeout_seconds):
                 await self._apply_target(frozenset({self.participant.store.disk_id}))
@@ -116,15 +118,15 @@
             event_log.record("vote-not-handed-over", error=str(error))
             return False
         if any(self.participant.is_voter(table) for table in items.TABLES):
-            event_log.record("vote-kept", why="no other core node can take it")
+            event_log.record("vote-kept", why="no other control plane node can take it over")
         return True
 
     # -- plans -------------------------------------------------------------------------------------------
     async def _apply_target(self, leaving: frozenset[str] = frozenset()) -> None:
-        """Change all tables to one target, worked out from the ledger's voters.
+        """Change the voters of all tables to one target set, which is derived from the ledger's voters.
 
         Args:
-            leaving: Disk ids of voters that are to be replaced though they are up.
+            leaving: Disk ids of voters that are to be replaced although they are up.
         """
         if not any(self.participant.is_voter(table) for table in items.TABLES):
             return
@@ -137,13 +139,13 @@
             return
         self.planned_at = self.context.clock.now()
         self.planned_inputs = self._plan_inputs()
-        # Side by side: a voter that shuts down has seconds for all of them.
+        # Change the tables concurrently, as a voter that shuts down has only seconds for all of them.
         await asyncio.gather(*(self._change_voters(table, target) for table in items.TABLES))
 
     def _was_changed_recently(
         self, current: list[quorum.Voter], target: list[quorum.Voter], missing: set[str]
     ) -> bool:
-        """Return whether a set just changed is to be left alone; never if a lost voter is to be replaced."""
+        """Return whether the target must wait as the set was just changed; a repair never has to wait."""
         now = self.context.clock.now()
         version = str(self.context.replicas[items.LEDGER].version(items.VOTERS_KEY))
         if version != self.last_voters_version:
@@ -172,15 +174,15 @@
         payload = (expected, tuple(tuple(voter) for voter in target))
         order = orders.Order(f"voters-{table}", "", payload)
         if self.context.is_lame_duck:
-            # Where orders gather, none loses its ballot to another.
+            # Forwarded to the voter that all nodes prefer, the order does not compete with other ballots.
             await self.submitter.submit(order)
         else:
-            # Proposed here, as the last winner may be the very voter that is gone.
+            # This node proposes the order itself, as the voter that all nodes prefer may be the lost one.
             await self.submitter.proposers[table].submit(order, ORDER_TIMEOUT_SECONDS)
         event_log.record("voters-changed", table=table, voters=[voter.name for voter in target])
 
     async def _check_durability(self, voter: quorum.Voter) -> None:
-        """Have a newcomer put all that is known here on its disk before it becomes a voter."""
+        """Have a new voter save all tables, as new as they are here, before it gets a vote."""
         known_versions = tuple(
             node_messages.KnownVersion(table, self.context.replicas[table].applied) for table in items.TABLES
         )
@@ -195,11 +197,11 @@
                 transport, address, voter.name, message, DURABILITY_TIMEOUT_SECONDS
             )
         if replying_voter != voter:
-            raise errors.NotBootstrappedError(f"{voter.name} has another disk than a moment ago")
+            raise errors.NotBootstrappedError(f"{voter.name} is no longer the node or disk that was planned")
 
-    # -- what others report ------------------------------------------------------------------------------
+    # -- state of other nodes ----------------------------------------------------------------------------
     async def _candidates(self) -> list[quorum.Voter]:
-        """Return the control plane nodes that know the tables and are not shutting down, this one last."""
+        """Return the control plane nodes that hold the tables and are not shutting down, this node last."""
         members = self.context.members_of("agency")
         candidates_found = await asyncio.gather(*(self._candidate(update) for update in members))
         return [voter for voter in [*candidates_found, self.participant.own_voter()] if voter is not None]
@@ -216,13 +218,13 @@
         return None if state.is_empty or state.is_leaving else state.voter
 
     async def _missing_disks(self, voters: list[quorum.Voter]) -> set[str]:
-        """Return the disks that have long been silent towards a majority; one bad link proves nothing."""
+        """Return the disks from which a majority has long had no reply: one broken link must not count."""
         reports = await asyncio.gather(*(self._reachability_report(voter) for voter in voters))
         replace_after_seconds = self.context.settings.replace_after
         credible_reports = [
             report
             for voter, report in zip(voters, reports, strict=True)
-            # A voter that reaches nobody at all reports on itself: it was cut off, or paused.
+            # A voter without a reply from any other was itself partitioned or paused: ignore its report.
             if report is not None
             and report.disk_id == voter.disk_id
             and any(entry.seconds_since_reply < replace_after_seconds for entry in report.reply_ages)
--- a/src/irisstand/controlplane/consensus/voter_target.py
+++ b/src/irisstand/controlplane/consensus/voter_target.py
@@ -1,4 +1,4 @@
-"""Works out the voters that a table should have from the machines that are up. Does no I/O."""
+"""Computes, without I/O, which of the available control plane nodes should be the voters of a table."""
 
 import collections
 import typing
@@ -6,12 +6,18 @@
 from irisstand.state import quorum
 
 VoterList: typing.TypeAlias = list[quorum.Voter]
-# With fewer sites, one of them has the majority whatever the voters are.
+# With fewer sites, the loss of one of them always ends the majority, whichever nodes are voters.
 MIN_SITES_FOR_SITE_LIMIT = 3
 
 
 class Strength(typing.NamedTuple):
-    """What a set of voters survives, by those of it that are up; the larger is the better one."""
+    """The failures that a set of voters tolerates; of two values, the greater is better.
+
+    Attributes:
+        survives_any_site_loss: Whether a majority is left after the loss of any one site.
+        machine_losses_survived: How many voters that are up can be lost before the majority is lost.
+        sites: The number of sites with a voter that is up.
+    """
 
     survives_any_site_loss: bool
     machine_losses_survived: int
@@ -19,7 +25,7 @@
 
 
 def strength(voters: VoterList, missing: set[str]) -> Strength:
-    """Return what the set survives while the disks in `missing` are silent.
+    """Return the fault tolerance of a set of voters while the disks in `missing` are unavailable.
 
     >>> a, b, c = (quorum.Voter(site, site, site, "", 0, site) for site in "abc")
     >>> strength([a, b, c], set())
@@ -39,16 +45,17 @@
 def target_voters(
     candidates: VoterList, current: VoterList, silent_disk_ids: set[str], wanted: int
 ) -> VoterList:
-    """Return the set to change to, or the current one where no stronger one is to be had.
+    """Return the voters to change to, or the current ones if no set with a higher strength is available.
 
-    The set has an odd number of voters, at most `wanted` and no fewer than now, one on each machine, and so
-    few in each site that its loss leaves a majority. A missing voter votes on until another can replace it.
+    The returned set has an odd number of voters, at most `wanted` and not fewer than now, at most one on each
+    machine, and so few in each site that the loss of a site leaves a majority. A missing voter remains until
+    another node can replace it.
 
     Args:
-        candidates: Control plane nodes that are up, voters or not.
-        current: The voters in force.
-        silent_disk_ids: Disk ids of current voters that count as missing.
-        wanted: How many voters there should be.
+        candidates: Control plane nodes that are up, whether they are voters or not.
+        current: The current voters.
+        silent_disk_ids: Disk ids of current voters that have not replied for too long.
+        wanted: The number of voters that the table should have.
 
     >>> voters = [quorum.Voter(str(n), str(n), site, "", 0, str(n)) for n, site in enumerate("aaabc")]
     >>> [voter.name for voter in target_voters(voters, voters[:3], set(), 5)]
@@ -56,7 +63,7 @@
     """
     current_disk_ids = {voter.disk_id for voter in current}
     disk_by_name = {voter.name: voter.disk_id for voter in candidates}
-    # A disk whose node answers under another one is gone, whatever anybody has received from it.
+    # If a voter's node is up with another disk, the voter's disk is lost, even if it replied recently.
     replaced = {v.disk_id for v in current if disk_by_name.get(v.name, v.disk_id) != v.disk_id}
     missing = silent_disk_ids | replaced
     pool = _eligible_voters(candidates, current, missing)
@@ -74,7 +81,7 @@
 
 
 def _eligible_voters(candidates: VoterList, current: VoterList, missing: set[str]) -> VoterList:
-    """Return who may vote: voters and candidates that are up, and missing voters whose node is not up."""
+    """Return the nodes to choose from: those that are up, and missing voters whose node is not up."""
     names_up = {voter.name for voter in candidates}
     reachable_current = [voter for voter in current if voter.disk_id not in missing]
     reachable_candidates = [voter for voter in candidates if voter.disk_id not in missing]
@@ -87,13 +94,13 @@
 def choose_across_sites(
     pool: VoterList, size: int, current_disk_ids: set[str], missing: set[str]
 ) -> VoterList:
-    """Choose voters site by site in turn: those up first, then those that vote already, then by name.
+    """Choose voters evenly across sites, preferring nodes that are up and, among these, current voters.
 
     Args:
-        pool: Whom to choose from.
-        size: How many to choose; fewer are returned if sites or machines do not allow more.
-        current_disk_ids: Disk ids that vote already.
-        missing: Disk ids that are silent or gone.
+        pool: The nodes to choose from.
+        size: How many to choose; fewer are returned if the limits per site and machine require it.
+        current_disk_ids: Disk ids of the current voters.
+        missing: Disk ids of voters that do not reply or whose disk was replaced.
     """
     chosen: VoterList = []
     site_limit = (size - 1) // 2 if len({voter.site for voter in pool}) >= MIN_SITES_FOR_SITE_LIMIT else size
