--- a/tests/controlplane/test_ballots.py
+++ b/tests/controlplane/test_ballots.py
@@ -1,4 +1,4 @@
-"""Configuration by ballot: whole or nothing, one winner, never lost after a yes."""
+"""Tests of ballots: a change is atomic, one of several racing changes wins, and confirmed changes last."""
 
 import asyncio
 import random
@@ -58,7 +58,7 @@
         with pytest.raises(errors.InvalidChangeError) as raised:
             await day.actors.order("agency-4", "change", [invalid_rows[0], invalid_rows[2]])
         assert "nobody" in raised.value.faults[0]["message"]
-        # A service that a path still grants cannot be removed under it either.
+        # A service that a path still grants cannot be removed.
         with pytest.raises(errors.InvalidChangeError):
             await day.actors.order(
                 "agency-1", "change", [{"kind": "service", "name": "content", "value": None}]
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_change_id_sent_again_after_its_proposer_was_killed_returns_the_one_result(seed):
-    """The id sent again brings the result; what was said yes to stays, whatever was killed right after."""
+    """A proposer is killed around the moment of confirmation; the change must keep its one result."""
 
     async def scenario(day):
         randomness = random.Random(seed)
@@ -102,14 +102,14 @@
         assert (await day.actors.ask("edge-2", "GET", "/vacancies/1"))[0] == 200
         day.cluster.network.heal()
         await day.cluster.wait_until_ready()
-        # Refused means never: the row did not come into force with the healing either.
+        # A refused change must never take effect, not even after the partition has healed.
         assert cluster.context(day, "agency-3").configuration.value("site/north") is None
 
     cluster.play(scenario)
 
 
 def test_batch_numbered_below_its_base_is_rejected():
-    """Found by seed 4 of the simulator: such a batch made every node take the newer table for the older."""
+    """Found by seed 4 of the simulator: such a batch made all nodes take newer table data for older data."""
 
     async def scenario():
         disk = memory_disk.MemoryDisk(random.Random(1))
@@ -129,7 +129,7 @@
         assert await ledger_acceptor.submit(acceptor.Accept(ballot, invalid_batch, "c")) == base_mismatch
         valid_batch = items.Batch(versions.Version(23, "c"), base, rows)
         assert await ledger_acceptor.submit(acceptor.Accept(ballot, valid_batch, "c")) == messages.Accepted()
-        # And once promised, lower ballots are refused.
+        # After a ballot was promised, a lower ballot is rejected, and so is a second promise of the same one.
         ballot_too_low = messages.Rejected(messages.VoteStatus.HIGHER_BALLOT_PROMISED, ballot)
         assert await ledger_acceptor.submit(acceptor.Accept(lower_ballot, valid_batch, "c")) == ballot_too_low
         assert await ledger_acceptor.submit(acceptor.Prepare(ballot)) == ballot_too_low
--- a/tests/controlplane/test_bootstrap.py
+++ b/tests/controlplane/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""A core founded by its seeds, which nobody told how many machines there are; and nodes without a core."""
+"""Tests of bootstrap by seed nodes, without a given cluster size, and of nodes without a control plane."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
 
 
 def voters(simulation, table=items.CONFIGURATION):
-    """The voters in force for a table, the configuration unless another is named."""
+    """Return the current voters of a table, by default of the configuration."""
     return voter_cluster.voters(simulation, table)
 
 
@@ -152,7 +152,8 @@
         edge = simulation.nodes["edge-1"]
         elapsed_seconds = await simulation.wait_until(lambda: not simulation.is_ready(edge), 10)
         assert stale_after - 0.6 <= elapsed_seconds <= stale_after + 0.1
-        # No moment without: the bound for a core that answers is over before the core is known to be out.
+        # The edge must stay unready. If the freshness bound ended before the quorum loss was detected, the edge
+        # would have been unready only for a moment and would be ready again now.
         await asyncio.sleep(0.5)
         assert not simulation.is_ready(edge)
 
--- a/tests/controlplane/test_consensus_messages.py
+++ b/tests/controlplane/test_consensus_messages.py
@@ -1,4 +1,4 @@
-"""Messages of consensus: recorded bodies decode to their types, and encode to the same bytes."""
+"""Tests of the consensus messages: recorded bodies decode to their types and encode to the same bytes."""
 
 import json
 import pathlib
@@ -24,7 +24,7 @@
     "core-state": node_messages.NodeStateRequest(),
 }
 NO_BATCH = items.Batch(versions.NONE, versions.NONE, ())
-# One request of each kind whose reply has content.
+# A request of each kind whose reply has a content and is decoded by the request.
 REQUEST_OF_REPLY = {
     "promise": messages.PrepareRequest("ledger", versions.NONE, "disk"),
     "accept": messages.AcceptRequest("ledger", versions.NONE, NO_BATCH, "disk"),
@@ -51,7 +51,7 @@
 
 
 def as_wire_form(reply):
-    """A voter is the one reply that is a part of other messages, too, and has no wire form of its own."""
+    """Return a reply as plain tuples; a voter, which is also a part of other messages, has no `to_wire`."""
     return tuple(reply) if isinstance(reply, quorum.Voter) else reply.to_wire()
 
 
@@ -208,7 +208,7 @@
 
 
 def test_faults_of_malformed_requests_keep_the_texts_that_travel():
-    """Peers of other versions log these; they are what Python says of unpacking."""
+    """Peers, also of other releases, log the texts of these errors, which come from Python's unpacking."""
     with pytest.raises(ValueError, match=r"^too many values to unpack \(expected 2\)$"):
         messages.CommitRequest.from_wire(["ledger", BATCH, 1])
     with pytest.raises(ValueError, match=r"^not enough values to unpack \(expected 3, got 1\)$"):
@@ -217,7 +217,7 @@
         node_messages.BootstrapRequest.from_wire([["ledger", BATCH], None])
 
 
-# -- neighbouring versions ---------------------------------------------------------------------------
+# -- earlier and later releases ----------------------------------------------------------------------
 def test_node_state_of_the_version_before_says_nothing_of_leaving():
     assert node_messages.NodeState.from_wire([VOTER, True]).is_leaving is False
 
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Planned ends and changes of holder: nothing under way is dropped, and no duty is left undone for long."""
+"""Tests of graceful shutdowns and lease handovers: orders get an answer, and leases are soon held again."""
 
 import asyncio
 
@@ -33,7 +33,7 @@
         await stop_task
         assert not day.checker.broken["a planned restart drops no answer under way"]
         assert day.checker.checked["a planned restart drops no answer under way"] == 1
-        # Sent again under its id, to anybody, it brings the one true result.
+        # Submitted again with the same change id to another node, the change returns its one result.
         result = await day.actors.order("agency-4", "change", [cluster.site_row(weight=3)], "change-x")
         await asyncio.sleep(1)
         assert cluster.context(day, "agency-4").configuration.value("site/north") == {"weight": 3}
@@ -42,7 +42,7 @@
     cluster.play(scenario)
 
 
-# Were the change not counted as in flight, agency-1 would end before it is decided.
+# If the change were not counted as in flight, the node would stop before the change is decided.
 @pytest.mark.parametrize("name", ["agency-1", "agency-2"])
 def test_change_in_flight_is_finished_before_a_shutdown(name):
     async def scenario(day):
@@ -74,7 +74,7 @@
 def test_vacant_lease_is_acquired_soon_after_a_partition_heals():
     async def scenario(day):
         await asyncio.sleep(2)
-        # No side of three can decide, and the holder is on neither for long.
+        # None of the three sides has a majority, so the holder cannot renew its lease.
         day.cluster.partition_off(["agency-1", "agency-2"])
         day.cluster.network.cut(day.cluster.hosts(["agency-3"]), day.cluster.hosts(["agency-4", "agency-5"]))
         await asyncio.sleep(6)
@@ -89,7 +89,10 @@
 
 
 def test_lease_decided_after_its_end_is_acquired_again_at_once():
-    """Found on a day of kind kildespor, seed 1028: won after its own end, and left undone for its length."""
+    """Regression: a lease that was decided after its own end left its task idle for another lease period.
+
+    Found on a simulated day of kind kildespor with seed 1028.
+    """
 
     async def scenario(day):
         await asyncio.sleep(2)
@@ -108,7 +111,10 @@
 
 
 def test_lease_won_after_its_end_is_acquired_again_though_the_next_attempt_failed():
-    """Kildespor, seed 1028: it lay on a holder that did not work, and all waited for its length again."""
+    """Regression: a lease lay with a holder that did not work, and all nodes waited for its period again.
+
+    Found on a simulated day of kind kildespor with seed 1028.
+    """
 
     async def scenario(day):
         await asyncio.sleep(2)
@@ -116,7 +122,7 @@
         for node in day.cluster.with_role("agency"):
             for task in node.program.singleton_tasks:
                 if node is not holder and task.name == "platform-watch":
-                    # No other candidate may hide how long this one waits.
+                    # With a long lease period, no other candidate acquires the lease before the measured one.
                     task.lease_seconds = 60.0
         task = next(task for task in holder.program.singleton_tasks if task.name == "platform-watch")
         original_submit, orders = task.submitter.submit, []
@@ -142,7 +148,7 @@
 
 
 def test_candidate_acquires_a_lease_soon_though_the_last_winner_is_cut_off():
-    """In a split just begun nobody suspects the last winner yet, and an order goes to it first."""
+    """Right after a partition no node suspects the proposer of the last batch, so orders go to it first."""
 
     async def scenario(day):
         await asyncio.sleep(2)
--- a/tests/controlplane/test_mutation_scenarios.py
+++ b/tests/controlplane/test_mutation_scenarios.py
@@ -1,4 +1,4 @@
-"""Protections of the control plane whose removal no other test notices: one scenario for each mutation."""
+"""Tests of safeguards whose removal no other test detects: one scenario for each mutation."""
 
 import asyncio
 import json
@@ -13,7 +13,10 @@
 
 
 async def accept_by_majority(day):
-    """A proposer had its batch accepted by three of five, so a yes may be out, and died before any commit."""
+    """Have three of five voters accept a batch whose proposer, agency-1, is killed before it sends commits.
+
+    The proposer may have confirmed the batch to its client. Returns the batch.
+    """
     participant = day.cluster.nodes["agency-1"].program.participant
     applied = participant.context.configuration.applied
     ballot = versions.Version(applied.counter + 5, f"agency-1~{participant.store.disk_id}")
@@ -50,7 +53,7 @@
         for node in day.cluster.with_role("agency"):
             node.disk.stalled = True
         await asyncio.sleep(2.5)
-        # The yes may be out, and no node knows the row yet: none may answer from the table.
+        # The batch may have been confirmed to a client and no node has applied it, so no replica is current.
         for name in ("agency-5", "edge-1", "shield-2"):
             context = cluster.context(day, name)
             assert context.configuration.value("site/south") is None
@@ -70,7 +73,7 @@
         await day.actors.order("agency-1", "change", [cluster.site_row()])
         await asyncio.sleep(1)
         applied = table_acceptor.record.applied
-        # A proposer that has slept since an earlier applied version and has only now been promised again.
+        # This batch comes from a proposer that was paused since an earlier version and has a promise again.
         earlier_version = applied._replace(counter=applied.counter - 1)
         batch = items.Batch(
             versions.Version(applied.counter + 9, "x"), earlier_version, (("site/north", {}, False),)
--- a/tests/controlplane/test_order_messages.py
+++ b/tests/controlplane/test_order_messages.py
@@ -1,4 +1,4 @@
-"""Replies to forwarded orders: results and refusals as they travel between control plane nodes."""
+"""Tests of replies to forwarded orders: results and refusals survive encoding between nodes."""
 
 import pytest
 
--- a/tests/controlplane/test_partitioned_control_plane.py
+++ b/tests/controlplane/test_partitioned_control_plane.py
@@ -1,4 +1,4 @@
-"""The core cut into halves that all others reach: nothing confirmed is lost or shown in an older state."""
+"""Partitions the control plane in two; no confirmed change may be lost, and no read may be outdated."""
 
 import asyncio
 
@@ -18,11 +18,11 @@
 
 
 async def order_change(day, number):
-    """Order one change at one node after the other until it is confirmed; return whether it was."""
+    """Submit one change to up to four nodes in turn, and return whether one of them confirmed it."""
     rows = [cluster.site_row(name="north", weight=number + 1)]
     for attempt in range(4):
         try:
-            # The same order each time: it counts once, whichever of them is carried out.
+            # All attempts have the same change id, so the change takes effect only once.
             await day.actors.order(f"agency-{(number + attempt) % 5 + 1}", "change", rows, f"halved-{number}")
         except UNDECIDED_ERRORS:
             await asyncio.sleep(0.2)
@@ -32,7 +32,7 @@
 
 
 async def read_weights(day):
-    """What each node answers a read that begins now; a node that refuses is left out."""
+    """Return the weight that a read shows now at each node, without the nodes that refuse the read."""
     shown_weights = {}
     for name in node_names(range(1, 6)):
         try:
@@ -61,7 +61,7 @@
         return changes_confirmed, reads_answered, await read_weights(day)
 
     changes_confirmed, reads_answered, final_weights = cluster.play(scenario)
-    # The greater half confirms throughout, and answers reads.
+    # The side with the majority confirms all changes and answers reads throughout the partition.
     assert changes_confirmed == CHANGES
     assert reads_answered >= 3 * CHANGES - 6
     assert final_weights == dict.fromkeys(node_names(range(1, 6)), CHANGES)
--- a/tests/controlplane/test_partitioned_nodes.py
+++ b/tests/controlplane/test_partitioned_nodes.py
@@ -1,4 +1,4 @@
-"""A control node that is cut off or frozen, and comes back: no old state, no refusal, no yes of its own."""
+"""Tests of a control plane node that is partitioned, frozen or killed and later returns."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 from irisstand.state import items, versions
 
 PAGES = ("get_rows", "get_items", "get_ledger", "get_voters", "get_machines")
-# What an operator that was given no answer can rely on: nothing here is a refusal.
+# Errors that leave the outcome of a change open: none of them means that the change was refused.
 UNDECIDED_ERRORS = (
     errors.NoQuorumError,
     errors.ChangeOutcomeUnknownError,
@@ -24,7 +24,7 @@
 
 
 def operator_reads_of(day, name):
-    """The operators' pages of one node, without the listener before them."""
+    """Return the handlers of the operators' read requests at one node, without an HTTP listener."""
     program = day.cluster.nodes[name].program
     server = types.SimpleNamespace(app=types.SimpleNamespace(add_route=lambda *_, **__: None))
     administration = voter_administration.VoterAdministration(program.context, program.submitter)
@@ -47,7 +47,7 @@
 def test_control_node_just_cut_off_refuses_reads_at_once(page):
     async def scenario(day):
         day.cluster.partition_off(["agency-5"])
-        # Well inside the freshness bound: by its age alone this node's copy still counts.
+        # The node's replica is still within the freshness bound, so its age alone would allow the read.
         await day.actors.order("agency-2", "change", [cluster.site_row(weight=7)])
         started_at = day.now()
         with pytest.raises(errors.StaleConfigurationError) as raised:
@@ -91,7 +91,7 @@
             table_acceptor = node.program.participant.acceptors[items.CONFIGURATION]
             await node.do(table_acceptor.submit(acceptor.Prepare(ballot)), 1)
             await node.do(table_acceptor.submit(acceptor.Accept(ballot, batch, "agency-1")), 1)
-        # Its proposer may have said yes to its operator a moment ago.
+        # The proposer may have confirmed the batch to its operator before it was killed.
         try:
             assert weight_of(await read(day, "agency-5"), "south") == 9
         except errors.StaleConfigurationError:
@@ -140,7 +140,7 @@
 
 # -- orders ------------------------------------------------------------------------------------------
 def test_order_is_not_refused_for_rows_that_were_only_proposed():
-    """Two orders in one batch: the second was refused for the first, which then came to nothing."""
+    """Two orders in one batch conflict; the second must not be refused if the first is never decided."""
 
     async def scenario(day):
         node = day.cluster.nodes["agency-1"]
@@ -156,7 +156,7 @@
         proposer.propose = partition_before_accept
         submissions = [proposer.submit(orders.Order("change", f"c{n}", rows[n])) for n in range(2)]
         results = await node.do(asyncio.wait_for(gather_results(submissions), 20), 30)
-        # No majority heard of either: neither may be told that another change came first.
+        # No majority received either order, so neither may be refused because of the other.
         assert all(isinstance(result, UNDECIDED_ERRORS) for result in results), results
         day.cluster.network.heal()
 
@@ -177,7 +177,7 @@
             )
         )
         await asyncio.sleep(0.3)
-        # The listener cancels what a closed connection asked for.
+        # The listener cancels the request of a closed connection in this way.
         order_task.cancel()
         await asyncio.sleep(0.1)
         day.cluster.network.heal()
@@ -215,7 +215,7 @@
         for weight in range(2, 22):
             await day.actors.order(f"agency-{weight % 4 + 2}", "change", [cluster.site_row(weight=weight)])
             await asyncio.sleep(1)
-        # It expects what was confirmed while this node was away: to refuse it would be ignorance.
+        # This version was confirmed while agency-1 was away; a change that expects it must not be refused.
         expected = str(cluster.context(day, "agency-3").configuration.version("site/north"))
         change_tasks = [
             asyncio.create_task(
@@ -237,7 +237,7 @@
 
 
 async def retry_until_decided(day, change, row):
-    """As the operator does it: the same change again and again to that very node, until it answers."""
+    """Submit a change to agency-1 again and again, as the operators' client does, until it is decided."""
     if row["expected"] == "0.":
         row = {key: value for key, value in row.items() if key != "expected"}
     for _ in range(40):
--- a/tests/controlplane/test_voter_sets.py
+++ b/tests/controlplane/test_voter_sets.py
@@ -1,4 +1,4 @@
-"""Sets of voters: built, improved, repaired and handed over, so that the next loss is always borne."""
+"""Tests of automatic voter changes: growth, repair and handover keep the control plane fault-tolerant."""
 
 import asyncio
 
@@ -97,7 +97,7 @@
             node.disk.slowness = disk_delay_seconds
         leaving_node = simulation.nodes[voters(simulation)[0].name]
         await leaving_node.stop()
-        # At the very moment of its end its vote lies with another, which holds everything.
+        # When the node has stopped, another node that holds all tables must have replaced it as a voter.
         assert has_full_voters(simulation)
         assert leaving_node.placement.name not in {voter.name for voter in voters(simulation)}
         leaving_node.wipe()
@@ -161,7 +161,7 @@
         for node in simulation.with_role("agency"):
             if node.placement.site == "b":
                 kill_and_wipe(node)
-        # What a copy is used for without being confirmed anew is over by then.
+        # After two seconds, no replica is used any more without having been confirmed again.
         await asyncio.sleep(2)
         await check_confirmed_changes(simulation, numbers)
 
--- a/tests/controlplane/test_voter_target.py
+++ b/tests/controlplane/test_voter_target.py
@@ -1,4 +1,4 @@
-"""The target set of voters as a decision, and the order that changes a whole set."""
+"""Tests of the choice of the target voters, and of the order that changes the voter set of a table."""
 
 import asyncio
 
@@ -87,7 +87,7 @@
             target = voter_target.target_voters(pool, current, set(), 5)
             assert quorum.survives_any_site_loss(target), zones
             assert len(target) == min(5, len(pool)), zones
-            # Reached once, it is left alone, in whatever order the candidates are told.
+            # Once the target is reached, it stays the target, in whatever order the candidates are given.
             assert voter_target.target_voters(pool[::-1], target, set(), 5) == target
     five_voters = voters_in_zones("abcab")
     assert (
@@ -99,7 +99,7 @@
     )
     assert set(five_voters[:4]) < set(repaired)
     assert spare[0] in repaired
-    # A place lost in one zone is not filled by one more of a zone whose loss would end the majority.
+    # A lost voter is not replaced by a node of a zone whose loss would then end the majority.
     assert (
         voter_target.target_voters(
             [*five_voters[:2], *five_voters[3:], *voters_in_zones("a", 8)],
--- a/tests/mutation/consensus_mutations.py
+++ b/tests/mutation/consensus_mutations.py
@@ -1,4 +1,4 @@
-"""Guarding lines of ballots, voters and leases, in the form of guarded.py."""
+"""Mutations of safeguards of ballots, voters and leases, each with the test that must detect it."""
 # ruff: noqa: E501
 
 GUARDS = [
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -1,6 +1,4 @@
-"""Scenes for tests: a small fleet in the simulator, founded, with a configuration in force and origins
-known.
-"""
+"""Runs test scenarios on a small simulated cluster with a configuration in force and known origins."""
 
 import asyncio
 
@@ -13,7 +11,7 @@
 
 
 def play(scenario, seed=1, shape=SHAPE):
-    """Run `scene(day)` in virtual time on an opened fleet, and return what it returns."""
+    """Run `scenario(day)` in virtual time on an opened simulated day, and return its result."""
 
     async def run():
         day = simulated_day.SimulatedDay(
@@ -37,7 +35,7 @@
 
 
 def members(day, name):
-    """Living members by name, as `name` sees them."""
+    """Return the live members that the node `name` knows of, by their names."""
     return {
         update.identity.name: update for update in context(day, name).detector.member_list.members.values()
     }
--- a/tests/support/voter_cluster.py
+++ b/tests/support/voter_cluster.py
@@ -1,4 +1,4 @@
-"""A simulated cluster for tests of voter sets: bootstrapped by seeds in given zones, and its checks."""
+"""Runs tests of voter sets on a simulated cluster that seeds bootstrap in given zones, and checks it."""
 
 import asyncio
 
@@ -7,13 +7,13 @@
 from irisstand.simulator import simulated_cluster, virtual_time
 from irisstand.state import items, quorum
 
-# What the platform's settings give on the small sites: to replace lost voters, and to reach the full set.
+# Time limits on small sites with the platform's settings: to replace lost voters, to reach the full set.
 CATCH_UP_SECONDS = 4.0
 BUILD_SECONDS = 5.0
 
 
 def play(scenario, zones, seed=1):
-    """Run a scenario on a new cluster with one control plane node in each of the given zones."""
+    """Run a scenario on a new cluster with one control plane node for each entry of `zones`."""
 
     async def run():
         sites = tuple((zone, "one" if zone < "c" else "two") for zone in zones)
@@ -30,14 +30,14 @@
 
 
 def voters(simulation, table=items.LEDGER):
-    """Return the voters of a table as the newest replica of the nodes that are up has them."""
+    """Return the voters of a table according to the newest replica of the nodes that are up."""
     up = [node for node in simulation.with_role("agency") if node.is_up]
     newest = max((node.program.context.replicas[table] for node in up), key=lambda replica: replica.applied)
     return quorum.voters_from_wire(newest.value(items.VOTERS_KEY))
 
 
 def up_voters(simulation, table):
-    """Return the voters of a table that run on the disk that was voted in."""
+    """Return the voters of a table whose node is up with the disk that has the vote."""
     up = {node.program.participant.store.disk_id for node in simulation.with_role("agency") if node.is_up}
     return [voter for voter in voters(simulation, table) if voter.disk_id in up]
 
@@ -52,7 +52,7 @@
 
 
 async def confirm_change(simulation, number):
-    """Have a change confirmed by any voter that is up; `check_confirmed_changes` expects it from then on."""
+    """Have a change confirmed by a voter that is up, and return its number for `check_confirmed_changes`."""
     first = up_voters(simulation, items.CONFIGURATION)[0]
     row = {"kind": "site", "name": f"zone-{number}", "value": {"weight": number}}
     await simulation.actors.order(first.name, "change", [row])
@@ -60,7 +60,7 @@
 
 
 async def check_confirmed_changes(simulation, numbers):
-    """Check that every ready node has the confirmed changes, and that another one can be confirmed."""
+    """Check that all ready nodes have the confirmed changes, and that another change can be confirmed."""
     for number in numbers:
         for node in simulation.with_role("agency"):
             if node.is_up and simulation.is_ready(node):
@@ -70,6 +70,6 @@
 
 
 def kill_and_wipe(node):
-    """Lose a machine and its disk."""
+    """Kill a node and wipe its disk, like the loss of a machine."""
     node.kill(reset=False)
     node.wipe()
