--- a/src/irisstand/controlplane/consensus/acceptor.py
+++ b/src/irisstand/controlplane/consensus/acceptor.py
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Commit(Command[None]):
-    """Apply a batch that a majority of the voters has accepted."""
+    """Apply a decided batch, which a durable majority of the voters has accepted."""
 
     name = "commit"
     batch: items.Batch
--- a/src/irisstand/controlplane/consensus/bootstrap.py
+++ b/src/irisstand/controlplane/consensus/bootstrap.py
@@ -89,18 +89,18 @@
         """Install the first voters if all are up and empty; only the node with the lowest name does so."""
         settings = self.context.settings
         if not settings.may_found:
-            await self._learn_tables()
+            await self._pull_tables()
             return
         voters = await self._empty_voters()
         # No list means that some node has been bootstrapped, or cannot be reached and may have been.
         if voters is None:
-            await self._learn_tables()
+            await self._pull_tables()
             return
         if self._is_complete(voters) and voters[0].name == settings.name:
             await self._install(voters)
 
     async def _empty_voters(self) -> list[quorum.Voter] | None:
-        """Return the first voters, sorted; None if one of them is not empty or cannot be reached."""
+        """Return the first voters that are known, sorted; None if one is not empty or cannot be reached."""
         transport = self.context.transport
         message = node_messages.NodeStateRequest()
         states = [node_messages.NodeState(self.participant.own_voter(), is_empty=True)]
@@ -138,7 +138,7 @@
             await self.participant.call_voter(voter, node_messages.BootstrapRequest(batches))
         event_log.record("founded", voters=[voter.name for voter in voters])
 
-    async def _learn_tables(self) -> None:
+    async def _pull_tables(self) -> None:
         """Pull the tables from the first control plane node that holds any."""
         # Nodes of other roles do not hold all tables. If one peer refuses, the next one is tried.
         control_plane_names = {update.identity.name for update in self.context.members_of("agency")}
@@ -158,7 +158,7 @@
         for table in items.TABLES:
             table_replica = self.context.replicas[table]
             if table_replica.applied == versions.NONE:
-                await self._learn_tables()
+                await self._pull_tables()
             # If the seeds are the first voters, the voters themselves change the set: see voter_planner.
             if self.context.settings.found_by_seeds:
                 continue
--- a/src/irisstand/controlplane/consensus/heartbeat.py
+++ b/src/irisstand/controlplane/consensus/heartbeat.py
@@ -133,7 +133,7 @@
         record = self.participant.store.records[self.table]
         is_behind = record.applied < self.replica.applied or not self.participant.store.intact[self.table]
         if is_behind and self.participant.acceptors[self.table].queue.empty():
-            self.context.start_task(self._persist(), f"keep {self.table}")
+            self.context.start_task(self._persist(), f"persist {self.table}")
 
     async def _persist(self) -> None:
         try:
--- a/src/irisstand/controlplane/consensus/proposer.py
+++ b/src/irisstand/controlplane/consensus/proposer.py
@@ -158,7 +158,7 @@
             BallotLostError: No majority promised, or the voters or the applied version changed meanwhile.
         """
         promises = await self._collect_promises(voters, ballot)
-        await self._learn_newest(voters, ballot, promises)
+        await self._catch_up_to_newest(voters, ballot, promises)
         pending = [
             promise
             for promise in promises.values()
@@ -191,7 +191,7 @@
             raise BallotLostError("no majority of the voters promised the ballot")
         return promises
 
-    async def _learn_newest(
+    async def _catch_up_to_newest(
         self, voters: list[quorum.Voter], ballot: versions.Version, promises: dict[str, messages.Promised]
     ) -> None:
         applied, disk_id = max((promise.applied, disk_id) for disk_id, promise in promises.items())
--- a/src/irisstand/controlplane/consensus/submitter.py
+++ b/src/irisstand/controlplane/consensus/submitter.py
@@ -94,7 +94,7 @@
         if not self.context.is_current(self.context.replicas[table]):
             raise errors.NoQuorumError("this node has lost the majority of the voters")
         is_voter = self.participant.is_voter(table)
-        for voter in self._by_preference(table):
+        for voter in self._voters_by_preference(table):
             if voter.disk_id == self.participant.store.disk_id:
                 break
             try:
@@ -154,7 +154,7 @@
         except errors.IrisError:
             raise errors.UnansweredError(f"the voter {voter.name} does not report its state") from None
 
-    def _by_preference(self, table: str) -> list[quorum.Voter]:
+    def _voters_by_preference(self, table: str) -> list[quorum.Voter]:
         """Return the voters, sorted: the proposer of the last batch if alive, then this node, then others."""
         last_proposer = self.context.replicas[table].applied.node.partition("~")[0]
         alive = {update.identity.name for update in self.context.members_of("agency") if not update.state}
--- a/src/irisstand/controlplane/consensus/voter_administration.py
+++ b/src/irisstand/controlplane/consensus/voter_administration.py
@@ -47,7 +47,7 @@
         return {voter.name for voter, is_up in zip(voters, voting_flags, strict=True) if is_up}
 
     async def check(self, table: str, next_voters: list[quorum.Voter]) -> None:
-        """Check that a majority of the next voters is up, and that they tolerate failures as now.
+        """Check that a majority of the next voters is up, and that they survive a loss if the current ones do.
 
         Args:
             table: The table whose voters are to be changed.
@@ -73,7 +73,7 @@
 
         Raises:
             irisstand.errors.UnknownNameError: There is no control plane node of that name.
-            irisstand.errors.InsufficientCapacityError: The remaining voters would tolerate fewer failures.
+            irisstand.errors.InsufficientCapacityError: `check` rejects the remaining voters of a table.
         """
         members = {update.identity.name for update in self.context.members_of("agency")}
         known_names = self._voter_names() | members | {self.context.settings.name}
@@ -103,7 +103,7 @@
         Raises:
             irisstand.errors.UnknownNameError: The spare is not up, or `old_name` is not a voter.
             irisstand.errors.BadRequestError: Both nodes are voters.
-            irisstand.errors.InsufficientCapacityError: The new voters would tolerate fewer failures.
+            irisstand.errors.InsufficientCapacityError: `check` rejects the new voters of a table.
         """
         newcomer = await self._durable_spare(new_name)
         names: list[str] = []
--- a/src/irisstand/controlplane/consensus/voter_target.py
+++ b/src/irisstand/controlplane/consensus/voter_target.py
@@ -83,12 +83,10 @@
 def _eligible_voters(candidates: VoterList, current: VoterList, missing: set[str]) -> VoterList:
     """Return the nodes to choose from: those that are up, and missing voters whose node is not up."""
     names_up = {voter.name for voter in candidates}
-    reachable_current = [voter for voter in current if voter.disk_id not in missing]
-    reachable_candidates = [voter for voter in candidates if voter.disk_id not in missing]
-    fillers = [voter for voter in current if voter.disk_id in missing and voter.name not in names_up]
-    return list(
-        {voter.disk_id: voter for voter in [*reachable_current, *reachable_candidates, *fillers]}.values()
-    )
+    up_voters = [voter for voter in current if voter.disk_id not in missing]
+    up_candidates = [voter for voter in candidates if voter.disk_id not in missing]
+    unreplaced = [voter for voter in current if voter.disk_id in missing and voter.name not in names_up]
+    return list({voter.disk_id: voter for voter in [*up_voters, *up_candidates, *unreplaced]}.values())
 
 
 def choose_across_sites(
--- a/tests/controlplane/test_bootstrap.py
+++ b/tests/controlplane/test_bootstrap.py
@@ -152,7 +152,7 @@
         edge = simulation.nodes["edge-1"]
         elapsed_seconds = await simulation.wait_until(lambda: not simulation.is_ready(edge), 10)
         assert stale_after - 0.6 <= elapsed_seconds <= stale_after + 0.1
-        # The edge must stay unready. If the freshness bound ended before the quorum loss was detected, the edge
+        # The edge must stay unready. If the freshness bound had ended before the quorum loss was detected, it
         # would have been unready only for a moment and would be ready again now.
         await asyncio.sleep(0.5)
         assert not simulation.is_ready(edge)
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -111,7 +111,7 @@
 
 
 def test_lease_won_after_its_end_is_acquired_again_though_the_next_attempt_failed():
-    """Regression: a lease lay with a holder that did not work, and all nodes waited for its period again.
+    """Regression: a lease was recorded for an idle holder, and all nodes waited another lease period.
 
     Found on a simulated day of kind kildespor with seed 1028.
     """
--- a/tests/controlplane/test_partitioned_nodes.py
+++ b/tests/controlplane/test_partitioned_nodes.py
@@ -124,12 +124,12 @@
             return True
 
         heartbeat.run_round = slow_round
-        first = node.actor.start(heartbeat.confirm_read())
+        first_read = node.actor.start(heartbeat.confirm_read())
         await asyncio.sleep(0.1)
         asked_at = day.now()
         await node.do(heartbeat.confirm_read(), 2)
         assert day.now() >= asked_at + 0.2
-        await first
+        await first_read
 
     cluster.play(scenario)
 
@@ -207,8 +207,8 @@
 def test_concurrent_changes_at_a_node_that_returns_are_not_refused(fault):
     async def scenario(day):
         node = day.cluster.nodes["agency-1"]
-        first = await day.actors.order("agency-1", "change", [cluster.site_row(weight=1)])
-        assert first["serial"]
+        first_change = await day.actors.order("agency-1", "change", [cluster.site_row(weight=1)])
+        assert first_change["serial"]
         {"cut": lambda: day.cluster.partition_off(["agency-1"]), "freeze": node.freeze, "kill": node.kill}[
             fault
         ]()
