--- a/src/irisstand/controlplane/consensus/messages.py
+++ b/src/irisstand/controlplane/consensus/messages.py
@@ -17,9 +17,9 @@
 
     PROMISED = "promised"
     ACCEPTED = "accepted"
-    # The voter has promised a higher ballot number.
+    # The voter has promised a higher ballot number, or, for a prepare request, the same one.
     HIGHER_BALLOT_PROMISED = "lost"
-    # The base of the batch is not the applied version of the voter.
+    # The base of the batch is not the applied version of the voter, or not below the version of the batch.
     BASE_MISMATCH = "moved"
 
 
@@ -59,7 +59,7 @@
 
     Attributes:
         status: The reason of the refusal.
-        version: The higher ballot number that the voter promised, or its applied version.
+        version: The ballot number that the voter promised, or the applied version or base that did not fit.
     """
 
     status: typing.Literal[VoteStatus.HIGHER_BALLOT_PROMISED, VoteStatus.BASE_MISMATCH]
--- a/src/irisstand/controlplane/consensus/submitter.py
+++ b/src/irisstand/controlplane/consensus/submitter.py
@@ -56,7 +56,7 @@
         return order_messages.OrderReply(order_messages.OrderStatus.DONE.value, result).to_wire()
 
     async def submit_for_operator(self, order: orders.Order) -> order_messages.OrderResult:
-        """Submit an operator's order, and return early with an error if this node finishes draining before.
+        """Submit an operator's order; fail early if draining ends before the order is decided.
 
         Raises:
             irisstand.errors.ChangeOutcomeUnknownError: The order may have been decided, or may still be.
--- a/src/irisstand/controlplane/consensus/voter_administration.py
+++ b/src/irisstand/controlplane/consensus/voter_administration.py
@@ -47,7 +47,7 @@
         return {voter.name for voter, is_up in zip(voters, voting_flags, strict=True) if is_up}
 
     async def check(self, table: str, next_voters: list[quorum.Voter]) -> None:
-        """Check that a majority of the next voters is up, and that they survive a loss if the current ones do.
+        """Check that a majority of the next voters is up, and survives a loss if the current one does.
 
         Args:
             table: The table whose voters are to be changed.
