--- a/src/irisstand/control_errors.py
+++ b/src/irisstand/control_errors.py
@@ -7,7 +7,7 @@
 Details = list[typing.Any]
 
 # The kinds below, by code.
-DETAILED: dict[str, type["DetailedError"]] = {}
+DETAILED_ERROR_BY_CODE: dict[str, type["DetailedError"]] = {}
 
 
 class DetailedError(errors.IrisError):
@@ -27,7 +27,7 @@
 
     def __init_subclass__(cls, *, is_registered: bool = True) -> None:
         if is_registered:
-            DETAILED[cls.code] = cls
+            DETAILED_ERROR_BY_CODE[cls.code] = cls
 
     def to_json(self) -> dict[str, typing.Any]:
         """Add the details to the JSON object."""
@@ -63,5 +63,5 @@
     >>> rebuild("version-taken", [{"item": "route/a"}]).to_json()["conflicts"]
     [{'item': 'route/a'}]
     """
-    kind = DETAILED.get(code)
-    return kind(details) if kind is not None else None
+    error_class = DETAILED_ERROR_BY_CODE.get(code)
+    return error_class(details) if error_class is not None else None
--- a/src/irisstand/controlplane/api/operator_orders.py
+++ b/src/irisstand/controlplane/api/operator_orders.py
@@ -28,12 +28,12 @@
         self,
         context: node_context.NodeContext,
         order_submitter: submitter.Submitter,
-        members: voter_administration.VoterAdministration,
+        voter_admin: voter_administration.VoterAdministration,
         server: web.HttpServer,
     ) -> None:
         self.context = context
         self.submitter = order_submitter
-        self.voters = members
+        self.voters = voter_admin
         self.evacuation = evacuation_check.EvacuationCheck(context)
         add = server.app.add_route
         add(self.post_amendment, "/amendments", methods=["POST"])
@@ -105,7 +105,7 @@
         notes: list[str] = []
         if not only_origins:
             insist = request.args.get("insist") == "true"
-            notes = await self.evacuation.check_once(site, insist=insist)
+            notes = await self.evacuation.check_unless_evacuated(site, insist=insist)
         return await self.submit(orders.OrderKind.EVACUATE, change, site, notes)
 
     async def post_amendment(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
--- a/src/irisstand/controlplane/api/operator_reads.py
+++ b/src/irisstand/controlplane/api/operator_reads.py
@@ -53,12 +53,12 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        members: voter_administration.VoterAdministration,
+        voter_admin: voter_administration.VoterAdministration,
         read_index: heartbeat.ReadIndex,
         server: web.HttpServer,
     ) -> None:
         self.context = context
-        self.voters = members
+        self.voters = voter_admin
         self.read_index = read_index
         self.changes = change_status.ChangeStatus(context)
         add = server.app.add_route
--- a/src/irisstand/controlplane/api/operators.py
+++ b/src/irisstand/controlplane/api/operators.py
@@ -15,6 +15,6 @@
         read_index: heartbeat.ReadIndex,
         server: web.HttpServer,
     ) -> None:
-        members = voter_administration.VoterAdministration(context, order_submitter)
-        self.reads = operator_reads.OperatorReads(context, members, read_index, server)
-        self.orders = operator_orders.OperatorOrders(context, order_submitter, members, server)
+        voter_admin = voter_administration.VoterAdministration(context, order_submitter)
+        self.reads = operator_reads.OperatorReads(context, voter_admin, read_index, server)
+        self.orders = operator_orders.OperatorOrders(context, order_submitter, voter_admin, server)
--- a/src/irisstand/controlplane/changes/amendment.py
+++ b/src/irisstand/controlplane/changes/amendment.py
@@ -78,16 +78,16 @@
             found.newer[entry.key] = entry.item
             found.rows[entry.key] = row_in_force(row, entry)
             continue
-        is_taken = row.is_taken(entry)
-        if is_taken:
+        is_conflict = row.conflicts_with(entry)
+        if is_conflict:
             conflict = {"item": entry.key, "version": entry.version, "in_force": row.version}
             found.conflicts.append(conflict)
-        elif is_taken is None:
+        elif is_conflict is None:
             found.late.append(entry)
-            remembering = row.remembering(entry)
+            updated = row.with_late_version(entry)
             # With as many higher versions remembered as may be, there is nothing to write.
-            if remembering != row:
-                found.rows[entry.key] = remembering
+            if updated != row:
+                found.rows[entry.key] = updated
     return found
 
 
@@ -97,7 +97,7 @@
     """Return the row that puts an entry into force, over the present row if there is one."""
     if row is None:
         return confirmed_versions.VersionedRow(entry.version, entry.item)
-    return row.overtaken_by(entry)
+    return row.superseded_by(entry)
 
 
 def parse_amendment(body: bytes) -> list[item_entries.ItemEntry]:
--- a/src/irisstand/controlplane/changes/change_status.py
+++ b/src/irisstand/controlplane/changes/change_status.py
@@ -39,16 +39,16 @@
             UnknownNameError: No change of this id is known.
         """
         for table in TABLES_WITH_CHANGES:
-            copy = self.context.replicas[table]
-            record = copy.items.get(f"~change/{change}")
+            table_replica = self.context.replicas[table]
+            record = table_replica.items.get(f"~change/{change}")
             if record is not None and record.value is not None:
-                rows = [self.row_status(copy, key, record.version) for key in record.value["rows"]]
+                rows = [self.row_status(table_replica, key, record.version) for key in record.value["rows"]]
                 return {
                     "change": change,
                     "table": table,
                     "serial": str(record.version),
                     "rows": rows,
-                    "seconds_ago": self.seconds_ago(copy, record.version),
+                    "seconds_ago": self.seconds_ago(table_replica, record.version),
                     "nodes": await self.node_states(table, record.version),
                 }
         raise errors.UnknownNameError(
--- a/src/irisstand/controlplane/changes/confirmed_versions.py
+++ b/src/irisstand/controlplane/changes/confirmed_versions.py
@@ -53,12 +53,12 @@
             return value
         return {**value, "seen": [list(seen) for seen in self.seen]}
 
-    def is_taken(self, entry: item_entries.ItemEntry) -> bool | None:
+    def conflicts_with(self, entry: item_entries.ItemEntry) -> bool | None:
         """Return whether the entry's version was confirmed with another content; None if it is not known.
 
         >>> row = VersionedRow(5, {"a": 1}, (SeenVersion(3, canonical_content.digest(None)),))
         >>> asked = [(5, {"a": 1.0}), (5, None), (3, None), (4, 1)]
-        >>> [row.is_taken(item_entries.ItemEntry("route/a", version, item)) for version, item in asked]
+        >>> [row.conflicts_with(item_entries.ItemEntry("route/a", version, item)) for version, item in asked]
         [False, True, False, None]
         """
         if self.version == entry.version:
@@ -68,15 +68,15 @@
                 return seen.digest != canonical_content.digest(entry.item)
         return None
 
-    def overtaken_by(self, entry: item_entries.ItemEntry) -> "VersionedRow":
+    def superseded_by(self, entry: item_entries.ItemEntry) -> "VersionedRow":
         """Return the row with a higher version in force, and the present one among those seen."""
-        return VersionedRow(entry.version, entry.item, self.seen_with(self.version, self.item))
+        return VersionedRow(entry.version, entry.item, self.seen_versions_with(self.version, self.item))
 
-    def remembering(self, entry: item_entries.ItemEntry) -> "VersionedRow":
+    def with_late_version(self, entry: item_entries.ItemEntry) -> "VersionedRow":
         """Return the row as it stands, with a lower version that came late among those seen."""
-        return dataclasses.replace(self, seen=self.seen_with(entry.version, entry.item))
+        return dataclasses.replace(self, seen=self.seen_versions_with(entry.version, entry.item))
 
-    def seen_with(self, version: int, item: typing.Any) -> tuple[SeenVersion, ...]:
+    def seen_versions_with(self, version: int, item: typing.Any) -> tuple[SeenVersion, ...]:
         """Return the versions seen with one more, from the highest on, as many as are remembered."""
         seen = [*(self.seen or ()), SeenVersion(version, canonical_content.digest(item))]
         return tuple(sorted(seen, reverse=True)[:REMEMBERED_VERSIONS_LIMIT])
--- a/src/irisstand/controlplane/changes/evacuation_check.py
+++ b/src/irisstand/controlplane/changes/evacuation_check.py
@@ -30,7 +30,7 @@
         """Return whether the other sites carry the load."""
         return self.machines_left > 0 and self.capacity_left >= self.load
 
-    def as_object(self) -> dict[str, typing.Any]:
+    def to_json_object(self) -> dict[str, typing.Any]:
         """Return the figures as operators read them."""
         return {**self._asdict(), "load": round(self.load, 1)}
 
@@ -100,7 +100,7 @@
             return None
         return reply
 
-    async def check_once(self, site: str, *, insist: bool) -> list[str]:
+    async def check_unless_evacuated(self, site: str, *, insist: bool) -> list[str]:
         """Check an evacuation unless the site is evacuated already; return the notes of `check_capacity`.
 
         It is refused only on a ledger that a majority confirmed after this call began: where the site was
@@ -116,12 +116,12 @@
         try:
             return await self.check_capacity(site, insist=insist)
         except errors.InsufficientCapacityError:
-            await self.confirm_since(asked_at)
+            await self.confirm_ledger_since(asked_at)
         if self.view.is_evacuated(site):
             return []
         return await self.check_capacity(site, insist=insist)
 
-    async def confirm_since(self, moment: float) -> None:
+    async def confirm_ledger_since(self, moment: float) -> None:
         """Wait until this node's ledger is known to be what a majority had at a later moment.
 
         Raises:
@@ -152,7 +152,7 @@
         if short and not insist:
             raise errors.InsufficientCapacityError(
                 f"without {site} the load on {' and '.join(short)} machines could not be carried",
-                {role: found.as_object() for role, found in figures.items()},
+                {role: found.to_json_object() for role, found in figures.items()},
             )
         notes = [f"insisted on, though {role} machines cannot carry the load" for role in short]
         return notes + self.voter_notes(site)
--- a/src/irisstand/controlplane/changes/table_time.py
+++ b/src/irisstand/controlplane/changes/table_time.py
@@ -28,14 +28,14 @@
     Attributes:
         prefix: The first part of the rows' keys, without the slash.
         keep_seconds: Older rows are removed.
-        minimum_seconds: With more rows than `number`, rows older than this are removed, too.
-        number: The number of rows from which `minimum_seconds` applies.
+        minimum_seconds: With more rows than `surplus_threshold`, rows older than this are removed, too.
+        surplus_threshold: The number of rows from which `minimum_seconds` applies.
     """
 
     prefix: str
     keep_seconds: float
     minimum_seconds: float
-    number: int
+    surplus_threshold: int
 
 
 class Mark(typing.NamedTuple):
@@ -167,17 +167,21 @@
 
     def __init__(self, table: replica.Replica, time: TableTime, tombstone_seconds: float) -> None:
         self.table = table
-        self.tombstones = time.older_than(tombstone_seconds)
-        self.kept = {rule.prefix: time.older_than(rule.keep_seconds) for rule in time.rules}
-        self.surplus = {rule.prefix: time.older_than(rule.minimum_seconds) for rule in time.rules}
-        self.surplus_rows = {
-            rule.prefix: table.counts_by_prefix[rule.prefix] - rule.number for rule in time.rules
+        self.tombstone_expiry = time.older_than(tombstone_seconds)
+        self.expiry_by_prefix = {rule.prefix: time.older_than(rule.keep_seconds) for rule in time.rules}
+        self.surplus_expiry_by_prefix = {
+            rule.prefix: time.older_than(rule.minimum_seconds) for rule in time.rules
+        }
+        self.surplus_by_prefix = {
+            rule.prefix: table.counts_by_prefix[rule.prefix] - rule.surplus_threshold for rule in time.rules
         }
 
     @property
     def newest(self) -> versions.Version:
         """The version above which no row can have expired."""
-        return max([self.tombstones, *self.kept.values(), *self.surplus.values()])
+        return max(
+            [self.tombstone_expiry, *self.expiry_by_prefix.values(), *self.surplus_expiry_by_prefix.values()]
+        )
 
     def has_expired(self, key: str, version: versions.Version) -> bool:
         """Return whether the row may go.
@@ -185,24 +189,24 @@
         Replicas are carried whole, by applied versions: one that lacks a tombstone cannot bring its row back.
         """
         prefix = item_table.key_prefix(key)
-        if version <= self.tombstones and self.table.items[key].value is None:
+        if version <= self.tombstone_expiry and self.table.items[key].value is None:
             return True
-        if version <= self.kept.get(prefix, versions.NONE):
+        if version <= self.expiry_by_prefix.get(prefix, versions.NONE):
             return True
-        is_surplus = self.surplus_rows.get(prefix, 0) > 0
-        return is_surplus and version <= self.surplus.get(prefix, versions.NONE)
+        is_surplus = self.surplus_by_prefix.get(prefix, 0) > 0
+        return is_surplus and version <= self.surplus_expiry_by_prefix.get(prefix, versions.NONE)
 
     def count_removal(self, key: str) -> None:
         """Take one row off the surplus of its prefix."""
         prefix = item_table.key_prefix(key)
-        self.surplus_rows[prefix] = self.surplus_rows.get(prefix, 0) - 1
+        self.surplus_by_prefix[prefix] = self.surplus_by_prefix.get(prefix, 0) - 1
 
 
 def remove_expired(overlay: table_overlay.Overlay, time: TableTime, tombstone_seconds: float) -> None:
     """Plan the removal of expired rows, from the oldest on, so that what waits for the next step is newer."""
     expiry = Expiry(overlay.replica, time, tombstone_seconds)
     newest = expiry.newest
-    purged = versions.NONE
+    newest_purge = versions.NONE
     removals = 0
     for version, key in overlay.replica.keys_by_version:
         if version > newest or removals >= REMOVALS_LIMIT:
@@ -214,10 +218,10 @@
         expiry.count_removal(key)
         removals += 1
         if item_table.key_prefix(key) == PURGE_PREFIX:
-            purged = max(purged, version)
+            newest_purge = max(newest_purge, version)
     before = versions.Version.from_wire(overlay.value(items.FORGOTTEN_PURGES_KEY) or versions.NONE)
-    if purged > before:
-        overlay.put(items.FORGOTTEN_PURGES_KEY, tuple(purged))
+    if newest_purge > before:
+        overlay.put(items.FORGOTTEN_PURGES_KEY, tuple(newest_purge))
 
 
 def check_capacity(overlay: table_overlay.Overlay, prefix: str, limit: int) -> None:
--- a/src/irisstand/controlplane/singletons/capacity_scaling.py
+++ b/src/irisstand/controlplane/singletons/capacity_scaling.py
@@ -76,13 +76,13 @@
         answers: list[typing.Any] = await asyncio.gather(
             self.view.survives_any_loss(), *(self.view.measure_load(role) for role in roles)
         )
-        is_core_safe: bool = answers[0]
+        voters_survive_loss: bool = answers[0]
         loads: list[fleet_view.MeasuredLoad] = answers[1:]
         rows: list[lease.Row] = []
         reasons: dict[str, str] = {}
         for role, load in zip(roles, loads, strict=True):
             # A machine that does not report its load may have much of it.
-            may_scale_down = is_core_safe and load.all_answered
+            may_scale_down = voters_survive_loss and load.all_answered
             plan = self.plan_role(role, now, load.rate_by_machine, may_scale_down=may_scale_down)
             rows += plan.rows
             reasons.update(plan.reasons)
@@ -103,26 +103,30 @@
         """
         machines = self.view.machines(role, rates)
         names = {machine.name for machine in machines}
-        present = {name for name in names if self.view.is_on_standby(name)}
-        wanted, reasons = standby_planning.plan(
-            machines, present, sum(rates.values()), may_rest=may_scale_down
+        current_standby = {name for name in names if self.view.is_on_standby(name)}
+        planned_standby, reasons = standby_planning.plan(
+            machines, current_standby, sum(rates.values()), may_rest=may_scale_down
         )
-        added = wanted - present
+        added = planned_standby - current_standby
         if added and now - self.changed_at < self.standby_delay_seconds:
             for name in added:
                 reasons[name] = "awake: it is to rest when things have been quiet for a while"
-            wanted &= present
-        rows = self.standby_rows(role, present, wanted) + self.rows_of_gone_machines(role, names)
+            planned_standby &= current_standby
+        rows = self.standby_rows(role, current_standby, planned_standby) + self.rows_of_gone_machines(
+            role, names
+        )
         if rows:
             self.changed_at = now
         return RolePlan(rows, reasons)
 
-    def standby_rows(self, role: str, present: set[str], wanted: set[str]) -> list[lease.Row]:
+    def standby_rows(
+        self, role: str, current_standby: set[str], planned_standby: set[str]
+    ) -> list[lease.Row]:
         """Return the rows that put machines on standby, and then those that wake machines."""
         rows: list[lease.Row] = [
-            (f"{STANDBY_PREFIX}{name}", {"role": role}) for name in sorted(wanted - present)
+            (f"{STANDBY_PREFIX}{name}", {"role": role}) for name in sorted(planned_standby - current_standby)
         ]
-        rows += [(f"{STANDBY_PREFIX}{name}", None) for name in sorted(present - wanted)]
+        rows += [(f"{STANDBY_PREFIX}{name}", None) for name in sorted(current_standby - planned_standby)]
         return rows
 
     def rows_of_gone_machines(self, role: str, names: set[str]) -> list[lease.Row]:
--- a/src/irisstand/controlplane/singletons/lease.py
+++ b/src/irisstand/controlplane/singletons/lease.py
@@ -43,7 +43,7 @@
         seen_version: The version of the lease that this node saw last.
         seen_at: When it saw that version first.
         expected_version: The version from which this node asked for the lease last.
-        first_asked_at: When it first asked for the lease from that version.
+        first_requested_at: When it first asked for the lease from that version.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         self.seen_version = ""
         self.seen_at = 0.0
         self.expected_version = ""
-        self.first_asked_at = 0.0
+        self.first_requested_at = 0.0
 
     def holds_lease(self) -> bool:
         """Return whether this node may work on the task now."""
@@ -145,19 +145,19 @@
             started: float = self.context.clock.now()
             if expected != self.expected_version:
                 self.expected_version = expected
-                self.first_asked_at = started
+                self.first_requested_at = started
             request = lease_changes.LeaseRequest(self.name, self.holder, expected)
             try:
                 result = await self.submitter.submit(request.to_order())
                 won_version: str = result["serial"]
             except errors.StaleVersionError:
-                found = self.version_won_before(expected)
+                found = self.version_won_by_lost_reply(expected)
                 if found is None:
                     self.fencing_token = ""
                     return
                 won_version = found
                 # By an earlier order maybe, whose answer was lost: others have counted from then on.
-                started = self.first_asked_at
+                started = self.first_requested_at
             self.fencing_token = won_version
             self.lease_ends_at = started + self.lease_seconds
             self.context.counters.add("terms_taken", duty=self.name)
@@ -167,7 +167,7 @@
             # end.
             expected = self.fencing_token
 
-    def version_won_before(self, expected: str) -> str | None:
+    def version_won_by_lost_reply(self, expected: str) -> str | None:
         """Return the lease's version if this node won it after `expected`, by an order without an answer."""
         ledger = self.context.ledger
         record = self.stored_lease(ledger)
--- a/src/irisstand/controlplane/singletons/origin_discovery.py
+++ b/src/irisstand/controlplane/singletons/origin_discovery.py
@@ -91,11 +91,11 @@
             self.context.counters.add("platform_asked")
         except (errors.IrisError, OSError, ValueError, TimeoutError) as error:
             # The last good list stays in force: a dead platform says nothing about its origins.
-            rows = self.rows_of_failure(error)
+            rows = self.rows_for_failure(error)
         if rows and task.holds_lease():
             await task.write_fenced(rows)
 
-    def rows_of_failure(self, error: Exception) -> list[lease.Row]:
+    def rows_for_failure(self, error: Exception) -> list[lease.Row]:
         """Count a failure, and return the row that records silence after some in a row."""
         self.failures += 1
         self.context.counters.add("platform_failed")
--- a/src/irisstand/controlplane/singletons/rate_placement.py
+++ b/src/irisstand/controlplane/singletons/rate_placement.py
@@ -54,7 +54,7 @@
         if weights != self.stable_weights:
             self.stable_weights = weights
             self.stable_since = now
-        if not weights or (not units and self.is_filling(now)):
+        if not weights or (not units and self.is_member_list_filling(now)):
             return
         planned, is_reduced = rate_quota.plan(units, weights, is_frozen=now < self.frozen_until)
         if planned != units and task.holds_lease():
@@ -78,7 +78,7 @@
             self.frozen_until = self.context.clock.now() + rate_quota.REASSIGNMENT_DELAY_SECONDS
         self.context.counters.add("rate_parts_moved")
 
-    def is_filling(self, now: float) -> bool:
+    def is_member_list_filling(self, now: float) -> bool:
         """Return whether the member list may still be filling up."""
         is_stable = now - self.stable_since >= STABLE_SECONDS
         return not is_stable and now - self.began_at < STABLE_WAIT_LIMIT_SECONDS
@@ -94,7 +94,7 @@
         edges = self.sites_of(DIRECT_EDGE_ROLE)
         present = {**holders, **edges}
         self.seen_at.update(dict.fromkeys(present, now))
-        if any(self.is_waited_for(name, now) for name in units if name not in present):
+        if any(self.is_in_grace_period(name, now) for name in units if name not in present):
             # Nothing moves while an owner may be back: it would have to move back.
             return {name: float(share) for name, share in units.items()}
         # Edges that fetch for themselves own the shares: they need to ask nobody for tokens.
@@ -102,7 +102,7 @@
             holders = {}
         return rate_quota.choose_owners(sorted(holders.items()), sorted(edges.items()))
 
-    def is_waited_for(self, name: str, now: float) -> bool:
+    def is_in_grace_period(self, name: str, now: float) -> bool:
         """Return whether a missing owner was up not long ago."""
         return now - self.seen_at.get(name, LONG_AGO) < MISSING_GRACE_SECONDS
 
--- a/tests/controlplane/test_capacity_scaling.py
+++ b/tests/controlplane/test_capacity_scaling.py
@@ -9,21 +9,25 @@
 from irisstand.balancing import standby_planning
 
 
-def resting(day, name="agency-2"):
+def standby_machines(day, name="agency-2"):
     return {
         item.key.removeprefix("rest/")
         for item in cluster.context(day, name).ledger.items_with_prefix("rest/")
     }
 
 
-async def settle(day, condition, patience=60):
-    return await day.cluster.wait_until(condition, patience)
+async def wait_until_true(day, condition, timeout_seconds=60):
+    return await day.cluster.wait_until(condition, timeout_seconds)
 
 
 def test_machines_go_on_standby_at_low_load_while_any_single_loss_is_still_carried():
-    async def scene(day):
-        await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) == 3, 90)
-        awake = [n for n in day.cluster.with_role("shield") if n.placement.machine not in resting(day)]
+    async def scenario(day):
+        await wait_until_true(
+            day, lambda: len([n for n in standby_machines(day) if n.startswith("shield")]) == 3, 90
+        )
+        awake = [
+            n for n in day.cluster.with_role("shield") if n.placement.machine not in standby_machines(day)
+        ]
         # Two machines at two sites: either may go.
         assert len({node.placement.site for node in awake}) == 2
         # A resting machine stays a member and its control plane node a voter.
@@ -36,53 +40,59 @@
         statuses = [(await day.actors.ask("edge-1", "GET", f"/vacancies/s{n}"))[0] for n in range(10)]
         assert set(statuses) == {200}
         lost = awake[0].placement.machine
-        took = await settle(
-            day, lambda: len([n for n in resting(day) if n.startswith("shield") and n != lost]) <= 2, 30
+        elapsed = await wait_until_true(
+            day,
+            lambda: len([n for n in standby_machines(day) if n.startswith("shield") and n != lost]) <= 2,
+            30,
         )
-        assert took < 10
+        assert elapsed < 10
         saved = cluster.context(day, "agency-2").ledger
-        await settle(day, lambda: any(True for _ in saved.items_with_prefix("saved/shield")), 90)
+        await wait_until_true(day, lambda: any(True for _ in saved.items_with_prefix("saved/shield")), 90)
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_load_wakes_machines_and_a_pinned_machine_never_goes_on_standby():
-    async def scene(day):
+    async def scenario(day):
         pinned = {"kind": "machine", "name": "shield-machine-5", "value": {"awake": True}}
         limits = [
             {"kind": "shield", "name": node.placement.machine, "value": {"limit": 20}}
             for node in day.cluster.with_role("shield")
         ]
         await day.actors.order("agency-1", "change", [pinned, *limits])
-        await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) == 3, 90)
-        assert "shield-machine-5" not in resting(day)
+        await wait_until_true(
+            day, lambda: len([n for n in standby_machines(day) if n.startswith("shield")]) == 3, 90
+        )
+        assert "shield-machine-5" not in standby_machines(day)
         why = cluster.context(day, "agency-2").ledger.value("staffing")["why"]
         assert why["shield-machine-5"] == "awake: pinned by operators"
-        jobs = []
+        requests = []
         for number in range(400):
-            jobs.append(asyncio.create_task(day.actors.ask("edge-1", "GET", f"/shortlists/{number}")))
+            requests.append(asyncio.create_task(day.actors.ask("edge-1", "GET", f"/shortlists/{number}")))
             await asyncio.sleep(0.025)
         # 40 a second at 20 for each machine: with any one lost, three are needed, so four are awake.
-        assert len([n for n in resting(day) if n.startswith("shield")]) <= 1
-        await asyncio.gather(*jobs)
+        assert len([n for n in standby_machines(day) if n.startswith("shield")]) <= 1
+        await asyncio.gather(*requests)
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_no_machine_goes_on_standby_while_the_voters_could_not_survive_another_loss():
-    async def scene(day):
-        await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) == 3, 90)
+    async def scenario(day):
+        await wait_until_true(
+            day, lambda: len([n for n in standby_machines(day) if n.startswith("shield")]) == 3, 90
+        )
         day.cluster.nodes["agency-3"].kill()
         day.cluster.nodes["agency-4"].kill()
-        await settle(day, lambda: not resting(day), 40)
+        await wait_until_true(day, lambda: not standby_machines(day), 40)
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_no_machine_goes_on_standby_right_after_a_voter_died():
     """Found in quiet days: SWIM's list holds a dead voter for seconds, and a rest was judged by the list."""
 
-    async def scene(day):
+    async def scenario(day):
         staffing = {
             node.placement.name: task
             for node in day.cluster.with_role("agency")
@@ -91,30 +101,36 @@
         }
         holder = next(name for name, task in staffing.items() if task.holds_lease())
         worker = staffing[holder].work.__self__
-        await settle(
+        await wait_until_true(
             day, lambda: day.watcher.now() - worker.changed_at > worker.standby_delay_seconds - 0.3, 30
         )
-        before = resting(day, holder)
+        before = standby_machines(day, holder)
         victims = [name for name in staffing if name != holder][:2]
         for name in victims:
             day.cluster.nodes[name].kill(reset=False)
         for _ in range(30):
             await asyncio.sleep(0.1)
-            assert not resting(day, holder) - before
+            assert not standby_machines(day, holder) - before
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_a_machine_on_standby_wakes_on_suspicion_before_a_death_is_confirmed():
-    async def scene(day):
-        await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) == 3, 90)
-        awake = [n for n in day.cluster.with_role("shield") if n.placement.machine not in resting(day)]
+    async def scenario(day):
+        await wait_until_true(
+            day, lambda: len([n for n in standby_machines(day) if n.startswith("shield")]) == 3, 90
+        )
+        awake = [
+            n for n in day.cluster.with_role("shield") if n.placement.machine not in standby_machines(day)
+        ]
         awake[0].kill(reset=False)
-        took = await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) < 3, 10)
+        elapsed = await wait_until_true(
+            day, lambda: len([n for n in standby_machines(day) if n.startswith("shield")]) < 3, 10
+        )
         # Confirm comes only some 7 seconds after the death.
-        assert took < 2.5
+        assert elapsed < 2.5
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -128,13 +144,13 @@
             )
             for n in range(randomness.randrange(1, 8))
         ]
-        resting_now = {m.name for m in machines if randomness.random() < 0.5}
+        standby_now = {m.name for m in machines if randomness.random() < 0.5}
         load = randomness.uniform(0, 40)
         may_rest = randomness.random() < 0.9
-        rest, reasons = standby_planning.plan(machines, resting_now, load, may_rest=may_rest)
+        rest, reasons = standby_planning.plan(machines, standby_now, load, may_rest=may_rest)
         assert set(reasons) == {m.name for m in machines}
         assert not any(m.name in rest and m.pinned for m in machines)
-        assert len(rest - resting_now) <= 1
+        assert len(rest - standby_now) <= 1
         if rest:
             assert may_rest
             awake = [m for m in machines if m.name not in rest]
--- a/tests/controlplane/test_change_rows.py
+++ b/tests/controlplane/test_change_rows.py
@@ -8,30 +8,30 @@
 from irisstand import errors
 from irisstand.controlplane.api import operator_calls
 
-WORDS = [["site"], {"site": 1}, 7, None, True]
+INVALID_NAMES = [["site"], {"site": 1}, 7, None, True]
 
 
-def row_with(field, word):
-    return {"kind": "site", "name": "north", "value": {"weight": 1}, field: word}
+def row_with(field, invalid):
+    return {"kind": "site", "name": "north", "value": {"weight": 1}, field: invalid}
 
 
-@pytest.mark.parametrize("word", WORDS, ids=str)
+@pytest.mark.parametrize("invalid", INVALID_NAMES, ids=str)
 @pytest.mark.parametrize("field", ["kind", "name"])
-def test_a_row_whose_kind_or_name_is_no_word_is_refused_where_it_comes_in(field, word):
+def test_a_row_whose_kind_or_name_is_no_word_is_refused_where_it_comes_in(field, invalid):
     with pytest.raises(errors.BadRequestError):
-        operator_calls.changed_rows({"rows": [row_with(field, word)]})
+        operator_calls.changed_rows({"rows": [row_with(field, invalid)]})
 
 
 @pytest.mark.parametrize("field", ["kind", "name"])
 def test_a_row_whose_kind_or_name_is_no_word_ends_no_node(field):
     """Guards against a control plane node that ended as it planned a change that cannot be looked up."""
 
-    async def scene(day):
-        for word in WORDS:
-            row = row_with(field, word)
+    async def scenario(day):
+        for invalid in INVALID_NAMES:
+            row = row_with(field, invalid)
             with pytest.raises(errors.InvalidChangeError):
                 await day.actors.order("agency-1", "change", [row, row])
         await asyncio.sleep(1)
         return [node.name for node in day.cluster.nodes.values() if node.program is None]
 
-    assert cluster.play(scene) == []
+    assert cluster.play(scenario) == []
--- a/tests/controlplane/test_leases_under_partition.py
+++ b/tests/controlplane/test_leases_under_partition.py
@@ -23,7 +23,7 @@
 def test_a_resumed_holder_writes_nothing_under_a_lease_that_another_node_has_taken(clock):
     """A stopped process's monotonic clock goes on; that of a suspended machine stands still."""
 
-    async def scene(day):
+    async def scenario(day):
         ((node, task),) = holder_of(day)
         fencing_token = task.fencing_token
         node.freeze()
@@ -41,13 +41,13 @@
         assert cluster.context(day, "agency-1").ledger.value("rest/x") is None
         assert [pair[0] for pair in holder_of(day)] == [other]
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_a_lease_taken_by_an_order_whose_answer_was_lost_counts_from_that_order():
     """Others count from the moment at which they see the lease, which may be long before its holder asks."""
 
-    async def scene(day):
+    async def scenario(day):
         node = day.cluster.nodes["agency-3"]
         real = node.program.submitter
         task = lease.SingletonTask(real, "trial", None)
@@ -68,4 +68,4 @@
         assert task.fencing_token
         assert task.lease_ends_at <= asked_at + task.lease_seconds
 
-    cluster.play(scene)
+    cluster.play(scenario)
--- a/tests/controlplane/test_operations.py
+++ b/tests/controlplane/test_operations.py
@@ -16,7 +16,7 @@
 
 
 def test_a_change_is_shown_with_its_rows_what_superseded_them_and_who_has_it_in_force():
-    async def scene(day):
+    async def scenario(day):
         await day.actors.order("agency-1", "change", [cluster.site_row(weight=2)], "first")
         await day.actors.order("agency-2", "change", [cluster.site_row(weight=3)], "second")
         await day.actors.order("agency-3", "purge", [("path", "/vacancies/1")], "swept")
@@ -25,10 +25,10 @@
         await day.actors.order("agency-2", "change", [cluster.site_row("south", 5)], "third")
         await asyncio.sleep(1)
         node = day.cluster.nodes["agency-4"]
-        shower = change_status.ChangeStatus(node.program.context)
-        first = await node.do(shower.show("first"), 3)
-        second = await node.do(shower.show("second"), 3)
-        third = await node.do(shower.show("third"), 3)
+        status = change_status.ChangeStatus(node.program.context)
+        first = await node.do(status.show("first"), 3)
+        second = await node.do(status.show("second"), 3)
+        third = await node.do(status.show("third"), 3)
         assert first["rows"][0]["superseded_by"] == second["serial"]
         assert not first["rows"][0]["in_force"]
         assert second["rows"] == [{"row": "site/north", "in_force": True}]
@@ -36,28 +36,28 @@
         assert second["nodes"]["agency-4"] == "in force"
         # Cut off before the third: nobody hears it, and it would not answer by what it has.
         assert third["nodes"]["edge-2"] == "silent"
-        assert (await node.do(shower.show("swept"), 3))["rows"][0]["row"] == "purge/path//vacancies/1"
+        assert (await node.do(status.show("swept"), 3))["rows"][0]["row"] == "purge/path//vacancies/1"
         with pytest.raises(errors.UnknownNameError):
-            await node.do(shower.show("never-sent"), 3)
+            await node.do(status.show("never-sent"), 3)
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_the_status_of_a_change_shows_a_node_that_is_behind():
-    async def scene(day):
+    async def scenario(day):
         result = await day.actors.order("agency-1", "change", [cluster.site_row(weight=2)], "x")
         await asyncio.sleep(1)
-        copy = cluster.context(day, "store-1").configuration
-        copy.applied = copy.applied._replace(counter=copy.applied.counter - 1)
+        store_replica = cluster.context(day, "store-1").configuration
+        store_replica.applied = store_replica.applied._replace(counter=store_replica.applied.counter - 1)
         node = day.cluster.nodes["agency-1"]
         shown = await node.do(change_status.ChangeStatus(node.program.context).show("x"), 3)
         assert shown["serial"] == result["serial"]
         assert shown["nodes"]["store-1"] == "behind"
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
-async def spare(day, name, site, region):
+async def add_spare(day, name, site, region):
     plan = simulated_node.NodePlacement(name, "agency", f"machine-{name}", site, region, "10.0.3.1")
     await day.cluster.add(plan).start()
     await day.cluster.wait_until_ready()
@@ -68,72 +68,72 @@
     return {voter.name for voter in day.cluster.nodes["agency-5"].program.participant.voters(table)}
 
 
-def keeper(day, name="agency-5"):
+def administration(day, name="agency-5"):
     node = day.cluster.nodes[name]
     return node, voter_administration.VoterAdministration(node.program.context, node.program.submitter)
 
 
 def test_replacing_a_voter_twice_is_the_same_as_once():
-    async def scene(day):
-        await spare(day, "agency-7", "north", "one")
-        node, hand = keeper(day)
-        assert (await node.do(hand.describe(), 3))["spares"] == ["agency-7"]
+    async def scenario(day):
+        await add_spare(day, "agency-7", "north", "one")
+        node, admin = administration(day)
+        assert (await node.do(admin.describe(), 3))["spares"] == ["agency-7"]
         for _ in range(2):
-            await node.do(hand.replace("agency-1", "agency-7"), 8)
+            await node.do(admin.replace("agency-1", "agency-7"), 8)
             await asyncio.sleep(1)
             for table in items.TABLES:
                 names = {f"agency-{n}" for n in (2, 3, 4, 5, 7)}
                 assert voter_names(day, table) == names
         with pytest.raises(errors.UnknownNameError):
-            await node.do(hand.replace("agency-2", "agency-99"), 8)
+            await node.do(admin.replace("agency-2", "agency-99"), 8)
         # The replaced machine may go now, and one more loss is borne.
         day.cluster.nodes["agency-1"].kill()
         day.cluster.nodes["agency-7"].kill()
         await asyncio.sleep(1)
         await day.actors.order("agency-4", "change", [cluster.site_row()])
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_a_voter_is_retired_only_if_the_rest_survive_the_loss_of_any_site():
-    async def scene(day):
-        node, hand = keeper(day)
+    async def scenario(day):
+        node, admin = administration(day)
         # Two of five are at north: without one at another site, its loss would leave two of four.
         with pytest.raises((errors.InsufficientCapacityError, errors.InvalidChangeError)) as caught:
-            await node.do(hand.retire("agency-2"), 8)
+            await node.do(admin.retire("agency-2"), 8)
         assert caught.value.figures["voters"] == 4
         assert len(voter_names(day)) == 5
         for _ in range(2):
-            assert len((await node.do(hand.retire("agency-1"), 8))["voters"]) == 4
+            assert len((await node.do(admin.retire("agency-1"), 8))["voters"]) == 4
             await asyncio.sleep(1)
             for table in items.TABLES:
                 assert voter_names(day, table) == {f"agency-{number}" for number in (2, 3, 4, 5)}
-        await node.do(hand.retire("agency-2"), 8)
+        await node.do(admin.retire("agency-2"), 8)
         await asyncio.sleep(1)
         # The last three stay.
         with pytest.raises((errors.InsufficientCapacityError, errors.InvalidChangeError)):
-            await node.do(hand.retire("agency-3"), 8)
+            await node.do(admin.retire("agency-3"), 8)
         with pytest.raises(errors.UnknownNameError):
-            await node.do(hand.retire("agency-99"), 8)
+            await node.do(admin.retire("agency-99"), 8)
         assert len(voter_names(day)) == 3
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_an_order_that_would_leave_no_majority_up_is_refused_whole_with_figures():
-    async def scene(day):
-        await spare(day, "agency-7", "south", "one")
+    async def scenario(day):
+        await add_spare(day, "agency-7", "south", "one")
         for name in ("agency-2", "agency-3"):
             day.cluster.nodes[name].kill()
-        node, hand = keeper(day)
+        node, admin = administration(day)
         with pytest.raises(errors.InsufficientCapacityError) as caught:
-            await node.do(hand.retire("agency-4"), 8)
+            await node.do(admin.retire("agency-4"), 8)
         assert caught.value.figures["up"] == ["agency-1", "agency-5"]
         # A dead one's place may be taken: that makes things better.
-        await node.do(hand.replace("agency-2", "agency-7"), 8)
+        await node.do(admin.replace("agency-2", "agency-7"), 8)
         assert "agency-7" in voter_names(day)
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 OBJECTS = b"""
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize(
-    ("content", "where"),
+    ("content", "expected_text"),
     [
         (b"kind: Site\nkind: Path\n", "line 2: 'kind' stands twice"),
         (b"a: &x [1]\nb: *x\n", "aliases"),
@@ -187,10 +187,10 @@
         (b"x: !!python/object:os.system {}\n", ""),
     ],
 )
-def test_a_file_with_a_faulty_object_is_refused_and_the_fault_is_named(content, where):
+def test_a_file_with_a_faulty_object_is_refused_and_the_fault_is_named(content, expected_text):
     with pytest.raises(errors.InvalidChangeError) as caught:
         formats.read("first.yaml", content)
-    assert any(where in f"{fault['field']}: {fault['message']}" for fault in caught.value.faults), (
+    assert any(expected_text in f"{fault['field']}: {fault['message']}" for fault in caught.value.faults), (
         caught.value.faults
     )
 
@@ -218,20 +218,20 @@
 
 
 def test_origins_of_the_own_region_are_drawn_first_and_the_busier_give_way():
-    async def scene(day):
+    async def scenario(day):
         counts = collections.Counter()
         for number in range(300):
             await day.actors.ask(f"edge-{number % 2 + 1}", "GET", f"/shortlists/{number}")
         for name in ("shield-1", "shield-2", "shield-3", "shield-4", "shield-5"):
-            part = day.cluster.nodes[name].program.role_node
-            granted = part.view.authorize("GET", "/shortlists/1", "")
+            role_node = day.cluster.nodes[name].program.role_node
+            grant = role_node.view.authorize("GET", "/shortlists/1", "")
             sites = {"north": "one", "south": "one", "east": "two", "west": "two"}
             for _ in range(200):
-                if part.view.quota_share("application", granted.limit)[0]:
-                    pool = part.origins.choose(granted, ())
-                    counts[sites[pool.origin.site] == part.context.settings.region] += 1
+                if role_node.view.quota_share("application", grant.limit)[0]:
+                    pool = role_node.origins.choose(grant, ())
+                    counts[sites[pool.origin.site] == role_node.context.settings.region] += 1
         # Two draws, each three to one for the near: rather more than three quarters where both exist.
         assert counts[True] > 2.5 * counts[False], counts
 
     shape = cluster.SHAPE._replace(application_origins=4)
-    cluster.play(scene, shape=shape)
+    cluster.play(scenario, shape=shape)
--- a/tests/controlplane/test_origin_discovery.py
+++ b/tests/controlplane/test_origin_discovery.py
@@ -8,15 +8,15 @@
 from irisstand.controlplane.singletons import origin_source
 
 
-def state(day, name="edge-1"):
+def platform_record(day, name="edge-1"):
     return cluster.context(day, name).ledger.value("platform")
 
 
-def listed(day):
+def listed_origins(day):
     return {item.key for item in cluster.context(day, "edge-1").ledger.items_with_prefix("origin/")}
 
 
-def says(day, revision=None, age=0.0, without=()):
+def set_platform_answer(day, revision=None, age=0.0, without=()):
     origins = [origin.listing() for origin in day.actors.origins if origin.instance not in without]
     content = {"origins": origins, **({} if revision is None else {"revision": revision})}
 
@@ -27,15 +27,15 @@
 
 
 def test_an_old_answer_after_a_new_one_changes_nothing():
-    async def scene(day):
-        gone = day.actors.origins[0]
-        says(day, 7, without=(gone.instance,))
+    async def scenario(day):
+        omitted = day.actors.origins[0]
+        set_platform_answer(day, 7, without=(omitted.instance,))
         await asyncio.sleep(4)
-        assert f"origin/{gone.instance}" not in listed(day)
-        says(day, 6)
+        assert f"origin/{omitted.instance}" not in listed_origins(day)
+        set_platform_answer(day, 6)
         await asyncio.sleep(4)
-        assert f"origin/{gone.instance}" not in listed(day)
-        assert state(day)["state"] == "lagging"
+        assert f"origin/{omitted.instance}" not in listed_origins(day)
+        assert platform_record(day)["state"] == "lagging"
         # Nor for the next holder, which has heard nothing of the newer one itself.
         for node in day.cluster.with_role("agency"):
             if any(
@@ -43,39 +43,39 @@
             ):
                 node.kill()
         await asyncio.sleep(6)
-        assert f"origin/{gone.instance}" not in listed(day)
-        says(day, 8)
+        assert f"origin/{omitted.instance}" not in listed_origins(day)
+        set_platform_answer(day, 8)
         await asyncio.sleep(4)
-        assert f"origin/{gone.instance}" in listed(day)
-        assert state(day)["state"] == "well"
+        assert f"origin/{omitted.instance}" in listed_origins(day)
+        assert platform_record(day)["state"] == "well"
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_old_answers_are_recorded_as_lagging_and_failures_as_silent():
-    async def scene(day):
-        says(day, age=30.0)
+    async def scenario(day):
+        set_platform_answer(day, age=30.0)
         await asyncio.sleep(3)
-        assert state(day)["state"] == "lagging"
-        assert "30 s old" in state(day)["why"]
+        assert platform_record(day)["state"] == "lagging"
+        assert "30 s old" in platform_record(day)["why"]
 
-        async def dead():
+        async def refuse_connection():
             raise ConnectionRefusedError("nobody there")
 
-        day.actors.ask_platform = dead
-        before = listed(day)
+        day.actors.ask_platform = refuse_connection
+        before = listed_origins(day)
         await asyncio.sleep(8)
-        assert state(day)["state"] == "silent"
-        assert listed(day) == before
-        says(day)
+        assert platform_record(day)["state"] == "silent"
+        assert listed_origins(day) == before
+        set_platform_answer(day)
         await asyncio.sleep(3)
-        assert state(day)["state"] == "well"
+        assert platform_record(day)["state"] == "well"
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_a_service_that_shrinks_suddenly_is_held_back_and_other_services_are_not():
-    async def scene(day):
+    async def scenario(day):
         for number in range(2):
             day.actors.add_origin("content", f"content-x{number}", "east", "two")
         await asyncio.sleep(3)
@@ -83,15 +83,15 @@
         other = next(o for o in day.actors.origins if o.service == "application")
         assert len(content) == 4
         other.state = "leaving"
-        says(day, without=content[:3])
+        set_platform_answer(day, without=content[:3])
         await asyncio.sleep(3)
-        assert state(day)["state"] == "shrunk"
-        assert "content" in state(day)["why"]
-        assert {f"origin/{name}" for name in content} <= listed(day)
+        assert platform_record(day)["state"] == "shrunk"
+        assert "content" in platform_record(day)["why"]
+        assert {f"origin/{name}" for name in content} <= listed_origins(day)
         # What it says of the rest is in force meanwhile.
         ledger = cluster.context(day, "edge-1").ledger
         assert ledger.value(f"origin/{other.instance}")["state"] == "leaving"
         await asyncio.sleep(6)
-        assert not {f"origin/{name}" for name in content[:3]} & listed(day)
+        assert not {f"origin/{name}" for name in content[:3]} & listed_origins(day)
 
-    cluster.play(scene)
+    cluster.play(scenario)
--- a/tests/controlplane/test_origin_list.py
+++ b/tests/controlplane/test_origin_list.py
@@ -11,38 +11,38 @@
 ORIGIN = {"id": "a", "service": "s", "host": "127.0.0.1", "port": 1, "site": "north", "state": "ready"}
 
 
-def listed(day, name="agency-1"):
+def listed_origins(day, name="agency-1"):
     return {
         item.key: item.value["state"]
         for item in cluster.context(day, name).ledger.items_with_prefix("origin/")
     }
 
 
-async def reads(day, count, mark):
+async def reads(day, count, path_prefix):
     statuses = []
     for number in range(count):
         edge = f"edge-{number % 2 + 1}"
-        statuses.append((await day.actors.ask(edge, "GET", f"/vacancies/{mark}-{number}"))[0])
+        statuses.append((await day.actors.ask(edge, "GET", f"/vacancies/{path_prefix}-{number}"))[0])
         await asyncio.sleep(0.02)
     return statuses
 
 
 def test_a_leaving_origin_gets_no_new_work_two_seconds_after_the_platform_says_so():
-    async def scene(day):
+    async def scenario(day):
         leaving = day.actors.origins[0]
         await reads(day, 40, "before")
         assert leaving.started
         leaving.state = "leaving"
         await asyncio.sleep(2)
-        said = len(leaving.started)
+        requests_before = len(leaving.started)
         assert set(await reads(day, 60, "after")) == {200}
-        assert len(leaving.started) == said
+        assert len(leaving.started) == requests_before
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_rolling_replacement_of_all_origins_loses_no_read():
-    async def scene(day):
+    async def scenario(day):
         statuses = []
         for number, old in enumerate(list(day.actors.origins)):
             fresh = day.actors.add_origin(old.service, f"{old.service}-new-{number}", old.site, "one")
@@ -56,32 +56,32 @@
         assert set(statuses) == {200}
         assert all("new" in origin.instance and origin.started for origin in day.actors.origins[:2])
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_a_cold_origin_ramps_over_its_warm_up():
-    async def scene(day):
+    async def scenario(day):
         fresh = day.actors.add_origin("content", "content-fresh", "east", "two")
         fresh.state, fresh.warmup = "cold", 20.0
-        await day.cluster.wait_until(lambda: "origin/content-fresh" in listed(day), 5)
+        await day.cluster.wait_until(lambda: "origin/content-fresh" in listed_origins(day), 5)
         counts = []
-        began = day.watcher.now()
-        for part in range(8):
+        started_at = day.watcher.now()
+        for round_number in range(8):
             before = len(fresh.started)
-            await reads(day, 150, f"p{part}")
+            await reads(day, 150, f"p{round_number}")
             counts.append(len(fresh.started) - before)
         # Five to seven seconds a part: hardly anything at first. In the end, as one of three that
         # shields of its region prefer three to one, about 140 of 300; 131 to 148 over seeds.
-        assert 30 < day.watcher.now() - began < 60
+        assert 30 < day.watcher.now() - started_at < 60
         assert counts[0] < 20, counts
         assert counts[0] < counts[1] < counts[-1], counts
         assert 115 < sum(counts[-2:]) < 165, counts
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 @pytest.mark.parametrize(
-    "says",
+    "answer",
     [
         b"{",
         b"[]",
@@ -91,13 +91,13 @@
         json.dumps({"origins": [{**ORIGIN, "id": "a/b"}]}).encode(),
     ],
 )
-def test_a_malformed_or_suddenly_empty_answer_leaves_the_last_good_list_of_origins(says):
-    async def scene(day):
-        before = listed(day)
+def test_a_malformed_or_suddenly_empty_answer_leaves_the_last_good_list_of_origins(answer):
+    async def scenario(day):
+        before = listed_origins(day)
         assert len(before) == 4
-        day.actors.platform_says = says
+        day.actors.platform_says = answer
         await asyncio.sleep(3)
-        assert listed(day) == before
+        assert listed_origins(day) == before
         failed = sum(
             node.program.context.counters.total("platform_failed") for node in day.cluster.with_role("agency")
         )
@@ -105,19 +105,19 @@
         assert failed >= 2 or state == "shrunk"
         assert set(await reads(day, 10, "still")) == {200}
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_the_platform_is_asked_by_one_node_within_its_limit_through_changes_of_holder():
-    async def scene(day):
+    async def scenario(day):
         asked = []
         ask = day.actors.ask_platform
 
-        async def counted():
+        async def count_requests():
             asked.append(asyncio.get_running_loop().time())
             return await ask()
 
-        day.actors.ask_platform = counted
+        day.actors.ask_platform = count_requests
         for _ in range(3):
             await asyncio.sleep(5)
             for node in day.cluster.with_role("agency"):
@@ -133,11 +133,11 @@
         # One question a second at the most, though three holders were paused and woken in between.
         assert max(sum(one <= other < one + 3 for other in asked) for one in asked) <= 4
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_a_holder_paused_past_its_lease_stops_by_itself_and_its_late_write_is_refused():
-    async def scene(day):
+    async def scenario(day):
         tasks = {
             node.placement.name: task
             for node in day.cluster.with_role("agency")
@@ -160,13 +160,13 @@
             await day.actors.order(holder, "fenced", ("placement", fencing_token, [row]))
         assert cluster.context(day, holder).ledger.value("slots/00") != row[1]
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_rows_of_an_unknown_kind_are_kept_and_replicated():
     """As in a rolling upgrade: a newer node's kind of row goes through older nodes unharmed."""
 
-    async def scene(day):
+    async def scenario(day):
         newer = day.cluster.nodes["agency-1"].program
         row = [("hologram/7", {"depth": 3})]
         holder = next(
@@ -187,4 +187,4 @@
         assert cluster.context(day, "agency-1").ledger.value("hologram/7") == {"depth": 3}
         assert newer is not day.cluster.nodes["agency-1"].program
 
-    cluster.play(scene)
+    cluster.play(scenario)
--- a/tests/controlplane/test_placement.py
+++ b/tests/controlplane/test_placement.py
@@ -12,15 +12,15 @@
     return fleet_view.FleetView(cluster.context(day, name)).slot_owners()
 
 
-def resting(day, name="agency-2"):
+def standby_machines(day, name="agency-2"):
     return {
         item.key.removeprefix("rest/")
         for item in cluster.context(day, name).ledger.items_with_prefix("rest/")
     }
 
 
-async def settle(day, condition, patience=60):
-    return await day.cluster.wait_until(condition, patience)
+async def wait_until_true(day, condition, timeout_seconds=60):
+    return await day.cluster.wait_until(condition, timeout_seconds)
 
 
 async def pin_all(day):
@@ -30,21 +30,21 @@
         for node in day.cluster.with_role("shield")
     ]
     await day.actors.order("agency-1", "change", rows)
-    await settle(day, lambda: not any("shield" in name for name in resting(day)))
+    await wait_until_true(day, lambda: not any("shield" in name for name in standby_machines(day)))
     machines = {node.placement.machine for node in day.cluster.with_role("shield")}
-    await settle(day, lambda: set(owners(day)) == machines)
+    await wait_until_true(day, lambda: set(owners(day)) == machines)
     await asyncio.sleep(40)
 
 
 def test_a_lost_shield_moves_its_own_slots_only_and_gets_them_back_in_small_steps():
-    async def scene(day):
+    async def scenario(day):
         await pin_all(day)
         before = owners(day)
         lost = "shield-machine-2"
         share = before.count(lost)
         assert 25 < share < 80
         day.cluster.nodes["shield-2"].kill()
-        await settle(day, lambda: lost not in owners(day))
+        await wait_until_true(day, lambda: lost not in owners(day))
         after = owners(day)
         # The least possible: exactly the slots of the machine that went.
         assert [a != b for a, b in zip(before, after, strict=True)] == [owner == lost for owner in before]
@@ -59,11 +59,11 @@
         assert sum(steps) == share
         assert last == before
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_a_shield_that_restarts_at_once_keeps_its_slots():
-    async def scene(day):
+    async def scenario(day):
         await pin_all(day)
         before = owners(day)
         node = day.cluster.nodes["shield-3"]
@@ -74,11 +74,11 @@
             await asyncio.sleep(0.1)
             assert owners(day) == before
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_quota_shares_never_exceed_the_limit_through_loss_standby_partition_and_change():
-    async def scene(day):
+    async def scenario(day):
         watch = asyncio.create_task(day.watcher.run())
         await pin_all(day)
         day.cluster.nodes["shield-1"].kill()
@@ -103,11 +103,11 @@
         assert sum(row["content"][0] for row in shares.values()) == 60
         assert sum(row["content"][1] for row in shares.values()) == 30
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_an_evacuated_site_gets_no_new_work_and_comes_back():
-    async def scene(day):
+    async def scenario(day):
         site = "north"
         await pin_all(day)
         for origin in day.actors.origins:
@@ -138,13 +138,13 @@
         await day.actors.order("agency-4", "return", site)
         await asyncio.sleep(3)
         assert (await day.actors.ask("edge-1", "GET", "/shortlists/1"))[0] == 200
-        await settle(day, lambda: "shield-machine-1" in owners(day), 20)
+        await wait_until_true(day, lambda: "shield-machine-1" in owners(day), 20)
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_the_origins_of_a_returned_site_get_load_back_gradually():
-    async def scene(day):
+    async def scenario(day):
         await day.actors.order("agency-3", "evacuate", "north")
         await asyncio.sleep(5)
         await day.actors.order("agency-3", "return", "north")
@@ -162,4 +162,4 @@
         assert counts[0] < counts[1] < 110, counts
         assert counts[2] > 75, counts
 
-    cluster.play(scene)
+    cluster.play(scenario)
--- a/tests/controlplane/test_rate_quota.py
+++ b/tests/controlplane/test_rate_quota.py
@@ -12,14 +12,14 @@
 from irisstand.state import items
 
 # For so long after its last row an owner may still start requests that one window of five seconds counts.
-STILL_COUNTS = rate_quota.USABLE_SECONDS + 5.0
+OVERLAP_SECONDS = rate_quota.USABLE_SECONDS + 5.0
 
 
-class Writer:
+class FakeTask:
     """A duty under a lease, whose rows are decided after `delay` seconds."""
 
-    def __init__(self, core, delay=0.0):
-        self.core, self.delay = core, delay
+    def __init__(self, fixture, delay=0.0):
+        self.fixture, self.delay = fixture, delay
 
     def holds_lease(self):
         return True
@@ -27,11 +27,11 @@
     async def write_fenced(self, rows):
         await asyncio.sleep(self.delay)
         for key, value in rows:
-            self.core.put(items.LEDGER, key, value)
-            self.core.history.append((self.core.context.clock.now(), value["units"]))
+            self.fixture.put(items.LEDGER, key, value)
+            self.fixture.history.append((self.fixture.context.clock.now(), value["units"]))
 
 
-class Core(direct_edge.Scene):
+class PlacementScenario(direct_edge.Scene):
     """The ledger, and one holder of the duty after the other."""
 
     def __init__(self):
@@ -41,14 +41,14 @@
         self.change_holder()
 
     def change_holder(self, delay=0.0):
-        self.placement, self.task = rate_placement.RatePlacement(self.context), Writer(self, delay)
+        self.placement, self.task = rate_placement.RatePlacement(self.context), FakeTask(self, delay)
 
-    def lose(self, name):
+    def remove_member(self, name):
         members = self.context.detector.member_list.members
         for identity in [identity for identity in members if identity.name == name]:
             del members[identity]
 
-    async def go_on(self, seconds):
+    async def run_for(self, seconds):
         end = self.context.clock.now() + seconds
         while self.context.clock.now() < end:
             await self.placement.work(self.task)
@@ -59,9 +59,9 @@
         return row["units"] if row else {}
 
 
-def play(scene):
+def play(scenario):
     async def run():
-        return await scene(Core())
+        return await scenario(PlacementScenario())
 
     return virtual_time.run(run())
 
@@ -73,7 +73,7 @@
         held = {}
         for number, (_, units) in enumerate(history[: index + 1]):
             ended = history[number + 1][0] if number + 1 < len(history) else moment
-            if ended > moment - STILL_COUNTS or number == index:
+            if ended > moment - OVERLAP_SECONDS or number == index:
                 for name, share in units.items():
                     held[name] = max(held.get(name, 0), share)
         largest = max(largest, sum(held.values()))
@@ -81,80 +81,80 @@
 
 
 def test_sites_have_equal_quota_shares_and_an_owner_that_is_back_soon_keeps_its_share():
-    async def scene(core):
+    async def scenario(fixture):
         for name, site in (("h1", "north"), ("h2", "north"), ("h3", "south")):
-            core.member(name, "holder", site)
-        await core.go_on(5)
-        first = core.units()
-        core.lose("h3")
-        await core.go_on(4)
-        core.member("h3", "holder", "south")
-        await core.go_on(30)
-        return first, core.units()
+            fixture.member(name, "holder", site)
+        await fixture.run_for(5)
+        first = fixture.units()
+        fixture.remove_member("h3")
+        await fixture.run_for(4)
+        fixture.member("h3", "holder", "south")
+        await fixture.run_for(30)
+        return first, fixture.units()
 
     expected = {"h1": 250, "h2": 250, "h3": 500}
-    assert play(scene) == (expected, expected)
+    assert play(scenario) == (expected, expected)
 
 
 def test_the_quota_share_of_a_lost_owner_is_given_out_only_after_the_owner_has_certainly_stopped():
-    async def scene(core):
+    async def scenario(fixture):
         for name in ("h1", "h2"):
-            core.member(name, "holder")
-        await core.go_on(5)
-        core.lose("h2")
-        await core.go_on(60)
-        return core.history
+            fixture.member(name, "holder")
+        await fixture.run_for(5)
+        fixture.remove_member("h2")
+        await fixture.run_for(60)
+        return fixture.history
 
-    history = play(scene)
+    history = play(scenario)
     assert [units for _, units in history] == [{"h1": 500, "h2": 500}, {"h1": 500}, {"h1": 1000}]
     assert history[2][0] - history[1][0] >= rate_quota.REASSIGNMENT_DELAY_SECONDS
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_no_quota_share_has_two_owners_within_a_window_whatever_members_and_lease_holders_do(seed):
-    async def scene(core):
-        luck = random.Random(seed)
+    async def scenario(fixture):
+        randomness = random.Random(seed)
         names = [f"holder-{number}" for number in range(8)]
         for name in names[:5]:
-            core.member(name, "holder", luck.choice(["north", "south"]))
+            fixture.member(name, "holder", randomness.choice(["north", "south"]))
         for _ in range(40):
-            kind = luck.choice(["lose", "lose", "come", "come", "holder", "nothing"])
+            kind = randomness.choice(["lose", "lose", "come", "come", "holder", "nothing"])
             if kind == "lose":
-                core.lose(luck.choice(names))
+                fixture.remove_member(randomness.choice(names))
             elif kind == "come":
-                core.member(luck.choice(names), "holder", luck.choice(["north", "south"]))
+                fixture.member(randomness.choice(names), "holder", randomness.choice(["north", "south"]))
             elif kind == "holder":
-                core.change_holder(luck.choice([0.0, 0.5, 3.0]))
-            await core.go_on(luck.uniform(0.5, 14))
-        return core.history
+                fixture.change_holder(randomness.choice([0.0, 0.5, 3.0]))
+            await fixture.run_for(randomness.uniform(0.5, 14))
+        return fixture.history
 
-    history = play(scene)
+    history = play(scenario)
     assert len(history) > 3
     assert all(sum(units.values()) <= rate_quota.TOTAL_UNITS for _, units in history)
     assert most_counted(history) <= rate_quota.TOTAL_UNITS
 
 
 def test_nothing_is_given_out_while_the_member_list_is_still_filling():
-    async def scene(core):
+    async def scenario(fixture):
         for number in range(1, 9):
-            core.member(f"holder-{number}", "holder", f"site-{number % 4}")
+            fixture.member(f"holder-{number}", "holder", f"site-{number % 4}")
             for edge in range(10 if number == 1 else 0):
                 for site in range(4):
-                    core.member(f"edge-{site}-{edge}", "direct", f"site-{site}")
-            await core.go_on(0.6)
-        await core.go_on(rate_placement.STABLE_SECONDS + 1.0)
-        return core.units()
+                    fixture.member(f"edge-{site}-{edge}", "direct", f"site-{site}")
+            await fixture.run_for(0.6)
+        await fixture.run_for(rate_placement.STABLE_SECONDS + 1.0)
+        return fixture.units()
 
-    assert play(scene) == {f"holder-{number}": 125 for number in range(1, 9)}
+    assert play(scenario) == {f"holder-{number}": 125 for number in range(1, 9)}
 
 
 def test_edges_that_fetch_for_themselves_own_the_quota_shares_and_request_no_tokens():
-    async def scene(core):
-        core.context.settings = core.context.settings._replace(holder_edges=5.0)
+    async def scenario(fixture):
+        fixture.context.settings = fixture.context.settings._replace(holder_edges=5.0)
         for number in range(8):
-            core.member(f"fetching-{number}", "direct", f"site-{number % 4}")
-            core.member(f"holder-{number}", "holder", f"site-{number % 4}")
-        await core.go_on(rate_placement.STABLE_SECONDS + 2.0)
-        return core.units()
+            fixture.member(f"fetching-{number}", "direct", f"site-{number % 4}")
+            fixture.member(f"holder-{number}", "holder", f"site-{number % 4}")
+        await fixture.run_for(rate_placement.STABLE_SECONDS + 2.0)
+        return fixture.units()
 
-    assert play(scene) == {f"fetching-{number}": 125 for number in range(8)}
+    assert play(scenario) == {f"fetching-{number}": 125 for number in range(8)}
--- a/tests/controlplane/test_retention.py
+++ b/tests/controlplane/test_retention.py
@@ -25,19 +25,19 @@
     """One table decided step by step, as a proposer would, with nobody else about."""
 
     def __init__(self, name):
-        self.copy = replica.Replica(name)
+        self.replica = replica.Replica(name)
         self.seen = versions.NONE
 
     def order(self, kind, payload, change=""):
-        overlay = table_overlay.Overlay(self.copy, self.copy.applied.successor("n"))
+        overlay = table_overlay.Overlay(self.replica, self.replica.applied.successor("n"))
         result = order_planning.plan(overlay, orders.Order(kind, change, payload))
         if overlay.rows:
-            self.copy.apply(overlay.batch())
+            self.replica.apply(overlay.batch())
         return result
 
-    def tick(self, elapsed, *rules):
-        expected = str(self.copy.version(items.TABLE_TIME_KEY))
-        self.order(f"tick-{self.copy.name}", (expected, elapsed, [list(rule) for rule in rules], 600.0))
+    def advance_time(self, elapsed, *rules):
+        expected = str(self.replica.version(items.TABLE_TIME_KEY))
+        self.order(f"tick-{self.replica.name}", (expected, elapsed, [list(rule) for rule in rules], 600.0))
 
 
 def test_the_ledger_does_not_grow_over_hours_of_purges_changes_and_removed_rows():
@@ -49,12 +49,12 @@
             ledger.order("purge", [("path", f"/vacancies/{number}")], f"purge-{number}")
         ledger.order("evacuate", f"site-{step}")
         ledger.order("return", f"site-{step}")
-        ledger.tick(15, PURGE, retention.CHANGE_RECORD_RULE._replace(number=500))
-        sizes.append(len(ledger.copy.items))
+        ledger.advance_time(15, PURGE, retention.CHANGE_RECORD_RULE._replace(surplus_threshold=500))
+        sizes.append(len(ledger.replica.items))
     # Four hours: as many rows after the fourth as after the first, and hardly more than must be kept.
     assert max(sizes[-240:]) <= max(sizes[:240]) < 1100, (max(sizes[:240]), max(sizes[-240:]))
     assert number == 7680
-    assert len(json.dumps(ledger.copy.value(items.TABLE_TIME_KEY))) < 4000
+    assert len(json.dumps(ledger.replica.value(items.TABLE_TIME_KEY))) < 4000
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -68,23 +68,27 @@
         if draw < 0.3:
             path = f"/p{randomness.randrange(40)}"
             ledger.order("purge", [("path", path)])
-            newest[path] = ledger.copy.applied
+            newest[path] = ledger.replica.applied
         elif draw < 0.5:
-            ledger.tick(randomness.uniform(1, 30), PURGE._replace(keep_seconds=randomness.choice((5, 75))))
+            ledger.advance_time(
+                randomness.uniform(1, 30), PURGE._replace(keep_seconds=randomness.choice((5, 75)))
+            )
         else:
-            fetched.append((f"/p{randomness.randrange(40)}", ledger.copy.applied))
-        path, applied = randomness.choice(fetched or [("/p0", ledger.copy.applied)])
-        forgotten = versions.Version.from_wire(ledger.copy.value(items.FORGOTTEN_PURGES_KEY) or versions.NONE)
-        purged = max(forgotten, ledger.copy.version(f"purge/path/{path}"))
+            fetched.append((f"/p{randomness.randrange(40)}", ledger.replica.applied))
+        path, applied = randomness.choice(fetched or [("/p0", ledger.replica.applied)])
+        forgotten = versions.Version.from_wire(
+            ledger.replica.value(items.FORGOTTEN_PURGES_KEY) or versions.NONE
+        )
+        purged = max(forgotten, ledger.replica.version(f"purge/path/{path}"))
         if newest.get(path, versions.NONE) > applied:
             refused += 1
             assert applied < purged
     assert refused > 100
-    assert ledger.copy.value(items.FORGOTTEN_PURGES_KEY)
+    assert ledger.replica.value(items.FORGOTTEN_PURGES_KEY)
 
 
 def test_a_node_that_was_cut_off_until_a_purge_expired_serves_no_purged_object():
-    async def scene(day):
+    async def scenario(day):
         path = "/vacancies/5"
         value = {"grants": [{"service": "content", "methods": ["GET"]}], "life": 3600}
         await day.actors.order(
@@ -110,11 +114,11 @@
         assert status == 200
         assert json.loads(result.body)["version"] == 1
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_a_control_node_that_was_down_until_tombstones_expired_brings_no_row_back():
-    async def scene(day):
+    async def scenario(day):
         rows = [cluster.site_row("north", 3), cluster.site_row("south", 1)]
         await day.actors.order("agency-1", "change", rows)
         await asyncio.sleep(1)
@@ -134,17 +138,17 @@
         roots = {cluster.context(day, f"agency-{n}").configuration.root_digest() for n in range(1, 6)}
         assert len(roots) == 1
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_table_time_counts_no_interval_twice_and_no_long_suspension():
     ledger = Table(items.LEDGER)
-    first = str(ledger.copy.version(items.TABLE_TIME_KEY))
-    ledger.tick(15, PURGE)
+    first = str(ledger.replica.version(items.TABLE_TIME_KEY))
+    ledger.advance_time(15, PURGE)
     with pytest.raises(errors.StaleVersionError):
         ledger.order("tick-ledger", (first, 15.0, [], 600.0))
-    ledger.tick(4000, PURGE)
-    assert ledger.copy.value(items.TABLE_TIME_KEY)["seconds"] == 15 + table_time.STEP_LIMIT_SECONDS
+    ledger.advance_time(4000, PURGE)
+    assert ledger.replica.value(items.TABLE_TIME_KEY)["seconds"] == 15 + table_time.STEP_LIMIT_SECONDS
 
 
 def test_idempotency_keys_are_kept_for_their_time_and_a_full_table_refuses_new_ones_with_retry_after(
@@ -153,11 +157,11 @@
     monkeypatch.setattr(idempotency_claims, "CLAIMS_LIMIT", 100)
     claims = Table(items.IDEMPOTENCY_KEYS)
     rule = table_time.RetentionRule("claim", 600.0, 600.0, 100)
-    claims.tick(15, rule)
+    claims.advance_time(15, rule)
     for number in range(100):
         claims.order("claim", (f"k{number}", "a", "print"))
         if number % 10 == 9:
-            claims.tick(15, rule)
+            claims.advance_time(15, rule)
     with pytest.raises(errors.TableFullError) as caught:
         claims.order("claim", ("another", "a", "print"))
     # The oldest was claimed 150 seconds ago.
@@ -166,17 +170,17 @@
     with pytest.raises(errors.KeyClaimedError):
         claims.order("claim", ("k0", "b", "print"))
     for _ in range(29):
-        claims.tick(15, rule)
-    assert claims.copy.counts_by_prefix["claim"] == 100
+        claims.advance_time(15, rule)
+    assert claims.replica.counts_by_prefix["claim"] == 100
     for _ in range(8):
-        claims.tick(15, rule)
+        claims.advance_time(15, rule)
     claims.order("claim", ("another", "a", "print"))
-    assert "claim/k0" not in claims.copy.items
-    assert "claim/k99" in claims.copy.items
+    assert "claim/k0" not in claims.replica.items
+    assert "claim/k99" in claims.replica.items
 
 
 def test_an_idempotency_key_survives_total_loss_and_changes_of_lease_holder():
-    async def scene(day):
+    async def scenario(day):
         body = json.dumps({"number": "once"}).encode()
         ask = ("POST", "/applications", body)
         assert (await day.actors.ask("edge-1", *ask, idempotency_key="once"))[0] == 200
@@ -205,4 +209,4 @@
         assert status == 200
         assert day.actors.records.executions["once"] == 1
 
-    cluster.play(scene)
+    cluster.play(scenario)
--- a/tests/mutation/consensus_mutations.py
+++ b/tests/mutation/consensus_mutations.py
@@ -82,7 +82,7 @@
     ),
     (
         "controlplane/singletons/lease.py",
-        "                started = self.first_asked_at",
+        "                started = self.first_requested_at",
         "                pass",
         "controlplane/test_leases_under_partition.py::test_a_lease_taken_by_an_order_whose_answer_was_lost_counts_from_that_order",
     ),
--- a/tests/mutation/controlplane_mutations.py
+++ b/tests/mutation/controlplane_mutations.py
@@ -22,7 +22,7 @@
     ),
     (
         "controlplane/changes/table_time.py",
-        "    if purged > before:",
+        "    if newest_purge > before:",
         "    if False:",
         "controlplane/test_retention.py",
     ),
@@ -64,7 +64,7 @@
     ),
     (
         "controlplane/changes/confirmed_versions.py",
-        "VersionedRow(entry.version, entry.item, self.seen_with(self.version, self.item))",
+        "VersionedRow(entry.version, entry.item, self.seen_versions_with(self.version, self.item))",
         "VersionedRow(entry.version, entry.item)",
         "controlplane/test_idempotent_changes.py::test_a_repeat_is_confirmed_after_it_was_overtaken_and_dropped_and_other_content_is_not",
     ),
@@ -100,7 +100,7 @@
     ),
     (
         "controlplane/changes/evacuation_check.py",
-        "            await self.confirm_since(asked_at)",
+        "            await self.confirm_ledger_since(asked_at)",
         "            raise",
         "controlplane/test_idempotent_changes_racing.py::test_a_repeated_evacuation_is_not_refused_by_a_node_that_missed_the_first",
     ),
