--- a/src/irisstand/control_errors.py
+++ b/src/irisstand/control_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the control plane that carry details: an order clashes with what was decided before it."""
+"""Errors of the control plane with details: an order conflicts with one that was confirmed before it."""
 
 import typing
 
@@ -6,16 +6,16 @@
 
 Details = list[typing.Any]
 
-# The kinds below, by code.
+# The registered subclasses of `DetailedError` by their `code`.
 DETAILED_ERROR_BY_CODE: dict[str, type["DetailedError"]] = {}
 
 
 class DetailedError(errors.IrisError):
-    """A refusal with details, which it keeps when it travels between nodes.
+    """A refusal with details, which are preserved when the error is sent between nodes.
 
     Attributes:
         details_name: The key of the details in the JSON object.
-        summary: The message of the kind.
+        summary: The message of all errors of the class.
     """
 
     details_name = "details"
@@ -30,35 +30,35 @@
             DETAILED_ERROR_BY_CODE[cls.code] = cls
 
     def to_json(self) -> dict[str, typing.Any]:
-        """Add the details to the JSON object."""
+        """Return the JSON object of the error with its details added."""
         return {**super().to_json(), self.details_name: self.details}
 
 
 class VersionTakenError(DetailedError):
-    """Other content was confirmed under the version of an item in the call."""
+    """Different content was confirmed before under the version of an item in the request."""
 
     code, status, details_name = "version-taken", 409, "conflicts"
-    summary = "a version in the call is taken by another content, nothing was changed"
+    summary = "a version in the request was used for different content; nothing was changed"
     remedy = "read the items again, and send this content under a higher version"
 
 
 class ChangeIdTakenError(DetailedError):
-    """Another order was confirmed under the same change id."""
+    """A different order was confirmed before under the same change id."""
 
     code, status, details_name = "change-id-taken", 409, "conflicts"
-    summary = "the change id was used for another order, nothing was changed"
+    summary = "the change id was used for a different order; nothing was changed"
     remedy = "send this order under a new change id"
 
 
 class SiteUnknownError(errors.IrisError):
-    """This node knows no such site, which may be its own ignorance: another node may know it."""
+    """This node does not know the site, but its knowledge may be incomplete: another node may know it."""
 
     code, status, default_retry_after = "site-not-heard", 503, 1.0
     remedy = "ask another node, and look at the site's name"
 
 
 def rebuild(code: str, details: Details) -> DetailedError | None:
-    """Return a detailed refusal that a peer sent; None if the code is not one of them.
+    """Return the detailed error with a code that a peer sent; None if no such error is registered.
 
     >>> rebuild("version-taken", [{"item": "route/a"}]).to_json()["conflicts"]
     [{'item': 'route/a'}]
--- a/src/irisstand/controlplane/api/operator_calls.py
+++ b/src/irisstand/controlplane/api/operator_calls.py
@@ -1,4 +1,4 @@
-"""What the bodies of operators' calls ask for, checked as far as that needs no table."""
+"""Extracts the arguments of operators' requests from JSON bodies, with the checks that need no table."""
 
 import re
 import typing
@@ -19,23 +19,30 @@
 
 
 class PurgeTarget(typing.NamedTuple):
-    """A path or a tag to purge; a path may have the host before it that serves it."""
+    """A path or a tag to purge.
+
+    Attributes:
+        kind: `path` or `tag`.
+        name: The tag, or the path with or without the host that serves it.
+    """
 
     kind: str
     name: str
 
 
 def change_id(content: JsonObject) -> str | None:
-    """Return the sender's id of a change, None if it gave none.
+    """Return the change id that the sender chose, None if there is none.
 
     Raises:
-        BadRequestError: It is no id.
+        BadRequestError: The field `change` is not a valid change id.
     """
     given = content.get("change")
     if given is None:
         return None
     if not isinstance(given, str) or not CHANGE_ID.match(given):
-        raise errors.BadRequestError("change is not an id", "use up to 100 letters, digits and ._:-")
+        raise errors.BadRequestError(
+            "the field change is not a valid change id", "use up to 100 letters, digits and ._:-"
+        )
     return given
 
 
@@ -43,26 +50,31 @@
     """Return the rows of a change.
 
     Raises:
-        BadRequestError: There is no list of objects, or too many, or a kind or name is no word.
-        InvalidChangeError: Rows have unknown fields or no value; with each of these faults.
+        BadRequestError: The field `rows` is not a list of objects or is too long, or a kind or name is not a
+            string.
+        InvalidChangeError: Rows have unknown fields or no value; the error lists all these faults.
     """
     rows = content.get("rows")
     if not isinstance(rows, list) or not rows or not all(isinstance(row, dict) for row in rows):
-        raise errors.BadRequestError("rows is not a list of objects", "send one object for each row")
+        raise errors.BadRequestError(
+            "the field rows is not a list of one or more objects", "send one object for each row"
+        )
     if len(rows) > ROWS_LIMIT:
-        raise errors.BadRequestError(f"over {ROWS_LIMIT} rows in one change", "send it in parts")
+        raise errors.BadRequestError(f"the change has more than {ROWS_LIMIT} rows", "send it in parts")
     for position, row in enumerate(rows):
         for field in ("kind", "name"):
             if not isinstance(row.get(field, ""), str):
-                raise errors.BadRequestError(f"the {field} of row {position} is no word", "send a string")
+                raise errors.BadRequestError(
+                    f"the {field} of row {position} is not a string", "send a string"
+                )
     faults = [
-        row_fault(position, field, "no such field; use kind, name, value and expected")
+        row_fault(position, field, "unknown field; use kind, name, value and expected")
         for position, row in enumerate(rows)
         for field in row
         if field not in ROW_FIELDS
     ]
     faults += [
-        row_fault(position, "value", "no value; give one, or null to remove the row")
+        row_fault(position, "value", "the row has no value; give one, or null to remove the row")
         for position, row in enumerate(rows)
         if "value" not in row
     ]
@@ -72,12 +84,12 @@
 
 
 def row_fault(position: int, field: str, message: str) -> JsonObject:
-    """Return a fault of one row as operators read it."""
+    """Return a fault of one row of a change as the JSON object that operators read."""
     return {"row": position, "field": field, "message": message}
 
 
 def is_single_purge(content: JsonObject) -> bool:
-    """Return whether a call names one object or tag by itself."""
+    """Return whether a purge request names a single object or tag instead of lists."""
     return TAG in content or PATH in content
 
 
@@ -85,7 +97,7 @@
     """Return the target of {"tag": TAG}, or of {"host": HOST, "path": PATH} for what the host serves there.
 
     Raises:
-        BadRequestError: The call is neither.
+        BadRequestError: The purge request has neither form, or a name is too long.
     """
     tag = content.get(TAG)
     host = content.get("host", "")
@@ -93,27 +105,29 @@
     if isinstance(tag, str) and 0 < len(tag) <= PURGED_NAME_LIMIT and path is None:
         return PurgeTarget(TAG, tag)
     if tag is None and isinstance(path, str) and isinstance(host, str) and path.startswith("/"):
-        # By a path alone, objects are named that belong to no host.
+        # A path without a host names objects that belong to no host.
         location = locations.location(host, path) if host else path
         if len(location) <= PURGED_LOCATION_LIMIT:
             return PurgeTarget(PATH, location)
-    raise errors.BadRequestError("not one tag, nor one host and path", "name a tag, or a host and a path")
+    raise errors.BadRequestError(
+        "the purge names neither a single tag nor a single path", "name a tag, or a host and a path"
+    )
 
 
 def purges(content: JsonObject) -> list[PurgeTarget]:
-    """Return the targets of a call with lists of paths and tags.
+    """Return the targets of a purge request with lists of paths and tags.
 
     Raises:
-        BadRequestError: These are no lists of names, or name nothing or too much.
+        BadRequestError: A list is malformed, or there are no targets or more than `PURGES_LIMIT`.
     """
     paths = content.get("paths", [])
     tags = content.get("tags", [])
     if not isinstance(paths, list) or not isinstance(tags, list):
-        raise errors.BadRequestError("paths and tags are not lists", "send lists of words")
+        raise errors.BadRequestError("the fields paths and tags are not both lists", "send lists of words")
     targets = [PurgeTarget(PATH, path) for path in paths] + [PurgeTarget(TAG, tag) for tag in tags]
     if not targets or len(targets) > PURGES_LIMIT:
         raise errors.BadRequestError(
-            f"no path and no tag, or over {PURGES_LIMIT}", "name what to purge, in parts"
+            f"the purge names no path or tag, or more than {PURGES_LIMIT}", "name what to purge, in parts"
         )
     for target in targets:
         check_purge(target)
@@ -121,25 +135,27 @@
 
 
 def check_purge(target: PurgeTarget) -> None:
-    """Refuse a target whose name is no path or tag.
+    """Raise an error if the name of a purge target is not a valid path or tag.
 
     Raises:
-        BadRequestError: The name is no string, too long, or no whole path.
+        BadRequestError: The name is not a string, is empty or too long, or is a path without a leading /.
     """
     kind, name = target
     if not isinstance(name, str) or not 0 < len(name) <= PURGED_NAME_LIMIT:
-        raise errors.BadRequestError(f"{name!r} is not a {kind}", "send short words")
+        raise errors.BadRequestError(f"{name!r} is not a valid {kind}", "send short words")
     if kind == PATH and not name.startswith("/"):
         raise errors.BadRequestError(f"path {name!r} does not begin with /", "send the whole path")
 
 
 def replaced_voter(content: JsonObject) -> str:
-    """Return the name of the voter that a call replaces.
+    """Return the name of the voter that is to be replaced.
 
     Raises:
-        BadRequestError: It is no name.
+        BadRequestError: The field `replaces` is not a string.
     """
     name = content.get("replaces")
     if not isinstance(name, str):
-        raise errors.BadRequestError("replaces is not a name", 'send {"replaces": "the voter that goes"}')
+        raise errors.BadRequestError(
+            "the field replaces is not the name of a voter", 'send {"replaces": "the voter that goes"}'
+        )
     return name
--- a/src/irisstand/controlplane/api/operator_orders.py
+++ b/src/irisstand/controlplane/api/operator_orders.py
@@ -1,4 +1,4 @@
-"""What operators order over HTTP: changes, amendments, purges, evacuations, voters."""
+"""HTTP routes by which operators submit changes, amendments, purges, evacuations and changes of voters."""
 
 import collections.abc
 import typing
@@ -15,13 +15,13 @@
 
 
 class OperatorOrders:
-    """The routes by which operators order changes.
+    """The HTTP routes by which operators submit orders.
 
     Attributes:
-        context: The node that answers.
-        submitter: Where orders are sent.
-        voters: Changes of the voters.
-        evacuation: Checks of evacuations.
+        context: The state and services of the node that responds.
+        submitter: Submits orders to the proposers.
+        voters: Replaces and retires voters.
+        evacuation: Checks evacuations before they are submitted.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         add(self.put_evacuation, "/sites/<site>/evacuation", methods=["PUT", "DELETE"])
 
     def new_change_id(self) -> str:
-        """Return an id for a change whose sender gave none; the result names it."""
+        """Return a new change id for a request that has none; the response contains it."""
         return f"{self.context.settings.name}.{self.context.randomness.getrandbits(64):016x}"
 
     async def submit(
@@ -53,7 +53,13 @@
         payload: typing.Any,
         notes: collections.abc.Sequence[str] = (),
     ) -> sanic.response.HTTPResponse:
-        """Have an order decided, and return its result with notes for the operator.
+        """Submit an order, wait for its decision, and respond with its result.
+
+        Args:
+            kind: The kind of the order.
+            change: The change id, empty if the order has none.
+            payload: The arguments of the order.
+            notes: Remarks for the operator that the response contains.
 
         Raises:
             DrainingError: This node is shutting down.
@@ -73,16 +79,16 @@
         return web.json_response(content)
 
     async def post_change(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        """Write rows of the configuration, all or none."""
+        """Write rows of the configuration, either all of them or none."""
         content = request_bodies.read_object(request.body)
         rows = operator_calls.changed_rows(content)
         change = operator_calls.change_id(content) or self.new_change_id()
         return await self.submit(orders.OrderKind.CHANGE, change, rows)
 
     async def post_purge(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        """Purge paths and tags.
+        """Purge cached objects by paths and tags.
 
-        One object or tag by itself needs no id: a purge of it again is the same purge.
+        A purge of a single object or tag gets no change id, as repeating it has the same effect.
         """
         content = request_bodies.read_object(request.body)
         if operator_calls.is_single_purge(content):
@@ -93,9 +99,10 @@
         return await self.submit(orders.OrderKind.PURGE, change, [tuple(target) for target in targets])
 
     async def put_evacuation(self, request: sanic.request.Request, site: str) -> sanic.response.HTTPResponse:
-        """Take work away from a site, or give it back (DELETE).
+        """Evacuate a site, or end its evacuation (DELETE).
 
-        Where only origins are evacuated, the machines carry on, and an order again is the same order.
+        If the settings evacuate only origins, the site's machines keep their work. The order then needs no
+        capacity check and no change id, as repeating it has the same effect.
         """
         await self.evacuation.check_site(site)
         only_origins = self.context.settings.evacuates == "origins"
@@ -109,12 +116,12 @@
         return await self.submit(orders.OrderKind.EVACUATE, change, site, notes)
 
     async def post_amendment(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        """Put and drop items that have their senders' versions: these tell whether a call came before."""
+        """Put and drop versioned items; their versions identify repeats, so no change id is needed."""
         entries = amendment.parse_amendment(request.body)
         return await self.submit(orders.OrderKind.AMEND, "", [entry.to_wire() for entry in entries])
 
     async def put_voter(self, request: sanic.request.Request, name: str) -> sanic.response.HTTPResponse:
-        """Vote a spare in for the voter that the body names; DELETE retires a voter without another."""
+        """Make a spare a voter in place of the voter that the body names, or retire a voter (DELETE)."""
         self.context.check_current()
         if request.method == "DELETE":
             return web.json_response(await self.voters.retire(name))
--- a/src/irisstand/controlplane/api/operator_reads.py
+++ b/src/irisstand/controlplane/api/operator_reads.py
@@ -1,7 +1,7 @@
-"""What operators read over HTTP: rows, items, decisions, voters, members, machines.
+"""HTTP routes by which operators read rows, items, the ledger, changes, voters, members and machines.
 
-Reads of control state are linearizable: a majority confirms the tables after the read came in, or the read is
-refused with status 503.
+Reads of replicated tables are linearizable: a majority of the voters confirms the tables after the request
+arrived, or the request is refused with status 503.
 """
 
 import typing
@@ -21,15 +21,15 @@
 
 
 class MachineStatus(typing.NamedTuple):
-    """What operators read of a machine.
+    """The status of a machine as operators read it; the field names are the keys of the JSON object.
 
     Attributes:
         site: The machine's site.
-        nodes: The names and states of its nodes.
-        why: Why it is awake or on standby.
-        rests: Whether it is on standby.
-        evacuated: Whether its site is evacuated.
-        hours_saved: For how long it was on standby.
+        nodes: The name and the membership state of each node on the machine.
+        why: The reason why the machine is active or on standby.
+        rests: Whether the machine is on standby.
+        evacuated: Whether the machine's site is evacuated.
+        hours_saved: The total time that the machine was on standby, in hours.
     """
 
     site: str
@@ -41,13 +41,13 @@
 
 
 class OperatorReads:
-    """The routes by which operators read.
+    """The HTTP routes by which operators read the state of the control plane.
 
     Attributes:
-        context: The node that answers.
-        voters: What is known of the voters.
-        read_index: Confirms tables before they are read.
-        changes: What became of changes.
+        context: The state and services of the node that responds.
+        voters: Describes the voters of each table.
+        read_index: Confirms with a majority that tables are current before they are read.
+        changes: Looks up the status of changes.
     """
 
     def __init__(
@@ -71,17 +71,17 @@
         add(self.get_ledger, "/ledger", methods=["GET"])
 
     async def confirm_current(self, *tables: str) -> None:
-        """Wait until the tables are known to be current, or until the end of a drain.
+        """Wait until a majority has confirmed that this node's replicas of the tables are current.
 
         Raises:
-            irisstand.errors.StaleConfigurationError: They could not be confirmed in time.
-            irisstand.errors.DrainingError: This node is shutting down.
+            irisstand.errors.StaleConfigurationError: The tables could not be confirmed in time.
+            irisstand.errors.DrainingError: This node's graceful shutdown ended before the confirmation.
         """
         with self.context.drain_guard.answer_at_end(lambda: drain_guard.WorkState.WITHDRAWABLE):
             await self.read_index.confirm(*tables)
 
     async def get_rows(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        """Return every configuration row in force with its version."""
+        """Respond with all configuration rows in force and their versions."""
         await self.confirm_current(items.CONFIGURATION)
         configuration = self.context.configuration
         rows = []
@@ -92,22 +92,22 @@
         return web.json_response({"tip": str(configuration.applied), "rows": rows})
 
     async def get_items(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        """Return all versioned items in force, laid out as an amendment that would put them."""
+        """Respond with all versioned items in force, in the form of an amendment that would put them."""
         await self.confirm_current(items.CONFIGURATION)
         return web.json_response(amendment.as_amendment(self.context.configuration))
 
     async def get_change(self, request: sanic.request.Request, change: str) -> sanic.response.HTTPResponse:
-        """Return what became of a change."""
+        """Respond with the status of the change with this id."""
         await self.confirm_current(items.CONFIGURATION, items.LEDGER)
         return web.json_response(await self.changes.show(change))
 
     async def get_voters(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        """Return each table's voters and the spares."""
+        """Respond with the voters of each table and the spare control plane nodes."""
         await self.confirm_current(*items.TABLES)
         return web.json_response(await self.voters.describe())
 
     async def get_ledger(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        """Return every row of the ledger with its version, without the records of changes."""
+        """Respond with all rows of the ledger and their versions, without the records of change ids."""
         await self.confirm_current(items.LEDGER)
         ledger = self.context.ledger
         rows = [
@@ -118,13 +118,13 @@
         return web.json_response({"tip": str(ledger.applied), "rows": rows})
 
     async def get_members(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        """Return all members as this node knows them, this node first."""
+        """Respond with all members that this node knows, itself first."""
         detector = self.context.detector
         members = [detector.own_update(), *detector.member_list.all_updates()]
         return web.json_response({"members": [self.member_entry(update) for update in members]})
 
     def member_entry(self, update: updates.Update) -> dict[str, typing.Any]:
-        """Return a member as operators read it."""
+        """Return a member as the JSON object that operators read."""
         state = "left" if update.has_left else update.state.name.lower()
         return {
             "name": update.identity.name,
@@ -135,7 +135,7 @@
         }
 
     async def get_machines(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        """Return why each machine is on standby or not, and the hours that standby has saved."""
+        """Respond with the status of each machine, and the machine hours that standby has saved."""
         await self.confirm_current(items.LEDGER)
         machines = {name: status._asdict() for name, status in self.machine_statuses().items()}
         saved = self.context.ledger.items_with_prefix(capacity_scaling.SAVINGS_PREFIX)
@@ -143,7 +143,7 @@
         return web.json_response({"machines": machines, "machine_hours_saved": round(hours, 2)})
 
     def machine_statuses(self) -> dict[str, MachineStatus]:
-        """Return the status of each machine that has a member, by name."""
+        """Return by name the status of each machine on which a member runs."""
         detector = self.context.detector
         sites: dict[str, str] = {}
         nodes: dict[str, list[str]] = {}
@@ -154,7 +154,7 @@
         return {name: self.machine_status(name, site, nodes[name]) for name, site in sites.items()}
 
     def machine_status(self, name: str, site: str, nodes: list[str]) -> MachineStatus:
-        """Return the status of one machine."""
+        """Return the status of one machine, whose site and nodes come from the member list."""
         ledger = self.context.ledger
         reasons = (ledger.value(capacity_scaling.REASONS_KEY) or {"why": {}})["why"]
         saved = ledger.value(f"{capacity_scaling.SAVINGS_PREFIX}{name}") or {"seconds": 0}
--- a/src/irisstand/controlplane/api/operators.py
+++ b/src/irisstand/controlplane/api/operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface: what they read, and what they order."""
+"""The operators' HTTP interface: the routes for reads and the routes for orders."""
 
 from irisstand import node_context, web
 from irisstand.controlplane.api import operator_orders, operator_reads
@@ -6,7 +6,7 @@
 
 
 class Operators:
-    """Adds the operators' routes to a server."""
+    """Adds the operators' HTTP routes for reads and orders to a server."""
 
     def __init__(
         self,
--- a/src/irisstand/controlplane/api/request_bodies.py
+++ b/src/irisstand/controlplane/api/request_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of operators' requests: JSON objects that can be carried and stored, or a typed refusal."""
+"""Parsing of operators' request bodies: JSON objects that can be sent between nodes and stored."""
 
 import json
 import typing
@@ -10,24 +10,24 @@
 
 
 def unique_fields(pairs: list[tuple[str, typing.Any]]) -> dict[str, typing.Any]:
-    """Return the object with these fields; readers differ in which they take of a field that stands twice.
+    """Return the object with these fields; duplicates are refused, as JSON parsers treat them differently.
 
     Raises:
-        ValueError: A field stands twice.
+        ValueError: A field occurs more than once.
     """
     found = dict(pairs)
     if len(found) < len(pairs):
-        raise ValueError("a field stands twice")
+        raise ValueError("a field of a JSON object occurs more than once")
     return found
 
 
 def read_object(body: bytes) -> dict[str, typing.Any]:
-    """Return the JSON object of a body.
+    """Return the JSON object in a request body.
 
-    What the packers of messages and files do not take is refused here, before it can stop a node.
+    Values that the encoders of messages and files do not support are refused here, before they crash a node.
 
     Raises:
-        BadRequestError: The body is no JSON object, or holds what cannot be carried.
+        BadRequestError: The body is not a JSON object, or contains a value that cannot be encoded.
 
     >>> read_object(b'{"a": 1}')
     {'a': 1}
@@ -35,12 +35,14 @@
     try:
         content = json.loads(body, object_pairs_hook=unique_fields)
     except (ValueError, RecursionError):
-        raise errors.BadRequestError("the body is not whole JSON, with each field once", REMEDY) from None
+        raise errors.BadRequestError(
+            "the body is not complete JSON, or an object contains a field more than once", REMEDY
+        ) from None
     if not isinstance(content, dict):
         raise errors.BadRequestError("the body is not a JSON object", REMEDY)
     fault = canonical_content.fault_in(content)
     if fault:
         raise errors.BadRequestError(
-            f"the body holds {fault}", "send finite numbers and plain text, not too deep"
+            f"the body contains {fault}", "send finite numbers and plain text, not too deep"
         )
     return content
--- a/src/irisstand/controlplane/assembly.py
+++ b/src/irisstand/controlplane/assembly.py
@@ -1,6 +1,6 @@
 """Assembles a control plane node from its settings, clock, randomness, network and disk.
 
-The program and the simulator build their nodes here.
+Both the program and the simulator create their control plane nodes with this module.
 """
 
 import random
@@ -27,8 +27,8 @@
 from irisstand.state.storage import disk
 from irisstand.transport import network
 
-# About how long a singleton task stays undone when its holder is lost; short where a page of the users sets a
-# time.
+# The lease durations of singleton tasks, in seconds: about how long a task is not done after the loss of its
+# lease holder. They are short for tasks whose reaction time the users' documentation states.
 ORIGIN_DISCOVERY_LEASE_SECONDS = 1.4
 CAPACITY_SCALING_LEASE_SECONDS = 2.0
 RATE_PLACEMENT_LEASE_SECONDS = 12.0
@@ -38,15 +38,15 @@
     """A control plane node: consensus on all tables, and the singleton tasks that its settings name.
 
     Args:
-        settings: Of this node.
-        clock: Monotonic.
-        randomness: For ballots, intervals and identifiers.
-        net: Connections and datagrams.
-        node_disk: Keeps the tables and the votes.
-        fetch_origins: Returns the platform's origins; None if there is no platform to follow.
+        settings: The settings of this node.
+        clock: The monotonic clock.
+        randomness: The source of random numbers for ballots, intervals and identifiers.
+        net: The network, for connections and datagrams.
+        node_disk: The disk that stores the tables and the votes.
+        fetch_origins: Fetches the platform's list of origins; None if there is no platform.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917 - all that touches the world outside is handed in
+    def __init__(  # noqa: PLR0913, PLR0917 - each external dependency is injected
         self,
         settings: node_settings.Settings,
         clock: clocks.Clock,
@@ -95,18 +95,18 @@
     async def open(self) -> None:
         """Read the disk, open the ports and start all tasks, in this order.
 
-        No peer may reach a voter that does not know yet what its disk promised.
+        The disk comes first, as no peer may reach a voter that has not yet read the promises on its disk.
         """
         await self.participant.open()
         await self.context.open()
         for table in items.TABLES:
-            self.context.start_task(self.proposers[table].run(), f"taker of {table}")
-            self.context.start_task(self.heartbeats[table].run(), f"pulse of {table}")
+            self.context.start_task(self.proposers[table].run(), f"proposer of {table}")
+            self.context.start_task(self.heartbeats[table].run(), f"heartbeat of {table}")
         self.context.start_task(self.bootstrap.run(), "founding")
         self.context.start_task(self.voter_planner.run(), "voter planner")
         for task in self.singleton_tasks:
-            self.context.start_task(task.run(), f"duty {task.name}")
+            self.context.start_task(task.run(), f"singleton task {task.name}")
 
     async def close(self) -> None:
-        """Close the ports and end all tasks."""
+        """Close the ports and end all tasks of this node."""
         await self.context.close()
--- a/src/irisstand/controlplane/changes/__init__.py
+++ b/src/irisstand/controlplane/changes/__init__.py
@@ -1,1 +1,1 @@
-"""What orders write: planned changes of the replicated tables."""
+"""Planning of orders: the rows that each kind of order writes to the replicated tables."""
--- a/src/irisstand/controlplane/changes/amendment.py
+++ b/src/irisstand/controlplane/changes/amendment.py
@@ -1,7 +1,7 @@
-"""Amendments: calls that put or drop versioned items, in force whole or not at all.
+"""Amendments: requests that put or drop versioned items atomically.
 
-For each item the highest version is in force. One version has one content for ever: the same content is
-confirmed again, another content under the same version is refused.
+For each item the highest version is in force. A version of an item has one content for ever: a repeat of the
+same content is confirmed again, and different content under the same version is refused.
 """
 
 import collections.abc
@@ -17,13 +17,14 @@
 
 @dataclasses.dataclass
 class ClassifiedEntries:
-    """The entries of a call, compared one by one with the versions that were confirmed before.
+    """The entries of an amendment, classified by comparison with the versions that were confirmed before.
 
     Attributes:
-        newer: Contents by key that come into force; None drops the item.
-        late: Entries older than what is in force, and not confirmed before as far as is remembered.
-        rows: Rows to write: those in force anew, and those that remember a late entry.
-        conflicts: Entries whose version has another content, as operators read them.
+        newer: The contents that come into force, by key; None drops the item.
+        late: Entries whose version is lower than the one in force and is not among the remembered versions.
+        rows: The rows to write, by key: those that put a newer version into force, and those that add a late
+            version to the remembered ones.
+        conflicts: A JSON object for each entry whose version was confirmed with different content.
     """
 
     newer: dict[str, typing.Any] = dataclasses.field(default_factory=dict)
@@ -33,14 +34,14 @@
 
 
 def plan_amend(overlay: table_overlay.Overlay, payload: typing.Any) -> table_overlay.PlannedRows:
-    """Plan the rows of an amendment; there are none if all of it was confirmed before.
+    """Plan the rows of an amendment; there are none if all its entries were confirmed before.
 
-    Entries that were confirmed before are confirmed again whatever the table holds by now: the remembered
-    digests are looked at before any check of validity.
+    Entries that were confirmed before are confirmed again whatever the table holds by now: they are compared
+    with the remembered digests before any validation.
 
     Raises:
-        VersionTakenError: A version of an entry has another content.
-        InvalidChangeError: The table as it would stand has faults.
+        VersionTakenError: The version of an entry was confirmed with different content.
+        InvalidChangeError: The table that would result violates the schema or a validation rule.
     """
     classified = classify(overlay, [item_entries.ItemEntry.from_wire(parts) for parts in payload])
     if classified.conflicts:
@@ -57,7 +58,7 @@
 
 
 def contents_in_force(overlay: table_overlay.Overlay) -> dict[str, typing.Any]:
-    """Return the contents of all routes and services by key, None for those that were dropped."""
+    """Return the contents of all routes and services by key, None for items that were dropped."""
     contents: dict[str, typing.Any] = {}
     for kind in item_entries.LISTS:
         contents.update({key: value["item"] for key, value in overlay.items_with_prefix(f"{kind}/").items()})
@@ -67,9 +68,9 @@
 def classify(
     overlay: table_overlay.Overlay, entries: collections.abc.Iterable[item_entries.ItemEntry]
 ) -> ClassifiedEntries:
-    """Compare entries with the versions in force and with those seen before."""
+    """Classify an amendment's entries by the versions in force and the versions seen before."""
     found = ClassifiedEntries()
-    # From the lowest version on, so that both of two versions of one item in a call are taken.
+    # In ascending order of versions, so that an amendment may contain two versions of one item.
     for entry in sorted(entries, key=lambda entry: entry.version):
         row = found.rows.get(entry.key) or confirmed_versions.VersionedRow.from_value(
             overlay.value(entry.key)
@@ -85,7 +86,7 @@
         elif is_conflict is None:
             found.late.append(entry)
             updated = row.with_late_version(entry)
-            # With as many higher versions remembered as may be, there is nothing to write.
+            # If the limit of remembered versions is filled with higher ones, the row does not change.
             if updated != row:
                 found.rows[entry.key] = updated
     return found
@@ -94,29 +95,29 @@
 def row_in_force(
     row: confirmed_versions.VersionedRow | None, entry: item_entries.ItemEntry
 ) -> confirmed_versions.VersionedRow:
-    """Return the row that puts an entry into force, over the present row if there is one."""
+    """Return the row that puts an entry into force and remembers the versions of the present row."""
     if row is None:
         return confirmed_versions.VersionedRow(entry.version, entry.item)
     return row.superseded_by(entry)
 
 
 def parse_amendment(body: bytes) -> list[item_entries.ItemEntry]:
-    """Return the entries of a call's JSON body.
+    """Return the entries of an amendment's JSON body.
 
     Raises:
-        BadRequestError: The body is no JSON object, or names no item.
-        InvalidChangeError: Entries have faults.
+        BadRequestError: The body is not a JSON object, or contains no item.
+        InvalidChangeError: An entry is malformed; the error lists all faults.
     """
-    call = item_entries.read(request_bodies.read_object(body))
-    if call.faults:
-        raise errors.InvalidChangeError([fault._asdict() for fault in call.faults])
-    if not call.entries:
-        raise errors.BadRequestError("the call names no item", "put or drop at least one")
-    return call.entries
+    parsed = item_entries.read(request_bodies.read_object(body))
+    if parsed.faults:
+        raise errors.InvalidChangeError([fault._asdict() for fault in parsed.faults])
+    if not parsed.entries:
+        raise errors.BadRequestError("the amendment contains no item", "put or drop at least one")
+    return parsed.entries
 
 
 def as_amendment(table: replica.Replica) -> dict[str, typing.Any]:
-    """Return all items in force, laid out as a call that would put them."""
+    """Return all versioned items in force, in the form of an amendment that would put them."""
     found: dict[str, typing.Any] = {
         name: [
             item.value["item"]
--- a/src/irisstand/controlplane/changes/change_status.py
+++ b/src/irisstand/controlplane/changes/change_status.py
@@ -1,4 +1,4 @@
-"""What became of a change: its rows, what superseded them, and which nodes have it in force."""
+"""The status of a confirmed change: its rows, which versions superseded them, and which nodes applied it."""
 
 import asyncio
 import collections.abc
@@ -12,31 +12,31 @@
 from irisstand.state.replication import messages, status_messages
 
 CALL_TIMEOUT_SECONDS = 0.6
-# The tables whose changes have ids that operators know.
+# The tables whose changes are recorded under change ids that operators can look up.
 TABLES_WITH_CHANGES = (items.CONFIGURATION, items.LEDGER)
 
 
 class NodeState(enum.StrEnum):
-    """How far a node is with a change, in the words that operators read."""
+    """Whether a node has applied a change; the values are the texts that operators read."""
 
     IN_FORCE = "in force"
     BEHIND = "behind"
-    # It has the change, but answers nobody by its table, which may be old.
+    # The node has applied the change but does not serve from its replica, as that may be out of date.
     STALE = "stale"
     SILENT = "silent"
 
 
 class ChangeStatus:
-    """Looks up changes by their ids, and asks all members how far they are with them."""
+    """Looks up changes by their ids, and asks all members whether they have applied them."""
 
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
 
     async def show(self, change: str) -> dict[str, typing.Any]:
-        """Return what became of a change, as operators read it.
+        """Return the status of a change as the JSON object that operators read.
 
         Raises:
-            UnknownNameError: No change of this id is known.
+            UnknownNameError: This node's tables have no record of a change with this id.
         """
         for table in TABLES_WITH_CHANGES:
             table_replica = self.context.replicas[table]
@@ -52,7 +52,7 @@
                     "nodes": await self.node_states(table, record.version),
                 }
         raise errors.UnknownNameError(
-            f"no change {change!r} is known here",
+            f"this node has no record of a change with the id {change!r}",
             "use the id that the result of the change named; ids are known for a day. If its outcome was "
             "unknown, send the change again under the same id",
         )
@@ -60,7 +60,7 @@
     def row_status(
         self, table: replica.Replica, key: str, version: versions.Version
     ) -> dict[str, typing.Any]:
-        """Return whether a row still has the version of its change, and else what superseded it."""
+        """Return whether a row still has its change's version, and if not, what superseded it."""
         in_force = table.version(key)
         found: dict[str, typing.Any] = {"row": key, "in_force": in_force == version}
         if in_force != version:
@@ -70,11 +70,11 @@
         return found
 
     def seconds_ago(self, table: replica.Replica, version: versions.Version) -> float:
-        """Return how long ago, at least, a version was written, in seconds of the table's own time."""
+        """Return a lower bound on how long ago a version was written, in seconds of the table's own time."""
         return round(table_time.TableTime(table.value(items.TABLE_TIME_KEY)).age_of(version), 1)
 
     async def node_states(self, table: str, version: versions.Version) -> dict[str, str]:
-        """Ask every member now, and return by name how far it is with a version of a table."""
+        """Ask all members for their applied versions; return each node's state for a version, by name."""
         members = list(self.context.detector.member_list.members.values())
         answers = await asyncio.gather(*(self.ask_applied_versions(member) for member in members))
         own = await self.context.on_applied_versions("", [])
@@ -84,7 +84,7 @@
         return {name: str(state) for name, state in sorted(found.items())}
 
     async def ask_applied_versions(self, member: updates.Update) -> typing.Any:
-        """Return a member's answer as it came from the wire, None if there is none."""
+        """Return the applied versions that a member replies, undecoded; None if it does not reply."""
         try:
             return await self.context.transport.call(
                 member.node_info.address,
@@ -99,7 +99,7 @@
     def state_of(
         self, answer: collections.abc.Iterable[typing.Any] | None, table: str, version: versions.Version
     ) -> NodeState:
-        """Return how far a node is with a version, by what it said of its tables."""
+        """Return a node's state for a version of a table, from the applied versions in its reply."""
         for parts in answer or ():
             name, *_ = parts
             if name != table:
--- a/src/irisstand/controlplane/changes/confirmed_versions.py
+++ b/src/irisstand/controlplane/changes/confirmed_versions.py
@@ -1,8 +1,9 @@
 """The stored row of a versioned item, with the versions that were confirmed before the one in force.
 
-Earlier versions stand in the item's own row under `seen`, each with the digest of its content. So they are
-decided, replicated and stored together with the item and last as long as its row: the row of a dropped item
-(`item` None) is no tombstone and never expires. Rows of earlier software have no `seen`.
+Earlier versions are stored in the item's own row under `seen`, each with the digest of its content. They are
+therefore decided, replicated and stored together with the item, and are kept as long as its row. The row of a
+dropped item (`item` is None) is not a tombstone and never expires. Rows written by earlier software versions
+have no `seen`.
 """
 
 import dataclasses
@@ -10,13 +11,13 @@
 
 from irisstand.validation import canonical_content, item_entries
 
-# How many versions beside the one in force are remembered, the highest first. A lower version that comes
-# again is confirmed without a check of its content.
+# How many versions of an item are remembered besides the one in force; the highest ones are kept. A repeated
+# version that is lower than all of these is confirmed without a check of its content.
 REMEMBERED_VERSIONS_LIMIT = 32
 
 
 class SeenVersion(typing.NamedTuple):
-    """A version that was confirmed before, and the digest of its content."""
+    """An earlier confirmed version of an item, and the digest of its content."""
 
     version: int
     digest: str
@@ -27,9 +28,9 @@
     """The stored row of a versioned item.
 
     Attributes:
-        version: The version in force, as its sender numbered it.
+        version: The version in force, with the number that its sender gave it.
         item: The content in force, None if the item was dropped.
-        seen: Earlier versions from the highest on; None in rows that have none.
+        seen: Earlier confirmed versions in descending order; None if the stored row has no such field.
     """
 
     version: int
@@ -38,7 +39,7 @@
 
     @classmethod
     def from_value(cls, value: dict[str, typing.Any] | None) -> "VersionedRow | None":
-        """Read a stored row, None if there is none."""
+        """Parse the stored value of a versioned item; return None if there is no value."""
         if value is None:
             return None
         if "seen" not in value:
@@ -47,14 +48,14 @@
         return cls(value["version"], value["item"], seen)
 
     def to_value(self) -> dict[str, typing.Any]:
-        """Return the row to store."""
+        """Return the value to store for this versioned item."""
         value = {"version": self.version, "item": self.item}
         if self.seen is None:
             return value
         return {**value, "seen": [list(seen) for seen in self.seen]}
 
     def conflicts_with(self, entry: item_entries.ItemEntry) -> bool | None:
-        """Return whether the entry's version was confirmed with another content; None if it is not known.
+        """Return whether the entry's version was confirmed with different content; None if that is not known.
 
         >>> row = VersionedRow(5, {"a": 1}, (SeenVersion(3, canonical_content.digest(None)),))
         >>> asked = [(5, {"a": 1.0}), (5, None), (3, None), (4, 1)]
@@ -69,14 +70,14 @@
         return None
 
     def superseded_by(self, entry: item_entries.ItemEntry) -> "VersionedRow":
-        """Return the row with a higher version in force, and the present one among those seen."""
+        """Return the row with the entry's higher version in force and the present version listed as seen."""
         return VersionedRow(entry.version, entry.item, self.seen_versions_with(self.version, self.item))
 
     def with_late_version(self, entry: item_entries.ItemEntry) -> "VersionedRow":
-        """Return the row as it stands, with a lower version that came late among those seen."""
+        """Return the row with its version in force unchanged and the entry's lower version listed as seen."""
         return dataclasses.replace(self, seen=self.seen_versions_with(entry.version, entry.item))
 
     def seen_versions_with(self, version: int, item: typing.Any) -> tuple[SeenVersion, ...]:
-        """Return the versions seen with one more, from the highest on, as many as are remembered."""
+        """Return the seen versions plus one, in descending order, up to `REMEMBERED_VERSIONS_LIMIT`."""
         seen = [*(self.seen or ()), SeenVersion(version, canonical_content.digest(item))]
         return tuple(sorted(seen, reverse=True)[:REMEMBERED_VERSIONS_LIMIT])
--- a/src/irisstand/controlplane/changes/evacuation_check.py
+++ b/src/irisstand/controlplane/changes/evacuation_check.py
@@ -1,4 +1,4 @@
-"""What the evacuation of a site would mean, before it is decided: for the load, and for the voters."""
+"""Checks before a site is evacuated: whether the other sites carry the load and keep a voter majority."""
 
 import asyncio
 import collections.abc
@@ -14,12 +14,13 @@
 
 
 class RoleFigures(typing.NamedTuple):
-    """The load on the machines of a role, and what the machines of the other sites could carry.
+    """The load on all machines of a role, and the capacity of those that an evacuation would leave.
 
     Attributes:
-        load: Requests a second.
-        capacity_left: Requests a second that the other sites' machines may get, those on standby included.
-        machines_left: How many machines the other sites have.
+        load: The measured load of the role, in requests per second.
+        capacity_left: The capacity of the role's machines at the other sites, standby machines included, in
+            requests per second.
+        machines_left: The number of the role's machines at the other sites.
     """
 
     load: float
@@ -27,16 +28,16 @@
     machines_left: int
 
     def is_sufficient(self) -> bool:
-        """Return whether the other sites carry the load."""
+        """Return whether the machines at the other sites have enough capacity for the load."""
         return self.machines_left > 0 and self.capacity_left >= self.load
 
     def to_json_object(self) -> dict[str, typing.Any]:
-        """Return the figures as operators read them."""
+        """Return the figures as the JSON object that operators read."""
         return {**self._asdict(), "load": round(self.load, 1)}
 
 
 class EvacuationCheck:
-    """Checks evacuations by what this node and the other voters know of the fleet."""
+    """Checks evacuations against what this node and the other voters know about sites, load and capacity."""
 
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
@@ -44,7 +45,7 @@
         context.transport.handlers["sites"] = self.on_sites
 
     def sites(self) -> set[str]:
-        """Return the sites that this node knows from settings, members and rows."""
+        """Return the names of the sites in this node's settings, member list and configuration rows."""
         members = self.context.detector.member_list.members.values()
         found = {update.node_info.site for update in members}
         found |= {
@@ -56,17 +57,17 @@
         }
 
     async def on_sites(self, _: str, body: list[typing.Any]) -> tuple[str, ...]:
-        """Answer a voter that asks for the sites known here."""
+        """Reply to another voter with the names of the sites that this node knows."""
         return tuple(sorted(self.sites()))
 
     async def check_site(self, site: str) -> None:
-        """Refuse a site that does not exist.
+        """Raise an error if a site does not exist.
 
-        This node's member list may lack the newest members: a site that any voter knows exists.
+        This node's member list may lack the newest members, so a site exists if any voter knows it.
 
         Raises:
-            UnknownNameError: Settings name all sites, or a majority of the voters answered, and none is it.
-            SiteUnknownError: Too few voters answered to know.
+            UnknownNameError: The site is not in the settings' list of all sites, or not known to a majority.
+            SiteUnknownError: Too few voters replied to decide whether the site exists.
         """
         known = self.sites()
         if site in known:
@@ -78,19 +79,19 @@
             known = known.union(*answers)
             if site in known:
                 return
-            # This node counts, too.
+            # This node is a voter too: it counts as one more reply.
             if 2 * (1 + len(answers)) <= len(voters) + 1:
                 remedy = f"ask another node; known here are {', '.join(sorted(known))}"
                 raise control_errors.SiteUnknownError(f"no site {site!r} is known to this node", remedy)
         raise errors.UnknownNameError(f"no site {site!r}", f"use one of {', '.join(sorted(known))}")
 
     def other_voters(self) -> list[quorum.Voter]:
-        """Return the ledger's voters without this node."""
+        """Return the voters of the ledger table except this node."""
         voters = quorum.voters_from_wire(self.context.ledger.value(items.VOTERS_KEY))
         return [voter for voter in voters if voter.name != self.context.settings.name]
 
     async def ask_sites(self, voter: quorum.Voter) -> collections.abc.Iterable[str] | None:
-        """Return the sites that a voter knows, None if it does not answer."""
+        """Return the names of the sites that a voter knows, None if the voter does not reply."""
         address = (voter.host, voter.port)
         try:
             reply: collections.abc.Iterable[str] = await self.context.transport.call(
@@ -103,71 +104,78 @@
     async def check_unless_evacuated(self, site: str, *, insist: bool) -> list[str]:
         """Check an evacuation unless the site is evacuated already; return the notes of `check_capacity`.
 
-        It is refused only on a ledger that a majority confirmed after this call began: where the site was
-        evacuated before, and this node has not heard of it yet, the order is the same order again.
+        The evacuation is refused only after a majority has confirmed this node's ledger since the call began:
+        a node whose replica lacks an earlier evacuation of the site must not refuse the repeated order.
 
         Raises:
-            InsufficientCapacityError: The other sites are too small for the load.
-            NoQuorumError: No majority confirmed the ledger in time.
+            InsufficientCapacityError: The other sites have too little capacity for the load.
+            NoQuorumError: No majority confirmed the ledger within `CONFIRM_TIMEOUT_SECONDS`.
         """
-        asked_at = self.context.clock.now()
+        requested_at = self.context.clock.now()
         if self.view.is_evacuated(site):
             return []
         try:
             return await self.check_capacity(site, insist=insist)
         except errors.InsufficientCapacityError:
-            await self.confirm_ledger_since(asked_at)
+            await self.confirm_ledger_since(requested_at)
         if self.view.is_evacuated(site):
             return []
         return await self.check_capacity(site, insist=insist)
 
-    async def confirm_ledger_since(self, moment: float) -> None:
-        """Wait until this node's ledger is known to be what a majority had at a later moment.
+    async def confirm_ledger_since(self, since: float) -> None:
+        """Wait until a majority has confirmed that this node's ledger was current at or after a time.
+
+        Args:
+            since: The time by this node's monotonic clock, in seconds.
 
         Raises:
-            NoQuorumError: That takes longer than `CONFIRM_TIMEOUT_SECONDS`.
+            NoQuorumError: No majority confirmed it within `CONFIRM_TIMEOUT_SECONDS`.
         """
         clock = self.context.clock
-        while (self.context.ledger.current_as_of or 0.0) < moment:
-            if clock.now() - moment > CONFIRM_TIMEOUT_SECONDS:
+        while (self.context.ledger.current_as_of or 0.0) < since:
+            if clock.now() - since > CONFIRM_TIMEOUT_SECONDS:
                 raise errors.NoQuorumError(
-                    "this node has not heard a majority of the voters since this was asked"
+                    "no majority of the voters has confirmed this node's ledger since the request arrived"
                 )
             await asyncio.sleep(CONFIRM_POLL_SECONDS)
 
     async def check_capacity(self, site: str, *, insist: bool) -> list[str]:
-        """Check whether the other sites carry the load, and return notes for the operator.
+        """Check whether the other sites have enough capacity for the load, and return notes for the operator.
 
         Args:
             site: The site to evacuate.
-            insist: Whether a lack of capacity is a note only.
+            insist: Whether a lack of capacity only adds a note instead of refusing the evacuation.
 
         Raises:
-            InsufficientCapacityError: The other sites are too small for the load; with the figures.
+            InsufficientCapacityError: The other sites have too little capacity; with the figures.
         """
         figures = {
             role: await self.figures_without(site, role) for role in fleet_view.DEFAULT_CAPACITY_BY_ROLE
         }
-        short = [role for role, found in figures.items() if not found.is_sufficient()]
-        if short and not insist:
+        insufficient_roles = [role for role, found in figures.items() if not found.is_sufficient()]
+        if insufficient_roles and not insist:
             raise errors.InsufficientCapacityError(
-                f"without {site} the load on {' and '.join(short)} machines could not be carried",
+                f"without {site} there is too little capacity for the load on {' and '.join(insufficient_roles)} machines",
                 {role: found.to_json_object() for role, found in figures.items()},
             )
-        notes = [f"insisted on, though {role} machines cannot carry the load" for role in short]
+        notes = [
+            f"allowed by insist, though the remaining {role} machines cannot carry the load"
+            for role in insufficient_roles
+        ]
         return notes + self.voter_notes(site)
 
     async def figures_without(self, site: str, role: str) -> RoleFigures:
-        """Return the figures of a role without the machines of a site; those on standby can be woken."""
+        """Return a role's load and its capacity outside a site, counting standby machines as available."""
         measured = await self.view.measure_load(role)
         left = [machine for machine in self.view.machines(role) if machine.site != site]
         capacity = sum(machine.capacity for machine in left)
         return RoleFigures(sum(measured.rate_by_machine.values()), capacity, len(left))
 
     def voter_notes(self, site: str) -> list[str]:
-        """Return a note if no majority of the voters would be up outside the evacuated sites.
+        """Return a note if the voters that are up outside the evacuated sites would be no majority.
 
-        An evacuation moves work and not voters, but who evacuates may be about to switch machines off.
+        An evacuation moves traffic and leaves the voters where they are, but an operator who evacuates a site
+        may be about to switch its machines off.
         """
         voters = quorum.voters_from_wire(self.context.ledger.value(items.VOTERS_KEY))
         up = {
@@ -184,6 +192,6 @@
         if 2 * left > len(voters):
             return []
         return [
-            f"outside the evacuated sites {left} of {len(voters)} voters are up, which is no majority: "
-            "do not switch these machines off, or no change can be confirmed"
+            f"outside the evacuated sites only {left} of {len(voters)} voters are up, which is no majority: "
+            "if the machines of the evacuated sites are switched off, no change can be confirmed"
         ]
--- a/src/irisstand/controlplane/changes/idempotency_claims.py
+++ b/src/irisstand/controlplane/changes/idempotency_claims.py
@@ -1,4 +1,4 @@
-"""Orders on idempotency keys: a keyed write is claimed before it runs, and its result recorded after it."""
+"""Orders on idempotency keys: claiming a key before its request runs, and recording the result."""
 
 import dataclasses
 import enum
@@ -7,13 +7,13 @@
 from irisstand import errors
 from irisstand.controlplane.changes import table_overlay, table_time
 
-# Keys that are remembered; at the limit new keys are refused until the oldest expire.
+# How many idempotency keys are stored at most; at the limit new keys are refused until the oldest expire.
 CLAIMS_LIMIT = 50_000
 CLAIM_PREFIX = "claim"
 
 
 class ClaimState(enum.StrEnum):
-    """What became of a keyed write, with the names that the stored rows use."""
+    """The state of a request with an idempotency key; the values are those of the stored rows."""
 
     CLAIMED = "claimed"
     DONE = "done"
@@ -24,10 +24,10 @@
     """The stored row of an idempotency key.
 
     Attributes:
-        attempt: The attempt that claimed the key.
-        fingerprint: What identifies the request's content, so that a key is not used for two requests.
-        state: Whether the write is still under way.
-        result: The write's result, None until there is one.
+        attempt: The id of the attempt that claimed the key.
+        fingerprint: Identifies the content of the request, to detect a key that is used for two requests.
+        state: `CLAIMED` while the request runs, `DONE` once its result is recorded.
+        result: The result of the request, None until it is recorded.
     """
 
     attempt: str
@@ -37,19 +37,25 @@
 
     @classmethod
     def from_value(cls, value: dict[str, typing.Any] | None) -> "ClaimRecord | None":
-        """Read a stored row, None if there is none."""
+        """Parse the stored value of an idempotency key; return None if there is no value."""
         if value is None:
             return None
         return cls(value["by"], value["print"], value["state"], value.get("result"))
 
     def to_value(self) -> dict[str, typing.Any]:
-        """Return the row to store."""
+        """Return the value to store for this idempotency key."""
         value = {"by": self.attempt, "print": self.fingerprint, "state": str(self.state)}
         return value if self.result is None else {**value, "result": self.result}
 
 
 class KeyClaim(typing.NamedTuple):
-    """A claim of an idempotency key by one attempt at a write."""
+    """A claim of an idempotency key by one attempt to run its request.
+
+    Attributes:
+        key: The idempotency key.
+        attempt: The id of the attempt.
+        fingerprint: Identifies the content of the request.
+    """
 
     key: str
     attempt: str
@@ -62,7 +68,13 @@
 
 
 class KeyResult(typing.NamedTuple):
-    """The result of a claimed write; `result` None gives the claim back, as the write did not run."""
+    """The result of the request whose attempt claimed an idempotency key.
+
+    Attributes:
+        key: The idempotency key.
+        attempt: The id of the attempt that claimed the key.
+        result: The result of the request; None releases the claim, as the request did not run.
+    """
 
     key: str
     attempt: str
@@ -75,11 +87,11 @@
 
 
 def plan_claim(overlay: table_overlay.Overlay, payload: typing.Any) -> table_overlay.PlannedRows:
-    """Plan the claim of a key for one attempt.
+    """Plan the claim of an idempotency key for one attempt.
 
     Raises:
-        KeyClaimedError: Another attempt claimed the key; the error carries what became of it.
-        TableFullError: So many keys are remembered that a new one has to wait.
+        KeyClaimedError: Another attempt claimed the key; the error carries the stored row of that claim.
+        TableFullError: `CLAIMS_LIMIT` keys are stored, so no new key can be claimed until the oldest expires.
     """
     claim = KeyClaim.from_wire(payload)
     key = f"{CLAIM_PREFIX}/{claim.key}"
@@ -93,9 +105,9 @@
 
 
 def plan_result(overlay: table_overlay.Overlay, payload: typing.Any) -> table_overlay.PlannedRows:
-    """Plan the result of a claimed write, or the return of its claim.
+    """Plan the recording of a claimed request's result, or the release of its claim.
 
-    Nothing is written if the key is not claimed by this attempt, or has its result already.
+    Nothing is written if this attempt does not hold the claim, or if the key already has its result.
     """
     outcome = KeyResult.from_wire(payload)
     key = f"{CLAIM_PREFIX}/{outcome.key}"
--- a/src/irisstand/controlplane/changes/lease_changes.py
+++ b/src/irisstand/controlplane/changes/lease_changes.py
@@ -1,7 +1,7 @@
-"""Orders of singleton tasks: taking or keeping a lease, and writing rows under it.
+"""Planning of the orders of singleton tasks: acquiring or renewing a lease, and writing rows under it.
 
-The version with which a lease was won is the fencing token of its holder (Kleppmann, "How to do distributed
-locking", 2016): the voters refuse rows under any other version.
+The version of the lease's row that the acquisition wrote is the holder's fencing token (Kleppmann, "How to do
+distributed locking", 2016): rows that are written under any other version are refused.
 """
 
 import collections.abc
@@ -17,27 +17,27 @@
 
 
 class LeaseRecord(typing.NamedTuple):
-    """The stored row of a lease; `holder` is `name~incarnation` of a node, or empty if it was given up."""
+    """The stored row of a lease; `holder` is a node's `name~incarnation id`, empty after a release."""
 
     holder: str
 
     @classmethod
     def from_value(cls, value: dict[str, typing.Any] | None) -> "LeaseRecord | None":
-        """Read a stored row, None if there is none."""
+        """Parse the stored value of a lease; return None if there is no value."""
         return None if value is None else cls(value["holder"])
 
     def to_value(self) -> dict[str, typing.Any]:
-        """Return the row to store."""
+        """Return the value to store for this lease."""
         return {"holder": self.holder}
 
 
 class LeaseRequest(typing.NamedTuple):
-    """A request to take, keep or give up a lease.
+    """A request to acquire, renew or release a lease.
 
     Attributes:
         task: The singleton task's name.
-        holder: The node that is to hold the lease; empty to give it up.
-        expected: The version of the lease that the node saw.
+        holder: The node that is to hold the lease, as `name~incarnation id`; empty to release the lease.
+        expected: The version of the lease's row that the node saw.
     """
 
     task: str
@@ -46,21 +46,21 @@
 
     @classmethod
     def from_wire(cls, payload: typing.Any) -> "LeaseRequest":
-        """Read an order's payload; raise TypeError if it has another length."""
+        """Parse a lease order's payload; raise TypeError if it has the wrong length."""
         return cls(*payload)
 
     def to_order(self) -> orders.Order:
-        """Return the order that asks for this."""
+        """Return the order that acquires, renews or releases the lease."""
         return orders.Order(orders.OrderKind.LEASE.value, "", tuple(self))
 
 
 class FencedWrite(typing.NamedTuple):
-    """Rows that count only while their writer's lease is the one in force.
+    """Rows that are written only while their writer's lease is in force.
 
     Attributes:
         task: The singleton task's name.
-        fencing_token: The version with which the writer won the lease.
-        rows: Keys and values; None removes a row.
+        fencing_token: The version of the lease's row with which the writer acquired the lease.
+        rows: The keys and values to write; the value None removes a row.
     """
 
     task: str
@@ -69,19 +69,19 @@
 
     @classmethod
     def from_wire(cls, payload: typing.Any) -> "FencedWrite":
-        """Read an order's payload; raise TypeError if it has another length."""
+        """Parse a fenced write's payload; raise TypeError if it has the wrong length."""
         return cls(*payload)
 
     def to_order(self) -> orders.Order:
-        """Return the order that asks for this."""
+        """Return the order that writes the rows."""
         return orders.Order(orders.OrderKind.FENCED_WRITE.value, "", tuple(self))
 
 
 def plan_lease(overlay: table_overlay.Overlay, payload: typing.Any) -> table_overlay.PlannedRows:
-    """Plan a lease's row, only from the version that the candidate saw: so two candidates cannot both win.
+    """Plan a lease's row by compare-and-set on its version, so that two candidates cannot both acquire it.
 
     Raises:
-        StaleVersionError: The lease has another version.
+        StaleVersionError: The lease's row no longer has the version that the candidate saw.
     """
     request = LeaseRequest.from_wire(payload)
     key = lease_key(request.task)
@@ -92,10 +92,10 @@
 
 
 def plan_fenced_write(overlay: table_overlay.Overlay, payload: typing.Any) -> table_overlay.PlannedRows:
-    """Plan the rows of a lease's holder; rows that would not change are left out.
+    """Plan the rows that a lease holder writes; rows whose value would not change are omitted.
 
     Raises:
-        StaleVersionError: The writer's lease is not the one in force.
+        StaleVersionError: The writer's fencing token is not the version of the lease in force.
     """
     write = FencedWrite.from_wire(payload)
     in_force = str(overlay.version(lease_key(write.task)))
--- a/src/irisstand/controlplane/changes/operator_changes.py
+++ b/src/irisstand/controlplane/changes/operator_changes.py
@@ -1,4 +1,4 @@
-"""Orders of operators: configuration rows, purges, evacuations."""
+"""Planning of the orders that operators submit: configuration rows, purges and evacuations."""
 
 import collections.abc
 import typing
@@ -9,13 +9,13 @@
 
 
 class ProposedRow(typing.NamedTuple):
-    """One row of an operator's change, as it was sent: nothing of it is checked yet.
+    """One row of an operator's change as it was sent, before any validation.
 
     Attributes:
-        kind: The kind of row.
-        name: The name within its kind.
-        value: The new value, or None to remove the row.
-        expected: The version that the operator saw, or None to write whatever stands.
+        kind: The kind of the configuration row, such as `site`.
+        name: The name of the row within its kind.
+        value: The new value of the row, or None to remove the row.
+        expected: The version of the row that the operator saw, or None to write without a version check.
     """
 
     kind: typing.Any
@@ -25,24 +25,24 @@
 
     @classmethod
     def from_wire(cls, row: dict[str, typing.Any]) -> "ProposedRow":
-        """Read one row of the payload."""
+        """Parse one row of an order's payload, without validating it."""
         return cls(row.get("kind"), row.get("name"), row.get("value"), row.get("expected"))
 
     @property
     def key(self) -> str:
-        """The key of the row in the configuration table."""
+        """The key of the row in the configuration table: its kind and its name."""
         return f"{self.kind}/{self.name}"
 
 
 def plan_change(overlay: table_overlay.Overlay, payload: typing.Any) -> table_overlay.PlannedRows:
     """Plan the rows of an operator's change.
 
-    Checked are the schema of each row, then the rules on the whole table, then the version that each row
-    expects.
+    The checks are, in this order: the schema of each row, the validation rules on the whole table, and the
+    version that each row expects.
 
     Raises:
-        InvalidChangeError: Rows or the table as it would stand have faults.
-        StaleVersionError: A row has another version than expected.
+        InvalidChangeError: A row violates its schema, or the resulting table violates a validation rule.
+        StaleVersionError: The version in force of a row differs from the expected version.
     """
     proposed = [ProposedRow.from_wire(row) for row in payload]
     faults = faults_of(overlay, proposed)
@@ -55,16 +55,18 @@
 
 
 def faults_of(overlay: table_overlay.Overlay, proposed: list[ProposedRow]) -> list[dict[str, typing.Any]]:
-    """Return the faults of single rows, or else those of the table as it would stand."""
+    """Return the schema faults of single rows; if there are none, the rule faults of the resulting table."""
     table = configuration_rows(overlay)
     faults = []
     seen: set[tuple[str, str]] = set()
     for position, row in enumerate(proposed):
         row_key = (row.kind, row.name)
         row_faults = schema.faults(row.kind, row.name, row.value)
-        # Looked up only once its kind and name are known to be words.
+        # The schema check comes first: a kind or name that is not a string may be unhashable.
         if not row_faults and row_key in seen:
-            row_faults = [schema.RowFault("name", "the same row stands twice in this change; keep one")]
+            row_faults = [
+                schema.RowFault("name", "this change contains the same row more than once; send it once")
+            ]
         faults += [fault_entry(position, row.kind, row.name, *fault) for fault in row_faults]
         if not row_faults:
             seen.add(row_key)
@@ -77,7 +79,7 @@
 
 
 def configuration_rows(overlay: table_overlay.Overlay) -> rules.Rows:
-    """Return the configuration rows in force by kind and name."""
+    """Return the values of the overlay's configuration rows by kind and name."""
     rows: rules.Rows = {}
     for kind in schema.REGISTRY:
         for key, value in overlay.items_with_prefix(kind + "/").items():
@@ -88,14 +90,22 @@
 def fault_entry(
     position: int | None, kind: typing.Any, name: typing.Any, field: str, message: str
 ) -> dict[str, typing.Any]:
-    """Return a fault as operators read it; `position` is the row's place in the change."""
+    """Return a validation fault as the JSON object that operators read.
+
+    Args:
+        position: The index of the row in the change, None for a fault of the whole table.
+        kind: The kind of the faulty row.
+        name: The name of the faulty row.
+        field: The field that is at fault.
+        message: What is wrong with the field.
+    """
     return {"row": position, "kind": kind, "name": name, "field": field, "message": message}
 
 
 def conflicts_of(
     overlay: table_overlay.Overlay, proposed: collections.abc.Iterable[ProposedRow]
 ) -> list[dict[str, typing.Any]]:
-    """Return the rows whose version in force is not the expected one, as operators read them."""
+    """Return a JSON object for each row whose version in force differs from the expected version."""
     conflicts = []
     for row in proposed:
         in_force = str(overlay.version(row.key))
@@ -109,16 +119,16 @@
 def plan_purge(_: table_overlay.Overlay, payload: typing.Any) -> table_overlay.PlannedRows:
     """Plan one row for each path or tag to purge.
 
-    A path or tag that is purged again gets a row of a new version: the version is what counts.
+    A repeated purge writes the same value under a new version: nodes compare cached objects with the version.
     """
     return {f"purge/{kind}/{name}": {"purge": kind} for kind, name in payload}
 
 
 def plan_evacuate(_: table_overlay.Overlay, payload: typing.Any) -> table_overlay.PlannedRows:
-    """Plan the row that takes work away from a site; the payload is the site's name."""
+    """Plan the row that marks a site as evacuated; the payload is the site's name."""
     return {f"evacuated/{payload}": {"evacuated": True}}
 
 
 def plan_return(_: table_overlay.Overlay, payload: typing.Any) -> table_overlay.PlannedRows:
-    """Plan the end of a site's evacuation; the payload is the site's name."""
+    """Plan the removal of the row that marks a site as evacuated; the payload is the site's name."""
     return {f"evacuated/{payload}": None}
--- a/src/irisstand/controlplane/changes/order_planning.py
+++ b/src/irisstand/controlplane/changes/order_planning.py
@@ -1,4 +1,4 @@
-"""Planning of orders: each order adds rows to a table's overlay, or is refused and adds none."""
+"""Planning of orders: each order adds its rows to a table's overlay, or is refused and adds none."""
 
 import collections.abc
 import typing
@@ -17,13 +17,14 @@
 from irisstand.state import items, versions
 from irisstand.validation import canonical_content
 
-# Change ids that are remembered; at the limit new orders are refused until the oldest ids expire.
+# How many change ids a table stores at most; at the limit, new orders with a change id are refused until the
+# oldest ids expire.
 CHANGES_LIMIT = 50_000
 CHANGE_PREFIX = "~change"
 
 Planner = collections.abc.Callable[[table_overlay.Overlay, typing.Any], table_overlay.PlannedRows]
 
-# Plug-in point: a kind of order is an entry here, and one in `orders.TABLE_BY_KIND`.
+# Extension point: a new kind of order needs an entry in this table and one in `orders.TABLE_BY_KIND`.
 PLANNERS: dict[str, Planner] = {
     orders.OrderKind.CHANGE: operator_changes.plan_change,
     orders.OrderKind.AMEND: amendment.plan_amend,
@@ -50,11 +51,11 @@
 
 
 class PlannedOrder(typing.NamedTuple):
-    """The result that an order will have once its batch is decided.
+    """The result that an order has once its batch is decided.
 
     Attributes:
-        version: The version of the rows that the order wrote, now or when it came first.
-        keys: The keys of these rows, without the system's own.
+        version: The version of the rows that the order writes; for a repeated order, that of the first one.
+        keys: The keys of these rows, without the reserved keys of the system.
     """
 
     version: versions.Version
@@ -62,27 +63,27 @@
 
 
 class ChangeRecord(typing.NamedTuple):
-    """What is remembered of a change id: the keys that it wrote and the digest of its order."""
+    """The stored row of a change id: the keys that its order wrote and the digest of the order."""
 
     keys: list[str]
-    # Records of earlier software have none.
+    # None in records that earlier software versions wrote without a digest.
     digest: str | None
 
     @classmethod
     def from_value(cls, value: dict[str, typing.Any]) -> "ChangeRecord":
-        """Read a stored row."""
+        """Parse the stored value of a change id."""
         return cls(value["rows"], value.get("digest"))
 
     def to_value(self) -> dict[str, typing.Any]:
-        """Return the row to store."""
+        """Return the value to store for this change id."""
         return {"rows": self.keys, "digest": self.digest}
 
 
 def plan(overlay: table_overlay.Overlay, order: orders.Order) -> PlannedOrder:
-    """Add the rows of an order to an overlay.
+    """Add the rows of an order to an overlay; a repeated change id gets the first order's result.
 
     Raises:
-        IrisError: The order is refused; the overlay is as it was before.
+        IrisError: The order is refused; the overlay is unchanged.
     """
     record_key = f"{CHANGE_PREFIX}/{order.change}"
     stored = overlay.value(record_key) if order.change else None
@@ -102,15 +103,15 @@
 
 
 def digest_of(order: orders.Order) -> str:
-    """Return the digest by which two orders under one change id are compared."""
+    """Return the digest of an order's kind and payload, to compare orders with the same change id."""
     return canonical_content.digest([order.kind, order.payload])
 
 
 def check_same_order(order: orders.Order, record: ChangeRecord) -> None:
-    """Refuse an order whose change id was used for another order.
+    """Raise an error if an order's change id was recorded for a different order.
 
     Raises:
-        ChangeIdTakenError: The digests differ.
+        ChangeIdTakenError: The digest of the order differs from the recorded digest.
     """
     if record.digest is not None and record.digest != digest_of(order):
         raise control_errors.ChangeIdTakenError([{"change": order.change, "rows": record.keys}])
--- a/src/irisstand/controlplane/changes/orders.py
+++ b/src/irisstand/controlplane/changes/orders.py
@@ -1,7 +1,7 @@
-"""Orders: the changes that operators and singleton tasks ask for, and the table that each kind writes.
+"""Orders: the changes that operators and singleton tasks submit, and the table that each kind writes.
 
-An order travels between nodes as `(kind, change, payload)`. The payload is a plain tuple, list or string; the
-module that plans a kind of order has a typed reader of its payload.
+An order is sent between nodes as `(kind, change, payload)`. The payload is a plain tuple, list or string; the
+module that plans the kind of order parses it into a typed object.
 """
 
 import enum
@@ -12,7 +12,7 @@
 
 
 class OrderKind(enum.StrEnum):
-    """Kinds of orders, with the names that they have between nodes."""
+    """The kinds of orders; the values are the names that are sent between nodes."""
 
     CHANGE = "change"
     AMEND = "amend"
@@ -63,13 +63,13 @@
 
 
 class Order(typing.NamedTuple):
-    """One order as it travels between nodes.
+    """One order as it is sent between nodes.
 
     Attributes:
-        kind: A value of `OrderKind`, or a name that this version does not know.
-        change: The sender's id of the change, empty if it has none. An order with the id of an earlier one
-            gets the result of the earlier one.
-        payload: What the kind needs, as decoded from the wire.
+        kind: A value of `OrderKind`, or a name that this software version does not know.
+        change: The change id that the sender chose, empty if there is none. A repeated order with the same
+            change id gets the result of the first one.
+        payload: The arguments of the order as decoded from the wire; their form depends on the kind.
     """
 
     kind: str
@@ -81,8 +81,10 @@
     """Return the name of the table that orders of a kind write.
 
     Raises:
-        UnknownNameError: This version knows no such kind.
+        UnknownNameError: This software version does not know the kind.
     """
     if kind not in TABLE_BY_KIND:
-        raise errors.UnknownNameError(f"no order {kind!r}", f"use one of {', '.join(TABLE_BY_KIND)}")
+        raise errors.UnknownNameError(
+            f"unknown kind of order {kind!r}", f"use one of {', '.join(TABLE_BY_KIND)}"
+        )
     return TABLE_BY_KIND[kind]
--- a/src/irisstand/controlplane/changes/table_time.py
+++ b/src/irisstand/controlplane/changes/table_time.py
@@ -1,9 +1,10 @@
-"""Table time, and the removal of rows that are older than they need to be kept.
+"""Table time, and the removal of rows whose retention time has passed.
 
-Each table has a row with its own time in seconds. The holder of the retention task advances it by what went
-by on its monotonic clock since it saw the row's last version. So table time never runs faster than real time,
-whoever advances it, and stands still while nobody does: a row that is to be kept for an hour of it is kept
-for an hour at least, through changes of holder and loss of power.
+Each table has a row with its own time in seconds. The holder of the retention task advances it by the time
+that passed on its monotonic clock since it first saw the row's present version. Table time therefore never
+runs faster than real time, whichever node advances it, and stands still while no node does. A row that is to
+be kept for an hour of table time is kept for at least an hour of real time, through changes of the lease
+holder and power losses.
 """
 
 import typing
@@ -12,24 +13,25 @@
 from irisstand.controlplane.changes import orders, table_overlay
 from irisstand.state import item_table, items, replica, versions
 
-# A longer step comes from a holder that was suspended; to count less than went by is always safe.
+# The most that table time advances in one step. A longer step comes from a lease holder that was suspended;
+# counting less than the time that passed is safe, as rows are only kept longer.
 STEP_LIMIT_SECONDS = 60.0
-# Marks are thinned to a distance of this share of their age.
+# Of the marks of a table's time, those are dropped whose neighbours are closer than this share of their age.
 MARK_SPACING_RATIO = 0.1
-# Rows removed in one step, so that a batch stays small.
+# At most so many expired rows are removed in one step, so that the batch stays small.
 REMOVALS_LIMIT = 2000
 RETRY_LIMIT_SECONDS = 600.0
 PURGE_PREFIX = "purge"
 
 
 class RetentionRule(typing.NamedTuple):
-    """How long the rows under a prefix are kept.
+    """How long the rows under a prefix of keys are kept, in seconds of table time.
 
     Attributes:
         prefix: The first part of the rows' keys, without the slash.
-        keep_seconds: Older rows are removed.
-        minimum_seconds: With more rows than `surplus_threshold`, rows older than this are removed, too.
-        surplus_threshold: The number of rows from which `minimum_seconds` applies.
+        keep_seconds: Rows older than this are removed.
+        minimum_seconds: While there are more than `surplus_threshold` rows, rows older than this are removed.
+        surplus_threshold: The number of rows above which `minimum_seconds` applies.
     """
 
     prefix: str
@@ -39,7 +41,7 @@
 
 
 class Mark(typing.NamedTuple):
-    """The applied version that a table had at a moment of its time."""
+    """A table time in seconds, and the counter and node of the version that was applied then."""
 
     seconds: float
     counter: int
@@ -47,14 +49,14 @@
 
     @property
     def version(self) -> versions.Version:
-        """The applied version."""
+        """The version that the table had applied at the time of this mark."""
         return versions.Version(self.counter, self.node)
 
 
 def thin_marks(marks: list[Mark], now: float) -> list[Mark]:
-    """Return the marks without those that lie closer together than their age calls for.
+    """Return the marks without those that are too close to their neighbours for their age.
 
-    A day of marks stays short: young ones are close together, old ones far apart.
+    Recent marks stay close together and old ones become sparse, so that the marks of a day stay few.
 
     >>> marks = []
     >>> for second in range(0, 100000, 15): marks = thin_marks([*marks, Mark(second, second, "n")], second)
@@ -76,9 +78,9 @@
     """The stored row of a table's time.
 
     Attributes:
-        seconds: For how long the table has been kept, by its own time.
-        marks: Applied versions and when they stood, from the oldest on.
-        rules: The retention rules with which the time was advanced last.
+        seconds: The table time.
+        marks: Applied versions with the table time at which each was applied, the oldest first.
+        rules: The retention rules of the last advance.
     """
 
     def __init__(self, value: dict[str, typing.Any] | None) -> None:
@@ -88,7 +90,7 @@
         self.rules = [RetentionRule(*rule) for rule in value.get("rules", [])]
 
     def to_value(self) -> dict[str, typing.Any]:
-        """Return the row to store."""
+        """Return the value to store in the row of the table's time."""
         return {
             "seconds": self.seconds,
             "marks": [list(mark) for mark in self.marks],
@@ -96,22 +98,22 @@
         }
 
     def advance(self, elapsed_seconds: float, applied: versions.Version) -> None:
-        """Advance the time and mark the applied version that the table has at the new moment."""
+        """Advance the time by at most `STEP_LIMIT_SECONDS`, and mark the table's applied version."""
         self.seconds += min(max(0.0, elapsed_seconds), STEP_LIMIT_SECONDS)
         self.marks = thin_marks([*self.marks, Mark(self.seconds, *applied)], self.seconds)
 
     def older_than(self, seconds: float) -> versions.Version:
-        """Return the version up to which rows have stood for at least so many seconds."""
+        """Return the highest version whose rows are at least so many seconds old, by table time."""
         found = [mark for mark in self.marks if mark.seconds <= self.seconds - seconds]
         return found[-1].version if found else versions.NONE
 
     def age_of(self, version: versions.Version) -> float:
-        """Return for how many seconds, at least, a row of this version has stood."""
+        """Return a lower bound on the age of a row of this version, in seconds of table time."""
         after = [mark for mark in self.marks if mark.version >= version]
         return self.seconds - after[0].seconds if after else 0.0
 
     def seconds_until(self, version: versions.Version, age_seconds: float) -> float:
-        """Return in about how many seconds a row of this version will have stood for so long."""
+        """Return about how many seconds pass until a row of this version has an age; at least one second."""
         return max(1.0, age_seconds - self.age_of(version))
 
 
@@ -119,10 +121,10 @@
     """A request to advance a table's time.
 
     Attributes:
-        expected: The version of the time's row that the holder saw.
-        elapsed_seconds: What went by since it saw it.
-        rules: What is kept for how long.
-        tombstone_seconds: How long tombstones are kept.
+        expected: The version of the row of table time that the lease holder saw.
+        elapsed_seconds: The seconds that passed since the lease holder saw that version.
+        rules: The retention rules of the table's prefixes.
+        tombstone_seconds: How long tombstones are kept, in seconds of table time.
     """
 
     expected: str
@@ -132,22 +134,22 @@
 
     @classmethod
     def from_wire(cls, payload: typing.Any) -> "TimeAdvance":
-        """Read an order's payload; raise ValueError or TypeError if it has another form."""
+        """Parse an order's payload; raise ValueError or TypeError if it does not have the expected form."""
         expected, elapsed, rules, tombstones = payload
         return cls(expected, float(elapsed), [RetentionRule(*rule) for rule in rules], float(tombstones))
 
     def to_order(self, table: str) -> orders.Order:
-        """Return the order that asks for this."""
+        """Return the order that advances the time of the table with this name."""
         rules = [tuple(rule) for rule in self.rules]
         payload = (self.expected, self.elapsed_seconds, rules, self.tombstone_seconds)
         return orders.Order(f"tick-{table}", "", payload)
 
 
 def plan_time_advance(overlay: table_overlay.Overlay, payload: typing.Any) -> table_overlay.PlannedRows:
-    """Plan a table's time and the removal of expired rows.
+    """Plan the advance of a table's time and the removal of expired rows.
 
     Raises:
-        StaleVersionError: The time's row has another version than its holder saw.
+        StaleVersionError: The row of table time no longer has the version that the lease holder saw.
     """
     advance = TimeAdvance.from_wire(payload)
     expected = advance.expected
@@ -163,15 +165,20 @@
 
 
 class Expiry:
-    """Which rows of a table have expired, and how many of each prefix are above its number."""
+    """Decides which rows of a table have expired.
+
+    Attributes:
+        tombstone_expiry: Tombstones up to this version have expired.
+        expiry_by_prefix: By prefix, the version up to which all rows have expired.
+        surplus_expiry: By prefix, the version up to which rows have expired while there is a surplus.
+        surplus_by_prefix: By prefix, by how much the number of rows exceeds the rule's `surplus_threshold`.
+    """
 
     def __init__(self, table: replica.Replica, time: TableTime, tombstone_seconds: float) -> None:
         self.table = table
         self.tombstone_expiry = time.older_than(tombstone_seconds)
         self.expiry_by_prefix = {rule.prefix: time.older_than(rule.keep_seconds) for rule in time.rules}
-        self.surplus_expiry_by_prefix = {
-            rule.prefix: time.older_than(rule.minimum_seconds) for rule in time.rules
-        }
+        self.surplus_expiry = {rule.prefix: time.older_than(rule.minimum_seconds) for rule in time.rules}
         self.surplus_by_prefix = {
             rule.prefix: table.counts_by_prefix[rule.prefix] - rule.surplus_threshold for rule in time.rules
         }
@@ -179,14 +186,13 @@
     @property
     def newest(self) -> versions.Version:
         """The version above which no row can have expired."""
-        return max(
-            [self.tombstone_expiry, *self.expiry_by_prefix.values(), *self.surplus_expiry_by_prefix.values()]
-        )
+        return max([self.tombstone_expiry, *self.expiry_by_prefix.values(), *self.surplus_expiry.values()])
 
     def has_expired(self, key: str, version: versions.Version) -> bool:
-        """Return whether the row may go.
+        """Return whether a row or tombstone may be removed.
 
-        Replicas are carried whole, by applied versions: one that lacks a tombstone cannot bring its row back.
+        Removing a tombstone is safe: replicas synchronize whole tables by their applied versions, so one that
+        lacks the tombstone cannot bring its row back.
         """
         prefix = item_table.key_prefix(key)
         if version <= self.tombstone_expiry and self.table.items[key].value is None:
@@ -194,16 +200,16 @@
         if version <= self.expiry_by_prefix.get(prefix, versions.NONE):
             return True
         is_surplus = self.surplus_by_prefix.get(prefix, 0) > 0
-        return is_surplus and version <= self.surplus_expiry_by_prefix.get(prefix, versions.NONE)
+        return is_surplus and version <= self.surplus_expiry.get(prefix, versions.NONE)
 
     def count_removal(self, key: str) -> None:
-        """Take one row off the surplus of its prefix."""
+        """Reduce the surplus of a key's prefix by one row that is removed."""
         prefix = item_table.key_prefix(key)
         self.surplus_by_prefix[prefix] = self.surplus_by_prefix.get(prefix, 0) - 1
 
 
 def remove_expired(overlay: table_overlay.Overlay, time: TableTime, tombstone_seconds: float) -> None:
-    """Plan the removal of expired rows, from the oldest on, so that what waits for the next step is newer."""
+    """Plan the removal of up to `REMOVALS_LIMIT` expired rows, oldest first; newer ones must wait."""
     expiry = Expiry(overlay.replica, time, tombstone_seconds)
     newest = expiry.newest
     newest_purge = versions.NONE
@@ -211,7 +217,7 @@
     for version, key in overlay.replica.keys_by_version:
         if version > newest or removals >= REMOVALS_LIMIT:
             break
-        # A row that this very batch changes is no longer old.
+        # A row that the same batch writes gets a new version, so it has not expired.
         if not expiry.has_expired(key, version) or key in overlay.rows:
             continue
         overlay.remove(key)
@@ -225,10 +231,10 @@
 
 
 def check_capacity(overlay: table_overlay.Overlay, prefix: str, limit: int) -> None:
-    """Refuse one more row under a prefix at its limit: nothing is removed that is still to be remembered.
+    """Raise an error if `limit` rows exist under a prefix: none is removed early to make room.
 
     Raises:
-        TableFullError: There are as many rows as may be; the error says when the oldest expires.
+        TableFullError: The limit is reached; the error's `retry_after` says when the oldest row expires.
     """
     if overlay.count(prefix) < limit:
         return
@@ -237,5 +243,5 @@
     oldest = next(version for version, key in overlay.replica.keys_by_version if key.startswith(prefix + "/"))
     wait = time.seconds_until(oldest, keep_seconds)
     raise errors.TableFullError(
-        f"{limit} of {prefix} are remembered", retry_after=min(RETRY_LIMIT_SECONDS, wait)
+        f"the limit of {limit} rows under {prefix} is reached", retry_after=min(RETRY_LIMIT_SECONDS, wait)
     )
--- a/src/irisstand/controlplane/changes/voter_changes.py
+++ b/src/irisstand/controlplane/changes/voter_changes.py
@@ -1,4 +1,4 @@
-"""Orders that change which control plane nodes vote on a table."""
+"""Planning of the orders that change which control plane nodes vote on a table."""
 
 import typing
 
@@ -6,17 +6,19 @@
 from irisstand.controlplane.changes import table_overlay
 from irisstand.state import items, quorum
 
-# With fewer voters no single loss is survived; sets that are smaller already may stay so.
+# A retirement leaves at least three voters, as fewer survive no single loss. Sets that are already smaller
+# may keep their size.
 RETIRE_MINIMUM_VOTERS = 3
 
 
 class VoterEnrolment(typing.NamedTuple):
-    """A request to let a node vote.
+    """A request to make a node a voter.
 
     Attributes:
-        newcomer: The node; under a known name it takes the place of that node's lost disk.
-        replaced: The name of the voter that it takes the place of, empty if of none.
-        voters_limit: Up to how many voters it may join without taking anybody's place.
+        newcomer: The new voter. If its name is that of a present voter, it replaces that voter, whose disk is
+            lost.
+        replaced: The name of the voter to replace, empty to add a voter.
+        voters_limit: The new voter is added without replacing another only while there are fewer voters.
     """
 
     newcomer: quorum.Voter
@@ -25,30 +27,36 @@
 
     @classmethod
     def from_wire(cls, payload: typing.Any) -> "VoterEnrolment":
-        """Read an order's payload; earlier software sends no limit."""
+        """Parse an order's payload; earlier software versions send no `voters_limit`, which is then 0."""
         newcomer, replaced, *more = payload
         return cls(quorum.Voter(*newcomer), replaced, more[0] if more else 0)
 
 
 class VoterSetChange(typing.NamedTuple):
-    """A request to install a whole set of voters, planned from the version `expected` of the present set."""
+    """A request to replace the whole set of voters.
+
+    Attributes:
+        expected: The version of the voters' row from which the new set was planned.
+        voters: The new set of voters.
+    """
 
     expected: str
     voters: list[quorum.Voter]
 
     @classmethod
     def from_wire(cls, payload: typing.Any) -> "VoterSetChange":
-        """Read an order's payload."""
+        """Parse the payload of an order that replaces the set of voters."""
         expected, voters, *_ = payload
         return cls(expected, [quorum.Voter(*parts) for parts in voters])
 
 
 def plan_enrol(overlay: table_overlay.Overlay, payload: typing.Any) -> table_overlay.PlannedRows:
-    """Plan the voters with one more, or with one in the place of another. Twice is the same as once.
+    """Plan the set of voters with one voter added or replaced; the order is idempotent.
 
     Raises:
-        StaleVersionError: The voter to replace does not vote, and there is no room for one more.
-        InvalidChangeError: The loss of one site would end the new set's majority but not the present one's.
+        StaleVersionError: The voter to replace is not in the present set, and the set is too large for an
+            addition.
+        InvalidChangeError: The new set, unlike the present one, could lose its majority with one site.
     """
     enrolment = VoterEnrolment.from_wire(payload)
     newcomer = enrolment.newcomer
@@ -63,16 +71,18 @@
         raise errors.StaleVersionError([{"voter": replaced, "in_force": in_force}])
     following = [voter for voter in voters if voter.name != replaced] + [newcomer]
     if loses_site_tolerance(voters, following):
-        message = f"with {newcomer.name} for {replaced}, the loss of one site would end the majority"
+        message = (
+            f"with {newcomer.name} in place of {replaced}, the voters could lose their majority with one site"
+        )
         raise invalid_voters(message)
     return voter_rows(following)
 
 
 def plan_retire(overlay: table_overlay.Overlay, payload: typing.Any) -> table_overlay.PlannedRows:
-    """Plan the voters without the one that the payload names. Twice is the same as once.
+    """Plan the set of voters without the one that the payload names; the order is idempotent.
 
     Raises:
-        InvalidChangeError: Too few voters would be left, or the loss of one site would end their majority.
+        InvalidChangeError: Too few voters would be left, or the loss of one site could end their majority.
     """
     voters = quorum.voters_from_wire(overlay.value(items.VOTERS_KEY))
     following = [voter for voter in voters if voter.name != payload]
@@ -80,17 +90,18 @@
         return {}
     minimum = min(RETIRE_MINIMUM_VOTERS, len(voters))
     if loses_site_tolerance(voters, following) or len(following) < minimum:
-        message = f"without {payload} the loss of one site would end the majority; replace it instead"
+        message = f"without {payload} too few voters remain to survive the loss of a site; replace it instead"
         raise invalid_voters(message)
     return voter_rows(following)
 
 
 def plan_voter_set(overlay: table_overlay.Overlay, payload: typing.Any) -> table_overlay.PlannedRows:
-    """Plan a whole set of voters at once; the present and the new set both have to accept it.
+    """Plan a new set of voters as a whole; majorities of both the present and the new set have to accept it.
 
     Raises:
         StaleVersionError: The voters have changed since the set was planned.
-        InvalidChangeError: The set is empty, has a node or disk twice, or would not survive a site's loss.
+        InvalidChangeError: The set is empty, contains a node or disk twice, or could lose its majority with
+            one site although the present set could not.
     """
     change = VoterSetChange.from_wire(payload)
     in_force = str(overlay.version(items.VOTERS_KEY))
@@ -98,7 +109,7 @@
         raise errors.StaleVersionError([{"voters": change.expected, "in_force": in_force}])
     voters = quorum.voters_from_wire(overlay.value(items.VOTERS_KEY))
     if not change.voters or has_duplicates(change.voters) or loses_site_tolerance(voters, change.voters):
-        message = "the set is empty, names one twice, or the loss of one site would end its majority"
+        message = "the set is empty, names a voter or disk twice, or could lose its majority with one site"
         raise invalid_voters(message)
     if {voter.disk_id for voter in voters} == {voter.disk_id for voter in change.voters}:
         return {}
@@ -106,22 +117,27 @@
 
 
 def has_duplicates(voters: list[quorum.Voter]) -> bool:
-    """Return whether two voters have the same name or the same disk."""
+    """Return whether any two voters have the same name or the same disk id."""
     names = {voter.name for voter in voters}
     disk_ids = {voter.disk_id for voter in voters}
     return len(names) < len(voters) or len(disk_ids) < len(voters)
 
 
 def loses_site_tolerance(voters: list[quorum.Voter], following: list[quorum.Voter]) -> bool:
-    """Return whether the present voters survive the loss of any site, and the following ones do not."""
+    """Return whether only the present set of voters keeps its majority after the loss of any one site.
+
+    Args:
+        voters: The present set of voters.
+        following: The set that is to replace it.
+    """
     return quorum.survives_any_site_loss(voters) and not quorum.survives_any_site_loss(following)
 
 
 def voter_rows(voters: list[quorum.Voter]) -> table_overlay.PlannedRows:
-    """Return the row that installs these voters."""
+    """Return the row of a table that makes these nodes its voters."""
     return {items.VOTERS_KEY: [tuple(voter) for voter in voters]}
 
 
 def invalid_voters(message: str) -> errors.InvalidChangeError:
-    """Return the refusal of a set of voters."""
+    """Return the error that refuses a set of voters, with a message for the operator."""
     return errors.InvalidChangeError([{"row": None, "field": "voters", "message": message}])
--- a/src/irisstand/controlplane/program.py
+++ b/src/irisstand/controlplane/program.py
@@ -1,35 +1,35 @@
-"""The program irisstand-controlplane: a control plane node, one on each shield machine."""
+"""The program irisstand-controlplane, which runs a control plane node on each shield machine."""
 
 import signal
 
-# Until the node follows it: its default ends a process, and the imports below take their time.
+# SIGHUP is ignored until the node handles it: by default it ends the process, and the imports take long.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
-import asyncio  # noqa: E402 - after the signal
-import importlib  # noqa: E402 - after the signal
-import pathlib  # noqa: E402 - after the signal
-import random  # noqa: E402 - after the signal
-import typing  # noqa: E402 - after the signal
+import asyncio  # noqa: E402 - after signal()
+import importlib  # noqa: E402 - after signal()
+import pathlib  # noqa: E402 - after signal()
+import random  # noqa: E402 - after signal()
+import typing  # noqa: E402 - after signal()
 
-from irisstand import clocks, errors, event_log, node_settings, process_runner  # noqa: E402 - after the signal
-from irisstand.controlplane import assembly  # noqa: E402 - after the signal
-from irisstand.controlplane.singletons import origin_source  # noqa: E402 - after the signal
-from irisstand.state.storage import disk  # noqa: E402 - after the signal
-from irisstand.transport import network  # noqa: E402 - after the signal
+from irisstand import clocks, errors, event_log, node_settings, process_runner  # noqa: E402 - after signal()
+from irisstand.controlplane import assembly  # noqa: E402 - after signal()
+from irisstand.controlplane.singletons import origin_source  # noqa: E402 - after signal()
+from irisstand.state.storage import disk  # noqa: E402 - after signal()
+from irisstand.transport import network  # noqa: E402 - after signal()
 
 if typing.TYPE_CHECKING:
-    # Not imported before the tables are current: see OperatorListener.
+    # At run time this module is imported only once the tables are current: see OperatorListener.
     from irisstand import web
 
-# How long the operators' listener waits for current tables at most, how often it looks, and how long it then
-# leaves the processor to the nodes that wait for the tables.
+# How long the operators' listener waits at most for current tables, how often it checks them, and how long it
+# then leaves the CPU to the nodes that wait for the tables.
 TABLES_TIMEOUT_SECONDS = 0.8
 TABLES_POLL_SECONDS = 0.02
 LISTENER_DELAY_SECONDS = 0.4
 
 
 async def assemble(settings: node_settings.Settings, events: event_log.EventLog) -> process_runner.Opened:
-    """Open a control plane node that follows the platform named in the settings, if any."""
+    """Open a control plane node that fetches origins from the platform in its settings, if there is one."""
     fetch_origins = (
         origin_source.http_origin_source(settings.platform) if settings.platform is not None else None
     )
@@ -41,7 +41,12 @@
     settings: node_settings.Settings,
     events: event_log.EventLog,
 ) -> process_runner.Opened:
-    """Open a control plane node that fetches the platform's origins in a given way.
+    """Open a control plane node that fetches the platform's origins with the given function.
+
+    Args:
+        fetch_origins: Fetches the platform's list of origins; None if there is no platform.
+        settings: The settings of this node.
+        events: The event log of this process.
 
     Returns:
         The node's context, and the function that closes the operators' listener.
@@ -63,8 +68,8 @@
 class OperatorListener:
     """The operators' HTTP listener.
 
-    It opens a moment after the tables are current: its libraries take long to import, and the whole fleet
-    waits for the tables first.
+    It opens shortly after the tables are current: importing its libraries takes long, and all nodes of the
+    fleet need the tables first.
     """
 
     def __init__(self, control_node: assembly.ControlNode, events: event_log.EventLog) -> None:
@@ -73,10 +78,10 @@
         self.server: web.HttpServer | None = None
 
     async def open(self) -> None:
-        """Wait for the tables, then listen.
+        """Wait for current tables, then import the HTTP libraries and listen.
 
         Raises:
-            irisstand.errors.PortTakenError: The port is in use.
+            irisstand.errors.PortTakenError: The HTTP port is in use.
         """
         await self._wait_for_tables()
         await asyncio.sleep(LISTENER_DELAY_SECONDS)
@@ -95,14 +100,14 @@
         context = self.control_node.context
         end = context.clock.now() + TABLES_TIMEOUT_SECONDS
         replicas = context.replicas.values()
-        # Freshness is a matter of the clock, and so has no event to wait for.
+        # Whether a replica is fresh depends on the clock, so there is no event to wait for.
         while context.clock.now() < end and not all(  # noqa: ASYNC110 - see above
             map(context.is_fresh, replicas)
         ):
             await asyncio.sleep(TABLES_POLL_SECONDS)
 
     async def stop_listening(self) -> None:
-        """Take no new connections."""
+        """Stop accepting connections from operators."""
         if self.server is not None:
             await self.server.stop_listening()
 
--- a/src/irisstand/controlplane/singletons/__init__.py
+++ b/src/irisstand/controlplane/singletons/__init__.py
@@ -1,1 +1,1 @@
-"""Singleton tasks: each runs on one control plane node at a time, under a lease."""
+"""Singleton tasks: background tasks that each run on one control plane node at a time, under a lease."""
--- a/src/irisstand/controlplane/singletons/capacity_scaling.py
+++ b/src/irisstand/controlplane/singletons/capacity_scaling.py
@@ -1,4 +1,4 @@
-"""Capacity scaling: machines that the load does not need go on standby; more load or a loss wakes them."""
+"""Capacity scaling: unneeded machines go on standby; more load or the loss of a machine activates them."""
 
 import asyncio
 import typing
@@ -9,9 +9,9 @@
 from irisstand.membership import updates
 
 INTERVAL_SECONDS = 1.0
-# After such a pause this holder may have taken the lease anew.
+# If this node has not run the task for longer than this, another node may have held the lease in between.
 NEW_HOLDER_SECONDS = 10 * INTERVAL_SECONDS
-# So long nothing must have changed before the next machine goes on standby; machines are woken at once.
+# The next machine goes on standby only after this time without a change; machines are activated at once.
 STANDBY_DELAY_SECONDS = 8.0
 SAVINGS_INTERVAL_SECONDS = 60.0
 REASONS_KEY = "staffing"
@@ -20,23 +20,23 @@
 
 
 class RolePlan(typing.NamedTuple):
-    """The rows to write for a role's machines, and for each machine why it is awake or on standby."""
+    """The rows to write for a role's machines, and by machine the reason why it is active or on standby."""
 
     rows: list[lease.Row]
     reasons: dict[str, str]
 
 
 class CapacityScaling:
-    """The work of the capacity scaling task on one node.
+    """Plans on one control plane node which machines are active and which are on standby.
 
     Attributes:
-        context: The node.
-        view: The fleet as the node sees it.
+        context: The state and services of this node.
+        view: The machines, sites and voters as this node knows them.
         standby_delay_seconds: For how long nothing must have changed before a machine goes on standby.
-        worked_at: When the work was done last.
-        changed_at: When a machine went on standby or was woken last, or this node began to watch.
-        standby_since: Since when, by this node's clock, the seconds of standby are not added up yet.
-        is_alarmed: Whether a member was suspected since the last work, so that the next one must not wait.
+        last_planned_at: When `work` last planned, by this node's clock.
+        changed_at: When a machine last went on standby or was activated, or when this node became the holder.
+        standby_since: By machine, the time from which its seconds on standby are not yet added to the ledger.
+        must_plan_now: Whether a member was suspected since the last plan, so the next one must not wait.
     """
 
     def __init__(
@@ -45,34 +45,34 @@
         self.context = context
         self.view = fleet_view.FleetView(context)
         self.standby_delay_seconds = standby_delay_seconds
-        self.worked_at = -1e9
+        self.last_planned_at = -1e9
         self.changed_at: float = context.clock.now()
         self.standby_since: dict[str, float] = {}
-        self.is_alarmed = False
+        self.must_plan_now = False
         context.detector.listeners.append(self.on_update)
 
     def on_update(self, update: updates.Update) -> None:
-        """Note a suspicion: the member may be lost, and enough must be awake for the loss after that."""
-        self.is_alarmed = self.is_alarmed or update.state is not updates.MemberState.ALIVE
+        """Request a plan at once after a suspicion: the machines must be able to survive yet another loss."""
+        self.must_plan_now = self.must_plan_now or update.state is not updates.MemberState.ALIVE
 
     async def work(self, task: lease.SingletonTask) -> None:
-        """Plan anew once an interval, or at once after a suspicion."""
+        """Plan which machines are on standby, once per interval or at once after a suspicion."""
         now = self.context.clock.now()
-        if now - self.worked_at < INTERVAL_SECONDS and not self.is_alarmed:
+        if now - self.last_planned_at < INTERVAL_SECONDS and not self.must_plan_now:
             return
-        self.is_alarmed = False
-        if now - self.worked_at > NEW_HOLDER_SECONDS:
-            # A new holder first watches for a while before it puts any machine on standby.
+        self.must_plan_now = False
+        if now - self.last_planned_at > NEW_HOLDER_SECONDS:
+            # A new lease holder waits for the standby delay before it puts any machine on standby.
             self.changed_at = now
-        self.worked_at = now
+        self.last_planned_at = now
         rows = await self.plan(now)
         if rows and task.holds_lease():
             await task.write_fenced(rows)
 
     async def plan(self, now: float) -> list[lease.Row]:
-        """Measure the load of all roles and return the rows that it calls for."""
+        """Measure the load of all roles and return the rows of the resulting plan."""
         roles = list(fleet_view.DEFAULT_CAPACITY_BY_ROLE)
-        # All at once: the lease is short, and a node that does not answer is waited for only once.
+        # The calls run concurrently: the lease is short, so the timeouts of dead nodes must not add up.
         answers: list[typing.Any] = await asyncio.gather(
             self.view.survives_any_loss(), *(self.view.measure_load(role) for role in roles)
         )
@@ -81,7 +81,7 @@
         rows: list[lease.Row] = []
         reasons: dict[str, str] = {}
         for role, load in zip(roles, loads, strict=True):
-            # A machine that does not report its load may have much of it.
+            # A machine that does not report its load may have a high load.
             may_scale_down = voters_survive_loss and load.all_answered
             plan = self.plan_role(role, now, load.rate_by_machine, may_scale_down=may_scale_down)
             rows += plan.rows
@@ -92,13 +92,13 @@
         return rows
 
     def plan_role(self, role: str, now: float, rates: dict[str, float], *, may_scale_down: bool) -> RolePlan:
-        """Return who of a role is to be on standby.
+        """Return the plan of which machines of a role are on standby.
 
         Args:
-            role: The role.
-            now: The time by this node's clock.
-            rates: Requests a second of the machines that answered just now. Others are not counted on: the
-                member list holds a dead machine for some seconds.
+            role: The role, a key of `DEFAULT_CAPACITY_BY_ROLE`.
+            now: The time by this node's monotonic clock, in seconds.
+            rates: The requests per second of the machines that have just replied. The plan uses only these
+                machines: the member list keeps a dead machine for some seconds.
             may_scale_down: Whether any machine may be on standby at all.
         """
         machines = self.view.machines(role, rates)
@@ -122,7 +122,7 @@
     def standby_rows(
         self, role: str, current_standby: set[str], planned_standby: set[str]
     ) -> list[lease.Row]:
-        """Return the rows that put machines on standby, and then those that wake machines."""
+        """Return the rows that put machines on standby, followed by those that activate machines."""
         rows: list[lease.Row] = [
             (f"{STANDBY_PREFIX}{name}", {"role": role}) for name in sorted(planned_standby - current_standby)
         ]
@@ -130,7 +130,7 @@
         return rows
 
     def rows_of_gone_machines(self, role: str, names: set[str]) -> list[lease.Row]:
-        """Return the end of standby of machines that are gone or evacuated: it is planned anew for them."""
+        """Return the rows that end the standby of machines that are down or evacuated, to plan it anew."""
         return [
             (item.key, None)
             for item in self.context.ledger.items_with_prefix(STANDBY_PREFIX)
@@ -138,7 +138,11 @@
         ]
 
     def savings_rows(self, now: float) -> list[lease.Row]:
-        """Return the seconds of standby to add up in the ledger: two holders have no clock in common."""
+        """Return the rows with each machine's total seconds on standby.
+
+        The ledger keeps the totals, and each lease holder adds only differences of its own clock, as two
+        holders have no clock in common.
+        """
         ledger = self.context.ledger
         on_standby = {
             item.key.removeprefix(STANDBY_PREFIX) for item in ledger.items_with_prefix(STANDBY_PREFIX)
--- a/src/irisstand/controlplane/singletons/origin_source.py
+++ b/src/irisstand/controlplane/singletons/origin_source.py
@@ -1,4 +1,4 @@
-"""Where the list of origins comes from: the platform's answer, its schema, and its fetching over HTTP."""
+"""The source of the list of origins: the platform's answer, its schema, and fetching it over HTTP."""
 
 import collections.abc
 import functools
@@ -37,58 +37,61 @@
 
 
 class PlatformAnswer(typing.NamedTuple):
-    """The platform's answer, and its age in seconds (the Age header of RFC 9111, section 5.1)."""
+    """The body of the platform's answer, and its age in seconds (the Age header of RFC 9111, section 5.1)."""
 
     content: bytes
     age: float
 
 
 class HttpAnswer(typing.NamedTuple):
-    """The body and the headers of a successful HTTP answer."""
+    """The body and the headers of an HTTP response with status 200."""
 
     body: bytes
     headers: collections.abc.Mapping[str, str]
 
 
 class OriginList(typing.NamedTuple):
-    """The origins that the platform lists, and the revision of its list if it numbers them."""
+    """The origins that the platform lists, and the revision number of the list, None if it has none."""
 
     origins: list[dict[str, typing.Any]]
     revision: int | None
 
 
-# Raises an IrisError, an OSError, a ValueError or a TimeoutError where the platform gives no list.
+# Fetches the platform's list of origins; raises an IrisError, an OSError, a ValueError or a TimeoutError if
+# the platform does not return one.
 FetchOrigins = collections.abc.Callable[[], collections.abc.Awaitable[PlatformAnswer]]
 
 
 @functools.cache
 def answer_validator() -> typing.Any:
-    """Return the jsonschema validator of the platform's answers."""
+    """Return the jsonschema validator for the platform's answers."""
     return lazy_jsonschema.compile_schema(ANSWER_SCHEMA)
 
 
 def parse(content: bytes) -> OriginList:
-    """Read an answer's content.
+    """Parse the body of the platform's answer.
 
     Raises:
-        ValueError: It is no JSON.
-        BadRequestError: It does not fit the schema.
+        ValueError: The body is not JSON.
+        BadRequestError: The JSON value does not match `ANSWER_SCHEMA`.
     """
     answer = json.loads(content)
     fault = next(answer_validator().iter_errors(answer), None)
     if fault is not None:
-        raise errors.BadRequestError(f"the platform's answer is malformed: {fault.message}")
+        raise errors.BadRequestError(
+            f"the platform's list of origins does not match its schema: {fault.message}"
+        )
     return OriginList(answer["origins"], answer.get("revision"))
 
 
 async def http_get(url: str, timeout_seconds: float = HTTP_TIMEOUT_SECONDS) -> HttpAnswer:
-    """Get a URL on a connection of its own.
+    """Send a GET request for a URL on a new connection, and return the response.
 
     Raises:
-        BadRequestError: The answer has another status than 200, or there is none.
-        TimeoutError: It takes too long.
+        BadRequestError: The response has a status other than 200, or the request failed.
+        TimeoutError: There was no complete response within `timeout_seconds`.
     """
-    # Imported by the one node that asks: the others are back sooner without it after a kill.
+    # Imported only by the node that asks the platform: without this import the others restart faster.
     aiohttp = importlib.import_module("aiohttp")
     timeout = aiohttp.ClientTimeout(total=timeout_seconds)
     connector = aiohttp.TCPConnector(force_close=True)
@@ -98,14 +101,14 @@
             session.get(url) as response,
         ):
             if response.status != HTTP_OK:
-                raise errors.BadRequestError(f"the platform answered {response.status}")
+                raise errors.BadRequestError(f"the platform responded with status {response.status}")
             return HttpAnswer(await response.read(), response.headers)
     except aiohttp.ClientError as error:
-        raise errors.BadRequestError(f"the platform cannot be asked: {error!r}") from None
+        raise errors.BadRequestError(f"the request to the platform failed: {error!r}") from None
 
 
 def http_origin_source(address: tuple[str, int]) -> FetchOrigins:
-    """Return a function that asks the platform over HTTP, each time on a connection of its own."""
+    """Return a function that fetches the list of origins over HTTP, each time on a new connection."""
 
     async def fetch_origins() -> PlatformAnswer:
         answer = await http_get(f"http://{address[0]}:{address[1]}/origins")
--- a/src/irisstand/controlplane/singletons/placement.py
+++ b/src/irisstand/controlplane/singletons/placement.py
@@ -1,4 +1,4 @@
-"""Placement on shield machines: slots of the object space, and quota shares of the services' limits."""
+"""Placement on shield machines: slots of the hash space of objects, and quota shares of services' limits."""
 
 import collections.abc
 
@@ -7,46 +7,46 @@
 from irisstand.controlplane.singletons import fleet_view, lease
 
 INTERVAL_SECONDS = 1.0
-# After such a pause this holder may have taken the lease anew.
+# If this node has not run the task for longer than this, another node may have held the lease in between.
 NEW_HOLDER_SECONDS = 10 * INTERVAL_SECONDS
-# Slots moved in one step between machines that are up; slots of a lost machine move all at once.
+# How many slots move at most in one step between machines that are up; a lost machine's slots move at once.
 VOLUNTARY_MOVES_LIMIT = 8
-# A missing machine keeps its slots for so long; reads of them go to the next machine meanwhile.
+# How long a missing machine keeps its slots; meanwhile reads of its slots go to the next machine.
 MISSING_GRACE_SECONDS = 3.0
-# A machine that is cut off stops using its share within the freshness bound.
+# A machine that is partitioned from the voters stops using its quota shares within the freshness bound.
 FRESHNESS_BOUND_SECONDS = 2.0
-# Of a service that has no row any more.
+# The deadline, in seconds, that is assumed for requests of a service whose row was removed.
 DEFAULT_DEADLINE_SECONDS = 60
 
 
 class ShieldPlacement:
-    """The work of the placement task on one node.
+    """Plans on one control plane node which shield machines own which slots and quota shares.
 
     Attributes:
-        context: The node.
-        view: The fleet as the node sees it.
-        worked_at: When the work was done last.
-        missing_since: Since when machines that own slots are missing.
-        frozen_until: Until when nothing that was taken of a service's limits may be given to others.
+        context: The state and services of this node.
+        view: The machines, sites and voters as this node knows them.
+        last_planned_at: When `work` last planned, by this node's clock.
+        missing_since: By machine that owns slots, the time since when it has been missing.
+        frozen_until: By service, until when quota shares that were taken from a machine are not given out.
     """
 
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
         self.view = fleet_view.FleetView(context)
-        self.worked_at = -1e9
+        self.last_planned_at = -1e9
         self.missing_since: dict[str, float] = {}
         self.frozen_until: dict[str, float] = {}
 
     async def work(self, task: lease.SingletonTask) -> None:
-        """Plan anew once an interval, and write what has changed."""
+        """Plan slots and quota shares once per interval, and write the rows that have changed."""
         now = self.context.clock.now()
-        if now - self.worked_at < INTERVAL_SECONDS:
+        if now - self.last_planned_at < INTERVAL_SECONDS:
             return
-        is_new_holder = now - self.worked_at > NEW_HOLDER_SECONDS
-        self.worked_at = now
+        is_new_holder = now - self.last_planned_at > NEW_HOLDER_SECONDS
+        self.last_planned_at = now
         weights = self.view.shield_weights()
         if is_new_holder:
-            # What an earlier holder took away just before is not known here.
+            # A new lease holder cannot know which quota shares an earlier holder has just taken away.
             self.freeze(self.limits(), now)
         rows = [*self.slot_rows(weights, now), *self.share_rows(weights, now)]
         if rows and task.holds_lease():
@@ -54,37 +54,37 @@
             self.context.counters.add("placement_rows", len(rows))
 
     def slot_rows(self, weights: dict[str, float], now: float) -> list[lease.Row]:
-        """Return the rows of slots whose machines change."""
+        """Return the rows of slots whose owners change."""
         current = self.view.slot_owners()
-        given_up = self.given_up_machines(set(current) - {""}, weights, now)
-        planned, moved = slot_assignment.plan(current, weights, given_up, VOLUNTARY_MOVES_LIMIT)
+        released_machines = self.machines_to_release(set(current) - {""}, weights, now)
+        planned, moved = slot_assignment.plan(current, weights, released_machines, VOLUNTARY_MOVES_LIMIT)
         if not moved:
             return []
         self.context.counters.add("slots_moved", moved)
         rows: list[lease.Row] = []
-        for first in range(0, rendezvous.SLOT_COUNT, slot_assignment.SLOTS_PER_ITEM):
-            owners = planned[first : first + slot_assignment.SLOTS_PER_ITEM]
-            if owners != current[first : first + slot_assignment.SLOTS_PER_ITEM]:
-                rows.append((slot_assignment.item_key(first), {"owners": owners}))
+        for first_slot in range(0, rendezvous.SLOT_COUNT, slot_assignment.SLOTS_PER_ITEM):
+            owners = planned[first_slot : first_slot + slot_assignment.SLOTS_PER_ITEM]
+            if owners != current[first_slot : first_slot + slot_assignment.SLOTS_PER_ITEM]:
+                rows.append((slot_assignment.item_key(first_slot), {"owners": owners}))
         return rows
 
-    def given_up_machines(
+    def machines_to_release(
         self, owners: collections.abc.Iterable[str], weights: dict[str, float], now: float
     ) -> set[str]:
-        """Return the owners whose slots are moved: missing for too long, or out of work by decision."""
-        given_up = set()
+        """Return the owners that lose all their slots: missing for too long, on standby, or evacuated."""
+        released_machines = set()
         for machine in owners:
             if machine in weights:
                 self.missing_since.pop(machine, None)
                 continue
             since = self.missing_since.setdefault(machine, now)
-            # Standby and evacuation are decisions and no accidents: there is nothing to wait for.
+            # Standby and evacuation are recorded decisions, so the slots move without a grace period.
             if now - since >= MISSING_GRACE_SECONDS or self.view.is_out_of_work(machine):
-                given_up.add(machine)
-        return given_up
+                released_machines.add(machine)
+        return released_machines
 
     def limits(self) -> dict[str, quota_shares.ServiceLimit]:
-        """Return the limits of each service: requests a second, and requests in flight."""
+        """Return by service its rate limit, in requests per second, and its limit of concurrent requests."""
         limits = {}
         for item in self.context.configuration.items_with_prefix("service/"):
             limit = item.value["ceiling"]
@@ -94,10 +94,10 @@
         return limits
 
     def freeze(self, services: collections.abc.Iterable[str], now: float) -> None:
-        """Give nothing of these services to others until their requests of before are certainly over.
+        """Freeze the quota shares of services until the requests of their previous owners are certainly over.
 
-        Requests that the last holder began run until their deadline, and an origin may work on at those that
-        were abandoned for as long again.
+        Requests that a previous owner has started run until their deadline, and an origin may continue to
+        work on abandoned requests for as long again.
         """
         for service in services:
             row = self.context.configuration.value(f"service/{service}")
@@ -107,10 +107,10 @@
             )
 
     def share_rows(self, weights: dict[str, float], now: float) -> list[lease.Row]:
-        """Return the rows of machines whose quota shares change."""
+        """Return one row for each machine whose quota shares change."""
         current = self.view.shares()
         frozen: set[str] = set()
-        # With no rows at all, nobody can hold anything.
+        # If there are no rows of shares at all, no machine can be using a share.
         if current:
             frozen = {service for service, until in self.frozen_until.items() if now < until}
         planned, reduced = quota_shares.plan(current, self.limits(), weights, frozen)
--- a/src/irisstand/controlplane/singletons/retention.py
+++ b/src/irisstand/controlplane/singletons/retention.py
@@ -1,4 +1,4 @@
-"""Retention: advances each table's time, by which rows expire that have been kept for long enough."""
+"""Retention: advances each table's time, and so removes the rows whose retention time has passed."""
 
 import typing
 
@@ -9,27 +9,28 @@
 
 INTERVAL_SECONDS = 15.0
 TOMBSTONE_SECONDS = 600.0
-# A change's id is known for a day; where there are very many, for ten minutes at least.
+# A change id is kept for a day; while there are more than 10,000 of them, for at least ten minutes.
 CHANGE_RECORD_RULE = table_time.RetentionRule("~change", 86400.0, 600.0, 10_000)
 PURGES_LIMIT = 5000
-# Added to the longest time to live: the freshness bound, and how late a change of it may come to a node.
+# Added to the longest TTL of objects to get the retention of purges: it covers the freshness bound, and the
+# delay until a node applies a change of the TTL.
 OBJECT_TTL_MARGIN_SECONDS = 15.0
 
 
 class SeenTime(typing.NamedTuple):
-    """A version of a table's time, and when this node saw it first."""
+    """A version of the row of a table's time, and when this node first saw it, by its monotonic clock."""
 
     version: str
     since: float
 
 
 class Retention:
-    """The work of the retention task on one node.
+    """Advances on one control plane node the time of all tables.
 
     Attributes:
-        context: The node.
-        interval_seconds: How often each table's time is advanced.
-        seen: What this node saw of each table's time last.
+        context: The state and services of this node.
+        interval_seconds: The interval at which each table's time is advanced.
+        seen: By table, the version of its time that this node saw last.
     """
 
     def __init__(self, context: node_context.NodeContext, interval_seconds: float = INTERVAL_SECONDS) -> None:
@@ -38,14 +39,14 @@
         self.seen: dict[str, SeenTime] = {}
 
     async def work(self, task: lease.SingletonTask) -> None:
-        """Advance the time of each table whose interval is over."""
+        """Advance the time of each table whose last advance is at least one interval ago."""
         for table in items.TABLES:
             await self.advance(task, table)
 
     async def advance(self, task: lease.SingletonTask, table: str) -> None:
-        """Advance a table's time by what went by since this node saw its version.
+        """Advance a table's time by the seconds since this node first saw the present version of that time.
 
-        It saw the version later than the version was written, so nothing is counted twice.
+        The node sees a version only after it was written, so no interval is counted twice.
         """
         now = self.context.clock.now()
         expected = str(self.context.replicas[table].version(items.TABLE_TIME_KEY))
@@ -60,13 +61,14 @@
         try:
             await task.submitter.submit(advance.to_order(table))
         except errors.StaleVersionError:
-            # Another holder advanced it: nothing of the time is counted twice.
+            # Another lease holder has advanced the table's time since; this interval must not count twice.
             self.context.counters.add("ticks_lost", table=table)
 
     def rules(self, table: str) -> list[table_time.RetentionRule]:
-        """Return how long the rows of a table are kept.
+        """Return the retention rules of a table.
 
-        Rows that are kept too short would not be served: that is ensured by versions and not by times.
+        Even if a purge expires too early, no purged object is served: cached objects that are older than the
+        newest expired purge are fetched again, which is decided by versions and not by times.
         """
         ttls = [item.value.get("life", 0) for item in self.context.configuration.items_with_prefix("path/")]
         purge_seconds = max(ttls, default=0) + OBJECT_TTL_MARGIN_SECONDS
--- a/tests/mutation/controlplane_mutations.py
+++ b/tests/mutation/controlplane_mutations.py
@@ -100,7 +100,7 @@
     ),
     (
         "controlplane/changes/evacuation_check.py",
-        "            await self.confirm_ledger_since(asked_at)",
+        "            await self.confirm_ledger_since(requested_at)",
         "            raise",
         "controlplane/test_idempotent_changes_racing.py::test_a_repeated_evacuation_is_not_refused_by_a_node_that_missed_the_first",
     ),
