--- a/src/irisstand/controlplane/changes/change_status.py
+++ b/src/irisstand/controlplane/changes/change_status.py
@@ -60,7 +60,7 @@
     def row_status(
         self, table: replica.Replica, key: str, version: versions.Version
     ) -> dict[str, typing.Any]:
-        """Return whether a row still has its change's version, and if not, what superseded it."""
+        """Return whether a row still has its change's version, and if not, which version superseded it."""
         in_force = table.version(key)
         found: dict[str, typing.Any] = {"row": key, "in_force": in_force == version}
         if in_force != version:
@@ -84,7 +84,7 @@
         return {name: str(state) for name, state in sorted(found.items())}
 
     async def ask_applied_versions(self, member: updates.Update) -> typing.Any:
-        """Return the applied versions that a member replies, undecoded; None if it does not reply."""
+        """Return a member's reply with its applied versions, not yet parsed; None if it does not reply."""
         try:
             return await self.context.transport.call(
                 member.node_info.address,
--- a/src/irisstand/controlplane/changes/evacuation_check.py
+++ b/src/irisstand/controlplane/changes/evacuation_check.py
@@ -66,7 +66,8 @@
         This node's member list may lack the newest members, so a site exists if any voter knows it.
 
         Raises:
-            UnknownNameError: The site is not in the settings' list of all sites, or not known to a majority.
+            UnknownNameError: The site is unknown, and either the settings list all sites or a majority of the
+                voters replied.
             SiteUnknownError: Too few voters replied to decide whether the site exists.
         """
         known = self.sites()
@@ -82,8 +83,10 @@
             # This node is a voter too: it counts as one more reply.
             if 2 * (1 + len(answers)) <= len(voters) + 1:
                 remedy = f"ask another node; known here are {', '.join(sorted(known))}"
-                raise control_errors.SiteUnknownError(f"no site {site!r} is known to this node", remedy)
-        raise errors.UnknownNameError(f"no site {site!r}", f"use one of {', '.join(sorted(known))}")
+                raise control_errors.SiteUnknownError(f"this node does not know the site {site!r}", remedy)
+        raise errors.UnknownNameError(
+            f"the site {site!r} does not exist", f"use one of {', '.join(sorted(known))}"
+        )
 
     def other_voters(self) -> list[quorum.Voter]:
         """Return the voters of the ledger table except this node."""
@@ -152,15 +155,15 @@
         figures = {
             role: await self.figures_without(site, role) for role in fleet_view.DEFAULT_CAPACITY_BY_ROLE
         }
-        insufficient_roles = [role for role, found in figures.items() if not found.is_sufficient()]
-        if insufficient_roles and not insist:
+        overloaded_roles = [role for role, found in figures.items() if not found.is_sufficient()]
+        if overloaded_roles and not insist:
             raise errors.InsufficientCapacityError(
-                f"without {site} there is too little capacity for the load on {' and '.join(insufficient_roles)} machines",
+                f"without {site} the capacity of {' and '.join(overloaded_roles)} machines is below the load",
                 {role: found.to_json_object() for role, found in figures.items()},
             )
         notes = [
             f"allowed by insist, though the remaining {role} machines cannot carry the load"
-            for role in insufficient_roles
+            for role in overloaded_roles
         ]
         return notes + self.voter_notes(site)
 
--- a/src/irisstand/controlplane/changes/idempotency_claims.py
+++ b/src/irisstand/controlplane/changes/idempotency_claims.py
@@ -63,7 +63,7 @@
 
     @classmethod
     def from_wire(cls, payload: typing.Any) -> "KeyClaim":
-        """Read an order's payload; raise TypeError if it has another length."""
+        """Parse the payload of a key claim; raise TypeError if it has the wrong length."""
         return cls(*payload)
 
 
@@ -82,7 +82,7 @@
 
     @classmethod
     def from_wire(cls, payload: typing.Any) -> "KeyResult":
-        """Read an order's payload; raise TypeError if it has another length."""
+        """Parse the payload of a key result; raise TypeError if it has the wrong length."""
         return cls(*payload)
 
 
--- a/tests/controlplane/test_capacity_scaling.py
+++ b/tests/controlplane/test_capacity_scaling.py
@@ -1,4 +1,4 @@
-"""Rest and waking: never so that one more loss could not be carried."""
+"""Standby and activation of machines: the active machines always carry the load after one more loss."""
 
 import asyncio
 import random
@@ -25,21 +25,21 @@
         await wait_until_true(
             day, lambda: len([n for n in standby_machines(day) if n.startswith("shield")]) == 3, 90
         )
-        awake = [
+        active = [
             n for n in day.cluster.with_role("shield") if n.placement.machine not in standby_machines(day)
         ]
-        # Two machines at two sites: either may go.
-        assert len({node.placement.site for node in awake}) == 2
-        # A resting machine stays a member and its control plane node a voter.
+        # The two active machines are at different sites, so the loss of either site leaves one.
+        assert len({node.placement.site for node in active}) == 2
+        # The nodes of a machine on standby remain members, and its control plane node remains a voter.
         assert len(cluster.members(day, "edge-1")) == len(day.cluster.nodes) - 1
         assert all(node.program.participant.is_voter("ledger") for node in day.cluster.with_role("agency"))
         for number in range(10):
             assert (await day.actors.ask("edge-1", "GET", f"/vacancies/r{number}"))[0] == 200
-        # One of the two is lost: somebody is woken, and reads go on meanwhile.
-        awake[0].kill()
+        # After the loss of one of the two another machine is activated, and all reads in between succeed.
+        active[0].kill()
         statuses = [(await day.actors.ask("edge-1", "GET", f"/vacancies/s{n}"))[0] for n in range(10)]
         assert set(statuses) == {200}
-        lost = awake[0].placement.machine
+        lost = active[0].placement.machine
         elapsed = await wait_until_true(
             day,
             lambda: len([n for n in standby_machines(day) if n.startswith("shield") and n != lost]) <= 2,
@@ -70,7 +70,8 @@
         for number in range(400):
             requests.append(asyncio.create_task(day.actors.ask("edge-1", "GET", f"/shortlists/{number}")))
             await asyncio.sleep(0.025)
-        # 40 a second at 20 for each machine: with any one lost, three are needed, so four are awake.
+        # The load is about 40 requests per second at 20 for each machine: three machines are needed after the
+        # loss of any one, so four are active.
         assert len([n for n in standby_machines(day) if n.startswith("shield")]) <= 1
         await asyncio.gather(*requests)
 
@@ -90,7 +91,10 @@
 
 
 def test_no_machine_goes_on_standby_right_after_a_voter_died():
-    """Found in quiet days: SWIM's list holds a dead voter for seconds, and a rest was judged by the list."""
+    """Guards against a fault that quiet simulated days showed.
+
+    Standby was decided by the member list, in which SWIM keeps a dead voter for some seconds.
+    """
 
     async def scenario(day):
         staffing = {
@@ -120,14 +124,14 @@
         await wait_until_true(
             day, lambda: len([n for n in standby_machines(day) if n.startswith("shield")]) == 3, 90
         )
-        awake = [
+        active = [
             n for n in day.cluster.with_role("shield") if n.placement.machine not in standby_machines(day)
         ]
-        awake[0].kill(reset=False)
+        active[0].kill(reset=False)
         elapsed = await wait_until_true(
             day, lambda: len([n for n in standby_machines(day) if n.startswith("shield")]) < 3, 10
         )
-        # Confirm comes only some 7 seconds after the death.
+        # SWIM confirms the death only about 7 seconds later.
         assert elapsed < 2.5
 
     cluster.play(scenario)
@@ -135,7 +139,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_standby_planning_never_leaves_a_single_loss_uncovered(seed):
-    """Against an oracle that tries every loss, over random fleets and loads."""
+    """Checks plans for random fleets and loads against an oracle that tries each machine or site loss."""
     randomness = random.Random(seed)
     for _ in range(400):
         machines = [
@@ -147,13 +151,13 @@
         standby_now = {m.name for m in machines if randomness.random() < 0.5}
         load = randomness.uniform(0, 40)
         may_rest = randomness.random() < 0.9
-        rest, reasons = standby_planning.plan(machines, standby_now, load, may_rest=may_rest)
+        planned_standby, reasons = standby_planning.plan(machines, standby_now, load, may_rest=may_rest)
         assert set(reasons) == {m.name for m in machines}
-        assert not any(m.name in rest and m.pinned for m in machines)
-        assert len(rest - standby_now) <= 1
-        if rest:
+        assert not any(m.name in planned_standby and m.pinned for m in machines)
+        assert len(planned_standby - standby_now) <= 1
+        if planned_standby:
             assert may_rest
-            awake = [m for m in machines if m.name not in rest]
-            losses = [[m for m in awake if m is not lost] for lost in awake]
-            losses += [[m for m in awake if m.site != site] for site in {m.site for m in awake}]
+            active = [m for m in machines if m.name not in planned_standby]
+            losses = [[m for m in active if m is not lost] for lost in active]
+            losses += [[m for m in active if m.site != site] for site in {m.site for m in active}]
             assert all(left and sum(m.capacity for m in left) >= load for left in losses)
--- a/tests/controlplane/test_change_rows.py
+++ b/tests/controlplane/test_change_rows.py
@@ -1,4 +1,4 @@
-"""Rows of a change that cannot be looked up: refused where they come in, and where they are planned."""
+"""Rows of a change whose kind or name is not a string: refused in request bodies and in planning."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("field", ["kind", "name"])
 def test_a_row_whose_kind_or_name_is_no_word_ends_no_node(field):
-    """Guards against a control plane node that ended as it planned a change that cannot be looked up."""
+    """Guards against a control plane node that crashed when it looked up a row by an unhashable name."""
 
     async def scenario(day):
         for invalid in INVALID_NAMES:
--- a/tests/controlplane/test_idempotent_changes.py
+++ b/tests/controlplane/test_idempotent_changes.py
@@ -1,4 +1,4 @@
-"""One number, one content: a repeat is confirmed for ever, other content under a taken number never."""
+"""A version of an item has one content: repeats are always confirmed, different content never."""
 
 import json
 
@@ -31,10 +31,10 @@
 FIRST = put(ROUTE, upstreams=[UPSTREAM])
 
 
-def amend(table, call):
-    """Play one call on a table, as a ballot would; the rows that it writes."""
+def amend(table, request):
+    """Apply one amendment to a table, as a decided batch would, and return the keys of the rows it wrote."""
     overlay = table_overlay.Overlay(table, table.applied.successor("n"))
-    entries = amendment.parse_amendment(json.dumps(call).encode())
+    entries = amendment.parse_amendment(json.dumps(request).encode())
     payload = [entry.to_wire() for entry in entries]
     order_planning.plan(overlay, orders.Order("amend", "", payload))
     written = list(overlay.rows)
@@ -49,10 +49,10 @@
     return table
 
 
-def assert_version_taken(table, call):
+def assert_version_taken(table, request):
     before = table.root_digest()
     with pytest.raises(errors.IrisError) as raised:
-        amend(table, call)
+        amend(table, request)
     assert raised.value.status == 409
     assert raised.value.code == "version-taken"
     assert raised.value.remedy
@@ -95,8 +95,8 @@
     amend(table, second)
     amend(table, put(route(9, timeout=2)))
     amend(table, {"drop": {"routes": [{"name": "r1", "version": 12}]}})
-    for call in (FIRST, second, put(route(9, timeout=2))):
-        assert amend(table, call) == []
+    for request in (FIRST, second, put(route(9, timeout=2))):
+        assert amend(table, request) == []
     assert_version_taken(table, put(route(5, timeout=7)))
     assert_version_taken(table, put(route(3, timeout=7)))
     assert_version_taken(table, put(route(9, timeout=1)))
@@ -104,22 +104,22 @@
 
 def test_a_repeat_is_confirmed_though_its_service_was_dropped_and_its_prefix_taken():
     table = new_table()
-    call = put(route(5), route(5, name="r2", prefix="/b/"))
-    amend(table, call)
+    request = put(route(5), route(5, name="r2", prefix="/b/"))
+    amend(table, request)
     dropped = [{"name": "r1", "version": 9}, {"name": "r2", "version": 9}]
     amend(table, {"drop": {"routes": dropped, "upstreams": [{"name": "s1", "version": 9}]}})
     replacement = route(9, name="r3", service="s2")
     amend(table, put(replacement, upstreams=[{"name": "s2", "version": 9}]))
-    assert amend(table, call) == []
+    assert amend(table, request) == []
     assert amend(table, FIRST) == []
 
 
 def test_a_repeat_with_one_overtaken_item_is_confirmed_and_writes_nothing():
     table = new_table()
-    call = put(route(5, timeout=1), route(5, name="r2", prefix="/b/"))
-    amend(table, call)
+    request = put(route(5, timeout=1), route(5, name="r2", prefix="/b/"))
+    amend(table, request)
     amend(table, put(route(6, timeout=2)))
-    assert amend(table, call) == []
+    assert amend(table, request) == []
     assert [found["version"] for found in amendment.as_amendment(table)["routes"]] == [6, 5]
 
 
--- a/tests/controlplane/test_idempotent_changes_racing.py
+++ b/tests/controlplane/test_idempotent_changes_racing.py
@@ -1,4 +1,4 @@
-"""Repeats, lost answers and rivals under one number, at several control nodes in virtual time."""
+"""Repeated amendments, lost replies and competing contents of one version, at several control plane nodes."""
 
 import asyncio
 
@@ -21,13 +21,13 @@
 
 
 async def amend(day, name, payload):
-    """As the operators' page hands it on, without a change id."""
+    """Submit an amendment as the operators' HTTP interface does, without a change id."""
     node = day.cluster.nodes[name]
     return await node.do(node.program.submitter.submit_for_operator(orders.Order("amend", "", payload)), 8.0)
 
 
 async def send_until_answered(day, payload, names):
-    """Repeated unchanged, from node to node, until there is a clear answer: True if it was confirmed."""
+    """Repeat an amendment at node after node until it is confirmed (True) or its version taken (False)."""
     for attempt in range(20):
         name = names[attempt % len(names)]
         try:
@@ -39,7 +39,7 @@
         except (errors.IrisError, TimeoutError, asyncio.CancelledError, ConnectionError):
             pass
         await asyncio.sleep(0.3)
-    raise AssertionError("no clear answer")
+    raise AssertionError("the amendment was neither confirmed nor refused in 20 attempts")
 
 
 def rotated_nodes(number):
@@ -54,7 +54,7 @@
 def test_of_competing_contents_under_one_version_one_is_confirmed_with_all_its_repeats():
     async def scenario(day):
         for version in range(1, 9):
-            # Eight under way: four contents, each by two operators.
+            # Eight concurrent amendments: four contents of one version, each sent by two operators.
             sent = [(rate, rotated_nodes(rate + 2 * sender)) for rate in range(1, 5) for sender in (0, 1)]
             asked = [send_until_answered(day, upstream(version, rate), names) for rate, names in sent]
             answers = await asyncio.gather(*asked)
@@ -88,7 +88,7 @@
             )
             await asyncio.sleep(1)
             assert rates(day) == {1 if answers[0] else 2}
-            # The one that was confirmed is confirmed again at every node, and the other at none.
+            # Every node confirms a repeat of the confirmed content and refuses the other content.
             for name in CONTROL_NODES:
                 assert await send_until_answered(day, upstream(version, 1), [name]) is answers[0]
 
@@ -142,10 +142,10 @@
 
         async def propose(self, voters, ballot, batch):
             if self is proposer and not lost:
-                # The one that came first is given up on, before any voter has heard of its batch.
+                # The batch with the first order is lost before any voter receives it; the sender gives up.
                 lost.append(batch)
                 futures[0].cancel()
-                raise proposers.BallotLostError("cut off")
+                raise proposers.BallotLostError("the batch reached no voter")
             await real_propose(self, voters, ballot, batch)
 
         monkeypatch.setattr(proposers.Proposer, "propose", propose)
@@ -171,10 +171,10 @@
         with pytest.raises(errors.UnknownNameError) as raised:
             await check.check_site("newest")
         assert raised.value.status == 404
-        # One voter that has heard of it is enough: this node's own list may lack the newest.
+        # One voter that knows the site is enough: this node's member list may lack the newest members.
         other.context.settings = other.context.settings._replace(region_by_site="newest=one")
         await check.check_site("newest")
-        # Without a majority's answer nobody can say that there is none.
+        # Without replies from a majority of the voters no node can know that the site does not exist.
         for number in (2, 3, 4, 5):
             cluster.context(day, f"agency-{number}").transport.handlers.pop("sites")
         with pytest.raises(control_errors.SiteUnknownError) as raised:
@@ -220,7 +220,7 @@
         day.cluster.partition_off(["agency-5"])
         await day.actors.order("agency-1", "evacuate", "north")
         monkeypatch.setattr(evacuation_check.EvacuationCheck, "check_capacity", refuse_capacity)
-        # Cut off, it cannot know; back in touch, it learns before it speaks.
+        # The partitioned node cannot confirm its ledger; after the partition it does so before it refuses.
         with pytest.raises(errors.NoQuorumError):
             await node.do(check.check_unless_evacuated("north", insist=False), 8.0)
         assert not check.view.is_evacuated("north")
--- a/tests/controlplane/test_leases_under_partition.py
+++ b/tests/controlplane/test_leases_under_partition.py
@@ -1,4 +1,4 @@
-"""Leases of a control machine that was frozen or cut off: what it may write, and when a lease begins."""
+"""Leases of a frozen or partitioned control plane node: which writes are refused, when a lease begins."""
 
 import asyncio
 import types
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("clock", ["goes on", "stands still"])
 def test_a_resumed_holder_writes_nothing_under_a_lease_that_another_node_has_taken(clock):
-    """A stopped process's monotonic clock goes on; that of a suspended machine stands still."""
+    """The monotonic clock continues for a stopped process and stands still on a suspended machine."""
 
     async def scenario(day):
         ((node, task),) = holder_of(day)
@@ -32,7 +32,7 @@
         if clock == "stands still":
             task.lease_ends_at += 8
         node.thaw()
-        # It knows the tables again, and believes in its lease as it did before.
+        # The resumed node has current tables again, and still treats its old lease as valid.
         await day.cluster.wait_until_ready()
         task.fencing_token = fencing_token
         with pytest.raises(errors.StaleVersionError):
@@ -45,7 +45,7 @@
 
 
 def test_a_lease_taken_by_an_order_whose_answer_was_lost_counts_from_that_order():
-    """Others count from the moment at which they see the lease, which may be long before its holder asks."""
+    """Other nodes count a lease from when they see it, maybe long before its holder repeats the order."""
 
     async def scenario(day):
         node = day.cluster.nodes["agency-3"]
@@ -54,12 +54,12 @@
         task.holder = "agency-3~life"
         vacant = str(node.program.context.ledger.version("term/trial"))
 
-        async def lose_answer(order):
+        async def lose_reply(order):
             await real.submit(order)
             await asyncio.sleep(1.5)
-            raise errors.ChangeOutcomeUnknownError("the answer was lost")
+            raise errors.ChangeOutcomeUnknownError("the reply was lost")
 
-        task.submitter = types.SimpleNamespace(submit=lose_answer)
+        task.submitter = types.SimpleNamespace(submit=lose_reply)
         asked_at = day.now()
         with pytest.raises(errors.ChangeOutcomeUnknownError):
             await node.do(task.acquire(vacant), 8)
--- a/tests/controlplane/test_operations.py
+++ b/tests/controlplane/test_operations.py
@@ -1,4 +1,4 @@
-"""Operators' ways: which change took effect and where, voters by hand, formats of files, regions."""
+"""Operators' work: the status of changes, replacing and retiring voters, file formats, and regions."""
 
 import asyncio
 import collections
@@ -34,7 +34,7 @@
         assert second["rows"] == [{"row": "site/north", "in_force": True}]
         assert second["nodes"]["edge-1"] == "in force"
         assert second["nodes"]["agency-4"] == "in force"
-        # Cut off before the third: nobody hears it, and it would not answer by what it has.
+        # edge-2 was partitioned off before the third change, so it does not reply.
         assert third["nodes"]["edge-2"] == "silent"
         assert (await node.do(status.show("swept"), 3))["rows"][0]["row"] == "purge/path//vacancies/1"
         with pytest.raises(errors.UnknownNameError):
@@ -86,7 +86,7 @@
                 assert voter_names(day, table) == names
         with pytest.raises(errors.UnknownNameError):
             await node.do(admin.replace("agency-2", "agency-99"), 8)
-        # The replaced machine may go now, and one more loss is borne.
+        # The replaced voter can be shut down now, and the voters survive one more loss.
         day.cluster.nodes["agency-1"].kill()
         day.cluster.nodes["agency-7"].kill()
         await asyncio.sleep(1)
@@ -98,7 +98,8 @@
 def test_a_voter_is_retired_only_if_the_rest_survive_the_loss_of_any_site():
     async def scenario(day):
         node, admin = administration(day)
-        # Two of five are at north: without one at another site, its loss would leave two of four.
+        # Two of five voters are at site north: if a voter of another site retired, the loss of site north
+        # would leave two of four.
         with pytest.raises((errors.InsufficientCapacityError, errors.InvalidChangeError)) as caught:
             await node.do(admin.retire("agency-2"), 8)
         assert caught.value.figures["voters"] == 4
@@ -110,7 +111,7 @@
                 assert voter_names(day, table) == {f"agency-{number}" for number in (2, 3, 4, 5)}
         await node.do(admin.retire("agency-2"), 8)
         await asyncio.sleep(1)
-        # The last three stay.
+        # The last three voters cannot be retired.
         with pytest.raises((errors.InsufficientCapacityError, errors.InvalidChangeError)):
             await node.do(admin.retire("agency-3"), 8)
         with pytest.raises(errors.UnknownNameError):
@@ -129,7 +130,7 @@
         with pytest.raises(errors.InsufficientCapacityError) as caught:
             await node.do(admin.retire("agency-4"), 8)
         assert caught.value.figures["up"] == ["agency-1", "agency-5"]
-        # A dead one's place may be taken: that makes things better.
+        # A dead voter may be replaced, as that increases the number of voters that are up.
         await node.do(admin.replace("agency-2", "agency-7"), 8)
         assert "agency-7" in voter_names(day)
 
@@ -230,7 +231,8 @@
                 if role_node.view.quota_share("application", grant.limit)[0]:
                     pool = role_node.origins.choose(grant, ())
                     counts[sites[pool.origin.site] == role_node.context.settings.region] += 1
-        # Two draws, each three to one for the near: rather more than three quarters where both exist.
+        # Two origins are drawn, and each draw prefers the own region three to one, so rather more than three
+        # quarters of the requests stay in the own region if both regions have origins.
         assert counts[True] > 2.5 * counts[False], counts
 
     shape = cluster.SHAPE._replace(application_origins=4)
--- a/tests/controlplane/test_origin_discovery.py
+++ b/tests/controlplane/test_origin_discovery.py
@@ -1,4 +1,4 @@
-"""The platform lags, shrinks, falls silent or answers out of order: what is recorded of it."""
+"""What the ledger records if the platform lags, lists too few origins, is silent or answers out of order."""
 
 import asyncio
 import json
@@ -36,7 +36,7 @@
         await asyncio.sleep(4)
         assert f"origin/{omitted.instance}" not in listed_origins(day)
         assert platform_record(day)["state"] == "lagging"
-        # Nor for the next holder, which has heard nothing of the newer one itself.
+        # The next lease holder ignores the old answer too, although it did not receive the newer one itself.
         for node in day.cluster.with_role("agency"):
             if any(
                 task.name == "platform-watch" and task.holds_lease() for task in node.program.singleton_tasks
@@ -60,7 +60,7 @@
         assert "30 s old" in platform_record(day)["why"]
 
         async def refuse_connection():
-            raise ConnectionRefusedError("nobody there")
+            raise ConnectionRefusedError("the platform is down")
 
         day.actors.ask_platform = refuse_connection
         before = listed_origins(day)
@@ -88,7 +88,7 @@
         assert platform_record(day)["state"] == "shrunk"
         assert "content" in platform_record(day)["why"]
         assert {f"origin/{name}" for name in content} <= listed_origins(day)
-        # What it says of the rest is in force meanwhile.
+        # The rest of the answer is in force while the shrunk service keeps its origins.
         ledger = cluster.context(day, "edge-1").ledger
         assert ledger.value(f"origin/{other.instance}")["state"] == "leaving"
         await asyncio.sleep(6)
--- a/tests/controlplane/test_origin_list.py
+++ b/tests/controlplane/test_origin_list.py
@@ -1,4 +1,4 @@
-"""The list of origins: followed within its limit, through leaving, cold, replaced and malformed origins."""
+"""The platform's list of origins: changes apply in time; leaving, cold, replaced and malformed origins."""
 
 import asyncio
 import json
@@ -45,8 +45,8 @@
     async def scenario(day):
         statuses = []
         for number, old in enumerate(list(day.actors.origins)):
-            fresh = day.actors.add_origin(old.service, f"{old.service}-new-{number}", old.site, "one")
-            fresh.state, fresh.warmup = "cold", 2.0
+            new_origin = day.actors.add_origin(old.service, f"{old.service}-new-{number}", old.site, "one")
+            new_origin.state, new_origin.warmup = "cold", 2.0
             statuses += await reads(day, 60, f"a{number}")
             old.state = "leaving"
             statuses += await reads(day, 150, f"b{number}")
@@ -61,17 +61,18 @@
 
 def test_a_cold_origin_ramps_over_its_warm_up():
     async def scenario(day):
-        fresh = day.actors.add_origin("content", "content-fresh", "east", "two")
-        fresh.state, fresh.warmup = "cold", 20.0
+        new_origin = day.actors.add_origin("content", "content-fresh", "east", "two")
+        new_origin.state, new_origin.warmup = "cold", 20.0
         await day.cluster.wait_until(lambda: "origin/content-fresh" in listed_origins(day), 5)
         counts = []
         started_at = day.watcher.now()
         for round_number in range(8):
-            before = len(fresh.started)
+            before = len(new_origin.started)
             await reads(day, 150, f"p{round_number}")
-            counts.append(len(fresh.started) - before)
-        # Five to seven seconds a part: hardly anything at first. In the end, as one of three that
-        # shields of its region prefer three to one, about 140 of 300; 131 to 148 over seeds.
+            counts.append(len(new_origin.started) - before)
+        # Each round takes five to seven seconds. In the first, the cold origin gets hardly any requests. In
+        # the last two it is one of three origins, and the shields of its region prefer it three to one: it
+        # gets about 140 of 300 requests; 131 to 148 over several seeds.
         assert 30 < day.watcher.now() - started_at < 60
         assert counts[0] < 20, counts
         assert counts[0] < counts[1] < counts[-1], counts
@@ -130,7 +131,7 @@
                 if node.actor.frozen:
                     node.thaw()
         assert len(asked) > 15
-        # One question a second at the most, though three holders were paused and woken in between.
+        # The platform gets at most one request per second, though three lease holders were paused meanwhile.
         assert max(sum(one <= other < one + 3 for other in asked) for one in asked) <= 4
 
     cluster.play(scenario)
@@ -153,7 +154,7 @@
         )
         node.thaw()
         assert not tasks[holder].holds_lease()
-        # Until its tables are current again it would be refused for want of a majority.
+        # Before its tables are current again, the write would be refused for lack of a majority instead.
         await day.cluster.wait_until_ready()
         row = ("slots/00", {"owners": ["nonsense"] * 16})
         with pytest.raises(errors.StaleVersionError):
@@ -164,7 +165,7 @@
 
 
 def test_rows_of_an_unknown_kind_are_kept_and_replicated():
-    """As in a rolling upgrade: a newer node's kind of row goes through older nodes unharmed."""
+    """In a rolling upgrade, old nodes store and replicate kinds of rows that they do not know."""
 
     async def scenario(day):
         newer = day.cluster.nodes["agency-1"].program
--- a/tests/controlplane/test_placement.py
+++ b/tests/controlplane/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement, shares, staffing, evacuation: how the fleet is kept in order."""
+"""Placement of slots and quota shares on shield machines, and evacuation of sites."""
 
 import asyncio
 import collections
@@ -24,7 +24,7 @@
 
 
 async def pin_all(day):
-    """Every shield machine awake, so that only the matter in hand moves anything."""
+    """Keep every shield machine active, so that slots and shares move only because of the tested event."""
     rows = [
         {"kind": "machine", "name": node.placement.machine, "value": {"awake": True}}
         for node in day.cluster.with_role("shield")
@@ -41,12 +41,12 @@
         await pin_all(day)
         before = owners(day)
         lost = "shield-machine-2"
-        share = before.count(lost)
-        assert 25 < share < 80
+        lost_slots = before.count(lost)
+        assert 25 < lost_slots < 80
         day.cluster.nodes["shield-2"].kill()
         await wait_until_true(day, lambda: lost not in owners(day))
         after = owners(day)
-        # The least possible: exactly the slots of the machine that went.
+        # Exactly the slots of the lost machine have moved, the fewest possible.
         assert [a != b for a, b in zip(before, after, strict=True)] == [owner == lost for owner in before]
         await day.cluster.nodes["shield-2"].start()
         steps, last = [], after
@@ -56,7 +56,7 @@
             steps.append(sum(a != b for a, b in zip(last, now, strict=True)))
             last = now
         assert max(steps) <= 8
-        assert sum(steps) == share
+        assert sum(steps) == lost_slots
         assert last == before
 
     cluster.play(scenario)
@@ -98,7 +98,7 @@
         rule = "the shares of a ceiling add up to no more than it"
         assert day.checker.checked[rule] > 1000, day.checker.examples
         assert not day.checker.broken[rule], day.checker.examples
-        # And nothing of the ceiling is left lying: the living hold all of it in the end.
+        # No part of the limits remains unassigned: in the end the machines that are up hold all of it.
         shares = fleet_view.FleetView(cluster.context(day, "agency-2")).shares()
         assert sum(row["content"][0] for row in shares.values()) == 60
         assert sum(row["content"][1] for row in shares.values()) == 30
@@ -115,7 +115,7 @@
         under_way = asyncio.create_task(day.actors.ask("edge-1", "GET", "/shortlists/9"))
         await asyncio.sleep(0.3)
         await day.actors.order("agency-3", "evacuate", site)
-        # Work under way is finished.
+        # The request that was in flight before the evacuation completes.
         assert (await under_way)[0] == 200
         for origin in day.actors.origins:
             origin.delay = 0.003
@@ -149,15 +149,18 @@
         await asyncio.sleep(5)
         await day.actors.order("agency-3", "return", "north")
         await asyncio.sleep(0.6)
-        back = next(o for o in day.actors.origins if o.site == "north" and o.service == "application")
+        returned_origin = next(
+            o for o in day.actors.origins if o.site == "north" and o.service == "application"
+        )
         counts = []
         for part in range(3):
-            before = len(back.started)
+            before = len(returned_origin.started)
             for number in range(200):
                 await day.actors.ask("edge-2", "GET", f"/shortlists/{part}-{number}")
                 await asyncio.sleep(0.02)
-            counts.append(len(back.started) - before)
-        # Four to five seconds a part: little at first, its half of 200 once the ten seconds are over.
+            counts.append(len(returned_origin.started) - before)
+        # Each round takes four to five seconds: the origin gets few requests at first, and its half of 200
+        # once the ten seconds of slow start are over.
         assert counts[0] < 60, counts
         assert counts[0] < counts[1] < 110, counts
         assert counts[2] > 75, counts
--- a/tests/controlplane/test_rate_quota.py
+++ b/tests/controlplane/test_rate_quota.py
@@ -1,4 +1,4 @@
-"""Who owns which part of the services' rates: no part has two owners within a window, whoever writes."""
+"""Quota shares of services' rate limits: no share has two owners within a window, whichever node plans."""
 
 import asyncio
 import random
@@ -11,12 +11,12 @@
 from irisstand.simulator import virtual_time
 from irisstand.state import items
 
-# For so long after its last row an owner may still start requests that one window of five seconds counts.
+# For so long after its last row an owner may start requests that fall into the same window of five seconds.
 OVERLAP_SECONDS = rate_quota.USABLE_SECONDS + 5.0
 
 
 class FakeTask:
-    """A duty under a lease, whose rows are decided after `delay` seconds."""
+    """A singleton task that always holds its lease, and whose rows are decided after `delay` seconds."""
 
     def __init__(self, fixture, delay=0.0):
         self.fixture, self.delay = fixture, delay
@@ -32,7 +32,7 @@
 
 
 class PlacementScenario(direct_edge.Scene):
-    """The ledger, and one holder of the duty after the other."""
+    """A ledger, and one lease holder of the rate placement task after the other."""
 
     def __init__(self):
         super().__init__()
@@ -66,17 +66,17 @@
     return virtual_time.run(run())
 
 
-def most_counted(history):
-    """The largest sum of what owners held in any `STILL_COUNTS` seconds, each with its most."""
+def largest_overlapping_units(history):
+    """Return the largest sum, in any `OVERLAP_SECONDS`, of the most units that each owner had in them."""
     largest = 0
-    for index, (moment, _) in enumerate(history):
-        held = {}
+    for index, (time, _) in enumerate(history):
+        most_held = {}
         for number, (_, units) in enumerate(history[: index + 1]):
-            ended = history[number + 1][0] if number + 1 < len(history) else moment
-            if ended > moment - OVERLAP_SECONDS or number == index:
+            ended = history[number + 1][0] if number + 1 < len(history) else time
+            if ended > time - OVERLAP_SECONDS or number == index:
                 for name, share in units.items():
-                    held[name] = max(held.get(name, 0), share)
-        largest = max(largest, sum(held.values()))
+                    most_held[name] = max(most_held.get(name, 0), share)
+        largest = max(largest, sum(most_held.values()))
     return largest
 
 
@@ -131,7 +131,7 @@
     history = play(scenario)
     assert len(history) > 3
     assert all(sum(units.values()) <= rate_quota.TOTAL_UNITS for _, units in history)
-    assert most_counted(history) <= rate_quota.TOTAL_UNITS
+    assert largest_overlapping_units(history) <= rate_quota.TOTAL_UNITS
 
 
 def test_nothing_is_given_out_while_the_member_list_is_still_filling():
--- a/tests/controlplane/test_retention.py
+++ b/tests/controlplane/test_retention.py
@@ -1,4 +1,4 @@
-"""What the tables keep and forget: level over hours, and nothing forgotten that could still be needed."""
+"""Retention of the tables: their size stays level over hours, and no row is removed that is still needed."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 
 
 class Table:
-    """One table decided step by step, as a proposer would, with nobody else about."""
+    """One table whose orders are planned and applied one by one, without other nodes."""
 
     def __init__(self, name):
         self.replica = replica.Replica(name)
@@ -51,7 +51,7 @@
         ledger.order("return", f"site-{step}")
         ledger.advance_time(15, PURGE, retention.CHANGE_RECORD_RULE._replace(surplus_threshold=500))
         sizes.append(len(ledger.replica.items))
-    # Four hours: as many rows after the fourth as after the first, and hardly more than must be kept.
+    # In the last of four hours there are no more rows than in the first, and few more than must be kept.
     assert max(sizes[-240:]) <= max(sizes[:240]) < 1100, (max(sizes[:240]), max(sizes[-240:]))
     assert number == 7680
     assert len(json.dumps(ledger.replica.value(items.TABLE_TIME_KEY))) < 4000
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_no_object_that_an_expired_purge_covered_is_ever_taken_for_valid(seed):
-    """Against an oracle that forgets nothing, for objects fetched at any time before or since."""
+    """Compares with an oracle that keeps all purges, for objects that were fetched before or after them."""
     randomness = random.Random(seed)
     ledger = Table(items.LEDGER)
     newest, fetched, refused = {}, [], 0
@@ -108,7 +108,8 @@
         assert cluster.context(day, "agency-2").ledger.value(f"purge/path/{path}") is None
         day.cluster.network.heal()
         await day.cluster.wait_until(lambda: edge.is_current(edge.ledger), 20)
-        # Never heard of by this edge, and forgotten by all: its cached copy must go all the same.
+        # This edge never received the purge, and all tables have removed it; the edge's cached object must
+        # still be treated as purged.
         assert edge.ledger.value(f"purge/path/{path}") is None
         status, _, result = await day.actors.ask("edge-1", "GET", path)
         assert status == 200
@@ -164,9 +165,9 @@
             claims.advance_time(15, rule)
     with pytest.raises(errors.TableFullError) as caught:
         claims.order("claim", ("another", "a", "print"))
-    # The oldest was claimed 150 seconds ago.
+    # The oldest key was claimed about 150 seconds ago and is kept for 600.
     assert 430 <= caught.value.retry_after <= 470
-    # Known keys are still answered for, by whoever asks again.
+    # A stored key is still recognized when another attempt claims it.
     with pytest.raises(errors.KeyClaimedError):
         claims.order("claim", ("k0", "b", "print"))
     for _ in range(29):
@@ -203,7 +204,7 @@
             .replicas[items.IDEMPOTENCY_KEYS]
             .value(items.TABLE_TIME_KEY)["seconds"]
         )
-        # Hours in the dark are not counted: nobody could have asked again meanwhile.
+        # Table time does not count the time while all nodes were down: no client could have retried then.
         assert before < after < before + 45
         status, _, result = await day.actors.ask("edge-2", *ask, idempotency_key="once")
         assert status == 200
--- a/tests/mutation/controlplane_mutations.py
+++ b/tests/mutation/controlplane_mutations.py
@@ -1,4 +1,4 @@
-"""Guarding lines of what orders write and operators read, in the form of guarded.py."""
+"""Mutations of the planning of orders, the singleton tasks and the operators' interface, in the form that run_mutations.py reads."""
 # ruff: noqa: E501
 
 GUARDS = [
