--- a/src/irisstand/controlplane/singletons/fleet_view.py
+++ b/src/irisstand/controlplane/singletons/fleet_view.py
@@ -57,7 +57,7 @@
         return self.context.configuration.value(f"{kind}/{name}") or {}
 
     def shield_weights(self) -> dict[str, float]:
-        """Return the positive weights of the shield machines that are active and not evacuated, by machine."""
+        """Return by machine the positive weights of shield machines that are active and not evacuated."""
         weights = {}
         for update in self.context.members_of(SHIELD_ROLE):
             machine = update.node_info.machine
