--- a/src/irisstand/controlplane/api/operators.py
+++ b/src/irisstand/controlplane/api/operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface: what they read, and what they order."""
+"""The operators' HTTP interface: the routes for reads and the routes for orders."""
 
 from irisstand import node_context, web
 from irisstand.controlplane.api import operator_orders, operator_reads
@@ -6,7 +6,7 @@
 
 
 class Operators:
-    """Adds the operators' routes to a server."""
+    """Adds the operators' HTTP routes for reads and orders to a server."""
 
     def __init__(
         self,
@@ -15,6 +15,6 @@
         read_index: heartbeat.ReadIndex,
         server: web.HttpServer,
     ) -> None:
-        members = voter_administration.VoterAdministration(context, order_submitter)
-        self.reads = operator_reads.OperatorReads(context, members, read_index, server)
-        self.orders = operator_orders.OperatorOrders(context, order_submitter, members, server)
+        voter_admin = voter_administration.VoterAdministration(context, order_submitter)
+        self.reads = operator_reads.OperatorReads(context, voter_admin, read_index, server)
+        self.orders = operator_orders.OperatorOrders(context, order_submitter, voter_admin, server)
--- a/tests/controlplane/test_capacity_scaling.py
+++ b/tests/controlplane/test_capacity_scaling.py
@@ -1,4 +1,4 @@
-"""Rest and waking: never so that one more loss could not be carried."""
+"""Standby and activation of machines: the active machines always carry the load after one more loss."""
 
 import asyncio
 import random
@@ -9,80 +9,94 @@
 from irisstand.balancing import standby_planning
 
 
-def resting(day, name="agency-2"):
+def standby_machines(day, name="agency-2"):
     return {
         item.key.removeprefix("rest/")
         for item in cluster.context(day, name).ledger.items_with_prefix("rest/")
     }
 
 
-async def settle(day, condition, patience=60):
-    return await day.cluster.wait_until(condition, patience)
+async def wait_until_true(day, condition, timeout_seconds=60):
+    return await day.cluster.wait_until(condition, timeout_seconds)
 
 
 def test_machines_go_on_standby_at_low_load_while_any_single_loss_is_still_carried():
-    async def scene(day):
-        await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) == 3, 90)
-        awake = [n for n in day.cluster.with_role("shield") if n.placement.machine not in resting(day)]
-        # Two machines at two sites: either may go.
-        assert len({node.placement.site for node in awake}) == 2
-        # A resting machine stays a member and its control plane node a voter.
+    async def scenario(day):
+        await wait_until_true(
+            day, lambda: len([n for n in standby_machines(day) if n.startswith("shield")]) == 3, 90
+        )
+        active = [
+            n for n in day.cluster.with_role("shield") if n.placement.machine not in standby_machines(day)
+        ]
+        # The two active machines are at different sites, so the loss of either site leaves one.
+        assert len({node.placement.site for node in active}) == 2
+        # The nodes of a machine on standby remain members, and its control plane node remains a voter.
         assert len(cluster.members(day, "edge-1")) == len(day.cluster.nodes) - 1
         assert all(node.program.participant.is_voter("ledger") for node in day.cluster.with_role("agency"))
         for number in range(10):
             assert (await day.actors.ask("edge-1", "GET", f"/vacancies/r{number}"))[0] == 200
-        # One of the two is lost: somebody is woken, and reads go on meanwhile.
-        awake[0].kill()
+        # After the loss of one of the two another machine is activated, and all reads in between succeed.
+        active[0].kill()
         statuses = [(await day.actors.ask("edge-1", "GET", f"/vacancies/s{n}"))[0] for n in range(10)]
         assert set(statuses) == {200}
-        lost = awake[0].placement.machine
-        took = await settle(
-            day, lambda: len([n for n in resting(day) if n.startswith("shield") and n != lost]) <= 2, 30
+        lost = active[0].placement.machine
+        elapsed = await wait_until_true(
+            day,
+            lambda: len([n for n in standby_machines(day) if n.startswith("shield") and n != lost]) <= 2,
+            30,
         )
-        assert took < 10
+        assert elapsed < 10
         saved = cluster.context(day, "agency-2").ledger
-        await settle(day, lambda: any(True for _ in saved.items_with_prefix("saved/shield")), 90)
+        await wait_until_true(day, lambda: any(True for _ in saved.items_with_prefix("saved/shield")), 90)
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_load_wakes_machines_and_a_pinned_machine_never_goes_on_standby():
-    async def scene(day):
+    async def scenario(day):
         pinned = {"kind": "machine", "name": "shield-machine-5", "value": {"awake": True}}
         limits = [
             {"kind": "shield", "name": node.placement.machine, "value": {"limit": 20}}
             for node in day.cluster.with_role("shield")
         ]
         await day.actors.order("agency-1", "change", [pinned, *limits])
-        await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) == 3, 90)
-        assert "shield-machine-5" not in resting(day)
+        await wait_until_true(
+            day, lambda: len([n for n in standby_machines(day) if n.startswith("shield")]) == 3, 90
+        )
+        assert "shield-machine-5" not in standby_machines(day)
         why = cluster.context(day, "agency-2").ledger.value("staffing")["why"]
         assert why["shield-machine-5"] == "awake: pinned by operators"
-        jobs = []
+        requests = []
         for number in range(400):
-            jobs.append(asyncio.create_task(day.actors.ask("edge-1", "GET", f"/shortlists/{number}")))
+            requests.append(asyncio.create_task(day.actors.ask("edge-1", "GET", f"/shortlists/{number}")))
             await asyncio.sleep(0.025)
-        # 40 a second at 20 for each machine: with any one lost, three are needed, so four are awake.
-        assert len([n for n in resting(day) if n.startswith("shield")]) <= 1
-        await asyncio.gather(*jobs)
+        # The load is about 40 requests per second at 20 for each machine: three machines are needed after the
+        # loss of any one, so four are active.
+        assert len([n for n in standby_machines(day) if n.startswith("shield")]) <= 1
+        await asyncio.gather(*requests)
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_no_machine_goes_on_standby_while_the_voters_could_not_survive_another_loss():
-    async def scene(day):
-        await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) == 3, 90)
+    async def scenario(day):
+        await wait_until_true(
+            day, lambda: len([n for n in standby_machines(day) if n.startswith("shield")]) == 3, 90
+        )
         day.cluster.nodes["agency-3"].kill()
         day.cluster.nodes["agency-4"].kill()
-        await settle(day, lambda: not resting(day), 40)
+        await wait_until_true(day, lambda: not standby_machines(day), 40)
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_no_machine_goes_on_standby_right_after_a_voter_died():
-    """Found in quiet days: SWIM's list holds a dead voter for seconds, and a rest was judged by the list."""
+    """Guards against a fault that quiet simulated days showed.
 
-    async def scene(day):
+    Standby was decided by the member list, in which SWIM keeps a dead voter for some seconds.
+    """
+
+    async def scenario(day):
         staffing = {
             node.placement.name: task
             for node in day.cluster.with_role("agency")
@@ -91,35 +105,41 @@
         }
         holder = next(name for name, task in staffing.items() if task.holds_lease())
         worker = staffing[holder].work.__self__
-        await settle(
+        await wait_until_true(
             day, lambda: day.watcher.now() - worker.changed_at > worker.standby_delay_seconds - 0.3, 30
         )
-        before = resting(day, holder)
+        before = standby_machines(day, holder)
         victims = [name for name in staffing if name != holder][:2]
         for name in victims:
             day.cluster.nodes[name].kill(reset=False)
         for _ in range(30):
             await asyncio.sleep(0.1)
-            assert not resting(day, holder) - before
+            assert not standby_machines(day, holder) - before
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_a_machine_on_standby_wakes_on_suspicion_before_a_death_is_confirmed():
-    async def scene(day):
-        await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) == 3, 90)
-        awake = [n for n in day.cluster.with_role("shield") if n.placement.machine not in resting(day)]
-        awake[0].kill(reset=False)
-        took = await settle(day, lambda: len([n for n in resting(day) if n.startswith("shield")]) < 3, 10)
-        # Confirm comes only some 7 seconds after the death.
-        assert took < 2.5
+    async def scenario(day):
+        await wait_until_true(
+            day, lambda: len([n for n in standby_machines(day) if n.startswith("shield")]) == 3, 90
+        )
+        active = [
+            n for n in day.cluster.with_role("shield") if n.placement.machine not in standby_machines(day)
+        ]
+        active[0].kill(reset=False)
+        elapsed = await wait_until_true(
+            day, lambda: len([n for n in standby_machines(day) if n.startswith("shield")]) < 3, 10
+        )
+        # SWIM confirms the death only about 7 seconds later.
+        assert elapsed < 2.5
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_standby_planning_never_leaves_a_single_loss_uncovered(seed):
-    """Against an oracle that tries every loss, over random fleets and loads."""
+    """Checks plans for random fleets and loads against an oracle that tries each machine or site loss."""
     randomness = random.Random(seed)
     for _ in range(400):
         machines = [
@@ -128,16 +148,16 @@
             )
             for n in range(randomness.randrange(1, 8))
         ]
-        resting_now = {m.name for m in machines if randomness.random() < 0.5}
+        standby_now = {m.name for m in machines if randomness.random() < 0.5}
         load = randomness.uniform(0, 40)
         may_rest = randomness.random() < 0.9
-        rest, reasons = standby_planning.plan(machines, resting_now, load, may_rest=may_rest)
+        planned_standby, reasons = standby_planning.plan(machines, standby_now, load, may_rest=may_rest)
         assert set(reasons) == {m.name for m in machines}
-        assert not any(m.name in rest and m.pinned for m in machines)
-        assert len(rest - resting_now) <= 1
-        if rest:
+        assert not any(m.name in planned_standby and m.pinned for m in machines)
+        assert len(planned_standby - standby_now) <= 1
+        if planned_standby:
             assert may_rest
-            awake = [m for m in machines if m.name not in rest]
-            losses = [[m for m in awake if m is not lost] for lost in awake]
-            losses += [[m for m in awake if m.site != site] for site in {m.site for m in awake}]
+            active = [m for m in machines if m.name not in planned_standby]
+            losses = [[m for m in active if m is not lost] for lost in active]
+            losses += [[m for m in active if m.site != site] for site in {m.site for m in active}]
             assert all(left and sum(m.capacity for m in left) >= load for left in losses)
--- a/tests/controlplane/test_origin_list.py
+++ b/tests/controlplane/test_origin_list.py
@@ -1,4 +1,4 @@
-"""The list of origins: followed within its limit, through leaving, cold, replaced and malformed origins."""
+"""The platform's list of origins: changes apply in time; leaving, cold, replaced and malformed origins."""
 
 import asyncio
 import json
@@ -11,42 +11,42 @@
 ORIGIN = {"id": "a", "service": "s", "host": "127.0.0.1", "port": 1, "site": "north", "state": "ready"}
 
 
-def listed(day, name="agency-1"):
+def listed_origins(day, name="agency-1"):
     return {
         item.key: item.value["state"]
         for item in cluster.context(day, name).ledger.items_with_prefix("origin/")
     }
 
 
-async def reads(day, count, mark):
+async def reads(day, count, path_prefix):
     statuses = []
     for number in range(count):
         edge = f"edge-{number % 2 + 1}"
-        statuses.append((await day.actors.ask(edge, "GET", f"/vacancies/{mark}-{number}"))[0])
+        statuses.append((await day.actors.ask(edge, "GET", f"/vacancies/{path_prefix}-{number}"))[0])
         await asyncio.sleep(0.02)
     return statuses
 
 
 def test_a_leaving_origin_gets_no_new_work_two_seconds_after_the_platform_says_so():
-    async def scene(day):
+    async def scenario(day):
         leaving = day.actors.origins[0]
         await reads(day, 40, "before")
         assert leaving.started
         leaving.state = "leaving"
         await asyncio.sleep(2)
-        said = len(leaving.started)
+        requests_before = len(leaving.started)
         assert set(await reads(day, 60, "after")) == {200}
-        assert len(leaving.started) == said
+        assert len(leaving.started) == requests_before
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_rolling_replacement_of_all_origins_loses_no_read():
-    async def scene(day):
+    async def scenario(day):
         statuses = []
         for number, old in enumerate(list(day.actors.origins)):
-            fresh = day.actors.add_origin(old.service, f"{old.service}-new-{number}", old.site, "one")
-            fresh.state, fresh.warmup = "cold", 2.0
+            new_origin = day.actors.add_origin(old.service, f"{old.service}-new-{number}", old.site, "one")
+            new_origin.state, new_origin.warmup = "cold", 2.0
             statuses += await reads(day, 60, f"a{number}")
             old.state = "leaving"
             statuses += await reads(day, 150, f"b{number}")
@@ -56,32 +56,33 @@
         assert set(statuses) == {200}
         assert all("new" in origin.instance and origin.started for origin in day.actors.origins[:2])
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_a_cold_origin_ramps_over_its_warm_up():
-    async def scene(day):
-        fresh = day.actors.add_origin("content", "content-fresh", "east", "two")
-        fresh.state, fresh.warmup = "cold", 20.0
-        await day.cluster.wait_until(lambda: "origin/content-fresh" in listed(day), 5)
+    async def scenario(day):
+        new_origin = day.actors.add_origin("content", "content-fresh", "east", "two")
+        new_origin.state, new_origin.warmup = "cold", 20.0
+        await day.cluster.wait_until(lambda: "origin/content-fresh" in listed_origins(day), 5)
         counts = []
-        began = day.watcher.now()
-        for part in range(8):
-            before = len(fresh.started)
-            await reads(day, 150, f"p{part}")
-            counts.append(len(fresh.started) - before)
-        # Five to seven seconds a part: hardly anything at first. In the end, as one of three that
-        # shields of its region prefer three to one, about 140 of 300; 131 to 148 over seeds.
-        assert 30 < day.watcher.now() - began < 60
+        started_at = day.watcher.now()
+        for round_number in range(8):
+            before = len(new_origin.started)
+            await reads(day, 150, f"p{round_number}")
+            counts.append(len(new_origin.started) - before)
+        # Each round takes five to seven seconds. In the first, the cold origin gets hardly any requests. In
+        # the last two it is one of three origins, and the shields of its region prefer it three to one: it
+        # gets about 140 of 300 requests; 131 to 148 over several seeds.
+        assert 30 < day.watcher.now() - started_at < 60
         assert counts[0] < 20, counts
         assert counts[0] < counts[1] < counts[-1], counts
         assert 115 < sum(counts[-2:]) < 165, counts
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 @pytest.mark.parametrize(
-    "says",
+    "answer",
     [
         b"{",
         b"[]",
@@ -91,13 +92,13 @@
         json.dumps({"origins": [{**ORIGIN, "id": "a/b"}]}).encode(),
     ],
 )
-def test_a_malformed_or_suddenly_empty_answer_leaves_the_last_good_list_of_origins(says):
-    async def scene(day):
-        before = listed(day)
+def test_a_malformed_or_suddenly_empty_answer_leaves_the_last_good_list_of_origins(answer):
+    async def scenario(day):
+        before = listed_origins(day)
         assert len(before) == 4
-        day.actors.platform_says = says
+        day.actors.platform_says = answer
         await asyncio.sleep(3)
-        assert listed(day) == before
+        assert listed_origins(day) == before
         failed = sum(
             node.program.context.counters.total("platform_failed") for node in day.cluster.with_role("agency")
         )
@@ -105,19 +106,19 @@
         assert failed >= 2 or state == "shrunk"
         assert set(await reads(day, 10, "still")) == {200}
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_the_platform_is_asked_by_one_node_within_its_limit_through_changes_of_holder():
-    async def scene(day):
+    async def scenario(day):
         asked = []
         ask = day.actors.ask_platform
 
-        async def counted():
+        async def count_requests():
             asked.append(asyncio.get_running_loop().time())
             return await ask()
 
-        day.actors.ask_platform = counted
+        day.actors.ask_platform = count_requests
         for _ in range(3):
             await asyncio.sleep(5)
             for node in day.cluster.with_role("agency"):
@@ -130,14 +131,14 @@
                 if node.actor.frozen:
                     node.thaw()
         assert len(asked) > 15
-        # One question a second at the most, though three holders were paused and woken in between.
+        # The platform gets at most one request per second, though three lease holders were paused meanwhile.
         assert max(sum(one <= other < one + 3 for other in asked) for one in asked) <= 4
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_a_holder_paused_past_its_lease_stops_by_itself_and_its_late_write_is_refused():
-    async def scene(day):
+    async def scenario(day):
         tasks = {
             node.placement.name: task
             for node in day.cluster.with_role("agency")
@@ -153,20 +154,20 @@
         )
         node.thaw()
         assert not tasks[holder].holds_lease()
-        # Until its tables are current again it would be refused for want of a majority.
+        # Before its tables are current again, the write would be refused for lack of a majority instead.
         await day.cluster.wait_until_ready()
         row = ("slots/00", {"owners": ["nonsense"] * 16})
         with pytest.raises(errors.StaleVersionError):
             await day.actors.order(holder, "fenced", ("placement", fencing_token, [row]))
         assert cluster.context(day, holder).ledger.value("slots/00") != row[1]
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_rows_of_an_unknown_kind_are_kept_and_replicated():
-    """As in a rolling upgrade: a newer node's kind of row goes through older nodes unharmed."""
+    """In a rolling upgrade, old nodes store and replicate kinds of rows that they do not know."""
 
-    async def scene(day):
+    async def scenario(day):
         newer = day.cluster.nodes["agency-1"].program
         row = [("hologram/7", {"depth": 3})]
         holder = next(
@@ -187,4 +188,4 @@
         assert cluster.context(day, "agency-1").ledger.value("hologram/7") == {"depth": 3}
         assert newer is not day.cluster.nodes["agency-1"].program
 
-    cluster.play(scene)
+    cluster.play(scenario)
