--- a/src/irisstand/controlplane/api/request_bodies.py
+++ b/src/irisstand/controlplane/api/request_bodies.py
@@ -38,7 +38,7 @@
         raise errors.BadRequestError("the body is not whole JSON, with each field once", REMEDY) from None
     if not isinstance(content, dict):
         raise errors.BadRequestError("the body is not a JSON object", REMEDY)
-    fault = canonical_content.fault_in(content)
+    fault = canonical_content.encoding_fault(content)
     if fault:
         raise errors.BadRequestError(
             f"the body holds {fault}", "send finite numbers and plain text, not too deep"
--- a/src/irisstand/controlplane/changes/amendment.py
+++ b/src/irisstand/controlplane/changes/amendment.py
@@ -49,8 +49,8 @@
         return {}
     contents = contents_in_force(overlay)
     contents.update(classified.newer)
-    faults = item_entries.faults_of(contents) if classified.newer else []
-    faults += item_entries.faults_of_late(classified.late, contents)
+    faults = item_entries.faults_of_table(contents) if classified.newer else []
+    faults += item_entries.faults_of_late_entries(classified.late, contents)
     if faults:
         raise errors.InvalidChangeError([fault._asdict() for fault in faults])
     return {key: row.to_value() for key, row in classified.rows.items()}
@@ -59,7 +59,7 @@
 def contents_in_force(overlay: table_overlay.Overlay) -> dict[str, typing.Any]:
     """Return the contents of all routes and services by key, None for those that were dropped."""
     contents: dict[str, typing.Any] = {}
-    for kind in item_entries.LISTS:
+    for kind in item_entries.LIST_NAME_BY_KIND:
         contents.update({key: value["item"] for key, value in overlay.items_with_prefix(f"{kind}/").items()})
     return contents
 
@@ -123,7 +123,7 @@
             for item in table.items_with_prefix(f"{kind}/")
             if item.value["item"] is not None
         ]
-        for kind, name in item_entries.LISTS.items()
+        for kind, name in item_entries.LIST_NAME_BY_KIND.items()
     }
     limits = table.value(versioned_items.LIMITS_KEY)
     if limits is not None:
--- a/src/irisstand/dataplane/cache/object_holders.py
+++ b/src/irisstand/dataplane/cache/object_holders.py
@@ -184,7 +184,7 @@
     def check_overdue_holder(self, holder: updates.Update, sent_at: float) -> events.HolderOverdue:
         """Return whether an overdue holder, asked at the time `sent_at`, is silent or declared failed."""
         name, address = holder.identity.name, holder.node_info.address
-        is_silent = self.context.transport.is_silent(address, sent_at)
+        is_silent = self.context.transport.is_unresponsive(address, sent_at)
         if is_silent:
             self.pause_holder(name)
             self.context.transport.retire(address)
--- a/src/irisstand/dataplane/cache/objects.py
+++ b/src/irisstand/dataplane/cache/objects.py
@@ -102,14 +102,16 @@
         request_id: The id of the request, which the response must repeat.
 
     Raises:
-        errors.UnsealedResultError: The length, the digest or the request id does not match.
+        errors.ResponseIntegrityError: The length, the digest or the request id does not match.
     """
     if headers.get("content-length") != str(len(body)):
-        raise errors.UnsealedResultError("the length of the response body does not match its Content-Length")
+        raise errors.ResponseIntegrityError(
+            "the length of the response body does not match its Content-Length"
+        )
     if headers.get("content-digest") != digest_header(body):
-        raise errors.UnsealedResultError("the response body does not match its Content-Digest")
+        raise errors.ResponseIntegrityError("the response body does not match its Content-Digest")
     if headers.get("x-request-id") != request_id:
-        raise errors.UnsealedResultError("the X-Request-Id of the response is not that of the request")
+        raise errors.ResponseIntegrityError("the X-Request-Id of the response is not that of the request")
 
 
 def from_origin(  # noqa: PLR0913, PLR0917 - the parts of a response, the time of its request, and its TTL
--- a/src/irisstand/dataplane/upstream/attempts.py
+++ b/src/irisstand/dataplane/upstream/attempts.py
@@ -130,9 +130,9 @@
             text = f"{instance} answered {answer.status}, and may have run the request"
             return events.AttemptFailed(errors.OriginFailedError(text), instance)
         if request_id and answer.headers.get(words.request_id) != request_id:
-            unnamed = errors.UnsealedResultError("the answer does not name the request")
+            unnamed = errors.ResponseIntegrityError("the answer does not name the request")
             return events.AttemptFailed(unnamed, instance)
         if answer.status < FIRST_REDIRECT_STATUS and words.seal not in answer.headers:
-            unsealed = errors.UnsealedResultError("the answer bears no seal")
+            unsealed = errors.ResponseIntegrityError("the answer bears no seal")
             return events.AttemptFailed(unsealed, instance)
         return events.ResponseReceived(answer, instance)
--- a/src/irisstand/dataplane/upstream/connections.py
+++ b/src/irisstand/dataplane/upstream/connections.py
@@ -103,7 +103,7 @@
 
         Raises:
             ConnectionReopenedError: the connection was closed, and nothing has been sent.
-            UnsealedResultError: the body is over the limit.
+            ResponseIntegrityError: the body is over the limit.
             TimeoutError: no complete answer came in time.
             OSError: the connection failed.
         """
@@ -134,7 +134,7 @@
             content += chunk
             # An endless body must not fill this process's memory.
             if len(content) > BODY_LIMIT_BYTES:
-                raise errors.UnsealedResultError(f"the body is over {BODY_LIMIT_BYTES} bytes")
+                raise errors.ResponseIntegrityError(f"the body is over {BODY_LIMIT_BYTES} bytes")
         headers = {name.lower(): value for name, value in response.headers.items()}
         if headers.get("connection", "").lower() == "close":
             self.state = connection_state.ConnectionState.CLOSED
--- a/src/irisstand/dataplane/upstream/origin_client.py
+++ b/src/irisstand/dataplane/upstream/origin_client.py
@@ -136,7 +136,7 @@
         except origin_connections.FAILURES as error:
             if not isinstance(error, NOT_HEALTH_ERRORS):
                 # An unsealed answer is one request's; a broken connection says that the origin is gone.
-                is_unsealed = isinstance(error, errors.UnsealedResultError)
+                is_unsealed = isinstance(error, errors.ResponseIntegrityError)
                 origin.mark(is_healthy=origin.is_healthy and is_unsealed, why=repr(error))
             return self.failed(attempt, origin, error)
         finally:
--- a/src/irisstand/errors/changes.py
+++ b/src/irisstand/errors/changes.py
@@ -4,7 +4,7 @@
 
 from irisstand.errors import base
 
-Details = list[dict[str, typing.Any]]
+JsonObjects = list[dict[str, typing.Any]]
 
 
 class InsufficientCapacityError(base.IrisError):
@@ -27,7 +27,7 @@
 
     code, status, remedy = "bad-change", 422, "correct every fault listed and send the change again"
 
-    def __init__(self, faults: Details) -> None:
+    def __init__(self, faults: JsonObjects) -> None:
         super().__init__(f"{len(faults)} fault(s), nothing was changed")
         self.faults = faults
 
@@ -42,7 +42,7 @@
     code, status = "stale-serial", 409
     remedy = "read the row again, and send the change with the serial in force"
 
-    def __init__(self, conflicts: Details) -> None:
+    def __init__(self, conflicts: JsonObjects) -> None:
         super().__init__("another change came first, nothing was changed")
         self.conflicts = conflicts
 
--- a/src/irisstand/errors/requests.py
+++ b/src/irisstand/errors/requests.py
@@ -92,7 +92,7 @@
     default_retry_after = 5.0
 
 
-class UnsealedResultError(base.IrisError):
+class ResponseIntegrityError(base.IrisError):
     """The answer of an origin is incomplete, or its checksum is missing or wrong."""
 
     code, status, remedy = "unsealed-result", 502, "mend the origin: its answer was not whole or not sealed"
--- a/src/irisstand/localcluster/fault_injection.py
+++ b/src/irisstand/localcluster/fault_injection.py
@@ -108,7 +108,7 @@
 class FaultyPort:
     """A datagram port that loses datagrams."""
 
-    def __init__(self, inner: network.Port, faults: FaultFile) -> None:
+    def __init__(self, inner: network.DatagramSocket, faults: FaultFile) -> None:
         self.inner = inner
         self.faults = faults
 
@@ -140,9 +140,11 @@
         self.following = asyncio.get_running_loop().create_task(self.faults.follow())
         return await super().listen(address, on_stream)
 
-    async def datagrams(self, address: network.Address, on_datagram: network.OnDatagram) -> network.Port:
+    async def open_datagram_socket(
+        self, address: network.Address, on_datagram: network.OnDatagram
+    ) -> network.DatagramSocket:
         """Open a datagram port."""
-        return FaultyPort(await super().datagrams(address, on_datagram), self.faults)
+        return FaultyPort(await super().open_datagram_socket(address, on_datagram), self.faults)
 
 
 class FaultyDisk(disk.FolderDisk):
--- a/src/irisstand/membership/detector.py
+++ b/src/irisstand/membership/detector.py
@@ -32,7 +32,7 @@
         counters: counters.Counters,
     ) -> None:
         super().__init__(name, node_info, clock, randomness, counters)
-        self.port: network.Port | None = None
+        self.port: network.DatagramSocket | None = None
         self.sequence_number = 0
         # Each future is completed with the identity that the ack names.
         self.pending_acks: dict[int, asyncio.Future[updates.Identity]] = {}
--- a/src/irisstand/modelcheck/model_node.py
+++ b/src/irisstand/modelcheck/model_node.py
@@ -28,7 +28,9 @@
         """Refuse to listen."""
         raise NotImplementedError
 
-    async def datagrams(self, address: network.Address, on_datagram: network.OnDatagram) -> network.Port:
+    async def open_datagram_socket(
+        self, address: network.Address, on_datagram: network.OnDatagram
+    ) -> network.DatagramSocket:
         """Refuse to open a datagram port."""
         raise NotImplementedError
 
--- a/src/irisstand/node_context.py
+++ b/src/irisstand/node_context.py
@@ -160,7 +160,7 @@
         self.crashed = asyncio.get_running_loop().create_future()
         self.drain_ending = asyncio.get_running_loop().create_future()
         await self.transport.open(address)
-        self.detector.port = await self.net.datagrams(address, self.detector.on_datagram)
+        self.detector.port = await self.net.open_datagram_socket(address, self.detector.on_datagram)
         self.start_task(self.detector.run(), "detector")
         self.start_task(self.joiner.run(), "joining")
 
--- a/src/irisstand/simulator/large_configurations.py
+++ b/src/irisstand/simulator/large_configurations.py
@@ -118,7 +118,7 @@
         sizes.Figure(
             "a core node checks the table as it would stand",
             "ms",
-            timed(lambda: item_entries.faults_of(standing)),
+            timed(lambda: item_entries.faults_of_table(standing)),
         ),
         sizes.Figure("memory of rows and routes", "MB", memory(count)),
     ]
--- a/src/irisstand/transport/network.py
+++ b/src/irisstand/transport/network.py
@@ -34,7 +34,7 @@
         ...
 
 
-class Port(typing.Protocol):
+class DatagramSocket(typing.Protocol):
     """A datagram socket."""
 
     def send(self, payload: bytes, address: Address) -> None:
@@ -69,7 +69,7 @@
         """Accept connections at `address`; `on_stream` serves each in a task of its own."""
         ...
 
-    async def datagrams(self, address: Address, on_datagram: OnDatagram) -> Port:
+    async def open_datagram_socket(self, address: Address, on_datagram: OnDatagram) -> DatagramSocket:
         """Open a datagram socket at `address`; `on_datagram` is called with each payload and its source."""
         ...
 
@@ -113,7 +113,7 @@
         self.writer.close()
 
 
-class UdpPort(asyncio.DatagramProtocol):
+class UdpSocket(asyncio.DatagramProtocol):
     """A datagram socket of the event loop."""
 
     def __init__(self, on_datagram: OnDatagram) -> None:
@@ -158,8 +158,8 @@
 
         return await asyncio.start_server(accept, *address)
 
-    async def datagrams(self, address: Address, on_datagram: OnDatagram) -> Port:
+    async def open_datagram_socket(self, address: Address, on_datagram: OnDatagram) -> DatagramSocket:
         """Open a UDP socket at `address`."""
         loop = asyncio.get_running_loop()
-        _, port = await loop.create_datagram_endpoint(lambda: UdpPort(on_datagram), local_addr=address)
+        _, port = await loop.create_datagram_endpoint(lambda: UdpSocket(on_datagram), local_addr=address)
         return port
--- a/src/irisstand/transport/peer_connection.py
+++ b/src/irisstand/transport/peer_connection.py
@@ -34,11 +34,11 @@
         self.is_open = True
         self.closes_when_idle = False
         self.last_received_at = asyncio.get_running_loop().time()
-        self.reader: asyncio.Task[None] | None = None
+        self.reader_task: asyncio.Task[None] | None = None
         # By number of the call. A number is never used again on a connection, so that the late response to a
         # cancelled request finds no other call.
         self.pending: dict[int, asyncio.Future[typing.Any]] = {}
-        self.last_number = 0
+        self.last_call_number = 0
 
     def is_usable_for(self, name: str) -> bool:
         """Return whether new requests to the peer `name` may be sent; "" stands for any peer."""
@@ -57,13 +57,13 @@
         """
         if not self.is_open:
             raise ConnectionResetError("the connection was closed")
-        self.last_number += 1
-        call = PendingCall(self.last_number, asyncio.get_running_loop().create_future())
+        self.last_call_number += 1
+        call = PendingCall(self.last_call_number, asyncio.get_running_loop().create_future())
         self.pending[call.number] = call.response
         # A peer of the version before sent no incarnation, and knows no such field.
-        meant = (incarnation_id or self.incarnation_id) if self.incarnation_id else ""
+        receiver_incarnation_id = (incarnation_id or self.incarnation_id) if self.incarnation_id else ""
         try:
-            self.stream.write(codec.encode(codec.Request(call.number, kind, body, meant)))
+            self.stream.write(codec.encode(codec.Request(call.number, kind, body, receiver_incarnation_id)))
         except OSError:
             self.pending.pop(call.number, None)
             self.close()
--- a/src/irisstand/transport/peers.py
+++ b/src/irisstand/transport/peers.py
@@ -22,8 +22,8 @@
         """Close the listener and all connections."""
         for connection in list(self.connections.values()):
             connection.close()
-            if connection.reader is not None:
-                connection.reader.cancel()
+            if connection.reader_task is not None:
+                connection.reader_task.cancel()
         await super().close()
 
     async def connect(self, address: network.Address, name: str) -> peer_connection.PeerConnection:
@@ -55,11 +55,11 @@
                 stream.close()
                 raise
             connection = peer_connection.PeerConnection(stream, hello, self.counters)
-            connection.reader = asyncio.create_task(connection.read_responses())
+            connection.reader_task = asyncio.create_task(connection.read_responses())
             self.connections[address] = connection
             return connection
 
-    def is_silent(self, address: network.Address, since: float) -> bool:
+    def is_unresponsive(self, address: network.Address, since: float) -> bool:
         """Return whether nothing at all has come from a peer since a moment of the event loop's clock."""
         connection = self.connections.get((address[0], address[1]))
         return connection is None or connection.last_received_at < since
@@ -119,8 +119,8 @@
             connection.cancel(call.number)
             # A machine that lost its power never closes a connection. One that is silent gets no new
             # requests, while those that it has may still be answered.
-            is_silent = connection.last_received_at < deadline - timeout_seconds
-            if timeout_seconds >= UNRESPONSIVE_SECONDS and is_silent:
+            is_unresponsive = connection.last_received_at < deadline - timeout_seconds
+            if timeout_seconds >= UNRESPONSIVE_SECONDS and is_unresponsive:
                 connection.close_when_idle()
             raise errors.UnansweredError(f"{peer} gave no result in time") from None
         except OSError:
--- a/src/irisstand/validation/canonical_content.py
+++ b/src/irisstand/validation/canonical_content.py
@@ -46,22 +46,22 @@
     return repr(one) == repr(other) or digest(one) == digest(other)
 
 
-def fault_in(value: typing.Any, depth: int = 0) -> str:
+def encoding_fault(value: typing.Any, depth: int = 0) -> str:
     """Return why a JSON value could not be carried or stored, empty if it can.
 
-    >>> fault_in({"a": [1, "x", None]}), fault_in([10**30]), fault_in({"a": float("inf")})
+    >>> encoding_fault({"a": [1, "x", None]}), encoding_fault([10**30]), encoding_fault({"a": float("inf")})
     ('', 'a number over 64 bits', 'a number that is not finite')
     """
     if depth > DEPTH_LIMIT:
         return f"over {DEPTH_LIMIT} levels deep"
     if isinstance(value, dict):
-        return first_fault([*value.keys(), *value.values()], depth)
+        return first_encoding_fault([*value.keys(), *value.values()], depth)
     if isinstance(value, list):
-        return first_fault(value, depth)
-    return scalar_fault(value)
+        return first_encoding_fault(value, depth)
+    return scalar_encoding_fault(value)
 
 
-def scalar_fault(value: typing.Any) -> str:
+def scalar_encoding_fault(value: typing.Any) -> str:
     """Return why a string, number, boolean or null could not be carried or stored, empty if it can."""
     if isinstance(value, str):
         return "" if is_unicode(value) else "text that is not Unicode"
@@ -72,10 +72,10 @@
     return ""
 
 
-def first_fault(members: collections.abc.Iterable[typing.Any], depth: int) -> str:
+def first_encoding_fault(members: collections.abc.Iterable[typing.Any], depth: int) -> str:
     """Return the first fault in the members of an object or list, empty if there is none."""
     for member in members:
-        found = fault_in(member, depth + 1)
+        found = encoding_fault(member, depth + 1)
         if found:
             return found
     return ""
--- a/src/irisstand/validation/file_faults.py
+++ b/src/irisstand/validation/file_faults.py
@@ -19,11 +19,11 @@
     message: str
 
 
-def refusal(faults: list[FileFault]) -> errors.InvalidChangeError:
+def error_for_faults(faults: list[FileFault]) -> errors.InvalidChangeError:
     """Return the error that names these faults."""
     return errors.InvalidChangeError([fault._asdict() for fault in faults])
 
 
-def file_refusal(message: str) -> errors.InvalidChangeError:
+def error_for_file(message: str) -> errors.InvalidChangeError:
     """Return the error for a file that cannot be read at all."""
-    return refusal([FileFault(None, "file", message)])
+    return error_for_faults([FileFault(None, "file", message)])
--- a/src/irisstand/validation/formats.py
+++ b/src/irisstand/validation/formats.py
@@ -41,10 +41,10 @@
     try:
         decoded = json.loads(content)
     except (ValueError, RecursionError) as error:
-        raise file_faults.file_refusal(f"not JSON: {error}") from None
+        raise file_faults.error_for_file(f"not JSON: {error}") from None
     rows = decoded.get("rows") if isinstance(decoded, dict) else decoded
     if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
-        raise file_faults.file_refusal("not a list of rows")
+        raise file_faults.error_for_file("not a list of rows")
     return rows
 
 
@@ -55,13 +55,13 @@
 }
 
 
-def read(name: str, content: bytes, form: str = "") -> Rows:
+def read(name: str, content: bytes, format_name: str = "") -> Rows:
     """Return the rows of a file.
 
     Args:
         name: The file's name, whose ending tells the format if none is given.
         content: The file's content.
-        form: A format of `REGISTRY`.
+        format_name: A format of `REGISTRY`.
 
     Raises:
         InvalidChangeError: The file is too large or has faults.
@@ -70,31 +70,31 @@
     [{'kind': 'site', 'name': 'north', 'value': {'weight': 2}}]
     """
     if len(content) > FILE_BYTES_LIMIT:
-        raise file_faults.file_refusal(f"over {FILE_BYTES_LIMIT} bytes; send it in parts")
-    return REGISTRY[form or format_of(name)].read(content)
+        raise file_faults.error_for_file(f"over {FILE_BYTES_LIMIT} bytes; send it in parts")
+    return REGISTRY[format_name or format_of(name)].read(content)
 
 
 def format_of(name: str) -> str:
     """Return the format that a file's name tells by its ending."""
-    for form, file_format in REGISTRY.items():
+    for format_name, file_format in REGISTRY.items():
         if name.lower().endswith(file_format.endings):
-            return form
+            return format_name
     return DEFAULT_FORMAT
 
 
 def differences(wanted: Rows, table: Rows) -> list[str]:
     """Return one line for each row that a table has otherwise than a file."""
-    want = {RowKey.of(row): row.get("value") for row in wanted}
-    have = {RowKey.of(row): row["value"] for row in table}
+    wanted_values = {RowKey.of(row): row.get("value") for row in wanted}
+    table_values = {RowKey.of(row): row["value"] for row in table}
     lines = []
-    for key in sorted(set(want) | set(have), key=str):
+    for key in sorted(set(wanted_values) | set(table_values), key=str):
         title = f"{key.kind} {key.name}"
-        if key not in have:
+        if key not in table_values:
             # A row that the file removes is not to be there.
-            if want[key] is not None:
+            if wanted_values[key] is not None:
                 lines.append(f"missing: {title}")
-        elif key not in want:
+        elif key not in wanted_values:
             lines.append(f"not in the file: {title}")
-        elif want[key] != have[key]:
-            lines.append(f"other: {title}: {have[key]} where {want[key]} was wanted")
+        elif wanted_values[key] != table_values[key]:
+            lines.append(f"other: {title}: {table_values[key]} where {wanted_values[key]} was wanted")
     return lines
--- a/src/irisstand/validation/item_entries.py
+++ b/src/irisstand/validation/item_entries.py
@@ -15,7 +15,7 @@
 TARGET_MARGIN_SECONDS = 60
 
 # The name of the list in a call's body for each kind; limits are one item without a name.
-LISTS = {"route": "routes", "upstream": "upstreams"}
+LIST_NAME_BY_KIND = {"route": "routes", "upstream": "upstreams"}
 LIMITS_NAME = "limits"
 
 
@@ -78,7 +78,7 @@
         faults += unknown_lists(section, content)
         sections[section] = content
     entries: list[ItemEntry] = []
-    for kind, name in LISTS.items():
+    for kind, name in LIST_NAME_BY_KIND.items():
         read_puts(kind, sections["put"].get(name), entries, faults)
         read_drops(kind, sections["drop"].get(name), entries, faults)
     limits = sections["put"].get(LIMITS_NAME)
@@ -92,8 +92,8 @@
 
 def unknown_lists(section: str, content: dict[str, typing.Any]) -> list[item_schema.ItemFault]:
     """Return a fault for each list of a section that is of no known kind."""
-    known = (*LISTS.values(), LIMITS_NAME)
-    message = f"no such list; use {', '.join(LISTS.values())} or {LIMITS_NAME}"
+    known = (*LIST_NAME_BY_KIND.values(), LIMITS_NAME)
+    message = f"no such list; use {', '.join(LIST_NAME_BY_KIND.values())} or {LIMITS_NAME}"
     return [item_schema.ItemFault(section, name, message) for name in content if name not in known]
 
 
@@ -116,7 +116,7 @@
             entries.append(ItemEntry(f"{kind}/{item['name']}", int(item["version"]), None))
         else:
             message = "to drop an item, give its name and a whole number as version"
-            faults.append(item_schema.ItemFault(LISTS[kind], "", message))
+            faults.append(item_schema.ItemFault(LIST_NAME_BY_KIND[kind], "", message))
 
 
 def items_of(kind: str, content: typing.Any, faults: list[item_schema.ItemFault]) -> list[typing.Any]:
@@ -124,7 +124,7 @@
     if content is None:
         return []
     if not isinstance(content, list):
-        faults.append(item_schema.ItemFault(LISTS[kind], "", "not a list; send a list of items"))
+        faults.append(item_schema.ItemFault(LIST_NAME_BY_KIND[kind], "", "not a list; send a list of items"))
         return []
     return content
 
@@ -145,7 +145,7 @@
     return ParsedCall(list(found.values()), faults)
 
 
-def faults_of(contents: collections.abc.Mapping[str, typing.Any]) -> list[item_schema.ItemFault]:
+def faults_of_table(contents: collections.abc.Mapping[str, typing.Any]) -> list[item_schema.ItemFault]:
     """Return what is wrong with the table as it would stand.
 
     Args:
@@ -166,7 +166,7 @@
     return faults
 
 
-def faults_of_late(
+def faults_of_late_entries(
     late: list[ItemEntry], known_keys: collections.abc.Container[str]
 ) -> list[item_schema.ItemFault]:
     """Return what could never have been valid of entries that are older than what is in force.
--- a/src/irisstand/validation/object_format.py
+++ b/src/irisstand/validation/object_format.py
@@ -17,7 +17,7 @@
     """A YAML loader that refuses a key that stands twice; YAML itself keeps the last one."""
 
 
-def strict_mapping(
+def construct_strict_mapping(
     loader: StrictLoader,
     node: yaml.MappingNode,
     deep: bool = False,  # noqa: FBT001, FBT002 - PyYAML gives it so
@@ -35,7 +35,7 @@
     return yaml.SafeLoader.construct_mapping(loader, node, deep=True)
 
 
-StrictLoader.add_constructor(yaml.resolver.BaseResolver.DEFAULT_MAPPING_TAG, strict_mapping)
+StrictLoader.add_constructor(yaml.resolver.BaseResolver.DEFAULT_MAPPING_TAG, construct_strict_mapping)
 
 
 def read_objects(content: bytes) -> list[dict[str, typing.Any]]:
@@ -45,14 +45,18 @@
         InvalidChangeError: With every fault of every document at once.
     """
     # Aliases can make a small file into a huge tree; no table needs them.
-    if b"&" in content and any(isinstance(event, yaml.AliasEvent) for event in events(content)):
-        raise file_faults.file_refusal("aliases are not taken; write the value out")
+    if b"&" in content and any(isinstance(event, yaml.AliasEvent) for event in parser_events(content)):
+        raise file_faults.error_for_file("aliases are not taken; write the value out")
     documents = load_documents(content)
-    faults = [fault for position, one in enumerate(documents) for fault in faults_of(position, one)]
+    faults = [
+        fault
+        for position, document in enumerate(documents)
+        for fault in faults_of_document(position, document)
+    ]
     if not documents:
         faults.append(file_faults.FileFault(None, "file", "no document in it"))
     if faults:
-        raise file_faults.refusal(faults)
+        raise file_faults.error_for_faults(faults)
     return [row_of(document) for document in documents]
 
 
@@ -67,10 +71,10 @@
     except (yaml.YAMLError, RecursionError, ValueError) as error:
         mark = getattr(error, "problem_mark", None)
         line = f"line {mark.line + 1}: " if mark is not None else ""
-        raise file_faults.file_refusal(f"{line}{getattr(error, 'problem', None) or error}") from None
+        raise file_faults.error_for_file(f"{line}{getattr(error, 'problem', None) or error}") from None
 
 
-def events(content: bytes) -> list[yaml.Event]:
+def parser_events(content: bytes) -> list[yaml.Event]:
     """Return the parser's events, none if the file cannot be parsed: `load_documents` names the line then."""
     try:
         return list(yaml.parse(content, yaml.SafeLoader))
@@ -78,7 +82,7 @@
         return []
 
 
-def faults_of(position: int, document: typing.Any) -> list[file_faults.FileFault]:
+def faults_of_document(position: int, document: typing.Any) -> list[file_faults.FileFault]:
     """Return what is wrong with a document."""
     if not isinstance(document, dict):
         message = "not an object; give apiVersion, kind, metadata and spec"
--- a/tests/dataplane/test_upstream_connections.py
+++ b/tests/dataplane/test_upstream_connections.py
@@ -86,7 +86,7 @@
         await runner.setup()
         await aiohttp.web.TCPSite(runner, "127.0.0.1", 0).start()
         line = await connections.open_http("127.0.0.1", runner.addresses[0][1])
-        with pytest.raises(errors.UnsealedResultError):
+        with pytest.raises(errors.ResponseIntegrityError):
             await line.send("GET", "/", {}, b"", 30)
         await line.close()
         await runner.cleanup()
@@ -103,10 +103,10 @@
     }
     objects.check_integrity(good, body, "mine")
     for broken in ({"content-length": "8"}, {"content-digest": "sha-256=:AA==:"}, {"x-request-id": "x"}):
-        with pytest.raises(errors.UnsealedResultError):
+        with pytest.raises(errors.ResponseIntegrityError):
             objects.check_integrity({**good, **broken}, body, "mine")
     for missing in good:
-        with pytest.raises(errors.UnsealedResultError):
+        with pytest.raises(errors.ResponseIntegrityError):
             objects.check_integrity(
                 {key: value for key, value in good.items() if key != missing}, body, "mine"
             )
--- a/tests/mutation/controlplane_mutations.py
+++ b/tests/mutation/controlplane_mutations.py
@@ -76,7 +76,7 @@
     ),
     (
         "controlplane/changes/amendment.py",
-        "    faults += item_entries.faults_of_late(classified.late, contents)\n",
+        "    faults += item_entries.faults_of_late_entries(classified.late, contents)\n",
         "",
         "controlplane/test_idempotent_changes.py::test_an_item_that_was_never_valid_is_refused_also_when_it_comes_late",
     ),
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -106,7 +106,7 @@
     ),
     (
         "controlplane/changes/amendment.py",
-        "    faults = item_entries.faults_of(contents)",
+        "    faults = item_entries.faults_of_table(contents)",
         "    faults = []",
         "validation/test_versioned_items.py",
     ),
--- a/tests/state/test_replication_messages.py
+++ b/tests/state/test_replication_messages.py
@@ -138,7 +138,7 @@
 )
 def test_recorded_bodies_decode_and_encode_to_the_same_bytes(label, message_type, is_list):
     # Some recorded days had hostile peers, whose malformed requests were answered with `bad-request`.
-    recorded = recorded_frames.bodies(label)
+    recorded = recorded_frames.recorded_bodies(label)
     bodies = [entry for body in recorded for entry in (body if is_list and type(body) is list else [body])]
     well_formed = [body for body in bodies if not is_malformed(message_type, body)]
     assert well_formed
@@ -149,9 +149,9 @@
 
 
 def test_recorded_malformed_ranges_requests_are_refused_with_the_recorded_texts():
-    texts = [text for _, text, *_ in recorded_frames.bodies("fault ranges")]
+    texts = [text for _, text, *_ in recorded_frames.recorded_bodies("fault ranges")]
     refused = []
-    for body in recorded_frames.bodies("ask ranges"):
+    for body in recorded_frames.recorded_bodies("ask ranges"):
         with pytest.raises(MALFORMED_ERRORS) as raised:
             messages.RangesRequest.from_wire(body)
         refused.append(repr(raised.value))
--- a/tests/transport/test_closed_connections.py
+++ b/tests/transport/test_closed_connections.py
@@ -15,14 +15,14 @@
     return server, server.sockets[0].getsockname()
 
 
-async def silent(reader, writer):
+async def read_until_closed(reader, writer):
     await reader.read()
     writer.close()
 
 
 def test_request_on_a_closed_upstream_connection_was_not_sent():
     async def scenario():
-        server, address = await listen(silent)
+        server, address = await listen(read_until_closed)
         upstream_connection = await exchange.connector("x-request-id")(*address)
         upstream_connection.transport.abort()
         with pytest.raises(exchange.ConnectionBrokenError):
@@ -37,10 +37,10 @@
     async def scenario():
         callee = peers.Transport(network.RealNetwork(), counters.Counters(), "peer")
 
-        async def never(sender, body):
+        async def never_respond(sender, body):
             await asyncio.sleep(60)
 
-        callee.handlers["do"] = never
+        callee.handlers["do"] = never_respond
         server, address = await listen(lambda reader, writer: callee.serve(network.TcpStream(reader, writer)))
         caller = peers.Transport(network.RealNetwork(), counters.Counters(), "caller")
         connection = await caller.connect(address, "peer")
@@ -48,13 +48,13 @@
         with pytest.raises(errors.NotSentError):
             await caller.call(address, "peer", "do", (), 1.0)
         connection = await caller.connect(address, "peer")
-        asking = asyncio.create_task(caller.call(address, "peer", "do", (), 5.0))
+        pending_call = asyncio.create_task(caller.call(address, "peer", "do", (), 5.0))
         await asyncio.sleep(0.05)
         connection.stream.writer.transport.abort()
-        asking.cancel()
+        pending_call.cancel()
         # The caller's cancellation stays one; an error in its place would end a controller, and its process.
         with pytest.raises((asyncio.CancelledError, errors.UnansweredError)):
-            await asking
+            await pending_call
         await caller.close()
         await callee.close()
         server.close()
--- a/tests/transport/test_incarnations.py
+++ b/tests/transport/test_incarnations.py
@@ -16,7 +16,7 @@
 ADDRESS = ("10.0.0.2", 7000)
 
 
-def play(scenario, handler):
+def run_scenario(scenario, handler):
     """Run a scenario with a caller and a peer whose handler of "do" requests is `handler`."""
 
     async def run():
@@ -35,10 +35,10 @@
 
 
 def test_request_for_an_earlier_incarnation_is_rejected_before_its_handler_runs():
-    runs = []
+    handled_bodies = []
 
     async def handler(sender, body):
-        runs.append(body)
+        handled_bodies.append(body)
         return ("ran",)
 
     async def scenario(caller, callee):
@@ -46,7 +46,7 @@
             await caller.call(ADDRESS, "peer", "do", (), 1.0, "first")
         # Certainly not carried out, as every other kind that lets a caller ask elsewhere.
         assert isinstance(raised.value, errors.NotSentError)
-        assert not runs
+        assert not handled_bodies
         assert callee.counters.total("asks_for_ended_lives") == 1
         assert await caller.call(ADDRESS, "peer", "do", (), 1.0, "second") == ["ran"]
         assert await caller.call(ADDRESS, "peer", "do", (), 1.0) == ["ran"]
@@ -55,7 +55,7 @@
         assert await caller.call(ADDRESS, "peer", "do", (), 1.0, "third") == ["ran"]
         assert await caller.call(ADDRESS, "peer", "do", (), 1.0, "second") == ["ran"]
 
-    play(scenario, handler)
+    run_scenario(scenario, handler)
 
 
 def test_late_response_to_a_cancelled_request_reaches_no_other_call():
@@ -74,7 +74,7 @@
         )
         assert [reply[0] for reply in replies] == [f"n{number}" for number in range(5)]
 
-    play(scenario, handler)
+    run_scenario(scenario, handler)
 
 
 def test_frame_of_an_unknown_protocol_is_a_typed_error_and_counted():
@@ -82,18 +82,18 @@
         return ()
 
     packed = codec.encode(codec.Hello("caller", "life"))
-    changed = bytes([packed[0], 9]) + packed[2:]
+    unknown_protocol_frame = bytes([packed[0], 9]) + packed[2:]
     with pytest.raises(codec.UnknownProtocolError):
-        codec.decode(changed)
+        codec.decode(unknown_protocol_frame)
 
     async def scenario(caller, callee):
         stream = await caller.net.connect(ADDRESS)
-        stream.write(changed)
+        stream.write(unknown_protocol_frame)
         with pytest.raises(ConnectionResetError):
             await stream.read()
         assert callee.counters.get("frames_dropped", reason="UnknownVersion") == 1
 
-    play(scenario, handler)
+    run_scenario(scenario, handler)
 
 
 def test_every_message_decodes_to_what_was_encoded():
--- a/tests/transport/test_recorded_errors.py
+++ b/tests/transport/test_recorded_errors.py
@@ -8,21 +8,27 @@
 import irisstand
 from irisstand import errors
 
-RECORDED = pathlib.Path(__file__).parent.parent / "fixtures" / "wire" / "errors.json"
+RECORDED_ERRORS = pathlib.Path(__file__).parent.parent / "fixtures" / "wire" / "errors.json"
 
 
-def kinds_of(kind):
-    yield kind
-    for child in kind.__subclasses__():
-        yield from kinds_of(child)
+def class_and_subclasses(error_class):
+    yield error_class
+    for subclass in error_class.__subclasses__():
+        yield from class_and_subclasses(subclass)
 
 
 def test_every_error_keeps_its_code_status_remedy_and_wait():
     for module in pkgutil.walk_packages(irisstand.__path__, "irisstand."):
         importlib.import_module(module.name)
     found = {
-        (kind.code, kind.status, kind.remedy, kind.default_retry_after, kind.code in errors.REGISTRY)
-        for kind in kinds_of(errors.IrisError)
-        if kind.__module__.startswith("irisstand.")
+        (
+            error_class.code,
+            error_class.status,
+            error_class.remedy,
+            error_class.default_retry_after,
+            error_class.code in errors.REGISTRY,
+        )
+        for error_class in class_and_subclasses(errors.IrisError)
+        if error_class.__module__.startswith("irisstand.")
     }
-    assert found == {tuple(row) for row in json.loads(RECORDED.read_text())}
+    assert found == {tuple(row) for row in json.loads(RECORDED_ERRORS.read_text())}
--- a/tests/validation/test_validation.py
+++ b/tests/validation/test_validation.py
@@ -28,41 +28,43 @@
     return {"kind": "path", "name": name, "value": {"grants": grants}}
 
 
-def found(rows, proposed, fleet=FLEET):
+def findings(rows, proposed, fleet=FLEET):
     return {(f.level, f.kind, f.name, f.field) for f in checker.validate(rows, proposed, fleet)}
 
 
 def test_faults_are_what_the_voters_would_refuse_and_leave_no_warnings():
     bad = [path("/a/", "nobody", "GET"), service("lonely")]
-    assert found([], bad) == {("fault", "path", "/a/", "grants")}
-    assert found([], [{"kind": "site", "name": "x", "value": {"weight": "much"}}]) == {
+    assert findings([], bad) == {("fault", "path", "/a/", "grants")}
+    assert findings([], [{"kind": "site", "name": "x", "value": {"weight": "much"}}]) == {
         ("fault", "site", "x", "weight")
     }
     # Judged on the table as it would stand: the row in force is what makes the removal a fault.
     in_force = [service("content"), path("/a/", "content", "GET")]
     removal = [{"kind": "service", "name": "content", "value": None}]
-    assert found(in_force, removal) == {("fault", "path", "/a/", "grants")}
-    assert found([service("content")], removal) == set()
+    assert findings(in_force, removal) == {("fault", "path", "/a/", "grants")}
+    assert findings([service("content")], removal) == set()
 
 
 def test_rows_that_do_not_fit_the_running_fleet_give_warnings():
-    assert found([], [service("lonely")]) == {("warning", "service", "lonely", "name")}
+    assert findings([], [service("lonely")]) == {("warning", "service", "lonely", "name")}
     leaving = checker.read_fleet(SHIELDS, [origin("content", "leaving")])
-    assert ("warning", "service", "content", "name") in found([], [service("content")], leaving)
-    assert found([], [service("content", inflight=2)]) == {
+    assert ("warning", "service", "content", "name") in findings([], [service("content")], leaving)
+    assert findings([], [service("content", inflight=2)]) == {
         ("warning", "service", "content", "ceiling.inflight")
     }
-    assert found([], [service("content", rate=2)]) == {("warning", "service", "content", "ceiling.rate")}
+    assert findings([], [service("content", rate=2)]) == {("warning", "service", "content", "ceiling.rate")}
     # x holds two of three shields at 100 each: without it 100 a second are left.
-    assert found([], [service("content", rate=101)]) == {("warning", "site", "x", "limit")}
-    assert found([], [{"kind": "machine", "name": "gone", "value": {"awake": True}}]) == {
+    assert findings([], [service("content", rate=101)]) == {("warning", "site", "x", "limit")}
+    assert findings([], [{"kind": "machine", "name": "gone", "value": {"awake": True}}]) == {
         ("warning", "machine", "gone", "name")
     }
     rows = [service("content"), service("application")]
     rows = [{**row, "value": {**row["value"], "ceiling": {"rate": 50, "inflight": 30}}} for row in rows]
     both = path("/a/", "content", "GET", "POST")
-    assert found([*rows, both], [path("/a/b/", "content", "GET")]) == {("warning", "path", "/a/b/", "grants")}
-    assert found([*rows, both], [path("/a/b/", "content", "GET", "POST")]) == set()
+    assert findings([*rows, both], [path("/a/b/", "content", "GET")]) == {
+        ("warning", "path", "/a/b/", "grants")
+    }
+    assert findings([*rows, both], [path("/a/b/", "content", "GET", "POST")]) == set()
 
 
 def test_the_local_clusters_configuration_has_no_findings_on_its_own_fleet():
--- a/tests/validation/test_versioned_items.py
+++ b/tests/validation/test_versioned_items.py
@@ -34,21 +34,21 @@
     return planned
 
 
-def fresh():
+def new_table():
     table = replica.Replica(items.CONFIGURATION)
     table.applied = versions.Version(1, "n")
     amend(table, CALL)
     return table
 
 
-def changed(**fields):
+def call_with_changed_route(**fields):
     call = copy.deepcopy(CALL)
     call["put"]["routes"][0].update({"version": 9, **fields})
     return call
 
 
 def test_all_items_are_read_back_as_they_were_sent():
-    found = amendment.as_amendment(fresh())
+    found = amendment.as_amendment(new_table())
     assert found == {"routes": [ROUTE], "upstreams": [UPSTREAM], "limits": CALL["put"]["limits"]}
 
 
@@ -72,10 +72,10 @@
     ],
 )
 def test_an_invalid_call_changes_nothing(fields):
-    table = fresh()
+    table = new_table()
     before = table.root_digest()
     with pytest.raises(errors.InvalidChangeError) as raised:
-        amend(table, changed(**fields))
+        amend(table, call_with_changed_route(**fields))
     assert raised.value.faults
     assert table.root_digest() == before
 
@@ -104,44 +104,44 @@
 
 
 def test_the_highest_version_is_in_force_and_a_lower_or_equal_one_changes_nothing():
-    table = fresh()
-    seven = changed(version=7, timeout=4)
+    table = new_table()
+    seven = call_with_changed_route(version=7, timeout=4)
     assert amend(table, seven)
     before = in_force(table)
     # Lower, it takes its number and no more; equal, it is a repeat or is refused.
-    amend(table, changed(version=5, timeout=1))
+    amend(table, call_with_changed_route(version=5, timeout=1))
     assert in_force(table) == before
     assert amend(table, seven) == {}
     root = table.root_digest()
     with pytest.raises(control_errors.VersionTakenError):
-        amend(table, changed(version=7, timeout=1))
+        amend(table, call_with_changed_route(version=7, timeout=1))
     assert table.root_digest() == root
     assert in_force(table) == before
     assert amendment.as_amendment(table)["routes"][0]["timeout"] == 4
 
 
 def test_a_dropped_item_keeps_its_version_against_lower_ones():
-    table = fresh()
+    table = new_table()
     assert amend(table, {"drop": {"routes": [{"name": "r1", "version": 8}]}})
-    amend(table, changed(version=7))
+    amend(table, call_with_changed_route(version=7))
     assert in_force(table) == (8, None)
     assert amendment.as_amendment(table)["routes"] == []
-    assert amend(table, changed(version=9))
+    assert amend(table, call_with_changed_route(version=9))
     assert len(amendment.as_amendment(table)["routes"]) == 1
 
 
 def test_a_service_that_a_route_still_names_cannot_be_dropped():
     with pytest.raises(errors.InvalidChangeError):
-        amend(fresh(), {"drop": {"upstreams": [{"name": "s1", "version": 9}]}})
+        amend(new_table(), {"drop": {"upstreams": [{"name": "s1", "version": 9}]}})
 
 
 def test_two_contents_under_one_version_in_one_call_are_refused_and_equal_contents_are_not():
-    call = changed()
+    call = call_with_changed_route()
     call["put"]["routes"].append(copy.deepcopy(call["put"]["routes"][0]))
-    assert amend(fresh(), call)
+    assert amend(new_table(), call)
     call["put"]["routes"][1]["timeout"] = 1
     with pytest.raises(errors.InvalidChangeError):
-        amend(fresh(), call)
+        amend(new_table(), call)
 
 
 @pytest.mark.parametrize("probe", ["/health\n", "/health\r\nX-Note: a", "/a b", "/h\x00", "/h#a", "/\u00e9"])
@@ -150,4 +150,4 @@
     call = copy.deepcopy(CALL)
     call["put"]["upstreams"][0].update({"version": 9, "probe": probe})
     with pytest.raises(errors.InvalidChangeError):
-        amend(fresh(), call)
+        amend(new_table(), call)
