--- a/src/irisstand/errors/__init__.py
+++ b/src/irisstand/errors/__init__.py
@@ -1,7 +1,7 @@
-"""Typed errors: each kind has a code, an HTTP status and a message that names the remedy.
+"""Typed errors: each class has a stable code, an HTTP status and a remedy for whoever reads the message.
 
-Callers use the names of this module; the submodules group the kinds by concern. All submodules are imported
-here, so that each kind is registered before an error of a peer is rebuilt.
+Other packages use the names of this module; its submodules group the error classes by concern. All of them
+are imported here, so that every class is in `REGISTRY` before an error that a peer sent is rebuilt by code.
 """
 
 from irisstand.errors import base, calls, changes, node, requests
--- a/src/irisstand/errors/base.py
+++ b/src/irisstand/errors/base.py
@@ -1,19 +1,20 @@
-"""The root of all errors, and the form in which errors travel between nodes."""
+"""The base class of all typed errors, and the form in which errors are sent between nodes."""
 
 import typing
 
-# Kinds that may travel between nodes, by code: all whose constructor takes a message, a remedy and a delay.
+# The error classes that `from_wire` can rebuild, by code: all classes whose constructor takes a message, a
+# remedy and a retry delay.
 REGISTRY: dict[str, type["IrisError"]] = {}
 
 
 class WireError(typing.NamedTuple):
-    """An error as one node sends it to another.
+    """The fields of an error that one node sends to another.
 
     Attributes:
-        code: The stable code of the kind of error.
+        code: The stable code of the error class, for programs.
         message: What happened, for people.
-        remedy: What to do about it, for people.
-        retry_after: Seconds after which it is worth trying again; 0.0 for no such advice.
+        remedy: What to do about the error, for people.
+        retry_after: Seconds after which a retry may succeed; 0.0 if no delay is advised.
     """
 
     code: str
@@ -23,25 +24,26 @@
 
     @classmethod
     def from_wire(cls, fields: typing.Any) -> "WireError":
-        """Check the decoded fields of an error.
+        """Check the decoded fields of an error, and return them as a WireError.
 
         Raises:
-            ValueError: The number of fields is wrong, or the delay is no number.
-            TypeError: The fields are no sequence, or the delay is of a wrong type.
+            ValueError: The number of fields is wrong, or the retry delay is text that is not a number.
+            TypeError: The fields are not a sequence, or the retry delay is neither a number nor text.
         """
         code, message, remedy, retry_after = fields
         return cls(str(code), str(message), str(remedy), float(retry_after))
 
 
 class IrisError(Exception):
-    """Root of all kinds of error that this software raises on purpose.
+    """Base class of all errors that irisstand raises on purpose.
 
     Attributes:
-        code: Stable name of the kind, for programs. Two kinds of different callers may share one.
-        status: HTTP status of an answer that reports the error.
+        code: Stable name of the error class, for programs. Two classes may share a code if they are reported
+            to different callers.
+        status: HTTP status of a response that reports the error.
         remedy: What the reader of the message should do.
-        default_retry_after: Seconds after which it is worth trying again, where the code that raises the
-            error knows no better; 0.0 for no such advice.
+        retry_after: Seconds after which a retry may succeed; 0.0 if no delay is advised.
+        default_retry_after: The value of `retry_after` for errors that are raised without one.
     """
 
     code = "irisstand"
@@ -55,24 +57,24 @@
         self.retry_after = retry_after or type(self).default_retry_after
 
     def __init_subclass__(cls, *, is_registered: bool = True) -> None:
-        # A kind with arguments of its own cannot be rebuilt from the fields of a WireError.
+        # A class whose constructor takes other arguments cannot be rebuilt from the fields of a WireError.
         if is_registered and "__init__" not in vars(cls):
             REGISTRY[cls.code] = cls
 
     def to_wire(self) -> WireError:
-        """Return what other nodes are sent of this error."""
+        """Return the fields of this error that are sent to other nodes."""
         return WireError(self.code, str(self), self.remedy, self.retry_after)
 
     def to_json(self) -> dict[str, typing.Any]:
-        """Return the JSON object that HTTP answers carry."""
+        """Return the JSON object that describes this error in the body of an HTTP response."""
         return {"code": self.code, "message": str(self), "remedy": self.remedy}
 
 
 def from_wire(wire_error: WireError) -> IrisError:
-    """Rebuild an error that a peer sent; a code that is unknown here gives an IrisError.
+    """Rebuild an error that a peer sent; a code that is not in `REGISTRY` gives a plain IrisError.
 
     >>> from_wire(IrisError("no disk", "wait", 1.0).to_wire()).retry_after
     1.0
     """
-    kind = REGISTRY.get(wire_error.code, IrisError)
-    return kind(wire_error.message, wire_error.remedy, wire_error.retry_after)
+    error_class = REGISTRY.get(wire_error.code, IrisError)
+    return error_class(wire_error.message, wire_error.remedy, wire_error.retry_after)
--- a/src/irisstand/transport/__init__.py
+++ b/src/irisstand/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between nodes: frames, codec, connections, and calls of peers (docs/control/connections.md)."""
+"""Communication between nodes: frames, message codec, connections, calls (docs/control/connections.md)."""
--- a/src/irisstand/transport/codec.py
+++ b/src/irisstand/transport/codec.py
@@ -1,7 +1,7 @@
-"""Messages to bytes and back.
+"""Encodes messages between nodes as bytes, and decodes them.
 
-A frame is a msgpack array: protocol number, kind, call number, body. The protocol number stands first in
-everything that leaves a process, so that a receiver can refuse a version that it does not know.
+The payload of a frame is a msgpack array: protocol number, message kind, call number, body. Every frame and
+datagram begins with the protocol number, so that a receiver can refuse a version that it does not know.
 """
 
 import collections.abc
@@ -13,20 +13,21 @@
 from irisstand import errors
 
 PROTOCOL = 1
-# Versions that differ by one work together during a rolling upgrade; others refuse one another.
+# During a rolling upgrade, nodes whose protocol numbers differ by one work together. A frame with any other
+# protocol number is refused.
 ACCEPTED_PROTOCOLS = (PROTOCOL - 1, PROTOCOL, PROTOCOL + 1)
 FRAME_LIMIT_BYTES = 8 * 1024 * 1024
 
 
 class UnknownProtocolError(errors.MalformedFrameError):
-    """A frame of a protocol that is not compatible with this version."""
+    """A frame or datagram has a protocol number that this node does not accept."""
 
     code, remedy = "unknown-version", "upgrade this node or its peer to neighbouring versions"
     drop_reason = "UnknownVersion"
 
 
 class MessageKind(enum.StrEnum):
-    """The kinds of message as they stand on the wire."""
+    """The kinds of messages on a connection between nodes; the values are what is sent."""
 
     HELLO = "hello"
     REQUEST = "ask"
@@ -36,11 +37,11 @@
 
 
 class Hello(typing.NamedTuple):
-    """The first message of each end of a connection.
+    """The first message that each end of a connection sends, in which it gives its name.
 
     Attributes:
         name: The sender's node name.
-        incarnation_id: The sender's incarnation; "" from the version before, which did not send it.
+        incarnation_id: The sender's incarnation id; "" from a node of the previous version.
     """
 
     name: str
@@ -48,27 +49,27 @@
 
     @property
     def number(self) -> int:
-        """Zero: a hello belongs to no call."""
+        """The call number of the frame, which is 0: a hello belongs to no call."""
         return 0
 
     def body_to_wire(self) -> tuple[str, str]:
-        """Return the body of the frame."""
+        """Return the body of the frame: the node name and the incarnation id."""
         return (self.name, self.incarnation_id)
 
     @classmethod
     def from_wire(cls, _number: int, body: typing.Any) -> "Hello":
-        """Check the decoded body of a hello; raises ValueError or TypeError if it is none."""
+        """Return the hello with a decoded body; raises ValueError or TypeError if the body is malformed."""
         return cls(*map(str, body[:2]))
 
 
 class Request(typing.NamedTuple):
-    """A call of a peer's handler.
+    """A call of one of the peer's request handlers.
 
     Attributes:
         number: The number of the call, unique on its connection.
         kind: The name of the handler.
-        body: What the handler is given.
-        incarnation_id: The incarnation of the receiver that may answer; "" for any.
+        body: The argument of the handler.
+        incarnation_id: The only incarnation of the receiver that may execute the request; "" for any.
     """
 
     number: int
@@ -77,62 +78,79 @@
     incarnation_id: str = ""
 
     def body_to_wire(self) -> tuple[typing.Any, ...]:
-        """Return the body of the frame; an empty incarnation is left out, as the version before does."""
+        """Return the body of the frame.
+
+        An empty incarnation id is left out, because nodes of the previous version do not know the field.
+        """
         if self.incarnation_id:
             return (self.kind, self.body, self.incarnation_id)
         return (self.kind, self.body)
 
     @classmethod
     def from_wire(cls, number: int, body: typing.Any) -> "Request":
-        """Check the decoded body of a request; raises ValueError or TypeError if it is none."""
-        kind, inner, *incarnation = body
-        return cls(number, str(kind), inner, str(incarnation[0]) if incarnation else "")
+        """Return the request with a decoded body; raises ValueError or TypeError if the body is malformed."""
+        kind, handler_body, *incarnation = body
+        return cls(number, str(kind), handler_body, str(incarnation[0]) if incarnation else "")
 
 
 class Response(typing.NamedTuple):
-    """What the handler of the request of that number returned."""
+    """The reply to a request whose handler returned normally.
+
+    Attributes:
+        number: The call number of the request.
+        body: What the handler returned.
+    """
 
     number: int
     body: typing.Any
 
     def body_to_wire(self) -> typing.Any:
-        """Return the body of the frame."""
+        """Return the body of the frame: what the handler returned."""
         return self.body
 
     @classmethod
     def from_wire(cls, number: int, body: typing.Any) -> "Response":
-        """Take the decoded body of a response, which only the caller can check."""
+        """Return the response with a decoded body, which is not checked: only the caller knows its form."""
         return cls(number, body)
 
 
 class ErrorResponse(typing.NamedTuple):
-    """The error that the request of that number raised."""
+    """The reply to a request that was rejected or whose handler raised an error.
+
+    Attributes:
+        number: The call number of the request.
+        error: The fields of the error.
+    """
 
     number: int
     error: errors.WireError
 
     def body_to_wire(self) -> tuple[typing.Any, ...]:
-        """Return the body of the frame."""
+        """Return the body of the frame: the fields of the error."""
         return tuple(self.error)
 
     @classmethod
     def from_wire(cls, number: int, body: typing.Any) -> "ErrorResponse":
-        """Check the decoded body of an error; raises ValueError or TypeError if it is none."""
+        """Return the error with a decoded body; raises ValueError or TypeError if the body is malformed."""
         return cls(number, errors.WireError.from_wire(body))
 
 
 class Cancel(typing.NamedTuple):
-    """The caller no longer waits for the request of that number: its work is to be stopped."""
+    """The caller no longer waits for a request, so the peer is to stop executing it.
+
+    Attributes:
+        number: The call number of the request.
+    """
 
     number: int
 
     def body_to_wire(self) -> tuple[()]:
-        """Return the body of the frame, which is empty."""
+        """Return the body of the frame, which is empty for a cancellation."""
         return ()
 
     @classmethod
     def from_wire(cls, number: int, _body: typing.Any) -> "Cancel":
-        """Take a cancellation; its body is not used."""
+        """Return the cancellation of a call; the body of the frame is ignored."""
         return cls(number)
 
 
@@ -155,7 +173,9 @@
 
 
 def drop_reason(error: Exception) -> str:
-    """Return what metric labels and messages call the kind of an error; class names may change, this may not.
+    """Return the name of an error in metric labels and messages.
+
+    Malformed frames have a `drop_reason` for it, which stays the same when an error class is renamed.
 
     >>> drop_reason(UnknownProtocolError()), drop_reason(ValueError())
     ('UnknownVersion', 'ValueError')
@@ -164,7 +184,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the payload of a frame.
+    """Return the payload of the frame that carries a message.
 
     >>> decode(encode(Request(7, "read", ("x",), "l1")))
     Request(number=7, kind='read', body=['x'], incarnation_id='l1')
@@ -173,26 +193,26 @@
 
 
 def decode(payload: bytes) -> Message:
-    """Return the message of a frame.
+    """Return the message that the payload of a frame carries.
 
     Raises:
         MalformedFrameError: The payload is not a message of an accepted protocol. Nothing else is raised.
     """
     try:
         kind, number, body = unpack(payload)
-        # bool is an int to Python, and True would pass for the number 1.
+        # isinstance() would let True pass as call number 1, because bool is a subclass of int.
         if type(number) is not int:
-            raise errors.MalformedFrameError("no number")
+            raise errors.MalformedFrameError("the call number of the frame is not an integer")
         from_wire = FROM_WIRE.get(kind)
         if from_wire is None:
-            raise errors.MalformedFrameError(f"{kind} is no kind of message")
+            raise errors.MalformedFrameError(f"unknown message kind {kind}")
         return from_wire(number, body)
     except (ValueError, TypeError, IndexError) as error:
-        raise errors.MalformedFrameError(f"not a whole message: {type(error).__name__}") from None
+        raise errors.MalformedFrameError(f"malformed fields of a message: {type(error).__name__}") from None
 
 
 def pack(message: tuple[typing.Any, ...]) -> bytes:
-    """Encode the fields of a message, with the protocol number before them.
+    """Encode the protocol number and the fields of a message as the payload of a frame or datagram.
 
     >>> unpack(pack(("ask", 7, ("x",))))
     ('ask', 7, ['x'])
@@ -201,23 +221,25 @@
 
 
 def unpack(payload: bytes) -> tuple[typing.Any, ...]:
-    """Return the fields of a message without its protocol number; the first is its kind, a str.
+    """Decode a payload to the fields of a message without the protocol number; the first is its kind, a str.
 
     Raises:
         MalformedFrameError: The payload is not a message of an accepted protocol. Nothing else is raised.
     """
     if len(payload) > FRAME_LIMIT_BYTES:
-        raise errors.MalformedFrameError(f"{len(payload)} bytes are over the limit of {FRAME_LIMIT_BYTES}")
+        raise errors.MalformedFrameError(
+            f"a payload of {len(payload)} bytes exceeds the limit of {FRAME_LIMIT_BYTES} bytes"
+        )
     try:
         message = ormsgpack.unpackb(payload)
     except Exception as error:
-        # Hostile bytes: whatever the decoder makes of them must not end the reading task.
-        raise errors.MalformedFrameError(f"not decodable: {type(error).__name__}") from None
+        # A peer may send any bytes: no error that the decoder raises for them may end the task that reads.
+        raise errors.MalformedFrameError(f"the payload is not msgpack: {type(error).__name__}") from None
     if not isinstance(message, list) or len(message) < 2:  # noqa: PLR2004 - protocol number and kind
-        raise errors.MalformedFrameError("not a message")
-    # bool is an int to Python, and True would pass for protocol 1.
+        raise errors.MalformedFrameError("the payload is not an array of protocol number, kind and fields")
+    # isinstance() would let True pass as protocol number 1, because bool is a subclass of int.
     if type(message[0]) is not int or message[0] not in ACCEPTED_PROTOCOLS:
-        raise UnknownProtocolError("unknown protocol number")
+        raise UnknownProtocolError("the protocol number of the message is not accepted")
     if not isinstance(message[1], str):
-        raise errors.MalformedFrameError("no kind")
+        raise errors.MalformedFrameError("the kind of the message is not a string")
     return tuple(message[1:])
--- a/src/irisstand/transport/network.py
+++ b/src/irisstand/transport/network.py
@@ -1,4 +1,4 @@
-"""The network as it is handed to a node, and the real one over TCP and UDP."""
+"""The network interface that a node uses, and its implementation over TCP and UDP."""
 
 import asyncio
 import collections.abc
@@ -10,47 +10,47 @@
 
 Address = tuple[str, int]
 
-# The length of a frame's payload stands before it, in network byte order.
+# Each frame begins with the length of its payload in bytes, as four bytes in network byte order.
 LENGTH_FORMAT = struct.Struct("!I")
 
 
 class Stream(typing.Protocol):
-    """One connection that carries whole frames in order."""
+    """A connection that carries whole frames in order."""
 
     async def read(self) -> bytes:
         """Return the payload of the next frame; raises OSError once the connection is closed."""
         ...
 
     def write(self, payload: bytes) -> None:
-        """Queue a frame; raises OSError if the connection is known to be closed."""
+        """Queue a frame for sending; raises OSError if the connection is known to be closed."""
         ...
 
     async def flush(self) -> None:
-        """Wait until the queue of outgoing bytes is short again."""
+        """Wait until the write buffer is short enough to accept more (flow control)."""
         ...
 
     def close(self) -> None:
-        """Close the connection without waiting."""
+        """Close the connection without waiting until it is closed."""
         ...
 
 
 class DatagramSocket(typing.Protocol):
-    """A datagram socket."""
+    """A socket that sends datagrams; received ones are passed to the callback that it was opened with."""
 
     def send(self, payload: bytes, address: Address) -> None:
         """Send one datagram, which may be lost."""
         ...
 
     def close(self) -> None:
-        """Close the socket without waiting."""
+        """Close the socket without waiting until it is closed."""
         ...
 
 
 class Listener(typing.Protocol):
-    """What accepts incoming connections."""
+    """A listening socket that accepts incoming connections."""
 
     def close(self) -> None:
-        """Accept no more connections; those that exist stay open."""
+        """Stop accepting connections; accepted connections stay open."""
         ...
 
 
@@ -59,23 +59,23 @@
 
 
 class Network(typing.Protocol):
-    """All that a node does on the network."""
+    """The network operations of a node, which simulations and fault injection replace."""
 
     async def connect(self, address: Address) -> Stream:
-        """Open a connection; raises OSError if there is no listener or no way to it."""
+        """Open a connection; raises OSError if nothing listens at the address or it is unreachable."""
         ...
 
     async def listen(self, address: Address, on_stream: OnStream) -> Listener:
-        """Accept connections at `address`; `on_stream` serves each in a task of its own."""
+        """Accept connections at `address`, and call `on_stream` for each in a task of its own."""
         ...
 
     async def open_datagram_socket(self, address: Address, on_datagram: OnDatagram) -> DatagramSocket:
-        """Open a datagram socket at `address`; `on_datagram` is called with each payload and its source."""
+        """Open a datagram socket at `address`; `on_datagram` is called with each payload and its sender."""
         ...
 
 
 class TcpStream:
-    """Frames of a four-byte length and a payload over one TCP connection."""
+    """A stream of frames over one TCP connection; each frame is a four-byte length and a payload."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -85,51 +85,51 @@
         """Return the payload of the next frame.
 
         Raises:
-            MalformedFrameError: The announced length is over the limit.
+            MalformedFrameError: The length of the frame exceeds the limit.
             ConnectionResetError: The peer closed the connection.
         """
         try:
             (length,) = LENGTH_FORMAT.unpack(await self.reader.readexactly(LENGTH_FORMAT.size))
-            # A hostile length must not make this process reserve the memory it names.
+            # Checked before the payload is read: a malicious length must not make this process allocate it.
             if length > codec.FRAME_LIMIT_BYTES:
-                raise errors.MalformedFrameError(f"a frame of {length} bytes was announced")
+                raise errors.MalformedFrameError(f"the frame length of {length} bytes exceeds the limit")
             return await self.reader.readexactly(length)
         except asyncio.IncompleteReadError:
-            raise ConnectionResetError("the colleague closed the connection") from None
+            raise ConnectionResetError("the peer closed the connection") from None
 
     def write(self, payload: bytes) -> None:
-        """Queue a frame; raises ConnectionResetError if the connection is closed."""
-        # uvloop closes a transport before it tells the protocol; what is written then would be lost.
+        """Queue a frame for sending; raises ConnectionResetError if the connection is closed."""
+        # uvloop closes a transport before it calls connection_lost(), and drops what is written in between.
         if self.writer.is_closing():
-            raise ConnectionResetError("the connection is closed")
+            raise ConnectionResetError("cannot write the frame: the connection is closed")
         self.writer.write(LENGTH_FORMAT.pack(len(payload)) + payload)
 
     async def flush(self) -> None:
-        """Wait until the queue of outgoing bytes is short again."""
+        """Wait until the write buffer is short enough to accept more (flow control)."""
         await self.writer.drain()
 
     def close(self) -> None:
-        """Close the connection without waiting."""
+        """Close the connection without waiting until it is closed."""
         self.writer.close()
 
 
 class UdpSocket(asyncio.DatagramProtocol):
-    """A datagram socket of the event loop."""
+    """A UDP socket of the asyncio event loop."""
 
     def __init__(self, on_datagram: OnDatagram) -> None:
         self.on_datagram = on_datagram
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: typing.Any) -> None:
-        """Keep the transport of the open socket."""
+        """Store the asyncio transport of the socket once it is open."""
         self.transport = transport
 
     def datagram_received(self, data: bytes, addr: typing.Any) -> None:
-        """Pass a datagram on with its source; an IPv6 source has two more fields, which are dropped."""
+        """Pass a datagram to the callback with its sender's host and port, without the IPv6 scope fields."""
         self.on_datagram(data, (addr[0], addr[1]))
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore errors such as an unreachable port: the failure detector misses the ack."""
+        """Ignore errors such as an unreachable port: the failure detector notices the missing ack."""
 
     def send(self, payload: bytes, address: Address) -> None:
         """Send one datagram, unless the socket is closed."""
@@ -137,13 +137,13 @@
             self.transport.sendto(payload, address)
 
     def close(self) -> None:
-        """Close the socket without waiting."""
+        """Close the socket without waiting until it is closed."""
         if self.transport is not None:
             self.transport.close()
 
 
 class RealNetwork:
-    """The network of the operating system."""
+    """The TCP and UDP network of the operating system."""
 
     async def connect(self, address: Address) -> Stream:
         """Open a TCP connection."""
@@ -151,7 +151,7 @@
         return TcpStream(reader, writer)
 
     async def listen(self, address: Address, on_stream: OnStream) -> Listener:
-        """Accept TCP connections at `address`."""
+        """Accept TCP connections at `address`, and call `on_stream` for each in a task of its own."""
 
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await on_stream(TcpStream(reader, writer))
@@ -159,7 +159,7 @@
         return await asyncio.start_server(accept, *address)
 
     async def open_datagram_socket(self, address: Address, on_datagram: OnDatagram) -> DatagramSocket:
-        """Open a UDP socket at `address`."""
+        """Open a UDP socket at `address`; `on_datagram` is called with each payload and its sender."""
         loop = asyncio.get_running_loop()
-        _, port = await loop.create_datagram_endpoint(lambda: UdpSocket(on_datagram), local_addr=address)
-        return port
+        _, socket = await loop.create_datagram_endpoint(lambda: UdpSocket(on_datagram), local_addr=address)
+        return socket
--- a/src/irisstand/transport/peer_connection.py
+++ b/src/irisstand/transport/peer_connection.py
@@ -1,4 +1,4 @@
-"""The calling end of a connection to one peer: requests out, responses matched to them by number."""
+"""The client side of a connection to one peer: sends requests and matches responses by call number."""
 
 import asyncio
 import contextlib
@@ -9,21 +9,29 @@
 
 
 class PendingCall(typing.NamedTuple):
-    """A request that was sent. `response` is set to the response's body, or to the error that came back."""
+    """A request that was sent and waits for its response.
+
+    Attributes:
+        number: The call number of the request.
+        response: A future for the body of the response, or the error that the call failed with.
+    """
 
     number: int
     response: asyncio.Future[typing.Any]
 
 
 class PeerConnection:
-    """An outgoing connection whose peer has confirmed its name by a hello of its own.
+    """An outgoing connection to a peer that has given its name in a hello.
 
     Attributes:
         name: The peer's node name, from its hello.
-        incarnation_id: The peer's incarnation, from its hello; "" from the version before.
-        is_open: Whether requests may still be sent.
-        closes_when_idle: Whether no new requests are to be sent, and the last response closes the connection.
-        last_received_at: The event loop's time when anything last came from the peer, in seconds.
+        incarnation_id: The peer's incarnation id, from its hello; "" if the peer runs the previous version.
+        is_open: False once the connection is closed.
+        closes_when_idle: Whether new requests are refused and the connection closes after the last response.
+        last_received_at: When the last frame from the peer arrived, in seconds of the event loop's clock.
+        reader_task: The task that runs `read_responses`, None until it is started.
+        pending: The futures of calls that wait for a response, by call number.
+        last_call_number: The call number of the newest request, 0 before the first.
     """
 
     def __init__(self, stream: network.Stream, hello: codec.Hello, counters: counters.Counters) -> None:
@@ -35,32 +43,33 @@
         self.closes_when_idle = False
         self.last_received_at = asyncio.get_running_loop().time()
         self.reader_task: asyncio.Task[None] | None = None
-        # By number of the call. A number is never used again on a connection, so that the late response to a
-        # cancelled request finds no other call.
+        # Call numbers are never reused on a connection, so that the late response to a cancelled request is
+        # not taken for the response to another call.
         self.pending: dict[int, asyncio.Future[typing.Any]] = {}
         self.last_call_number = 0
 
     def is_usable_for(self, name: str) -> bool:
-        """Return whether new requests to the peer `name` may be sent; "" stands for any peer."""
+        """Return whether new requests to the peer `name` may be sent here; "" stands for any peer."""
         return self.is_open and not self.closes_when_idle and (not name or self.name == name)
 
     def send(self, kind: str, body: tuple[typing.Any, ...], incarnation_id: str) -> PendingCall:
-        """Send a request without waiting.
+        """Send a request, and return the pending call without waiting for the response.
 
         Args:
             kind: The name of the peer's handler.
-            body: What the handler is given.
-            incarnation_id: The incarnation of the peer that may answer; "" for the one of its hello.
+            body: The argument of the handler.
+            incarnation_id: The only incarnation of the peer that may execute the request; "" for the one in
+                the peer's hello.
 
         Raises:
             OSError: The connection is closed; nothing was sent.
         """
         if not self.is_open:
-            raise ConnectionResetError("the connection was closed")
+            raise ConnectionResetError("the request cannot be sent: the connection is closed")
         self.last_call_number += 1
         call = PendingCall(self.last_call_number, asyncio.get_running_loop().create_future())
         self.pending[call.number] = call.response
-        # A peer of the version before sent no incarnation, and knows no such field.
+        # A peer of the previous version sends no incarnation id in its hello, and does not know the field.
         receiver_incarnation_id = (incarnation_id or self.incarnation_id) if self.incarnation_id else ""
         try:
             self.stream.write(codec.encode(codec.Request(call.number, kind, body, receiver_incarnation_id)))
@@ -71,31 +80,31 @@
         return call
 
     def cancel(self, number: int) -> None:
-        """Let the peer stop the work for a request whose caller no longer waits."""
+        """Ask the peer to stop executing a request whose caller no longer waits for it."""
         self.pending.pop(number, None)
         if self.is_open:
-            # If the connection breaks at this moment, the peer stops the work by itself.
+            # If the connection breaks, the cancellation is lost, but the peer then stops all of its requests.
             with contextlib.suppress(OSError):
                 self.stream.write(codec.encode(codec.Cancel(number)))
 
     def close_when_idle(self) -> None:
-        """Send no new requests, and close after the last pending response."""
+        """Refuse new requests, and close the connection once no call is pending."""
         self.closes_when_idle = True
         self.counters.add("links_retired")
         if not self.pending:
             self.close()
 
     def close(self) -> None:
-        """Close at once; pending calls fail as unanswered."""
+        """Close the connection at once; pending calls fail with UnansweredError."""
         self.is_open = False
         self.stream.close()
         for response in self.pending.values():
             if not response.done():
-                response.set_exception(errors.UnansweredError("the connection was lost under the request"))
+                response.set_exception(errors.UnansweredError("the connection closed before the response"))
         self.pending.clear()
 
     async def read_responses(self) -> None:
-        """Read until the connection ends, or is idle and to be closed then."""
+        """Read responses until the connection ends, or until no call is pending if it closes when idle."""
         try:
             while self.pending or not self.closes_when_idle:
                 message = codec.decode(await self.stream.read())
@@ -110,7 +119,7 @@
 
     def _deliver(self, message: codec.Message) -> None:
         if not isinstance(message, codec.Response | codec.ErrorResponse):
-            raise errors.MalformedFrameError("neither a result nor a fault")
+            raise errors.MalformedFrameError("the message is neither a response nor an error")
         response = self.pending.pop(message.number, None)
         if response is None or response.done():
             return
--- a/src/irisstand/transport/peers.py
+++ b/src/irisstand/transport/peers.py
@@ -1,4 +1,4 @@
-"""Calls of peers and answers to them: one outgoing connection and one reading task for each peer."""
+"""Calls to peers over one outgoing connection for each peer address, and the server for the peers' calls."""
 
 import asyncio
 import typing
@@ -6,12 +6,18 @@
 from irisstand import counters, errors
 from irisstand.transport import codec, network, peer_connection, request_server
 
-# A connection on which a request went unanswered and nothing came for that long is given up.
+# If a call with at least this timeout ends without a single frame from the peer, its connection gets no new
+# requests.
 UNRESPONSIVE_SECONDS = 0.5
 
 
 class Transport(request_server.RequestServer):
-    """All messages between this node and its peers; docs/control/connections.md has the rules."""
+    """Sends requests to peers and serves theirs, as docs/control/connections.md describes.
+
+    Attributes:
+        connections: The newest outgoing connection by the peer's address; it may be closed by now.
+        connect_locks: A lock by address, so that concurrent calls to a peer open only one connection.
+    """
 
     def __init__(self, net: network.Network, counters: counters.Counters, name: str) -> None:
         super().__init__(net, counters, name)
@@ -19,7 +25,7 @@
         self.connect_locks: dict[network.Address, asyncio.Lock] = {}
 
     async def close(self) -> None:
-        """Close the listener and all connections."""
+        """Close the listener, the outgoing connections and the incoming ones."""
         for connection in list(self.connections.values()):
             connection.close()
             if connection.reader_task is not None:
@@ -27,16 +33,16 @@
         await super().close()
 
     async def connect(self, address: network.Address, name: str) -> peer_connection.PeerConnection:
-        """Return a usable connection to the peer `name`, opened if there is none.
+        """Return a usable connection to the peer `name`, and open one if there is none.
 
         Args:
-            address: Where the peer is expected; another node may be there by now.
-            name: The node name that the hello must bear; "" for any.
+            address: The address at which the peer is expected; another node may have it by now.
+            name: The node name that the peer's hello must contain; "" for any.
 
         Raises:
             NotSentError: Another node answers at the address.
             MalformedFrameError: The peer's hello is malformed.
-            OSError: There is no connection to the address.
+            OSError: No connection to the address can be opened.
         """
         lock = self.connect_locks.setdefault(address, asyncio.Lock())
         async with lock:
@@ -48,10 +54,10 @@
                 stream.write(codec.encode(self.hello()))
                 hello = codec.decode(await stream.read())
                 if not isinstance(hello, codec.Hello) or (name and hello.name != name):
-                    # TRY301: raised here so that the handler below closes the stream.
-                    raise errors.NotSentError(f"{address} is not {name} any more")  # noqa: TRY301
+                    # TRY301: raised here so that the except clause below closes the stream.
+                    raise errors.NotSentError(f"the node at {address} is not {name}")  # noqa: TRY301
             except BaseException:
-                # Also when the caller is cancelled: an open stream without an owner would leak.
+                # BaseException covers a cancelled caller, too: the open stream would leak.
                 stream.close()
                 raise
             connection = peer_connection.PeerConnection(stream, hello, self.counters)
@@ -60,17 +66,22 @@
             return connection
 
     def is_unresponsive(self, address: network.Address, since: float) -> bool:
-        """Return whether nothing at all has come from a peer since a moment of the event loop's clock."""
+        """Return whether the connection to a peer has received nothing since a time, or does not exist.
+
+        Args:
+            address: The peer's address.
+            since: A time of the event loop's clock, in seconds.
+        """
         connection = self.connections.get((address[0], address[1]))
         return connection is None or connection.last_received_at < since
 
     def retire(self, address: network.Address) -> None:
-        """Send no new requests on the connection to a peer; what is pending there may still be answered."""
+        """Send no new requests on the connection to a peer; pending calls may still get their responses."""
         connection = self.connections.get((address[0], address[1]))
         if connection is not None and connection.is_usable_for(""):
             connection.close_when_idle()
 
-    async def call(  # noqa: PLR0913, PLR0917 - who, what and how long are all needed, and every caller gives them
+    async def call(  # noqa: PLR0913, PLR0917 - every caller gives peer, request and timeout
         self,
         address: network.Address,
         name: str,
@@ -83,19 +94,20 @@
 
         Args:
             address: The peer's address.
-            name: The peer's node name; "" for whoever answers at the address.
+            name: The peer's node name; "" for any node that answers at the address.
             kind: The name of the peer's handler.
-            body: What the handler is given.
-            timeout_seconds: For the connection and the response together.
-            incarnation_id: The only incarnation of the peer that may answer; "" for the one of its hello.
+            body: The argument of the handler.
+            timeout_seconds: The time limit for the connection and the response together, in seconds.
+            incarnation_id: The only incarnation of the peer that may execute the request; "" for the one in
+                the peer's hello.
 
         Returns:
-            The decoded body of the response, not checked.
+            The decoded body of the response, which is not checked.
 
         Raises:
-            NotSentError: Certainly, nothing was sent.
-            UnansweredError: The request was sent, and may have been carried out.
-            IrisError: What the peer's handler raised.
+            NotSentError: Certainly no byte of the request was sent.
+            UnansweredError: The request was sent, and may have been executed.
+            IrisError: The peer rejected the request, or its handler raised this error.
         """
         deadline = asyncio.get_running_loop().time() + timeout_seconds
         address = (address[0], address[1])
@@ -104,12 +116,12 @@
             async with asyncio.timeout(timeout_seconds):
                 connection = await self.connect(address, name)
         except (OSError, TimeoutError, errors.MalformedFrameError, ValueError, TypeError) as error:
-            raise errors.NotSentError(f"{peer}: {codec.drop_reason(error)}") from None
-        # Nothing is awaited between this point and the write, so a closed connection is known as such.
+            raise errors.NotSentError(f"no connection to {peer}: {codec.drop_reason(error)}") from None
+        # There is no await between here and the write, so the connection cannot close unnoticed in between.
         try:
             call = connection.send(kind, body, incarnation_id)
         except OSError:
-            raise errors.NotSentError(f"{peer}: the connection was closed") from None
+            raise errors.NotSentError(f"the connection to {peer} was closed before the request") from None
         self.counters.add("frames_sent", kind=kind)
         try:
             async with asyncio.timeout_at(deadline):
@@ -117,14 +129,14 @@
                 return await call.response
         except TimeoutError:
             connection.cancel(call.number)
-            # A machine that lost its power never closes a connection. One that is silent gets no new
-            # requests, while those that it has may still be answered.
+            # A machine that lost power never closes its connections. A connection on which nothing arrives
+            # therefore gets no new requests, but its pending calls may still be answered.
             is_unresponsive = connection.last_received_at < deadline - timeout_seconds
             if timeout_seconds >= UNRESPONSIVE_SECONDS and is_unresponsive:
                 connection.close_when_idle()
-            raise errors.UnansweredError(f"{peer} gave no result in time") from None
+            raise errors.UnansweredError(f"{peer} sent no response before the timeout") from None
         except OSError:
-            raise errors.UnansweredError(f"{peer}: the connection broke") from None
+            raise errors.UnansweredError(f"the connection to {peer} broke before the response") from None
         except asyncio.CancelledError:
             connection.cancel(call.number)
             raise
--- a/src/irisstand/transport/request_server.py
+++ b/src/irisstand/transport/request_server.py
@@ -1,4 +1,4 @@
-"""The answering end of connections: requests of peers are handed to handlers, and their results sent back."""
+"""The server side of connections between nodes: passes requests to handlers, and sends back their results."""
 
 import asyncio
 import collections.abc
@@ -8,41 +8,42 @@
 from irisstand import counters, errors, event_log
 from irisstand.transport import codec, network
 
-# Of one connection; a peer that sends more is cut off.
+# The limit of one connection; the connection of a peer that exceeds it is closed.
 REQUESTS_IN_FLIGHT_LIMIT = 2000
-# What a handler raises if it cannot read the body that it is given.
+# The errors that a handler or decoder raises for a malformed body.
 MALFORMED_BODY_ERRORS = (ValueError, TypeError, IndexError, KeyError)
 
 
 class Handler(typing.Protocol):
-    """Answers the requests of one kind."""
+    """A function that answers the requests of one kind."""
 
     def __call__(self, sender: str, body: typing.Any, /) -> collections.abc.Awaitable[typing.Any]:
-        """Answer one request.
+        """Answer one request of a peer.
 
         Args:
             sender: The node name of the peer.
-            body: What the peer sent, decoded and not checked; for peers of this software a list.
+            body: The body of the request, decoded and not checked; a list if an irisstand node sent it.
 
         Returns:
             The body of the response, of types that msgpack can encode.
 
         Raises:
-            IrisError: Sent to the peer and raised there.
-            ValueError, TypeError, IndexError, KeyError: The body is malformed; the peer is sent bad-request.
+            IrisError: The error is sent to the peer, whose call raises it.
+            ValueError, TypeError, IndexError, KeyError: The body is malformed; the peer gets bad-request.
         """
         ...
 
 
 class RequestServer:
-    """Answers the requests of all peers.
+    """Accepts connections of peers, and answers their requests.
 
     Attributes:
-        handlers: The registry: a kind of request is added by an entry.
-        own_incarnation_id: Returns the current incarnation of this process.
-        own_incarnation_ids: All incarnations that peers may mean by this process. One that was falsely
-            declared failed starts a new incarnation, and still knows what it did in those before. Peers of
-            the version before send "".
+        handlers: The request handlers by kind of request; another kind is added as an entry.
+        own_incarnation_id: Returns the current incarnation id of this process.
+        own_incarnation_ids: All incarnation ids for which this process accepts requests. A process that was
+            falsely declared failed takes a new incarnation id but keeps its state, so the earlier ids stay
+            valid. Peers of the previous version send "".
+        serving_tasks: The tasks that serve incoming connections; the values are not used.
     """
 
     def __init__(self, net: network.Network, counters: counters.Counters, name: str) -> None:
@@ -53,33 +54,34 @@
         self.own_incarnation_id: collections.abc.Callable[[], str] = str
         self.own_incarnation_ids = {""}
         self.listener: network.Listener | None = None
-        # By task, in the order of their start: a set would give another order in every run.
+        # A dict keeps the order in which the tasks were started. The order of a set differs between runs, and
+        # simulated days must be reproducible.
         self.serving_tasks: dict[asyncio.Task[typing.Any], None] = {}
 
     def hello(self) -> codec.Hello:
-        """Return this node's hello, and remember the incarnation in it as one that peers may mean."""
+        """Return this node's hello, and accept requests for the incarnation id in it from now on."""
         self.own_incarnation_ids.add(self.own_incarnation_id())
         return codec.Hello(self.name, self.own_incarnation_id())
 
     def is_own_incarnation(self, incarnation_id: str) -> bool:
-        """Return whether a request for that incarnation is meant for this process."""
+        """Return whether this process accepts requests for an incarnation id."""
         return incarnation_id in self.own_incarnation_ids or incarnation_id == self.own_incarnation_id()
 
     async def open(self, address: network.Address) -> None:
-        """Accept connections of peers."""
+        """Listen at an address for connections of peers."""
         self.listener = await self.net.listen(address, self.serve)
 
     async def close(self) -> None:
-        """Accept no more connections, and close those that exist."""
+        """Stop accepting connections, and close the accepted ones."""
         if self.listener is not None:
             self.listener.close()
         for task in list(self.serving_tasks):
             task.cancel()
 
     async def serve(self, stream: network.Stream) -> None:
-        """Serve one incoming connection until it ends; one task for each."""
+        """Serve one incoming connection until it ends; each connection has a task of its own."""
         task = asyncio.current_task()
-        assert task is not None, "awaited by a coroutine, so there is a task"
+        assert task is not None, "a coroutine of asyncio runs in a task"
         self.serving_tasks[task] = None
         try:
             await IncomingConnection(stream, self).serve()
@@ -87,7 +89,7 @@
             self.serving_tasks.pop(task, None)
 
     async def respond(self, sender: str, request: codec.Request) -> codec.Response | codec.ErrorResponse:
-        """Run the handler of a request; an error becomes a response, so that the caller need not time out."""
+        """Run the handler of a request; an error is sent as a response, so that the caller need not time out."""
         try:
             return codec.Response(request.number, await self._handle(sender, request))
         except errors.IrisError as error:
@@ -97,7 +99,7 @@
             event_log.record("malformed-ask", error=repr(error), sender=sender)
             return codec.ErrorResponse(request.number, errors.BadRequestError(repr(error)).to_wire())
         except Exception as error:
-            # A fault of this node's own; it is reported, and the process goes on to serve others.
+            # Any other error is a bug in this node: it is recorded, and the process keeps serving requests.
             self.counters.add("asks_crashed")
             event_log.record("ask-crashed", error=repr(error), sender=sender)
             return codec.ErrorResponse(request.number, errors.IrisError(repr(error)).to_wire())
@@ -105,34 +107,40 @@
     async def _handle(self, sender: str, request: codec.Request) -> typing.Any:
         if not self.is_own_incarnation(request.incarnation_id):
             self.counters.add("asks_for_ended_lives")
-            raise errors.IncarnationEndedError(f"{self.name} is in another life")
+            raise errors.IncarnationEndedError(f"the request is for another incarnation of {self.name}")
         handler = self.handlers.get(request.kind)
         if handler is None:
             self.counters.add("frames_dropped", reason="unknown-kind")
-            raise errors.UnknownNameError(f"no handler for {request.kind}")
+            raise errors.UnknownNameError(f"there is no handler for requests of kind {request.kind}")
         return await handler(sender, request.body)
 
 
 class IncomingConnection:
-    """A connection that a peer has opened, and the tasks that work on its requests."""
+    """A connection that a peer has opened, and the tasks that execute its requests.
+
+    Attributes:
+        stream: The connection.
+        server: The server with the handlers.
+        sender: The peer's node name; "" before its hello.
+        tasks: The tasks of requests in flight, by call number.
+    """
 
     def __init__(self, stream: network.Stream, server: RequestServer) -> None:
         self.stream = stream
         self.server = server
-        # The peer's node name, "" before its hello.
         self.sender = ""
         self.tasks: dict[int, asyncio.Task[None]] = {}
 
     async def serve(self) -> None:
-        """Read messages until the connection ends or one is malformed; then stop the work on its requests."""
+        """Read messages until the connection ends or one is malformed, then cancel the requests in flight."""
         try:
             while True:
                 self._receive(codec.decode(await self.stream.read()))
         except (OSError, asyncio.CancelledError):
-            # The connection's end, or this node's: nobody waits for the result of this task.
+            # The connection ended, or this server is closing: nothing awaits the result of this task.
             pass
         except (errors.MalformedFrameError, *MALFORMED_BODY_ERRORS) as error:
-            # A malformed stream cannot be trusted to be in step again, so it is closed and counted.
+            # After a malformed frame the start of the next one is not reliable, so the connection is closed.
             self.server.counters.add("frames_dropped", reason=codec.drop_reason(error))
         finally:
             self.stream.close()
@@ -150,20 +158,20 @@
                 if message.number in self.tasks:
                     self.tasks[message.number].cancel()
             case _:
-                raise errors.MalformedFrameError(f"{type(message).__name__} makes no sense here")
+                raise errors.MalformedFrameError(f"a {type(message).__name__} message is not allowed now")
 
     def _start(self, request: codec.Request) -> None:
         number = request.number
-        # If a number repeats while its request is in flight, the two could not be cancelled or told apart.
+        # Two requests in flight with the same number could be neither told apart nor cancelled separately.
         if number in self.tasks:
-            raise errors.MalformedFrameError("a number that is in use")
+            raise errors.MalformedFrameError("the call number belongs to a request that is still in flight")
         task = asyncio.create_task(self._answer(request))
         self.tasks[number] = task
         task.add_done_callback(lambda _: self.tasks.pop(number, None))
 
     async def _answer(self, request: codec.Request) -> None:
         response = await self.server.respond(self.sender, request)
-        # If the connection has ended, the caller knows that from its own end.
+        # If the connection has closed, the response is dropped: the caller sees the closed connection itself.
         with contextlib.suppress(OSError):
             self.stream.write(codec.encode(response))
             await self.stream.flush()
