--- a/src/irisstand/transport/request_server.py
+++ b/src/irisstand/transport/request_server.py
@@ -89,7 +89,7 @@
             self.serving_tasks.pop(task, None)
 
     async def respond(self, sender: str, request: codec.Request) -> codec.Response | codec.ErrorResponse:
-        """Run the handler of a request; an error is sent as a response, so that the caller need not time out."""
+        """Run the handler of a request; errors become responses, so that the caller need not time out."""
         try:
             return codec.Response(request.number, await self._handle(sender, request))
         except errors.IrisError as error:
--- a/src/irisstand/validation/__init__.py
+++ b/src/irisstand/validation/__init__.py
@@ -1,1 +1,1 @@
-"""Checks of configurations: schemas, rules across rows, and the fleet as it runs."""
+"""Validation of configurations: schemas of rows, rules across rows, and checks against the running fleet."""
--- a/src/irisstand/validation/canonical_content.py
+++ b/src/irisstand/validation/canonical_content.py
@@ -1,6 +1,7 @@
-"""Which JSON contents are the same: a canonical form, and its digest.
+"""Comparison of JSON values by a canonical form and its digest.
 
-The order of fields, a field that is absent or null, and the spelling of a number make no difference.
+Two values are the same if they differ only in the order of fields, in fields that are null or absent, or in
+the notation of a number (5 and 5.0).
 """
 
 import collections.abc
@@ -10,13 +11,14 @@
 import typing
 
 DIGEST_BYTES = 12
-# Deeper than any item, and far below what the packers of messages and snapshots can take.
+# The nesting limit of a JSON value: more than any configuration item needs, and far below what the encoders
+# of messages and snapshots support.
 DEPTH_LIMIT = 32
 INTEGER_LIMIT = 2**63
 
 
 def canonical(value: typing.Any) -> typing.Any:
-    """Return the form that all spellings of a content have in common.
+    """Return the canonical form of a JSON value: without null fields, and with whole numbers as integers.
 
     >>> canonical({"b": 5.0, "a": None, "c": (True, 2.5)})
     {'b': 5, 'c': [True, 2.5]}
@@ -31,7 +33,7 @@
 
 
 def digest(value: typing.Any) -> str:
-    """Return the digest of a content's canonical form, in hexadecimal digits.
+    """Return the digest of the canonical form of a JSON value, in hexadecimal digits.
 
     >>> digest({"a": 1, "b": None}) == digest({"a": 1.0}), digest({"a": 1}) == digest({"a": True})
     (True, False)
@@ -41,19 +43,19 @@
 
 
 def is_same(one: typing.Any, other: typing.Any) -> bool:
-    """Return whether two contents are the same."""
-    # Most repeats are spelt the same, and to see that costs less than two digests.
+    """Return whether two JSON values have the same canonical form."""
+    # Repeated values are mostly written identically, and comparing their texts costs less than two digests.
     return repr(one) == repr(other) or digest(one) == digest(other)
 
 
 def encoding_fault(value: typing.Any, depth: int = 0) -> str:
-    """Return why a JSON value could not be carried or stored, empty if it can.
+    """Return what keeps a JSON value from being sent between nodes or stored, empty if it can be.
 
     >>> encoding_fault({"a": [1, "x", None]}), encoding_fault([10**30]), encoding_fault({"a": float("inf")})
-    ('', 'a number over 64 bits', 'a number that is not finite')
+    ('', 'an integer over 64 bits', 'a number that is not finite')
     """
     if depth > DEPTH_LIMIT:
-        return f"over {DEPTH_LIMIT} levels deep"
+        return f"values nested over {DEPTH_LIMIT} levels deep"
     if isinstance(value, dict):
         return first_encoding_fault([*value.keys(), *value.values()], depth)
     if isinstance(value, list):
@@ -62,18 +64,18 @@
 
 
 def scalar_encoding_fault(value: typing.Any) -> str:
-    """Return why a string, number, boolean or null could not be carried or stored, empty if it can."""
+    """Return what keeps a string, number, boolean or null from being sent or stored, empty if it can be."""
     if isinstance(value, str):
-        return "" if is_unicode(value) else "text that is not Unicode"
+        return "" if is_unicode(value) else "text that is not valid Unicode"
     if isinstance(value, float):
         return "" if math.isfinite(value) else "a number that is not finite"
     if isinstance(value, int) and not -INTEGER_LIMIT <= value < INTEGER_LIMIT:
-        return "a number over 64 bits"
+        return "an integer over 64 bits"
     return ""
 
 
 def first_encoding_fault(members: collections.abc.Iterable[typing.Any], depth: int) -> str:
-    """Return the first fault in the members of an object or list, empty if there is none."""
+    """Return the first encoding fault among the members of an object or list, empty if there is none."""
     for member in members:
         found = encoding_fault(member, depth + 1)
         if found:
@@ -82,7 +84,7 @@
 
 
 def is_unicode(value: str) -> bool:
-    """Return whether a string can be encoded: JSON may hold half of a surrogate pair."""
+    """Return whether a string can be encoded in UTF-8; JSON can escape a lone surrogate, which cannot."""
     try:
         value.encode()
     except UnicodeEncodeError:
--- a/src/irisstand/validation/checker.py
+++ b/src/irisstand/validation/checker.py
@@ -1,4 +1,4 @@
-"""Validation of a proposed configuration against the schema, the rules across rows, and the running fleet."""
+"""Validates a proposed configuration against the schema, the rules across rows, and the running fleet."""
 
 import collections.abc
 import enum
@@ -6,22 +6,30 @@
 
 from irisstand.validation import rules, schema
 
-# Requests a second that a shield machine may get where its row sets no limit.
+# Requests per second that a shield machine may get if the configuration sets no limit for it.
 DEFAULT_SHIELD_LIMIT = 100
 JsonObject = dict[str, typing.Any]
 
 
 class Level(enum.StrEnum):
-    """How bad a finding is."""
+    """The severity of a finding."""
 
-    # The change would be refused.
+    # The control plane would refuse the change.
     FAULT = "fault"
-    # The change would be accepted, and do harm.
+    # The control plane would accept the change, but it would probably do harm.
     WARNING = "warning"
 
 
 class Finding(typing.NamedTuple):
-    """What is wrong with one field of a row."""
+    """What is wrong with one field of a row in a proposed configuration.
+
+    Attributes:
+        level: The severity.
+        kind: The kind of the row.
+        name: The name of the row.
+        field: The field that is wrong.
+        message: What is wrong with it, for operators.
+    """
 
     level: Level
     kind: str
@@ -31,13 +39,13 @@
 
 
 class Fleet(typing.NamedTuple):
-    """The running fleet.
+    """The nodes and origins that are up when a configuration is validated.
 
     Attributes:
-        shields: The shields that are up, as the members' page lists them.
-        edges: The edges that are up.
-        sites: The sites with a member that is up.
-        origins: The origins by service, as the ledger has them.
+        shields: The shields that are up, as the operators' API lists members.
+        edges: The edges that are up, as the operators' API lists members.
+        sites: The names of the sites with a member that is up, sorted.
+        origins: The records of origins in the ledger table, by service.
     """
 
     shields: list[JsonObject]
@@ -47,7 +55,12 @@
 
 
 class ProposedTable(typing.NamedTuple):
-    """The configuration as it would stand, and the faults of single rows."""
+    """A configuration with the proposed rows applied, and the faults of those that are invalid.
+
+    Attributes:
+        table: The values of the configuration rows, by kind and name.
+        findings: The schema faults of the proposed rows.
+    """
 
     table: rules.Rows
     findings: list[Finding]
@@ -57,7 +70,12 @@
 
 
 def read_fleet(members: list[JsonObject], ledger: list[JsonObject]) -> Fleet:
-    """Return the fleet from the operators' pages on members and on the ledger."""
+    """Return the running fleet.
+
+    Args:
+        members: The members of the fleet, as the operators' API lists them.
+        ledger: The rows of the ledger table, which records the origins.
+    """
     alive = [member for member in members if member["state"] in ("alive", "suspect")]
     origins: dict[str, list[JsonObject]] = {}
     for row in ledger:
@@ -72,7 +90,7 @@
 
 
 def proposed_table(rows: list[JsonObject], proposed: list[JsonObject]) -> ProposedTable:
-    """Return the table with the proposed rows that have no fault of their own."""
+    """Apply the proposed rows that have no schema fault to the rows in force, and return the result."""
     table: rules.Rows = {(row["kind"], row["name"]): row["value"] for row in rows}
     findings = []
     for row in proposed:
@@ -89,16 +107,21 @@
 
 
 def check_origins_of_services(table: rules.Rows, fleet: Fleet) -> Findings:
-    """Yield a warning for each service without an origin that stays."""
+    """Yield a warning for each service whose origins are all about to leave, or that has none."""
     for kind, name in table:
         if kind != "service":
             continue
         if all(origin["state"] == "leaving" for origin in fleet.origins.get(name, [])):
-            yield Finding(Level.WARNING, kind, name, "name", "the platform lists no origin that stays for it")
+            message = "the platform lists no origin for the service, or only origins that are leaving"
+            yield Finding(Level.WARNING, kind, name, "name", message)
 
 
 def check_limits_of_services(table: rules.Rows, fleet: Fleet) -> Findings:
-    """Yield a warning for each limit that is too small: each shield needs a share, each origin a request."""
+    """Yield a warning for each service limit that is too low for the fleet.
+
+    Each shield needs at least 1 of the rate limit and of the concurrency limit as its share, and each origin
+    at least one request in flight.
+    """
     shields = len(fleet.shields)
     for (kind, name), value in table.items():
         if kind != "service":
@@ -107,29 +130,29 @@
         rate = value["ceiling"]["rate"]
         origins = len(fleet.origins.get(name, []))
         if inflight < shields:
-            message = f"{inflight} in flight cannot be split among {shields} shields"
+            message = f"a limit of {inflight} requests in flight cannot be divided among {shields} shields"
             yield Finding(Level.WARNING, kind, name, "ceiling.inflight", message)
         if inflight < origins:
-            message = f"{inflight} in flight leaves some of {origins} origins idle"
+            message = f"a limit of {inflight} requests in flight leaves some of the {origins} origins idle"
             yield Finding(Level.WARNING, kind, name, "ceiling.inflight", message)
         if rate < shields:
-            message = f"{rate} a second cannot be split among {shields} shields"
+            message = f"a limit of {rate} requests per second cannot be divided among {shields} shields"
             yield Finding(Level.WARNING, kind, name, "ceiling.rate", message)
 
 
 def check_weights_of_shields(table: rules.Rows, fleet: Fleet) -> Findings:
-    """Yield a warning if no shield that is up would be given work."""
+    """Yield a warning if every shield that is up has weight 0 and would get no requests."""
     weights = {}
     for member in fleet.shields:
         machine_weight = row_of(table, "shield", member["machine"]).get("weight", 1)
         site_weight = row_of(table, "site", member["site"]).get("weight", 1)
         weights[member["machine"]] = machine_weight * site_weight
     if fleet.shields and not any(weights.values()):
-        yield Finding(Level.WARNING, "shield", "*", "weight", "every shield that is up would weigh 0")
+        yield Finding(Level.WARNING, "shield", "*", "weight", "every shield that is up would have weight 0")
 
 
 def check_names_of_rows(table: rules.Rows, fleet: Fleet) -> Findings:
-    """Yield a warning for each site, shield or machine that is not up."""
+    """Yield a warning for each row about a site, shield or machine that is not up."""
     known = {
         "site": set(fleet.sites),
         "shield": {member["machine"] for member in fleet.shields},
@@ -137,12 +160,12 @@
     }
     for kind, name in table:
         if kind in known and name not in known[kind]:
-            message = f"no such {kind} is up; known: {', '.join(sorted(known[kind])) or 'none'}"
+            message = f"no {kind} of that name is up; up are: {', '.join(sorted(known[kind])) or 'none'}"
             yield Finding(Level.WARNING, kind, name, "name", message)
 
 
 def check_loss_of_sites(table: rules.Rows, fleet: Fleet) -> Findings:
-    """Yield a warning for each site without which the shields cannot carry what the limits allow."""
+    """Yield a warning for each site whose loss leaves too little shield capacity for the services' limits."""
     wanted = sum(value["ceiling"]["rate"] for (kind, _), value in table.items() if kind == "service")
     capacity: dict[str, float] = {}
     for member in fleet.shields:
@@ -151,14 +174,17 @@
     for site, lost in capacity.items():
         left = sum(capacity.values()) - lost
         if left < wanted:
-            message = f"without it the shields carry {left:g} a second of {wanted:g} that the ceilings allow"
+            message = (
+                f"without this site the shields have capacity for {left:g} requests per second, "
+                f"but the limits of the services allow {wanted:g}"
+            )
             yield Finding(Level.WARNING, "site", site, "limit", message)
 
 
 def check_overlaps_of_paths(table: rules.Rows, _: Fleet) -> Findings:
-    """Yield a warning for each path below another that does not allow all of its services and methods.
+    """Yield a warning for each path that lies below another and lacks some of its services and methods.
 
-    Requests go to the longest path, so what the shorter one allows ends there.
+    A request is matched with the longest path, so what only the shorter path allows is refused there.
     """
     paths = sorted(name for kind, name in table if kind == "path")
     for longer in paths:
@@ -168,12 +194,12 @@
             lost = grants_of(table, shorter) - grants_of(table, longer)
             if lost:
                 grants = ", ".join(f"{grant.method} to {grant.service}" for grant in sorted(lost))
-                message = f"shadows {shorter}, whose grant entries for {grants} end there"
+                message = f"the path hides the grant entries for {grants} of the shorter path {shorter}"
                 yield Finding(Level.WARNING, "path", longer, "grants", message)
 
 
 class Grant(typing.NamedTuple):
-    """A service that a path may be sent to with a method."""
+    """A service and a method that a path allows requests to."""
 
     service: str
     method: str
@@ -186,11 +212,11 @@
 
 
 def row_of(table: rules.Rows, kind: str, name: str) -> JsonObject:
-    """Return a row's value, empty if there is none."""
+    """Return the value of a row, an empty object if there is no such row."""
     return table.get((kind, name)) or {}
 
 
-# Plug-in point: a check against the fleet is an entry here.
+# Extension point: the checks of a configuration against the running fleet; add a check as another entry.
 REGISTRY: list[collections.abc.Callable[[rules.Rows, Fleet], Findings]] = [
     check_origins_of_services,
     check_limits_of_services,
@@ -202,7 +228,12 @@
 
 
 def validate(rows: list[JsonObject], proposed: list[JsonObject], fleet: Fleet) -> list[Finding]:
-    """Return what is wrong with a configuration if the proposed rows were written.
+    """Return what would be wrong with the configuration if the proposed rows were written to it.
+
+    Args:
+        rows: The configuration rows in force.
+        proposed: The rows to write; a row without a value is removed.
+        fleet: The running fleet.
 
     >>> found = validate([], [{"kind": "site", "name": "x", "value": {}}], Fleet([], [], ["y"], {}))
     >>> [(str(finding.level), finding.name) for finding in found]
@@ -210,7 +241,7 @@
     """
     table, findings = proposed_table(rows, proposed)
     findings += [Finding(Level.FAULT, *fault) for fault in rules.faults(table)]
-    # How a table would do says nothing if it would be refused.
+    # Checks against the fleet make sense only for a configuration that would be accepted.
     if findings:
         return findings
     return [finding for check in REGISTRY for finding in check(table, fleet)]
--- a/src/irisstand/validation/formats.py
+++ b/src/irisstand/validation/formats.py
@@ -1,4 +1,4 @@
-"""Formats of operators' files: JSON rows, and Kubernetes-style objects in YAML."""
+"""Formats of configuration files: JSON rows, and Kubernetes-style objects in YAML."""
 
 import collections.abc
 import json
@@ -14,41 +14,46 @@
 
 
 class FileFormat(typing.NamedTuple):
-    """A format of files: the endings of their names, and the function that reads their rows."""
+    """A format of configuration files.
+
+    Attributes:
+        endings: The endings of the names of files in this format.
+        read: Returns the configuration rows in the content of a file.
+    """
 
     endings: tuple[str, ...]
     read: collections.abc.Callable[[bytes], Rows]
 
 
 class RowKey(typing.NamedTuple):
-    """The kind and name of a row, as a file or a table has them."""
+    """The kind and name of a configuration row, unchecked as they stand in a file or a table."""
 
     kind: typing.Any
     name: typing.Any
 
     @classmethod
     def of(cls, row: Row) -> "RowKey":
-        """Return the key of a row."""
+        """Return the key of a configuration row."""
         return cls(row.get("kind"), row.get("name"))
 
 
 def read_json(content: bytes) -> Rows:
-    """Read a JSON list of rows, or an object that has them in `rows`, as the operators' page does.
+    """Read a JSON list of rows, or an object with such a list under `rows`, as the operators' API returns it.
 
     Raises:
-        InvalidChangeError: It is neither.
+        InvalidChangeError: The content is neither of the two.
     """
     try:
         decoded = json.loads(content)
     except (ValueError, RecursionError) as error:
-        raise file_faults.error_for_file(f"not JSON: {error}") from None
+        raise file_faults.error_for_file(f"the file is not JSON: {error}") from None
     rows = decoded.get("rows") if isinstance(decoded, dict) else decoded
     if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
-        raise file_faults.error_for_file("not a list of rows")
+        raise file_faults.error_for_file("the file does not contain a list of row objects")
     return rows
 
 
-# Plug-in point: a format is an entry here.
+# Extension point: the formats of configuration files by name; add a format as another entry.
 REGISTRY: dict[str, FileFormat] = {
     DEFAULT_FORMAT: FileFormat((".json",), read_json),
     "objects": FileFormat((".yaml", ".yml"), object_format.read_objects),
@@ -56,12 +61,12 @@
 
 
 def read(name: str, content: bytes, format_name: str = "") -> Rows:
-    """Return the rows of a file.
+    """Return the configuration rows of a file.
 
     Args:
-        name: The file's name, whose ending tells the format if none is given.
-        content: The file's content.
-        format_name: A format of `REGISTRY`.
+        name: The name of the file; its ending determines the format if `format_name` is empty.
+        content: The content of the file.
+        format_name: The name of a format in `REGISTRY`, or "".
 
     Raises:
         InvalidChangeError: The file is too large or has faults.
@@ -70,12 +75,13 @@
     [{'kind': 'site', 'name': 'north', 'value': {'weight': 2}}]
     """
     if len(content) > FILE_BYTES_LIMIT:
-        raise file_faults.error_for_file(f"over {FILE_BYTES_LIMIT} bytes; send it in parts")
+        message = f"the file has over {FILE_BYTES_LIMIT} bytes; split it into several files"
+        raise file_faults.error_for_file(message)
     return REGISTRY[format_name or format_of(name)].read(content)
 
 
 def format_of(name: str) -> str:
-    """Return the format that a file's name tells by its ending."""
+    """Return the name of the format that the ending of a file's name stands for."""
     for format_name, file_format in REGISTRY.items():
         if name.lower().endswith(file_format.endings):
             return format_name
@@ -83,18 +89,24 @@
 
 
 def differences(wanted: Rows, table: Rows) -> list[str]:
-    """Return one line for each row that a table has otherwise than a file."""
+    """Return one line of text for each row that differs between a file and a table.
+
+    Args:
+        wanted: The rows of the file; a row without a value is to be removed from the table.
+        table: The rows of the table.
+    """
     wanted_values = {RowKey.of(row): row.get("value") for row in wanted}
     table_values = {RowKey.of(row): row["value"] for row in table}
     lines = []
     for key in sorted(set(wanted_values) | set(table_values), key=str):
         title = f"{key.kind} {key.name}"
         if key not in table_values:
-            # A row that the file removes is not to be there.
+            # A row that the file removes is rightly missing from the table.
             if wanted_values[key] is not None:
                 lines.append(f"missing: {title}")
         elif key not in wanted_values:
             lines.append(f"not in the file: {title}")
         elif wanted_values[key] != table_values[key]:
-            lines.append(f"other: {title}: {table_values[key]} where {wanted_values[key]} was wanted")
+            values = f"{table_values[key]} in the table, {wanted_values[key]} in the file"
+            lines.append(f"differs: {title}: {values}")
     return lines
--- a/src/irisstand/validation/item_schema.py
+++ b/src/irisstand/validation/item_schema.py
@@ -1,4 +1,4 @@
-"""The JSON schemas of versioned items and the faults that they find. Times are seconds, rates per second."""
+"""The JSON schemas of versioned configuration items: durations are in seconds, rates per second."""
 
 import functools
 import typing
@@ -8,13 +8,14 @@
 SECONDS = {"type": "number", "minimum": 0, "maximum": 86400}
 RATE = {"type": ["number", "null"], "exclusiveMinimum": 0}
 NAME = {"type": "string", "minLength": 1, "maxLength": 200}
-# A path as nodes write it to origins; `$` would let a line break by.
+# The path of health probes, which nodes send to origins unchanged. The pattern ends in \Z, because $ would
+# also match before a line break at the end.
 PROBE_PATH = r'^/[!"$-~]*\Z'
 VERSION = {"type": "integer", "minimum": 0, "maximum": 2**53}
-# Longer messages of the schema checker are cut.
+# Messages of jsonschema are cut to this many characters, because they quote the invalid value.
 MESSAGE_LIMIT = 300
 
-# Fields that are not named here are kept and read back, but decide nothing.
+# The schemas by kind of item. Fields that a schema does not name are stored and returned, but have no effect.
 SCHEMAS: dict[str, dict[str, typing.Any]] = {
     "route": {
         "type": "object",
@@ -75,7 +76,13 @@
 
 
 class ItemFault(typing.NamedTuple):
-    """What is wrong with one field of an item, and how to correct it."""
+    """What is wrong with one field of an item.
+
+    Attributes:
+        item: The name of the item, or of the part of the call that is wrong.
+        field: The field that is wrong; "" for the whole item.
+        message: What is wrong with the field, and how to correct it.
+    """
 
     item: str
     field: str
@@ -84,18 +91,18 @@
 
 @functools.cache
 def validator(kind: str) -> typing.Any:
-    """Return the jsonschema validator of a kind of item."""
+    """Return the jsonschema validator of a kind of item, which is compiled only once."""
     return lazy_jsonschema.compile_schema(SCHEMAS[kind])
 
 
 @functools.cache
 def drop_validator() -> typing.Any:
-    """Return the jsonschema validator of an entry that drops an item."""
+    """Return the jsonschema validator of an entry that drops an item, which is compiled only once."""
     return lazy_jsonschema.compile_schema(DROP_SCHEMA)
 
 
 def schema_faults(kind: str, item: typing.Any) -> list[ItemFault]:
-    """Return what an item has against the schema of its kind."""
+    """Return the violations of the schema of its kind that an item contains."""
     name = str(item.get("name", kind)) if isinstance(item, dict) else kind
     return [
         ItemFault(name, ".".join(map(str, error.absolute_path)), error.message[:MESSAGE_LIMIT])
--- a/src/irisstand/validation/lazy_jsonschema.py
+++ b/src/irisstand/validation/lazy_jsonschema.py
@@ -1,4 +1,4 @@
-"""The jsonschema library, imported with the first check: a node that was killed is back sooner without it."""
+"""Imports the jsonschema library at its first use, so that a node that was killed restarts sooner."""
 
 import collections.abc
 import importlib
@@ -6,7 +6,7 @@
 
 
 def compile_schema(schema: collections.abc.Mapping[str, typing.Any]) -> typing.Any:
-    """Return a validator of a schema (JSON Schema, draft 2020-12).
+    """Return the jsonschema validator of a schema (JSON Schema, draft 2020-12).
 
     >>> [error.message for error in compile_schema({"type": "integer"}).iter_errors("x")]
     ["'x' is not of type 'integer'"]
--- a/src/irisstand/validation/rules.py
+++ b/src/irisstand/validation/rules.py
@@ -1,14 +1,21 @@
-"""Rules across rows, which the configuration as a whole has to keep."""
+"""Validation rules that concern several rows of the configuration at once."""
 
 import collections.abc
 import typing
 
-# Values by kind and name.
+# The values of configuration rows, by kind and name.
 Rows = dict[tuple[str, str], typing.Any]
 
 
 class TableFault(typing.NamedTuple):
-    """What is wrong with one field of a row beside the other rows."""
+    """What is wrong with one field of a row in relation to other rows.
+
+    Attributes:
+        kind: The kind of the row.
+        name: The name of the row.
+        field: The field that is wrong.
+        message: What is wrong with the field, and how to correct it.
+    """
 
     kind: str
     name: str
@@ -24,12 +31,12 @@
     for (kind, name), value in rows.items():
         for grant in value["grants"] if kind == "path" else ():
             if ("service", grant["service"]) not in rows:
-                message = f"service {grant['service']!r} has no row; send its row too, or name another"
+                message = f"the service {grant['service']!r} has no row; send its row too, or name another"
                 yield TableFault(kind, name, "grants", message)
 
 
 def check_weights_of_grants(rows: Rows) -> Faults:
-    """Yield a fault for each method of a path whose grants all weigh 0: no service could be chosen."""
+    """Yield a fault for each method of a path whose grants all have weight 0: no service could be chosen."""
     for (kind, name), value in rows.items():
         if kind != "path":
             continue
@@ -44,13 +51,13 @@
 
 
 def check_weights_of_sites(rows: Rows) -> Faults:
-    """Yield a fault if every site weighs 0."""
+    """Yield a fault if every site that has a row has weight 0."""
     sites = {name: value.get("weight", 1) for (kind, name), value in rows.items() if kind == "site"}
     if sites and not any(sites.values()):
-        yield TableFault("site", next(iter(sites)), "weight", "every site weighs 0; leave one above 0")
+        yield TableFault("site", next(iter(sites)), "weight", "every site has weight 0; raise one")
 
 
-# Plug-in point: a rule is an entry here.
+# Extension point: the rules across rows; add a rule as another entry.
 REGISTRY: list[collections.abc.Callable[[Rows], Faults]] = [
     check_services_of_grants,
     check_weights_of_grants,
@@ -59,5 +66,5 @@
 
 
 def faults(rows: Rows) -> list[TableFault]:
-    """Return what is wrong with the configuration."""
+    """Return the faults that all rules find in the rows of a configuration."""
     return [fault for rule in REGISTRY for fault in rule(rows)]
--- a/src/irisstand/validation/schema.py
+++ b/src/irisstand/validation/schema.py
@@ -1,11 +1,11 @@
-"""The JSON schemas of operators' rows, one for each kind."""
+"""The JSON schemas of configuration rows, one for each kind of row."""
 
 import functools
 import typing
 
 from irisstand.validation import lazy_jsonschema
 
-# `$` would let a line break by at the end.
+# The patterns end in \Z, because $ would also match before a line break at the end.
 NAME = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}\Z"
 PATH = r"^/[!-~]{0,255}\Z"
 WEIGHT = {"type": "number", "minimum": 0, "maximum": 1000}
@@ -13,21 +13,31 @@
 
 
 class RowFault(typing.NamedTuple):
-    """What is wrong with one field of a row."""
+    """What is wrong with one field of a configuration row.
+
+    Attributes:
+        field: The field that is wrong: "kind", "name", or its place in the value, such as "ceiling.rate".
+        message: What is wrong with the field.
+    """
 
     field: str
     message: str
 
 
 class KindSchema(typing.NamedTuple):
-    """The pattern of a kind's names and the JSON schema of its values."""
+    """The schema of one kind of configuration row.
+
+    Attributes:
+        name_pattern: The regular expression that names of rows have to match.
+        value_schema: The JSON schema that values of rows have to match.
+    """
 
     name_pattern: str
     value_schema: dict[str, typing.Any]
 
 
 def object_schema(required: list[str], properties: dict[str, typing.Any]) -> dict[str, typing.Any]:
-    """Return the schema of an object that has no other fields than these."""
+    """Return the JSON schema of an object with these properties and no others."""
     return {
         "type": "object",
         "required": required,
@@ -36,7 +46,7 @@
     }
 
 
-# Plug-in point: a new kind of row is an entry here, with the pattern of its names.
+# Extension point: the kinds of configuration rows; add a kind as another entry with the pattern of its names.
 REGISTRY: dict[str, KindSchema] = {
     "service": KindSchema(
         NAME,
@@ -97,18 +107,18 @@
 
 @functools.cache
 def value_validator(kind: str) -> typing.Any:
-    """Return the jsonschema validator of a kind's values."""
+    """Return the jsonschema validator of the values of a kind of row, which is compiled only once."""
     return lazy_jsonschema.compile_schema(REGISTRY[kind].value_schema)
 
 
 @functools.cache
 def name_validator(kind: str) -> typing.Any:
-    """Return the jsonschema validator of a kind's names."""
+    """Return the jsonschema validator of the names of a kind of row, which is compiled only once."""
     return lazy_jsonschema.compile_schema({"type": "string", "pattern": REGISTRY[kind].name_pattern})
 
 
 def faults(kind: typing.Any, name: typing.Any, value: typing.Any) -> list[RowFault]:
-    """Return what is wrong with one row; a value of None removes the row and needs no schema.
+    """Return what is wrong with one row; a value of None removes the row and is not checked.
 
     >>> faults("site", "north", {"weight": -1})
     [RowFault(field='weight', message='-1 is less than the minimum of 0')]
--- a/tests/controlplane/test_operations.py
+++ b/tests/controlplane/test_operations.py
@@ -171,7 +171,7 @@
 @pytest.mark.parametrize(
     ("content", "where"),
     [
-        (b"kind: Site\nkind: Path\n", "line 2: 'kind' stands twice"),
+        (b"kind: Site\nkind: Path\n", "line 2: duplicate key 'kind'"),
         (b"a: &x [1]\nb: *x\n", "aliases"),
         (b"{", "line"),
         (b"", "no document"),
@@ -182,7 +182,7 @@
         (OBJECTS.replace(b"{name: north}", b"{name: north, colour: red}"), "metadata.colour"),
         (OBJECTS.replace(b"spec: null", b"spec: {weight: 1}\nstatus: {}"), "status"),
         (OBJECTS.replace(b"spec: null", b""), "spec"),
-        (b"1: 2\n", "no word"),
+        (b"1: 2\n", "the key 1 is not a string"),
         (b"\xff\xfe\x00", ""),
         (b"x: !!python/object:os.system {}\n", ""),
     ],
@@ -213,7 +213,7 @@
     table.append({"kind": "site", "name": "south", "value": {}})
     found = formats.differences(wanted, table)
     assert len(found) == 2
-    assert found[0].startswith("other: service")
+    assert found[0].startswith("differs: service")
     assert "not in the file" in found[1]
 
 
