--- a/src/irisstand/validation/checker.py
+++ b/src/irisstand/validation/checker.py
@@ -112,8 +112,9 @@
         if kind != "service":
             continue
         if all(origin["state"] == "leaving" for origin in fleet.origins.get(name, [])):
-            message = "the platform lists no origin for the service, or only origins that are leaving"
-            yield Finding(Level.WARNING, kind, name, "name", message)
+            yield Finding(
+                Level.WARNING, kind, name, "name", "the platform lists no origin for the service that stays"
+            )
 
 
 def check_limits_of_services(table: rules.Rows, fleet: Fleet) -> Findings:
--- a/src/irisstand/validation/formats.py
+++ b/src/irisstand/validation/formats.py
@@ -75,8 +75,9 @@
     [{'kind': 'site', 'name': 'north', 'value': {'weight': 2}}]
     """
     if len(content) > FILE_BYTES_LIMIT:
-        message = f"the file has over {FILE_BYTES_LIMIT} bytes; split it into several files"
-        raise file_faults.error_for_file(message)
+        raise file_faults.error_for_file(
+            f"the file has over {FILE_BYTES_LIMIT} bytes; split it into several files"
+        )
     return REGISTRY[format_name or format_of(name)].read(content)
 
 
@@ -107,6 +108,7 @@
         elif key not in wanted_values:
             lines.append(f"not in the file: {title}")
         elif wanted_values[key] != table_values[key]:
-            values = f"{table_values[key]} in the table, {wanted_values[key]} in the file"
-            lines.append(f"differs: {title}: {values}")
+            lines.append(
+                f"differs: {title}: {table_values[key]} in the table, {wanted_values[key]} in the file"
+            )
     return lines
--- a/src/irisstand/validation/item_entries.py
+++ b/src/irisstand/validation/item_entries.py
@@ -80,8 +80,11 @@
     for section in ("put", "drop"):
         content = body.get(section) or {}
         if not isinstance(content, dict):
-            message = "the section is not an object; send lists of items by kind"
-            faults.append(item_schema.ItemFault(section, "", message))
+            faults.append(
+                item_schema.ItemFault(
+                    section, "", "the section is not an object; send lists of items by kind"
+                )
+            )
             return ParsedCall([], faults)
         faults += unknown_lists(section, content)
         sections[section] = content
@@ -132,8 +135,11 @@
     if content is None:
         return []
     if not isinstance(content, list):
-        message = "the items are not in a list; send a list of items"
-        faults.append(item_schema.ItemFault(LIST_NAME_BY_KIND[kind], "", message))
+        faults.append(
+            item_schema.ItemFault(
+                LIST_NAME_BY_KIND[kind], "", "the items are not in a list; send a list of items"
+            )
+        )
         return []
     return content
 
@@ -211,9 +217,11 @@
             message = f"the route's service {service!r} does not exist; send it too, or name another"
             faults.append(item_schema.ItemFault(key, "service", message))
     if not any(weight > 0 for _, weight in splits):
-        message = "the weights of the services add up to 0; raise one"
-        faults.append(item_schema.ItemFault(key, "split", message))
+        faults.append(
+            item_schema.ItemFault(key, "split", "the weights of the services add up to 0; raise one")
+        )
     if (route.get("target") or 0) >= route["timeout"] + TARGET_MARGIN_SECONDS:
-        message = "the latency target is far over the timeout; lower it"
-        faults.append(item_schema.ItemFault(key, "target", message))
+        faults.append(
+            item_schema.ItemFault(key, "target", "the latency target is far over the timeout; lower it")
+        )
     return faults
--- a/src/irisstand/validation/object_format.py
+++ b/src/irisstand/validation/object_format.py
@@ -99,16 +99,23 @@
     ]
     version = document.get("apiVersion")
     if version != API_VERSION:
-        message = f"unknown apiVersion {version!r}; give {API_VERSION}"
-        found.append(file_faults.FileFault(position, "apiVersion", message))
+        found.append(
+            file_faults.FileFault(
+                position, "apiVersion", f"unknown apiVersion {version!r}; give {API_VERSION}"
+            )
+        )
     if row_kind(document) is None:
         known = ", ".join(sorted(KINDS))
         message = f"{document.get('kind')!r} is not a kind of object; use one of {known}"
         found.append(file_faults.FileFault(position, "kind", message))
     metadata = document.get("metadata")
     if not isinstance(metadata, dict):
-        message = "the metadata is not an object; give an object with at least a name"
-        return [*found, file_faults.FileFault(position, "metadata", message)]
+        return [
+            *found,
+            file_faults.FileFault(
+                position, "metadata", "the metadata is not an object; give an object with at least a name"
+            ),
+        ]
     found += [
         file_faults.FileFault(position, f"metadata.{key}", "metadata has no such field")
         for key in metadata
@@ -117,8 +124,11 @@
     found += spec_faults(position, document, metadata)
     resource_version = metadata.get("resourceVersion")
     if resource_version is not None and not isinstance(resource_version, str):
-        message = "the resourceVersion is not a string; put it in quotes"
-        found.append(file_faults.FileFault(position, "metadata.resourceVersion", message))
+        found.append(
+            file_faults.FileFault(
+                position, "metadata.resourceVersion", "the resourceVersion is not a string; put it in quotes"
+            )
+        )
     return found
 
 
