--- a/src/irisstand/validation/checker.py
+++ b/src/irisstand/validation/checker.py
@@ -113,7 +113,7 @@
             continue
         if all(origin["state"] == "leaving" for origin in fleet.origins.get(name, [])):
             yield Finding(
-                Level.WARNING, kind, name, "name", "the platform lists no origin for the service that stays"
+                Level.WARNING, kind, name, "name", "the platform lists no origins, or only leaving ones"
             )
 
 
@@ -167,17 +167,17 @@
 
 def check_loss_of_sites(table: rules.Rows, fleet: Fleet) -> Findings:
     """Yield a warning for each site whose loss leaves too little shield capacity for the services' limits."""
-    wanted = sum(value["ceiling"]["rate"] for (kind, _), value in table.items() if kind == "service")
+    allowed_rate = sum(value["ceiling"]["rate"] for (kind, _), value in table.items() if kind == "service")
     capacity: dict[str, float] = {}
     for member in fleet.shields:
         limit = row_of(table, "shield", member["machine"]).get("limit", DEFAULT_SHIELD_LIMIT)
         capacity[member["site"]] = capacity.get(member["site"], 0) + limit
     for site, lost in capacity.items():
         left = sum(capacity.values()) - lost
-        if left < wanted:
+        if left < allowed_rate:
             message = (
                 f"without this site the shields have capacity for {left:g} requests per second, "
-                f"but the limits of the services allow {wanted:g}"
+                f"but the limits of the services allow {allowed_rate:g}"
             )
             yield Finding(Level.WARNING, "site", site, "limit", message)
 
--- a/src/irisstand/validation/item_schema.py
+++ b/src/irisstand/validation/item_schema.py
@@ -5,15 +5,15 @@
 
 from irisstand.validation import lazy_jsonschema
 
-SECONDS = {"type": "number", "minimum": 0, "maximum": 86400}
-RATE = {"type": ["number", "null"], "exclusiveMinimum": 0}
-NAME = {"type": "string", "minLength": 1, "maxLength": 200}
+SECONDS_SCHEMA = {"type": "number", "minimum": 0, "maximum": 86400}
+RATE_SCHEMA = {"type": ["number", "null"], "exclusiveMinimum": 0}
+NAME_SCHEMA = {"type": "string", "minLength": 1, "maxLength": 200}
 # The path of health probes, which nodes send to origins unchanged. The pattern ends in \Z, because $ would
 # also match before a line break at the end.
-PROBE_PATH = r'^/[!"$-~]*\Z'
-VERSION = {"type": "integer", "minimum": 0, "maximum": 2**53}
+PROBE_PATH_PATTERN = r'^/[!"$-~]*\Z'
+VERSION_SCHEMA = {"type": "integer", "minimum": 0, "maximum": 2**53}
 # Messages of jsonschema are cut to this many characters, because they quote the invalid value.
-MESSAGE_LIMIT = 300
+MESSAGE_LIMIT_CHARACTERS = 300
 
 # The schemas by kind of item. Fields that a schema does not name are stored and returned, but have no effect.
 SCHEMAS: dict[str, dict[str, typing.Any]] = {
@@ -21,12 +21,12 @@
         "type": "object",
         "required": ["name", "version", "host", "prefix", "kind", "timeout"],
         "properties": {
-            "name": NAME,
-            "version": VERSION,
+            "name": NAME_SCHEMA,
+            "version": VERSION_SCHEMA,
             "host": {"type": "string", "minLength": 1, "maxLength": 255},
             "prefix": {"type": "string", "pattern": "^/", "maxLength": 1024},
             "kind": {"enum": ["cacheable", "idempotent", "non_idempotent"]},
-            "timeout": {**SECONDS, "exclusiveMinimum": 0},
+            "timeout": {**SECONDS_SCHEMA, "exclusiveMinimum": 0},
             "target": {"type": ["number", "null"], "minimum": 0},
             "priority": {"type": ["integer", "null"], "minimum": 0},
             "attempts": {"type": ["integer", "null"], "minimum": 1, "maximum": 100},
@@ -38,7 +38,7 @@
                 "items": {
                     "type": "object",
                     "required": ["service", "weight"],
-                    "properties": {"service": NAME, "weight": {"type": "number", "minimum": 0}},
+                    "properties": {"service": NAME_SCHEMA, "weight": {"type": "number", "minimum": 0}},
                 },
             },
         },
@@ -47,31 +47,31 @@
         "type": "object",
         "required": ["name", "version"],
         "properties": {
-            "name": NAME,
-            "version": VERSION,
-            "probe": {"type": ["string", "null"], "pattern": PROBE_PATH},
+            "name": NAME_SCHEMA,
+            "version": VERSION_SCHEMA,
+            "probe": {"type": ["string", "null"], "pattern": PROBE_PATH_PATTERN},
             "connections": {"type": ["integer", "null"], "minimum": 1},
             "warmup": {"type": ["number", "null"], "minimum": 0},
-            "cold_rate": RATE,
-            "rate": RATE,
+            "cold_rate": RATE_SCHEMA,
+            "rate": RATE_SCHEMA,
         },
     },
     "limits": {
         "type": "object",
         "required": ["version"],
         "properties": {
-            "version": VERSION,
+            "version": VERSION_SCHEMA,
             "header_bytes": {"type": "integer", "minimum": 1},
             "body_bytes": {"type": "integer", "minimum": 0},
-            "header": SECONDS,
-            "idle": SECONDS,
+            "header": SECONDS_SCHEMA,
+            "idle": SECONDS_SCHEMA,
         },
     },
 }
 DROP_SCHEMA = {
     "type": "object",
     "required": ["name", "version"],
-    "properties": {"name": NAME, "version": VERSION},
+    "properties": {"name": NAME_SCHEMA, "version": VERSION_SCHEMA},
 }
 
 
@@ -105,6 +105,6 @@
     """Return the violations of the schema of its kind that an item contains."""
     name = str(item.get("name", kind)) if isinstance(item, dict) else kind
     return [
-        ItemFault(name, ".".join(map(str, error.absolute_path)), error.message[:MESSAGE_LIMIT])
+        ItemFault(name, ".".join(map(str, error.absolute_path)), error.message[:MESSAGE_LIMIT_CHARACTERS])
         for error in validator(kind).iter_errors(item)
     ]
--- a/src/irisstand/validation/object_format.py
+++ b/src/irisstand/validation/object_format.py
@@ -7,7 +7,7 @@
 from irisstand.validation import file_faults, schema
 
 API_VERSION = "irisstand/v1"
-KINDS = {kind.capitalize(): kind for kind in schema.REGISTRY}
+ROW_KIND_BY_OBJECT_KIND = {kind.capitalize(): kind for kind in schema.REGISTRY}
 OBJECT_FIELDS = ("apiVersion", "kind", "metadata", "spec")
 # resourceVersion is optional and gives the version that the row is expected to have before the change.
 METADATA_FIELDS = ("name", "resourceVersion", "labels", "annotations")
@@ -105,7 +105,7 @@
             )
         )
     if row_kind(document) is None:
-        known = ", ".join(sorted(KINDS))
+        known = ", ".join(sorted(ROW_KIND_BY_OBJECT_KIND))
         message = f"{document.get('kind')!r} is not a kind of object; use one of {known}"
         found.append(file_faults.FileFault(position, "kind", message))
     metadata = document.get("metadata")
@@ -135,7 +135,7 @@
 def row_kind(document: dict[str, typing.Any]) -> str | None:
     """Return the kind of configuration row that a document describes, None if its kind is unknown."""
     kind = document.get("kind")
-    return KINDS.get(kind) if isinstance(kind, str) else None
+    return ROW_KIND_BY_OBJECT_KIND.get(kind) if isinstance(kind, str) else None
 
 
 def spec_faults(
@@ -158,7 +158,11 @@
 def row_of(document: dict[str, typing.Any]) -> dict[str, typing.Any]:
     """Return the configuration row that a document without faults describes."""
     metadata = document["metadata"]
-    row = {"kind": KINDS[document["kind"]], "name": metadata["name"], "value": document["spec"]}
+    row = {
+        "kind": ROW_KIND_BY_OBJECT_KIND[document["kind"]],
+        "name": metadata["name"],
+        "value": document["spec"],
+    }
     if metadata.get("resourceVersion") is not None:
         row["expected"] = metadata["resourceVersion"]
     return row
--- a/src/irisstand/validation/schema.py
+++ b/src/irisstand/validation/schema.py
@@ -6,9 +6,9 @@
 from irisstand.validation import lazy_jsonschema
 
 # The patterns end in \Z, because $ would also match before a line break at the end.
-NAME = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}\Z"
-PATH = r"^/[!-~]{0,255}\Z"
-WEIGHT = {"type": "number", "minimum": 0, "maximum": 1000}
+NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}\Z"
+PATH_PATTERN = r"^/[!-~]{0,255}\Z"
+WEIGHT_SCHEMA = {"type": "number", "minimum": 0, "maximum": 1000}
 METHODS = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"]
 
 
@@ -49,7 +49,7 @@
 # Extension point: the kinds of configuration rows; add a kind as another entry with the pattern of its names.
 REGISTRY: dict[str, KindSchema] = {
     "service": KindSchema(
-        NAME,
+        NAME_PATTERN,
         object_schema(
             ["deadline", "ceiling"],
             {
@@ -61,12 +61,12 @@
                         "inflight": {"type": "integer", "minimum": 1, "maximum": 100000},
                     },
                 ),
-                "probe": {"type": "string", "pattern": PATH},
+                "probe": {"type": "string", "pattern": PATH_PATTERN},
             },
         ),
     ),
     "path": KindSchema(
-        PATH,
+        PATH_PATTERN,
         object_schema(
             ["grants"],
             {
@@ -77,14 +77,14 @@
                     "items": object_schema(
                         ["service", "methods"],
                         {
-                            "service": {"type": "string", "pattern": NAME},
+                            "service": {"type": "string", "pattern": NAME_PATTERN},
                             "methods": {
                                 "type": "array",
                                 "minItems": 1,
                                 "uniqueItems": True,
                                 "items": {"enum": METHODS},
                             },
-                            "weight": WEIGHT,
+                            "weight": WEIGHT_SCHEMA,
                         },
                     ),
                 },
@@ -97,10 +97,10 @@
             },
         ),
     ),
-    "site": KindSchema(NAME, object_schema([], {"weight": WEIGHT})),
-    "machine": KindSchema(NAME, object_schema([], {"awake": {"type": "boolean"}})),
+    "site": KindSchema(NAME_PATTERN, object_schema([], {"weight": WEIGHT_SCHEMA})),
+    "machine": KindSchema(NAME_PATTERN, object_schema([], {"awake": {"type": "boolean"}})),
     "shield": KindSchema(
-        NAME, object_schema([], {"weight": WEIGHT, "limit": {"type": "integer", "minimum": 1}})
+        NAME_PATTERN, object_schema([], {"weight": WEIGHT_SCHEMA, "limit": {"type": "integer", "minimum": 1}})
     ),
 }
 
