--- a/tests/support/recorded_frames.py
+++ b/tests/support/recorded_frames.py
@@ -1,4 +1,4 @@
-"""Frames that nodes of the version before exchanged, recorded in seeded simulated days."""
+"""Access to frames that nodes of the previous version exchanged, recorded in seeded simulated days."""
 
 import json
 import pathlib
@@ -9,7 +9,11 @@
 
 
 def recorded_bodies(label):
-    """The bodies of all recorded frames under a label: 'ask KIND' for requests, 'result KIND' for replies."""
+    """Return the bodies of all frames recorded under a label.
+
+    Args:
+        label: "ask KIND" for requests of a kind, "result KIND" for replies, "fault KIND" for error replies.
+    """
     contents = []
     for payload in json.loads(FRAMES_FILE.read_text())[label]:
         _, _, _, content, *_ = ormsgpack.unpackb(bytes.fromhex(payload))
--- a/tests/transport/test_closed_connections.py
+++ b/tests/transport/test_closed_connections.py
@@ -1,4 +1,7 @@
-"""uvloop refuses a write on a connection that it has closed, before it tells the protocol of the end."""
+"""Tests of writes to a closed connection, which uvloop refuses before it calls connection_lost().
+
+Until that call, the connection looks open to its owner. Callers must get a typed error for such a write.
+"""
 
 import asyncio
 
@@ -52,7 +55,7 @@
         await asyncio.sleep(0.05)
         connection.stream.writer.transport.abort()
         pending_call.cancel()
-        # The caller's cancellation stays one; an error in its place would end a controller, and its process.
+        # A cancelled call must not raise the error of the write: it would end a controller, and its process.
         with pytest.raises((asyncio.CancelledError, errors.UnansweredError)):
             await pending_call
         await caller.close()
--- a/tests/transport/test_fuzz.py
+++ b/tests/transport/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Fuzzing of codecs and state against an oracle."""
+"""Fuzz tests of the codec, the failure detector and replica merges; the latter two against an oracle."""
 
 import contextlib
 import random
@@ -35,9 +35,9 @@
         del packed[randomness.randrange(len(packed)) :]
         with contextlib.suppress(errors.MalformedFrameError):
             assert isinstance(codec.unpack(bytes(packed))[0], str)
-    for bad in (b"", b"\xc1", ormsgpack.packb((9, "ping")), ormsgpack.packb((True, "ping"))):
+    for malformed_payload in (b"", b"\xc1", ormsgpack.packb((9, "ping")), ormsgpack.packb((True, "ping"))):
         with pytest.raises(errors.MalformedFrameError):
-            codec.unpack(bad)
+            codec.unpack(malformed_payload)
 
 
 def test_malformed_datagrams_are_counted_and_dropped():
@@ -59,11 +59,15 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_updates_in_any_order_end_in_the_state_of_the_override_order(seed):
-    """Oracle: Confirm if there was one, else the highest incarnation, and Suspect before Alive in it."""
+    """Membership updates about a member lead to the same state in whatever order they arrive.
+
+    The oracle: Confirm overrides all other updates; otherwise the highest incarnation number counts, and
+    Suspect overrides Alive in the same incarnation.
+    """
     randomness = random.Random(seed)
     node_info = updates.NodeInfo("edge", "m", "s", "r", "127.0.0.1", 1, 2)
     for _ in range(300):
-        given = [
+        sent_updates = [
             updates.Update(
                 updates.MemberState(randomness.choice((0, 0, 0, 1, 1, 1, 2))),
                 updates.Identity(f"n{randomness.randrange(3)}", "1"),
@@ -73,18 +77,20 @@
             for _ in range(randomness.randrange(1, 9))
         ]
         failure_detector = new_detector()
-        for update in given:
+        for update in sent_updates:
             failure_detector.apply_update(
                 updates.Update.from_wire(ormsgpack.unpackb(ormsgpack.packb(update.to_wire())))
             )
-        for name in {update.identity.name for update in given}:
-            about = [update for update in given if update.identity.name == name]
-            failed = [update for update in about if update.state is updates.MemberState.CONFIRM]
+        for name in {update.identity.name for update in sent_updates}:
+            member_updates = [update for update in sent_updates if update.identity.name == name]
+            confirmations = [
+                update for update in member_updates if update.state is updates.MemberState.CONFIRM
+            ]
             found = failure_detector.member_list.get(updates.Identity(name, "1"))
-            if failed:
+            if confirmations:
                 assert found.state is updates.MemberState.CONFIRM
             else:
-                best = max(about, key=lambda update: (update.incarnation_number, update.state))
+                best = max(member_updates, key=lambda update: (update.incarnation_number, update.state))
                 assert (found.incarnation_number, found.state) == (best.incarnation_number, best.state)
 
 
@@ -92,7 +98,7 @@
 def test_merge_does_not_depend_on_order_and_digests_show_every_difference(seed):
     randomness = random.Random(seed)
     for _ in range(60):
-        given = [
+        merged_items = [
             items.Item(
                 f"k{randomness.randrange(6)}",
                 versions.Version(number, "n"),
@@ -101,11 +107,11 @@
             for number in range(1, randomness.randrange(2, 25))
         ]
         oracle = {}
-        for item in given:
+        for item in merged_items:
             oracle[item.key] = item
         replicas = []
         for _ in range(2):
-            shuffled = given[:]
+            shuffled = merged_items[:]
             randomness.shuffle(shuffled)
             table = replica.Replica("t")
             for item in shuffled:
@@ -113,10 +119,10 @@
             replicas.append(table)
         assert dict(replicas[0].items) == dict(replicas[1].items) == oracle
         assert replicas[0].root_digest() == replicas[1].root_digest()
-        changed = randomness.choice(list(oracle))
-        replicas[1].put(oracle[changed]._replace(value="damaged"))
+        changed_key = randomness.choice(list(oracle))
+        replicas[1].put(oracle[changed_key]._replace(value="damaged"))
         differing = [
             a != b for a, b in zip(replicas[0].range_digests(), replicas[1].range_digests(), strict=True)
         ]
-        assert differing.index(True) == digests.range_number(changed)
+        assert differing.index(True) == digests.range_number(changed_key)
         assert sum(differing) == 1
--- a/tests/transport/test_incarnations.py
+++ b/tests/transport/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Requests between nodes are meant for one incarnation of the peer and one version of the protocol."""
+"""Tests that requests reach only the intended incarnation of a peer, and only over an accepted protocol."""
 
 import asyncio
 import contextlib
@@ -17,7 +17,12 @@
 
 
 def run_scenario(scenario, handler):
-    """Run a scenario with a caller and a peer whose handler of "do" requests is `handler`."""
+    """Run `scenario(caller, callee)` on a simulated network.
+
+    Args:
+        scenario: A coroutine function that is given the transports of both nodes.
+        handler: The callee's handler of "do" requests.
+    """
 
     async def run():
         shared_network = simulated_network.SimulatedNetwork(random.Random(1))
@@ -44,13 +49,14 @@
     async def scenario(caller, callee):
         with pytest.raises(errors.IncarnationEndedError) as raised:
             await caller.call(ADDRESS, "peer", "do", (), 1.0, "first")
-        # Certainly not carried out, as every other kind that lets a caller ask elsewhere.
+        # A NotSentError lets the caller send the request to another peer: it was certainly not executed.
         assert isinstance(raised.value, errors.NotSentError)
         assert not handled_bodies
         assert callee.counters.total("asks_for_ended_lives") == 1
         assert await caller.call(ADDRESS, "peer", "do", (), 1.0, "second") == ["ran"]
         assert await caller.call(ADDRESS, "peer", "do", (), 1.0) == ["ran"]
-        # Falsely declared failed, it has a new incarnation and is the same process still.
+        # A process that was falsely declared failed takes a new incarnation id and keeps its state, so it
+        # accepts requests for both ids.
         callee.own_incarnation_id = lambda: "third"
         assert await caller.call(ADDRESS, "peer", "do", (), 1.0, "third") == ["ran"]
         assert await caller.call(ADDRESS, "peer", "do", (), 1.0, "second") == ["ran"]
@@ -61,7 +67,7 @@
 def test_late_response_to_a_cancelled_request_reaches_no_other_call():
     async def handler(sender, body):
         if body[0] == "slow":
-            # Too late to be stopped: its reply comes all the same.
+            # The handler ignores its cancellation, so its reply is sent although the caller has given up.
             with contextlib.suppress(asyncio.CancelledError):
                 await asyncio.sleep(0.5)
         return (body[0],)
@@ -106,7 +112,7 @@
         codec.Cancel(4),
     ):
         assert codec.decode(codec.encode(message)) == message
-    # As the version before writes them, and reads a request to a peer without an incarnation.
+    # Nodes of the previous version send no incarnation id in a hello, and requests to them contain none.
     assert codec.decode(codec.pack(("hello", 0, ("n",)))) == codec.Hello("n")
     assert codec.unpack(codec.encode(codec.Request(1, "read", ["x"]))) == ("ask", 1, ["read", ["x"]])
 
@@ -118,7 +124,7 @@
         proposer = node.program.proposers[items.CONFIGURATION]
         before = node.program.context.configuration.value("site/north")
         order = orders.Order("change", "", [cluster.site_row(weight=9)])
-        # A ballot goes on for so long that the order is still queued when its caller gives up.
+        # The lock holds up the next ballot, so the order is still queued when its caller gives up.
         async with proposer.ballot_lock:
             call = caller.program.context.transport.call(
                 (node.placement.host, 7000), "agency-2", "order", tuple(order), 0.3
@@ -130,7 +136,7 @@
         assert node.program.context.configuration.value("site/north") == before
         assert node.program.context.in_flight == 0
         assert proposer.queue.empty()
-        # What comes after it is decided as ever.
+        # The voters still decide later orders.
         assert await day.actors.order("agency-3", "change", [cluster.site_row(weight=4)])
 
     cluster.play(scenario)
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -1,4 +1,4 @@
-"""Frames that make no sense: counted, answered or dropped; the process lives and its state stays."""
+"""Tests that malformed frames are counted and rejected, and neither crash a node nor change its state."""
 
 import asyncio
 import pathlib
@@ -22,7 +22,7 @@
 
 def test_malformed_streams_are_closed_and_counted():
     async def scenario(day):
-        bad = [
+        malformed_payloads = [
             b"",
             b"\xc1",
             codec.pack(("ask", 1, ("sync", ()))),
@@ -35,7 +35,7 @@
         for name in ("agency-2", "edge-1"):
             context = cluster.context(day, name)
             before = context.counters.total("frames_dropped")
-            for payload in bad:
+            for payload in malformed_payloads:
                 stream = await connect(day, name)
                 stream.write(payload)
                 try:
@@ -44,7 +44,7 @@
                             await stream.read()
                 except ConnectionResetError:
                     pass
-            assert context.counters.total("frames_dropped") - before == len(bad)
+            assert context.counters.total("frames_dropped") - before == len(malformed_payloads)
         assert (await day.actors.ask("edge-1", "GET", "/vacancies/1"))[0] == 200
 
     cluster.play(scenario)
@@ -92,20 +92,20 @@
 def test_protocols_one_version_apart_are_accepted_and_no_others():
     packed = codec.pack(("ping", 1))
     for protocol in range(0, 6):
-        changed = bytes([packed[0], protocol]) + packed[2:]
+        packed_with_protocol = bytes([packed[0], protocol]) + packed[2:]
         try:
-            assert codec.unpack(changed) == ("ping", 1)
+            assert codec.unpack(packed_with_protocol) == ("ping", 1)
             assert abs(protocol - codec.PROTOCOL) <= 1
         except errors.MalformedFrameError:
             assert abs(protocol - codec.PROTOCOL) > 1
 
 
 def test_no_program_reads_a_wall_clock():
-    """Clocks jump at Kildespor; whatever reads one would be wrong there."""
+    """Wall clocks jump at some sites, so a program that read one would use wrong times there."""
     source = pathlib.Path(irisstand.__file__).parent
-    daemons = [path for path in source.rglob("*.py") if "rehearsal" not in path.parts]
-    assert len(daemons) > 40
+    source_files = [path for path in source.rglob("*.py") if "rehearsal" not in path.parts]
+    assert len(source_files) > 40
     assert items.TABLES
-    for path in daemons:
+    for path in source_files:
         found = re.findall(r"time\.time\(|datetime|time\.localtime|time\.gmtime", path.read_text())
         assert not found, (path, found)
--- a/tests/transport/test_recorded_errors.py
+++ b/tests/transport/test_recorded_errors.py
@@ -1,4 +1,7 @@
-"""Codes, statuses, remedies and waits of all errors, as recorded before the classes were renamed."""
+"""Tests that error classes, which may be renamed, keep their codes, statuses, remedies and retry delays.
+
+The expected values were recorded before the classes were renamed.
+"""
 
 import importlib
 import json
--- a/tests/transport/test_recorded_frames.py
+++ b/tests/transport/test_recorded_frames.py
@@ -1,4 +1,4 @@
-"""Frames recorded from the code before the typed messages: they decode, and encode to the same bytes."""
+"""Tests of wire compatibility with frames that were recorded before messages got typed classes."""
 
 import json
 import pathlib
--- a/tests/transport/test_wire_errors.py
+++ b/tests/transport/test_wire_errors.py
@@ -1,4 +1,4 @@
-"""Errors between nodes: which kind a code stands for, and malformed ones."""
+"""Tests of errors sent between nodes: the class that a code stands for, and malformed fields."""
 
 import pytest
 
@@ -13,9 +13,9 @@
 
 
 def test_every_registered_kind_is_rebuilt_as_itself():
-    for code, kind in errors.REGISTRY.items():
+    for code, error_class in errors.REGISTRY.items():
         rebuilt = errors.from_wire(errors.WireError(code, "message", "remedy", 2.0))
-        assert type(rebuilt) is kind
+        assert type(rebuilt) is error_class
         assert rebuilt.to_wire() == (code, "message", "remedy", 2.0)
 
 
--- a/tests/validation/test_validation.py
+++ b/tests/validation/test_validation.py
@@ -1,4 +1,4 @@
-"""The checker: what it finds in a proposed configuration, and that a sound one passes."""
+"""Tests of the configuration checker: the faults and warnings that it finds, and valid configurations."""
 
 from irisstand.localcluster import load_generator, processes
 from irisstand.validation import checker
@@ -29,16 +29,19 @@
 
 
 def findings(rows, proposed, fleet=FLEET):
-    return {(f.level, f.kind, f.name, f.field) for f in checker.validate(rows, proposed, fleet)}
+    return {
+        (finding.level, finding.kind, finding.name, finding.field)
+        for finding in checker.validate(rows, proposed, fleet)
+    }
 
 
 def test_faults_are_what_the_voters_would_refuse_and_leave_no_warnings():
-    bad = [path("/a/", "nobody", "GET"), service("lonely")]
-    assert findings([], bad) == {("fault", "path", "/a/", "grants")}
+    invalid_rows = [path("/a/", "nobody", "GET"), service("lonely")]
+    assert findings([], invalid_rows) == {("fault", "path", "/a/", "grants")}
     assert findings([], [{"kind": "site", "name": "x", "value": {"weight": "much"}}]) == {
         ("fault", "site", "x", "weight")
     }
-    # Judged on the table as it would stand: the row in force is what makes the removal a fault.
+    # The checker looks at the resulting table: a service that a path in force names cannot be removed.
     in_force = [service("content"), path("/a/", "content", "GET")]
     removal = [{"kind": "service", "name": "content", "value": None}]
     assert findings(in_force, removal) == {("fault", "path", "/a/", "grants")}
@@ -47,24 +50,26 @@
 
 def test_rows_that_do_not_fit_the_running_fleet_give_warnings():
     assert findings([], [service("lonely")]) == {("warning", "service", "lonely", "name")}
-    leaving = checker.read_fleet(SHIELDS, [origin("content", "leaving")])
-    assert ("warning", "service", "content", "name") in findings([], [service("content")], leaving)
+    fleet_of_leaving_origin = checker.read_fleet(SHIELDS, [origin("content", "leaving")])
+    assert ("warning", "service", "content", "name") in findings(
+        [], [service("content")], fleet_of_leaving_origin
+    )
     assert findings([], [service("content", inflight=2)]) == {
         ("warning", "service", "content", "ceiling.inflight")
     }
     assert findings([], [service("content", rate=2)]) == {("warning", "service", "content", "ceiling.rate")}
-    # x holds two of three shields at 100 each: without it 100 a second are left.
+    # Site x has two of the three shields, with 100 requests per second each: without it 100 are left.
     assert findings([], [service("content", rate=101)]) == {("warning", "site", "x", "limit")}
     assert findings([], [{"kind": "machine", "name": "gone", "value": {"awake": True}}]) == {
         ("warning", "machine", "gone", "name")
     }
     rows = [service("content"), service("application")]
     rows = [{**row, "value": {**row["value"], "ceiling": {"rate": 50, "inflight": 30}}} for row in rows]
-    both = path("/a/", "content", "GET", "POST")
-    assert findings([*rows, both], [path("/a/b/", "content", "GET")]) == {
+    path_with_two_methods = path("/a/", "content", "GET", "POST")
+    assert findings([*rows, path_with_two_methods], [path("/a/b/", "content", "GET")]) == {
         ("warning", "path", "/a/b/", "grants")
     }
-    assert findings([*rows, both], [path("/a/b/", "content", "GET", "POST")]) == set()
+    assert findings([*rows, path_with_two_methods], [path("/a/b/", "content", "GET", "POST")]) == set()
 
 
 def test_the_local_clusters_configuration_has_no_findings_on_its_own_fleet():
--- a/tests/validation/test_versioned_items.py
+++ b/tests/validation/test_versioned_items.py
@@ -1,4 +1,4 @@
-"""Versioned items: what is refused, what changes nothing, and which version stands."""
+"""Tests of versioned configuration items: which calls are refused, and which version is in force."""
 
 import copy
 import json
@@ -24,7 +24,7 @@
 
 
 def amend(table, call):
-    """Play one call on a table, as a ballot would."""
+    """Plan one call of an operator and apply it to a table, as a ballot does; return the planned rows."""
     overlay = table_overlay.Overlay(table, table.applied.successor("n"))
     entries = amendment.parse_amendment(json.dumps(call).encode())
     planned = amendment.plan_amend(overlay, [entry.to_wire() for entry in entries])
@@ -108,7 +108,8 @@
     seven = call_with_changed_route(version=7, timeout=4)
     assert amend(table, seven)
     before = in_force(table)
-    # Lower, it takes its number and no more; equal, it is a repeat or is refused.
+    # A lower version is only remembered as used. An equal one is confirmed again if its content is the same,
+    # and refused otherwise.
     amend(table, call_with_changed_route(version=5, timeout=1))
     assert in_force(table) == before
     assert amend(table, seven) == {}
@@ -146,7 +147,7 @@
 
 @pytest.mark.parametrize("probe", ["/health\n", "/health\r\nX-Note: a", "/a b", "/h\x00", "/h#a", "/\u00e9"])
 def test_a_probe_path_that_is_no_path_on_a_wire_is_refused(probe):
-    """Guards against UNASKED: nodes write this path to origins as it stands."""
+    """Nodes send this path to origins unchanged: a line break would smuggle in a request nobody asked for."""
     call = copy.deepcopy(CALL)
     call["put"]["upstreams"][0].update({"version": 9, "probe": probe})
     with pytest.raises(errors.InvalidChangeError):
