--- a/src/irisstand/transport/request_server.py
+++ b/src/irisstand/transport/request_server.py
@@ -8,7 +8,7 @@
 from irisstand import counters, errors, event_log
 from irisstand.transport import codec, network
 
-# The limit of one connection; the connection of a peer that exceeds it is closed.
+# The maximum number of requests in flight on one connection; a connection that exceeds it is closed.
 REQUESTS_IN_FLIGHT_LIMIT = 2000
 # The errors that a handler or decoder raises for a malformed body.
 MALFORMED_BODY_ERRORS = (ValueError, TypeError, IndexError, KeyError)
@@ -38,11 +38,14 @@
     """Accepts connections of peers, and answers their requests.
 
     Attributes:
+        counters: The metrics of this node.
+        name: This node's name, for its hello.
         handlers: The request handlers by kind of request; another kind is added as an entry.
         own_incarnation_id: Returns the current incarnation id of this process.
         own_incarnation_ids: All incarnation ids for which this process accepts requests. A process that was
             falsely declared failed takes a new incarnation id but keeps its state, so the earlier ids stay
-            valid. Peers of the previous version send "".
+            valid. Requests of nodes of the previous version have the id "".
+        listener: The listening socket, None until `open` is called.
         serving_tasks: The tasks that serve incoming connections; the values are not used.
     """
 
@@ -81,7 +84,7 @@
     async def serve(self, stream: network.Stream) -> None:
         """Serve one incoming connection until it ends; each connection has a task of its own."""
         task = asyncio.current_task()
-        assert task is not None, "a coroutine of asyncio runs in a task"
+        assert task is not None, "serve() must run in an asyncio task"
         self.serving_tasks[task] = None
         try:
             await IncomingConnection(stream, self).serve()
--- a/src/irisstand/validation/checker.py
+++ b/src/irisstand/validation/checker.py
@@ -28,7 +28,7 @@
         kind: The kind of the row.
         name: The name of the row.
         field: The field that is wrong.
-        message: What is wrong with it, for operators.
+        message: What is wrong with the field, in words for operators.
     """
 
     level: Level
@@ -70,7 +70,7 @@
 
 
 def read_fleet(members: list[JsonObject], ledger: list[JsonObject]) -> Fleet:
-    """Return the running fleet.
+    """Return the part of the fleet that is up, and the origins of its services.
 
     Args:
         members: The members of the fleet, as the operators' API lists them.
