--- a/tests/support/recorded_frames.py
+++ b/tests/support/recorded_frames.py
@@ -1,17 +1,21 @@
-"""Frames that nodes of the version before exchanged, recorded in seeded simulated days."""
+"""Access to frames that nodes of the previous version exchanged, recorded in seeded simulated days."""
 
 import json
 import pathlib
 
 import ormsgpack
 
-WIRE = pathlib.Path(__file__).parent.parent / "fixtures" / "wire" / "frames.json"
+FRAMES_FILE = pathlib.Path(__file__).parent.parent / "fixtures" / "wire" / "frames.json"
 
 
-def bodies(label):
-    """The bodies of all recorded frames under a label: 'ask KIND' for requests, 'result KIND' for replies."""
-    found = []
-    for payload in json.loads(WIRE.read_text())[label]:
+def recorded_bodies(label):
+    """Return the bodies of all frames recorded under a label.
+
+    Args:
+        label: "ask KIND" for requests of a kind, "result KIND" for replies, "fault KIND" for error replies.
+    """
+    contents = []
+    for payload in json.loads(FRAMES_FILE.read_text())[label]:
         _, _, _, content, *_ = ormsgpack.unpackb(bytes.fromhex(payload))
-        found.append(content[1] if label.startswith("ask ") else content)
-    return found
+        contents.append(content[1] if label.startswith("ask ") else content)
+    return contents
