--- a/src/irisstand/validation/checker.py
+++ b/src/irisstand/validation/checker.py
@@ -112,9 +112,7 @@
         if kind != "service":
             continue
         if all(origin["state"] == "leaving" for origin in fleet.origins.get(name, [])):
-            yield Finding(
-                Level.WARNING, kind, name, "name", "the platform lists no origins, or only leaving ones"
-            )
+            yield Finding(Level.WARNING, kind, name, "name", "the platform lists no origin that stays for it")
 
 
 def check_limits_of_services(table: rules.Rows, fleet: Fleet) -> Findings:
@@ -161,7 +159,7 @@
     }
     for kind, name in table:
         if kind in known and name not in known[kind]:
-            message = f"no {kind} of that name is up; up are: {', '.join(sorted(known[kind])) or 'none'}"
+            message = f"no such {kind} is up; known: {', '.join(sorted(known[kind])) or 'none'}"
             yield Finding(Level.WARNING, kind, name, "name", message)
 
 
@@ -176,8 +174,7 @@
         left = sum(capacity.values()) - lost
         if left < allowed_rate:
             message = (
-                f"without this site the shields have capacity for {left:g} requests per second, "
-                f"but the limits of the services allow {allowed_rate:g}"
+                f"without it the shields carry {left:g} a second of {allowed_rate:g} that the ceilings allow"
             )
             yield Finding(Level.WARNING, "site", site, "limit", message)
 
--- a/src/irisstand/validation/formats.py
+++ b/src/irisstand/validation/formats.py
@@ -49,7 +49,7 @@
         raise file_faults.error_for_file(f"the file is not JSON: {error}") from None
     rows = decoded.get("rows") if isinstance(decoded, dict) else decoded
     if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
-        raise file_faults.error_for_file("the file does not contain a list of row objects")
+        raise file_faults.error_for_file("not a list of rows")
     return rows
 
 
@@ -108,7 +108,5 @@
         elif key not in wanted_values:
             lines.append(f"not in the file: {title}")
         elif wanted_values[key] != table_values[key]:
-            lines.append(
-                f"differs: {title}: {table_values[key]} in the table, {wanted_values[key]} in the file"
-            )
+            lines.append(f"other: {title}: {table_values[key]} where {wanted_values[key]} was wanted")
     return lines
--- a/src/irisstand/validation/object_format.py
+++ b/src/irisstand/validation/object_format.py
@@ -30,7 +30,7 @@
             problem = f"the key {key!r} is not a string"
             raise yaml.MarkedYAMLError(problem=problem, problem_mark=key_node.start_mark)
         if key in seen:
-            raise yaml.MarkedYAMLError(problem=f"duplicate key {key!r}", problem_mark=key_node.start_mark)
+            raise yaml.MarkedYAMLError(problem=f"{key!r} stands twice", problem_mark=key_node.start_mark)
         seen.add(key)
     return yaml.SafeLoader.construct_mapping(loader, node, deep=True)
 
--- a/tests/controlplane/test_operations.py
+++ b/tests/controlplane/test_operations.py
@@ -172,7 +172,7 @@
 @pytest.mark.parametrize(
     ("content", "expected_text"),
     [
-        (b"kind: Site\nkind: Path\n", "line 2: duplicate key 'kind'"),
+        (b"kind: Site\nkind: Path\n", "line 2: 'kind' stands twice"),
         (b"a: &x [1]\nb: *x\n", "aliases"),
         (b"{", "line"),
         (b"", "no document"),
@@ -214,7 +214,7 @@
     table.append({"kind": "site", "name": "south", "value": {}})
     found = formats.differences(wanted, table)
     assert len(found) == 2
-    assert found[0].startswith("differs: service")
+    assert found[0].startswith("other: service")
     assert "not in the file" in found[1]
 
 
