--- a/src/irisstand/dataplane/upstream/attempts.py
+++ b/src/irisstand/dataplane/upstream/attempts.py
@@ -16,7 +16,7 @@
 # The same for an attempt that is not withdrawn.
 CARRIED_ON_SECONDS = 1.0
 # How long an endpoint that did not run a request gets no other.
-FULL_SECONDS = 0.05
+REFUSAL_PAUSE_SECONDS = 0.05
 # Clients take these to say that the request has not run, so they are not passed on from an origin that did
 # not say so itself.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
@@ -59,9 +59,9 @@
 class AttemptSender:
     """Makes attempts and says what became of them."""
 
-    def __init__(self, context: node_context.NodeContext, words: header_names.HeaderNames) -> None:
+    def __init__(self, context: node_context.NodeContext, names: header_names.HeaderNames) -> None:
         self.context = context
-        self.header_names = words
+        self.header_names = names
 
     async def run(self, attempt: Attempt) -> Result:
         """Make one attempt, after its delay."""
@@ -82,12 +82,12 @@
                 attempt.check_again()
             answer = await self.send(attempt.connection, attempt, request_id)
             is_answered = True
-            return self.judge(endpoint, answer, request_id)
+            return self.classify(endpoint, answer, request_id)
         except (OSError, TimeoutError, ValueError, errors.IrisError) as error:
-            touched = attempt.may_have_sent
-            self.context.counters.add("origin_failures", service=attempt.service, touched=str(touched))
+            may_have_sent = attempt.may_have_sent
+            self.context.counters.add("origin_failures", service=attempt.service, touched=str(may_have_sent))
             known = forwarding_policy.as_iris_error(error)
-            return events.AttemptFailed(known, endpoint.instance, touched, touched)
+            return events.AttemptFailed(known, endpoint.instance, may_have_sent, may_have_sent)
         except asyncio.CancelledError:
             if attempt.may_have_sent:
                 endpoint.note_unanswered(number)
@@ -99,11 +99,11 @@
 
     async def send(self, connection: exchange.Exchange, attempt: Attempt, request_id: str) -> exchange.Answer:
         """Send the request over a connection and return the answer, which may have any status."""
-        request, words = attempt.request, self.header_names
+        request, names = attempt.request, self.header_names
         remaining_ms = max(1, int(attempt.retry_policy.remaining() * 1000))
-        left_out = (words.remaining, words.expected, words.request_id if attempt.is_anonymous else "")
+        left_out = (names.remaining, names.expected, names.request_id if attempt.is_anonymous else "")
         headers = [("host", request.host), *((n, v) for n, v in attempt.headers if n not in left_out)]
-        headers += [(words.remaining, str(remaining_ms)), (words.expected, attempt.endpoint.instance)]
+        headers += [(names.remaining, str(remaining_ms)), (names.expected, attempt.endpoint.instance)]
         # The policy has its own deadline; this one is for what goes on after it.
         async with asyncio.timeout(self.timeout_seconds(attempt)):
             return await connection.send(request.method, request.target, headers, request.body, request_id)
@@ -114,25 +114,27 @@
         is_withdrawn = retry_policy.may_withdraw(may_have_sent=True)
         return retry_policy.remaining() + (LATE_ANSWER_SECONDS if is_withdrawn else CARRIED_ON_SECONDS)
 
-    def judge(self, endpoint: origin_endpoint.Endpoint, answer: exchange.Answer, request_id: str) -> Result:
+    def classify(
+        self, endpoint: origin_endpoint.Endpoint, answer: exchange.Answer, request_id: str
+    ) -> Result:
         """Return what an origin's complete answer means for the request."""
-        words, instance = self.header_names, endpoint.instance
+        names, instance = self.header_names, endpoint.instance
         if answer.status == MISDIRECTED_STATUS:
             # Another instance has the address: nothing more goes there until the list says so.
             endpoint.mark_down("another instance answers")
             error = errors.NoOriginError(f"{instance} is not at its address any more", retry_after=0.2)
             return events.AttemptFailed(error, instance, may_have_run=False)
-        if words.not_run in answer.headers and answer.status in (*NOT_RUN_STATUSES, BAD_REQUEST_STATUS):
-            endpoint.full_until = self.context.clock.now() + FULL_SECONDS
+        if names.not_run in answer.headers and answer.status in (*NOT_RUN_STATUSES, BAD_REQUEST_STATUS):
+            endpoint.paused_until = self.context.clock.now() + REFUSAL_PAUSE_SECONDS
             full = errors.LimitExceededError(f"{instance} did not run the request", retry_after=0.15)
             return events.AttemptFailed(full, instance, may_have_run=False)
         if answer.status in NOT_RUN_STATUSES:
             text = f"{instance} answered {answer.status}, and may have run the request"
             return events.AttemptFailed(errors.OriginFailedError(text), instance)
-        if request_id and answer.headers.get(words.request_id) != request_id:
+        if request_id and answer.headers.get(names.request_id) != request_id:
             unnamed = errors.UnsealedResultError("the answer does not name the request")
             return events.AttemptFailed(unnamed, instance)
-        if answer.status < FIRST_REDIRECT_STATUS and words.seal not in answer.headers:
+        if answer.status < FIRST_REDIRECT_STATUS and names.seal not in answer.headers:
             unsealed = errors.UnsealedResultError("the answer bears no seal")
             return events.AttemptFailed(unsealed, instance)
         return events.ResponseReceived(answer, instance)
--- a/src/irisstand/dataplane/upstream/client.py
+++ b/src/irisstand/dataplane/upstream/client.py
@@ -162,11 +162,11 @@
     async def send(self, call: Call) -> Event:
         """Begin an attempt; the first of a request may wait for tokens of a rate limit."""
         if not call.running:
-            await self.endpoints.ready(call.service, call.rate_wait_seconds())
+            await self.endpoints.borrow_token(call.service, call.rate_wait_seconds())
         event = self.begin(call)
         is_cold = isinstance(event, events.NoEndpoint) and isinstance(event.error, errors.SlowStartError)
         if is_cold and not call.running:
-            await self.endpoints.ready_cold(call.route, call.service, call.retry_policy.tried)
+            await self.endpoints.borrow_cold_token(call.route, call.service, call.retry_policy.tried)
             event = self.begin(call)
         return event
 
@@ -187,7 +187,7 @@
             return events.NoEndpoint(error)
         is_cold = endpoint.is_cold()
         if is_cold:
-            self.endpoints.enter_cold(endpoint)
+            self.endpoints.take_cold_token(endpoint)
         # An object is asked for a second time as this node's own reading of it, under no client's id: an
         # origin that failed under an id would fail under it again.
         is_read = call.route.is_cacheable and call.request.method == "GET"
@@ -213,7 +213,7 @@
         """
         upstream = self.allowed_upstream(call)
         endpoint = self.endpoints.choose(call.route, upstream, call.retry_policy.tried)
-        return Choice(endpoint, self.endpoints.enter(upstream, call.rate_wait_seconds()))
+        return Choice(endpoint, self.endpoints.take_token(upstream, call.rate_wait_seconds()))
 
     def allowed_upstream(self, call: Call) -> routes.Upstream:
         """Return the service that a request goes to, if its route still allows it.
--- a/src/irisstand/dataplane/upstream/connection_state.py
+++ b/src/irisstand/dataplane/upstream/connection_state.py
@@ -11,5 +11,5 @@
     # Requests may be sent.
     OPEN = enum.auto()
     # The answer in flight is still good, but no further request may be sent.
-    SPENT = enum.auto()
+    NOT_REUSABLE = enum.auto()
     CLOSED = enum.auto()
--- a/src/irisstand/dataplane/upstream/connections.py
+++ b/src/irisstand/dataplane/upstream/connections.py
@@ -151,7 +151,7 @@
     return HttpConnection(host, port)
 
 
-async def confirm_current(
+async def confirm_identity(
     connection: UpstreamConnection, probe: str, service: str, instance: str, timeout_seconds: float
 ) -> None:
     """Probe a connection: the origin must name the service and the instance that are meant.
--- a/src/irisstand/dataplane/upstream/endpoint_pool.py
+++ b/src/irisstand/dataplane/upstream/endpoint_pool.py
@@ -29,13 +29,13 @@
         context: node_context.NodeContext,
         view: snapshot.ConfigurationSnapshot,
         table: route_table.RouteTable,
-        words: header_names.HeaderNames,
+        names: header_names.HeaderNames,
         connect: exchange.Connect,
     ) -> None:
         self.context = context
         self.view = view
         self.table = table
-        self.header_names = words
+        self.header_names = names
         self.connect = connect
         self.endpoints: dict[str, origin_endpoint.Endpoint] = {}
         self.evacuated: set[str] = set()
@@ -45,14 +45,14 @@
         self.fleet = fleet_members.FleetMembers(context)
         self.token_leases = token_leases.TokenLeases(context, self.limit_of)
         self.selector = endpoint_selection.EndpointSelector(context, view, table, self.endpoints, self.fleet)
-        self.prober = endpoint_prober.EndpointProber(context, view, table, words, self.endpoints)
-        context.ledger.watchers.append(self.follow)
+        self.prober = endpoint_prober.EndpointProber(context, view, table, names, self.endpoints)
+        context.ledger.watchers.append(self.follow_origin_list)
 
     async def run(self) -> None:
         """Probe endpoints that are down, until cancelled."""
         await self.prober.run()
 
-    def follow(self) -> None:
+    def follow_origin_list(self) -> None:
         """Take over a change of the state table: a changed address or service is another endpoint."""
         listed = {origin.key: origin for origin in self.view.origins()}
         for key in [key for key in self.endpoints if key not in listed]:
@@ -65,9 +65,9 @@
             if known is not None:
                 known.close()
             self.endpoints[key] = origin_endpoint.Endpoint(self.context, origin, self.connect)
-        self.follow_evacuations()
+        self.update_evacuations()
 
-    def follow_evacuations(self) -> None:
+    def update_evacuations(self) -> None:
         """Count endpoints of a site taken back as cold, before the platform's list says so."""
         table = self.context.ledger
         now = self.context.clock.now()
@@ -115,13 +115,13 @@
         settings = self.context.settings
         return None if upstream is None else upstream.cold_rate * settings.cold_factor + settings.cold_burst
 
-    async def ready(self, service: str, timeout_seconds: float) -> None:
+    async def borrow_token(self, service: str, timeout_seconds: float) -> None:
         """Borrow tokens that this node lacks, before `choose`, if the service has a rate limit."""
         upstream = self.table.upstreams.get(service)
         if upstream is not None and upstream.rate is not None:
             await self.token_leases.wait_for_token(service, timeout_seconds)
 
-    async def ready_cold(
+    async def borrow_cold_token(
         self, route: routes.Route, service: str, tried: collections.abc.Container[str]
     ) -> None:
         """Borrow a token of a cold endpoint, after `choose` found only such ones."""
@@ -131,10 +131,10 @@
             # The next choice will say so.
             return
         await self.token_leases.wait_for_token(
-            endpoint_selection.cold_name(self.context.randomness.choice(available)), 0.0
+            endpoint_selection.cold_limit_name(self.context.randomness.choice(available)), 0.0
         )
 
-    def enter(self, upstream: routes.Upstream, timeout_seconds: float) -> float:
+    def take_token(self, upstream: routes.Upstream, timeout_seconds: float) -> float:
         """Take a token of the service's rate limit.
 
         Returns:
@@ -145,9 +145,9 @@
         """
         return 0.0 if upstream.rate is None else self.token_leases.acquire(upstream.name, timeout_seconds)
 
-    def enter_cold(self, endpoint: origin_endpoint.Endpoint) -> None:
+    def take_cold_token(self, endpoint: origin_endpoint.Endpoint) -> None:
         """Take the token that `choose` has seen, if it chose the endpoint as a cold one."""
-        self.token_leases.acquire(endpoint_selection.cold_name(endpoint), 0.0)
+        self.token_leases.acquire(endpoint_selection.cold_limit_name(endpoint), 0.0)
 
     def is_scarce(self, service: str) -> bool:
         """Whether this node's share of the service's rate was all but used up in the last seconds."""
--- a/src/irisstand/dataplane/upstream/endpoint_prober.py
+++ b/src/irisstand/dataplane/upstream/endpoint_prober.py
@@ -21,13 +21,13 @@
         context: node_context.NodeContext,
         view: snapshot.ConfigurationSnapshot,
         table: route_table.RouteTable,
-        words: header_names.HeaderNames,
+        names: header_names.HeaderNames,
         endpoints: dict[str, origin_endpoint.Endpoint],
     ) -> None:
         self.context = context
         self.view = view
         self.table = table
-        self.header_names = words
+        self.header_names = names
         self.endpoints = endpoints
 
     async def run(self) -> None:
--- a/src/irisstand/dataplane/upstream/endpoint_selection.py
+++ b/src/irisstand/dataplane/upstream/endpoint_selection.py
@@ -17,7 +17,7 @@
 GREATEST_JITTER_FACTOR = 1.25
 
 
-def cold_name(endpoint: origin_endpoint.Endpoint) -> str:
+def cold_limit_name(endpoint: origin_endpoint.Endpoint) -> str:
     """Return the name of the limit of what a cold endpoint may get."""
     return quota_share.COLD_PREFIX + endpoint.instance
 
@@ -64,7 +64,7 @@
             endpoint
             for endpoint in up
             if len(endpoint.in_flight) < self.connection_limit(endpoint, upstream)
-            and now >= endpoint.full_until
+            and now >= endpoint.paused_until
         ]
         if not free:
             raise errors.LimitExceededError(f"every origin of {upstream.name} is full", retry_after=0.1)
@@ -102,7 +102,7 @@
         candidates = (
             responsive
             or warm
-            or [endpoint for endpoint in free if leases.has_token(cold_name(endpoint), 0.0)]
+            or [endpoint for endpoint in free if leases.has_token(cold_limit_name(endpoint), 0.0)]
         )
         if not candidates:
             raise errors.SlowStartError(f"the origins of {upstream.name} are warming up", retry_after=0.4)
--- a/src/irisstand/dataplane/upstream/exchange.py
+++ b/src/irisstand/dataplane/upstream/exchange.py
@@ -49,15 +49,15 @@
         self.may_have_sent = False
         # Set from the first request on: what comes after it may be a surplus answer to it.
         self.is_used = False
-        self.is_first = True
+        self.is_first_request = True
         self.transport: asyncio.Transport | None = None
         self.request_id = ""
         self.method = ""
         self.waiting: asyncio.Future[Answer] | None = None
-        self.surplus = 0
-        self.idle_limit = IDLE_DEFAULT_SECONDS
+        self.surplus_count = 0
+        self.idle_limit_seconds = IDLE_DEFAULT_SECONDS
         self.idle_since = asyncio.get_running_loop().time()
-        self.reset()
+        self.reset_parser()
 
     @property
     def is_open(self) -> bool:
@@ -69,16 +69,16 @@
         """Whether a request waits for its answer."""
         return self.waiting is not None and not self.waiting.done()
 
-    def reset(self) -> None:
+    def reset_parser(self) -> None:
         """Make ready for the answer to the next request."""
         self.parser: typing.Any = httptools.HttpResponseParser(self)
         self.headers: dict[str, str] = {}
         self.body = bytearray()
 
-    def spend(self) -> None:
+    def stop_reuse(self) -> None:
         """Send no further request on this connection."""
         if self.state is connection_state.ConnectionState.OPEN:
-            self.state = connection_state.ConnectionState.SPENT
+            self.state = connection_state.ConnectionState.NOT_REUSABLE
 
     def end(self, error: Exception | None) -> None:
         """Close the connection, and fail the request that waits for an answer."""
@@ -125,7 +125,7 @@
         """Begin an answer."""
         # A second answer behind the first, in the same bytes: it belongs to no request.
         if not self.is_waiting:
-            self.spend()
+            self.stop_reuse()
         self.headers = {}
         self.body = bytearray()
 
@@ -146,18 +146,18 @@
             raise ValueError("not an answer that this connection can carry")
         # The parser waits for the body that the answer to a HEAD only announces.
         if self.method == "HEAD" and self.waiting is not None and not self.waiting.done():
-            if not self.is_meant():
+            if not self.matches_request():
                 raise ValueError("an answer that does not name its request")
-            self.spend()
+            self.stop_reuse()
             self.waiting.set_result(Answer(status, self.headers, b""))
 
-    def is_meant(self) -> bool:
+    def matches_request(self) -> bool:
         """Whether the answer is this request's. Without an id that is certain only of a connection's first.
 
         Believed of a surplus answer, "did not run" would have a request that is not idempotent sent twice.
         """
         found = self.headers.get(self.id_header)
-        return self.is_first if found is None else found == self.request_id
+        return self.is_first_request if found is None else found == self.request_id
 
     def on_body(self, body: bytes) -> None:
         """Add to the body."""
@@ -173,31 +173,34 @@
         found = self.headers.get(self.id_header)
         # A late answer to an earlier request in the place of this one's: the right one comes behind it.
         if found is not None and found != self.request_id:
-            self.surplus += 1
-            if self.surplus > SURPLUS_LIMIT:
+            self.surplus_count += 1
+            if self.surplus_count > SURPLUS_LIMIT:
                 raise ValueError("too many answers to other requests")
             return
-        if not self.is_meant():
+        if not self.matches_request():
             raise ValueError("an answer that does not name its request")
-        self.update_life()
+        self.update_reuse()
         self.waiting.set_result(Answer(self.parser.get_status_code(), self.headers, bytes(self.body)))
 
-    def update_life(self) -> None:
+    def update_reuse(self) -> None:
         """Take from a complete answer whether and how long the connection may be used again."""
         # It was given before the request had left completely: what is left of that would go on after it.
         if self.transport is not None and self.transport.get_write_buffer_size():
-            self.spend()
+            self.stop_reuse()
         if "close" in self.headers.get("connection", "").lower() or not self.parser.should_keep_alive():
-            self.spend()
+            self.stop_reuse()
         for part in self.headers.get("keep-alive", "").split(","):
             name, _, value = part.strip().partition("=")
             if name == "timeout" and (seconds := grammar.whole_number(value)) is not None:
-                self.idle_limit = max(0.0, seconds - IDLE_MARGIN_SECONDS)
+                self.idle_limit_seconds = max(0.0, seconds - IDLE_MARGIN_SECONDS)
 
     def is_usable(self) -> bool:
         """Whether a request may be sent: the connection is open, and not due to be closed by the origin."""
         now = asyncio.get_running_loop().time()
-        return self.state is connection_state.ConnectionState.OPEN and now - self.idle_since < self.idle_limit
+        return (
+            self.state is connection_state.ConnectionState.OPEN
+            and now - self.idle_since < self.idle_limit_seconds
+        )
 
     async def send(
         self,
@@ -213,7 +216,7 @@
             ConnectionBrokenError: no complete answer came; `may_have_sent` says whether the request left.
         """
         request = upstream_request.encode(method, target, headers, body)
-        self.reset()
+        self.reset_parser()
         self.method = method
         self.request_id = request_id
         # Closed, but not yet told so: what is written now would go nowhere.
@@ -222,7 +225,7 @@
             raise ConnectionBrokenError("the connection was closed before the request could leave")
         self.waiting = asyncio.get_running_loop().create_future()
         self.may_have_sent = True
-        self.is_first = not self.is_used
+        self.is_first_request = not self.is_used
         self.is_used = True
         try:
             self.transport.write(request)
--- a/src/irisstand/dataplane/upstream/fleet_members.py
+++ b/src/irisstand/dataplane/upstream/fleet_members.py
@@ -6,7 +6,7 @@
 
 # Edges in a route's own regions that must be up before holders elsewhere take its objects: with fewer,
 # clients of those regions may be served here, and then only the edge that they talk to may have the body.
-HOME_EDGES = 8
+MINIMUM_HOME_EDGES = 8
 # The member list is read again after this time.
 REFRESH_SECONDS = 0.5
 HOLDER_ROLE = "holder"
@@ -18,7 +18,7 @@
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
         self.read_at = -1e9
-        self.known: list[fleet_limits.Member] = []
+        self.cached_members: list[fleet_limits.Member] = []
         self.site_regions: dict[str, str] = {}
 
     def edges(self) -> list[str]:
@@ -31,9 +31,9 @@
         if now - self.read_at > REFRESH_SECONDS:
             self.read_at = now
             found = self.read_members()
-            if found != self.known:
-                self.known = found
-        return self.known
+            if found != self.cached_members:
+                self.cached_members = found
+        return self.cached_members
 
     def read_members(self) -> list[fleet_limits.Member]:
         """Read the member list."""
@@ -74,4 +74,4 @@
             member.role != HOLDER_ROLE and self.region_of(member.site) in route.regions
             for member in self.members()
         )
-        return inside >= HOME_EDGES
+        return inside >= MINIMUM_HOME_EDGES
--- a/src/irisstand/dataplane/upstream/origin_client.py
+++ b/src/irisstand/dataplane/upstream/origin_client.py
@@ -18,7 +18,7 @@
 MINIMUM_TIMEOUT_SECONDS = 0.01
 # These say nothing of the origin's health: a limit of this node's own, a change of the configuration, or a
 # kept connection that the origin closed meanwhile, of which the prober will tell.
-NOT_HEALTH_ERRORS = (
+HEALTH_NEUTRAL_ERRORS = (
     errors.LimitExceededError,
     errors.StaleConfigurationError,
     errors.NoQuotaShareError,
@@ -118,7 +118,7 @@
         try:
             origin = self.origins.choose(allowed, retry_policy.tried)
             origin.probe = allowed.probe
-            attempt.hold(await self.enter(allowed, retry_policy))
+            attempt.hold(await self.acquire_slot(allowed, retry_policy))
         except errors.IrisError as error:
             return events.NoEndpoint(error)
         try:
@@ -131,13 +131,13 @@
                 )
             if isinstance(error, asyncio.CancelledError):
                 raise
-            origin.mark(is_healthy=origin.is_healthy and attempt.may_have_sent, why=repr(error))
+            origin.set_health(is_healthy=origin.is_healthy and attempt.may_have_sent, why=repr(error))
             return self.failed(attempt, origin, error)
         except origin_connections.FAILURES as error:
-            if not isinstance(error, NOT_HEALTH_ERRORS):
+            if not isinstance(error, HEALTH_NEUTRAL_ERRORS):
                 # An unsealed answer is one request's; a broken connection says that the origin is gone.
                 is_unsealed = isinstance(error, errors.UnsealedResultError)
-                origin.mark(is_healthy=origin.is_healthy and is_unsealed, why=repr(error))
+                origin.set_health(is_healthy=origin.is_healthy and is_unsealed, why=repr(error))
             return self.failed(attempt, origin, error)
         finally:
             await attempt.release(origin)
@@ -157,7 +157,7 @@
         await self.renew_slot(attempt, retry_policy)
         # Time went by since the origin was chosen: what was allowed then may be withdrawn by now.
         self.view.check_current()
-        self.check_grant(allowed, request)
+        self.check_authorization(allowed, request)
         if not self.origins.is_usable(origin):
             raise errors.StaleConfigurationError(f"{origin.instance} may not be used any more")
         headers = {**request.headers, "X-Request-Id": request.request_id}
@@ -172,7 +172,7 @@
         while attempt.slot is not None and not attempt.slot.share.is_fresh(attempt.slot.entered_at):
             attempt.slot.share.withdraw(attempt.slot.entered_at)
             attempt.slot = None
-            attempt.hold(await self.enter(attempt.allowed, retry_policy))
+            attempt.hold(await self.acquire_slot(attempt.allowed, retry_policy))
 
     def failed(
         self, attempt: Attempt, origin: origin_connections.OriginConnections, error: BaseException
@@ -183,13 +183,13 @@
         known = forwarding_policy.as_iris_error(error)
         return events.AttemptFailed(known, origin.instance, may_have_run, may_have_run)
 
-    def check_grant(self, allowed: snapshot.AllowedRequest, request: OriginRequest) -> None:
+    def check_authorization(self, allowed: snapshot.AllowedRequest, request: OriginRequest) -> None:
         """Raise StaleConfigurationError if the request is now allowed to another service."""
         path, _, query = request.target.partition("?")
         if self.view.authorize(request.method, path, query).service != allowed.service:
             raise errors.StaleConfigurationError("the blueprint changed while the request waited")
 
-    async def enter(
+    async def acquire_slot(
         self, allowed: snapshot.AllowedRequest, retry_policy: forwarding_policy.ToOriginPolicy
     ) -> Slot:
         """Take a place under this shield's share of the service's limits, after a short wait at most.
--- a/src/irisstand/dataplane/upstream/origin_connections.py
+++ b/src/irisstand/dataplane/upstream/origin_connections.py
@@ -34,9 +34,9 @@
         self.busy = 0
         self.is_healthy = False
         # Since when it warms up: from the first sight of a cold one, and from every return.
-        self.first_seen = context.clock.now()
+        self.warmup_started_at = context.clock.now()
         self.has_returned = False
-        self.was_seen = False
+        self.was_healthy_before = False
         self.bucket = slow_start.PacingBucket(context.clock)
         self.probe = "/health"
         self.is_removed = False
@@ -48,17 +48,19 @@
         """The name of the origin instance."""
         return self.origin.key.removeprefix("origin/")
 
-    def warmth(self) -> float:
+    def warm_fraction(self) -> float:
         """Return the progress of the slow start, from a twentieth to one.
 
         An origin starts slowly when it is cold, and after the evacuation of its site.
         """
         now = self.context.clock.now()
-        warmth = slow_start.warm_fraction(now - self.returned_at, RETURN_RAMP_SECONDS)
+        fraction = slow_start.warm_fraction(now - self.returned_at, RETURN_RAMP_SECONDS)
         # The platform lags: an origin that went away and came back is cold whatever it still says.
         if self.origin.state == "cold" or self.has_returned:
-            warmth = min(warmth, slow_start.warm_fraction(now - self.first_seen, self.origin.warmup))
-        return warmth
+            fraction = min(
+                fraction, slow_start.warm_fraction(now - self.warmup_started_at, self.origin.warmup)
+            )
+        return fraction
 
     def update_evacuation(self, *, is_evacuated: bool) -> None:
         """Note whether the origin's site is evacuated now."""
@@ -67,15 +69,15 @@
             self.returned_at = self.context.clock.now()
         self.is_evacuated = is_evacuated
 
-    def has_room(self, even_rate: float, share: float) -> bool:
+    def has_room(self, rate_per_origin: float, share: float) -> bool:
         """Whether slow start allows a request now.
 
         Args:
-            even_rate: the service's rate limit divided by its origins, per second.
+            rate_per_origin: the service's rate limit divided by its origins, per second.
             share: this shield's part of the service's rate limit, from 0 to 1.
         """
-        warm = self.warmth()
-        return warm >= 1.0 or self.bucket.has_room(slow_start.allowed_rate(even_rate, warm, share))
+        warm = self.warm_fraction()
+        return warm >= 1.0 or self.bucket.has_room(slow_start.allowed_rate(rate_per_origin, warm, share))
 
     async def acquire(self, timeout_seconds: float) -> connections.UpstreamConnection:
         """Return a confirmed connection for one request; opening one sends nothing but the probe.
@@ -111,7 +113,7 @@
 
     async def confirm(self, connection: connections.UpstreamConnection, timeout_seconds: float) -> None:
         """Probe the origin over a connection."""
-        await connections.confirm_current(
+        await connections.confirm_identity(
             connection, self.probe, self.origin.service, self.instance, timeout_seconds
         )
 
@@ -143,20 +145,20 @@
                 await self.confirm(connection, PROBE_TIMEOUT_SECONDS)
             finally:
                 await self.release(connection)
-            self.mark(is_healthy=True)
+            self.set_health(is_healthy=True)
         except errors.LimitExceededError:
             # Every connection is at work: that is health enough.
             pass
         except FAILURES as error:
-            self.mark(is_healthy=False, why=repr(error))
+            self.set_health(is_healthy=False, why=repr(error))
 
-    def mark(self, *, is_healthy: bool, why: str = "") -> None:
+    def set_health(self, *, is_healthy: bool, why: str = "") -> None:
         """Note the origin's health."""
         if is_healthy != self.is_healthy:
             event_log.record("origin-health", origin=self.instance, healthy=is_healthy, why=why)
             # An origin that comes back after being away is as cold as a new one.
             if is_healthy:
-                self.first_seen = self.context.clock.now()
-                self.has_returned = self.was_seen
-                self.was_seen = True
+                self.warmup_started_at = self.context.clock.now()
+                self.has_returned = self.was_healthy_before
+                self.was_healthy_before = True
         self.is_healthy = is_healthy
--- a/src/irisstand/dataplane/upstream/origin_endpoint.py
+++ b/src/irisstand/dataplane/upstream/origin_endpoint.py
@@ -11,8 +11,8 @@
 BACKOFF_SECONDS = 0.25
 BACKOFF_LIMIT_SECONDS = 2.0
 # The weight of the newest answer in the average of answer times.
-NEWEST_WEIGHT = 0.2
-FIRST_GUESS_SECONDS = 0.08
+NEWEST_SAMPLE_WEIGHT = 0.2
+INITIAL_RESPONSE_SECONDS = 0.08
 # Without an answer, half of what is known of an endpoint's time is forgotten in this time.
 HALF_LIFE_SECONDS = 1.0
 # An endpoint that let a request wait for so many times its usual time is left alone while others answer.
@@ -36,12 +36,12 @@
         # When each attempt in flight began, by its number.
         self.in_flight: dict[int, float] = {}
         self.number = 0
-        self.usual_seconds = FIRST_GUESS_SECONDS
+        self.usual_seconds = INITIAL_RESPONSE_SECONDS
         self.answered_at = context.clock.now()
         self.is_down = False
         self.down_until = 0.0
         self.backoff = BACKOFF_SECONDS
-        self.full_until = 0.0
+        self.paused_until = 0.0
         self.cold_until = 0.0
         self.is_removed = False
 
@@ -65,7 +65,7 @@
         """End an attempt, and learn from its time if it was answered."""
         took = self.context.clock.now() - self.in_flight.pop(number)
         if is_answered:
-            self.usual_seconds += NEWEST_WEIGHT * (took - self.usual_seconds)
+            self.usual_seconds += NEWEST_SAMPLE_WEIGHT * (took - self.usual_seconds)
             self.answered_at = self.context.clock.now()
             self.mark_up()
 
@@ -73,7 +73,7 @@
         """Learn from an attempt that is withdrawn: its answer would have taken longer still."""
         waited = self.context.clock.now() - self.in_flight[number]
         if waited > self.usual_seconds:
-            self.usual_seconds += NEWEST_WEIGHT * (waited - self.usual_seconds)
+            self.usual_seconds += NEWEST_SAMPLE_WEIGHT * (waited - self.usual_seconds)
 
     def expected_seconds(self) -> float:
         """Return how long the next answer may take: what was slow long ago is worth another look."""
--- a/src/irisstand/dataplane/upstream/origin_pool.py
+++ b/src/irisstand/dataplane/upstream/origin_pool.py
@@ -26,9 +26,9 @@
         self.open_connection = open_connection
         self.pools: dict[snapshot.Origin, origin_connections.OriginConnections] = {}
         self.tasks: dict[snapshot.Origin, asyncio.Task[None]] = {}
-        context.ledger.watchers.append(self.follow)
+        context.ledger.watchers.append(self.follow_origin_list)
 
-    def follow(self) -> None:
+    def follow_origin_list(self) -> None:
         """Take over a change of the state table.
 
         A changed address or service is another origin, and gets none of the old one's connections.
@@ -71,11 +71,11 @@
             )
             for pool in candidates
         }
-        weights = [pool.warmth() * nearness[pool.origin] for pool in candidates]
+        weights = [pool.warm_fraction() * nearness[pool.origin] for pool in candidates]
         pair = self.context.randomness.choices(candidates, weights, k=2)
         # The busier one gives way all the same, so nearness never floods a region's origins.
-        chosen = min(pair, key=lambda pool: (pool.busy + 1) / pool.warmth() / nearness[pool.origin])
-        if chosen.warmth() < 1.0:
+        chosen = min(pair, key=lambda pool: (pool.busy + 1) / pool.warm_fraction() / nearness[pool.origin])
+        if chosen.warm_fraction() < 1.0:
             chosen.bucket.take()
         return chosen
 
@@ -91,9 +91,9 @@
         usable = [pool for pool in listed if pool.instance not in tried and self.is_usable(pool)]
         if not usable:
             raise errors.NoOriginError(f"no origin of {allowed.service} is usable just now")
-        even_rate = allowed.limit[0] / len(listed)
+        rate_per_origin = allowed.limit[0] / len(listed)
         share = self.share(allowed)
-        available = [pool for pool in usable if pool.has_room(even_rate, share)]
+        available = [pool for pool in usable if pool.has_room(rate_per_origin, share)]
         # All that are left are warming up: more than they may get is rejected.
         if not available:
             raise errors.SlowStartError(f"the origins of {allowed.service} are warming up")
--- a/src/irisstand/dataplane/upstream/upstream_request.py
+++ b/src/irisstand/dataplane/upstream/upstream_request.py
@@ -8,7 +8,7 @@
 
 # Headers that concern a single connection (RFC 9110, section 7.6.1); the rest of a request goes on as it
 # came.
-HOP = frozenset(
+HOP_BY_HOP = frozenset(
     (
         "connection",
         "keep-alive",
@@ -48,8 +48,8 @@
     >>> end_to_end_headers({"connection": "close, X-Hop", "x-hop": "1", "te": "trailers", "accept": "a"})
     [('accept', 'a')]
     """
-    named = {option.strip().lower() for option in headers.get("connection", "").split(",")}
-    return [(name, value) for name, value in headers.items() if name not in HOP and name not in named]
+    listed = {option.strip().lower() for option in headers.get("connection", "").split(",")}
+    return [(name, value) for name, value in headers.items() if name not in HOP_BY_HOP and name not in listed]
 
 
 def encode(
--- a/src/irisstand/http1/locations.py
+++ b/src/irisstand/http1/locations.py
@@ -11,10 +11,10 @@
 # Characters that mean the same with and without an escape (RFC 3986, section 2.3).
 _UNRESERVED = frozenset("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
 # Hosts of which the normal form is kept.
-_KEPT_HOSTS = 1024
+_CACHED_HOSTS = 1024
 
 
-@functools.lru_cache(_KEPT_HOSTS)
+@functools.lru_cache(_CACHED_HOSTS)
 def normal_host(host: str) -> str:
     """Return a host in lower case, without its port and the dot at its end (RFC 3986, section 6.2).
 
--- a/src/irisstand/http1/request_head.py
+++ b/src/irisstand/http1/request_head.py
@@ -44,14 +44,14 @@
             # Joined, a second host, length or coding is none that is taken below.
             value = f"{headers[key]}, {value}"
         headers[key] = value
-    _check_framing(headers, is_old=request_line.endswith(_OLD_VERSION))
+    _check_framing(headers, is_http_1_0=request_line.endswith(_OLD_VERSION))
     host = headers.pop("host", "")
     if grammar.HOST.fullmatch(host) is None:
         raise errors.BadRequestError("the host has characters that no host has")
     return RequestHead(host, headers)
 
 
-def _check_framing(headers: dict[str, str], *, is_old: bool) -> None:
+def _check_framing(headers: dict[str, str], *, is_http_1_0: bool) -> None:
     """Check that there is one way to tell where the body ends (RFC 9112, sections 6.1 to 6.3).
 
     Raises:
@@ -62,7 +62,7 @@
     if coding is not None:
         if length is not None:
             raise errors.BadRequestError("both a content-length and a transfer-encoding are given")
-        if is_old:
+        if is_http_1_0:
             raise errors.BadRequestError("HTTP/1.0 has no transfer-encoding")
         if coding.lower() != _CHUNKED:
             raise errors.BadRequestError("the transfer-encoding is not chunked alone")
--- a/tests/dataplane/test_endpoint_pool.py
+++ b/tests/dataplane/test_endpoint_pool.py
@@ -10,7 +10,7 @@
 from irisstand.state import items
 
 
-async def asks(stage, number, path="/reads/", pause=0.0):
+async def request_statuses(stage, number, path="/reads/", pause=0.0):
     """Statuses of so many requests, 503 for what was refused."""
     found = []
     for index in range(number):
@@ -26,7 +26,7 @@
     async def scene(stage):
         stage.origin("c", site="east")
         stage.route("reads", kind="idempotent", regions=["two"])
-        assert set(await asks(stage, 30)) == {200}
+        assert set(await request_statuses(stage, 30)) == {200}
         return set(stage.instances_asked())
 
     assert play(scene) == {"c"}
@@ -39,7 +39,7 @@
             stage.origin("a", state="leaving")
         else:
             stage.put(items.LEDGER, "origin/a", None)
-        assert set(await asks(stage, 30)) == {200}
+        assert set(await request_statuses(stage, 30)) == {200}
         return set(stage.instances_asked())
 
     assert play(scene) == {"b"}
@@ -55,13 +55,13 @@
         stage.origin("a", site="south")
         await asyncio.sleep(5)
         stage.put(items.LEDGER, "evacuated/north", {"evacuated": True})
-        await asks(stage, 30)
+        await request_statuses(stage, 30)
         assert set(stage.instances_asked()) == {"a"}
         stage.put(items.LEDGER, "evacuated/north", None)
-        await asks(stage, 30)
+        await request_statuses(stage, 30)
         assert set(stage.instances_asked()) == {"a"}
         await asyncio.sleep(direct_edge.SETTINGS.platform_lag + 3.1)
-        await asks(stage, 40)
+        await request_statuses(stage, 40)
         return set(stage.instances_asked())
 
     assert play(scene) == {"a", "b"}
@@ -73,7 +73,7 @@
         stage.put(items.LEDGER, "origin/b", None)
         stage.origin("a", state="cold", warmup=3)
         await asyncio.sleep(5)
-        await asks(stage, 300, pause=0.01)
+        await request_statuses(stage, 300, pause=0.01)
         times = [sent[4] for sent in stage.sent]
         return max(sum(start <= other < start + 1.0 for other in times) for start in times) if times else 0
 
@@ -86,7 +86,7 @@
     async def scene(stage):
         item = {**direct_edge.UPSTREAM, "version": 9, "rate": 40.0}
         stage.put(items.CONFIGURATION, "upstream/s", {"version": 9, "item": item})
-        crowd = [asks(stage, 200, f"/reads/{number}/", pause=0.05) for number in range(10)]
+        crowd = [request_statuses(stage, 200, f"/reads/{number}/", pause=0.05) for number in range(10)]
         statuses = [status for found in await asyncio.gather(*crowd) for status in found]
         times = [sent[4] for sent in stage.sent]
         most = max(sum(start <= other < start + 5.0 for other in times) for start in times)
@@ -102,7 +102,7 @@
     async def scene(stage):
         stage.origin("c")
         stage.play = lambda key, headers, body: whole(headers["x-request-id"], status=500)
-        await asks(stage, 3)
+        await request_statuses(stage, 3)
         return max(sum(sent[3]["x-request-id"] == f"r{n}" for sent in stage.sent) for n in range(3))
 
     assert play(scene) == 2
@@ -113,11 +113,11 @@
         stage.refused = {"a"}
         running = asyncio.get_running_loop().create_task(stage.part.run())
         stage.context.crashed = asyncio.get_running_loop().create_future()
-        assert set(await asks(stage, 20, pause=0.1)) == {200}
+        assert set(await request_statuses(stage, 20, pause=0.1)) == {200}
         tried = stage.connections["a"]
         stage.refused = set()
         stage.play = lambda key, headers, body: whole(headers.get("x-request-id", ""), x_instance=key)
-        await asks(stage, 60, pause=0.1)
+        await request_statuses(stage, 60, pause=0.1)
         running.cancel()
         return tried, "a" in stage.instances_asked()
 
--- a/tests/dataplane/test_exchange.py
+++ b/tests/dataplane/test_exchange.py
@@ -9,15 +9,15 @@
 ID = "x-request-id"
 
 
-def answer(request_id, body=b"whole", status="200 OK", more=""):
-    head = f"HTTP/1.1 {status}\r\n{ID}: {request_id}\r\ncontent-length: {len(body)}\r\n{more}\r\n"
+def answer(request_id, body=b"whole", status="200 OK", extra_headers=""):
+    head = f"HTTP/1.1 {status}\r\n{ID}: {request_id}\r\ncontent-length: {len(body)}\r\n{extra_headers}\r\n"
     return head.encode() + body
 
 
-def talk(script, scene):
+def run_with_origin(script, scene):
     """`script(number, reader, writer)` plays the origin for each request on a connection."""
 
-    async def whole():
+    async def serve_and_run():
         async def serve(reader, writer):
             number = 0
             try:
@@ -30,31 +30,31 @@
                 writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        line = await exchange.connector(ID)(*server.sockets[0].getsockname())
+        connection = await exchange.connector(ID)(*server.sockets[0].getsockname())
         try:
             async with asyncio.timeout(5):
-                return await scene(line)
+                return await scene(connection)
         finally:
-            line.close()
+            connection.close()
             server.close()
 
-    return asyncio.run(whole())
+    return asyncio.run(serve_and_run())
 
 
-def ask(line, request_id="a"):
-    return line.send("GET", b"/x", [("host", "h")], b"", request_id)
+def send_get(connection, request_id="a"):
+    return connection.send("GET", b"/x", [("host", "h")], b"", request_id)
 
 
 def test_connection_carries_a_second_request_after_a_complete_answer():
     async def origin(number, reader, writer):
         writer.write(answer("ab"[number - 1], b"n%d" % number))
 
-    async def scene(line):
-        first = await ask(line, "a")
-        assert line.is_usable()
-        return first, await ask(line, "b")
+    async def scene(connection):
+        first = await send_get(connection, "a")
+        assert connection.is_usable()
+        return first, await send_get(connection, "b")
 
-    first, second = talk(origin, scene)
+    first, second = run_with_origin(origin, scene)
     assert (first.status, first.body, second.body) == (200, b"n1", b"n2")
 
 
@@ -62,18 +62,18 @@
     async def origin(number, reader, writer):
         writer.write(answer("earlier", b"not yours") + answer("a", b"yours"))
 
-    assert talk(origin, ask).body == b"yours"
+    assert run_with_origin(origin, send_get).body == b"yours"
 
 
 def test_second_answer_behind_the_first_ends_the_connection():
     async def origin(number, reader, writer):
         writer.write(answer("a", b"yours") + answer("a", b"surplus"))
 
-    async def scene(line):
-        found = await ask(line)
-        return found.body, line.is_usable()
+    async def scene(connection):
+        found = await send_get(connection)
+        return found.body, connection.is_usable()
 
-    assert talk(origin, scene) == (b"yours", False)
+    assert run_with_origin(origin, scene) == (b"yours", False)
 
 
 def test_bytes_on_an_idle_connection_close_it():
@@ -83,14 +83,14 @@
         await asyncio.sleep(0.02)
         writer.write(answer("a", b"surplus"))
 
-    async def scene(line):
-        await ask(line)
+    async def scene(connection):
+        await send_get(connection)
         async with asyncio.timeout(2):
-            while line.is_usable():
+            while connection.is_usable():
                 await asyncio.sleep(0.005)
-        return line.is_open
+        return connection.is_open
 
-    assert talk(origin, scene) is False
+    assert run_with_origin(origin, scene) is False
 
 
 @pytest.mark.parametrize(
@@ -108,23 +108,23 @@
         writer.write(sent)
         writer.close()
 
-    async def scene(line):
+    async def scene(connection):
         with pytest.raises(exchange.ConnectionBrokenError):
-            await ask(line)
-        return line.may_have_sent, line.is_usable()
+            await send_get(connection)
+        return connection.may_have_sent, connection.is_usable()
 
-    assert talk(origin, scene) == (True, False)
+    assert run_with_origin(origin, scene) == (True, False)
 
 
 def test_connection_is_given_up_before_its_origin_closes_it():
     async def origin(number, reader, writer):
-        writer.write(answer("a", more="keep-alive: timeout=1\r\n"))
+        writer.write(answer("a", extra_headers="keep-alive: timeout=1\r\n"))
 
-    async def scene(line):
-        await ask(line)
-        return line.is_usable()
+    async def scene(connection):
+        await send_get(connection)
+        return connection.is_usable()
 
-    assert talk(origin, scene) is False
+    assert run_with_origin(origin, scene) is False
 
 
 def test_cancelled_request_leaves_no_connection_for_the_next():
@@ -132,10 +132,10 @@
         await asyncio.sleep(0.05)
         writer.write(answer("a"))
 
-    async def scene(line):
+    async def scene(connection):
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.01):
-                await ask(line)
-        return line.is_usable()
+                await send_get(connection)
+        return connection.is_usable()
 
-    assert talk(origin, scene) is False
+    assert run_with_origin(origin, scene) is False
--- a/tests/dataplane/test_exchange_hostile_origins.py
+++ b/tests/dataplane/test_exchange_hostile_origins.py
@@ -4,7 +4,7 @@
 
 import direct_edge
 import pytest
-from test_exchange import ID, answer, ask, talk
+from test_exchange import ID, answer, run_with_origin, send_get
 
 from irisstand.dataplane.upstream import exchange
 
@@ -17,13 +17,13 @@
     async def origin(number, reader, writer):
         writer.write(answer("a") if number == 1 else NO_ID + answer("b"))
 
-    async def scene(line):
-        await ask(line, "a")
+    async def scene(connection):
+        await send_get(connection, "a")
         with pytest.raises(exchange.ConnectionBrokenError):
-            await ask(line, "b")
-        return line.may_have_sent, line.is_usable()
+            await send_get(connection, "b")
+        return connection.may_have_sent, connection.is_usable()
 
-    assert talk(origin, scene) == (True, False)
+    assert run_with_origin(origin, scene) == (True, False)
 
 
 def test_surplus_answer_on_an_idle_connection_is_not_accepted():
@@ -34,17 +34,17 @@
             await asyncio.sleep(0.05)
             writer.write(NO_ID)
 
-    async def scene(line):
-        await ask(line, "a")
+    async def scene(connection):
+        await send_get(connection, "a")
         await asyncio.sleep(0.03)
         # The surplus comes while the next request is on its way.
         try:
-            return (await ask(line, "b")).status
+            return (await send_get(connection, "b")).status
         except exchange.ConnectionBrokenError:
             return None
 
     # Either the idle connection ends by it, or the exchange does; it is never the second's answer.
-    assert talk(origin, scene) in (None, 200)
+    assert run_with_origin(origin, scene) in (None, 200)
 
 
 @pytest.mark.parametrize("found", ["other", None])
@@ -56,12 +56,12 @@
         told = f"{ID}: {found}\r\n" if found else ""
         writer.write(f"HTTP/1.1 503 Busy\r\n{told}x-not-run: 1\r\ncontent-length: 9\r\n\r\n".encode())
 
-    async def scene(line):
-        await ask(line, "a")
+    async def scene(connection):
+        await send_get(connection, "a")
         with pytest.raises(exchange.ConnectionBrokenError):
-            await line.send("HEAD", b"/x", [("host", "h")], b"", "b")
+            await connection.send("HEAD", b"/x", [("host", "h")], b"", "b")
 
-    talk(origin, scene)
+    run_with_origin(origin, scene)
 
 
 def test_connection_answered_before_the_request_was_written_is_not_reused():
@@ -71,12 +71,12 @@
         # The rest of the request is never read.
         await asyncio.sleep(1)
 
-    async def scene(line):
+    async def scene(connection):
         body = b"x" * 32 * 1024 * 1024
-        found = await line.send("POST", b"/x", [("host", "h")], body, "a")
-        return found.status, line.is_usable()
+        found = await connection.send("POST", b"/x", [("host", "h")], body, "a")
+        return found.status, connection.is_usable()
 
-    assert talk(origin, scene) == (200, False)
+    assert run_with_origin(origin, scene) == (200, False)
 
 
 @pytest.mark.parametrize("status", ["204 No Content", "304 Not Modified"])
@@ -84,12 +84,12 @@
     async def origin(number, reader, writer):
         writer.write(f"HTTP/1.1 {status}\r\n{ID}: a\r\n\r\nbytes of nobody".encode())
 
-    async def scene(line):
-        found = await ask(line, "a")
+    async def scene(connection):
+        found = await send_get(connection, "a")
         await asyncio.sleep(0.05)
-        return found.body, line.is_usable()
+        return found.body, connection.is_usable()
 
-    assert talk(origin, scene) == (b"", False)
+    assert run_with_origin(origin, scene) == (b"", False)
 
 
 @pytest.mark.parametrize("status", ["100 Continue", "103 Early Hints", "101 Switching Protocols"])
@@ -97,12 +97,12 @@
     async def origin(number, reader, writer):
         writer.write(f"HTTP/1.1 {status}\r\n\r\n".encode() + answer("a"))
 
-    async def scene(line):
+    async def scene(connection):
         with pytest.raises(exchange.ConnectionBrokenError):
-            await ask(line, "a")
-        return line.is_usable()
+            await send_get(connection, "a")
+        return connection.is_usable()
 
-    assert talk(origin, scene) is False
+    assert run_with_origin(origin, scene) is False
 
 
 def test_retry_of_an_object_has_no_id_and_goes_on_a_fresh_connection():
--- a/tests/dataplane/test_hostile_origin_scripts.py
+++ b/tests/dataplane/test_hostile_origin_scripts.py
@@ -28,17 +28,17 @@
             lambda: hostile_origin.HostileOrigin(randomness, record), "127.0.0.1", 0
         )
         connect = exchange.connector(hostile_origin.ID)
-        line, answered = None, 0
+        connection, answered = None, 0
         for number in range(25):
             request_id, target = f"r{number}", f"/reads/{number}"
-            if line is None or not line.is_usable():
-                line = await connect(*server.sockets[0].getsockname())
+            if connection is None or not connection.is_usable():
+                connection = await connect(*server.sockets[0].getsockname())
             headers = [("host", "h"), (hostile_origin.ID, request_id)]
             try:
                 async with asyncio.timeout(0.35):
-                    found = await line.send("GET", target.encode(), headers, b"", request_id)
+                    found = await connection.send("GET", target.encode(), headers, b"", request_id)
             except (errors.IrisError, TimeoutError):
-                assert not line.is_usable()
+                assert not connection.is_usable()
                 continue
             answered += 1
             assert found.headers.get(hostile_origin.ID) in (request_id, None)
@@ -46,7 +46,7 @@
                 assert found.body == f"{target} answered".encode()
             elif hostile_origin.NOT_RUN in found.headers:
                 assert not record.runs[request_id]
-        line.close()
+        connection.close()
         server.close()
         return answered
 
--- a/tests/dataplane/test_kept_connections.py
+++ b/tests/dataplane/test_kept_connections.py
@@ -22,9 +22,9 @@
         connection._time = LONG_AGO
         for step in order:
             step(connection)
-        told = await reader.read(4096)
+        received = await reader.read(4096)
         writer.close()
-        return told, len(asked)
+        return received, len(asked)
 
     return test_listener.play(scene, answer)
 
@@ -38,8 +38,8 @@
 
 
 def test_request_that_comes_before_the_end_of_the_idle_time_is_answered():
-    told, asked = play_second_request([request_comes, idle_time_ends])
-    assert told.startswith(b"HTTP/1.1 200")
+    received, asked = play_second_request([request_comes, idle_time_ends])
+    assert received.startswith(b"HTTP/1.1 200")
     assert asked == 2
 
 
--- a/tests/dataplane/test_object_holders.py
+++ b/tests/dataplane/test_object_holders.py
@@ -103,7 +103,7 @@
         def full(*arguments):
             raise errors.LimitExceededError("s is at its ceiling")
 
-        site.nodes["holder-1"].part.endpoints.enter = full
+        site.nodes["holder-1"].part.endpoints.take_token = full
         with pytest.raises(errors.LimitExceededError):
             await site.nodes["edge-1"].ask("/objects/1")
         return site.sent()
--- a/tests/dataplane/test_origin_limits.py
+++ b/tests/dataplane/test_origin_limits.py
@@ -12,11 +12,11 @@
 from irisstand.simulator import origin_faults, origin_invariants
 
 
-def of(day, service):
+def origins_of(day, service):
     return [origin for origin in day.actors.origins if origin.service == service]
 
 
-async def set_ceiling(day, service, rate, inflight, deadline=3.0):
+async def set_service_limits(day, service, rate, inflight, deadline=3.0):
     value = {"deadline": deadline, "ceiling": {"rate": rate, "inflight": inflight}}
     await day.actors.order("agency-1", "change", [{"kind": "service", "name": service, "value": value}])
     # A lowered ceiling takes from the shares at once, and is given anew over the next seconds.
@@ -40,8 +40,8 @@
     return asyncio.create_task(run())
 
 
-def judge(day, service, ceiling):
-    watch = origin_invariants.OriginInvariants(day.cluster, {service: ceiling})
+def check_limits(day, service, limits):
+    watch = origin_invariants.OriginInvariants(day.cluster, {service: limits})
     watch.close()
     assert not any(day.checker.broken.values()), day.checker.examples
     return day.checker.checked
@@ -55,15 +55,15 @@
 
 def test_shield_restarted_at_once_never_uses_its_quota_share_twice():
     async def scene(day):
-        await set_ceiling(day, "application", 30, 10)
-        for origin in of(day, "application"):
+        await set_service_limits(day, "application", 30, 10)
+        for origin in origins_of(day, "application"):
             origin.delay = 2.5
         asking = ask_steadily(day, 60, 20)
         for name in ("shield-1", "shield-2", "shield-3") * 3:
             await asyncio.sleep(1.5)
             await restart(day.cluster.nodes[name])
         await asking
-        checked = judge(day, "application", (30, 10))
+        checked = check_limits(day, "application", (30, 10))
         assert checked["no service has more under way than its ceiling"] > 30
 
     cluster.play(scene)
@@ -71,31 +71,31 @@
 
 def test_abandoned_requests_still_count_as_in_flight():
     async def scene(day):
-        await set_ceiling(day, "application", 50, 10, deadline=1.0)
+        await set_service_limits(day, "application", 50, 10, deadline=1.0)
         # The origin works three times as long as anybody waits.
-        for origin in of(day, "application"):
+        for origin in origins_of(day, "application"):
             origin.delay = 1.9
-        told = await ask_steadily(day, 40, 15)
-        judge(day, "application", (50, 10))
-        assert {code for status, code in told if status == 503} <= {"over-ceiling", "no-share"}
+        results = await ask_steadily(day, 40, 15)
+        check_limits(day, "application", (50, 10))
+        assert {code for status, code in results if status == 503} <= {"over-ceiling", "no-share"}
 
     cluster.play(scene)
 
 
 def test_request_whose_connection_took_long_is_counted_when_it_is_sent():
     async def scene(day):
-        await set_ceiling(day, "application", 15, 60)
+        await set_service_limits(day, "application", 15, 60)
         connects = []
         for node in day.cluster.with_role("shield"):
             opener = node.program.role_node.origins.open_connection
 
             async def slow(host, port, opener=opener):
-                line = await opener(host, port)
+                connection = await opener(host, port)
                 # All that came in one second get their lines in the same moment.
                 now = asyncio.get_running_loop().time()
                 await asyncio.sleep(2.0 - now % 2.0)
                 connects.append(now)
-                return line
+                return connection
 
             node.program.role_node.origins.open_connection = slow
             for pool in node.program.role_node.origins.pools.values():
@@ -103,7 +103,7 @@
                 pool.idle.clear()
         await ask_steadily(day, 30, 10)
         assert len(connects) > 20
-        judge(day, "application", (15, 60))
+        check_limits(day, "application", (15, 60))
 
     cluster.play(scene)
 
@@ -122,10 +122,10 @@
         while day.watcher.now() < began + granted.deadline:
             decision = write_policy.ShieldWritePolicy(part.context.clock, granted, 3.0)
             with pytest.raises(errors.NoQuotaShareError):
-                await node.do(part.origin_client.enter(granted, decision), 1)
+                await node.do(part.origin_client.acquire_slot(granted, decision), 1)
             await asyncio.sleep(0.3)
         decision = write_policy.ShieldWritePolicy(part.context.clock, granted, 3.0)
-        await node.do(part.origin_client.enter(granted, decision), 1)
+        await node.do(part.origin_client.acquire_slot(granted, decision), 1)
 
     cluster.play(scene)
 
@@ -159,8 +159,8 @@
 def test_limits_hold_at_the_origin_through_partitions_pauses_and_evacuations(seed):
     async def scene(day):
         randomness = random.Random(seed)
-        await set_ceiling(day, "application", 25, 8)
-        for origin in of(day, "application"):
+        await set_service_limits(day, "application", 25, 8)
+        for origin in origins_of(day, "application"):
             origin.delay = 0.4
         asking = ask_steadily(day, 50, 60)
         names = [f"shield-{number}" for number in range(1, 6)]
@@ -184,7 +184,7 @@
                 await victim.start()
             await day.actors.order("agency-3", "return", victim.placement.site)
         await asking
-        checked = judge(day, "application", (25, 8))
+        checked = check_limits(day, "application", (25, 8))
         assert checked["no service gets more requests in any one second than its ceiling"] > 300
 
     cluster.play(scene, seed + 1)
@@ -196,8 +196,8 @@
         await asyncio.sleep(1)
         await origin_faults.hand_over(day.fault_injector)
         fresh = day.actors.all_origins[-1]
-        told = await asking
-        assert sum(status == 200 for status, _ in told) > 400
+        results = await asking
+        assert sum(status == 200 for status, _ in results) > 400
         own = {"content": "/vacancies/", "application": "/shortlists/"}[fresh.service]
         if own == "/shortlists/":
             assert not fresh.started
--- a/tests/dataplane/test_reads_through_holders.py
+++ b/tests/dataplane/test_reads_through_holders.py
@@ -15,7 +15,7 @@
     def refuse(*arguments):
         raise errors.LimitExceededError("s is at its ceiling")
 
-    node.part.endpoints.enter = refuse
+    node.part.endpoints.take_token = refuse
 
 
 def send_each_read_once(site):
--- a/tests/dataplane/test_request_smuggling.py
+++ b/tests/dataplane/test_request_smuggling.py
@@ -37,7 +37,7 @@
 LINE_ENDS = b"\n\r\0\v\f\x1c\x85"
 
 
-class Asked(typing.NamedTuple):
+class RequestResult(typing.NamedTuple):
     """A request with its answer and its runs at the origin; `name` stands in its path alone."""
 
     name: str
@@ -55,7 +55,7 @@
     name = f"r{next(NUMBERS)}x"
     sent = request.replace(b"ID", name.encode()).replace(b"@", data, 1)
     answer = await edge.send(sent, seconds=seconds)
-    return Asked(name, sent, answer, [run for run in edge.origin.runs if name in run.target])
+    return RequestResult(name, sent, answer, [run for run in edge.origin.runs if name in run.target])
 
 
 def is_smuggled(run):
@@ -67,25 +67,31 @@
     return (b"\n" + answer.replace(b"\r", b"\n")).count(b"\nHTTP/1.1 ")
 
 
-def faults_of(place, byte, asked):
+def faults_of(place, byte, result):
     """Return what breaks the rule for one byte in one place."""
-    if byte not in place.taken:
-        if byte not in place.may_be_taken and not (400 <= asked.status < 500 and not asked.runs):
-            yield f"malformed, ran {len(asked.runs)} times and got {asked.status}"
-    elif not 200 <= asked.status < 300:
-        yield f"proper, and got {asked.status}"
-    if len(asked.runs) > 1 and asked.runs[0].method == "POST":
+    if byte not in place.accepted:
+        if byte not in place.may_be_accepted and not (400 <= result.status < 500 and not result.runs):
+            yield f"malformed, ran {len(result.runs)} times and got {result.status}"
+    elif not 200 <= result.status < 300:
+        yield f"proper, and got {result.status}"
+    if len(result.runs) > 1 and result.runs[0].method == "POST":
         yield "ran twice"
-    told = place.told.replace(b"ID", asked.name.encode()).replace(b"@", bytes([byte])).strip(b" \t")
-    if told and asked.status == 200 and b"x-request-id: " + told + b"\r\n" not in asked.answer:
-        yield f"the answer does not bear the id: {asked.answer}"
-    for run in asked.runs:
-        yield from faults_of_run(place, byte, asked, run)
-
-
-def faults_of_run(place, byte, asked, run):
+    expected_id = (
+        place.expected_id.replace(b"ID", result.name.encode()).replace(b"@", bytes([byte])).strip(b" \t")
+    )
+    if (
+        expected_id
+        and result.status == 200
+        and b"x-request-id: " + expected_id + b"\r\n" not in result.answer
+    ):
+        yield f"the answer does not bear the id: {result.answer}"
+    for run in result.runs:
+        yield from faults_of_run(place, byte, result, run)
+
+
+def faults_of_run(place, byte, result, run):
     """Return what the origin read otherwise than it was sent."""
-    method, target, _ = asked.sent.split(b"\r\n")[0].decode("latin-1").split(" ")
+    method, target, _ = result.sent.split(b"\r\n")[0].decode("latin-1").split(" ")
     if (run.method, run.target) != (method, target):
         yield f"ran as {run.method} {run.target}"
     if run.body and not b"hello".startswith(run.body):
@@ -102,23 +108,23 @@
 
     async def one(byte):
         # A length that was raised waits for more.
-        seconds = UNCERTAIN_SECONDS if byte in place.may_be_taken else ANSWER_SECONDS
+        seconds = UNCERTAIN_SECONDS if byte in place.may_be_accepted else ANSWER_SECONDS
         async with limit:
             return await ask(edge, place.request, data_of(byte), seconds)
 
     return await asyncio.gather(*map(one, range(256)))
 
 
-@pytest.mark.parametrize("name", smuggling_places.ALL)
+@pytest.mark.parametrize("name", smuggling_places.ALL_PLACES)
 def test_no_byte_in_any_place_changes_what_an_origin_runs(name):
     """Guards against UNASKED: a byte that ends a line for an origin, and not for the edge."""
-    place = smuggling_places.ALL[name]
+    place = smuggling_places.ALL_PLACES[name]
     write = smuggling_places.WRITE + b"Content-Length: 5\r\n" + smuggling_places.END + b"after"
 
     async def scene(edge):
-        asked = await ask_for_every_byte(edge, place, lambda byte: bytes([byte]))
+        results = await ask_for_every_byte(edge, place, lambda byte: bytes([byte]))
         faults = [
-            f"{byte:#04x}: {fault}" for byte in range(256) for fault in faults_of(place, byte, asked[byte])
+            f"{byte:#04x}: {fault}" for byte in range(256) for fault in faults_of(place, byte, results[byte])
         ]
         after = await ask(edge, write, b"", ANSWER_SECONDS)
         return faults, [run.body for run in after.runs]
@@ -126,14 +132,14 @@
     assert strict_edge.play(scene) == ([], [b"after"])
 
 
-@pytest.mark.parametrize("name", smuggling_places.ALL)
+@pytest.mark.parametrize("name", smuggling_places.ALL_PLACES)
 def test_no_byte_lets_a_client_hide_a_request_inside_another(name):
     """Guards against UNASKED: a write in a header's value that an origin takes for a request of its own."""
-    place = smuggling_places.ALL[name]
+    place = smuggling_places.ALL_PLACES[name]
 
     async def scene(edge):
-        asked = await ask_for_every_byte(edge, place, smuggling_places.breakout)
-        answers = [one.answer.replace(b"\r", b"\n") for one in asked]
+        results = await ask_for_every_byte(edge, place, smuggling_places.smuggled_request)
+        answers = [one.answer.replace(b"\r", b"\n") for one in results]
         split = [answer for answer in answers if count_status_lines(answer) > 1 or b"\nHost: h\n" in answer]
         return split, [run for run in edge.origin.runs if is_smuggled(run)]
 
@@ -168,11 +174,13 @@
     assert instances in (["a"], ["b"])
 
 
-def garbled(rng, request):
+def with_stray_bytes(rng, request):
     """Return a request with stray bytes, or with a request of another, in some places."""
     for _ in range(rng.randint(0, 3)):
         at = rng.randrange(len(request))
-        filler = rng.choice((rng.choice(FUZZ_PIECES), smuggling_places.breakout(rng.choice(LINE_ENDS))))
+        filler = rng.choice(
+            (rng.choice(FUZZ_PIECES), smuggling_places.smuggled_request(rng.choice(LINE_ENDS)))
+        )
         request = request[:at] + filler + request[at + rng.randint(0, 1) :]
     return request
 
@@ -181,7 +189,7 @@
 def test_fuzzed_requests_run_once_and_as_they_were_sent(seed):
     """Guards against UNASKED, for bytes in several places, and requests one behind the other."""
     rng = random.Random(seed)
-    places = smuggling_places.ALL.values()
+    places = smuggling_places.ALL_PLACES.values()
     templates = [place.request.replace(b"@", b"").replace(b"close", b"keep-alive") for place in places]
 
     async def scene(edge):
@@ -193,7 +201,7 @@
                 name = f"f{rng.getrandbits(40):010x}x"
                 request = rng.choice(templates).replace(b"ID", name.encode())
                 method_by_name[name] = request.split(b" ")[0].decode()
-                data += garbled(rng, request)
+                data += with_stray_bytes(rng, request)
             async with limit:
                 await edge.send(data, seconds=FUZZ_WAIT_SECONDS)
 
--- a/tests/dataplane/test_spellings.py
+++ b/tests/dataplane/test_spellings.py
@@ -15,13 +15,13 @@
 PATH = "/objects/a~b"
 
 
-def spelt_host(rng):
+def random_host_spelling(rng):
     """Return a spelling of HOST."""
     letters = "".join(rng.choice((letter.lower(), letter.upper())) for letter in HOST)
     return letters + rng.choice(("", ".")) + rng.choice(("", ":", ":80", ":8080"))
 
 
-def spelt_path(rng, path=PATH):
+def random_path_spelling(rng, path=PATH):
     """Return a spelling of a path whose characters need no escape, but for its slashes."""
     escapes = ("{0}", "%{1:02x}", "%{1:02X}")
     return "".join(
@@ -31,11 +31,11 @@
 
 
 def play(scene):
-    async def whole(stage):
+    async def with_route(stage):
         stage.route("objects", kind="cacheable", host=HOST)
         return await scene(stage)
 
-    return direct_edge.play(whole)
+    return direct_edge.play(with_route)
 
 
 def purge(stage, host, path):
@@ -50,10 +50,10 @@
     rng = random.Random(seed)
 
     async def scene(stage):
-        spellings = [(spelt_host(rng), spelt_path(rng)) for _ in range(4)]
+        spellings = [(random_host_spelling(rng), random_path_spelling(rng)) for _ in range(4)]
         for host, path in spellings:
             await stage.ask(path, host=host)
-        purge(stage, spelt_host(rng), spelt_path(rng) + rng.choice(("", "?a=b")))
+        purge(stage, random_host_spelling(rng), random_path_spelling(rng) + rng.choice(("", "?a=b")))
         stage.sent.clear()
         answers = [await stage.ask(path, host=host) for host, path in spellings]
         return [answer.status for answer in answers], len({path for _, path in spellings}), len(stage.sent)
--- a/tests/dataplane/test_upstream_connections.py
+++ b/tests/dataplane/test_upstream_connections.py
@@ -32,38 +32,38 @@
         port = runner.addresses[0][1]
 
         async def opened():
-            line = await connections.open_http("127.0.0.1", port)
-            await connections.confirm_current(line, "/health", "s", "i", 5)
-            line.may_have_sent = False
-            return line
+            connection = await connections.open_http("127.0.0.1", port)
+            await connections.confirm_identity(connection, "/health", "s", "i", 5)
+            connection.may_have_sent = False
+            return connection
 
         # Lost under a GET, which aiohttp would repeat: it went out once, and that is known.
-        line = await opened()
+        connection = await opened()
         with pytest.raises(Exception):  # noqa: B017
-            await line.send("GET", "/die", {}, b"", 5)
+            await connection.send("GET", "/die", {}, b"", 5)
         assert served.count("/die") == 1
-        assert line.may_have_sent
-        assert not line.is_open
-        await line.close()
+        assert connection.may_have_sent
+        assert not connection.is_open
+        await connection.close()
         # Closed while idle: nothing leaves, and nothing is opened in its place.
-        line = await opened()
+        connection = await opened()
         for transport in [item.transport for item in runner.server.connections]:
             transport.close()
-        while line.session.connector._conns and any(
-            held[0].is_connected() for held in next(iter(line.session.connector._conns.values()))
+        while connection.session.connector._conns and any(
+            held[0].is_connected() for held in next(iter(connection.session.connector._conns.values()))
         ):
             await asyncio.sleep(0)
         with pytest.raises(connections.ConnectionReopenedError):
-            await line.send("POST", "/write", {}, b"x", 5)
+            await connection.send("POST", "/write", {}, b"x", 5)
         assert "/write" not in served
-        assert not line.may_have_sent
-        assert not line.is_open
-        await line.close()
+        assert not connection.may_have_sent
+        assert not connection.is_open
+        await connection.close()
         # Another service at the address gets the probe and nothing else.
-        line = await connections.open_http("127.0.0.1", port)
+        connection = await connections.open_http("127.0.0.1", port)
         with pytest.raises(errors.WrongServiceError):
-            await connections.confirm_current(line, "/health", "other", "i", 5)
-        await line.close()
+            await connections.confirm_identity(connection, "/health", "other", "i", 5)
+        await connection.close()
         await runner.cleanup()
 
     asyncio.run(scene())
@@ -85,10 +85,10 @@
         runner = aiohttp.web.AppRunner(app, shutdown_timeout=0.1)
         await runner.setup()
         await aiohttp.web.TCPSite(runner, "127.0.0.1", 0).start()
-        line = await connections.open_http("127.0.0.1", runner.addresses[0][1])
+        connection = await connections.open_http("127.0.0.1", runner.addresses[0][1])
         with pytest.raises(errors.UnsealedResultError):
-            await line.send("GET", "/", {}, b"", 30)
-        await line.close()
+            await connection.send("GET", "/", {}, b"", 30)
+        await connection.close()
         await runner.cleanup()
 
     asyncio.run(scene())
--- a/tests/dataplane/test_upstream_request.py
+++ b/tests/dataplane/test_upstream_request.py
@@ -26,9 +26,9 @@
         "value": ({"headers": [("host", "h"), ("x", f"a{character}b")]}, smuggling_places.VALUE),
         "host": ({"headers": [("host", f"h{character}")]}, smuggling_places.VALUE),
     }
-    for place, (fields, taken) in places.items():
+    for place, (fields, accepted) in places.items():
         # A colon ends a name, and begins a value that is no other line.
-        if code in taken or (character == ":" and place == "name"):
+        if code in accepted or (character == ":" and place == "name"):
             assert encoded(**fields).count(b"\r\n\r\n") == 1
         else:
             with pytest.raises(errors.BadRequestError):
@@ -76,7 +76,7 @@
 
     async def scene(stage):
         pool = stage.part.endpoints
-        pool.follow()
+        pool.follow_origin_list()
         for endpoint in pool.endpoints.values():
             endpoint.connect = connect
         with pytest.raises(errors.IrisError) as caught:
--- a/tests/dataplane/test_weighted_splits.py
+++ b/tests/dataplane/test_weighted_splits.py
@@ -10,7 +10,7 @@
 
 REQUESTS = 600
 # Of so many independent draws, four standard deviations of the largest part's share.
-TOLERATED_SHARE = 0.085
+SHARE_TOLERANCE = 0.085
 WEIGHTS = [(50, 50), (90, 10), (97, 3), (70, 0)]
 
 
@@ -31,5 +31,5 @@
         return served["t"] / REQUESTS
 
     share, expected = play(scene), second / (first + second)
-    assert abs(share - expected) < TOLERATED_SHARE
+    assert abs(share - expected) < SHARE_TOLERANCE
     assert bool(share) == bool(expected)
--- a/tests/http1/test_request_head.py
+++ b/tests/http1/test_request_head.py
@@ -60,7 +60,7 @@
 def test_every_byte_in_a_name_or_a_value_is_taken_or_refused_by_the_grammar(byte):
     """Guards against UNASKED: RFC 9110, sections 5.1 and 5.5."""
     data = bytes([byte])
-    for template, taken in (
+    for template, accepted in (
         (b"X-No@te: a", smuggling_places.TOKEN),
         (b"@X-Note: a", smuggling_places.TOKEN),
         (b"X-Note: a@b", smuggling_places.VALUE),
@@ -69,7 +69,7 @@
     ):
         line = template.replace(b"@", data)
         # A colon inside a name ends it.
-        if byte in taken or (data == b":" and line[:1] != b":"):
+        if byte in accepted or (data == b":" and line[:1] != b":"):
             name, _, value = line.decode("latin-1").partition(":")
             assert request_head.parse(LINE + line).headers == {name.lower(): value.strip(" \t")}
         else:
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -16,13 +16,13 @@
     ),
     (
         "dataplane/upstream/attempts.py",
-        "        if request_id and answer.headers.get(words.request_id) != request_id:",
+        "        if request_id and answer.headers.get(names.request_id) != request_id:",
         "        if False:",
         "dataplane/test_direct_edge.py",
     ),
     (
         "dataplane/upstream/attempts.py",
-        "        if answer.status < FIRST_REDIRECT_STATUS and words.seal not in answer.headers:",
+        "        if answer.status < FIRST_REDIRECT_STATUS and names.seal not in answer.headers:",
         "        if False:",
         "dataplane/test_direct_edge.py",
     ),
@@ -34,7 +34,7 @@
     ),
     (
         "dataplane/upstream/attempts.py",
-        ", (words.expected, attempt.endpoint.instance)]",
+        ", (names.expected, attempt.endpoint.instance)]",
         "]",
         "dataplane/test_direct_edge.py",
     ),
@@ -46,8 +46,8 @@
     ),
     (
         "dataplane/upstream/exchange.py",
-        "        return self.state is connection_state.ConnectionState.OPEN and now - self.idle_since < self.idle_limit",
-        "        return self.state is connection_state.ConnectionState.OPEN",
+        "            and now - self.idle_since < self.idle_limit_seconds\n",
+        "",
         "dataplane/test_exchange.py",
     ),
     (
@@ -58,7 +58,7 @@
     ),
     (
         "dataplane/upstream/fleet_members.py",
-        "        return inside >= HOME_EDGES",
+        "        return inside >= MINIMUM_HOME_EDGES",
         "        return True",
         "dataplane/test_object_holders.py",
     ),
@@ -76,7 +76,7 @@
     ),
     (
         "dataplane/upstream/endpoint_pool.py",
-        "        self.token_leases.acquire(endpoint_selection.cold_name(endpoint), 0.0)",
+        "        self.token_leases.acquire(endpoint_selection.cold_limit_name(endpoint), 0.0)",
         "        pass",
         "dataplane/test_endpoint_pool.py",
     ),
@@ -184,13 +184,13 @@
     ),
     (
         "dataplane/upstream/exchange.py",
-        "        return self.is_first if found is None else found == self.request_id",
+        "        return self.is_first_request if found is None else found == self.request_id",
         "        return found in (None, self.request_id)",
         "dataplane/test_exchange_hostile_origins.py",
     ),
     (
         "dataplane/upstream/exchange.py",
-        "        if self.transport is not None and self.transport.get_write_buffer_size():\n            self.spend()",
+        "        if self.transport is not None and self.transport.get_write_buffer_size():\n            self.stop_reuse()",
         "",
         "dataplane/test_exchange_hostile_origins.py",
     ),
--- a/tests/mutation/http_mutations.py
+++ b/tests/mutation/http_mutations.py
@@ -38,7 +38,7 @@
     ),
     (
         "http1/request_head.py",
-        "        if is_old:\n",
+        "        if is_http_1_0:\n",
         "        if False:\n",
         HEAD,
     ),
--- a/tests/support/smuggling_places.py
+++ b/tests/support/smuggling_places.py
@@ -13,7 +13,7 @@
 # RFC 3986, sections 3.3 and 3.4. A target with other visible characters may be taken or refused.
 TARGET = frozenset(b"-._~%!$&'()*+,;=:@/?" + LETTERS) | DIGITS
 VISIBLE = frozenset(range(0x21, 0x7F)) - frozenset(b"#")
-NONE: frozenset[int] = frozenset()
+NO_BYTES: frozenset[int] = frozenset()
 
 
 class Place(typing.NamedTuple):
@@ -28,14 +28,14 @@
     """
 
     request: bytes
-    taken: frozenset[int]
-    may_be_taken: frozenset[int] = NONE
+    accepted: frozenset[int]
+    may_be_accepted: frozenset[int] = NO_BYTES
     value: bytes = b""
-    told: bytes = b""
+    expected_id: bytes = b""
 
 
-LAST = b"Connection: close\r\n\r\n"
-END = b"X-Request-Id: ID\r\n" + LAST
+CLOSE = b"Connection: close\r\n\r\n"
+END = b"X-Request-Id: ID\r\n" + CLOSE
 READ = b"GET /reads/ID HTTP/1.1\r\nHost: h\r\n"
 OBJECT = b"GET /objects/ID HTTP/1.1\r\nHost: h\r\n"
 WRITE = b"POST /writes/ID HTTP/1.1\r\nHost: h\r\n"
@@ -43,21 +43,23 @@
 CHUNKS = b"5\r\nhello\r\n0\r\n\r\n"
 
 REQUEST_LINE = {
-    "method": Place(b"GE@T /reads/ID HTTP/1.1\r\nHost: h\r\n" + END, NONE),
+    "method": Place(b"GE@T /reads/ID HTTP/1.1\r\nHost: h\r\n" + END, NO_BYTES),
     "path": Place(b"GET /reads/ID@a HTTP/1.1\r\nHost: h\r\n" + END, TARGET, VISIBLE),
     "query": Place(b"GET /reads/ID?a@b HTTP/1.1\r\nHost: h\r\n" + END, TARGET, VISIBLE),
     "path of an object": Place(b"GET /objects/ID@a HTTP/1.1\r\nHost: h\r\n" + END, TARGET, VISIBLE),
     "path of a write": Place(b"POST /writes/ID@a HTTP/1.1\r\nHost: h\r\n" + END, TARGET, VISIBLE),
-    "version": Place(b"GET /reads/ID HTTP/1.1@\r\nHost: h\r\n" + END, NONE),
+    "version": Place(b"GET /reads/ID HTTP/1.1@\r\nHost: h\r\n" + END, NO_BYTES),
 }
 NAMES = {
     "name": Place(READ + b"X-No@te: a\r\n" + END, TOKEN, frozenset(b":")),
     "start of a name": Place(READ + b"@X-Note: a\r\n" + END, TOKEN),
     "end of a name": Place(READ + b"X-Note@: a\r\n" + END, TOKEN, frozenset(b":")),
     "start of a line": Place(READ + b"X-Note: a\r\n@X-More: b\r\n" + END, TOKEN),
-    "end of a length's name": Place(WRITE + b"Content-Length@: 5\r\n" + END + b"hello", NONE, TOKEN | {58}),
+    "end of a length's name": Place(
+        WRITE + b"Content-Length@: 5\r\n" + END + b"hello", NO_BYTES, TOKEN | {58}
+    ),
     "end of a coding's name": Place(
-        WRITE + b"Transfer-Encoding@: chunked\r\n" + END + CHUNKS, NONE, TOKEN | {58}
+        WRITE + b"Transfer-Encoding@: chunked\r\n" + END + CHUNKS, NO_BYTES, TOKEN | {58}
     ),
 }
 VALUES = {
@@ -68,9 +70,9 @@
     "end of a value": Place(READ + b"X-Note: b@\r\n" + END, VALUE, value=b"b@"),
     "host": Place(b"GET /reads/ID HTTP/1.1\r\nHost: h@\r\n" + END, BLANKS | frozenset(b".:")),
     "connection": Place(READ + b"X-Request-Id: ID\r\nConnection: close, a@b\r\n\r\n", VALUE),
-    "id": Place(READ + b"X-Request-Id: ID@b\r\n" + LAST, VALUE, told=b"ID@b"),
-    "id of an object's read": Place(OBJECT + b"X-Request-Id: ID@b\r\n" + LAST, VALUE, told=b"ID@b"),
-    "id of a write": Place(WRITE + b"X-Request-Id: ID@b\r\n" + LAST, VALUE, told=b"ID@b"),
+    "id": Place(READ + b"X-Request-Id: ID@b\r\n" + CLOSE, VALUE, expected_id=b"ID@b"),
+    "id of an object's read": Place(OBJECT + b"X-Request-Id: ID@b\r\n" + CLOSE, VALUE, expected_id=b"ID@b"),
+    "id of a write": Place(WRITE + b"X-Request-Id: ID@b\r\n" + CLOSE, VALUE, expected_id=b"ID@b"),
     "time that is left": Place(READ + b"X-Remaining-Ms: 10@00\r\n" + END, VALUE),
     "instance": Place(READ + b"X-Expected-Instance: a@\r\n" + END, VALUE),
     "range": Place(OBJECT + b"Range: bytes=@1-2\r\n" + END, VALUE),
@@ -79,22 +81,22 @@
 FRAMING = {
     "end of a length": Place(WRITE + b"Content-Length: 5@\r\n" + END + b"hello", BLANKS, DIGITS),
     "start of a length": Place(WRITE + b"Content-Length: @5\r\n" + END + b"hello", BLANKS | {48}, DIGITS),
-    "end of a coding": Place(WRITE + b"Transfer-Encoding: chunked@\r\n" + END + CHUNKS, NONE, BLANKS),
+    "end of a coding": Place(WRITE + b"Transfer-Encoding: chunked@\r\n" + END + CHUNKS, NO_BYTES, BLANKS),
     "start of a coding": Place(WRITE + b"Transfer-Encoding: @chunked\r\n" + END + CHUNKS, BLANKS),
     "end of a chunk's size": Place(
         CHUNKED + b"5@\r\nhello\r\n0\r\n\r\n", frozenset(b";"), HEX_DIGITS | BLANKS
     ),
     "start of a chunk's size": Place(CHUNKED + b"@" + CHUNKS, frozenset(b"0"), HEX_DIGITS),
     "extension of a chunk": Place(CHUNKED + b"5;a@b\r\nhello\r\n0\r\n\r\n", VALUE),
-    "end of a chunk": Place(CHUNKED + b"5\r\nhello@\r\n0\r\n\r\n", NONE),
+    "end of a chunk": Place(CHUNKED + b"5\r\nhello@\r\n0\r\n\r\n", NO_BYTES),
     "line break after a chunk": Place(CHUNKED + b"5\r\nhello@\n0\r\n\r\n", frozenset(b"\r")),
-    "end of the last chunk": Place(CHUNKED + b"5\r\nhello\r\n0\r\n@\r\n", NONE),
-    "trailer": Place(CHUNKED + b"5\r\nhello\r\n0\r\nX-Note: a@b\r\n\r\n", NONE, VALUE),
+    "end of the last chunk": Place(CHUNKED + b"5\r\nhello\r\n0\r\n@\r\n", NO_BYTES),
+    "trailer": Place(CHUNKED + b"5\r\nhello\r\n0\r\nX-Note: a@b\r\n\r\n", NO_BYTES, VALUE),
 }
-ALL = REQUEST_LINE | NAMES | VALUES | FRAMING
+ALL_PLACES = REQUEST_LINE | NAMES | VALUES | FRAMING
 
 
-def breakout(byte):
+def smuggled_request(byte):
     """Return a whole request, as a reader takes it that ends lines at this byte."""
     end = bytes([byte])
     lines = (b"POST /writes/smuggled HTTP/1.1", b"Host: h", b"X-Request-Id: smuggled", b"Content-Length: 0")
--- a/tests/support/strict_edge.py
+++ b/tests/support/strict_edge.py
@@ -71,7 +71,7 @@
 def play(scene):
     """Run `scene(edge)` on real sockets."""
 
-    async def whole():
+    async def start_and_run():
         edge = await Edge().start()
         try:
             async with asyncio.timeout(120):
@@ -79,4 +79,4 @@
         finally:
             await edge.stop()
 
-    return asyncio.run(whole())
+    return asyncio.run(start_and_run())
