--- a/src/irisstand/dataplane/upstream/__init__.py
+++ b/src/irisstand/dataplane/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections and requests to origins."""
+"""Connections to origins, the choice among origins, and the requests and retries that are sent to them."""
--- a/src/irisstand/dataplane/upstream/attempt_tasks.py
+++ b/src/irisstand/dataplane/upstream/attempt_tasks.py
@@ -1,8 +1,8 @@
-"""Attempts as tasks, and what becomes of one when nobody waits for its request any more.
+"""Runs attempts as tasks, and withdraws or completes them when their request is cancelled.
 
-An attempt belongs to a request. When the request is cancelled, because its client left or because the node
-that had sent it withdrew it, its policy says for each attempt in flight whether it is withdrawn or carried
-on; see docs/departures.md.
+An attempt belongs to a request. The request is cancelled when its client disconnects or when the node that
+forwarded it withdraws it. Its retry policy then decides for each attempt in flight whether it is withdrawn or
+carried on to its end; see docs/departures.md.
 """
 
 import asyncio
@@ -16,34 +16,34 @@
 
 
 class Attempt(typing.Protocol):
-    """What is known of an attempt from outside its task."""
+    """The properties of an attempt that are read from outside its task."""
 
     @property
     def service(self) -> str:
-        """The name of the service that is asked."""
+        """The name of the service that the request is sent to."""
         ...
 
     @property
     def may_have_sent(self) -> bool:
-        """Whether a byte of the request may have left for the origin."""
+        """Whether a byte of the request may have been sent to the origin."""
         ...
 
 
 class AttemptTasks:
-    """The attempts that one node has in flight."""
+    """The tasks of the attempts that a node has in flight."""
 
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
         self.running: set[asyncio.Task[typing.Any]] = set()
 
     def __len__(self) -> int:
-        """Return how many attempts are in flight."""
+        """Return the number of attempts in flight."""
         return len(self.running)
 
     def start(
         self, coroutine: collections.abc.Coroutine[typing.Any, typing.Any, Result]
     ) -> asyncio.Task[Result]:
-        """Begin an attempt as a task of its own."""
+        """Start an attempt in a new task and return the task."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self.running.add(task)
         task.add_done_callback(self.running.discard)
@@ -52,9 +52,9 @@
     def give_up(
         self, task: asyncio.Task[typing.Any], attempt: Attempt, retry_policy: policy.DeadlinePolicy
     ) -> None:
-        """Withdraw an attempt whose request was cancelled, or carry it on, as the request's policy says.
+        """Withdraw an attempt whose request was cancelled, or let it run on, as the retry policy decides.
 
-        One that is carried on counts as in flight, so that a shutdown waits for it.
+        An attempt that runs on counts as in flight, so that a shutdown waits for its end.
         """
         if task.done():
             return
--- a/src/irisstand/dataplane/upstream/attempts.py
+++ b/src/irisstand/dataplane/upstream/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt at one endpoint: a request goes out over one connection, and its answer is judged."""
+"""Sends one attempt of a request to one origin endpoint and classifies the response."""
 
 import asyncio
 import collections.abc
@@ -10,15 +10,16 @@
 from irisstand.dataplane.upstream import exchange, origin_endpoint, upstream_request
 
 MINIMUM_CONNECT_SECONDS = 0.01
-# How long an attempt goes on after the deadline of its request. An origin that works on a request ends it
-# with its deadline, and its answer keeps the connection usable; in a queue it may only begin then.
+# How long an attempt that may be withdrawn goes on after the deadline of its request. An origin that is
+# processing the request stops at the deadline, and its late response keeps the connection reusable. A request
+# that still waits in the origin's queue may only start then, so waiting longer for it is of no use.
 LATE_ANSWER_SECONDS = 0.1
-# The same for an attempt that is not withdrawn.
+# How long an attempt that may not be withdrawn goes on after the deadline of its request.
 CARRIED_ON_SECONDS = 1.0
-# How long an endpoint that did not run a request gets no other.
+# How long an endpoint that refused to run a request gets no further request.
 REFUSAL_PAUSE_SECONDS = 0.05
-# Clients take these to say that the request has not run, so they are not passed on from an origin that did
-# not say so itself.
+# Clients take these statuses to mean that the request has not run. They are only passed on from an origin
+# that also sets the header that says so.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 MISDIRECTED_STATUS = 421
 BAD_REQUEST_STATUS = 400
@@ -29,11 +30,17 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Attempt:
-    """What is sent to which endpoint; an anonymous attempt goes without the client's request id.
+    """One attempt of a request at one origin endpoint.
 
     Attributes:
+        endpoint: The origin endpoint that the request is sent to.
+        request: The client's request.
+        headers: The end-to-end headers to send.
+        retry_policy: The retry policy of the request; it holds the request's deadline.
+        delay_seconds: How long to wait for a token of the rate limit before sending.
         check_again: Raises an IrisError if, after a wait, the endpoint may not be used any more.
-        connection: What the request is sent over; None until there is one.
+        is_anonymous: Whether the client's request id is left out of the headers.
+        connection: The connection that carries the request; None until one is acquired.
     """
 
     endpoint: origin_endpoint.Endpoint
@@ -47,24 +54,24 @@
 
     @property
     def service(self) -> str:
-        """The name of the service that is asked."""
+        """The name of the service that the request is sent to."""
         return self.endpoint.origin.service
 
     @property
     def may_have_sent(self) -> bool:
-        """Whether a byte of the request may have left for the origin."""
+        """Whether a byte of the request may have been sent to the origin."""
         return self.connection is not None and self.connection.may_have_sent
 
 
 class AttemptSender:
-    """Makes attempts and says what became of them."""
+    """Sends attempts to origin endpoints and reports their results as events of the retry policy."""
 
     def __init__(self, context: node_context.NodeContext, names: header_names.HeaderNames) -> None:
         self.context = context
         self.header_names = names
 
     async def run(self, attempt: Attempt) -> Result:
-        """Make one attempt, after its delay."""
+        """Send one attempt after its delay, and return its result."""
         endpoint = attempt.endpoint
         number = endpoint.begin()
         is_answered = False
@@ -74,10 +81,11 @@
                 attempt.check_again()
             given_id = attempt.request.headers.get(self.header_names.request_id, "")
             request_id = "" if attempt.is_anonymous else given_id
-            # Without an id nothing would tell a surplus answer to an earlier request from this one's.
+            # Without a request id, a surplus response to an earlier request on the same connection could not
+            # be told from the response to this request, so such a request gets a fresh connection.
             timeout = max(MINIMUM_CONNECT_SECONDS, attempt.retry_policy.remaining())
             attempt.connection = await endpoint.acquire(timeout, is_fresh=not request_id)
-            # A new one took time to open.
+            # A new connection took time to open, and the configuration may have changed meanwhile.
             if not attempt.connection.is_used:
                 attempt.check_again()
             answer = await self.send(attempt.connection, attempt, request_id)
@@ -98,18 +106,18 @@
                 endpoint.release(attempt.connection)
 
     async def send(self, connection: exchange.Exchange, attempt: Attempt, request_id: str) -> exchange.Answer:
-        """Send the request over a connection and return the answer, which may have any status."""
+        """Send the request over a connection and return the response, whatever its status."""
         request, names = attempt.request, self.header_names
         remaining_ms = max(1, int(attempt.retry_policy.remaining() * 1000))
         left_out = (names.remaining, names.expected, names.request_id if attempt.is_anonymous else "")
         headers = [("host", request.host), *((n, v) for n, v in attempt.headers if n not in left_out)]
         headers += [(names.remaining, str(remaining_ms)), (names.expected, attempt.endpoint.instance)]
-        # The policy has its own deadline; this one is for what goes on after it.
+        # The retry policy enforces the request's deadline; this timeout bounds an attempt that outlasts it.
         async with asyncio.timeout(self.timeout_seconds(attempt)):
             return await connection.send(request.method, request.target, headers, request.body, request_id)
 
     def timeout_seconds(self, attempt: Attempt) -> float:
-        """Return how long an attempt that is about to be sent may take."""
+        """Return the seconds that an attempt may take from now on until its response is complete."""
         retry_policy = attempt.retry_policy
         is_withdrawn = retry_policy.may_withdraw(may_have_sent=True)
         return retry_policy.remaining() + (LATE_ANSWER_SECONDS if is_withdrawn else CARRIED_ON_SECONDS)
@@ -117,24 +125,29 @@
     def classify(
         self, endpoint: origin_endpoint.Endpoint, answer: exchange.Answer, request_id: str
     ) -> Result:
-        """Return what an origin's complete answer means for the request."""
+        """Classify an origin's complete response as the result of the attempt or as a failure."""
         names, instance = self.header_names, endpoint.instance
         if answer.status == MISDIRECTED_STATUS:
-            # Another instance has the address: nothing more goes there until the list says so.
+            # Another instance has taken over the address: it gets no request until the origin list names it.
             endpoint.mark_down("another instance answers")
-            error = errors.NoOriginError(f"{instance} is not at its address any more", retry_after=0.2)
+            error = errors.NoOriginError(
+                f"origin {instance} is not at its address any more: another instance answers there",
+                retry_after=0.2,
+            )
             return events.AttemptFailed(error, instance, may_have_run=False)
         if names.not_run in answer.headers and answer.status in (*NOT_RUN_STATUSES, BAD_REQUEST_STATUS):
             endpoint.paused_until = self.context.clock.now() + REFUSAL_PAUSE_SECONDS
-            full = errors.LimitExceededError(f"{instance} did not run the request", retry_after=0.15)
+            full = errors.LimitExceededError(
+                f"origin {instance} refused the request without running it", retry_after=0.15
+            )
             return events.AttemptFailed(full, instance, may_have_run=False)
         if answer.status in NOT_RUN_STATUSES:
-            text = f"{instance} answered {answer.status}, and may have run the request"
+            text = f"origin {instance} answered with status {answer.status} and may have run the request"
             return events.AttemptFailed(errors.OriginFailedError(text), instance)
         if request_id and answer.headers.get(names.request_id) != request_id:
-            unnamed = errors.UnsealedResultError("the answer does not name the request")
+            unnamed = errors.UnsealedResultError("the origin's response does not bear the request's id")
             return events.AttemptFailed(unnamed, instance)
         if answer.status < FIRST_REDIRECT_STATUS and names.seal not in answer.headers:
-            unsealed = errors.UnsealedResultError("the answer bears no seal")
+            unsealed = errors.UnsealedResultError("the origin's response has no content digest as its seal")
             return events.AttemptFailed(unsealed, instance)
         return events.ResponseReceived(answer, instance)
--- a/src/irisstand/dataplane/upstream/client.py
+++ b/src/irisstand/dataplane/upstream/client.py
@@ -1,7 +1,7 @@
-"""Requests of a node that reaches origins by itself: it obeys a retry policy.
+"""Sends requests to origins, with retries and hedged requests as a retry policy decides.
 
-The way of a request: `fetch` asks the policy, `send` waits for tokens, `begin` chooses an endpoint, and the
-attempt sender exchanges one request and one answer there.
+The steps of a request: `fetch` runs the retry policy, `send` waits for tokens of the rate limit, `begin`
+chooses an endpoint and starts an attempt, and the attempt sender sends the request and reads the response.
 """
 
 import asyncio
@@ -28,11 +28,11 @@
     upstream_request,
 )
 
-# The part of a route's target that a request may wait for tokens of a rate limit.
+# The fraction of a route's target response time that a request may wait for tokens of a rate limit.
 RATE_WAIT_TARGET_FACTOR = 0.4
-# The part of the time that is left that it may wait for them.
+# The fraction of a request's remaining time that it may wait for tokens of a rate limit.
 RATE_WAIT_REMAINING_FACTOR = 0.25
-# The part of the fleet's retries that edges use together.
+# The fraction of a service's retries that all edges together may use.
 EDGES_RETRY_SHARE = 0.8
 
 
@@ -41,7 +41,7 @@
 
 
 class Call:
-    """One request on its way: its policy, and its attempts in flight."""
+    """A request that is being processed, with its retry policy and its attempts in flight."""
 
     def __init__(
         self,
@@ -59,12 +59,15 @@
         self.running: dict[AttemptTask, attempts.Attempt] = {}
 
     def rate_wait_seconds(self) -> float:
-        """Return how long the request may wait for a token of a rate limit now."""
+        """Return the seconds that the request may wait for a token of a rate limit from now on."""
         by_target = RATE_WAIT_TARGET_FACTOR * self.route.target
         return min(by_target, RATE_WAIT_REMAINING_FACTOR * self.retry_policy.remaining())
 
     def work_state(self) -> drain_guard.WorkState:
-        """Return how far the request is; an attempt that has just ended has a result to be taken."""
+        """Return how far the request is, for the drain guard.
+
+        A request with an attempt that has ended counts as finished: the result only has to be read.
+        """
         if any(task.done() for task in self.running):
             return drain_guard.WorkState.FINISHED
         sent = [attempt.may_have_sent for attempt in self.running.values()]
@@ -76,14 +79,14 @@
 
 
 class Choice(typing.NamedTuple):
-    """An endpoint that may be used now, and after how many seconds under the service's rate limit."""
+    """The endpoint for an attempt, and the seconds that the attempt waits under the service's rate limit."""
 
     endpoint: origin_endpoint.Endpoint
     delay_seconds: float
 
 
 class UpstreamClient:
-    """Sends requests to endpoints and returns their answers."""
+    """Sends requests to origin endpoints and returns the origins' responses."""
 
     def __init__(
         self,
@@ -102,7 +105,7 @@
         self.attempts = attempt_tasks.AttemptTasks(context)
 
     def budget(self, service: str) -> budgets.RetryBudget:
-        """Return this edge's part of the retries that the service may get from all."""
+        """Return this node's retry budget for a service: its part of the retries that all nodes may send."""
         settings = self.context.settings
         if service not in self.budgets:
             share = EDGES_RETRY_SHARE * settings.second_share
@@ -119,10 +122,10 @@
         headers: upstream_request.Headers,
         remaining: float,
     ) -> exchange.Answer:
-        """Return an origin's answer to a request that has `remaining` seconds.
+        """Return an origin's response to a request that has `remaining` seconds until its deadline.
 
         Raises:
-            IrisError: the request is rejected.
+            IrisError: The retry policy rejected the request.
         """
         call = Call(route, service, request, headers, self.policy_for(route, service, remaining))
         with self.context.drain_guard.answer_at_end(call.work_state):
@@ -133,11 +136,11 @@
         return decision.response
 
     async def decide(self, call: Call) -> actions.Respond[exchange.Answer] | actions.Reject:
-        """Carry out what the request's policy decides until it responds or rejects."""
+        """Perform the actions of the request's retry policy until it responds or rejects."""
         try:
             return await policy.execute(call.retry_policy, functools.partial(self.perform, call))
         except asyncio.CancelledError:
-            # Nobody waits for the request any more: its client left, or the node that asked for it.
+            # The client disconnected, or the node that forwarded the request withdrew it.
             for task, attempt in call.running.items():
                 self.attempts.give_up(task, attempt, call.retry_policy)
             raise
@@ -145,14 +148,14 @@
     def policy_for(
         self, route: routes.Route, service: str, remaining: float
     ) -> attempt_policy.AttemptPolicy[exchange.Answer]:
-        """Return the policy of a request on `route`."""
+        """Return a new retry policy for a request on `route` with `remaining` seconds to its deadline."""
         clock, budget = self.context.clock, self.budget(service)
         if route.is_idempotent:
             return idempotent_attempt_policy.IdempotentAttemptPolicy(clock, route, remaining, budget)
         return single_attempt_policy.SingleAttemptPolicy(clock, route, remaining, budget)
 
     async def perform(self, call: Call, action: attempt_policy.AttemptAction) -> Event:
-        """Carry out one action of a policy."""
+        """Perform one action of a retry policy and return the resulting event."""
         match action:
             case actions.SendAttempt():
                 return await self.send(call)
@@ -160,7 +163,7 @@
                 return await self.wait(call.running, action.seconds)
 
     async def send(self, call: Call) -> Event:
-        """Begin an attempt; the first of a request may wait for tokens of a rate limit."""
+        """Start an attempt; the first attempt of a request may wait for tokens of a rate limit."""
         if not call.running:
             await self.endpoints.borrow_token(call.service, call.rate_wait_seconds())
         event = self.begin(call)
@@ -171,7 +174,7 @@
         return event
 
     async def wait(self, running: dict[AttemptTask, attempts.Attempt], seconds: float) -> Event:
-        """Wait for the end of an attempt, for `seconds` at most."""
+        """Wait at most `seconds` for one of the attempts to end, and return its result."""
         done, _ = await asyncio.wait(running, timeout=seconds, return_when=asyncio.FIRST_COMPLETED)
         if not done:
             return events.TIMER_EXPIRED
@@ -180,7 +183,7 @@
         return task.result()
 
     def begin(self, call: Call) -> Event:
-        """Choose an endpoint and begin an attempt there, as a task of its own."""
+        """Choose an endpoint and start an attempt there in a new task."""
         try:
             endpoint, delay = self.choose(call)
         except errors.IrisError as error:
@@ -188,8 +191,8 @@
         is_cold = endpoint.is_cold()
         if is_cold:
             self.endpoints.take_cold_token(endpoint)
-        # An object is asked for a second time as this node's own reading of it, under no client's id: an
-        # origin that failed under an id would fail under it again.
+        # A retry for a cacheable object leaves out the client's request id, because an origin that failed a
+        # request repeats the failure for the same id.
         is_read = call.route.is_cacheable and call.request.method == "GET"
         is_anonymous = call.retry_policy.sent > 0 and is_read
         check_again = functools.partial(self.check_again, call, endpoint, was_cold=is_cold)
@@ -206,38 +209,38 @@
         return events.AttemptSent(endpoint.instance, endpoint.usual_seconds)
 
     def choose(self, call: Call) -> Choice:
-        """Return an endpoint for one more attempt.
+        """Return an endpoint for a further attempt of the request.
 
         Raises:
-            IrisError: no endpoint may be used now.
+            IrisError: No endpoint may be used now.
         """
         upstream = self.allowed_upstream(call)
         endpoint = self.endpoints.choose(call.route, upstream, call.retry_policy.tried)
         return Choice(endpoint, self.endpoints.take_token(upstream, call.rate_wait_seconds()))
 
     def allowed_upstream(self, call: Call) -> routes.Upstream:
-        """Return the service that a request goes to, if its route still allows it.
+        """Return the upstream service of a request if its route still allows it.
 
-        Time may have gone by since the route was read: what it allowed then may be withdrawn by now.
+        The configuration may have changed since the request's route was looked up.
 
         Raises:
-            StaleConfigurationError: it does not, or this node may no longer act by its tables.
+            StaleConfigurationError: The route no longer allows it, or this node's tables are out of date.
         """
         upstream = self.table.upstreams.get(call.service)
         self.view.check_current()
         if upstream is None or not self.table.still_allows(call.route, call.service):
             raise errors.StaleConfigurationError(
-                "the route changed while the request waited", retry_after=0.05
+                "the configuration of the route changed while the request waited", retry_after=0.05
             )
         return upstream
 
     def check_again(self, call: Call, endpoint: origin_endpoint.Endpoint, *, was_cold: bool) -> None:
-        """Decide again, after the wait for a token, what was decided before it.
+        """Check after a wait for a token that the endpoint chosen before it may still be used.
 
         Raises:
-            NoOriginError: the endpoint leaves, is down or evacuated, or has become cold.
-            StaleConfigurationError: as `allowed_upstream` raises it.
+            NoOriginError: The endpoint is leaving, down, evacuated or newly cold.
+            StaleConfigurationError: The route no longer allows the service, as in `allowed_upstream`.
         """
         upstream = self.allowed_upstream(call)
         if not self.endpoints.is_usable(endpoint, call.route, upstream, was_cold=was_cold):
-            raise errors.NoOriginError(f"{endpoint.instance} may not be used any more", retry_after=0.1)
+            raise errors.NoOriginError(f"origin {endpoint.instance} may not be used now", retry_after=0.1)
--- a/src/irisstand/dataplane/upstream/connection_state.py
+++ b/src/irisstand/dataplane/upstream/connection_state.py
@@ -1,15 +1,16 @@
-"""The life of a connection to an origin."""
+"""The states of a connection to an origin."""
 
 import enum
 
 
 class ConnectionState(enum.Enum):
-    """What a connection may still be used for; it only changes downwards."""
+    """What a connection may still be used for; a connection only moves to a state that is listed later."""
 
-    # Nothing has been opened yet.
+    # The TCP connection has not been opened yet.
     NEW = enum.auto()
-    # Requests may be sent.
+    # The connection is open and may carry requests.
     OPEN = enum.auto()
-    # The answer in flight is still good, but no further request may be sent.
+    # The response in flight may still be used, but no further request may be sent.
     NOT_REUSABLE = enum.auto()
+    # The connection is closed or broken.
     CLOSED = enum.auto()
--- a/src/irisstand/dataplane/upstream/connections.py
+++ b/src/irisstand/dataplane/upstream/connections.py
@@ -1,4 +1,4 @@
-"""Connections of a shield to origins: confirmed by a probe, and never silently reopened."""
+"""A shield's connections to origins, which confirm the origin's identity and are never silently reopened."""
 
 import asyncio
 import collections.abc
@@ -12,13 +12,13 @@
 
 BODY_LIMIT_BYTES = 4 * 1024 * 1024
 CHUNK_BYTES = 65536
-# The origin closes idle connections; this is only to keep the library from doing so.
+# The idle timeout of aiohttp, long enough that only the origin closes idle connections.
 KEEP_ALIVE_SECONDS = 3600
 HEALTHY_STATUS = 200
 
 
 class Answer(typing.NamedTuple):
-    """An origin's complete answer; header names in lower case."""
+    """An origin's complete response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -26,10 +26,10 @@
 
 
 class UpstreamConnection(typing.Protocol):
-    """One connection to an origin.
+    """A connection to an origin, for one request at a time.
 
-    `may_have_sent` is True from just before the first byte of a request may have left, until whoever manages
-    the connection resets it.
+    `may_have_sent` is set just before the first byte of a request may be sent. The owner of the connection
+    clears it.
     """
 
     may_have_sent: bool
@@ -54,14 +54,14 @@
 
 
 class ConnectionReopenedError(OSError):
-    """The library was about to open a second connection in a session that had one."""
+    """Raised when aiohttp is about to open a second connection in a session that has had one."""
 
-    # Texts of errors that go back to edges name the kind by this word.
+    # The name of this error in the error texts that are sent to edges.
     kind = "Reopened"
 
 
 class HttpConnection:
-    """A client session that may open exactly one connection in its life."""
+    """An aiohttp session that opens exactly one connection."""
 
     def __init__(self, host: str, port: int) -> None:
         self.base = f"http://{host}:{port}"
@@ -84,28 +84,29 @@
         return self.state is not connection_state.ConnectionState.CLOSED
 
     async def on_create(self, *_: typing.Any) -> None:
-        """Let the library open the one connection, and no other."""
-        # aiohttp reopens a dead connection and sends again by itself. Whoever answers there now was not
-        # confirmed, and the request may have run already: so the connection ends instead.
+        """Allow aiohttp to open the first connection of the session, and reject any further one."""
+        # aiohttp replaces a dead connection and sends the request again by itself. The process that accepts
+        # the new connection has not confirmed its identity, and the request may already have run, so the
+        # connection is closed instead.
         if self.state is not connection_state.ConnectionState.NEW:
             self.state = connection_state.ConnectionState.CLOSED
-            raise ConnectionReopenedError("the connection was gone")
+            raise ConnectionReopenedError("the origin closed the connection, and it is not reopened")
         self.state = connection_state.ConnectionState.OPEN
 
     async def on_reuse(self, *_: typing.Any) -> None:
-        """Note that the library is about to send on the connection that it has."""
+        """Record that aiohttp is about to send a request on the existing connection."""
         self.may_have_sent = True
 
     async def send(
         self, method: str, target: str, headers: dict[str, str], body: bytes, timeout_seconds: float
     ) -> Answer:
-        """Send one request and return its complete answer.
+        """Send one request and return its complete response.
 
         Raises:
-            ConnectionReopenedError: the connection was closed, and nothing has been sent.
-            UnsealedResultError: the body is over the limit.
-            TimeoutError: no complete answer came in time.
-            OSError: the connection failed.
+            ConnectionReopenedError: The connection was closed before, and nothing has been sent.
+            UnsealedResultError: The response body is over the size limit.
+            TimeoutError: No complete response came in time.
+            OSError: The connection failed.
         """
         if self.state is connection_state.ConnectionState.NEW:
             self.may_have_sent = True
@@ -118,23 +119,23 @@
                     return await self.read(response)
         except aiohttp.ClientOSError as error:
             self.state = connection_state.ConnectionState.CLOSED
-            # The library wraps what its own hook raised; whoever asks should see the plain kind.
+            # aiohttp wraps the error that `on_create` raised; the caller gets the original error.
             if isinstance(error.__cause__, ConnectionReopenedError):
                 raise error.__cause__ from None
             raise
         except BaseException:
-            # Half an exchange cannot be carried on; the next request would read this one's answer.
+            # After an incomplete exchange, the next request would read the response to this one.
             self.state = connection_state.ConnectionState.CLOSED
             raise
 
     async def read(self, response: aiohttp.ClientResponse) -> Answer:
-        """Return the complete answer."""
+        """Read the body, and return the complete response."""
         content = bytearray()
         async for chunk in response.content.iter_chunked(CHUNK_BYTES):
             content += chunk
-            # An endless body must not fill this process's memory.
+            # An endless body must not exhaust the memory of this process.
             if len(content) > BODY_LIMIT_BYTES:
-                raise errors.UnsealedResultError(f"the body is over {BODY_LIMIT_BYTES} bytes")
+                raise errors.UnsealedResultError(f"the response body is over {BODY_LIMIT_BYTES} bytes")
         headers = {name.lower(): value for name, value in response.headers.items()}
         if headers.get("connection", "").lower() == "close":
             self.state = connection_state.ConnectionState.CLOSED
@@ -147,26 +148,35 @@
 
 
 async def open_http(host: str, port: int) -> UpstreamConnection:
-    """Return a connection to an origin; it is opened by its first request."""
+    """Return a connection to an origin; the TCP connection is opened by the first request."""
     return HttpConnection(host, port)
 
 
 async def confirm_identity(
     connection: UpstreamConnection, probe: str, service: str, instance: str, timeout_seconds: float
 ) -> None:
-    """Probe a connection: the origin must name the service and the instance that are meant.
+    """Send a health probe, and check that the expected service and instance answer it.
+
+    Args:
+        connection: The connection to send the probe on.
+        probe: The path of the health probe.
+        service: The name of the expected service.
+        instance: The name of the expected origin instance.
+        timeout_seconds: How long to wait for the response, in seconds.
 
     Raises:
-        WrongServiceError: another origin answers there.
-        NoOriginError: the origin is not healthy.
+        WrongServiceError: Another origin answers there.
+        NoOriginError: The origin is unhealthy.
     """
     try:
         status, _, body = await connection.send("GET", probe, {}, b"", timeout_seconds)
         named = json.loads(body)
         found = (named.get("service"), named.get("instance"))
     except (ValueError, AttributeError):
-        raise errors.WrongServiceError("the probe's answer names no service") from None
+        raise errors.WrongServiceError("the response to the health probe names no service") from None
     if found != (service, instance):
-        raise errors.WrongServiceError(f"{found[0]}/{found[1]} answers where {service}/{instance} should")
+        raise errors.WrongServiceError(
+            f"origin {found[0]}/{found[1]} answers the health probe in place of {service}/{instance}"
+        )
     if status != HEALTHY_STATUS:
-        raise errors.NoOriginError(f"the probe of {instance} answered {status}")
+        raise errors.NoOriginError(f"origin {instance} answered the health probe with status {status}")
--- a/src/irisstand/dataplane/upstream/endpoint_pool.py
+++ b/src/irisstand/dataplane/upstream/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""Endpoints of a node that reaches origins by itself: which there are, and the limits of their use."""
+"""The origin endpoints of a node that sends requests to origins itself, and the limits on their use."""
 
 import collections.abc
 
@@ -14,15 +14,16 @@
     origin_endpoint,
 )
 
-# For how long endpoints of a site just taken back count as cold, beside the platform's lag.
+# How long the endpoints of a site whose evacuation has ended count as cold, in addition to the lag of the
+# platform's origin list.
 SETTLING_SECONDS = quota_share.SETTLING_SECONDS
 EVACUATED_PREFIX = "evacuated/"
-# Sorts behind all keys that begin with a prefix.
+# The greatest Unicode character: appended to a prefix, it sorts after all keys that begin with that prefix.
 LAST_CHARACTER = "\U0010ffff"
 
 
 class EndpointPool:
-    """Follows the origins that the state table lists, and hands out endpoints within their limits."""
+    """Keeps one endpoint for each origin in the state table, and selects endpoints within their limits."""
 
     def __init__(
         self,
@@ -40,7 +41,7 @@
         self.endpoints: dict[str, origin_endpoint.Endpoint] = {}
         self.evacuated: set[str] = set()
         self.opened_at = context.clock.now()
-        # Holders that did not answer, and until when they are left alone.
+        # Object holders that did not reply, each with the time until which it is not asked again.
         self.avoided: dict[str, float] = {}
         self.fleet = fleet_members.FleetMembers(context)
         self.token_leases = token_leases.TokenLeases(context, self.limit_of)
@@ -49,11 +50,14 @@
         context.ledger.watchers.append(self.follow_origin_list)
 
     async def run(self) -> None:
-        """Probe endpoints that are down, until cancelled."""
+        """Probe the endpoints that are down, until cancelled."""
         await self.prober.run()
 
     def follow_origin_list(self) -> None:
-        """Take over a change of the state table: a changed address or service is another endpoint."""
+        """Update the endpoints after a change of the state table.
+
+        An origin whose address or service has changed gets a new endpoint without the old connections.
+        """
         listed = {origin.key: origin for origin in self.view.origins()}
         for key in [key for key in self.endpoints if key not in listed]:
             self.endpoints.pop(key).close()
@@ -68,14 +72,18 @@
         self.update_evacuations()
 
     def update_evacuations(self) -> None:
-        """Count endpoints of a site taken back as cold, before the platform's list says so."""
+        """Mark the endpoints of sites whose evacuation has ended as cold.
+
+        The platform's origin list lags, and shows these origins as cold only later.
+        """
         table = self.context.ledger
         now = self.context.clock.now()
         current = {
             item.key.removeprefix(EVACUATED_PREFIX) for item in table.items_with_prefix(EVACUATED_PREFIX)
         }
         returned = self.evacuated - current
-        # A node just started cannot tell how long ago a site was taken back.
+        # A node that has just started cannot tell how long ago an evacuation ended, so it counts all
+        # evacuations that are recorded as ended.
         if now - self.opened_at < SETTLING_SECONDS:
             keys = list(table.items.irange(EVACUATED_PREFIX, EVACUATED_PREFIX + LAST_CHARACTER))
             returned |= {key.removeprefix(EVACUATED_PREFIX) for key in keys if table.value(key) is None}
@@ -87,7 +95,11 @@
     def choose(
         self, route: routes.Route, upstream: routes.Upstream, tried: collections.abc.Container[str]
     ) -> origin_endpoint.Endpoint:
-        """Return the endpoint that should answer soonest; raises as `EndpointSelector.choose`."""
+        """Return the endpoint with the shortest expected response time.
+
+        Raises:
+            IrisError: No endpoint may be used now, as `EndpointSelector.choose` says.
+        """
         return self.selector.choose(route, upstream, tried, self.token_leases)
 
     def is_usable(
@@ -105,7 +117,14 @@
         return is_listed and is_allowed and not is_newly_cold and not endpoint.is_down
 
     def limit_of(self, name: str) -> float | None:
-        """Return a limit over all nodes by its name, per second: of a service, or of a cold endpoint."""
+        """Return a rate limit that all nodes share, in requests per second.
+
+        Args:
+            name: The name of a service, or `cold_limit_name` of a cold endpoint.
+
+        Returns:
+            The limit; None if the service is unknown or has no rate limit.
+        """
         self.table.refresh()
         if not name.startswith(quota_share.COLD_PREFIX):
             upstream = self.table.upstreams.get(name)
@@ -116,7 +135,14 @@
         return None if upstream is None else upstream.cold_rate * settings.cold_factor + settings.cold_burst
 
     async def borrow_token(self, service: str, timeout_seconds: float) -> None:
-        """Borrow tokens that this node lacks, before `choose`, if the service has a rate limit."""
+        """Lease a token of the service's rate limit from other nodes if this node has none left.
+
+        Called before `choose`; does nothing for a service without a rate limit.
+
+        Args:
+            service: The name of the service.
+            timeout_seconds: How long to wait for a token, in seconds.
+        """
         upstream = self.table.upstreams.get(service)
         if upstream is not None and upstream.rate is not None:
             await self.token_leases.wait_for_token(service, timeout_seconds)
@@ -124,11 +150,11 @@
     async def borrow_cold_token(
         self, route: routes.Route, service: str, tried: collections.abc.Container[str]
     ) -> None:
-        """Borrow a token of a cold endpoint, after `choose` found only such ones."""
+        """Lease a token of the limit of a cold endpoint, after `choose` found only cold endpoints."""
         try:
             available = self.selector.available(route, self.table.upstreams[service], tried)
         except (errors.IrisError, KeyError):
-            # The next choice will say so.
+            # The next call of `choose` raises the same error to the caller.
             return
         await self.token_leases.wait_for_token(
             endpoint_selection.cold_limit_name(self.context.randomness.choice(available)), 0.0
@@ -138,17 +164,17 @@
         """Take a token of the service's rate limit.
 
         Returns:
-            The seconds until it may be used.
+            The seconds until the token may be used.
 
         Raises:
-            LimitExceededError: no token may be used within `timeout_seconds`.
+            LimitExceededError: No token may be used within `timeout_seconds`.
         """
         return 0.0 if upstream.rate is None else self.token_leases.acquire(upstream.name, timeout_seconds)
 
     def take_cold_token(self, endpoint: origin_endpoint.Endpoint) -> None:
-        """Take the token that `choose` has seen, if it chose the endpoint as a cold one."""
+        """Take a token of a cold endpoint's limit; `choose` made sure that there is one."""
         self.token_leases.acquire(endpoint_selection.cold_limit_name(endpoint), 0.0)
 
     def is_scarce(self, service: str) -> bool:
-        """Whether this node's share of the service's rate was all but used up in the last seconds."""
+        """Return whether this node's quota share of the service was nearly used up in the last seconds."""
         return self.token_leases.own_quota.rate_limiter(service).is_scarce()
--- a/src/irisstand/dataplane/upstream/endpoint_prober.py
+++ b/src/irisstand/dataplane/upstream/endpoint_prober.py
@@ -1,4 +1,4 @@
-"""Health probes of endpoints that are down; the health of all others is known from their traffic."""
+"""Health probes of endpoints that are down; the health of all other endpoints is known from their traffic."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 class EndpointProber:
-    """Probes endpoints that are down until they answer as themselves."""
+    """Probes the endpoints that are down until the expected origin instance answers."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self.endpoints = endpoints
 
     async def run(self) -> None:
-        """Start the probes that are due, until cancelled."""
+        """Start a task for each probe that is due, until cancelled."""
         while True:
             now = self.context.clock.now()
             for endpoint in list(self.endpoints.values()):
@@ -42,7 +42,7 @@
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     async def probe(self, endpoint: origin_endpoint.Endpoint) -> None:
-        """Probe one endpoint, and mark it as up or down."""
+        """Probe one endpoint and mark it as up or down."""
         try:
             await self.check(endpoint)
         except FAILURES as error:
@@ -51,7 +51,14 @@
         endpoint.mark_up()
 
     async def check(self, endpoint: origin_endpoint.Endpoint) -> None:
-        """Send one probe; raise one of `FAILURES` unless the endpoint is healthy and the right one."""
+        """Send one probe, and check that the expected instance answers and is healthy.
+
+        Raises:
+            NoOriginError: The endpoint is unhealthy, or another instance answered.
+            OSError: The connection failed.
+            TimeoutError: No response came in time.
+            IrisError: The endpoint could not be reached, or its response was malformed.
+        """
         upstream = self.table.upstreams.get(endpoint.origin.service)
         async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
             connection = await endpoint.acquire(PROBE_TIMEOUT_SECONDS)
@@ -62,4 +69,6 @@
         endpoint.release(connection)
         named = answer.headers.get(self.header_names.instance)
         if answer.status != HEALTHY_STATUS or (named and named != endpoint.instance):
-            raise errors.NoOriginError(f"the probe was answered {answer.status} by {named}")
+            raise errors.NoOriginError(
+                f"the health probe was answered with status {answer.status} by instance {named}"
+            )
--- a/src/irisstand/dataplane/upstream/endpoint_selection.py
+++ b/src/irisstand/dataplane/upstream/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Which endpoint a request goes to: of those that the rules allow now, the one that should answer soonest."""
+"""Chooses the origin endpoint for a request: the allowed one with the shortest expected response time."""
 
 import collections.abc
 
@@ -8,22 +8,22 @@
 from irisstand.dataplane.routing import route_table, routes, snapshot
 from irisstand.dataplane.upstream import fleet_members, origin_endpoint
 
-# How long a request travels to another site of the region, and to another region.
+# Estimates of the network time of a request to another site in the same region, and to another region.
 OTHER_SITE_SECONDS = 0.010
 OTHER_REGION_SECONDS = 0.060
-# The cost of an endpoint is multiplied by a random factor in this range, so that edges that know the same do
-# not all choose the same.
+# The cost of an endpoint is multiplied by a random factor in this range, so that edges with the same
+# information don't all choose the same endpoint.
 LEAST_JITTER_FACTOR = 0.8
 GREATEST_JITTER_FACTOR = 1.25
 
 
 def cold_limit_name(endpoint: origin_endpoint.Endpoint) -> str:
-    """Return the name of the limit of what a cold endpoint may get."""
+    """Return the name of the rate limit of a cold endpoint."""
     return quota_share.COLD_PREFIX + endpoint.instance
 
 
 class EndpointSelector:
-    """Chooses among endpoints by the route's rules, the fleet's limits and the load."""
+    """Chooses among origin endpoints by the route's regions, the limits of the whole fleet, and the load."""
 
     def __init__(
         self,
@@ -38,18 +38,25 @@
         self.table = table
         self.endpoints = endpoints
         self.fleet = fleet
-        # Connection limits by endpoint, service limit and use of holders; for these members alone.
+        # Cached connection limits by instance, connection limit of the service, and whether holders fetch for
+        # the service. They are valid as long as the nodes are those in `limits_for`.
         self.limits_for: list[fleet_limits.Member] = []
         self.limits: dict[tuple[str, int, bool], int] = {}
 
     def available(
         self, route: routes.Route, upstream: routes.Upstream, tried: collections.abc.Container[str]
     ) -> list[origin_endpoint.Endpoint]:
-        """Return the endpoints that may be used now, cold ones among them.
+        """Return the endpoints that may be used now, including cold ones.
+
+        Args:
+            route: The route of the request.
+            upstream: The service that the request goes to.
+            tried: The names of the origin instances that the request has tried.
 
         Raises:
-            NoOriginError: no endpoint is usable.
-            LimitExceededError: all are used up to their limit.
+            NoOriginError: No endpoint is usable.
+            LimitExceededError: All usable endpoints have reached their connection limit or have just refused
+                a request.
         """
         now = self.context.clock.now()
         listed = [
@@ -59,7 +66,7 @@
         ]
         up = [endpoint for endpoint in listed if not endpoint.is_down]
         if not up:
-            raise errors.NoOriginError(f"no origin of {upstream.name} is usable just now", retry_after=0.3)
+            raise errors.NoOriginError(f"no origin of service {upstream.name} is usable now", retry_after=0.3)
         free = [
             endpoint
             for endpoint in up
@@ -67,13 +74,16 @@
             and now >= endpoint.paused_until
         ]
         if not free:
-            raise errors.LimitExceededError(f"every origin of {upstream.name} is full", retry_after=0.1)
+            raise errors.LimitExceededError(
+                f"all usable origins of service {upstream.name} are full or just refused a request",
+                retry_after=0.1,
+            )
         return free
 
     def is_allowed(
         self, endpoint: origin_endpoint.Endpoint, route: routes.Route, upstream: routes.Upstream
     ) -> bool:
-        """Return whether the origin list, evacuations and the route's regions allow an endpoint now."""
+        """Return whether the origin list, the evacuations and the route's regions allow an endpoint now."""
         origin = endpoint.origin
         return (
             origin.service == upstream.name
@@ -89,14 +99,21 @@
         tried: collections.abc.Container[str],
         leases: token_leases.TokenLeases,
     ) -> origin_endpoint.Endpoint:
-        """Return the endpoint that should answer soonest.
+        """Return the endpoint with the shortest expected response time.
+
+        Args:
+            route: The route of the request.
+            upstream: The service that the request goes to.
+            tried: The names of the origin instances that the request has tried.
+            leases: The token leases that limit the requests to cold endpoints.
 
         Raises:
-            SlowStartError: only cold endpoints are left, and what they may get is used up.
-            IrisError: as `available` raises it.
+            SlowStartError: Only cold endpoints are left, and no token for one of them is left.
+            NoOriginError: No endpoint is usable.
+            LimitExceededError: All usable endpoints have reached a limit.
         """
         free = self.available(route, upstream, tried)
-        # Cold ones only while no other is left, and no more than their part.
+        # Cold endpoints are only used when no warm one is available, and within their rate limit.
         warm = [endpoint for endpoint in free if not endpoint.is_cold()]
         responsive = [endpoint for endpoint in warm if not endpoint.is_unresponsive()]
         candidates = (
@@ -105,11 +122,13 @@
             or [endpoint for endpoint in free if leases.has_token(cold_limit_name(endpoint), 0.0)]
         )
         if not candidates:
-            raise errors.SlowStartError(f"the origins of {upstream.name} are warming up", retry_after=0.4)
+            raise errors.SlowStartError(
+                f"all usable origins of service {upstream.name} are warming up", retry_after=0.4
+            )
         return min(candidates, key=self.cost)
 
     def connection_limit(self, endpoint: origin_endpoint.Endpoint, upstream: routes.Upstream) -> int:
-        """Return how many connections this node may have to the endpoint."""
+        """Return the number of connections that this node may have to the endpoint."""
         members = self.fleet.members()
         is_held = upstream.name in self.table.services_at_holders and self.fleet.uses_holders()
         key = (endpoint.instance, upstream.connections, is_held)
@@ -124,7 +143,11 @@
         return self.limits[key]
 
     def cost(self, endpoint: origin_endpoint.Endpoint) -> float:
-        """Return the seconds until an answer, roughly: what this node has in flight there, and the way."""
+        """Return a rough estimate of the seconds until a response.
+
+        It is made of the endpoint's expected response time, this node's requests in flight there, the network
+        time and a random factor.
+        """
         site = endpoint.origin.site
         settings = self.context.settings
         travel_seconds = 0.0 if site == settings.site else OTHER_SITE_SECONDS
--- a/src/irisstand/dataplane/upstream/exchange.py
+++ b/src/irisstand/dataplane/upstream/exchange.py
@@ -1,8 +1,8 @@
-"""A connection to an origin, one request at a time, that tells a surplus answer by its id.
+"""A connection to an origin that carries one request at a time and matches responses to requests by their id.
 
-aiohttp's client hands whatever comes on an idle connection to the next request, and opens a connection and
-sends again by itself; here both would break a rule, so the answers are parsed by httptools and the connection
-is our own (docs/platform.md).
+aiohttp's client passes bytes that arrive on an idle connection to the next request, and reconnects and sends
+again by itself. A request could get a wrong response or run twice, so this module keeps its own connections
+and parses responses with httptools (docs/platform.md).
 """
 
 import asyncio
@@ -16,20 +16,20 @@
 from irisstand.http1 import grammar
 
 BODY_LIMIT_BYTES = 64 * 1024 * 1024
-# An idle connection is given up this long before its origin said it would close it.
+# An idle connection is discarded this long before the time at which its origin announced to close it.
 IDLE_MARGIN_SECONDS = 1.0
 IDLE_DEFAULT_SECONDS = 4.0
-# Answers that belong to no request here, read past before the connection is given up.
+# How many responses that bear the id of another request are skipped before the connection is closed.
 SURPLUS_LIMIT = 3
 FIRST_FINAL_STATUS = 200
 BODILESS_STATUSES = (204, 304)
 
-# The connection ended, or brought bytes that are no answer, before the answer was complete.
+# Raised when a connection ends or brings malformed bytes before the response is complete.
 ConnectionBrokenError = errors.OriginFailedError
 
 
 class Answer(typing.NamedTuple):
-    """An origin's complete answer; header names in lower case, in the order in which they came."""
+    """An origin's complete response; header names are in lower case and in the order of their arrival."""
 
     status: int
     headers: dict[str, str]
@@ -37,17 +37,16 @@
 
 
 class Exchange(asyncio.Protocol):
-    """One connection to an origin.
+    """A connection to an origin, for one request at a time.
 
-    `may_have_sent` is True from just before the first byte of a request may have left, until whoever manages
-    the connection resets it.
+    `may_have_sent` is set just before a byte of a request may be sent; the connection's owner clears it.
     """
 
     def __init__(self, id_header: str) -> None:
         self.id_header = id_header
         self.state = connection_state.ConnectionState.OPEN
         self.may_have_sent = False
-        # Set from the first request on: what comes after it may be a surplus answer to it.
+        # Whether the connection has carried a request: later bytes may be a surplus response to that request.
         self.is_used = False
         self.is_first_request = True
         self.transport: asyncio.Transport | None = None
@@ -61,130 +60,127 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection may carry a further request, as far as is known."""
+        """Whether the connection may carry another request, as far as is known."""
         return self.state is connection_state.ConnectionState.OPEN
 
     @property
     def is_waiting(self) -> bool:
-        """Whether a request waits for its answer."""
+        """Whether a request waits for its response."""
         return self.waiting is not None and not self.waiting.done()
 
     def reset_parser(self) -> None:
-        """Make ready for the answer to the next request."""
+        """Create a new parser for the response to the next request."""
         self.parser: typing.Any = httptools.HttpResponseParser(self)
         self.headers: dict[str, str] = {}
         self.body = bytearray()
 
     def stop_reuse(self) -> None:
-        """Send no further request on this connection."""
+        """Mark the connection as unusable for further requests; the response in flight is still read."""
         if self.state is connection_state.ConnectionState.OPEN:
             self.state = connection_state.ConnectionState.NOT_REUSABLE
 
     def end(self, error: Exception | None) -> None:
-        """Close the connection, and fail the request that waits for an answer."""
+        """Close the connection, and fail the request that waits for a response."""
         self.state = connection_state.ConnectionState.CLOSED
         if self.transport is not None:
             self.transport.close()
         if self.waiting is not None and not self.waiting.done():
-            self.waiting.set_exception(error or ConnectionBrokenError("the connection was given up"))
+            self.waiting.set_exception(error or ConnectionBrokenError("this node closed the connection"))
 
     def close(self) -> None:
-        """Close the connection."""
+        """Close the connection without an error of its own."""
         self.end(None)
 
     def abort(self) -> None:
-        """Reset the connection, so that a request that is given up does not reach the origin later."""
+        """Reset the connection, so that an abandoned request does not reach the origin later."""
         if self.transport is not None:
             transport_reset.reset(self.transport)
         self.end(None)
 
     def connection_made(self, transport: typing.Any) -> None:
-        """Take over the transport of the new connection."""
+        """Store the transport of the new connection."""
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of an answer."""
-        # Nobody waits for an answer here: what comes belongs to no request.
+        """Parse the next bytes of a response."""
+        # No request waits for a response, so these bytes belong to none.
         if not self.is_waiting:
             self.end(None)
             return
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, ValueError) as error:
-            text = f"the origin sent bytes that are no answer: {type(error).__name__}"
+            text = f"the origin sent bytes that are no valid response: {type(error).__name__}"
             self.end(ConnectionBrokenError(text))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End the request in flight.
-
-        An answer without length or chunks would end here, but then nothing shows that it is complete.
-        """
-        self.end(ConnectionBrokenError("the origin closed the connection before its answer was whole"))
+        """Fail the request in flight, even where its response has no other end: it may be incomplete."""
+        self.end(ConnectionBrokenError("the origin closed the connection before its response was complete"))
 
     def on_message_begin(self) -> None:
-        """Begin an answer."""
-        # A second answer behind the first, in the same bytes: it belongs to no request.
+        """Start a response."""
+        # A second response that follows the first in the same bytes belongs to no request.
         if not self.is_waiting:
             self.stop_reuse()
         self.headers = {}
         self.body = bytearray()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header; repeated ones are joined (RFC 9110, section 5.3)."""
+        """Add a header; the values of a repeated header are joined with commas (RFC 9110, section 5.3)."""
         key = name.decode("latin-1").lower()
         text = value.decode("latin-1")
         self.headers[key] = f"{self.headers[key]}, {text}" if key in self.headers else text
 
     def on_headers_complete(self) -> None:
-        """Refuse an answer whose end could not be told."""
+        """Reject a response whose end can't be determined, and complete the response to a HEAD request."""
         status = self.parser.get_status_code()
         is_bodiless = self.method == "HEAD" or status in BODILESS_STATUSES or status < FIRST_FINAL_STATUS
         is_chunked = "chunked" in self.headers.get("transfer-encoding", "")
         if "content-length" not in self.headers and not is_chunked and not is_bodiless:
-            raise ValueError("an answer without length or chunks")
+            raise ValueError("the response has neither a content-length nor chunks")
         if status < FIRST_FINAL_STATUS:
-            raise ValueError("not an answer that this connection can carry")
-        # The parser waits for the body that the answer to a HEAD only announces.
+            raise ValueError("the response is interim, and only final responses are supported")
+        # The parser would wait for the body whose length the response to a HEAD only announces.
         if self.method == "HEAD" and self.waiting is not None and not self.waiting.done():
             if not self.matches_request():
-                raise ValueError("an answer that does not name its request")
+                raise ValueError("the response does not bear the id of the request")
             self.stop_reuse()
             self.waiting.set_result(Answer(status, self.headers, b""))
 
     def matches_request(self) -> bool:
-        """Whether the answer is this request's. Without an id that is certain only of a connection's first.
+        """Return whether the response is for this request: it has its id, or none on an unused connection.
 
-        Believed of a surplus answer, "did not run" would have a request that is not idempotent sent twice.
+        A surplus response that says "did not run" would have a request that is not idempotent sent twice.
         """
         found = self.headers.get(self.id_header)
         return self.is_first_request if found is None else found == self.request_id
 
     def on_body(self, body: bytes) -> None:
-        """Add to the body."""
+        """Append a piece of the body; a body over the size limit is an error."""
         self.body += body
-        # An endless body must not fill this process's memory.
+        # An endless body must not exhaust the memory of this process.
         if len(self.body) > BODY_LIMIT_BYTES:
-            raise ValueError("an endless body")
+            raise ValueError("the response body is over the size limit")
 
     def on_message_complete(self) -> None:
-        """Give the answer to the request that waits for it, if it is that request's."""
+        """Pass the complete response to the request that waits for it, if the ids match."""
         if self.waiting is None or self.waiting.done():
             return
         found = self.headers.get(self.id_header)
-        # A late answer to an earlier request in the place of this one's: the right one comes behind it.
+        # This is a late response to an earlier request; the response to this request should follow it.
         if found is not None and found != self.request_id:
             self.surplus_count += 1
             if self.surplus_count > SURPLUS_LIMIT:
-                raise ValueError("too many answers to other requests")
+                raise ValueError("too many responses bear the ids of other requests")
             return
         if not self.matches_request():
-            raise ValueError("an answer that does not name its request")
+            raise ValueError("the response does not bear the id of the request")
         self.update_reuse()
         self.waiting.set_result(Answer(self.parser.get_status_code(), self.headers, bytes(self.body)))
 
     def update_reuse(self) -> None:
-        """Take from a complete answer whether and how long the connection may be used again."""
-        # It was given before the request had left completely: what is left of that would go on after it.
+        """Determine from a complete response whether and how long the connection may be reused."""
+        # The response came before the whole request was sent: the rest would be sent before the next request.
         if self.transport is not None and self.transport.get_write_buffer_size():
             self.stop_reuse()
         if "close" in self.headers.get("connection", "").lower() or not self.parser.should_keep_alive():
@@ -195,7 +191,7 @@
                 self.idle_limit_seconds = max(0.0, seconds - IDLE_MARGIN_SECONDS)
 
     def is_usable(self) -> bool:
-        """Whether a request may be sent: the connection is open, and not due to be closed by the origin."""
+        """Return whether a request may be sent: the connection is open and not about to time out."""
         now = asyncio.get_running_loop().time()
         return (
             self.state is connection_state.ConnectionState.OPEN
@@ -210,19 +206,19 @@
         body: bytes,
         request_id: str,
     ) -> Answer:
-        """Send one request and return its answer; a cancelled one leaves the connection unusable.
+        """Send one request and return the response with its id; cancelling leaves the connection unusable.
 
         Raises:
-            ConnectionBrokenError: no complete answer came; `may_have_sent` says whether the request left.
+            ConnectionBrokenError: No complete response came; `may_have_sent` tells if it may have run.
         """
         request = upstream_request.encode(method, target, headers, body)
         self.reset_parser()
         self.method = method
         self.request_id = request_id
-        # Closed, but not yet told so: what is written now would go nowhere.
+        # The transport is closing although `connection_lost` was not called yet; written bytes would be lost.
         if self.transport is None or self.transport.is_closing():
             self.end(None)
-            raise ConnectionBrokenError("the connection was closed before the request could leave")
+            raise ConnectionBrokenError("the connection was closed before the request could be sent")
         self.waiting = asyncio.get_running_loop().create_future()
         self.may_have_sent = True
         self.is_first_request = not self.is_used
@@ -231,7 +227,7 @@
             self.transport.write(request)
             return await self.waiting
         except BaseException:
-            # Half an exchange cannot be carried on: the next request would read this one's answer.
+            # After an incomplete exchange, the next request would read the response to this one.
             self.abort()
             raise
         finally:
@@ -243,7 +239,7 @@
 
 
 def connector(id_header: str) -> Connect:
-    """Return the function that opens connections whose answers name their request in `id_header`."""
+    """Return a function that opens connections on which responses bear the request's id in `id_header`."""
 
     async def connect(host: str, port: int) -> Exchange:
         loop = asyncio.get_running_loop()
--- a/src/irisstand/dataplane/upstream/fleet_members.py
+++ b/src/irisstand/dataplane/upstream/fleet_members.py
@@ -1,19 +1,20 @@
-"""The nodes that reach origins, and where they are, as this node's member list says."""
+"""The nodes that send requests to origins, and their sites, according to this node's member list."""
 
 from irisstand import node_context
 from irisstand.balancing import fleet_limits
 from irisstand.dataplane.routing import routes
 
-# Edges in a route's own regions that must be up before holders elsewhere take its objects: with fewer,
-# clients of those regions may be served here, and then only the edge that they talk to may have the body.
+# An object of a route that is limited to regions is only cached by a holder outside of them while at least
+# this many edges inside are up. With fewer, clients of those regions may be served at this site, and then
+# only the edge that a client is connected to may have the body.
 MINIMUM_HOME_EDGES = 8
-# The member list is read again after this time.
+# How long the member list is cached before it is read again.
 REFRESH_SECONDS = 0.5
 HOLDER_ROLE = "holder"
 
 
 class FleetMembers:
-    """All nodes that reach origins: edges, and holders, which fetch for the edges of their site."""
+    """The nodes that send requests to origins: edges, and holders, which fetch for the edges of a site."""
 
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
@@ -22,11 +23,11 @@
         self.site_regions: dict[str, str] = {}
 
     def edges(self) -> list[str]:
-        """Return the names of all nodes that reach origins, this one among them."""
+        """Return the names of all nodes that send requests to origins, including this one."""
         return [member.name for member in self.members()]
 
     def members(self) -> list[fleet_limits.Member]:
-        """Return all nodes that reach origins; it is the same list object until they change."""
+        """Return all nodes that send requests to origins; the same list object until the nodes change."""
         now = self.context.clock.now()
         if now - self.read_at > REFRESH_SECONDS:
             self.read_at = now
@@ -36,9 +37,9 @@
         return self.cached_members
 
     def read_members(self) -> list[fleet_limits.Member]:
-        """Read the member list."""
+        """Read the edges, the holders that are alive and this node from the member list, sorted."""
         settings = self.context.settings
-        # A suspected holder fetches nothing for anybody; a suspected edge may still serve its clients.
+        # No node asks a suspected holder to fetch anything, but a suspected edge may still serve its clients.
         holders = [update for update in self.context.members_of(HOLDER_ROLE) if not update.state]
         by_name = {}
         for update in (*self.context.members_of("direct"), *holders):
@@ -48,7 +49,7 @@
         return sorted(by_name.values())
 
     def region_of(self, site: str) -> str:
-        """Return the region of a site; empty if it is not known."""
+        """Return the region of a site; an empty string if the site is unknown."""
         if site not in self.site_regions:
             self.site_regions = self.context.region_by_site()
         return self.site_regions.get(site, "")
@@ -59,15 +60,15 @@
         return self.region_of(settings.site) or settings.region
 
     def uses_holders(self) -> bool:
-        """Whether the fleet is large enough for holders.
+        """Return whether the sites have enough edges for holders to fetch for them.
 
-        A few edges that fetch for themselves cost a service little, and need nobody else to be up.
+        A few edges that fetch objects themselves add little load to a service, and depend on no other node.
         """
         edges = [member for member in self.members() if member.role != HOLDER_ROLE]
         return len(edges) >= self.context.settings.holder_edges * len({member.site for member in edges})
 
     def may_hold(self, route: routes.Route) -> bool:
-        """Whether holders at this site may have the route's objects at all."""
+        """Return whether holders at this site may cache the objects of a route."""
         if not route.regions or self.own_region() in route.regions:
             return True
         inside = sum(
--- a/src/irisstand/dataplane/upstream/origin_client.py
+++ b/src/irisstand/dataplane/upstream/origin_client.py
@@ -1,4 +1,4 @@
-"""Attempts of a shield at origins: each under the service's limits, over a connection that is confirmed."""
+"""Sends a shield's attempts to origins, within the service's limits and over confirmed connections."""
 
 import asyncio
 import typing
@@ -10,14 +10,15 @@
 from irisstand.dataplane.routing import snapshot
 from irisstand.dataplane.upstream import attempt_tasks, connections, origin_connections, origin_pool
 
-# What a request waits for its turn at one shield; three of them are well inside any client's patience.
+# How long a request waits at one shield for the service's limits. Even three such waits are well below the
+# timeout of any client.
 QUEUE_TIMEOUT_SECONDS = 0.25
-# Of the time that is left, it may wait one part in so many.
+# A request waits for at most its remaining time divided by this number.
 QUEUE_REMAINING_DIVISOR = 3
 QUEUE_POLL_SECONDS = 0.01
 MINIMUM_TIMEOUT_SECONDS = 0.01
-# These say nothing of the origin's health: a limit of this node's own, a change of the configuration, or a
-# kept connection that the origin closed meanwhile, of which the prober will tell.
+# Errors that don't show that an origin is unhealthy: a limit of this node, a change of the configuration, or
+# an idle connection that the origin has closed, about which the next probe will tell more.
 HEALTH_NEUTRAL_ERRORS = (
     errors.LimitExceededError,
     errors.StaleConfigurationError,
@@ -29,7 +30,15 @@
 
 
 class OriginRequest(typing.NamedTuple):
-    """A request to an origin; `target` is the path with the query."""
+    """A request to an origin.
+
+    Attributes:
+        method: The HTTP method.
+        target: The path with the query.
+        headers: The headers to send, without the request id.
+        body: The request body.
+        request_id: The id that the response must bear.
+    """
 
     method: str
     target: str
@@ -39,40 +48,40 @@
 
 
 class Slot(typing.NamedTuple):
-    """A place under this shield's share of a service's limits, taken at `entered_at`."""
+    """One request's use of this shield's quota share of a service's limits, taken at `entered_at`."""
 
     share: service_limits.QuotaShareLimiter
     entered_at: float
 
 
 class Attempt:
-    """One attempt at one origin: what it holds until it ends."""
+    """An attempt at an origin, with the slot and the connection that it holds until it ends."""
 
     def __init__(self, allowed: snapshot.AllowedRequest) -> None:
         self.allowed = allowed
         self.slot: Slot | None = None
         self.entered_at = 0.0
         self.connection: connections.UpstreamConnection | None = None
-        # Until when the origin may work on a request that nobody waits for any more.
+        # The time until which the origin may process a request that was abandoned; 0 if it was not.
         self.works_until = 0.0
 
     @property
     def service(self) -> str:
-        """The name of the service that is asked."""
+        """The name of the service that the request is sent to."""
         return self.allowed.service
 
     @property
     def may_have_sent(self) -> bool:
-        """Whether a byte of the request may have left for the origin."""
+        """Whether a byte of the request may have been sent to the origin."""
         return self.connection is not None and self.connection.may_have_sent
 
     def hold(self, slot: Slot) -> None:
-        """Take over a place."""
+        """Store the slot that the attempt holds."""
         self.slot = slot
         self.entered_at = slot.entered_at
 
     async def release(self, origin: origin_connections.OriginConnections) -> None:
-        """Give the place and the connection back."""
+        """Release the slot and return the connection to the origin's connections."""
         if self.slot is not None:
             self.slot.share.leave(self.works_until)
         if self.connection is not None:
@@ -80,7 +89,7 @@
 
 
 class OriginClient:
-    """Sends one shield's requests to origins."""
+    """Sends a shield's requests to origins."""
 
     def __init__(
         self,
@@ -101,7 +110,7 @@
         request: OriginRequest,
         retry_policy: forwarding_policy.ToOriginPolicy,
     ) -> Event:
-        """Make one attempt at an origin that the policy has not tried yet."""
+        """Send one attempt to an origin that the request's policy has not tried yet."""
         attempt = Attempt(allowed)
         task = self.attempts.start(self.run(attempt, request, retry_policy))
         try:
@@ -113,7 +122,7 @@
     async def run(
         self, attempt: Attempt, request: OriginRequest, retry_policy: forwarding_policy.ToOriginPolicy
     ) -> Event:
-        """Make the attempt, and give back what it holds however it ends."""
+        """Run the attempt, and release its slot and connection however it ends."""
         allowed = attempt.allowed
         try:
             origin = self.origins.choose(allowed, retry_policy.tried)
@@ -124,7 +133,8 @@
         try:
             return await self.send(attempt, origin, request, retry_policy)
         except (TimeoutError, asyncio.CancelledError) as error:
-            # Nobody waits any more, but the origin may work on: its place is kept for as long as it could.
+            # The request is abandoned but the origin may still process it, so it counts as in flight for as
+            # long as that may take.
             if attempt.may_have_sent:
                 attempt.works_until = attempt.entered_at + service_limits.origin_work_seconds(
                     allowed.deadline
@@ -135,7 +145,8 @@
             return self.failed(attempt, origin, error)
         except origin_connections.FAILURES as error:
             if not isinstance(error, HEALTH_NEUTRAL_ERRORS):
-                # An unsealed answer is one request's; a broken connection says that the origin is gone.
+                # A response without a valid seal concerns one request only, while a broken connection shows
+                # that the origin is down.
                 is_unsealed = isinstance(error, errors.UnsealedResultError)
                 origin.set_health(is_healthy=origin.is_healthy and is_unsealed, why=repr(error))
             return self.failed(attempt, origin, error)
@@ -149,17 +160,17 @@
         request: OriginRequest,
         retry_policy: forwarding_policy.ToOriginPolicy,
     ) -> Event:
-        """Send the request over a connection of the attempt's origin, and check the seal of the answer."""
+        """Send the request over a connection to the attempt's origin, and check the seal of the response."""
         allowed = attempt.allowed
         connection = await origin.acquire(max(MINIMUM_TIMEOUT_SECONDS, retry_policy.remaining()))
         attempt.connection = connection
         connection.may_have_sent = False
         await self.renew_slot(attempt, retry_policy)
-        # Time went by since the origin was chosen: what was allowed then may be withdrawn by now.
+        # The configuration may have changed since the origin was chosen.
         self.view.check_current()
         self.check_authorization(allowed, request)
         if not self.origins.is_usable(origin):
-            raise errors.StaleConfigurationError(f"{origin.instance} may not be used any more")
+            raise errors.StaleConfigurationError(f"origin {origin.instance} may not be used any more")
         headers = {**request.headers, "X-Request-Id": request.request_id}
         timeout = max(MINIMUM_TIMEOUT_SECONDS, retry_policy.remaining())
         answer = await connection.send(request.method, request.target, headers, request.body, timeout)
@@ -168,7 +179,7 @@
         return events.ResponseReceived(answer, origin.instance)
 
     async def renew_slot(self, attempt: Attempt, retry_policy: forwarding_policy.ToOriginPolicy) -> None:
-        """Take the place anew if it is old: it counts for the moment of sending."""
+        """Replace the attempt's slot if it is old, since the rate limit counts the time of sending."""
         while attempt.slot is not None and not attempt.slot.share.is_fresh(attempt.slot.entered_at):
             attempt.slot.share.withdraw(attempt.slot.entered_at)
             attempt.slot = None
@@ -177,26 +188,30 @@
     def failed(
         self, attempt: Attempt, origin: origin_connections.OriginConnections, error: BaseException
     ) -> events.AttemptFailed:
-        """Count a failed attempt and report it."""
+        """Count a failed attempt and return it as an event of the retry policy."""
         may_have_run = attempt.may_have_sent
         self.context.counters.add("origin_failures", service=attempt.service, touched=str(may_have_run))
         known = forwarding_policy.as_iris_error(error)
         return events.AttemptFailed(known, origin.instance, may_have_run, may_have_run)
 
     def check_authorization(self, allowed: snapshot.AllowedRequest, request: OriginRequest) -> None:
-        """Raise StaleConfigurationError if the request is now allowed to another service."""
+        """Check that the configuration still sends the request to the same service.
+
+        Raises:
+            StaleConfigurationError: The request now belongs to another service.
+        """
         path, _, query = request.target.partition("?")
         if self.view.authorize(request.method, path, query).service != allowed.service:
-            raise errors.StaleConfigurationError("the blueprint changed while the request waited")
+            raise errors.StaleConfigurationError("the configuration changed while the request waited")
 
     async def acquire_slot(
         self, allowed: snapshot.AllowedRequest, retry_policy: forwarding_policy.ToOriginPolicy
     ) -> Slot:
-        """Take a place under this shield's share of the service's limits, after a short wait at most.
+        """Take a slot of this shield's quota share of the service's limits, after a short wait at most.
 
         Raises:
-            NoQuotaShareError: this shield has no share of the service.
-            LimitExceededError: the share was used up for the whole wait.
+            NoQuotaShareError: This shield has no quota share of the service.
+            LimitExceededError: The quota share was used up during the whole wait.
         """
         rate, in_flight = self.view.quota_share(allowed.service, allowed.limit)
         if allowed.service not in self.shares:
@@ -208,9 +223,11 @@
             QUEUE_TIMEOUT_SECONDS, retry_policy.remaining() / QUEUE_REMAINING_DIVISOR
         )
         if not rate or not in_flight or share.is_opening(allowed.deadline):
-            raise errors.NoQuotaShareError(f"no share of {allowed.service} is held here")
+            raise errors.NoQuotaShareError(f"this shield has no quota share of service {allowed.service}")
         while not share.enter(rate, in_flight):
             if self.context.clock.now() >= wait_until:
-                raise errors.LimitExceededError(f"{allowed.service} is at its ceiling")
+                raise errors.LimitExceededError(
+                    f"service {allowed.service} is at its rate or concurrency limit"
+                )
             await asyncio.sleep(QUEUE_POLL_SECONDS)
         return Slot(share, self.context.clock.now())
--- a/src/irisstand/dataplane/upstream/origin_connections.py
+++ b/src/irisstand/dataplane/upstream/origin_connections.py
@@ -1,4 +1,4 @@
-"""The connections of a shield to one origin, and the origin's health and slow start as it sees them."""
+"""A shield's connections to one origin, and the origin's health and slow start as this shield sees them."""
 
 import asyncio
 import contextlib
@@ -13,13 +13,13 @@
 CONNECTIONS_LIMIT = 16
 PROBE_INTERVAL_SECONDS = 1.0
 PROBE_TIMEOUT_SECONDS = 0.5
-# For how long the origins of a site that was evacuated are taken back.
+# How long the slow start of an origin takes after the evacuation of its site has ended.
 RETURN_RAMP_SECONDS = 10.0
 FAILURES = (OSError, TimeoutError, ValueError, aiohttp.ClientError, errors.IrisError)
 
 
 class OriginConnections:
-    """The connections to one origin. Its health comes from probes and requests, never from membership."""
+    """The connections to one origin, whose health comes from probes and requests, never from membership."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self.idle: list[connections.UpstreamConnection] = []
         self.busy = 0
         self.is_healthy = False
-        # Since when it warms up: from the first sight of a cold one, and from every return.
+        # When the warm-up began: when the origin was first listed, or when it last became healthy again.
         self.warmup_started_at = context.clock.now()
         self.has_returned = False
         self.was_healthy_before = False
@@ -45,17 +45,18 @@
 
     @property
     def instance(self) -> str:
-        """The name of the origin instance."""
+        """The name of the origin instance, as its key in the state table has it."""
         return self.origin.key.removeprefix("origin/")
 
     def warm_fraction(self) -> float:
-        """Return the progress of the slow start, from a twentieth to one.
+        """Return the progress of the origin's slow start, from 0.05 to 1.
 
-        An origin starts slowly when it is cold, and after the evacuation of its site.
+        An origin is in slow start while it is cold, and after the evacuation of its site.
         """
         now = self.context.clock.now()
         fraction = slow_start.warm_fraction(now - self.returned_at, RETURN_RAMP_SECONDS)
-        # The platform lags: an origin that went away and came back is cold whatever it still says.
+        # The platform's origin list lags: an origin that was down and is healthy again is cold, whatever
+        # state the list still shows.
         if self.origin.state == "cold" or self.has_returned:
             fraction = min(
                 fraction, slow_start.warm_fraction(now - self.warmup_started_at, self.origin.warmup)
@@ -63,28 +64,33 @@
         return fraction
 
     def update_evacuation(self, *, is_evacuated: bool) -> None:
-        """Note whether the origin's site is evacuated now."""
-        # Idle for as long as the evacuation lasted, an origin has lost its caches as if it were new.
+        """Record whether the origin's site is evacuated, and restart the slow start when that ends."""
+        # The origin got no requests during the evacuation, so its caches are as cold as those of a new one.
         if self.is_evacuated and not is_evacuated:
             self.returned_at = self.context.clock.now()
         self.is_evacuated = is_evacuated
 
     def has_room(self, rate_per_origin: float, share: float) -> bool:
-        """Whether slow start allows a request now.
+        """Return whether slow start allows a request to the origin now.
 
         Args:
-            rate_per_origin: the service's rate limit divided by its origins, per second.
-            share: this shield's part of the service's rate limit, from 0 to 1.
+            rate_per_origin: The service's rate limit divided by the number of its origins, in requests per
+                second.
+            share: This shield's quota share of the service's rate limit, from 0 to 1.
         """
         warm = self.warm_fraction()
         return warm >= 1.0 or self.bucket.has_room(slow_start.allowed_rate(rate_per_origin, warm, share))
 
     async def acquire(self, timeout_seconds: float) -> connections.UpstreamConnection:
-        """Return a confirmed connection for one request; opening one sends nothing but the probe.
+        """Return a connection on which the origin has confirmed its identity, for one request.
+
+        Opening a connection sends the origin a probe and nothing else.
 
         Raises:
-            LimitExceededError: all connections are in use.
-            OSError, TimeoutError, IrisError: no connection could be opened or confirmed.
+            LimitExceededError: All connections to the origin are in use.
+            OSError: A connection could not be opened.
+            TimeoutError: A connection could not be opened or confirmed in time.
+            IrisError: Another origin answered the probe, or the origin is unhealthy.
         """
         while self.idle:
             connection = self.idle.pop()
@@ -92,7 +98,7 @@
                 self.busy += 1
                 return connection
         if self.busy >= CONNECTIONS_LIMIT:
-            raise errors.LimitExceededError("every line to the origin is busy")
+            raise errors.LimitExceededError("all connections to the origin are in use")
         self.busy += 1
         try:
             return await self.connect(timeout_seconds)
@@ -101,7 +107,7 @@
             raise
 
     async def connect(self, timeout_seconds: float) -> connections.UpstreamConnection:
-        """Open a connection and confirm it."""
+        """Open a connection and confirm with a probe that the origin is the expected one."""
         connection = await self.open_connection(self.origin.host, self.origin.port)
         self.context.counters.add("origin_connections", service=self.origin.service)
         try:
@@ -112,13 +118,13 @@
         return connection
 
     async def confirm(self, connection: connections.UpstreamConnection, timeout_seconds: float) -> None:
-        """Probe the origin over a connection."""
+        """Probe the origin over a connection, and check that it is the expected one and healthy."""
         await connections.confirm_identity(
             connection, self.probe, self.origin.service, self.instance, timeout_seconds
         )
 
     async def release(self, connection: connections.UpstreamConnection) -> None:
-        """Keep a connection for the next request, if it may carry one."""
+        """Return a connection to the idle ones if it can carry another request; close it otherwise."""
         self.busy -= 1
         if connection.is_open and not self.is_removed:
             self.idle.append(connection)
@@ -126,19 +132,19 @@
             await connection.close()
 
     async def run_probes(self) -> None:
-        """Probe now and then over a kept connection, so that one is open and the health known."""
+        """Probe the origin periodically, so that its health is known and a connection is open."""
         try:
             while not self.is_removed:
                 await self.probe_once()
                 await asyncio.sleep(PROBE_INTERVAL_SECONDS)
         finally:
             for connection in self.idle:
-                # The origin is not listed any more; whatever its connections do at their end is of no use.
+                # The origin is no longer listed, so errors while its connections close don't matter.
                 with contextlib.suppress(Exception):
                     await connection.close()
 
     async def probe_once(self) -> None:
-        """Probe the origin and note its health."""
+        """Probe the origin once and record whether it is healthy."""
         try:
             connection = await self.acquire(PROBE_TIMEOUT_SECONDS)
             try:
@@ -147,16 +153,16 @@
                 await self.release(connection)
             self.set_health(is_healthy=True)
         except errors.LimitExceededError:
-            # Every connection is at work: that is health enough.
+            # All connections are in use by requests, whose results show the origin's health.
             pass
         except FAILURES as error:
             self.set_health(is_healthy=False, why=repr(error))
 
     def set_health(self, *, is_healthy: bool, why: str = "") -> None:
-        """Note the origin's health."""
+        """Record the origin's health and the reason for it; a return to health restarts the warm-up."""
         if is_healthy != self.is_healthy:
             event_log.record("origin-health", origin=self.instance, healthy=is_healthy, why=why)
-            # An origin that comes back after being away is as cold as a new one.
+            # An origin that is healthy again after a failure is as cold as a new one.
             if is_healthy:
                 self.warmup_started_at = self.context.clock.now()
                 self.has_returned = self.was_healthy_before
--- a/src/irisstand/dataplane/upstream/origin_endpoint.py
+++ b/src/irisstand/dataplane/upstream/origin_endpoint.py
@@ -1,4 +1,4 @@
-"""One origin instance as a node reaches it: its connections, and what the traffic tells of it."""
+"""An origin instance as a node reaches it: its connections, and the health and speed that traffic shows."""
 
 import asyncio
 
@@ -7,21 +7,23 @@
 from irisstand.dataplane.upstream import exchange
 
 CONNECT_TIMEOUT_SECONDS = 0.4
-# Until an endpoint that could not be reached is probed; doubled with each failure.
+# How long an endpoint that could not be reached waits for its next probe; doubled with each failure.
 BACKOFF_SECONDS = 0.25
 BACKOFF_LIMIT_SECONDS = 2.0
-# The weight of the newest answer in the average of answer times.
+# The weight of the newest response time in the exponential moving average of an endpoint's response times.
 NEWEST_SAMPLE_WEIGHT = 0.2
 INITIAL_RESPONSE_SECONDS = 0.08
-# Without an answer, half of what is known of an endpoint's time is forgotten in this time.
+# While an endpoint sends no response, its average response time decays with this half-life, so that an
+# endpoint that was slow is eventually chosen again.
 HALF_LIFE_SECONDS = 1.0
-# An endpoint that let a request wait for so many times its usual time is left alone while others answer.
+# An endpoint counts as unresponsive, and is only used when no other endpoint is responsive, while an attempt
+# waits for this many times the endpoint's average response time, and for at least the seconds below.
 UNRESPONSIVE_FACTOR = 4.0
 UNRESPONSIVE_LEAST_SECONDS = 0.25
 
 
 class Endpoint:
-    """One origin instance: its health comes from requests, and from probes only while it gets none."""
+    """An origin instance whose health comes from requests, and from probes only while it is down."""
 
     def __init__(
         self,
@@ -33,7 +35,7 @@
         self.origin = origin
         self.connect = connect
         self.idle: list[exchange.Exchange] = []
-        # When each attempt in flight began, by its number.
+        # The start time of each attempt in flight, by the attempt's number.
         self.in_flight: dict[int, float] = {}
         self.number = 0
         self.usual_seconds = INITIAL_RESPONSE_SECONDS
@@ -47,22 +49,22 @@
 
     @property
     def instance(self) -> str:
-        """The name of the instance."""
+        """The name of the origin instance, as its key in the state table has it."""
         return self.origin.key.removeprefix("origin/")
 
     def is_at(self, origin: snapshot.Origin) -> bool:
-        """Whether `origin` is this endpoint: the same service at the same address."""
+        """Return whether `origin` has the service and the address of this endpoint."""
         own = self.origin
         return (own.host, own.port, own.service) == (origin.host, origin.port, origin.service)
 
     def begin(self) -> int:
-        """Count an attempt as in flight and return its number."""
+        """Record a new attempt as in flight and return its number."""
         self.number += 1
         self.in_flight[self.number] = self.context.clock.now()
         return self.number
 
     def finish(self, number: int, *, is_answered: bool) -> None:
-        """End an attempt, and learn from its time if it was answered."""
+        """Record the end of an attempt; a response updates the average response time and the health."""
         took = self.context.clock.now() - self.in_flight.pop(number)
         if is_answered:
             self.usual_seconds += NEWEST_SAMPLE_WEIGHT * (took - self.usual_seconds)
@@ -70,35 +72,43 @@
             self.mark_up()
 
     def note_unanswered(self, number: int) -> None:
-        """Learn from an attempt that is withdrawn: its answer would have taken longer still."""
+        """Raise the average response time after an attempt that is withdrawn without a response.
+
+        The response would have taken even longer than the attempt has waited.
+        """
         waited = self.context.clock.now() - self.in_flight[number]
         if waited > self.usual_seconds:
             self.usual_seconds += NEWEST_SAMPLE_WEIGHT * (waited - self.usual_seconds)
 
     def expected_seconds(self) -> float:
-        """Return how long the next answer may take: what was slow long ago is worth another look."""
+        """Return the expected seconds to the next response.
+
+        The estimate decays without responses, so that an endpoint that was slow long ago is tried again.
+        """
         idle = self.context.clock.now() - self.answered_at
         return self.usual_seconds * float(0.5 ** (idle / HALF_LIFE_SECONDS))
 
     def is_unresponsive(self) -> bool:
-        """Whether an attempt in flight has waited far longer than usual."""
+        """Return whether an attempt in flight has waited much longer than the average response time."""
         oldest = min(self.in_flight.values(), default=None)
         limit = max(UNRESPONSIVE_LEAST_SECONDS, UNRESPONSIVE_FACTOR * self.usual_seconds)
         return oldest is not None and self.context.clock.now() - oldest > limit
 
     def is_cold(self) -> bool:
-        """Whether the endpoint is in its slow start."""
+        """Return whether the endpoint is in slow start."""
         return self.origin.state == "cold" or self.context.clock.now() < self.cold_until
 
     async def acquire(self, timeout_seconds: float, *, is_fresh: bool = False) -> exchange.Exchange:
-        """Return a connection for one request.
+        """Return a connection to the endpoint for one request.
 
         Args:
-            timeout_seconds: the time to connect in, at most `CONNECT_TIMEOUT_SECONDS`.
-            is_fresh: return one that has carried no request yet, as a request without an id needs.
+            timeout_seconds: The time limit for opening a connection; `CONNECT_TIMEOUT_SECONDS` if that is
+                less.
+            is_fresh: Whether the connection must not have carried a request yet, as a request without an id
+                needs.
 
         Raises:
-            NotSentError: the endpoint takes no connection, and is now marked as down.
+            NotSentError: No connection could be opened, and the endpoint is now marked as down.
         """
         while self.idle and not is_fresh:
             connection = self.idle.pop()
@@ -110,12 +120,12 @@
                 connection = await self.connect(self.origin.host, self.origin.port)
         except (OSError, TimeoutError) as error:
             self.mark_down(repr(error))
-            raise errors.NotSentError(f"the origin {self.instance} takes no connection") from None
+            raise errors.NotSentError(f"origin {self.instance} accepts no connection") from None
         self.context.counters.add("origin_connections", service=self.origin.service)
         return connection
 
     def release(self, connection: exchange.Exchange) -> None:
-        """Keep a connection for the next request, if it may carry one."""
+        """Return a connection to the idle ones if it can carry another request; close it otherwise."""
         connection.may_have_sent = False
         if connection.is_open and not self.is_removed:
             self.idle.append(connection)
@@ -123,12 +133,12 @@
             connection.close()
 
     def mark_up(self) -> None:
-        """Note that the endpoint answered."""
+        """Mark the endpoint as up after a response."""
         self.is_down = False
         self.backoff = BACKOFF_SECONDS
 
     def mark_down(self, why: str) -> None:
-        """Note that the endpoint could not be used; it gets only probes until one is answered."""
+        """Mark the endpoint as down after a failure; it only gets probes until one of them succeeds."""
         if not self.is_down:
             event_log.record("origin-down", origin=self.instance, why=why)
         self.is_down = True
@@ -136,7 +146,7 @@
         self.backoff = min(BACKOFF_LIMIT_SECONDS, 2 * self.backoff)
 
     def close(self) -> None:
-        """Close the idle connections: the origin is not listed any more."""
+        """Close the idle connections of an origin that is no longer listed."""
         self.is_removed = True
         for connection in self.idle:
             connection.close()
--- a/src/irisstand/dataplane/upstream/origin_pool.py
+++ b/src/irisstand/dataplane/upstream/origin_pool.py
@@ -1,4 +1,4 @@
-"""Origins as a shield sees them: which there are, and which one a request goes to."""
+"""The origins that a shield knows, and the choice of the origin that a request goes to."""
 
 import asyncio
 import collections.abc
@@ -7,13 +7,14 @@
 from irisstand.dataplane.routing import snapshot
 from irisstand.dataplane.upstream import connections, origin_connections
 
-# How much rather an origin of the own region is chosen than one of another, when both are idle.
+# The weights of origins in the shield's own region and in other regions in the random choice among idle
+# origins.
 OWN_REGION_WEIGHT = 3.0
 OTHER_REGION_WEIGHT = 1.0
 
 
 class OriginPool:
-    """Follows the origins that the state table lists, and chooses among them."""
+    """Keeps connections to each origin in the state table, and chooses among the origins."""
 
     def __init__(
         self,
@@ -29,9 +30,9 @@
         context.ledger.watchers.append(self.follow_origin_list)
 
     def follow_origin_list(self) -> None:
-        """Take over a change of the state table.
+        """Update the origins after a change of the state table.
 
-        A changed address or service is another origin, and gets none of the old one's connections.
+        An origin whose address or service has changed counts as a new one, without the old connections.
         """
         listed = {identity_of(origin): origin for origin in self.view.origins()}
         for identity in [identity for identity in self.pools if identity not in listed]:
@@ -45,7 +46,7 @@
             self.pools[identity].update_evacuation(is_evacuated=self.view.is_evacuated(origin.site))
 
     def add(self, identity: snapshot.Origin, origin: snapshot.Origin) -> None:
-        """Begin to probe a new origin."""
+        """Create the connections of a new origin and start probing it."""
         pool = origin_connections.OriginConnections(self.context, origin, self.open_connection)
         self.pools[identity] = pool
         self.tasks[identity] = self.context.start_task(pool.run_probes(), f"keeper of {origin.key}")
@@ -53,14 +54,14 @@
     def choose(
         self, allowed: snapshot.AllowedRequest, tried: collections.abc.Container[str]
     ) -> origin_connections.OriginConnections:
-        """Return the less busy of two origins that are drawn at random by warmth and nearness.
+        """Return the less busy of two random origins, drawn with weights by warm-up progress and region.
 
-        This spreads requests well without knowledge of what other shields send (Mitzenmacher, "The Power of
+        This balances the load without knowledge of the requests of other shields (Mitzenmacher, "The Power of
         Two Choices in Randomized Load Balancing", 2001).
 
         Raises:
-            NoOriginError: no origin is usable.
-            SlowStartError: the origins that are usable are warming up, and get no more just now.
+            NoOriginError: No origin is usable.
+            SlowStartError: All usable origins are warming up, and slow start allows no further request now.
         """
         candidates = self.available(allowed, tried)
         regions = self.context.region_by_site()
@@ -73,7 +74,7 @@
         }
         weights = [pool.warm_fraction() * nearness[pool.origin] for pool in candidates]
         pair = self.context.randomness.choices(candidates, weights, k=2)
-        # The busier one gives way all the same, so nearness never floods a region's origins.
+        # The weighted load decides between the two, so the preference for the own region can't overload it.
         chosen = min(pair, key=lambda pool: (pool.busy + 1) / pool.warm_fraction() / nearness[pool.origin])
         if chosen.warm_fraction() < 1.0:
             chosen.bucket.take()
@@ -82,7 +83,12 @@
     def available(
         self, allowed: snapshot.AllowedRequest, tried: collections.abc.Container[str]
     ) -> list[origin_connections.OriginConnections]:
-        """Return the origins that may get a request now; raises as `choose` does."""
+        """Return the origins that may get a request now.
+
+        Raises:
+            NoOriginError: No origin is usable.
+            SlowStartError: All usable origins are warming up, and slow start allows no further request now.
+        """
         listed = [
             pool
             for pool in self.pools.values()
@@ -90,25 +96,25 @@
         ]
         usable = [pool for pool in listed if pool.instance not in tried and self.is_usable(pool)]
         if not usable:
-            raise errors.NoOriginError(f"no origin of {allowed.service} is usable just now")
+            raise errors.NoOriginError(f"no origin of service {allowed.service} is usable now")
         rate_per_origin = allowed.limit[0] / len(listed)
         share = self.share(allowed)
         available = [pool for pool in usable if pool.has_room(rate_per_origin, share)]
-        # All that are left are warming up: more than they may get is rejected.
+        # All usable origins are warming up, and requests beyond what slow start allows are rejected.
         if not available:
-            raise errors.SlowStartError(f"the origins of {allowed.service} are warming up")
+            raise errors.SlowStartError(f"all usable origins of service {allowed.service} are warming up")
         return available
 
     def is_usable(self, pool: origin_connections.OriginConnections) -> bool:
-        """Return whether an origin may get requests now: listed, not leaving, healthy and not evacuated."""
+        """Return whether an origin may get requests: it is listed, not leaving, healthy and not evacuated."""
         is_leaving = pool.is_removed or pool.origin.state == "leaving"
         return not is_leaving and pool.is_healthy and not self.view.is_evacuated(pool.origin.site)
 
     def share(self, allowed: snapshot.AllowedRequest) -> float:
-        """Return this shield's part of the service's rate limit, from 0 to 1."""
+        """Return this shield's quota share of the service's rate limit, from 0 to 1."""
         return self.view.quota_share(allowed.service, allowed.limit)[0] / allowed.limit[0]
 
 
 def identity_of(origin: snapshot.Origin) -> snapshot.Origin:
-    """Return the fields that make an origin what it is; the others may change during its life."""
+    """Return the origin with only the fields that identify it; state, warm-up and slots are left out."""
     return origin._replace(state="", warmup=0, slots=0)
--- a/src/irisstand/dataplane/upstream/transport_reset.py
+++ b/src/irisstand/dataplane/upstream/transport_reset.py
@@ -1,18 +1,19 @@
-"""Ends a TCP connection by a reset: what is still on its way is dropped at both ends."""
+"""Ends a TCP connection with a reset, which drops the data that is still in transit or buffered."""
 
 import asyncio
 import socket
 import struct
 
-# SO_LINGER on, with no time to linger: closing resets the connection (RFC 9293, section 3.10.5).
+# The SO_LINGER option with a linger time of 0: closing the socket resets the connection (RFC 9293, section
+# 3.10.5).
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """Reset the connection of a transport, unless it is closing already.
+    """Reset the TCP connection of a transport unless the transport is already closing.
 
-    An ordinary close delivers first what waits in a buffer or behind a cut of the network: a request that was
-    given up would reach the origin later.
+    An ordinary close first delivers the data in the send buffer, even after a network partition has healed,
+    so a request that was abandoned could still reach the origin later.
     """
     if transport.is_closing():
         return
--- a/src/irisstand/dataplane/upstream/upstream_request.py
+++ b/src/irisstand/dataplane/upstream/upstream_request.py
@@ -1,4 +1,4 @@
-"""A client's request as it is sent on to an origin."""
+"""A client's request in the form in which it is forwarded to an origin."""
 
 import collections.abc
 import typing
@@ -6,8 +6,8 @@
 from irisstand import errors
 from irisstand.http1 import grammar
 
-# Headers that concern a single connection (RFC 9110, section 7.6.1); the rest of a request goes on as it
-# came.
+# Headers that concern a single connection and are not forwarded (RFC 9110, section 7.6.1). All other headers
+# are forwarded unchanged.
 HOP_BY_HOP = frozenset(
     (
         "connection",
@@ -28,7 +28,15 @@
 
 
 class Request(typing.NamedTuple):
-    """Header names in lower case; `target` is the path and query as they came."""
+    """A client's request.
+
+    Attributes:
+        method: The HTTP method.
+        target: The path and query, byte by byte as the client sent them.
+        host: The host that the client named.
+        headers: The headers by their names in lower case.
+        body: The complete body.
+    """
 
     method: str
     target: bytes
@@ -38,12 +46,12 @@
 
     @property
     def path(self) -> str:
-        """The path without the query."""
+        """The path of the target, without the query."""
         return self.target.partition(b"?")[0].decode("latin-1")
 
 
 def end_to_end_headers(headers: dict[str, str]) -> list[tuple[str, str]]:
-    """Return the headers that go on: not those of one connection, nor those that `Connection` names.
+    """Return the headers to forward: without hop-by-hop headers and those that `Connection` names.
 
     >>> end_to_end_headers({"connection": "close, X-Hop", "x-hop": "1", "te": "trailers", "accept": "a"})
     [('accept', 'a')]
@@ -58,8 +66,8 @@
     """Return the bytes of an HTTP/1.1 request.
 
     Raises:
-        errors.BadRequestError: The head would break the grammar of HTTP/1.1, so an origin could take it for
-            more than one request.
+        errors.BadRequestError: The head would violate the grammar of HTTP/1.1, so that an origin could read
+            it as more than one request.
     """
     lines = [method.encode(), b" ", target, b" HTTP/1.1"]
     for name, value in headers:
@@ -68,17 +76,19 @@
         lines.append(b"\r\ncontent-length: %d" % len(body))
     head = b"".join(lines)
     if grammar.REQUEST_HEAD.fullmatch(head) is None:
-        raise errors.BadRequestError("the request cannot be written as one HTTP message")
+        raise errors.BadRequestError(
+            "the request has characters that are not allowed in the head of an HTTP message"
+        )
     return head + b"\r\n\r\n" + body
 
 
 def _encode_text(text: str) -> bytes:
-    """Return one byte for each character.
+    """Return a header name or value as Latin-1: one byte for each character.
 
     Raises:
-        errors.BadRequestError: A character stands for no byte.
+        errors.BadRequestError: A character is not in Latin-1.
     """
     try:
         return text.encode("latin-1")
     except UnicodeEncodeError:
-        raise errors.BadRequestError("a header has a character that stands for no byte") from None
+        raise errors.BadRequestError("a header has a character that is not in Latin-1") from None
--- a/src/irisstand/http1/__init__.py
+++ b/src/irisstand/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 messages byte by byte: what of a request's head and body is taken, and how sanic is held to it."""
+"""The grammar of HTTP/1.1 messages, the parsing of request heads by it, and its enforcement in Sanic."""
--- a/src/irisstand/http1/locations.py
+++ b/src/irisstand/http1/locations.py
@@ -1,6 +1,6 @@
-"""One spelling of where a request goes, for routes, caches, purges and the check of the configuration alike.
+"""Normalizes hosts and paths for routes, caches, purges and the validation of the configuration.
 
-What goes on to an origin keeps the spelling of the client.
+Requests to origins are not normalized: they keep the host and path as the client spelled them.
 """
 
 import functools
@@ -8,15 +8,15 @@
 
 _PORT = re.compile(r":[0-9]*\Z")
 _ESCAPE = re.compile(r"%([0-9A-Fa-f]{2})")
-# Characters that mean the same with and without an escape (RFC 3986, section 2.3).
+# Unreserved characters, which mean the same with and without percent-encoding (RFC 3986, section 2.3).
 _UNRESERVED = frozenset("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
-# Hosts of which the normal form is kept.
+# The number of hosts whose normal form is cached.
 _CACHED_HOSTS = 1024
 
 
 @functools.lru_cache(_CACHED_HOSTS)
 def normal_host(host: str) -> str:
-    """Return a host in lower case, without its port and the dot at its end (RFC 3986, section 6.2).
+    """Return a host in lower case, without its port and its trailing dot (RFC 3986, section 6.2).
 
     >>> normal_host("Shop.Example.:8080"), normal_host("[::1]:80"), normal_host("[::1]")
     ('shop.example', '[::1]', '[::1]')
@@ -25,7 +25,7 @@
 
 
 def normal_path(path: str) -> str:
-    """Return a path without its query, with an escape for no character that needs none.
+    """Return a path without its query and with percent-encoding only where it is needed.
 
     >>> normal_path("/%7Euser/a%2fb?c"), normal_path("/~user/a%2Fb")
     ('/~user/a%2Fb', '/~user/a%2Fb')
@@ -40,5 +40,5 @@
 
 
 def location(host: str, path: str) -> str:
-    """Return the name of what a host serves under a path."""
+    """Return the normal form of a host and path, as one text that names an object."""
     return normal_host(host) + normal_path(path)
--- a/src/irisstand/http1/open_connections.py
+++ b/src/irisstand/http1/open_connections.py
@@ -1,16 +1,20 @@
-"""The open connections of a listener that stops: closed as they come to rest, and aborted at the very end."""
+"""Closes the connections of a stopping listener as they become idle, and aborts the rest at the end."""
 
 import collections.abc
 import typing
 
-# Of sanic, which has no types for them.
+# Sanic's connections, for which Sanic has no types.
 Connections = collections.abc.Iterable[typing.Any]
 
 
 def close_idle(connections: Connections) -> bool:
-    """Close connections on which no request is being read or answered, and return whether any is left.
+    """Close the connections on which no request is being read or answered.
 
-    A node that ended with one open could read a request in its last moment, and leave it unanswered.
+    A process that ended with an idle connection open could read a request just before its end, and leave it
+    unanswered.
+
+    Returns:
+        Whether there was any open connection, idle or not, at the time of the call.
     """
     open_now = list(connections)
     for connection in open_now:
@@ -20,7 +24,7 @@
 
 
 def abort(connections: Connections) -> None:
-    """Abort all connections: a client that does not read must not keep the process from its end."""
+    """Abort all connections, so that a client that doesn't read can't keep the process from ending."""
     for connection in list(connections):
         if connection.transport is not None:
             connection.transport.abort()
--- a/src/irisstand/http1/strict_protocol.py
+++ b/src/irisstand/http1/strict_protocol.py
@@ -1,7 +1,7 @@
-"""Sanic's HTTP protocol, held to the grammar: a message that can be read in two ways is refused with 400.
+"""Sanic's HTTP protocol with strict checks: an ambiguous or malformed request is rejected with status 400.
 
-Sanic ends a line at CRLF alone, hands on whatever stands inside it, and skips the two bytes behind a chunk
-unread.
+Sanic itself ends a line only at CRLF, passes on any other bytes inside the line, and skips the two bytes
+after a chunk without checking that they are CRLF.
 """
 
 import typing
@@ -16,15 +16,15 @@
 
 _HEAD_END = b"\r\n\r\n"
 _CHUNKED = "chunked"
-# The longest line before a chunk, with its extensions.
+# The greatest length of the line with a chunk's size and extensions.
 CHUNK_LINE_LIMIT_BYTES = 256
 
 
 class StrictHttp(sanic.http.Http):
-    """One connection's requests.
+    """Receives the requests of one connection and checks them against the grammar of HTTP/1.1.
 
     Attributes:
-        head: The head of the request that is being answered.
+        head: The parsed head of the request that is being answered.
     """
 
     __slots__ = ("head",)
@@ -32,10 +32,10 @@
     head: request_head.RequestHead
 
     async def http1_request_header(self) -> None:
-        """Receive a request's head, and check it before sanic reads it.
+        """Receive the head of a request and check it before Sanic parses it.
 
         Raises:
-            sanic.exceptions.BadRequest: The head is malformed.
+            sanic.exceptions.BadRequest: The head is malformed or ambiguous.
         """
         end = await self._receive_head()
         if end >= 0:
@@ -43,20 +43,20 @@
                 self.head = request_head.parse(bytes(self.recv_buffer[:end]))
             except errors.BadRequestError as error:
                 raise sanic.exceptions.BadRequest(str(error)) from None
-        # Sanic's stream has no types.
+        # Sanic's `Http` class has no type annotations here, so `super()` is handled as untyped.
         parent: typing.Any = super()
         await parent.http1_request_header()
 
     def create_empty_request(self) -> None:
-        """Make the request that stands in for a malformed one, so that it is answered.
+        """Create the placeholder request that lets Sanic answer a malformed request.
 
-        Sanic would make it of the target, which fails where that is what is malformed.
+        Sanic would create it from the target of the request, which fails when the target is malformed.
         """
         self.url = None
         super().create_empty_request()
 
     async def _receive_head(self) -> int:
-        """Return the length of the head that comes next, or -1 for one that is over sanic's limit."""
+        """Receive up to the end of the next head; return its length, or -1 if it is over Sanic's limit."""
         searched = 0
         while True:
             end = self.recv_buffer.find(_HEAD_END, searched)
@@ -68,11 +68,11 @@
             await self._receive_more()
 
     async def read(self) -> bytes | None:
-        """Read a piece of the body; the line before a chunk is checked before sanic reads it.
+        """Read a piece of the body, and check each chunk's size line before Sanic parses it.
 
         Raises:
-            sanic.exceptions.BadRequest: The chunks are malformed.
-            sanic.exceptions.PayloadTooLarge: The body is over the limit.
+            sanic.exceptions.BadRequest: The chunked body is malformed.
+            sanic.exceptions.PayloadTooLarge: The body is over the size limit.
         """
         body_kind: typing.Any = self.request_body
         if body_kind == _CHUNKED and self.request_bytes_left == 0:
@@ -81,8 +81,8 @@
         return piece
 
     async def _check_chunk_line(self) -> None:
-        """Receive the line before a chunk, and check it with the line break before it."""
-        # The client may wait for this before it sends any of the body.
+        """Receive the size line of a chunk, and check it together with the line break in front of it."""
+        # A client that sent `Expect: 100-continue` waits for this response before it sends the body.
         if self.expecting_continue:
             self.expecting_continue = False
             await self._send(sanic.http.http1.HTTP_CONTINUE)
@@ -92,10 +92,10 @@
             await self._receive_more()
         if grammar.CHUNK_LINE.match(self.recv_buffer) is None:
             self.keep_alive = False
-            raise sanic.exceptions.BadRequest("the chunks of the body are malformed")
+            raise sanic.exceptions.BadRequest("the chunked request body is malformed")
 
 
 class StrictHttpProtocol(sanic.server.protocols.http_protocol.HttpProtocol):
-    """Sanic's protocol with the requests of `StrictHttp`."""
+    """Sanic's HTTP protocol, with `StrictHttp` to receive the requests."""
 
     HTTP_CLASS = StrictHttp
--- a/tests/http1/test_request_head.py
+++ b/tests/http1/test_request_head.py
@@ -84,9 +84,9 @@
 
 
 def test_refusals_name_the_line_and_repeat_none_of_it():
-    with pytest.raises(errors.BadRequestError, match="the name of header 2 is no token"):
+    with pytest.raises(errors.BadRequestError, match="the name of header 2 is not a valid token"):
         request_head.parse(LINE + b"Host: h\r\nX Note: secret")
-    with pytest.raises(errors.BadRequestError, match="the value of header 1 has a control character"):
+    with pytest.raises(errors.BadRequestError, match="the value of header 1 contains a control character"):
         request_head.parse(LINE + b"X-Note: a\nb")
     with pytest.raises(errors.BadRequestError, match="the request line is malformed"):
         request_head.parse(b"GET  / HTTP/1.1")
