--- a/tests/dataplane/test_endpoint_pool.py
+++ b/tests/dataplane/test_endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The draw among origins: what the rules keep out, and bounds over the whole fleet."""
+"""The choice among origin endpoints: endpoints that rules exclude, and limits over the whole fleet."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 async def request_statuses(stage, number, path="/reads/", pause=0.0):
-    """Statuses of so many requests, 503 for what was refused."""
+    """Send `number` requests; return their statuses, or the error's status for a rejected request."""
     found = []
     for index in range(number):
         try:
@@ -86,8 +86,8 @@
     async def scene(stage):
         item = {**direct_edge.UPSTREAM, "version": 9, "rate": 40.0}
         stage.put(items.CONFIGURATION, "upstream/s", {"version": 9, "item": item})
-        crowd = [request_statuses(stage, 200, f"/reads/{number}/", pause=0.05) for number in range(10)]
-        statuses = [status for found in await asyncio.gather(*crowd) for status in found]
+        clients = [request_statuses(stage, 200, f"/reads/{number}/", pause=0.05) for number in range(10)]
+        statuses = [status for found in await asyncio.gather(*clients) for status in found]
         times = [sent[4] for sent in stage.sent]
         most = max(sum(start <= other < start + 5.0 for other in times) for start in times)
         return most, set(statuses), len(times)
@@ -127,7 +127,10 @@
 
 
 def test_origin_that_was_slow_once_is_used_again_though_another_is_faster():
-    """Found by the test of the deployed programs: on a busy machine one was never asked again."""
+    """Guards against an origin that never gets requests again after a slow response.
+
+    The test of the deployed programs on a busy machine found this.
+    """
 
     async def scene(stage):
         slow = {"a": 1.0, "b": 0.0}
@@ -138,7 +141,7 @@
             return direct_edge.whole(headers["x-request-id"])
 
         stage.play = lambda key, headers, body: origin(key, headers)
-        # At once, so that both are asked.
+        # The requests run concurrently, so that both origins get some.
         await asyncio.gather(*(stage.ask(f"/reads/{n}", request_id=f"r{n}") for n in range(8)))
         before = stage.instances_asked().count("a")
         for number in range(200):
--- a/tests/dataplane/test_exchange.py
+++ b/tests/dataplane/test_exchange.py
@@ -1,4 +1,4 @@
-"""Connections to origins on real sockets: whole answers, surplus ones, and bytes that are no answer."""
+"""Connections to origins on real sockets: complete, surplus, truncated and malformed responses."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 def run_with_origin(script, scene):
-    """`script(number, reader, writer)` plays the origin for each request on a connection."""
+    """Run `scene(connection)` with an origin that runs `script(number, reader, writer)` for each request."""
 
     async def serve_and_run():
         async def serve(reader, writer):
--- a/tests/dataplane/test_exchange_hostile_origins.py
+++ b/tests/dataplane/test_exchange_hostile_origins.py
@@ -1,4 +1,4 @@
-"""What ties an origin's answer to its request, against origins that lie, on real sockets."""
+"""Matching of responses to requests, with origins that send wrong responses, on real sockets."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 def test_answer_without_an_id_on_a_used_connection_is_not_accepted():
-    """A surplus refusal in the place of the next answer would have an unrepeatable call sent twice."""
+    """Guards against a surplus "did not run" taken for the next response: a write would be sent twice."""
 
     async def origin(number, reader, writer):
         writer.write(answer("a") if number == 1 else NO_ID + answer("b"))
@@ -37,13 +37,13 @@
     async def scene(connection):
         await send_get(connection, "a")
         await asyncio.sleep(0.03)
-        # The surplus comes while the next request is on its way.
+        # The surplus response arrives while the next request is in flight.
         try:
             return (await send_get(connection, "b")).status
         except exchange.ConnectionBrokenError:
             return None
 
-    # Either the idle connection ends by it, or the exchange does; it is never the second's answer.
+    # The surplus response closes the idle connection or fails the second request; it never answers it.
     assert run_with_origin(origin, scene) in (None, 200)
 
 
@@ -53,8 +53,8 @@
         if number == 1:
             writer.write(answer("a"))
             return
-        told = f"{ID}: {found}\r\n" if found else ""
-        writer.write(f"HTTP/1.1 503 Busy\r\n{told}x-not-run: 1\r\ncontent-length: 9\r\n\r\n".encode())
+        id_line = f"{ID}: {found}\r\n" if found else ""
+        writer.write(f"HTTP/1.1 503 Busy\r\n{id_line}x-not-run: 1\r\ncontent-length: 9\r\n\r\n".encode())
 
     async def scene(connection):
         await send_get(connection, "a")
@@ -68,7 +68,7 @@
     async def origin(number, reader, writer):
         writer.write(answer("a"))
         await writer.drain()
-        # The rest of the request is never read.
+        # The origin never reads the rest of the request.
         await asyncio.sleep(1)
 
     async def scene(connection):
@@ -106,14 +106,14 @@
 
 
 def test_retry_of_an_object_has_no_id_and_goes_on_a_fresh_connection():
-    """A surplus answer without an id would be taken, and kept, for another object."""
+    """Guards against a surplus response without an id that is cached as another object."""
 
     async def scene(stage):
         async def working(headers):
             await asyncio.sleep(0.05)
             return direct_edge.whole(headers["x-request-id"])
 
-        # At once, so that each origin has idle connections that were used.
+        # The requests run concurrently, so that each origin is left with idle connections that were used.
         stage.play = lambda key, headers, body: working(headers)
         await asyncio.gather(*(stage.ask(f"/reads/{n}", request_id=f"r{n}") for n in range(8)))
         assert set(stage.connections) == {"a", "b"}
--- a/tests/dataplane/test_kept_connections.py
+++ b/tests/dataplane/test_kept_connections.py
@@ -1,4 +1,4 @@
-"""Kept connections of clients at the end of their idle time: what is handed on is answered first."""
+"""Client connections at their idle timeout: a request that was accepted is answered before they close."""
 
 import test_listener
 
@@ -7,18 +7,21 @@
 
 
 def play_second_request(order):
-    """Let a kept connection's second request and the end of its idle time come in this order."""
+    """Apply the steps in `order` to a kept-alive connection that has carried one request.
+
+    Return the bytes that the client receives then, and the number of requests that the node handled.
+    """
     asked = []
 
     async def answer(request):
         asked.append(request)
         return await test_listener.quick(request)
 
-    async def scene(face):
-        reader, writer = await face.connect()
+    async def scene(edge):
+        reader, writer = await edge.connect()
         writer.write(HEAD)
         await reader.readuntil(b"whole")
-        (connection,) = face.listener.server.connections
+        (connection,) = edge.listener.server.connections
         connection._time = LONG_AGO
         for step in order:
             step(connection)
--- a/tests/dataplane/test_origin_limits.py
+++ b/tests/dataplane/test_origin_limits.py
@@ -1,4 +1,4 @@
-"""What an origin gets, counted at the origin: ceilings, cold origins, addresses handed over."""
+"""Limits counted at the origins: rate and concurrency limits, abandoned requests, reassigned addresses."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 async def set_service_limits(day, service, rate, inflight, deadline=3.0):
     value = {"deadline": deadline, "ceiling": {"rate": rate, "inflight": inflight}}
     await day.actors.order("agency-1", "change", [{"kind": "service", "name": service, "value": value}])
-    # A lowered ceiling takes from the shares at once, and is given anew over the next seconds.
+    # A lowered limit reduces the quota shares at once, and they are assigned again over the next seconds.
     await asyncio.sleep(14)
     for origin in day.actors.all_origins:
         origin.started.clear()
@@ -27,7 +27,10 @@
 
 
 def ask_steadily(day, rate, seconds, path="/shortlists/"):
-    """Requests without a pause, answers or not; every one for another object."""
+    """Send `rate` requests per second, each for another object, without waiting for the responses.
+
+    Return a task with the status and code of each response.
+    """
 
     async def run():
         jobs = []
@@ -72,7 +75,7 @@
 def test_abandoned_requests_still_count_as_in_flight():
     async def scene(day):
         await set_service_limits(day, "application", 50, 10, deadline=1.0)
-        # The origin works three times as long as anybody waits.
+        # The origin processes each request for three times as long as any client waits.
         for origin in origins_of(day, "application"):
             origin.delay = 1.9
         results = await ask_steadily(day, 40, 15)
@@ -91,7 +94,7 @@
 
             async def slow(host, port, opener=opener):
                 connection = await opener(host, port)
-                # All that came in one second get their lines in the same moment.
+                # All connections that are requested within the same two seconds open at the same moment.
                 now = asyncio.get_running_loop().time()
                 await asyncio.sleep(2.0 - now % 2.0)
                 connects.append(now)
@@ -132,7 +135,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_retry_budget_holds_in_any_ten_seconds(seed):
-    """Against a count of everything that was ever taken, at random moments."""
+    """Compares the retry budget at random times with a count of all first attempts and retries."""
     randomness = random.Random(seed)
 
     class Clock:
@@ -195,12 +198,12 @@
         asking = ask_steadily(day, 60, 8, "/vacancies/")
         await asyncio.sleep(1)
         await origin_faults.hand_over(day.fault_injector)
-        fresh = day.actors.all_origins[-1]
+        new_origin = day.actors.all_origins[-1]
         results = await asking
         assert sum(status == 200 for status, _ in results) > 400
-        own = {"content": "/vacancies/", "application": "/shortlists/"}[fresh.service]
+        own = {"content": "/vacancies/", "application": "/shortlists/"}[new_origin.service]
         if own == "/shortlists/":
-            assert not fresh.started
+            assert not new_origin.started
         assert not any(day.checker.broken.values())
 
     cluster.play(scene)
--- a/tests/dataplane/test_request_smuggling.py
+++ b/tests/dataplane/test_request_smuggling.py
@@ -1,4 +1,4 @@
-"""No byte of a client's request makes an origin, or the client itself, read a message that nobody sent."""
+"""Request smuggling: no byte of a request makes an origin or a client read a message that nobody sent."""
 
 import asyncio
 import collections
@@ -17,7 +17,7 @@
 FUZZ_WAIT_SECONDS = 1.5
 FUZZ_SEEDS = 4
 FUZZ_CONNECTIONS = 100
-# Bytes that some reader takes for the end of a line, for a blank, or for a sign of the grammar.
+# Bytes that some parsers take for a line break, a blank or a delimiter.
 FUZZ_PIECES = (
     b"\n",
     b"\r",
@@ -38,7 +38,7 @@
 
 
 class RequestResult(typing.NamedTuple):
-    """A request with its answer and its runs at the origin; `name` stands in its path alone."""
+    """A sent request with its response and its runs at the origin; `name` is unique to its path."""
 
     name: str
     sent: bytes
@@ -51,7 +51,7 @@
 
 
 async def ask(edge, request, data, seconds):
-    """Send a place's request with `data` in the place; wait for its answer for some seconds."""
+    """Send a place's request with `data` inserted at the place; wait at most `seconds` for the response."""
     name = f"r{next(NUMBERS)}x"
     sent = request.replace(b"ID", name.encode()).replace(b"@", data, 1)
     answer = await edge.send(sent, seconds=seconds)
@@ -63,19 +63,19 @@
 
 
 def count_status_lines(answer):
-    """Return how many answers a client reads that takes any line break."""
+    """Return the number of responses that a client reads if it accepts CR or LF as a line break."""
     return (b"\n" + answer.replace(b"\r", b"\n")).count(b"\nHTTP/1.1 ")
 
 
 def faults_of(place, byte, result):
-    """Return what breaks the rule for one byte in one place."""
+    """Yield a message for each fault in the result of a request with one byte inserted at one place."""
     if byte not in place.accepted:
         if byte not in place.may_be_accepted and not (400 <= result.status < 500 and not result.runs):
-            yield f"malformed, ran {len(result.runs)} times and got {result.status}"
+            yield f"the malformed request ran {len(result.runs)} times and got status {result.status}"
     elif not 200 <= result.status < 300:
-        yield f"proper, and got {result.status}"
+        yield f"the well-formed request got status {result.status}"
     if len(result.runs) > 1 and result.runs[0].method == "POST":
-        yield "ran twice"
+        yield "the write ran more than once"
     expected_id = (
         place.expected_id.replace(b"ID", result.name.encode()).replace(b"@", bytes([byte])).strip(b" \t")
     )
@@ -84,40 +84,40 @@
         and result.status == 200
         and b"x-request-id: " + expected_id + b"\r\n" not in result.answer
     ):
-        yield f"the answer does not bear the id: {result.answer}"
+        yield f"the response does not bear the request's id: {result.answer}"
     for run in result.runs:
         yield from faults_of_run(place, byte, result, run)
 
 
 def faults_of_run(place, byte, result, run):
-    """Return what the origin read otherwise than it was sent."""
+    """Yield a message for each part of a request that the origin read differently from how it was sent."""
     method, target, _ = result.sent.split(b"\r\n")[0].decode("latin-1").split(" ")
     if (run.method, run.target) != (method, target):
-        yield f"ran as {run.method} {run.target}"
+        yield f"the origin ran the request as {run.method} {run.target}"
     if run.body and not b"hello".startswith(run.body):
-        yield f"ran with the body {run.body}"
+        yield f"the origin ran the request with the body {run.body}"
     if place.value:
         value = place.value.replace(b"@", bytes([byte])).strip(b" \t").decode("latin-1")
         if run.value("x-note") != value:
-            yield f"the value {value!r} came as {run.value('x-note')!r}"
+            yield f"the origin read the header value {value!r} as {run.value('x-note')!r}"
 
 
 async def ask_for_every_byte(edge, place, data_of):
-    """Send a place's request once for each byte, with the data for it, and return what came of each."""
+    """Send a place's request once for each byte, with `data_of(byte)` inserted; return the results."""
     limit = asyncio.Semaphore(CONCURRENT_REQUESTS)
 
-    async def one(byte):
-        # A length that was raised waits for more.
+    async def send_byte(byte):
+        # A byte that makes the content-length greater makes the node wait for more of the body.
         seconds = UNCERTAIN_SECONDS if byte in place.may_be_accepted else ANSWER_SECONDS
         async with limit:
             return await ask(edge, place.request, data_of(byte), seconds)
 
-    return await asyncio.gather(*map(one, range(256)))
+    return await asyncio.gather(*map(send_byte, range(256)))
 
 
 @pytest.mark.parametrize("name", smuggling_places.ALL_PLACES)
 def test_no_byte_in_any_place_changes_what_an_origin_runs(name):
-    """Guards against UNASKED: a byte that ends a line for an origin, and not for the edge."""
+    """Guards against UNASKED: a byte that an origin takes for the end of a line, and the edge does not."""
     place = smuggling_places.ALL_PLACES[name]
     write = smuggling_places.WRITE + b"Content-Length: 5\r\n" + smuggling_places.END + b"after"
 
@@ -134,12 +134,12 @@
 
 @pytest.mark.parametrize("name", smuggling_places.ALL_PLACES)
 def test_no_byte_lets_a_client_hide_a_request_inside_another(name):
-    """Guards against UNASKED: a write in a header's value that an origin takes for a request of its own."""
+    """Guards against UNASKED: a write inside a header value that an origin takes for a separate request."""
     place = smuggling_places.ALL_PLACES[name]
 
     async def scene(edge):
         results = await ask_for_every_byte(edge, place, smuggling_places.smuggled_request)
-        answers = [one.answer.replace(b"\r", b"\n") for one in results]
+        answers = [result.answer.replace(b"\r", b"\n") for result in results]
         split = [answer for answer in answers if count_status_lines(answer) > 1 or b"\nHost: h\n" in answer]
         return split, [run for run in edge.origin.runs if is_smuggled(run)]
 
@@ -148,7 +148,7 @@
 
 @pytest.mark.parametrize("target", [b"reads/1", b"?", b"http://[/reads/1", b"/reads/1#a", b"/reads/\x01"])
 def test_malformed_targets_are_answered(target):
-    """Guards against LOST: a connection that ended without an answer, for a target that sanic can't read."""
+    """Guards against LOST: a connection closed without a response when Sanic can't parse the target."""
 
     async def scene(edge):
         return await edge.send(b"GET " + target + b" HTTP/1.1\r\nHost: h\r\n\r\n"), edge.origin.runs
@@ -160,7 +160,11 @@
 
 @pytest.mark.parametrize("path", [b"/reads/1", b"/objects/1", b"/writes/1"])
 def test_a_client_cannot_name_the_instance_that_a_node_means(path):
-    """Guards against an origin that is left alone since it answered 421 to a client's own word."""
+    """Guards against a client that has an origin marked as down.
+
+    An origin answers 421 to a request that names another instance, and the edge then marks it as down. So a
+    client's own X-Expected-Instance header must not be forwarded.
+    """
 
     async def scene(edge):
         method = b"POST " if b"writes" in path else b"GET "
@@ -175,7 +179,7 @@
 
 
 def with_stray_bytes(rng, request):
-    """Return a request with stray bytes, or with a request of another, in some places."""
+    """Return a request with stray bytes, or with a smuggled request, inserted at random places."""
     for _ in range(rng.randint(0, 3)):
         at = rng.randrange(len(request))
         filler = rng.choice(
@@ -187,7 +191,7 @@
 
 @pytest.mark.parametrize("seed", range(FUZZ_SEEDS))
 def test_fuzzed_requests_run_once_and_as_they_were_sent(seed):
-    """Guards against UNASKED, for bytes in several places, and requests one behind the other."""
+    """Guards against UNASKED with stray bytes in several places and with pipelined requests."""
     rng = random.Random(seed)
     places = smuggling_places.ALL_PLACES.values()
     templates = [place.request.replace(b"@", b"").replace(b"close", b"keep-alive") for place in places]
--- a/tests/dataplane/test_slow_start.py
+++ b/tests/dataplane/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Cold origins are not flooded, however many of them there are and whoever is restarted meanwhile."""
+"""Slow start limits the requests to cold origins, also when all are cold and while shields restart."""
 
 import asyncio
 
@@ -16,27 +16,27 @@
 
 
 def make_cold(day, service, warmup=10.0):
-    """Every origin of the service by a cold one, at once."""
+    """Replace all origins of the service at once with cold ones, and return the new origins."""
     fault_injector = day.fault_injector
-    fresh = [origin_faults.replace(fault_injector, old) for old in origins_of(day, service)]
-    for origin in fresh:
+    new_origins = [origin_faults.replace(fault_injector, old) for old in origins_of(day, service)]
+    for origin in new_origins:
         origin.warmup = warmup
         origin.cold[:] = [(origin.cold[0][0], warmup)]
-    return fresh
+    return new_origins
 
 
 def test_origins_replaced_all_at_once_get_what_slow_start_allows_and_all_in_the_end():
     async def scene(day):
         await set_service_limits(day, "content", 60, 60)
-        fresh = make_cold(day, "content")
+        new_origins = make_cold(day, "content")
         results = await ask_steadily(day, 100, 16, "/vacancies/")
         checked = check_limits(day, "content", (60, 60))
         assert checked["a cold origin gets no more than its warmth allows"] > 50
         kinds = {"over-ceiling", "warming-up", "no-origin", "origin-failed", "no-share"}
         assert {code for status, code in results if status != 200} <= kinds
-        # Warm in the end: the whole ceiling is used again.
+        # The origins are warm at the end, so the whole rate limit is used again.
         end = day.watcher.now()
-        assert sum(moment > end - 4 for origin in fresh for moment, _ in origin.started) > 150
+        assert sum(moment > end - 4 for origin in new_origins for moment, _ in origin.started) > 150
 
     cluster.play(scene)
 
--- a/tests/dataplane/test_spellings.py
+++ b/tests/dataplane/test_spellings.py
@@ -1,4 +1,4 @@
-"""A host or a path that is spelt otherwise names the same: for routes, caches, purges and configurations."""
+"""Spellings of a host or path are equivalent in routes, caches, purges and the configuration's checks."""
 
 import random
 
@@ -16,13 +16,13 @@
 
 
 def random_host_spelling(rng):
-    """Return a spelling of HOST."""
+    """Return a random spelling of HOST: other letter case, a trailing dot or a port."""
     letters = "".join(rng.choice((letter.lower(), letter.upper())) for letter in HOST)
     return letters + rng.choice(("", ".")) + rng.choice(("", ":", ":80", ":8080"))
 
 
 def random_path_spelling(rng, path=PATH):
-    """Return a spelling of a path whose characters need no escape, but for its slashes."""
+    """Return a random spelling of a path, with any of its characters except slashes percent-encoded."""
     escapes = ("{0}", "%{1:02x}", "%{1:02X}")
     return "".join(
         character if character == "/" else rng.choice(escapes).format(character, ord(character))
@@ -39,14 +39,14 @@
 
 
 def purge(stage, host, path):
-    """Purge an object as an order of an operator does."""
+    """Purge an object in the way in which an operator's order does."""
     kind, name = operator_calls.single_purge({"host": host, "path": path})
     stage.put(items.LEDGER, f"purge/{kind}/{name}", {"purge": kind})
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_routes_caches_and_purges_agree_on_every_spelling(seed):
-    """Guards against STALE: a purge that missed copies under a host in other letters, or with a port."""
+    """Guards against STALE: a purge that missed objects cached for a host in another case or with a port."""
     rng = random.Random(seed)
 
     async def scene(stage):
@@ -60,7 +60,7 @@
 
     statuses, paths, fetches = play(scene)
     assert statuses == [200] * 4
-    # Each spelling of a path is a copy of its own, and each is fetched anew.
+    # Each spelling of the path is cached separately, and each is fetched again after the purge.
     assert fetches == paths
 
 
@@ -85,7 +85,7 @@
     ("host", "prefix"), [("Shop.Example", "/a/"), (f"{HOST}:80", "/a/"), (f"{HOST}.", "/a/"), (HOST, "/%61/")]
 )
 def test_two_routes_that_differ_in_their_spelling_alone_are_one(host, prefix):
-    """Guards against CONFIG: requests that ran at the service of the other route."""
+    """Guards against CONFIG: requests that are sent to the service of another route."""
     contents = {
         "upstream/s": {"name": "s", "version": 1},
         "route/one": {"name": "one", "host": HOST, "prefix": "/a/", "timeout": 1, "service": "s"},
--- a/tests/dataplane/test_upstream_connections.py
+++ b/tests/dataplane/test_upstream_connections.py
@@ -1,4 +1,4 @@
-"""Lines to origins over real sockets: confirmed for, never reopened, whole and sealed."""
+"""A shield's connections to origins on real sockets: confirmed, never reopened, with complete responses."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 def test_connection_is_never_reopened_and_says_whether_a_byte_may_have_left():
-    """aiohttp opens a dead connection again and resends by itself; a line must do neither."""
+    """Guards against aiohttp's own retry, which reopens a dead connection and sends the request again."""
 
     async def scene():
         served = []
@@ -37,7 +37,8 @@
             connection.may_have_sent = False
             return connection
 
-        # Lost under a GET, which aiohttp would repeat: it went out once, and that is known.
+        # The connection is lost during a GET, which aiohttp would repeat: the request is sent only once, and
+        # `may_have_sent` says so.
         connection = await opened()
         with pytest.raises(Exception):  # noqa: B017
             await connection.send("GET", "/die", {}, b"", 5)
@@ -45,7 +46,8 @@
         assert connection.may_have_sent
         assert not connection.is_open
         await connection.close()
-        # Closed while idle: nothing leaves, and nothing is opened in its place.
+        # The connection is closed while idle: the next request is not sent, and no other connection is
+        # opened.
         connection = await opened()
         for transport in [item.transport for item in runner.server.connections]:
             transport.close()
@@ -59,7 +61,7 @@
         assert not connection.may_have_sent
         assert not connection.is_open
         await connection.close()
-        # Another service at the address gets the probe and nothing else.
+        # Another service that listens at the address only gets the health probe.
         connection = await connections.open_http("127.0.0.1", port)
         with pytest.raises(errors.WrongServiceError):
             await connections.confirm_identity(connection, "/health", "other", "i", 5)
--- a/tests/dataplane/test_upstream_request.py
+++ b/tests/dataplane/test_upstream_request.py
@@ -1,4 +1,4 @@
-"""What is written to origins is one message, whoever made the request: a client, a holder or this node."""
+"""Each request that is sent to an origin is a single HTTP message, whichever client or node it came from."""
 
 import direct_edge
 import pytest
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize("code", range(256))
 def test_no_character_of_a_request_is_written_that_could_end_a_line(code):
-    """Guards against UNASKED: the writer is the last to see what a client, or a node before it, let by."""
+    """Guards against UNASKED: the encoder is the last check of bytes that clients and other nodes sent."""
     character, data = chr(code), bytes([code])
     places = {
         "method": ({"method": f"GE{character}T"}, smuggling_places.TOKEN),
@@ -27,7 +27,7 @@
         "host": ({"headers": [("host", f"h{character}")]}, smuggling_places.VALUE),
     }
     for place, (fields, accepted) in places.items():
-        # A colon ends a name, and begins a value that is no other line.
+        # A colon ends the header name and starts the value, which can't add another line.
         if code in accepted or (character == ":" and place == "name"):
             assert encoded(**fields).count(b"\r\n\r\n") == 1
         else:
@@ -50,11 +50,11 @@
     ("path", "method"), [("/objects/1", "GET"), ("/reads/1", "GET"), ("/writes/1", "POST")]
 )
 def test_a_node_that_lets_a_line_break_by_has_it_refused_at_the_wire(path, method):
-    """Guards against UNASKED on the way from a holder: its requests came from another node's listener."""
+    """Guards against UNASKED in requests from a holder, which another node's listener accepted."""
     connections = []
 
     class Transport:
-        """Of a connection on which nothing may be written."""
+        """A transport that records written bytes, so that the test can check that there are none."""
 
         def __init__(self):
             self.written = b""
--- a/tests/dataplane/test_weighted_splits.py
+++ b/tests/dataplane/test_weighted_splits.py
@@ -1,4 +1,4 @@
-"""Routes with several services: each gets the part of the requests that its weight asks for."""
+"""Routes that split requests over several services: each service gets its weighted fraction."""
 
 import collections
 
@@ -9,7 +9,8 @@
 from irisstand.state import items
 
 REQUESTS = 600
-# Of so many independent draws, four standard deviations of the largest part's share.
+# Four standard deviations of the fraction of `REQUESTS` independent draws that an even split sends to a
+# service.
 SHARE_TOLERANCE = 0.085
 WEIGHTS = [(50, 50), (90, 10), (97, 3), (70, 0)]
 
--- a/tests/http1/test_whole_numbers.py
+++ b/tests/http1/test_whole_numbers.py
@@ -1,4 +1,4 @@
-"""Counts in headers: digits of ASCII alone, and not too many."""
+"""Whole numbers in header values: only ASCII digits are accepted, and at most 18 of them."""
 
 import direct_edge
 import pytest
@@ -18,12 +18,12 @@
 
 @pytest.mark.parametrize("given", ["²", "1²", "9" * 5000, "-1"])
 def test_a_remaining_time_that_is_no_number_leaves_the_request_its_route_s_timeout(given):
-    """Guards against a crash of the request: int() refuses what str.isdigit() takes."""
+    """Guards against a request that crashes: `int` rejects some texts that `str.isdigit` accepts."""
 
     async def scene(stage):
         answer = await stage.ask("/writes/1", "POST", x_remaining_ms=given)
         return answer.status, stage.sent[0][3]["x-remaining-ms"]
 
-    status, told = direct_edge.play(scene)
+    status, remaining_ms = direct_edge.play(scene)
     assert status == 200
-    assert 1900 < int(told) <= 2000
+    assert 1900 < int(remaining_ms) <= 2000
--- a/tests/mutation/departure_mutations.py
+++ b/tests/mutation/departure_mutations.py
@@ -1,4 +1,4 @@
-"""Mutations of what ends, or goes on, when a client leaves, in the form of dataplane_mutations.py."""
+"""Mutations of what is cancelled or carried on when a client leaves, in the form of dataplane_mutations.py."""
 # ruff: noqa: E501
 
 CLIENTS = "dataplane/test_client_departures.py"
--- a/tests/mutation/http_mutations.py
+++ b/tests/mutation/http_mutations.py
@@ -1,4 +1,4 @@
-"""Mutations of what holds HTTP messages to their grammar, in the form of dataplane_mutations.py."""
+"""Mutations of the checks of HTTP messages against their grammar, in the form of dataplane_mutations.py."""
 # ruff: noqa: E501
 
 SMUGGLING = "dataplane/test_request_smuggling.py"
--- a/tests/support/lenient_origin.py
+++ b/tests/support/lenient_origin.py
@@ -1,11 +1,11 @@
-"""An origin on a loopback socket that reads as leniently as RFC 9112 (2.2, 5.1, 5.2) lets a receiver do."""
+"""An origin on a loopback socket that parses requests as leniently as RFC 9112 (2.2, 5.1, 5.2) allows."""
 
 import asyncio
 import typing
 
 
 class Run(typing.NamedTuple):
-    """One request as the origin read it; header names in lower case, values as they came but for blanks."""
+    """A request as the origin parsed it: header names in lower case, values without blanks around them."""
 
     method: str
     target: str
@@ -17,7 +17,7 @@
 
 
 class LenientOrigin:
-    """Takes a lone LF as the end of a line, blanks around names, and lines that are folded."""
+    """An origin that accepts a lone LF as the end of a line, blanks around header names, and folded lines."""
 
     def __init__(self):
         self.runs = []
@@ -32,9 +32,9 @@
             while run := await self.read(reader):
                 self.runs.append(run)
                 request_id = (run.value("x-request-id") or "").encode("latin-1")
-                back = b"X-Request-Id: %b\r\n" % request_id if request_id else b""
+                id_line = b"X-Request-Id: %b\r\n" % request_id if request_id else b""
                 body = b"" if run.method == "HEAD" else b"done"
-                writer.write(b"HTTP/1.1 200 OK\r\nContent-Digest: seal\r\n" + back)
+                writer.write(b"HTTP/1.1 200 OK\r\nContent-Digest: seal\r\n" + id_line)
                 writer.write(b"Content-Length: 4\r\n\r\n" + body)
                 await writer.drain()
         except (OSError, asyncio.IncompleteReadError, ValueError):
@@ -43,7 +43,7 @@
             writer.close()
 
     async def read_line(self, reader):
-        """Return a line without its end, which is LF or CR LF; None at the end of the connection."""
+        """Return a line without its line end (LF or CRLF), or None at the end of the connection."""
         line = await reader.readline()
         return line.rstrip(b"\r\n") if line else None
 
--- a/tests/support/smuggling_places.py
+++ b/tests/support/smuggling_places.py
@@ -1,4 +1,4 @@
-"""The places of a request at which a client's bytes get on to a wire, and the bytes that each may have."""
+"""The places in a request where a client's bytes are passed on, and the bytes that are allowed in each."""
 
 import typing
 
@@ -6,25 +6,26 @@
 DIGITS = frozenset(b"0123456789")
 HEX_DIGITS = DIGITS | frozenset(b"abcdefABCDEF")
 BLANKS = frozenset(b" \t")
-# RFC 9110, section 5.6.2.
+# The bytes of a token, such as a method or a header name (RFC 9110, section 5.6.2).
 TOKEN = frozenset(b"!#$%&'*+-.^_`|~" + LETTERS) | DIGITS
-# RFC 9110, section 5.5.
+# The bytes of a header value (RFC 9110, section 5.5).
 VALUE = frozenset((9, *range(0x20, 0x7F), *range(0x80, 0x100)))
-# RFC 3986, sections 3.3 and 3.4. A target with other visible characters may be taken or refused.
+# The bytes of a path and query (RFC 3986, sections 3.3 and 3.4). A target with other visible characters may
+# be accepted or rejected.
 TARGET = frozenset(b"-._~%!$&'()*+,;=:@/?" + LETTERS) | DIGITS
 VISIBLE = frozenset(range(0x21, 0x7F)) - frozenset(b"#")
 NO_BYTES: frozenset[int] = frozenset()
 
 
 class Place(typing.NamedTuple):
-    """A place in a request.
+    """A place in a request where a test inserts a byte.
 
     Attributes:
-        request: A whole request, with `ID` for what names it alone, and `@` for the place.
-        taken: The bytes with which it must be answered by the origin.
-        may_be_taken: The bytes with which it may be, as it means something else with them.
-        value: What the origin must read as the value of X-Note, but for blanks around it.
-        told: The id that the answer must bear.
+        request: A complete request; `ID` stands for the request's unique name, and `@` for the place.
+        accepted: The bytes with which the request must be forwarded and answered by the origin.
+        may_be_accepted: The bytes that change the request's meaning, so that it may be accepted or rejected.
+        value: The value of X-Note that the origin must read, without the blanks around it.
+        expected_id: The request id that the response must bear.
     """
 
     request: bytes
@@ -73,7 +74,7 @@
     "id": Place(READ + b"X-Request-Id: ID@b\r\n" + CLOSE, VALUE, expected_id=b"ID@b"),
     "id of an object's read": Place(OBJECT + b"X-Request-Id: ID@b\r\n" + CLOSE, VALUE, expected_id=b"ID@b"),
     "id of a write": Place(WRITE + b"X-Request-Id: ID@b\r\n" + CLOSE, VALUE, expected_id=b"ID@b"),
-    "time that is left": Place(READ + b"X-Remaining-Ms: 10@00\r\n" + END, VALUE),
+    "remaining time": Place(READ + b"X-Remaining-Ms: 10@00\r\n" + END, VALUE),
     "instance": Place(READ + b"X-Expected-Instance: a@\r\n" + END, VALUE),
     "range": Place(OBJECT + b"Range: bytes=@1-2\r\n" + END, VALUE),
     "entity tag": Place(OBJECT + b'If-None-Match: "@"\r\n' + END, VALUE),
@@ -97,7 +98,7 @@
 
 
 def smuggled_request(byte):
-    """Return a whole request, as a reader takes it that ends lines at this byte."""
+    """Return a complete request as seen by a parser that takes `byte` for the end of a line."""
     end = bytes([byte])
     lines = (b"POST /writes/smuggled HTTP/1.1", b"Host: h", b"X-Request-Id: smuggled", b"Content-Length: 0")
     return end + end + end.join(lines) + end + end
--- a/tests/support/strict_edge.py
+++ b/tests/support/strict_edge.py
@@ -1,4 +1,4 @@
-"""An edge on loopback sockets, from its listener for clients to an origin that reads leniently."""
+"""An edge on loopback sockets, with its client listener and an origin that parses requests leniently."""
 
 import asyncio
 import itertools
@@ -10,13 +10,13 @@
 from irisstand.dataplane.http import listener
 from irisstand.dataplane.upstream import exchange
 
-# Sanic knows its applications by name for as long as the process lives.
+# Sanic keeps applications registered by name until the process ends, so each listener needs a new name.
 NUMBERS = itertools.count(1)
 ANSWER_SECONDS = 5.0
 
 
 class OriginScene(direct_edge.Scene):
-    """A scene whose one origin is at an address."""
+    """A scene in which all connections to origins go to one address."""
 
     def __init__(self, origin_address, settings):
         self.origin_address = origin_address
@@ -27,7 +27,7 @@
 
 
 class Edge:
-    """The listener, its node and the origin."""
+    """A client listener with its node and a lenient origin."""
 
     async def start(self):
         self.origin = lenient_origin.LenientOrigin()
@@ -35,7 +35,8 @@
         settings = direct_edge.SETTINGS._replace(name=f"strict-{next(NUMBERS)}")
         scene = OriginScene(address, settings)
         scene.put("ledger", "rate-parts", {"units": {settings.name: 1000}})
-        # Long enough for a busy machine, so that nothing is refused, or sent a second time, for want of time.
+        # The timeouts are so long that even on a busy machine no request is rejected or retried for lack of
+        # time.
         for name, kind in direct_edge.KINDS.items():
             scene.route(name, kind=kind, timeout=60.0, target=30.0)
         self.context = scene.context
@@ -48,7 +49,7 @@
         return self
 
     async def send(self, data, *, seconds=ANSWER_SECONDS):
-        """Send bytes on a connection of their own; return all that comes back until its end."""
+        """Send bytes on a new connection; return what comes back until it closes or `seconds` pass."""
         reader, writer = await asyncio.open_connection(*self.address)
         answer = b""
         try:
@@ -69,7 +70,7 @@
 
 
 def play(scene):
-    """Run `scene(edge)` on real sockets."""
+    """Run `scene(edge)` with a new edge on real sockets, and return its result."""
 
     async def start_and_run():
         edge = await Edge().start()
