--- a/src/irisstand/dataplane/upstream/attempts.py
+++ b/src/irisstand/dataplane/upstream/attempts.py
@@ -94,8 +94,8 @@
         except (OSError, TimeoutError, ValueError, errors.IrisError) as error:
             may_have_sent = attempt.may_have_sent
             self.context.counters.add("origin_failures", service=attempt.service, touched=str(may_have_sent))
-            known = forwarding_policy.as_iris_error(error)
-            return events.AttemptFailed(known, endpoint.instance, may_have_sent, may_have_sent)
+            iris_error = forwarding_policy.as_iris_error(error)
+            return events.AttemptFailed(iris_error, endpoint.instance, may_have_sent, may_have_sent)
         except asyncio.CancelledError:
             if attempt.may_have_sent:
                 endpoint.note_unanswered(number)
@@ -148,6 +148,8 @@
             unnamed = errors.UnsealedResultError("the origin's response does not bear the request's id")
             return events.AttemptFailed(unnamed, instance)
         if answer.status < FIRST_REDIRECT_STATUS and names.seal not in answer.headers:
-            unsealed = errors.UnsealedResultError("the origin's response has no content digest as its seal")
+            unsealed = errors.UnsealedResultError(
+                "the origin's response lacks the seal header that confirms it"
+            )
             return events.AttemptFailed(unsealed, instance)
         return events.ResponseReceived(answer, instance)
--- a/src/irisstand/dataplane/upstream/client.py
+++ b/src/irisstand/dataplane/upstream/client.py
@@ -64,7 +64,7 @@
         return min(by_target, RATE_WAIT_REMAINING_FACTOR * self.retry_policy.remaining())
 
     def work_state(self) -> drain_guard.WorkState:
-        """Return how far the request is, for the drain guard.
+        """Return how far the request is, which decides what the drain guard may answer in its place.
 
         A request with an attempt that has ended counts as finished: the result only has to be read.
         """
--- a/src/irisstand/dataplane/upstream/connections.py
+++ b/src/irisstand/dataplane/upstream/connections.py
@@ -36,13 +36,13 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection may carry a further request, as far as is known."""
+        """Whether the connection may carry another request, as far as is known."""
         ...
 
     async def send(
         self, method: str, target: str, headers: dict[str, str], body: bytes, timeout_seconds: float
     ) -> Answer:
-        """Send one request and return its complete answer."""
+        """Send one request and return its complete response."""
         ...
 
     async def close(self) -> None:
@@ -80,7 +80,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection may carry a further request, as far as is known."""
+        """Whether the connection may carry another request, as far as is known."""
         return self.state is not connection_state.ConnectionState.CLOSED
 
     async def on_create(self, *_: typing.Any) -> None:
--- a/src/irisstand/dataplane/upstream/endpoint_pool.py
+++ b/src/irisstand/dataplane/upstream/endpoint_pool.py
@@ -62,12 +62,12 @@
         for key in [key for key in self.endpoints if key not in listed]:
             self.endpoints.pop(key).close()
         for key, origin in listed.items():
-            known = self.endpoints.get(key)
-            if known is not None and known.is_at(origin):
-                known.origin = origin
+            existing = self.endpoints.get(key)
+            if existing is not None and existing.is_at(origin):
+                existing.origin = origin
                 continue
-            if known is not None:
-                known.close()
+            if existing is not None:
+                existing.close()
             self.endpoints[key] = origin_endpoint.Endpoint(self.context, origin, self.connect)
         self.update_evacuations()
 
--- a/src/irisstand/dataplane/upstream/endpoint_prober.py
+++ b/src/irisstand/dataplane/upstream/endpoint_prober.py
@@ -55,9 +55,7 @@
 
         Raises:
             NoOriginError: The endpoint is unhealthy, or another instance answered.
-            OSError: The connection failed.
-            TimeoutError: No response came in time.
-            IrisError: The endpoint could not be reached, or its response was malformed.
+            OSError, TimeoutError, ValueError, IrisError: No valid response came in time; see `FAILURES`.
         """
         upstream = self.table.upstreams.get(endpoint.origin.service)
         async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
--- a/src/irisstand/dataplane/upstream/exchange.py
+++ b/src/irisstand/dataplane/upstream/exchange.py
@@ -88,7 +88,7 @@
             self.waiting.set_exception(error or ConnectionBrokenError("this node closed the connection"))
 
     def close(self) -> None:
-        """Close the connection without an error of its own."""
+        """Close the connection; a request that waits for its response fails."""
         self.end(None)
 
     def abort(self) -> None:
@@ -114,7 +114,7 @@
             self.end(ConnectionBrokenError(text))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fail the request in flight, even where its response has no other end: it may be incomplete."""
+        """Fail the request in flight; a response that only the close would end could be incomplete."""
         self.end(ConnectionBrokenError("the origin closed the connection before its response was complete"))
 
     def on_message_begin(self) -> None:
--- a/src/irisstand/dataplane/upstream/origin_client.py
+++ b/src/irisstand/dataplane/upstream/origin_client.py
@@ -48,7 +48,12 @@
 
 
 class Slot(typing.NamedTuple):
-    """One request's use of this shield's quota share of a service's limits, taken at `entered_at`."""
+    """The admission of one request by this shield's quota share of a service's limits.
+
+    Attributes:
+        share: The limiter of the quota share that admitted the request.
+        entered_at: The time of the admission.
+    """
 
     share: service_limits.QuotaShareLimiter
     entered_at: float
@@ -191,8 +196,8 @@
         """Count a failed attempt and return it as an event of the retry policy."""
         may_have_run = attempt.may_have_sent
         self.context.counters.add("origin_failures", service=attempt.service, touched=str(may_have_run))
-        known = forwarding_policy.as_iris_error(error)
-        return events.AttemptFailed(known, origin.instance, may_have_run, may_have_run)
+        iris_error = forwarding_policy.as_iris_error(error)
+        return events.AttemptFailed(iris_error, origin.instance, may_have_run, may_have_run)
 
     def check_authorization(self, allowed: snapshot.AllowedRequest, request: OriginRequest) -> None:
         """Check that the configuration still sends the request to the same service.
@@ -207,7 +212,7 @@
     async def acquire_slot(
         self, allowed: snapshot.AllowedRequest, retry_policy: forwarding_policy.ToOriginPolicy
     ) -> Slot:
-        """Take a slot of this shield's quota share of the service's limits, after a short wait at most.
+        """Admit a request by this shield's quota share of the service's limits, after a short wait at most.
 
         Raises:
             NoQuotaShareError: This shield has no quota share of the service.
--- a/src/irisstand/dataplane/upstream/origin_connections.py
+++ b/src/irisstand/dataplane/upstream/origin_connections.py
@@ -33,7 +33,7 @@
         self.idle: list[connections.UpstreamConnection] = []
         self.busy = 0
         self.is_healthy = False
-        # When the warm-up began: when the origin was first listed, or when it last became healthy again.
+        # When the origin's warm-up began: when it was first listed, or when it last became healthy.
         self.warmup_started_at = context.clock.now()
         self.has_returned = False
         self.was_healthy_before = False
@@ -88,7 +88,7 @@
 
         Raises:
             LimitExceededError: All connections to the origin are in use.
-            OSError: A connection could not be opened.
+            OSError: A connection could not be opened, or broke during the probe.
             TimeoutError: A connection could not be opened or confirmed in time.
             IrisError: Another origin answered the probe, or the origin is unhealthy.
         """
--- a/src/irisstand/dataplane/upstream/origin_endpoint.py
+++ b/src/irisstand/dataplane/upstream/origin_endpoint.py
@@ -65,9 +65,9 @@
 
     def finish(self, number: int, *, is_answered: bool) -> None:
         """Record the end of an attempt; a response updates the average response time and the health."""
-        took = self.context.clock.now() - self.in_flight.pop(number)
+        elapsed = self.context.clock.now() - self.in_flight.pop(number)
         if is_answered:
-            self.usual_seconds += NEWEST_SAMPLE_WEIGHT * (took - self.usual_seconds)
+            self.usual_seconds += NEWEST_SAMPLE_WEIGHT * (elapsed - self.usual_seconds)
             self.answered_at = self.context.clock.now()
             self.mark_up()
 
--- a/src/irisstand/dataplane/upstream/origin_pool.py
+++ b/src/irisstand/dataplane/upstream/origin_pool.py
@@ -49,7 +49,7 @@
         """Create the connections of a new origin and start probing it."""
         pool = origin_connections.OriginConnections(self.context, origin, self.open_connection)
         self.pools[identity] = pool
-        self.tasks[identity] = self.context.start_task(pool.run_probes(), f"keeper of {origin.key}")
+        self.tasks[identity] = self.context.start_task(pool.run_probes(), f"probes of {origin.key}")
 
     def choose(
         self, allowed: snapshot.AllowedRequest, tried: collections.abc.Container[str]
--- a/src/irisstand/http1/open_connections.py
+++ b/src/irisstand/http1/open_connections.py
@@ -1,4 +1,4 @@
-"""Closes the connections of a stopping listener as they become idle, and aborts the rest at the end."""
+"""Closes a stopping listener's client connections as they become idle, and aborts the others at the end."""
 
 import collections.abc
 import typing
--- a/tests/dataplane/test_upstream_request.py
+++ b/tests/dataplane/test_upstream_request.py
@@ -22,7 +22,7 @@
         "method": ({"method": f"GE{character}T"}, smuggling_places.TOKEN),
         "target": ({"target": b"/reads/" + data}, smuggling_places.VISIBLE),
         "name": ({"headers": [("host", "h"), (f"x{character}", "a")]}, smuggling_places.TOKEN),
-        "first of a name": ({"headers": [("host", "h"), (f"{character}x", "a")]}, smuggling_places.TOKEN),
+        "start of a name": ({"headers": [("host", "h"), (f"{character}x", "a")]}, smuggling_places.TOKEN),
         "value": ({"headers": [("host", "h"), ("x", f"a{character}b")]}, smuggling_places.VALUE),
         "host": ({"headers": [("host", f"h{character}")]}, smuggling_places.VALUE),
     }
