--- a/src/irisstand/dataplane/cache/objects.py
+++ b/src/irisstand/dataplane/cache/objects.py
@@ -92,7 +92,7 @@
     return f"sha-256=:{base64.b64encode(hashlib.sha256(body).digest()).decode()}:"
 
 
-def check_seal(headers: dict[str, str], body: bytes, request_id: str) -> None:
+def check_integrity(headers: dict[str, str], body: bytes, request_id: str) -> None:
     """Check that an answer is complete and belongs to this request.
 
     Args:
--- a/src/irisstand/dataplane/upstream/attempts.py
+++ b/src/irisstand/dataplane/upstream/attempts.py
@@ -145,10 +145,10 @@
             text = f"origin {instance} answered with status {answer.status} and may have run the request"
             return events.AttemptFailed(errors.OriginFailedError(text), instance)
         if request_id and answer.headers.get(names.request_id) != request_id:
-            unnamed = errors.UnsealedResultError("the origin's response does not bear the request's id")
+            unnamed = errors.ResponseIntegrityError("the origin's response does not bear the request's id")
             return events.AttemptFailed(unnamed, instance)
         if answer.status < FIRST_REDIRECT_STATUS and names.seal not in answer.headers:
-            unsealed = errors.UnsealedResultError(
+            unsealed = errors.ResponseIntegrityError(
                 "the origin's response lacks the seal header that confirms it"
             )
             return events.AttemptFailed(unsealed, instance)
--- a/src/irisstand/dataplane/upstream/connections.py
+++ b/src/irisstand/dataplane/upstream/connections.py
@@ -104,7 +104,7 @@
 
         Raises:
             ConnectionReopenedError: The connection was closed before, and nothing has been sent.
-            UnsealedResultError: The response body is over the size limit.
+            ResponseIntegrityError: The response body is over the size limit.
             TimeoutError: No complete response came in time.
             OSError: The connection failed.
         """
@@ -135,7 +135,7 @@
             content += chunk
             # An endless body must not exhaust the memory of this process.
             if len(content) > BODY_LIMIT_BYTES:
-                raise errors.UnsealedResultError(f"the response body is over {BODY_LIMIT_BYTES} bytes")
+                raise errors.ResponseIntegrityError(f"the response body is over {BODY_LIMIT_BYTES} bytes")
         headers = {name.lower(): value for name, value in response.headers.items()}
         if headers.get("connection", "").lower() == "close":
             self.state = connection_state.ConnectionState.CLOSED
--- a/src/irisstand/dataplane/upstream/origin_client.py
+++ b/src/irisstand/dataplane/upstream/origin_client.py
@@ -152,7 +152,7 @@
             if not isinstance(error, HEALTH_NEUTRAL_ERRORS):
                 # A response without a valid seal concerns one request only, while a broken connection shows
                 # that the origin is down.
-                is_unsealed = isinstance(error, errors.UnsealedResultError)
+                is_unsealed = isinstance(error, errors.ResponseIntegrityError)
                 origin.set_health(is_healthy=origin.is_healthy and is_unsealed, why=repr(error))
             return self.failed(attempt, origin, error)
         finally:
@@ -179,7 +179,7 @@
         headers = {**request.headers, "X-Request-Id": request.request_id}
         timeout = max(MINIMUM_TIMEOUT_SECONDS, retry_policy.remaining())
         answer = await connection.send(request.method, request.target, headers, request.body, timeout)
-        objects.check_seal(answer.headers, answer.body, request.request_id)
+        objects.check_integrity(answer.headers, answer.body, request.request_id)
         self.context.counters.add("origin_requests", service=allowed.service, method=request.method)
         return events.ResponseReceived(answer, origin.instance)
 
--- a/tests/dataplane/test_endpoint_pool.py
+++ b/tests/dataplane/test_endpoint_pool.py
@@ -4,7 +4,7 @@
 
 import direct_edge
 import pytest
-from direct_edge import play, whole
+from direct_edge import complete_answer, run_scenario
 
 from irisstand import errors
 from irisstand.state import items
@@ -29,7 +29,7 @@
         assert set(await request_statuses(stage, 30)) == {200}
         return set(stage.instances_asked())
 
-    assert play(scene) == {"c"}
+    assert run_scenario(scene) == {"c"}
 
 
 @pytest.mark.parametrize("state", ["leaving", "gone"])
@@ -42,16 +42,16 @@
         assert set(await request_statuses(stage, 30)) == {200}
         return set(stage.instances_asked())
 
-    assert play(scene) == {"b"}
+    assert run_scenario(scene) == {"b"}
 
 
 def test_evacuated_site_gets_nothing_and_its_origins_count_as_cold_on_return():
     async def scene(stage):
         async def origin(headers):
             await asyncio.sleep(0.08)
-            return whole(headers["x-request-id"])
+            return complete_answer(headers["x-request-id"])
 
-        stage.play = lambda key, headers, body: origin(headers)
+        stage.respond = lambda key, headers, body: origin(headers)
         stage.origin("a", site="south")
         await asyncio.sleep(5)
         stage.put(items.LEDGER, "evacuated/north", {"evacuated": True})
@@ -64,7 +64,7 @@
         await request_statuses(stage, 40)
         return set(stage.instances_asked())
 
-    assert play(scene) == {"a", "b"}
+    assert run_scenario(scene) == {"a", "b"}
 
 
 @pytest.mark.parametrize("edges", [1, 4, 30])
@@ -79,7 +79,7 @@
 
     settings = direct_edge.SETTINGS
     bound = direct_edge.UPSTREAM["cold_rate"] * settings.cold_factor + settings.cold_burst
-    assert play(scene, edges=edges) * edges <= max(bound, edges)
+    assert run_scenario(scene, edges=edges) * edges <= max(bound, edges)
 
 
 def test_service_gets_no_more_than_this_edges_quota_share_in_any_five_seconds():
@@ -92,7 +92,7 @@
         most = max(sum(start <= other < start + 5.0 for other in times) for start in times)
         return most, set(statuses), len(times)
 
-    most, statuses, sent = play(scene, edges=2)
+    most, statuses, sent = run_scenario(scene, edges=2)
     assert most <= 20 * 5 * 1.1 + 5
     assert statuses == {200, 503}
     assert sent > 150
@@ -101,27 +101,29 @@
 def test_request_goes_to_no_more_origins_than_its_route_allows():
     async def scene(stage):
         stage.origin("c")
-        stage.play = lambda key, headers, body: whole(headers["x-request-id"], status=500)
+        stage.respond = lambda key, headers, body: complete_answer(headers["x-request-id"], status=500)
         await request_statuses(stage, 3)
         return max(sum(sent[3]["x-request-id"] == f"r{n}" for sent in stage.sent) for n in range(3))
 
-    assert play(scene) == 2
+    assert run_scenario(scene) == 2
 
 
 def test_unreachable_origin_gets_only_probes_until_it_answers():
     async def scene(stage):
         stage.refused = {"a"}
-        running = asyncio.get_running_loop().create_task(stage.part.run())
+        running = asyncio.get_running_loop().create_task(stage.direct_node.run())
         stage.context.crashed = asyncio.get_running_loop().create_future()
         assert set(await request_statuses(stage, 20, pause=0.1)) == {200}
         tried = stage.connections["a"]
         stage.refused = set()
-        stage.play = lambda key, headers, body: whole(headers.get("x-request-id", ""), x_instance=key)
+        stage.respond = lambda key, headers, body: complete_answer(
+            headers.get("x-request-id", ""), x_instance=key
+        )
         await request_statuses(stage, 60, pause=0.1)
         running.cancel()
         return tried, "a" in stage.instances_asked()
 
-    tried, is_back = play(scene)
+    tried, is_back = run_scenario(scene)
     assert 1 <= tried < 10
     assert is_back
 
@@ -138,9 +140,9 @@
         async def origin(key, headers):
             await asyncio.sleep(slow[key] or 0.004)
             slow[key] = 0.0
-            return direct_edge.whole(headers["x-request-id"])
+            return direct_edge.complete_answer(headers["x-request-id"])
 
-        stage.play = lambda key, headers, body: origin(key, headers)
+        stage.respond = lambda key, headers, body: origin(key, headers)
         # The requests run concurrently, so that both origins get some.
         await asyncio.gather(*(stage.ask(f"/reads/{n}", request_id=f"r{n}") for n in range(8)))
         before = stage.instances_asked().count("a")
@@ -149,5 +151,5 @@
             await asyncio.sleep(0.05)
         return before, stage.instances_asked().count("a")
 
-    before, after = direct_edge.play(scene)
+    before, after = direct_edge.run_scenario(scene)
     assert 0 < before < after
--- a/tests/dataplane/test_exchange_hostile_origins.py
+++ b/tests/dataplane/test_exchange_hostile_origins.py
@@ -111,29 +111,29 @@
     async def scene(stage):
         async def working(headers):
             await asyncio.sleep(0.05)
-            return direct_edge.whole(headers["x-request-id"])
+            return direct_edge.complete_answer(headers["x-request-id"])
 
         # The requests run concurrently, so that each origin is left with idle connections that were used.
-        stage.play = lambda key, headers, body: working(headers)
+        stage.respond = lambda key, headers, body: working(headers)
         await asyncio.gather(*(stage.ask(f"/reads/{n}", request_id=f"r{n}") for n in range(8)))
         assert set(stage.connections) == {"a", "b"}
         before = sum(stage.connections.values())
         stage.sent.clear()
-        stage.play = lambda key, headers, body: direct_edge.whole(
+        stage.respond = lambda key, headers, body: direct_edge.complete_answer(
             headers.get("x-request-id"), status=500 if len(stage.sent) == 1 else 200
         )
         assert (await stage.ask("/objects/1", request_id="o1")).status == 200
         assert [sent[3].get("x-request-id") for sent in stage.sent] == ["o1", None]
         return sum(stage.connections.values()) - before
 
-    assert direct_edge.play(scene) == 1
+    assert direct_edge.run_scenario(scene) == 1
 
 
 def test_unsatisfiable_range_bears_no_seal_of_the_whole_object():
     async def scene(stage):
         return await stage.ask("/objects/1", range="bytes=999-")
 
-    found = direct_edge.play(scene)
+    found = direct_edge.run_scenario(scene)
     assert found.status == 416
     assert "content-digest" not in found.headers
 
@@ -146,4 +146,4 @@
         await stage.ask("/reads/9", request_id="")
         return sum(stage.connections.values()) - before
 
-    assert direct_edge.play(scene) == 1
+    assert direct_edge.run_scenario(scene) == 1
--- a/tests/dataplane/test_spellings.py
+++ b/tests/dataplane/test_spellings.py
@@ -35,7 +35,7 @@
         stage.route("objects", kind="cacheable", host=HOST)
         return await scene(stage)
 
-    return direct_edge.play(with_route)
+    return direct_edge.run_scenario(with_route)
 
 
 def purge(stage, host, path):
@@ -91,7 +91,7 @@
         "route/one": {"name": "one", "host": HOST, "prefix": "/a/", "timeout": 1, "service": "s"},
         "route/two": {"name": "two", "host": host, "prefix": prefix, "timeout": 1, "service": "s"},
     }
-    faults = item_entries.faults_of(contents)
+    faults = item_entries.faults_of_table(contents)
     assert [(fault.item, fault.field) for fault in faults] == [("route/two", "prefix")]
 
 
--- a/tests/dataplane/test_upstream_connections.py
+++ b/tests/dataplane/test_upstream_connections.py
@@ -88,7 +88,7 @@
         await runner.setup()
         await aiohttp.web.TCPSite(runner, "127.0.0.1", 0).start()
         connection = await connections.open_http("127.0.0.1", runner.addresses[0][1])
-        with pytest.raises(errors.UnsealedResultError):
+        with pytest.raises(errors.ResponseIntegrityError):
             await connection.send("GET", "/", {}, b"", 30)
         await connection.close()
         await runner.cleanup()
@@ -103,10 +103,12 @@
         "content-digest": objects.digest_header(body),
         "x-request-id": "mine",
     }
-    objects.check_seal(good, body, "mine")
+    objects.check_integrity(good, body, "mine")
     for broken in ({"content-length": "8"}, {"content-digest": "sha-256=:AA==:"}, {"x-request-id": "x"}):
-        with pytest.raises(errors.UnsealedResultError):
-            objects.check_seal({**good, **broken}, body, "mine")
+        with pytest.raises(errors.ResponseIntegrityError):
+            objects.check_integrity({**good, **broken}, body, "mine")
     for missing in good:
-        with pytest.raises(errors.UnsealedResultError):
-            objects.check_seal({key: value for key, value in good.items() if key != missing}, body, "mine")
+        with pytest.raises(errors.ResponseIntegrityError):
+            objects.check_integrity(
+                {key: value for key, value in good.items() if key != missing}, body, "mine"
+            )
--- a/tests/dataplane/test_upstream_request.py
+++ b/tests/dataplane/test_upstream_request.py
@@ -75,7 +75,7 @@
         return connection
 
     async def scene(stage):
-        pool = stage.part.endpoints
+        pool = stage.direct_node.endpoints
         pool.follow_origin_list()
         for endpoint in pool.endpoints.values():
             endpoint.connect = connect
@@ -83,5 +83,5 @@
             await stage.ask(path, method, x_note="a\n\nPOST /writes/smuggled HTTP/1.1\n")
         return caught.value.status
 
-    assert direct_edge.play(scene) == 400
+    assert direct_edge.run_scenario(scene) == 400
     assert [connection.transport.written for connection in connections if connection.transport.written] == []
--- a/tests/dataplane/test_weighted_splits.py
+++ b/tests/dataplane/test_weighted_splits.py
@@ -4,7 +4,7 @@
 
 import direct_edge
 import pytest
-from direct_edge import UPSTREAM, play
+from direct_edge import UPSTREAM, run_scenario
 
 from irisstand.state import items
 
@@ -31,6 +31,6 @@
         served = collections.Counter("t" if key == "t" else "s" for key in stage.instances_asked())
         return served["t"] / REQUESTS
 
-    share, expected = play(scene), second / (first + second)
+    share, expected = run_scenario(scene), second / (first + second)
     assert abs(share - expected) < SHARE_TOLERANCE
     assert bool(share) == bool(expected)
--- a/tests/http1/test_whole_numbers.py
+++ b/tests/http1/test_whole_numbers.py
@@ -24,6 +24,6 @@
         answer = await stage.ask("/writes/1", "POST", x_remaining_ms=given)
         return answer.status, stage.sent[0][3]["x-remaining-ms"]
 
-    status, remaining_ms = direct_edge.play(scene)
+    status, remaining_ms = direct_edge.run_scenario(scene)
     assert status == 200
     assert 1900 < int(remaining_ms) <= 2000
--- a/tests/support/strict_edge.py
+++ b/tests/support/strict_edge.py
@@ -15,7 +15,7 @@
 ANSWER_SECONDS = 5.0
 
 
-class OriginScene(direct_edge.Scene):
+class OriginScene(direct_edge.DirectNodeHarness):
     """A scene in which all connections to origins go to one address."""
 
     def __init__(self, origin_address, settings):
@@ -44,7 +44,7 @@
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             self.address = probe.getsockname()
-        self.listener = listener.ClientListener(self.context, scene.part, self.address)
+        self.listener = listener.ClientListener(self.context, scene.direct_node, self.address)
         await self.listener.open_when_current()
         return self
 
