--- a/src/irisstand/dataplane/upstream/endpoint_prober.py
+++ b/src/irisstand/dataplane/upstream/endpoint_prober.py
@@ -1,4 +1,4 @@
-"""Health probes of endpoints that are down; the health of all others is known from their traffic."""
+"""Health probes of endpoints that are down; the health of all other endpoints is known from their traffic."""
 
 import asyncio
 
@@ -14,24 +14,24 @@
 
 
 class EndpointProber:
-    """Probes endpoints that are down until they answer as themselves."""
+    """Probes the endpoints that are down until the expected origin instance answers."""
 
     def __init__(
         self,
         context: node_context.NodeContext,
         view: snapshot.ConfigurationSnapshot,
         table: route_table.RouteTable,
-        words: header_names.HeaderNames,
+        names: header_names.HeaderNames,
         endpoints: dict[str, origin_endpoint.Endpoint],
     ) -> None:
         self.context = context
         self.view = view
         self.table = table
-        self.header_names = words
+        self.header_names = names
         self.endpoints = endpoints
 
     async def run(self) -> None:
-        """Start the probes that are due, until cancelled."""
+        """Start a task for each probe that is due, until cancelled."""
         while True:
             now = self.context.clock.now()
             for endpoint in list(self.endpoints.values()):
@@ -42,7 +42,7 @@
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     async def probe(self, endpoint: origin_endpoint.Endpoint) -> None:
-        """Probe one endpoint, and mark it as up or down."""
+        """Probe one endpoint and mark it as up or down."""
         try:
             await self.check(endpoint)
         except FAILURES as error:
@@ -51,7 +51,12 @@
         endpoint.mark_up()
 
     async def check(self, endpoint: origin_endpoint.Endpoint) -> None:
-        """Send one probe; raise one of `FAILURES` unless the endpoint is healthy and the right one."""
+        """Send one probe, and check that the expected instance answers and is healthy.
+
+        Raises:
+            NoOriginError: The endpoint is unhealthy, or another instance answered.
+            OSError, TimeoutError, ValueError, IrisError: No valid response came in time; see `FAILURES`.
+        """
         upstream = self.table.upstreams.get(endpoint.origin.service)
         async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
             connection = await endpoint.acquire(PROBE_TIMEOUT_SECONDS)
@@ -62,4 +67,6 @@
         endpoint.release(connection)
         named = answer.headers.get(self.header_names.instance)
         if answer.status != HEALTHY_STATUS or (named and named != endpoint.instance):
-            raise errors.NoOriginError(f"the probe was answered {answer.status} by {named}")
+            raise errors.NoOriginError(
+                f"the health probe was answered with status {answer.status} by instance {named}"
+            )
--- a/tests/dataplane/test_endpoint_pool.py
+++ b/tests/dataplane/test_endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The draw among origins: what the rules keep out, and bounds over the whole fleet."""
+"""The choice among origin endpoints: endpoints that rules exclude, and limits over the whole fleet."""
 
 import asyncio
 
@@ -10,8 +10,8 @@
 from irisstand.state import items
 
 
-async def asks(stage, number, path="/reads/", pause=0.0):
-    """Statuses of so many requests, 503 for what was refused."""
+async def request_statuses(stage, number, path="/reads/", pause=0.0):
+    """Send `number` requests; return their statuses, or the error's status for a rejected request."""
     found = []
     for index in range(number):
         try:
@@ -26,7 +26,7 @@
     async def scene(stage):
         stage.origin("c", site="east")
         stage.route("reads", kind="idempotent", regions=["two"])
-        assert set(await asks(stage, 30)) == {200}
+        assert set(await request_statuses(stage, 30)) == {200}
         return set(stage.instances_asked())
 
     assert run_scenario(scene) == {"c"}
@@ -39,7 +39,7 @@
             stage.origin("a", state="leaving")
         else:
             stage.put(items.LEDGER, "origin/a", None)
-        assert set(await asks(stage, 30)) == {200}
+        assert set(await request_statuses(stage, 30)) == {200}
         return set(stage.instances_asked())
 
     assert run_scenario(scene) == {"b"}
@@ -55,13 +55,13 @@
         stage.origin("a", site="south")
         await asyncio.sleep(5)
         stage.put(items.LEDGER, "evacuated/north", {"evacuated": True})
-        await asks(stage, 30)
+        await request_statuses(stage, 30)
         assert set(stage.instances_asked()) == {"a"}
         stage.put(items.LEDGER, "evacuated/north", None)
-        await asks(stage, 30)
+        await request_statuses(stage, 30)
         assert set(stage.instances_asked()) == {"a"}
         await asyncio.sleep(direct_edge.SETTINGS.platform_lag + 3.1)
-        await asks(stage, 40)
+        await request_statuses(stage, 40)
         return set(stage.instances_asked())
 
     assert run_scenario(scene) == {"a", "b"}
@@ -73,7 +73,7 @@
         stage.put(items.LEDGER, "origin/b", None)
         stage.origin("a", state="cold", warmup=3)
         await asyncio.sleep(5)
-        await asks(stage, 300, pause=0.01)
+        await request_statuses(stage, 300, pause=0.01)
         times = [sent[4] for sent in stage.sent]
         return max(sum(start <= other < start + 1.0 for other in times) for start in times) if times else 0
 
@@ -86,8 +86,8 @@
     async def scene(stage):
         item = {**direct_edge.UPSTREAM, "version": 9, "rate": 40.0}
         stage.put(items.CONFIGURATION, "upstream/s", {"version": 9, "item": item})
-        crowd = [asks(stage, 200, f"/reads/{number}/", pause=0.05) for number in range(10)]
-        statuses = [status for found in await asyncio.gather(*crowd) for status in found]
+        clients = [request_statuses(stage, 200, f"/reads/{number}/", pause=0.05) for number in range(10)]
+        statuses = [status for found in await asyncio.gather(*clients) for status in found]
         times = [sent[4] for sent in stage.sent]
         most = max(sum(start <= other < start + 5.0 for other in times) for start in times)
         return most, set(statuses), len(times)
@@ -102,7 +102,7 @@
     async def scene(stage):
         stage.origin("c")
         stage.respond = lambda key, headers, body: complete_answer(headers["x-request-id"], status=500)
-        await asks(stage, 3)
+        await request_statuses(stage, 3)
         return max(sum(sent[3]["x-request-id"] == f"r{n}" for sent in stage.sent) for n in range(3))
 
     assert run_scenario(scene) == 2
@@ -113,13 +113,13 @@
         stage.refused = {"a"}
         running = asyncio.get_running_loop().create_task(stage.direct_node.run())
         stage.context.crashed = asyncio.get_running_loop().create_future()
-        assert set(await asks(stage, 20, pause=0.1)) == {200}
+        assert set(await request_statuses(stage, 20, pause=0.1)) == {200}
         tried = stage.connections["a"]
         stage.refused = set()
         stage.respond = lambda key, headers, body: complete_answer(
             headers.get("x-request-id", ""), x_instance=key
         )
-        await asks(stage, 60, pause=0.1)
+        await request_statuses(stage, 60, pause=0.1)
         running.cancel()
         return tried, "a" in stage.instances_asked()
 
@@ -129,7 +129,10 @@
 
 
 def test_origin_that_was_slow_once_is_used_again_though_another_is_faster():
-    """Found by the test of the deployed programs: on a busy machine one was never asked again."""
+    """Guards against an origin that never gets requests again after a slow response.
+
+    The test of the deployed programs on a busy machine found this.
+    """
 
     async def scene(stage):
         slow = {"a": 1.0, "b": 0.0}
@@ -140,7 +143,7 @@
             return direct_edge.complete_answer(headers["x-request-id"])
 
         stage.respond = lambda key, headers, body: origin(key, headers)
-        # At once, so that both are asked.
+        # The requests run concurrently, so that both origins get some.
         await asyncio.gather(*(stage.ask(f"/reads/{n}", request_id=f"r{n}") for n in range(8)))
         before = stage.instances_asked().count("a")
         for number in range(200):
--- a/tests/dataplane/test_exchange_hostile_origins.py
+++ b/tests/dataplane/test_exchange_hostile_origins.py
@@ -1,10 +1,10 @@
-"""What ties an origin's answer to its request, against origins that lie, on real sockets."""
+"""Matching of responses to requests, with origins that send wrong responses, on real sockets."""
 
 import asyncio
 
 import direct_edge
 import pytest
-from test_exchange import ID, answer, ask, talk
+from test_exchange import ID, answer, run_with_origin, send_get
 
 from irisstand.dataplane.upstream import exchange
 
@@ -12,18 +12,18 @@
 
 
 def test_answer_without_an_id_on_a_used_connection_is_not_accepted():
-    """A surplus refusal in the place of the next answer would have an unrepeatable call sent twice."""
+    """Guards against a surplus "did not run" taken for the next response: a write would be sent twice."""
 
     async def origin(number, reader, writer):
         writer.write(answer("a") if number == 1 else NO_ID + answer("b"))
 
-    async def scene(line):
-        await ask(line, "a")
+    async def scene(connection):
+        await send_get(connection, "a")
         with pytest.raises(exchange.ConnectionBrokenError):
-            await ask(line, "b")
-        return line.may_have_sent, line.is_usable()
+            await send_get(connection, "b")
+        return connection.may_have_sent, connection.is_usable()
 
-    assert talk(origin, scene) == (True, False)
+    assert run_with_origin(origin, scene) == (True, False)
 
 
 def test_surplus_answer_on_an_idle_connection_is_not_accepted():
@@ -34,17 +34,17 @@
             await asyncio.sleep(0.05)
             writer.write(NO_ID)
 
-    async def scene(line):
-        await ask(line, "a")
+    async def scene(connection):
+        await send_get(connection, "a")
         await asyncio.sleep(0.03)
-        # The surplus comes while the next request is on its way.
+        # The surplus response arrives while the next request is in flight.
         try:
-            return (await ask(line, "b")).status
+            return (await send_get(connection, "b")).status
         except exchange.ConnectionBrokenError:
             return None
 
-    # Either the idle connection ends by it, or the exchange does; it is never the second's answer.
-    assert talk(origin, scene) in (None, 200)
+    # The surplus response closes the idle connection or fails the second request; it never answers it.
+    assert run_with_origin(origin, scene) in (None, 200)
 
 
 @pytest.mark.parametrize("found", ["other", None])
@@ -53,30 +53,30 @@
         if number == 1:
             writer.write(answer("a"))
             return
-        told = f"{ID}: {found}\r\n" if found else ""
-        writer.write(f"HTTP/1.1 503 Busy\r\n{told}x-not-run: 1\r\ncontent-length: 9\r\n\r\n".encode())
+        id_line = f"{ID}: {found}\r\n" if found else ""
+        writer.write(f"HTTP/1.1 503 Busy\r\n{id_line}x-not-run: 1\r\ncontent-length: 9\r\n\r\n".encode())
 
-    async def scene(line):
-        await ask(line, "a")
+    async def scene(connection):
+        await send_get(connection, "a")
         with pytest.raises(exchange.ConnectionBrokenError):
-            await line.send("HEAD", b"/x", [("host", "h")], b"", "b")
+            await connection.send("HEAD", b"/x", [("host", "h")], b"", "b")
 
-    talk(origin, scene)
+    run_with_origin(origin, scene)
 
 
 def test_connection_answered_before_the_request_was_written_is_not_reused():
     async def origin(number, reader, writer):
         writer.write(answer("a"))
         await writer.drain()
-        # The rest of the request is never read.
+        # The origin never reads the rest of the request.
         await asyncio.sleep(1)
 
-    async def scene(line):
+    async def scene(connection):
         body = b"x" * 32 * 1024 * 1024
-        found = await line.send("POST", b"/x", [("host", "h")], body, "a")
-        return found.status, line.is_usable()
+        found = await connection.send("POST", b"/x", [("host", "h")], body, "a")
+        return found.status, connection.is_usable()
 
-    assert talk(origin, scene) == (200, False)
+    assert run_with_origin(origin, scene) == (200, False)
 
 
 @pytest.mark.parametrize("status", ["204 No Content", "304 Not Modified"])
@@ -84,12 +84,12 @@
     async def origin(number, reader, writer):
         writer.write(f"HTTP/1.1 {status}\r\n{ID}: a\r\n\r\nbytes of nobody".encode())
 
-    async def scene(line):
-        found = await ask(line, "a")
+    async def scene(connection):
+        found = await send_get(connection, "a")
         await asyncio.sleep(0.05)
-        return found.body, line.is_usable()
+        return found.body, connection.is_usable()
 
-    assert talk(origin, scene) == (b"", False)
+    assert run_with_origin(origin, scene) == (b"", False)
 
 
 @pytest.mark.parametrize("status", ["100 Continue", "103 Early Hints", "101 Switching Protocols"])
@@ -97,23 +97,23 @@
     async def origin(number, reader, writer):
         writer.write(f"HTTP/1.1 {status}\r\n\r\n".encode() + answer("a"))
 
-    async def scene(line):
+    async def scene(connection):
         with pytest.raises(exchange.ConnectionBrokenError):
-            await ask(line, "a")
-        return line.is_usable()
+            await send_get(connection, "a")
+        return connection.is_usable()
 
-    assert talk(origin, scene) is False
+    assert run_with_origin(origin, scene) is False
 
 
 def test_retry_of_an_object_has_no_id_and_goes_on_a_fresh_connection():
-    """A surplus answer without an id would be taken, and kept, for another object."""
+    """Guards against a surplus response without an id that is cached as another object."""
 
     async def scene(stage):
         async def working(headers):
             await asyncio.sleep(0.05)
             return direct_edge.complete_answer(headers["x-request-id"])
 
-        # At once, so that each origin has idle connections that were used.
+        # The requests run concurrently, so that each origin is left with idle connections that were used.
         stage.respond = lambda key, headers, body: working(headers)
         await asyncio.gather(*(stage.ask(f"/reads/{n}", request_id=f"r{n}") for n in range(8)))
         assert set(stage.connections) == {"a", "b"}
--- a/tests/dataplane/test_kept_connections.py
+++ b/tests/dataplane/test_kept_connections.py
@@ -1,4 +1,4 @@
-"""Kept connections of clients at the end of their idle time: what is handed on is answered first."""
+"""Client connections at their idle timeout: a request that was accepted is answered before they close."""
 
 import test_listener
 
@@ -7,24 +7,27 @@
 
 
 def play_second_request(order):
-    """Let a kept connection's second request and the end of its idle time come in this order."""
+    """Apply the steps in `order` to a kept-alive connection that has carried one request.
+
+    Return the bytes that the client receives then, and the number of requests that the node handled.
+    """
     asked = []
 
     async def answer(request):
         asked.append(request)
         return await test_listener.quick(request)
 
-    async def scene(face):
-        reader, writer = await face.connect()
+    async def scene(edge):
+        reader, writer = await edge.connect()
         writer.write(HEAD)
         await reader.readuntil(b"whole")
-        (connection,) = face.listener.server.connections
+        (connection,) = edge.listener.server.connections
         connection._time = LONG_AGO
         for step in order:
             step(connection)
-        told = await reader.read(4096)
+        received = await reader.read(4096)
         writer.close()
-        return told, len(asked)
+        return received, len(asked)
 
     return test_listener.play(scene, answer)
 
@@ -38,8 +41,8 @@
 
 
 def test_request_that_comes_before_the_end_of_the_idle_time_is_answered():
-    told, asked = play_second_request([request_comes, idle_time_ends])
-    assert told.startswith(b"HTTP/1.1 200")
+    received, asked = play_second_request([request_comes, idle_time_ends])
+    assert received.startswith(b"HTTP/1.1 200")
     assert asked == 2
 
 
--- a/tests/dataplane/test_reads_through_holders.py
+++ b/tests/dataplane/test_reads_through_holders.py
@@ -15,7 +15,7 @@
     def refuse(*arguments):
         raise errors.LimitExceededError("the rate limit of s is used up")
 
-    node.direct_node.endpoints.enter = refuse
+    node.part.endpoints.take_token = refuse
 
 
 def disable_hedging(site):
--- a/tests/dataplane/test_weighted_splits.py
+++ b/tests/dataplane/test_weighted_splits.py
@@ -1,4 +1,4 @@
-"""Routes with several services: each gets the part of the requests that its weight asks for."""
+"""Routes that split requests over several services: each service gets its weighted fraction."""
 
 import collections
 
@@ -9,8 +9,9 @@
 from irisstand.state import items
 
 REQUESTS = 600
-# Of so many independent draws, four standard deviations of the largest part's share.
-TOLERATED_SHARE = 0.085
+# Four standard deviations of the fraction of `REQUESTS` independent draws that an even split sends to a
+# service.
+SHARE_TOLERANCE = 0.085
 WEIGHTS = [(50, 50), (90, 10), (97, 3), (70, 0)]
 
 
@@ -31,5 +32,5 @@
         return served["t"] / REQUESTS
 
     share, expected = run_scenario(scene), second / (first + second)
-    assert abs(share - expected) < TOLERATED_SHARE
+    assert abs(share - expected) < SHARE_TOLERANCE
     assert bool(share) == bool(expected)
