--- a/tests/dataplane/test_large_configurations.py
+++ b/tests/dataplane/test_large_configurations.py
@@ -122,7 +122,7 @@
         for member in range(2, 5):
             stage.add_member(f"holder-{member}", "holder")
         await asyncio.sleep(1)
-        stage.part.endpoints.take_token(stage.part.table.upstreams["s"], 1.0)
+        stage.direct_node.endpoints.take_token(stage.direct_node.table.upstreams["s"], 1.0)
         return len(names), asked
 
     # A place is of this node's recorded part: which routes are held does not matter to it.
--- a/tests/dataplane/test_object_holders.py
+++ b/tests/dataplane/test_object_holders.py
@@ -103,7 +103,7 @@
         def refuse(*arguments):
             raise errors.LimitExceededError("the rate limit of s is used up")
 
-        site.nodes["holder-1"].part.endpoints.take_token = full
+        site.nodes["holder-1"].direct_node.endpoints.take_token = refuse
         with pytest.raises(errors.LimitExceededError):
             await site.nodes["edge-1"].ask("/objects/1")
         return site.sent()
--- a/tests/dataplane/test_reads_through_holders.py
+++ b/tests/dataplane/test_reads_through_holders.py
@@ -15,7 +15,7 @@
     def refuse(*arguments):
         raise errors.LimitExceededError("the rate limit of s is used up")
 
-    node.part.endpoints.take_token = refuse
+    node.direct_node.endpoints.take_token = refuse
 
 
 def disable_hedging(site):
