--- a/src/irisstand/dataplane/cache/objects.py
+++ b/src/irisstand/dataplane/cache/objects.py
@@ -94,7 +94,7 @@
 
 
 def check_integrity(headers: dict[str, str], body: bytes, request_id: str) -> None:
-    """Check that an answer is complete and belongs to this request.
+    """Check that an origin's response is complete and belongs to the request.
 
     Args:
         headers: The response's headers, names in lower case.
