--- a/src/irisstand/controlplane/api/operator_reads.py
+++ b/src/irisstand/controlplane/api/operator_reads.py
@@ -77,7 +77,7 @@
             irisstand.errors.StaleConfigurationError: They could not be confirmed in time.
             irisstand.errors.DrainingError: This node is shutting down.
         """
-        with self.context.drain_guard.answer_at_end(lambda: drain_guard.WorkState.WITHDRAWABLE):
+        with self.context.drain_guard.fail_at_end(lambda: drain_guard.WorkState.WITHDRAWABLE):
             await self.read_index.confirm(*tables)
 
     async def get_rows(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
--- a/src/irisstand/controlplane/program.py
+++ b/src/irisstand/controlplane/program.py
@@ -28,7 +28,7 @@
 LISTENER_DELAY_SECONDS = 0.4
 
 
-async def assemble(settings: node_settings.Settings, events: event_log.EventLog) -> process_runner.Opened:
+async def assemble(settings: node_settings.Settings, events: event_log.EventLog) -> process_runner.OpenedNode:
     """Open a control plane node that follows the platform named in the settings, if any."""
     fetch_origins = (
         origin_source.http_origin_source(settings.platform) if settings.platform is not None else None
@@ -40,7 +40,7 @@
     fetch_origins: origin_source.FetchOrigins | None,
     settings: node_settings.Settings,
     events: event_log.EventLog,
-) -> process_runner.Opened:
+) -> process_runner.OpenedNode:
     """Open a control plane node that fetches the platform's origins in a given way.
 
     Returns:
--- a/src/irisstand/counters.py
+++ b/src/irisstand/counters.py
@@ -14,21 +14,21 @@
     def __init__(self, clock: clocks.Clock, window_seconds: float = 4.0) -> None:
         self.clock = clock
         self.window_seconds = window_seconds
-        self.moments: collections.deque[float] = collections.deque()
+        self.event_times: collections.deque[float] = collections.deque()
 
     def record(self) -> None:
         """Count one event at the present moment."""
-        self.moments.append(self.clock.now())
-        self._remove_old_moments()
+        self.event_times.append(self.clock.now())
+        self._remove_old_events()
 
     def per_second(self) -> float:
         """Return the rate over the window."""
-        self._remove_old_moments()
-        return len(self.moments) / self.window_seconds
+        self._remove_old_events()
+        return len(self.event_times) / self.window_seconds
 
-    def _remove_old_moments(self) -> None:
-        while self.moments and self.moments[0] <= self.clock.now() - self.window_seconds:
-            self.moments.popleft()
+    def _remove_old_events(self) -> None:
+        while self.event_times and self.event_times[0] <= self.clock.now() - self.window_seconds:
+            self.event_times.popleft()
 
 
 class Counters:
--- a/src/irisstand/dataplane/cache/object_holders.py
+++ b/src/irisstand/dataplane/cache/object_holders.py
@@ -125,7 +125,7 @@
         )
         read = holder_read.HolderRead(holder.identity.name, call, fetch_own, check_holder)
         # The holder works on the request, so it may stay in flight until the end of a drain.
-        with self.context.drain_guard.answer_at_end(lambda: drain_guard.WorkState.WITHDRAWABLE):
+        with self.context.drain_guard.fail_at_end(lambda: drain_guard.WorkState.WITHDRAWABLE):
             return await read.run(read_policy)
 
     def request_for(
--- a/src/irisstand/dataplane/http/listener.py
+++ b/src/irisstand/dataplane/http/listener.py
@@ -212,7 +212,7 @@
             errors.DrainingError: The node is draining.
         """
         if self.context.is_draining:
-            raise drain_guard.draining_error()
+            raise drain_guard.make_draining_error()
 
     def count_own_answer(self, error: errors.IrisError, started_at: float) -> None:
         """Count an answer of this node's own by code, stage of a shutdown, and whether it came late."""
--- a/src/irisstand/dataplane/http/sanic_adapter.py
+++ b/src/irisstand/dataplane/http/sanic_adapter.py
@@ -48,7 +48,7 @@
         is_read = request.method in edge_node.READ_METHODS
         work_state = (lambda: WorkState.WITHDRAWABLE) if is_read else (lambda: WorkState.BEGUN)
         try:
-            with client_departures.counted(context.counters), context.drain_guard.answer_at_end(work_state):
+            with client_departures.counted(context.counters), context.drain_guard.fail_at_end(work_state):
                 result = await self.edge.handle(asked)
         except errors.IrisError as error:
             return web.error_response(error)
--- a/src/irisstand/dataplane/nodes/idempotency_keys.py
+++ b/src/irisstand/dataplane/nodes/idempotency_keys.py
@@ -71,7 +71,7 @@
         attempt = self.attempt_id(request_id)
         # The write goes on if its client disconnects: if it were cancelled, its result could never be
         # recorded, and the client may repeat it with the same key at any time (docs/departures.md).
-        return await self.context.carry_on(self.run_claimed(key, attempt, fingerprint, send_write))
+        return await self.context.run_to_completion(self.run_claimed(key, attempt, fingerprint, send_write))
 
     async def run_claimed(
         self, key: str, attempt: str, fingerprint: str, send_write: SendWrite
--- a/src/irisstand/dataplane/program.py
+++ b/src/irisstand/dataplane/program.py
@@ -14,7 +14,7 @@
 from irisstand.transport import network  # noqa: E402 - after the signal
 
 
-async def assemble(settings: node_settings.Settings, log: event_log.EventLog) -> process_runner.Opened:
+async def assemble(settings: node_settings.Settings, log: event_log.EventLog) -> process_runner.OpenedNode:
     """Open a node and its listeners.
 
     Args:
--- a/src/irisstand/dataplane/upstream/client.py
+++ b/src/irisstand/dataplane/upstream/client.py
@@ -125,7 +125,7 @@
             IrisError: the request is rejected.
         """
         call = Call(route, service, request, headers, self.policy_for(route, service, remaining))
-        with self.context.drain_guard.answer_at_end(call.work_state):
+        with self.context.drain_guard.fail_at_end(call.work_state):
             decision = await self.decide(call)
         if isinstance(decision, actions.Reject):
             self.context.counters.add("rejected", code=decision.error.code)
--- a/src/irisstand/drain_guard.py
+++ b/src/irisstand/drain_guard.py
@@ -23,15 +23,15 @@
     FINISHED = enum.auto()
 
 
-StateOf = collections.abc.Callable[[], WorkState]
+GetWorkState = collections.abc.Callable[[], WorkState]
 
 
 class GuardedTask:
     """A task inside the guard, how far its work is, and what it is ended with."""
 
-    def __init__(self, task: asyncio.Task[object] | None, state_of: StateOf) -> None:
+    def __init__(self, task: asyncio.Task[object] | None, get_state: GetWorkState) -> None:
         self.task = task
-        self.state_of = state_of
+        self.get_state = get_state
         self.error: errors.IrisError | None = None
 
     def end(self, error: errors.IrisError) -> None:
@@ -49,17 +49,17 @@
         self.guarded: dict[GuardedTask, None] = {}
 
     @contextlib.contextmanager
-    def answer_at_end(self, state_of: StateOf) -> collections.abc.Iterator[None]:
+    def fail_at_end(self, get_state: GetWorkState) -> collections.abc.Iterator[None]:
         """Answer what the block works on when the drain is nearly over.
 
         Args:
-            state_of: Returns how far the work is.
+            get_state: Returns how far the work is.
 
         Raises:
             errors.DrainingError: The drain was nearly over, and the work has not run or may run again.
             errors.OutcomeUnknownError: The drain was over, and an origin may have run the work.
         """
-        entry = GuardedTask(asyncio.current_task(), state_of)
+        entry = GuardedTask(asyncio.current_task(), get_state)
         self.guarded[entry] = None
         try:
             yield
@@ -74,21 +74,21 @@
     def refuse_unsent(self) -> None:
         """End all work of which nothing was sent yet."""
         for entry in list(self.guarded):
-            if entry.state_of() is WorkState.UNSENT:
-                entry.end(draining_error())
+            if entry.get_state() is WorkState.UNSENT:
+                entry.end(make_draining_error())
 
-    def end_rest(self) -> None:
+    def end_unfinished(self) -> None:
         """End all other work but what is finished."""
         for entry in list(self.guarded):
-            match entry.state_of():
+            match entry.get_state():
                 case WorkState.UNSENT | WorkState.WITHDRAWABLE:
-                    entry.end(draining_error())
+                    entry.end(make_draining_error())
                 case WorkState.BEGUN:
                     entry.end(errors.OutcomeUnknownError("this node stops while an origin is at work on it"))
                 case WorkState.FINISHED:
                     pass
 
 
-def draining_error() -> errors.DrainingError:
+def make_draining_error() -> errors.DrainingError:
     """Return the refusal of a node that shuts down; another node can be asked at once."""
     return errors.DrainingError("this node is shutting down", retry_after=RETRY_AFTER_SECONDS)
--- a/src/irisstand/node_context.py
+++ b/src/irisstand/node_context.py
@@ -13,10 +13,10 @@
 Result = typing.TypeVar("Result")
 
 # The end of a drain, in which work that cannot be finished is answered with an error that says so.
-FINAL_ANSWERS_SECONDS = 0.3
+FINAL_RESPONSES_SECONDS = 0.3
 DRAIN_CHECK_SECONDS = 0.02
 # For the last messages to get out of the socket buffers.
-LEAVE_SECONDS = 0.05
+LEAVE_FLUSH_SECONDS = 0.05
 
 
 class NodeContext(node_tables.NodeTables):
@@ -73,7 +73,7 @@
         self.crashed: asyncio.Future[None] | None = None
         self.close_callbacks: list[collections.abc.Callable[[], None]] = []
         self.tasks: dict[asyncio.Task[typing.Any], None] = {}
-        self.carried_on: set[asyncio.Task[typing.Any]] = set()
+        self.detached_tasks: set[asyncio.Task[typing.Any]] = set()
 
     async def on_load(self, _sender: str, _body: typing.Any) -> float:
         """Answer with this node's load in requests per second."""
@@ -114,17 +114,19 @@
     def count_until_done(self, task: asyncio.Task[typing.Any]) -> None:
         """Count a task as in flight from now until it ends."""
         self.in_flight += 1
-        self.carried_on.add(task)
-        task.add_done_callback(self.on_carried_on_done)
+        self.detached_tasks.add(task)
+        task.add_done_callback(self.on_detached_task_done)
 
-    def on_carried_on_done(self, task: asyncio.Task[typing.Any]) -> None:
+    def on_detached_task_done(self, task: asyncio.Task[typing.Any]) -> None:
         """Count work as ended; its exception counts as retrieved, also where nobody waits for it."""
         self.in_flight -= 1
-        self.carried_on.discard(task)
+        self.detached_tasks.discard(task)
         if not task.cancelled():
             task.exception()
 
-    async def carry_on(self, coroutine: collections.abc.Coroutine[typing.Any, typing.Any, Result]) -> Result:
+    async def run_to_completion(
+        self, coroutine: collections.abc.Coroutine[typing.Any, typing.Any, Result]
+    ) -> Result:
         """Await work that goes on to its own end also when whoever awaits it is cancelled.
 
         Raises:
@@ -170,7 +172,7 @@
         started_at = self.clock.now()
         end = started_at + self.settings.drain
         while (self.has_pending_work() or self.in_flight) and self.clock.now() < end:
-            if self.clock.now() >= end - FINAL_ANSWERS_SECONDS:
+            if self.clock.now() >= end - FINAL_RESPONSES_SECONDS:
                 self._announce_drain_ending()
             await asyncio.sleep(DRAIN_CHECK_SECONDS)
         event_log.record(
@@ -179,9 +181,9 @@
             in_flight=self.in_flight,
             connections=self.has_pending_work(),
         )
-        self.drain_guard.end_rest()
+        self.drain_guard.end_unfinished()
         self.detector.leave()
-        await asyncio.sleep(LEAVE_SECONDS)
+        await asyncio.sleep(LEAVE_FLUSH_SECONDS)
 
     def has_pending_work(self) -> bool:
         """Return whether a drain has to last for work that is not in flight; all checks are made."""
@@ -196,7 +198,7 @@
         """Stop all tasks and close all ports."""
         for callback in self.close_callbacks:
             callback()
-        for task in [*self.tasks, *self.carried_on]:
+        for task in [*self.tasks, *self.detached_tasks]:
             task.cancel()
         await self.transport.close()
         if self.detector.port is not None:
--- a/src/irisstand/node_settings.py
+++ b/src/irisstand/node_settings.py
@@ -158,7 +158,7 @@
         setting_parsers.number_between(0, 100), "how many times its rate a cold origin may get in a second"
     ),
 }
-OPTIONAL = set(Settings._field_defaults)
+OPTIONAL_SETTINGS = set(Settings._field_defaults)
 
 
 def read_file(path: str) -> dict[str, typing.Any]:
@@ -188,10 +188,10 @@
         given = {**given, "role": "agency"}
     faults: list[str] = []
     checked = _parse_all(given, faults)
-    faults += _missing(given, program)
-    faults += _contradictions(checked, program)
+    faults += _find_missing(given, program)
+    faults += _find_contradictions(checked, program)
     if program == CONTROL_PLANE_PROGRAM and isinstance(given.get("data"), str) and "data" in checked:
-        faults += _folder_faults(checked["data"])
+        faults += _find_folder_faults(checked["data"])
     if faults:
         raise errors.SettingsError(faults)
     return Settings(**checked)
@@ -210,13 +210,13 @@
     return checked
 
 
-def _missing(given: dict[str, typing.Any], program: str) -> list[str]:
-    required = [key for key in Settings._fields if key not in OPTIONAL]
+def _find_missing(given: dict[str, typing.Any], program: str) -> list[str]:
+    required = [key for key in Settings._fields if key not in OPTIONAL_SETTINGS]
     required.append("data" if program == CONTROL_PLANE_PROGRAM else "role")
     return [f"{key}: nothing is set; give {REGISTRY[key].help_text}" for key in required if key not in given]
 
 
-def _contradictions(checked: dict[str, typing.Any], program: str) -> list[str]:
+def _find_contradictions(checked: dict[str, typing.Any], program: str) -> list[str]:
     faults: list[str] = []
     role = checked.get("role")
     http_port = checked.get("http_port")
@@ -232,7 +232,7 @@
     return faults
 
 
-def _folder_faults(folder: str) -> list[str]:
+def _find_folder_faults(folder: str) -> list[str]:
     path = pathlib.Path(folder)
     if path.is_dir() or (not path.exists() and path.parent.is_dir()):
         return []
--- a/src/irisstand/process_runner.py
+++ b/src/irisstand/process_runner.py
@@ -15,7 +15,7 @@
 from irisstand import errors, event_log, node_context, node_settings, settings_reload
 
 # What the last steps of a shutdown may take beyond the settings farewell and drain.
-END_MARGIN_SECONDS = 0.35
+SHUTDOWN_MARGIN_SECONDS = 0.35
 
 EXIT_OK = 0
 EXIT_CRASH = 1
@@ -23,10 +23,10 @@
 
 StopListening = collections.abc.Callable[[], collections.abc.Awaitable[None]]
 # An open node, and what closes its listeners.
-Opened = tuple[node_context.NodeContext, StopListening]
+OpenedNode = tuple[node_context.NodeContext, StopListening]
 ReadSettings = collections.abc.Callable[[], node_settings.Settings]
 Assemble = collections.abc.Callable[
-    [node_settings.Settings, event_log.EventLog], collections.abc.Awaitable[Opened]
+    [node_settings.Settings, event_log.EventLog], collections.abc.Awaitable[OpenedNode]
 ]
 
 
@@ -55,8 +55,8 @@
         end_process(run(checked, assemble, read_settings))
 
     name = f"irisstand-{program}"
-    made = click.Command(name, callback=callback, params=_options(program), help=help_text)
-    return click.version_option(irisstand.VERSION, prog_name=name)(made)
+    click_command = click.Command(name, callback=callback, params=_options(program), help=help_text)
+    return click.version_option(irisstand.VERSION, prog_name=name)(click_command)
 
 
 def _options(program: str) -> list[click.Parameter]:
@@ -87,12 +87,12 @@
         return EXIT_CRASH
 
 
-def bound_end(settings: node_settings.Settings) -> None:
+def limit_shutdown_time(settings: node_settings.Settings) -> None:
     """End this process in its time, whatever still keeps it: a thread in a stalled write, or a task.
 
     By then nothing is answered any more, and to the disk it is the same as a kill, which it withstands.
     """
-    allowed_seconds = settings.farewell + settings.drain + END_MARGIN_SECONDS
+    allowed_seconds = settings.farewell + settings.drain + SHUTDOWN_MARGIN_SECONDS
     timer = threading.Timer(allowed_seconds, os._exit, (EXIT_OK,))
     timer.daemon = True
     timer.start()
@@ -118,8 +118,8 @@
     stop = asyncio.Event()
     reload = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, reload.set)
     try:
         context, stop_listening = await assemble(settings, log)
@@ -130,11 +130,11 @@
         print(f"irisstand: {error.code}: {error}; {error.remedy}", file=sys.stderr)
         return EXIT_USAGE
     if read_settings is not None:
-        context.start_task(settings_reload.follow(context, reload, read_settings), "settings")
+        context.start_task(settings_reload.reload_repeatedly(context, reload, read_settings), "settings")
     crashed = context.crashed
     assert crashed is not None, "an open node has this future"
-    ends: list[asyncio.Future[typing.Any]] = [loop.create_task(stop.wait()), crashed]
-    await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
+    end_futures: list[asyncio.Future[typing.Any]] = [loop.create_task(stop.wait()), crashed]
+    await asyncio.wait(end_futures, return_when=asyncio.FIRST_COMPLETED)
     if crashed.done():
         return _report_crash(crashed.exception(), log)
     await _shut_down(context, stop_listening)
@@ -147,9 +147,9 @@
 
 def _ignore_further_signals(loop: asyncio.AbstractEventLoop) -> None:
     # The loop would give back their defaults, which end the process in place of its last steps.
-    for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        loop.remove_signal_handler(number)
-        signal.signal(number, signal.SIG_IGN)
+    for signal_number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+        loop.remove_signal_handler(signal_number)
+        signal.signal(signal_number, signal.SIG_IGN)
 
 
 def _report_crash(error: BaseException | None, log: event_log.EventLog) -> int:
@@ -164,7 +164,7 @@
     # Balancers and peers first learn that this node leaves; until then it serves as before. A listener
     # closed at once would reset connections that were made but not yet accepted.
     context.is_lame_duck = True
-    bound_end(context.settings)
+    limit_shutdown_time(context.settings)
     await asyncio.sleep(context.settings.farewell)
     await stop_listening()
     await context.drain()
--- a/src/irisstand/setting_parsers.py
+++ b/src/irisstand/setting_parsers.py
@@ -24,12 +24,12 @@
     return str(value)
 
 
-def number_between(low: float, high: float, kind: type[int] | type[float] = float) -> Parser:
+def number_between(low: float, high: float, number_type: type[int] | type[float] = float) -> Parser:
     """Return a parser of numbers from `low` to `high`, both included."""
 
     def parse(value: typing.Any) -> float:
         try:
-            number = kind(value)
+            number = number_type(value)
         except (TypeError, ValueError):
             raise ValueError(f"give a number from {low} to {high}") from None
         if isinstance(value, bool) or not low <= number <= high:
--- a/src/irisstand/settings_reload.py
+++ b/src/irisstand/settings_reload.py
@@ -10,7 +10,7 @@
 # The file may change without a signal; seeds are needed only when all peers are gone.
 RECHECK_INTERVAL_SECONDS = 10.0
 # Bootstrapping concerns only the next start, so a change of it needs no report.
-SILENT_SETTINGS = ("seeds", "may_found")
+UNREPORTED_SETTINGS = ("seeds", "may_found")
 
 
 def apply_settings(context: node_context.NodeContext, settings: node_settings.Settings) -> list[str]:
@@ -23,37 +23,37 @@
         context.joiner.set_seeds(settings.seeds)
         context.settings = current._replace(seeds=settings.seeds)
         event_log.record("settings", seeds=[list(seed) for seed in settings.seeds])
-    return [name for name in changed if name not in SILENT_SETTINGS]
+    return [name for name in changed if name not in UNREPORTED_SETTINGS]
 
 
-async def follow(
+async def reload_repeatedly(
     context: node_context.NodeContext,
-    signalled: asyncio.Event,
+    reload_requested: asyncio.Event,
     read_settings: collections.abc.Callable[[], node_settings.Settings],
 ) -> None:
     """Read the settings again on each signal and now and then; invalid ones are reported and change nothing.
 
     Args:
         context: The node whose settings are followed.
-        signalled: Set by the signal; cleared here.
+        reload_requested: Set by the signal; cleared here.
         read_settings: Reads and checks the settings; raises SettingsError.
     """
     reported: list[str] = []
     while True:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(RECHECK_INTERVAL_SECONDS):
-                await signalled.wait()
-        is_signalled = signalled.is_set()
-        signalled.clear()
-        faults = _apply_again(context, read_settings)
+                await reload_requested.wait()
+        is_requested = reload_requested.is_set()
+        reload_requested.clear()
+        faults = _reload(context, read_settings)
         # Reported once for each change, and again to whoever sends a signal.
-        if faults and (is_signalled or faults != reported):
+        if faults and (is_requested or faults != reported):
             lines = [f"irisstand: settings: {fault}" for fault in faults]
             print("\n".join(lines), file=sys.stderr, flush=True)
         reported = faults
 
 
-def _apply_again(
+def _reload(
     context: node_context.NodeContext,
     read_settings: collections.abc.Callable[[], node_settings.Settings],
 ) -> list[str]:
--- a/src/irisstand/web.py
+++ b/src/irisstand/web.py
@@ -16,7 +16,7 @@
 
 BODY_LIMIT_BYTES = 4 * 1024 * 1024
 # An edge listens after that time even if its tables are not current.
-OPENING_LIMIT_SECONDS = 30.0
+OPENING_TIMEOUT_SECONDS = 30.0
 OPENING_CHECK_SECONDS = 0.02
 SANIC_CONFIG = {
     "MOTD": False,
@@ -105,7 +105,7 @@
         started_at = clock.now()
         while not all(map(self.context.is_current, self.context.replicas.values())):
             # A long quorum loss is no reason to be unreachable: people need to see why.
-            if clock.now() - started_at > OPENING_LIMIT_SECONDS:
+            if clock.now() - started_at > OPENING_TIMEOUT_SECONDS:
                 break
             await asyncio.sleep(OPENING_CHECK_SECONDS)
         if not self.context.is_lame_duck:
--- a/tests/controlplane/test_placement.py
+++ b/tests/controlplane/test_placement.py
@@ -124,7 +124,7 @@
         before = {o.instance: len(o.started) for o in day.actors.origins}
         shields = {n: cluster.context(day, n).load_gauge for n in day.cluster.nodes if n.startswith("shield")}
         for gauge in shields.values():
-            gauge.moments.clear()
+            gauge.event_times.clear()
         for number in range(60):
             for edge in ("edge-1", "edge-2"):
                 counts[(edge, (await day.actors.ask(edge, "GET", f"/shortlists/{number}"))[:2])] += 1
@@ -133,8 +133,10 @@
         for origin in day.actors.origins:
             if origin.site == site:
                 assert len(origin.started) == before[origin.instance]
-        assert all(not g.moments for n, g in shields.items() if day.cluster.nodes[n].placement.site == site)
-        assert any(g.moments for g in shields.values())
+        assert all(
+            not g.event_times for n, g in shields.items() if day.cluster.nodes[n].placement.site == site
+        )
+        assert any(g.event_times for g in shields.values())
         await day.actors.order("agency-4", "return", site)
         await asyncio.sleep(3)
         assert (await day.actors.ask("edge-1", "GET", "/shortlists/1"))[0] == 200
--- a/tests/dataplane/test_keyed_departures.py
+++ b/tests/dataplane/test_keyed_departures.py
@@ -38,9 +38,9 @@
         await asyncio.sleep(0.05)
         shields = [node.program.context for node in day.cluster.with_role("shield")]
         carried_on = sum(context.counters.total("attempts_carried_on") for context in shields)
-        counted = sum(len(context.carried_on) for context in shields)
+        counted = sum(len(context.detached_tasks) for context in shields)
         await asyncio.sleep(1)
-        left = sum(len(context.carried_on) + context.in_flight for context in shields)
+        left = sum(len(context.detached_tasks) + context.in_flight for context in shields)
         runs = [runs for number, runs in day.actors.records.executions.items() if "application" in number]
         return carried_on, counted, left, runs
 
--- a/tests/dataplane/test_popularity.py
+++ b/tests/dataplane/test_popularity.py
@@ -15,7 +15,7 @@
     counts = collections.Counter()
     for gauge in gauges.values():
         gauge.window = 1000.0
-        gauge.moments.clear()
+        gauge.event_times.clear()
     requests = []
     for number in range(int(rate * seconds)):
         edge = f"edge-{number % 2 + 1}"
@@ -24,7 +24,7 @@
     results = await asyncio.gather(*requests)
     assert {status for status, _, _ in results} == {200}
     for name, gauge in gauges.items():
-        counts[name] = len(gauge.moments)
+        counts[name] = len(gauge.event_times)
     return [count for count in counts.values() if count]
 
 
--- a/tests/mutation/departure_mutations.py
+++ b/tests/mutation/departure_mutations.py
@@ -56,7 +56,7 @@
     ),
     (
         "dataplane/nodes/idempotency_keys.py",
-        "        return await self.context.carry_on(self.run_claimed(key, attempt, fingerprint, send_write))\n",
+        "        return await self.context.run_to_completion(self.run_claimed(key, attempt, fingerprint, send_write))\n",
         "        return await self.run_claimed(key, attempt, fingerprint, send_write)\n",
         KEYS + "::test_keyed_write_whose_client_left_is_carried_on_and_its_result_kept",
     ),
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -224,5 +224,5 @@
         "        if False:",
         "transport/test_incarnations.py",
     ),
-    ("process_runner.py", "    bound_end(context.settings)\n", "", "programs/test_shutdown.py"),
+    ("process_runner.py", "    limit_shutdown_time(context.settings)\n", "", "programs/test_shutdown.py"),
 ]
--- a/tests/mutation/shutdown_mutations.py
+++ b/tests/mutation/shutdown_mutations.py
@@ -53,7 +53,7 @@
     ),
     (
         "controlplane/api/operator_reads.py",
-        "        with self.context.drain_guard.answer_at_end(lambda: drain_guard.WorkState.WITHDRAWABLE):\n",
+        "        with self.context.drain_guard.fail_at_end(lambda: drain_guard.WorkState.WITHDRAWABLE):\n",
         "        if True:\n",
         "programs/test_stopping_listeners.py",
     ),
@@ -65,7 +65,7 @@
     ),
     (
         "dataplane/http/sanic_adapter.py",
-        ", context.drain_guard.answer_at_end(work_state)",
+        ", context.drain_guard.fail_at_end(work_state)",
         "",
         "programs/test_stopping_listeners.py",
     ),
--- a/tests/programs/test_deployed_programs.py
+++ b/tests/programs/test_deployed_programs.py
@@ -14,120 +14,122 @@
 from irisstand.emulators import upstream_emulator
 
 
-def play(scene, folder):
-    async def whole():
-        async with deployed_programs.Fleet(folder) as fleet:
-            await fleet.founded()
-            return await scene(fleet)
+def run_scenario(scenario, folder):
+    async def run():
+        async with deployed_programs.DeployedNetwork(folder) as network:
+            await network.wait_until_serving()
+            return await scenario(network)
 
-    return asyncio.run(whole())
+    return asyncio.run(run())
 
 
 def test_deployed_programs_serve_requests_changes_purges_evacuations_and_a_graceful_shutdown(tmp_path):
-    async def scene(fleet):
+    async def scenario(network):
         # Requests of each kind; what comes back is what the origin sealed, under the asker's own id.
         for path, method, body in (
             ("/objects/1", "GET", None),
             ("/reads/1?a=%20b", "GET", None),
             ("/writes/1", "POST", b"claim"),
         ):
-            status, headers, content = await fleet.ask(path, method, body, request_id="r-" + path[1:4])
+            status, headers, content = await network.send_request(
+                path, method, body, request_id="r-" + path[1:4]
+            )
             assert status == 200, path
-            assert upstream_emulator.is_whole(deployed_programs.WORDS, headers, content), path
+            assert upstream_emulator.is_whole(deployed_programs.HEADER_NAMES, headers, content), path
             assert headers["Attempt-Id"] == "r-" + path[1:4]
-        assert [run.target for run in fleet.runs("app") if "?" in run.target] == ["/reads/1?a=%20b"]
-        assert [run.body for run in fleet.runs("app") if run.method == "POST"] == [b"claim"]
-        status, headers, part = await fleet.ask("/objects/1", request_id="r9", Range="bytes=5-9")
+        assert [run.target for run in network.origin_runs("app") if "?" in run.target] == ["/reads/1?a=%20b"]
+        assert [run.body for run in network.origin_runs("app") if run.method == "POST"] == [b"claim"]
+        status, headers, part = await network.send_request("/objects/1", request_id="r9", Range="bytes=5-9")
         assert status == 206
         assert len(part) == 5
         assert headers["Attempt-Id"] == "r9"
-        assert (await fleet.ask("/nowhere/1"))[0] == 404
+        assert (await network.send_request("/nowhere/1"))[0] == 404
         # A change, an older one after it, a removal, and the table read back at another node.
-        fleet.version = 7
-        change = {"put": {"routes": [fleet.route("later", "idempotent", "app")]}}
-        assert await fleet.took(change, node=2)
-        await fleet.wait_until(lambda: fleet.answers("/later/1", 200), 2)
-        fleet.version = 5
-        old = {"put": {"routes": [fleet.route("later", "idempotent", "app", prefix="/older/")]}}
-        assert await fleet.took(old, node=3)
-        assert await fleet.answers("/later/1", 200)
-        assert await fleet.answers("/older/1", 404)
-        assert await fleet.took({"drop": {"routes": [{"name": "later", "version": 8}]}}, node=3)
-        await fleet.wait_until(lambda: fleet.answers("/later/1", 404), 2)
-        found = (await fleet.call("GET", "/items", node=2))[1]
+        network.version = 7
+        change = {"put": {"routes": [network.route("later", "idempotent", "app")]}}
+        assert await network.accepts(change, node=2)
+        await network.wait_until(lambda: network.responds_with("/later/1", 200), 2)
+        network.version = 5
+        old = {"put": {"routes": [network.route("later", "idempotent", "app", prefix="/older/")]}}
+        assert await network.accepts(old, node=3)
+        assert await network.responds_with("/later/1", 200)
+        assert await network.responds_with("/older/1", 404)
+        assert await network.accepts({"drop": {"routes": [{"name": "later", "version": 8}]}}, node=3)
+        await network.wait_until(lambda: network.responds_with("/later/1", 404), 2)
+        found = (await network.call("GET", "/items", node=2))[1]
         assert {route["name"] for route in found["routes"]} == {"objects", "reads", "writes"}
         assert found["limits"]["body_bytes"] == 100000
         # Invalid calls are refused whole, and change nothing.
         for call in (
             b'{"put": {"rou',
-            {"put": {"routes": [fleet.route("x", "idempotent", "nobody")]}},
-            {"put": {"routes": [fleet.route("x", "idempotent", "app", timeout=0)]}},
+            {"put": {"routes": [network.route("x", "idempotent", "nobody")]}},
+            {"put": {"routes": [network.route("x", "idempotent", "app", timeout=0)]}},
             {"put": 7},
-            {"put": {"routes": [fleet.route("x", "idempotent", "app", prefix="/reads/")]}},
+            {"put": {"routes": [network.route("x", "idempotent", "app", prefix="/reads/")]}},
         ):
-            status, _ = await fleet.call("POST", "/amendments", call)
+            status, _ = await network.call("POST", "/amendments", call)
             assert 400 <= status < 500, call
-        assert (await fleet.call("GET", "/items", node=3))[1] == found
+        assert (await network.call("GET", "/items", node=3))[1] == found
         # Purges by path and by tag: what was changed before them is not given out after.
         for purge in ({"host": deployed_programs.HOST, "path": "/objects/1"}, {"tag": "t-content"}):
-            before = (await fleet.ask("/objects/1"))[2]
-            for origin in fleet.origins:
+            before = (await network.send_request("/objects/1"))[2]
+            for origin in network.origins:
                 origin.versions["/objects/1"] += 1
-            assert (await fleet.ask("/objects/1"))[2] == before
-            assert (await fleet.call("POST", "/purges", purge))[0] == 200
+            assert (await network.send_request("/objects/1"))[2] == before
+            assert (await network.call("POST", "/purges", purge))[0] == 200
 
             async def is_new(before=before):
-                return (await fleet.ask("/objects/1"))[2] != before
+                return (await network.send_request("/objects/1"))[2] != before
 
-            await fleet.wait_until(is_new, 2)
+            await network.wait_until(is_new, 2)
         # An evacuated zone's origins get nothing, and something again after its end.
-        assert (await fleet.call("PUT", "/sites/z1/evacuation"))[0] == 200
+        assert (await network.call("PUT", "/sites/z1/evacuation"))[0] == 200
         await asyncio.sleep(0.6)
-        away = next(o for o in fleet.origins if o.instance == "i-app1")
-        count = away.arrivals
+        evacuated_origin = next(origin for origin in network.origins if origin.instance == "i-app1")
+        count = evacuated_origin.arrivals
         for number in range(30):
-            assert (await fleet.ask(f"/reads/{number}"))[0] == 200
-        assert away.arrivals == count
-        assert (await fleet.call("DELETE", "/sites/z1/evacuation"))[0] == 200
+            assert (await network.send_request(f"/reads/{number}"))[0] == 200
+        assert evacuated_origin.arrivals == count
+        assert (await network.call("DELETE", "/sites/z1/evacuation"))[0] == 200
 
         async def is_back():
-            await fleet.ask("/reads/1")
-            return away.arrivals > count
+            await network.send_request("/reads/1")
+            return evacuated_origin.arrivals > count
 
-        await fleet.wait_until(is_back, 10)
+        await network.wait_until(is_back, 10)
         # Settings that change are taken up without an end; what cannot change is told.
-        settings = pathlib.Path(fleet.folder) / "edge-1.toml"
+        settings = pathlib.Path(network.folder) / "edge-1.toml"
         kept = settings.read_text()
         for spoilt in ("internal_ports = 7\n", "ip = ", kept):
             settings.write_text(spoilt)
-            fleet.processes["edge-1"].send_signal(signal.SIGHUP)
+            network.processes["edge-1"].send_signal(signal.SIGHUP)
             await asyncio.sleep(0.3)
-        assert fleet.processes["edge-1"].returncode is None
-        assert await fleet.ready() == 200
+        assert network.processes["edge-1"].returncode is None
+        assert await network.readiness_status() == 200
         # A planned end: readiness goes first, and what is under way gets its answer.
-        for origin in fleet.origins:
+        for origin in network.origins:
             origin.faults["slow"] = 1.5
-        asking = asyncio.create_task(fleet.ask("/writes/2", "POST", b"last"))
+        pending_request = asyncio.create_task(network.send_request("/writes/2", "POST", b"last"))
         await asyncio.sleep(0.2)
-        ending = asyncio.create_task(fleet.end("edge-1"))
+        shutdown = asyncio.create_task(network.terminate("edge-1"))
 
         async def is_leaving():
-            return await fleet.ready() == 503
+            return await network.readiness_status() == 503
 
-        await fleet.wait_until(is_leaving, 2)
-        status, headers, content = await asking
+        await network.wait_until(is_leaving, 2)
+        status, headers, content = await pending_request
         assert status == 200
-        assert upstream_emulator.is_whole(deployed_programs.WORDS, headers, content)
-        assert await ending == 0
-        assert await fleet.end("shield-2") == 0
+        assert upstream_emulator.is_whole(deployed_programs.HEADER_NAMES, headers, content)
+        assert await shutdown == 0
+        assert await network.terminate("shield-2") == 0
 
-    play(scene, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_malformed_requests_are_refused_by_the_limits_and_the_node_keeps_serving(tmp_path):
-    async def raw(fleet, sent):
+    async def send_raw(network, sent):
         """The status line of what comes back on a connection of its own, or nothing."""
-        reader, writer = await asyncio.open_connection("127.0.7.4", fleet.ports[2])
+        reader, writer = await asyncio.open_connection("127.0.7.4", network.ports[2])
         writer.write(sent)
         try:
             async with asyncio.timeout(40):
@@ -135,32 +137,32 @@
         finally:
             writer.close()
 
-    async def scene(fleet):
+    async def scenario(network):
         head = f"Host: {deployed_programs.HOST}\r\nAttempt-Id: r1\r\n".encode()
         long = b"GET /reads/1 HTTP/1.1\r\n" + head + b"X-Long: " + b"x" * 9000 + b"\r\n\r\n"
         large = b"POST /writes/1 HTTP/1.1\r\n" + head + b"Content-Length: 100001\r\n\r\n" + b"x" * 100001
         short = b"POST /writes/1 HTTP/1.1\r\n" + head + b"Content-Length: 10\r\n\r\nshort"
-        assert b" 431 " in await raw(fleet, long)
-        assert b" 413 " in await raw(fleet, large)
-        assert b" 400 " in await raw(fleet, b"\x00\x01\x02 nonsense\r\n\r\n")
+        assert b" 431 " in await send_raw(network, long)
+        assert b" 413 " in await send_raw(network, large)
+        assert b" 400 " in await send_raw(network, b"\x00\x01\x02 nonsense\r\n\r\n")
         # A body that never comes whole is never sent on, and whoever says nothing is not kept.
-        reader, writer = await asyncio.open_connection("127.0.7.4", fleet.ports[2])
+        reader, writer = await asyncio.open_connection("127.0.7.4", network.ports[2])
         writer.write(short)
-        idle = await raw(fleet, b"")
+        idle = await send_raw(network, b"")
         assert not idle or b" 408 " in idle
         writer.close()
-        assert not [run for run in fleet.runs("app") if run.method == "POST"]
-        assert (await fleet.ask("/reads/1"))[0] == 200
-        assert fleet.processes["edge-1"].returncode is None
+        assert not [run for run in network.origin_runs("app") if run.method == "POST"]
+        assert (await network.send_request("/reads/1"))[0] == 200
+        assert network.processes["edge-1"].returncode is None
 
-    play(scene, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 @pytest.mark.parametrize("program", ["edge_node.py", "core_node.py"])
 @pytest.mark.parametrize(
     ("content", "named"),
     [
-        (None, deployed_programs.platform_settings.VARIABLE),
+        (None, deployed_programs.platform_settings.SETTINGS_FILE_VARIABLE),
         ("ip = ", "settings file"),
         ("ip = '127.0.0.1'\n", "internal_ports"),
         ("internal_ports = 7\n", "settings"),
@@ -170,11 +172,11 @@
     environment = {
         name: value
         for name, value in os.environ.items()
-        if name != deployed_programs.platform_settings.VARIABLE
+        if name != deployed_programs.platform_settings.SETTINGS_FILE_VARIABLE
     }
     if content is not None:
         (tmp_path / "local.toml").write_text(content)
-        environment[deployed_programs.platform_settings.VARIABLE] = str(tmp_path / "local.toml")
+        environment[deployed_programs.platform_settings.SETTINGS_FILE_VARIABLE] = str(tmp_path / "local.toml")
     done = subprocess.run(
         [sys.executable, f"platform/{program}"],
         cwd=deployed_programs.ROOT,
@@ -188,7 +190,7 @@
 
 
 # What only the platform says; the product has its own words for all of it.
-PLATFORM = re.compile(
+PLATFORM_TERMS = re.compile(
     r"Attempt-Id|Time-Remaining|Answer-Seal|Target-Instance|Answering-Instance|Not-Executed|Object-Tags|"
     r"Cold-Remaining|IRISSTAND_CONFIG|instance_set|next_token|page_token|column_set|row_set|route_set|"
     r"service_set|"
@@ -200,7 +202,7 @@
 
 def test_no_module_outside_the_adapter_names_the_platforms_terms():
     for path in sorted((deployed_programs.ROOT / "src").rglob("*.py")):
-        assert not PLATFORM.findall(path.read_text()), path
+        assert not PLATFORM_TERMS.findall(path.read_text()), path
 
 
 def test_adapter_is_below_its_size_limit_and_shadows_no_module():
--- a/tests/programs/test_stopping_listeners.py
+++ b/tests/programs/test_stopping_listeners.py
@@ -12,7 +12,7 @@
 from irisstand.dataplane.http import sanic_adapter
 
 # Sanic knows its applications by name for as long as the process lives.
-NUMBERS = itertools.count(1)
+NODE_NUMBERS = itertools.count(1)
 DRAIN_SECONDS = 0.5
 
 
@@ -29,15 +29,15 @@
         await asyncio.sleep(self.seconds)
 
 
-def play(scene, seconds=60):
+def run_scenario(scenario, seconds=60):
     """Run `scene(server, address)` with a listener for operators and for clients of role edge."""
 
-    async def whole():
+    async def run():
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             address = probe.getsockname()
         settings = direct_edge.SETTINGS._replace(
-            name=f"stops-{next(NUMBERS)}", host=address[0], http_port=address[1], drain=DRAIN_SECONDS
+            name=f"stops-{next(NODE_NUMBERS)}", host=address[0], http_port=address[1], drain=DRAIN_SECONDS
         )
         context = direct_edge.DirectNodeHarness(settings=settings).context
         context.detector.leave = lambda: None
@@ -47,9 +47,9 @@
         sanic_adapter.SanicAdapter(server, slow)
         await server.open()
         async with asyncio.timeout(20):
-            return await scene(server, address)
+            return await scenario(server, address)
 
-    return asyncio.run(whole())
+    return asyncio.run(run())
 
 
 async def stop(server):
@@ -58,7 +58,7 @@
     await server.context.close()
 
 
-async def ask_and_stop(server, address, request_line):
+async def request_and_stop(server, address, request_line):
     """Send a request, stop the node while it is at work on it, and return the answer."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(request_line + b" HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
@@ -81,33 +81,33 @@
 def test_a_request_that_waits_at_the_end_of_a_drain_is_answered(request_line, status):
     """Guards against LOST: what waits in a node of role edge, or for an operator, knows of the drain."""
 
-    async def scene(server, address):
-        return await ask_and_stop(server, address, request_line)
+    async def scenario(server, address):
+        return await request_and_stop(server, address, request_line)
 
-    assert play(scene).startswith(b"HTTP/1.1 " + status)
+    assert run_scenario(scenario).startswith(b"HTTP/1.1 " + status)
 
 
 def test_an_operator_s_read_that_is_confirmed_within_the_drain_is_answered_by_itself():
     """Guards against LOST: a drain that was over before what it had read was."""
 
-    async def scene(server, address):
-        return await ask_and_stop(server, address, b"GET /items")
+    async def scenario(server, address):
+        return await request_and_stop(server, address, b"GET /items")
 
-    assert play(scene, seconds=DRAIN_SECONDS / 2).startswith(b"HTTP/1.1 200")
+    assert run_scenario(scenario, seconds=DRAIN_SECONDS / 2).startswith(b"HTTP/1.1 200")
 
 
 def test_a_connection_at_rest_is_closed_when_the_listener_stops():
     """Guards against LOST: a request that a node reads in its last moment, on a connection that was kept."""
 
-    async def scene(server, address):
+    async def scenario(server, address):
         reader, writer = await asyncio.open_connection(*address)
         writer.write(b"GET /_irisstand/live HTTP/1.1\r\nHost: h\r\n\r\n")
         await reader.readuntil(b"}")
         started_at = server.context.clock.now()
         await stop(server)
-        took = server.context.clock.now() - started_at
-        rest = await reader.read()
+        elapsed_seconds = server.context.clock.now() - started_at
+        remaining_bytes = await reader.read()
         writer.close()
-        return rest, took < DRAIN_SECONDS
+        return remaining_bytes, elapsed_seconds < DRAIN_SECONDS
 
-    assert play(scene) == (b"", True)
+    assert run_scenario(scenario) == (b"", True)
--- a/tests/simulator/test_departing_clients.py
+++ b/tests/simulator/test_departing_clients.py
@@ -116,7 +116,7 @@
         """What is left on the shields: (counted, carried on, attempts)."""
         shields = [node.program for node in self.day.cluster.with_role("shield") if node.is_up]
         counted = sum(shield.context.in_flight for shield in shields)
-        carried_on = sum(len(shield.context.carried_on) for shield in shields)
+        carried_on = sum(len(shield.context.detached_tasks) for shield in shields)
         return counted, carried_on, sum(len(shield.role_node.origin_client.attempts) for shield in shields)
 
 
@@ -178,7 +178,7 @@
         """What is left on the node: (counted, carried on, attempts, in flight at endpoints)."""
         part, context = self.stage.node.direct_node, self.stage.context
         at_endpoints = sum(len(endpoint.in_flight) for endpoint in part.endpoints.endpoints.values())
-        return context.in_flight, len(context.carried_on), len(part.origins.attempts), at_endpoints
+        return context.in_flight, len(context.detached_tasks), len(part.origins.attempts), at_endpoints
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/support/deployed_programs.py
+++ b/tests/support/deployed_programs.py
@@ -19,7 +19,7 @@
 
 import platform_settings  # noqa: E402
 
-WORDS = platform_settings.header_names.REGISTRY[platform_settings.VOCABULARY]
+HEADER_NAMES = platform_settings.header_names.REGISTRY[platform_settings.VOCABULARY]
 HOST = "a.example"
 BOUNDS = """
 grace = 6
@@ -33,7 +33,7 @@
 """
 
 
-def settings(name, number, ports, zone, cloud, folder, **more):
+def write_settings(name, number, ports, zone, platform_address, folder, **more):
     """A settings file as the platform would write it."""
     ip = f"127.0.7.{number}"
     listen = (
@@ -65,7 +65,7 @@
         "[fault_tolerance]",
         "machine_losses = 1",
         "[cloud_api]",
-        f'address = "{cloud}"',
+        f'address = "{platform_address}"',
         "rate = 44.0",
         "lag = 0.1",
         "[bound_set]",
@@ -76,7 +76,7 @@
     return path
 
 
-class Fleet:
+class DeployedNetwork:
     """Three core nodes and one edge; `async with` starts and ends them."""
 
     def __init__(self, folder):
@@ -85,7 +85,7 @@
         self.ports = (min(first, 60000), *processes.free_ports(3))
         self.processes = {}
         self.origins = [
-            upstream_emulator.UpstreamEmulator(service, f"i-{service}{number}", f"z{number}", WORDS)
+            upstream_emulator.UpstreamEmulator(service, f"i-{service}{number}", f"z{number}", HEADER_NAMES)
             for service in ("content", "app")
             for number in (1, 2)
         ]
@@ -97,10 +97,10 @@
             await origin.start()
         app = aiohttp.web.Application()
         app.router.add_get("/instances", self.instances)
-        self.cloud = aiohttp.web.AppRunner(app, access_log=None)
-        await self.cloud.setup()
-        await aiohttp.web.TCPSite(self.cloud, "127.0.0.1", 0).start()
-        self.cloud_address = "{}:{}".format(*self.cloud.addresses[0])
+        self.platform_server = aiohttp.web.AppRunner(app, access_log=None)
+        await self.platform_server.setup()
+        await aiohttp.web.TCPSite(self.platform_server, "127.0.0.1", 0).start()
+        self.platform_address = "{}:{}".format(*self.platform_server.addresses[0])
         for number in (1, 2, 3):
             await self.start(f"shield-{number}", number, f"z{number}")
         await self.start("edge-1", 4, "z1")
@@ -112,18 +112,18 @@
                 process.kill()
                 await process.wait()
         await self.session.close()
-        await self.cloud.cleanup()
+        await self.platform_server.cleanup()
         for origin in self.origins:
             await origin.stop()
 
     async def start(self, name, number, zone):
-        path = settings(name, number, self.ports, zone, self.cloud_address, self.folder)
+        path = write_settings(name, number, self.ports, zone, self.platform_address, self.folder)
         program = "core_node.py" if "shield" in name else "edge_node.py"
         self.processes[name] = await asyncio.create_subprocess_exec(
             sys.executable,
             f"platform/{program}",
             cwd=ROOT,
-            env={**os.environ, platform_settings.VARIABLE: str(path)},
+            env={**os.environ, platform_settings.SETTINGS_FILE_VARIABLE: str(path)},
             stderr=asyncio.subprocess.PIPE,
         )
 
@@ -132,20 +132,20 @@
         page = int(request.query.get("page_token", "0"))
         entries = [
             {
-                "id": o.instance,
-                "service": o.service,
-                "address": f"127.0.0.1:{o.port}",
-                "zone": o.site,
+                "id": origin.instance,
+                "service": origin.service,
+                "address": f"127.0.0.1:{origin.port}",
+                "zone": origin.site,
                 "version": "v1",
                 "slot_count": 4,
-                "state": o.state,
-                "cold_remaining": o.cold,
+                "state": origin.state,
+                "cold_remaining": origin.cold,
             }
-            for o in self.origins
+            for origin in self.origins
         ]
-        following = str(page + 1) if len(entries) > 2 * page + 2 else None
+        next_page = str(page + 1) if len(entries) > 2 * page + 2 else None
         return aiohttp.web.json_response(
-            {"instance_set": entries[2 * page : 2 * page + 2], "next_token": following}
+            {"instance_set": entries[2 * page : 2 * page + 2], "next_token": next_page}
         )
 
     # -- the operator --------------------------------------------------------------------------------
@@ -175,7 +175,7 @@
             **fields,
         }
 
-    def first_call(self):
+    def initial_configuration(self):
         self.version += 1
         kinds = {"objects": "cacheable", "reads": "idempotent", "writes": "non_idempotent"}
         routes = [
@@ -199,7 +199,7 @@
         return {"put": {"routes": routes, "upstreams": services, "limits": limits}, "drop": {"routes": []}}
 
     # -- clients -----------------------------------------------------------------------------------
-    async def ask(self, path, method="GET", body=None, request_id="r1", **headers):
+    async def send_request(self, path, method="GET", body=None, request_id="r1", **headers):
         url = f"http://127.0.7.4:{self.ports[2]}{path}"
         given = {"Host": HOST, "Attempt-Id": request_id, "Time-Remaining": "2500", **headers}
         try:
@@ -208,14 +208,14 @@
         except aiohttp.ClientError:
             return 0, {}, b""
 
-    async def ready(self):
+    async def readiness_status(self):
         try:
             async with self.session.get(f"http://127.0.7.4:{self.ports[3]}/_irisstand/ready") as response:
                 return response.status
         except aiohttp.ClientError:
             return 0
 
-    def runs(self, service):
+    def origin_runs(self, service):
         return [run for origin in self.origins if origin.service == service for run in origin.runs]
 
     async def wait_until(self, condition, seconds=20):
@@ -224,18 +224,18 @@
             while not await condition():
                 await asyncio.sleep(0.05)
 
-    async def founded(self):
-        await self.wait_until(lambda: self.took(self.first_call()))
-        await self.wait_until(lambda: self.answers("/reads/0", 200))
-        await self.wait_until(lambda: self.answers("/objects/0", 200))
+    async def wait_until_serving(self):
+        await self.wait_until(lambda: self.accepts(self.initial_configuration()))
+        await self.wait_until(lambda: self.responds_with("/reads/0", 200))
+        await self.wait_until(lambda: self.responds_with("/objects/0", 200))
 
-    async def took(self, call, node=1):
+    async def accepts(self, call, node=1):
         return (await self.call("POST", "/amendments", call, node))[0] == 200
 
-    async def answers(self, path, status, method="GET", **more):
-        return (await self.ask(path, method, **more))[0] == status
+    async def responds_with(self, path, status, method="GET", **more):
+        return (await self.send_request(path, method, **more))[0] == status
 
-    async def end(self, name):
+    async def terminate(self, name):
         self.processes[name].send_signal(signal.SIGTERM)
         return await self.processes[name].wait()
 
--- a/tests/test_drain_guard.py
+++ b/tests/test_drain_guard.py
@@ -9,26 +9,26 @@
 WorkState = drain_guard.WorkState
 
 
-def ended(state, *, is_over):
+def result_of(state, *, is_drain_over):
     """Return with what a piece of work in a state ends near the end of a drain, or when it is over."""
 
     async def work(guard):
-        with guard.answer_at_end(lambda: state):
+        with guard.fail_at_end(lambda: state):
             await asyncio.sleep(0.01)
             return "own result"
 
-    async def scene():
+    async def scenario():
         guard = drain_guard.DrainGuard()
         task = asyncio.get_running_loop().create_task(work(guard))
         await asyncio.sleep(0)
         guard.refuse_unsent()
-        if is_over:
-            guard.end_rest()
+        if is_drain_over:
+            guard.end_unfinished()
         await asyncio.wait([task])
         assert guard.guarded == {}
         return type(task.exception()) if task.exception() else task.result()
 
-    return asyncio.run(scene())
+    return asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -42,16 +42,16 @@
 )
 def test_work_is_answered_by_how_far_it_is(state, near_the_end, over):
     """Guards against LOST and REFUSED: no silence, and no promise for what may have run."""
-    assert ended(state, is_over=False) == near_the_end
-    assert ended(state, is_over=True) == over
+    assert result_of(state, is_drain_over=False) == near_the_end
+    assert result_of(state, is_drain_over=True) == over
 
 
 def test_work_whose_client_leaves_is_cancelled_and_not_answered():
-    async def scene():
+    async def scenario():
         guard = drain_guard.DrainGuard()
 
         async def work():
-            with guard.answer_at_end(lambda: WorkState.UNSENT):
+            with guard.fail_at_end(lambda: WorkState.UNSENT):
                 await asyncio.sleep(1)
 
         task = asyncio.get_running_loop().create_task(work())
@@ -60,4 +60,4 @@
         await asyncio.wait([task])
         return task.cancelled(), guard.guarded
 
-    assert asyncio.run(scene()) == (True, {})
+    assert asyncio.run(scenario()) == (True, {})
