--- a/src/irisstand/__init__.py
+++ b/src/irisstand/__init__.py
@@ -1,3 +1,3 @@
-"""irisstand: a content delivery network that empties machines it does not need."""
+"""irisstand: a content delivery network that puts machines it does not need on standby."""
 
 VERSION = "0.1.0"
--- a/src/irisstand/clocks.py
+++ b/src/irisstand/clocks.py
@@ -1,32 +1,32 @@
-"""Monotonic clocks only: wall clocks jump at some sites, so nothing here ever reads one."""
+"""Monotonic clocks; wall clocks jump at some sites, so no node ever reads a wall clock."""
 
 import asyncio
 import time
 import typing
 
-# Seconds since an arbitrary moment; only differences have a meaning.
+# A point in time as seconds since an arbitrary start; only differences between two of them have a meaning.
 Moment = typing.NewType("Moment", float)
 
 
 class Clock(typing.Protocol):
-    """Tells the time to everything that measures durations."""
+    """The interface of a monotonic clock, for code that measures durations."""
 
     def now(self) -> Moment:
-        """Return the present moment, in seconds."""
+        """Return the current time of this clock, in seconds."""
         ...
 
 
 class MonotonicClock:
-    """The operating system's monotonic clock; not the event loop's, which lags behind a busy loop."""
+    """Reads the operating system's monotonic clock; the event loop's own clock lags when the loop is busy."""
 
     def now(self) -> Moment:
-        """Return the operating system's monotonic time."""
+        """Return the operating system's monotonic time, in seconds."""
         return Moment(time.monotonic())
 
 
 class LoopClock:
-    """The running loop's own time: virtual under the simulator."""
+    """Reads the clock of the running event loop, which is virtual time under the simulator."""
 
     def now(self) -> Moment:
-        """Return the running loop's time."""
+        """Return the time of the running event loop, in seconds."""
         return Moment(asyncio.get_running_loop().time())
--- a/src/irisstand/commands.py
+++ b/src/irisstand/commands.py
@@ -1,4 +1,4 @@
-"""The `irisstand` command: operate and inspect a network, and develop the software."""
+"""The `irisstand` command line: operates and inspects a network, and helps to develop the software."""
 
 import click
 
@@ -9,9 +9,9 @@
 @click.group(
     cls=sections.SectionedGroup,
     context_settings={"show_default": True, "help_option_names": ["-h", "--help"]},
-    help="""Operate an irisstand network, look into it, or run one on this machine.
+    help="""Operate an irisstand network, inspect it, or run one on this machine.
 
-    Commands that talk to a network name any control plane node by --core or IRISSTAND_CORE.
+    Commands that talk to a network need the address of any control plane node: --core or IRISSTAND_CORE.
     """,
     epilog="Exit codes: 0 done, 1 other error, 2 wrong usage, 3 version conflict or not enough capacity, "
     "4 invalid configuration, 5 unknown name, 6 not confirmed by a majority, 7 node not reachable, "
@@ -19,7 +19,7 @@
 )
 @click.version_option(irisstand.VERSION, prog_name="irisstand")
 def main() -> None:
-    """Run the command line."""
+    """Run the `irisstand` command line."""
 
 
 main.add_section("Operate", operate.COMMANDS)
@@ -27,18 +27,18 @@
 main.add_section("Develop", develop.COMMANDS)
 
 
-# -- names of version 0.1; they go with the next version ---------------------------------------------
-@main.group("rows", hidden=True, help="Earlier names of commands on the configuration.")
+# -- command names of version 0.1, kept as hidden aliases until the next version ---------------------
+@main.group("rows", hidden=True, help="Command names of version 0.1 for the configuration.")
 def rows() -> None:
-    """The group of that name in version 0.1."""
+    """Group the hidden `rows ...` commands of version 0.1."""
 
 
-@main.group("voters", hidden=True, help="Earlier names of commands on voters.")
+@main.group("voters", hidden=True, help="Command names of version 0.1 for voters.")
 def voters() -> None:
-    """The group of that name in version 0.1."""
+    """Group the hidden `voters ...` commands of version 0.1."""
 
 
-# The words that were typed before, the words to type now, and the command.
+# For each renamed command: its words in version 0.1, its current words, and the command itself.
 EARLIER_NAMES: list[tuple[str, str, click.Command]] = [
     ("rows get", "get configuration", inspect.get_configuration),
     ("rows send", "apply", operate.apply),
@@ -61,6 +61,7 @@
     ("sizes", "benchmark sizes", develop.benchmark_sizes),
     ("big-configurations", "benchmark large-configurations", develop.benchmark_large_configurations),
 ]
+# The command groups of version 0.1 by the first word of the command line; "" is the top level.
 GROUPS: dict[str, click.Group] = {"": main, "rows": rows, "voters": voters}
 
 for earlier, current, command in EARLIER_NAMES:
--- a/src/irisstand/counters.py
+++ b/src/irisstand/counters.py
@@ -1,15 +1,15 @@
-"""Counters and gauges, and the text form of them that scrapers read."""
+"""Counters and gauges, and their Prometheus text format for scrapers."""
 
 import collections
 
 from irisstand import clocks
 
-# A counter's name and its labels, sorted by name.
+# The name of a counter or gauge, and its labels as (label name, label value) pairs, sorted by label name.
 Key = tuple[str, tuple[tuple[str, str], ...]]
 
 
 class LoadGauge:
-    """Events per second over the last few seconds."""
+    """Measures events per second over a sliding window of a few seconds."""
 
     def __init__(self, clock: clocks.Clock, window_seconds: float = 4.0) -> None:
         self.clock = clock
@@ -17,12 +17,12 @@
         self.event_times: collections.deque[float] = collections.deque()
 
     def record(self) -> None:
-        """Count one event at the present moment."""
+        """Count one event at the current time."""
         self.event_times.append(self.clock.now())
         self._remove_old_events()
 
     def per_second(self) -> float:
-        """Return the rate over the window."""
+        """Return the rate over the window, in events per second."""
         self._remove_old_events()
         return len(self.event_times) / self.window_seconds
 
@@ -32,7 +32,7 @@
 
 
 class Counters:
-    """Counters by name and labels; `add` raises one, `put` sets a gauge.
+    """Holds counters and gauges by name and labels; `add` raises a counter, `put` sets a gauge.
 
     >>> counters = Counters()
     >>> counters.add("frames_dropped", reason="size")
@@ -45,27 +45,27 @@
         self.values: dict[Key, float] = collections.defaultdict(float)
 
     def add(self, name: str, amount: float = 1, **labels: str) -> None:
-        """Add to a counter, which begins at zero."""
+        """Add an amount to the counter of this name and these labels; a new counter starts at zero."""
         self.values[_key(name, labels)] += amount
 
     def put(self, name: str, value: float, **labels: str) -> None:
-        """Set a gauge."""
+        """Set the gauge of this name and these labels to a value."""
         self.values[_key(name, labels)] = value
 
     def get(self, name: str, **labels: str) -> float:
-        """Return the value with exactly these labels; zero if there is none."""
+        """Return the value of the counter or gauge with exactly these labels; zero if none was recorded."""
         return self.values.get(_key(name, labels), 0)
 
     def total(self, name: str) -> float:
-        """Return the sum over all labels."""
+        """Return the sum of all values of this name, whatever their labels."""
         return sum(value for (key, _), value in self.values.items() if key == name)
 
     def by_text(self) -> dict[str, float]:
-        """Return all values by name and labels, as the text format writes these."""
+        """Return all values by series, which is name and labels in text form, as in `name{label="value"}`."""
         return {_text_name(name, labels): value for (name, labels), value in sorted(self.values.items())}
 
     def text(self) -> str:
-        """Return all values in the Prometheus text format, version 0.0.4."""
+        """Return all counters and gauges in the Prometheus text format, version 0.0.4."""
         lines: list[str] = []
         typed: set[str] = set()
         for (name, labels), value in sorted(self.values.items()):
--- a/src/irisstand/event_log.py
+++ b/src/irisstand/event_log.py
@@ -1,4 +1,4 @@
-"""The event log: the newest events in memory, written out only when something goes wrong."""
+"""The event log: the newest events in memory, written out after a crash, at shutdown and on request."""
 
 import collections
 import json
@@ -12,28 +12,33 @@
 
 
 class EventLog:
-    """An eliot destination that keeps the newest events and writes them out when asked."""
+    """An eliot destination that keeps the newest events in memory and writes them out on request.
+
+    Attributes:
+        events: The newest events, oldest first.
+        target: The text stream that `write_out` writes to; standard error by default.
+    """
 
     def __init__(self, size: int = EVENTS_LIMIT, target: typing.TextIO | None = None) -> None:
         self.events: collections.deque[Event] = collections.deque(maxlen=size)
         self.target = target or sys.stderr
 
     def __call__(self, message: Event) -> None:
-        """Keep one event; the oldest is dropped if the log is full."""
+        """Keep one event; drop the oldest event if the log is full."""
         self.events.append(message)
 
     def attach(self) -> None:
-        """Receive the events of this process from now on."""
+        """Register this log with eliot, so that it receives all further events of this process."""
         eliot.add_destinations(self)
 
     def write_out(self, reason: str) -> int:
-        """Write the events as JSON lines and empty the log, so that the next reason does not repeat them.
+        """Write the events as JSON lines and clear the log, so that the next call does not repeat them.
 
         Args:
-            reason: Why they are written; it stands in the first line.
+            reason: Why the events are written; it is part of the first line.
 
         Returns:
-            The number of events.
+            The number of events written.
         """
         count = len(self.events)
         lines = [json.dumps({"ring": reason, "events": count})]
@@ -45,10 +50,10 @@
 
 
 def record(kind: str, **fields: typing.Any) -> None:
-    """Record one event.
+    """Record one event in the event log.
 
     Args:
-        kind: The name of the kind of event, as docs/on-call.md lists them.
-        fields: What is known about it; a figure's name has its unit.
+        kind: The kind of the event, one of those listed in docs/on-call.md.
+        fields: The fields of the event; the name of a numeric field includes its unit.
     """
     eliot.log_message(message_type=kind, **fields)
--- a/src/irisstand/node_context.py
+++ b/src/irisstand/node_context.py
@@ -1,4 +1,4 @@
-"""The node context: what the controllers of one process share."""
+"""The node context: tables, membership, transport and tasks that the controllers of one process share."""
 
 import asyncio
 import collections.abc
@@ -12,28 +12,32 @@
 
 Result = typing.TypeVar("Result")
 
-# The end of a drain, in which work that cannot be finished is answered with an error that says so.
+# The last part of a drain, in which requests that cannot be finished get an error response.
 FINAL_RESPONSES_SECONDS = 0.3
 DRAIN_CHECK_SECONDS = 0.02
-# For the last messages to get out of the socket buffers.
+# The time after announcing the departure in which the last messages leave the socket buffers.
 LEAVE_FLUSH_SECONDS = 0.05
 
 
 class NodeContext(node_tables.NodeTables):
-    """Tables, membership, transport and tasks of one process, and how far its shutdown is.
+    """Tables, membership, transport and tasks of one process, and the stage of its graceful shutdown.
 
     Attributes:
-        is_lame_duck: Whether the node reports that it is not ready, so that no more work is sent to it, while
-            it still takes work (the lame-duck state of the SRE book, chapter 20).
-        is_draining: Whether the node takes no new work.
-        in_flight: How many pieces of work somebody waits for; a drain lasts until there is none.
-        pending_work_checks: Called during a drain; each returns whether it has to last for more work.
-        drain_ending: Done when the time of a drain is nearly over: what is in flight is to be answered now.
-        drain_guard: Answers requests then: first those of which nothing was sent, at last the others.
-        crashed: Fails with the error of the first controller that crashed; None until the node is open.
-        close_callbacks: Called at the very end, to give up what would keep the process alive.
-        tasks: The controllers in the order of their start; a set would give another order in every run.
-        carried_on: Work that goes on also when whoever asked for it has gone.
+        is_lame_duck: Whether the node reports that it is not ready, so that balancers send it no more work,
+            while it still accepts work (the lame-duck state of the SRE book, chapter 20).
+        is_draining: Whether the node accepts no new work and finishes what is in flight.
+        in_flight: The number of requests and tasks in progress; a drain lasts until it is zero.
+        pending_work_checks: Called during a drain; each returns whether the drain must wait for more work.
+        drain_ending: A future that is done when the drain has nearly ended, so that whoever waits for it
+            responds to requests in flight at once; None until the node is open.
+        drain_guard: Ends unfinished work near the end of a drain with an error: first work of which nothing
+            has been sent, then the rest.
+        crashed: A future that fails with the error of the first controller that crashes; None until the node
+            is open.
+        close_callbacks: Called by `close`, to release resources that would keep the process alive.
+        tasks: The tasks of the controllers, as keys in the order of their start; the order of a set differs
+            from run to run.
+        detached_tasks: Tasks that continue when the caller that started them is cancelled.
     """
 
     def __init__(
@@ -76,18 +80,18 @@
         self.detached_tasks: set[asyncio.Task[typing.Any]] = set()
 
     async def on_load(self, _sender: str, _body: typing.Any) -> float:
-        """Answer with this node's load in requests per second."""
+        """Reply to a peer with this node's load in requests per second."""
         return self.load_gauge.per_second()
 
     def shutdown_stage(self) -> str:
-        """Return how far the shutdown is, as counters name it: serving, lame-duck or draining."""
+        """Return the stage of the shutdown as used in counter labels: serving, lame-duck or draining."""
         if self.is_draining:
             return "draining"
         return "lame-duck" if self.is_lame_duck else "serving"
 
     # -- members -------------------------------------------------------------------------------------
     def region_by_site(self) -> dict[str, str]:
-        """Return the region of each known site; the settings win over what members say."""
+        """Return the region of each known site; the settings take precedence over what members announce."""
         members = [update.node_info for update in self.detector.member_list.members.values()]
         return {
             self.settings.site: self.settings.region,
@@ -96,7 +100,7 @@
         }
 
     def members_of(self, role: str) -> list[updates.Update]:
-        """Return the other members of a role that are not declared failed; suspected ones come last."""
+        """Return the other members of a role that are not declared failed; suspected members come last."""
         members = self.detector.member_list.members.values()
         with_role = [update for update in members if update.node_info.role == role]
         return sorted(with_role, key=lambda update: (update.state, update.identity))
@@ -104,7 +108,7 @@
     # -- work and tasks ------------------------------------------------------------------------------
     @contextlib.contextmanager
     def count_in_flight(self) -> collections.abc.Iterator[None]:
-        """Count a piece of work as in flight within a `with` block."""
+        """Count a request as in flight for the duration of a `with` block."""
         self.in_flight += 1
         try:
             yield
@@ -112,13 +116,13 @@
             self.in_flight -= 1
 
     def count_until_done(self, task: asyncio.Task[typing.Any]) -> None:
-        """Count a task as in flight from now until it ends."""
+        """Count a task as in flight until it ends, also if its caller is cancelled before."""
         self.in_flight += 1
         self.detached_tasks.add(task)
         task.add_done_callback(self.on_detached_task_done)
 
     def on_detached_task_done(self, task: asyncio.Task[typing.Any]) -> None:
-        """Count work as ended; its exception counts as retrieved, also where nobody waits for it."""
+        """Count a detached task as ended, and retrieve its exception even if no caller awaits the task."""
         self.in_flight -= 1
         self.detached_tasks.discard(task)
         if not task.cancelled():
@@ -127,10 +131,10 @@
     async def run_to_completion(
         self, coroutine: collections.abc.Coroutine[typing.Any, typing.Any, Result]
     ) -> Result:
-        """Await work that goes on to its own end also when whoever awaits it is cancelled.
+        """Await a coroutine that runs to its end even when the caller is cancelled.
 
         Raises:
-            Exception: Whatever the work raises.
+            Exception: Whatever the coroutine raises.
         """
         task = asyncio.get_running_loop().create_task(coroutine)
         self.count_until_done(task)
@@ -139,14 +143,14 @@
     def start_task(
         self, coroutine: collections.abc.Coroutine[typing.Any, typing.Any, typing.Any], name: str
     ) -> asyncio.Task[typing.Any]:
-        """Run a controller for as long as the process lives; its crash is the crash of the process."""
+        """Start the task of a controller, which runs until the process ends; its crash ends the process."""
         task = asyncio.get_running_loop().create_task(coroutine, name=name)
         self.tasks[task] = None
         task.add_done_callback(self.on_task_done)
         return task
 
     def on_task_done(self, task: asyncio.Task[typing.Any]) -> None:
-        """Forget a controller that has ended, and report it if it crashed."""
+        """Remove a controller's task that has ended; if it crashed, record the crash and fail `crashed`."""
         self.tasks.pop(task, None)
         error = None if task.cancelled() else task.exception()
         if error is None:
@@ -157,7 +161,7 @@
 
     # -- start and end -------------------------------------------------------------------------------
     async def open(self) -> None:
-        """Open the ports first, then start membership: a node that cannot be reached must not be listed."""
+        """Open the ports, then start membership, so that a node is reachable before it becomes a member."""
         address = (self.settings.host, self.settings.port)
         self.crashed = asyncio.get_running_loop().create_future()
         self.drain_ending = asyncio.get_running_loop().create_future()
@@ -167,7 +171,7 @@
         self.start_task(self.joiner.run(), "joining")
 
     async def drain(self) -> None:
-        """Take no new work, give what is in flight its time, and tell members that this node leaves."""
+        """Accept no new work, wait a limited time for work in flight, and announce that this node leaves."""
         self.is_draining = True
         started_at = self.clock.now()
         end = started_at + self.settings.drain
@@ -186,7 +190,7 @@
         await asyncio.sleep(LEAVE_FLUSH_SECONDS)
 
     def has_pending_work(self) -> bool:
-        """Return whether a drain has to last for work that is not in flight; all checks are made."""
+        """Return whether any check reports pending work; all checks run, as they may have side effects."""
         return any([check() for check in self.pending_work_checks])
 
     def _announce_drain_ending(self) -> None:
@@ -195,7 +199,7 @@
             self.drain_ending.set_result(None)
 
     async def close(self) -> None:
-        """Stop all tasks and close all ports."""
+        """Call the close callbacks, cancel all tasks and close all ports of this node."""
         for callback in self.close_callbacks:
             callback()
         for task in [*self.tasks, *self.detached_tasks]:
@@ -207,7 +211,7 @@
             self.crashed.cancel()
 
     def status(self) -> dict[str, typing.Any]:
-        """Return the JSON object of the status page."""
+        """Return the content of the status page as a JSON object."""
         now = self.clock.now()
         tables = {
             name: {"tip": str(table.applied), "age": table.age(now), "rows": len(table.items)}
--- a/src/irisstand/node_settings.py
+++ b/src/irisstand/node_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process: from a file and from flags that win over it, checked before a port is opened."""
+"""Settings of a process, from a file and from flags, which take precedence; checked before ports open."""
 
 import pathlib
 import tomllib
@@ -12,7 +12,7 @@
 
 
 class Settings(typing.NamedTuple):
-    """Checked settings; REGISTRY says what each is, and durations are in seconds."""
+    """The valid settings of a process; REGISTRY describes each setting. Durations are in seconds."""
 
     name: str
     machine: str
@@ -52,117 +52,128 @@
 
 
 class Setting(typing.NamedTuple):
-    """How a setting is read and what it is.
+    """The parser of a setting and its description.
 
     Attributes:
-        parse: Returns the checked value, or raises ValueError with the remedy.
-        help_text: What the setting is; also the help of its flag.
+        parse: Returns the valid value, or raises ValueError with a message that says what to give.
+        help_text: What the setting is; also the help text of its flag.
     """
 
     parse: setting_parsers.Parser
     help_text: str
 
 
-# By name; the flag is the name with dashes.
+# The settings by name; the flag of a setting is its name with dashes.
 REGISTRY: dict[str, Setting] = {
-    "name": Setting(setting_parsers.parse_name, "the node's name, unlike any other's"),
+    "name": Setting(setting_parsers.parse_name, "the node's name, unique in the network"),
     "machine": Setting(
-        setting_parsers.parse_name, "the machine it runs on; what shares a machine fails with it"
+        setting_parsers.parse_name, "the machine of the node; nodes on the same machine fail together"
     ),
-    "site": Setting(setting_parsers.parse_name, "the site of the machine"),
-    "region": Setting(setting_parsers.parse_name, "the region of the site"),
-    "host": Setting(setting_parsers.parse_host, "the IP number to listen on"),
-    "port": Setting(setting_parsers.number_between(1, 65535, int), "the port for colleagues, TCP and UDP"),
+    "site": Setting(setting_parsers.parse_name, "the site that the machine is at"),
+    "region": Setting(setting_parsers.parse_name, "the region that the site is in"),
+    "host": Setting(setting_parsers.parse_host, "the IP address to listen on"),
+    "port": Setting(setting_parsers.number_between(1, 65535, int), "the port for other nodes, TCP and UDP"),
     "http_port": Setting(
-        setting_parsers.number_between(0, 65535, int), "the port for HTTP; 0 for none (role holder)"
+        setting_parsers.number_between(0, 65535, int), "the port for HTTP; 0 for none (role holder only)"
     ),
     "seeds": Setting(
-        setting_parsers.parse_seeds, "up to three addresses of other processes, with commas between"
+        setting_parsers.parse_seeds, "up to three addresses of other processes, separated by commas"
     ),
-    "role": Setting(setting_parsers.parse_role, "edge, shield, store, direct or holder"),
-    "data": Setting(str, "the data folder (agency only)"),
+    "role": Setting(setting_parsers.parse_role, "the node's role: edge, shield, store, direct or holder"),
+    "data": Setting(str, "the data folder (control plane only)"),
     "founding": Setting(
-        setting_parsers.number_between(1, 99, int), "how many cores found the network together (agency only)"
+        setting_parsers.number_between(1, 99, int),
+        "the number of nodes that bootstrap the control plane together (control plane only)",
     ),
-    "platform": Setting(setting_parsers.parse_address, "the platform's address (agency only)"),
+    "platform": Setting(setting_parsers.parse_address, "the platform's address (control plane only)"),
     "platform_interval": Setting(
-        setting_parsers.number_between(0.05, 3600), "seconds between questions to the platform"
+        setting_parsers.number_between(0.05, 3600), "seconds between two requests to the platform"
     ),
     "freshness_bound": Setting(
-        setting_parsers.number_between(0.5, 2), "seconds after which an unconfirmed table is not used"
+        setting_parsers.number_between(0.5, 2), "seconds after which an unconfirmed replica is not used"
     ),
     "freshness_interval": Setting(
-        setting_parsers.number_between(0.02, 1), "seconds between questions for the newest tables"
+        setting_parsers.number_between(0.02, 1), "seconds between two checks for newer versions of the tables"
+    ),
+    "drain": Setting(
+        setting_parsers.number_between(0, 60), "seconds that a shutdown waits for work in flight"
     ),
-    "drain": Setting(setting_parsers.number_between(0, 60), "seconds that work under way gets at shutdown"),
     "farewell": Setting(
         setting_parsers.number_between(0, 60),
-        "seconds at shutdown in which readiness is off but work is taken",
+        "seconds at shutdown in which the node reports not ready but still accepts work (lame duck)",
     ),
     "replace_after": Setting(
         setting_parsers.number_between(1, 86400),
-        "seconds that a voter must be gone before a spare takes its place (agency)",
+        "seconds that a voter must be missing before a spare replaces it (control plane)",
     ),
     "keys_kept": Setting(
         setting_parsers.number_between(60, 86400),
-        "seconds for which an Idempotency-Key is remembered at the least (agency)",
+        "minimum seconds for which an Idempotency-Key is kept (control plane)",
     ),
     "cache_bytes": Setting(
         setting_parsers.number_between(0, 1 << 40, int), "memory for cached objects, in bytes"
     ),
     "front": Setting(
-        setting_parsers.parse_address, "where consumers are served, as IP number and port (role direct)"
+        setting_parsers.parse_address, "IP address and port on which clients are served (role direct)"
     ),
     "found_by_seeds": Setting(
-        setting_parsers.parse_yes_or_no, "the seeds found the core, and the others are voted in (agency)"
+        setting_parsers.parse_yes_or_no,
+        "whether only the seeds bootstrap the network; other nodes become voters later (control plane)",
     ),
     "may_found": Setting(
         setting_parsers.parse_yes_or_no,
-        "whether this node may found a core: never on a disk that was lost (agency)",
+        "whether this node may bootstrap a control plane; no if its disk was lost (control plane)",
     ),
     "voters": Setting(
         setting_parsers.number_between(1, 99, int),
-        "how many voters to grow to after founding by seeds (agency)",
+        "the number of voters to reach after a bootstrap by seeds (control plane)",
+    ),
+    "duties": Setting(
+        setting_parsers.parse_singleton_tasks, "the singleton tasks that this node may run (control plane)"
     ),
-    "duties": Setting(setting_parsers.parse_singleton_tasks, "the duties that this core works on (agency)"),
     "vocabulary": Setting(
-        setting_parsers.parse_name, "the names of the headers towards consumers and origins (role direct)"
+        setting_parsers.parse_name, "the set of header names used towards clients and origins (role direct)"
     ),
     "region_by_site": Setting(
-        setting_parsers.parse_region_pairs, "the region of each site, as site=region pairs"
+        setting_parsers.parse_region_pairs, "the region of each site, as comma-separated site=region pairs"
     ),
     "evacuates": Setting(
-        setting_parsers.one_of("machines", "origins"), "what an evacuation empties: machines, or only origins"
+        setting_parsers.one_of("machines", "origins"),
+        "what an evacuation takes out of use: machines, or only origins",
     ),
     "platform_lag": Setting(
-        setting_parsers.number_between(0, 60), "seconds by which the platform's list trails"
+        setting_parsers.number_between(0, 60), "seconds by which the platform's list may be out of date"
     ),
     "second_share": Setting(
-        setting_parsers.number_between(0, 1), "second tries allowed fleet-wide, as a share of first ones"
+        setting_parsers.number_between(0, 1),
+        "retry budget of the whole network, as a fraction of the first attempts",
     ),
     "second_allowance": Setting(
-        setting_parsers.number_between(0, 1e6), "second tries allowed fleet-wide beside that, in 10 s"
+        setting_parsers.number_between(0, 1e6),
+        "retries allowed in the whole network in 10 s, in addition to the retry budget",
     ),
     "cold_burst": Setting(
         setting_parsers.number_between(0, 1e6),
-        "requests that a cold origin may get in a second beside its rate",
+        "requests per second that a cold origin may get in addition to its rate",
     ),
     "holder_edges": Setting(
-        setting_parsers.number_between(0, 1e6), "edges a site, on average, from which on holders fetch"
+        setting_parsers.number_between(0, 1e6),
+        "average number of edges per site from which on edges fetch objects through holders",
     ),
     "outage_bound": Setting(
         setting_parsers.number_between(0, 60),
-        "seconds more for which a table is used while nobody at all knows a newer one",
+        "further seconds for which a replica is used while no newer version can be confirmed",
     ),
     "cold_factor": Setting(
-        setting_parsers.number_between(0, 100), "how many times its rate a cold origin may get in a second"
+        setting_parsers.number_between(0, 100),
+        "factor by which requests to a cold origin may exceed its rate",
     ),
 }
 OPTIONAL_SETTINGS = set(Settings._field_defaults)
 
 
 def read_file(path: str) -> dict[str, typing.Any]:
-    """Return the settings of a TOML file, not yet checked; raises SettingsError if it cannot be read."""
+    """Return the unchecked settings of a TOML file; raises SettingsError if the file cannot be read."""
     try:
         return tomllib.loads(pathlib.Path(path).read_text())
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
@@ -170,19 +181,19 @@
 
 
 def check(given: dict[str, typing.Any], program: str) -> Settings:
-    """Return checked settings.
+    """Check the given values and return the settings.
 
     Args:
-        given: Values by name, from the file and the flags.
-        program: "controlplane" or "dataplane".
+        given: The values from the file and the flags, by setting name.
+        program: The program that runs, "controlplane" or "dataplane".
 
     Raises:
-        SettingsError: With every fault at once, each with its key, value and remedy.
+        SettingsError: Some settings are invalid; its message lists each with key, value and remedy.
 
     >>> check({"port": 0}, "controlplane")  # doctest: +ELLIPSIS
     Traceback (most recent call last):
     ...
-    irisstand.errors.node.SettingsError: ...port: 0 does not do; give a number from 1 to 65535...
+    irisstand.errors.node.SettingsError: ...port: 0 is not valid; give a number from 1 to 65535...
     """
     if program == CONTROL_PLANE_PROGRAM:
         given = {**given, "role": "agency"}
@@ -206,14 +217,14 @@
         try:
             checked[key] = REGISTRY[key].parse(value)
         except ValueError as error:
-            faults.append(f"{key}: {value!r} does not do; {error}")
+            faults.append(f"{key}: {value!r} is not valid; {error}")
     return checked
 
 
 def _find_missing(given: dict[str, typing.Any], program: str) -> list[str]:
     required = [key for key in Settings._fields if key not in OPTIONAL_SETTINGS]
     required.append("data" if program == CONTROL_PLANE_PROGRAM else "role")
-    return [f"{key}: nothing is set; give {REGISTRY[key].help_text}" for key in required if key not in given]
+    return [f"{key}: not set; give {REGISTRY[key].help_text}" for key in required if key not in given]
 
 
 def _find_contradictions(checked: dict[str, typing.Any], program: str) -> list[str]:
@@ -222,13 +233,13 @@
     http_port = checked.get("http_port")
     if program != CONTROL_PLANE_PROGRAM and role == "agency":
         remedy = "give edge, shield, store, direct or holder, or start irisstand-controlplane"
-        faults.append(f"role: 'agency' does not do; {remedy}")
+        faults.append(f"role: 'agency' is not valid for this program; {remedy}")
     if role == "direct" and "front" not in checked:
-        faults.append("front: nothing is set; give where consumers are served, as in 10.0.0.1:8080")
+        faults.append("front: not set; give the address on which clients are served, as in 10.0.0.1:8080")
     if http_port == 0 and role != "holder":
-        faults.append("http_port: 0 does not do; give a number from 1 to 65535: only a holder has no pages")
+        faults.append("http_port: 0 is not valid; give a number from 1 to 65535: only holders may have none")
     if "port" in checked and checked["port"] == http_port:
-        faults.append(f"http_port: {checked['port']} is also the port for colleagues; give another port")
+        faults.append(f"http_port: {checked['port']} is also the port for other nodes; give another port")
     return faults
 
 
@@ -236,4 +247,4 @@
     path = pathlib.Path(folder)
     if path.is_dir() or (not path.exists() and path.parent.is_dir()):
         return []
-    return [f"data: {folder!r} does not do; name a folder, or one to be made in an existing folder"]
+    return [f"data: {folder!r} is not valid; give a folder, or a new one within an existing folder"]
--- a/src/irisstand/node_tables.py
+++ b/src/irisstand/node_tables.py
@@ -1,4 +1,4 @@
-"""The replicas of one node, and whether work may rely on them (docs/architecture.md)."""
+"""The replicas of the tables on one node, and whether they are current enough (docs/architecture.md)."""
 
 import typing
 
@@ -10,12 +10,13 @@
 
 
 class NodeTables:
-    """The replicas of the state tables that a node holds, by name of the table.
+    """Holds the replicas of a node, by table name, and decides whether they may be used.
 
     Attributes:
-        replicas: The replicas; the control plane holds all tables, the data plane those that it works by.
-        quorum_lost_as_of: By table, the last moment at which most of its voters were found unable to confirm
-            anything.
+        replicas: The replicas by table name: all tables on the control plane, on the data plane the tables
+            that are replicated to it.
+        quorum_lost_as_of: By table name, the last time at which a majority of the voters was found unable to
+            confirm changes; seconds of the node's clock.
     """
 
     def __init__(self, settings: node_settings.Settings, role: str, clock: clocks.Clock) -> None:
@@ -29,18 +30,18 @@
 
     @property
     def configuration(self) -> replica.Replica:
-        """The replica of the operators' table."""
+        """The replica of the configuration, the table that operators change."""
         return self.replicas[items.CONFIGURATION]
 
     @property
     def ledger(self) -> replica.Replica:
-        """The replica of the table that the control plane itself writes."""
+        """The replica of the ledger, the table in which the control plane records its own state."""
         return self.replicas[items.LEDGER]
 
     def is_fresh(self, table: replica.Replica) -> bool:
-        """Return whether a replica was confirmed within the freshness bound, and since the process started.
+        """Return whether a replica was confirmed current since the process start, within the freshness bound.
 
-        A node that was killed and started again might else serve by an older table than it did before.
+        Without the second condition, a node could serve from an older version after a restart than before it.
         """
         age = table.age(self.clock.now())
         if age is None or table.current_as_of is None or table.current_as_of < self.started_at:
@@ -48,19 +49,19 @@
         return age <= self.settings.freshness_bound
 
     def is_quorum_lost(self, table: replica.Replica) -> bool:
-        """Return whether the voters were found unable to confirm anything within the freshness bound."""
+        """Return whether, within the freshness bound, most voters of a table were found unable to confirm."""
         as_of = self.quorum_lost_as_of.get(table.name)
         return as_of is not None and self.clock.now() - as_of <= self.settings.freshness_bound
 
     def is_current(self, table: replica.Replica) -> bool:
-        """Return whether work may rely on a replica.
+        """Return whether a replica is current enough to serve requests from it.
 
-        It may if the replica is fresh; on the data plane also if it is older while the quorum is lost, as far
-        as the settings allow that.
+        A fresh replica is. On the data plane an older replica is too while the quorum is lost, up to the age
+        that the setting `outage_bound` allows.
         """
         if self.is_fresh(table):
             return True
-        # Control state is never handed out by its age alone.
+        # The control plane never serves a replica that is not confirmed, however recent the replica is.
         if self.role == CONTROL_PLANE_ROLE:
             return False
         age = table.age(self.clock.now())
@@ -68,26 +69,26 @@
         return self.is_quorum_lost(table) and age is not None and age <= longest
 
     def check_current(self) -> None:
-        """Raise StaleConfigurationError if work may not rely on one of the replicas."""
+        """Raise StaleConfigurationError if any replica of this node is not current."""
         for table in self.replicas.values():
             if not self.is_current(table):
-                message = f"the {table.name} table is not known to be current here"
+                message = f"this node's replica of the {table.name} table is not known to be current"
                 raise errors.StaleConfigurationError(message)
 
     def is_evacuated(self, site: str) -> bool:
-        """Return whether operators have evacuated a site."""
+        """Return whether a site is evacuated by an operator's order."""
         return self.ledger.value(f"evacuated/{site}") is not None
 
     def is_standby(self, machine: str) -> bool:
-        """Return whether a machine is on standby, which means that it gets no work."""
+        """Return whether a machine is on standby, so that it is sent no requests."""
         return self.ledger.value(f"rest/{machine}") is not None
 
     async def on_applied_versions(self, _sender: str, _body: typing.Any) -> tuple[typing.Any, ...]:
-        """Answer with the applied version of each table, and whether this node relies on it now."""
+        """Reply to a peer with the applied version of each replica and whether the replica is current."""
         tables = self.replicas.values()
         statuses = [self.status_of(table) for table in tables]
         return tuple(status.to_wire() for status in statuses)
 
     def status_of(self, table: replica.Replica) -> status_messages.TableStatus:
-        """Return the applied version of a table, and whether this node relies on it now."""
+        """Return the applied version of a replica and whether the replica is current."""
         return status_messages.TableStatus(table.name, table.applied, self.is_current(table))
--- a/src/irisstand/process_runner.py
+++ b/src/irisstand/process_runner.py
@@ -1,4 +1,4 @@
-"""Running a program: command line and settings, event loop, signals, graceful shutdown, exit codes."""
+"""Runs a node's program: command line and settings, event loop, signals, graceful shutdown, exit codes."""
 
 import asyncio
 import collections.abc
@@ -14,35 +14,38 @@
 import irisstand
 from irisstand import errors, event_log, node_context, node_settings, settings_reload
 
-# What the last steps of a shutdown may take beyond the settings farewell and drain.
+# Time for the last steps of a shutdown, after the lame duck and the drain (settings `farewell` and `drain`).
 SHUTDOWN_MARGIN_SECONDS = 0.35
 
 EXIT_OK = 0
 EXIT_CRASH = 1
 EXIT_USAGE = 2
 
+# Closes the listeners of a node, so that it accepts no more connections.
 StopListening = collections.abc.Callable[[], collections.abc.Awaitable[None]]
-# An open node, and what closes its listeners.
+# The context of an open node, and the function that closes its listeners.
 OpenedNode = tuple[node_context.NodeContext, StopListening]
+# Reads the settings again and checks them; raises SettingsError.
 ReadSettings = collections.abc.Callable[[], node_settings.Settings]
+# Builds a node from its settings and an event log, and opens it.
 Assemble = collections.abc.Callable[
     [node_settings.Settings, event_log.EventLog], collections.abc.Awaitable[OpenedNode]
 ]
 
 
 def command(program: str, help_text: str, assemble: Assemble) -> click.Command:
-    """Return a click command with a flag for each setting.
+    """Return the click command that runs a program, with a flag for each setting.
 
     Args:
-        program: The name of the program without its prefix, as in "dataplane".
-        help_text: The first line of its help.
-        assemble: Opens the node by its settings.
+        program: The name of the program without the prefix "irisstand-", as in "dataplane".
+        help_text: The first line of the command's help.
+        assemble: Builds a node from its settings and opens it.
     """
 
     def callback(settings: str | None, **flags: typing.Any) -> None:
         def read_settings() -> node_settings.Settings:
             from_file = node_settings.read_file(settings) if settings else {}
-            # Flags win over the file.
+            # Flags take precedence over the settings file.
             from_flags = {key: value for key, value in flags.items() if value is not None}
             return node_settings.check({**from_file, **from_flags}, program)
 
@@ -61,10 +64,10 @@
 
 def _options(program: str) -> list[click.Parameter]:
     options: list[click.Parameter] = [
-        click.Option(["--settings"], metavar="FILE", help="a TOML file of settings; flags win over it")
+        click.Option(["--settings"], metavar="FILE", help="a TOML file of settings; flags take precedence")
     ]
     for key, setting in node_settings.REGISTRY.items():
-        # The control plane has one role only.
+        # The control plane's program has a single role, so it needs no flag for the role.
         if program == node_settings.CONTROL_PLANE_PROGRAM and key == "role":
             continue
         flag = "--" + key.replace("_", "-")
@@ -75,22 +78,23 @@
 def run(
     settings: node_settings.Settings, assemble: Assemble, read_settings: ReadSettings | None = None
 ) -> int:
-    """Run a node until it is told to stop or crashes; return the exit code."""
+    """Run a node until a signal stops it or it crashes; return the exit code."""
     log = event_log.EventLog()
     log.attach()
     try:
         return uvloop.run(serve(settings, assemble, log, read_settings))
     except Exception as error:
-        # Whatever it was, its cause is in the log, which would be lost with the process.
+        # Events that explain the crash are only in memory, and would be lost with the process.
         event_log.record("crash", error=repr(error))
         log.write_out(f"crash: {error!r}")
         return EXIT_CRASH
 
 
 def limit_shutdown_time(settings: node_settings.Settings) -> None:
-    """End this process in its time, whatever still keeps it: a thread in a stalled write, or a task.
+    """Start a timer that ends this process when its shutdown time is over, even if a thread or task hangs.
 
-    By then nothing is answered any more, and to the disk it is the same as a kill, which it withstands.
+    A thread may hang in a stalled write, for example. When the timer fires, no request is served any more,
+    and the data folder survives it just as it survives a kill.
     """
     allowed_seconds = settings.farewell + settings.drain + SHUTDOWN_MARGIN_SECONDS
     timer = threading.Timer(allowed_seconds, os._exit, (EXIT_OK,))
@@ -99,7 +103,7 @@
 
 
 def end_process(code: int) -> typing.NoReturn:
-    """End this process at once, without taking the interpreter down, which takes long on a busy machine.
+    """End this process without finalizing the interpreter, as that takes long on a busy machine.
 
     The timer of `bound_end` could not cut that short, as no other thread runs by then.
     """
@@ -114,7 +118,10 @@
     log: event_log.EventLog,
     read_settings: ReadSettings | None = None,
 ) -> int:
-    """Open a node, wait for a signal or a crash, and shut the node down; return the exit code."""
+    """Open a node, wait for a signal or a crash, and shut the node down; return the exit code.
+
+    The shutdown is graceful after a signal; after a crash the process ends at once.
+    """
     stop = asyncio.Event()
     reload = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -124,7 +131,7 @@
     try:
         context, stop_listening = await assemble(settings, log)
     except OSError as error:
-        print(f"irisstand: {error}; free the port or name another", file=sys.stderr)
+        print(f"irisstand: cannot open the node: {error}; free the port or name another", file=sys.stderr)
         return EXIT_USAGE
     except errors.IrisError as error:
         print(f"irisstand: {error.code}: {error}; {error.remedy}", file=sys.stderr)
@@ -132,21 +139,22 @@
     if read_settings is not None:
         context.start_task(settings_reload.reload_repeatedly(context, reload, read_settings), "settings")
     crashed = context.crashed
-    assert crashed is not None, "an open node has this future"
+    assert crashed is not None, "the context of an open node has no `crashed` future"
     end_futures: list[asyncio.Future[typing.Any]] = [loop.create_task(stop.wait()), crashed]
     await asyncio.wait(end_futures, return_when=asyncio.FIRST_COMPLETED)
     if crashed.done():
         return _report_crash(crashed.exception(), log)
     await _shut_down(context, stop_listening)
     _ignore_further_signals(loop)
-    # Counted since the start of this process, and lost with it.
+    # The counters exist only in this process, so their final values are written with the event log.
     event_log.record("counters", values=context.counters.by_text())
     log.write_out("SIGTERM")
     return EXIT_OK
 
 
 def _ignore_further_signals(loop: asyncio.AbstractEventLoop) -> None:
-    # The loop would give back their defaults, which end the process in place of its last steps.
+    # The event loop would restore the default handlers, and a signal would then end the process before its
+    # last steps.
     for signal_number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         loop.remove_signal_handler(signal_number)
         signal.signal(signal_number, signal.SIG_IGN)
@@ -161,8 +169,8 @@
 
 
 async def _shut_down(context: node_context.NodeContext, stop_listening: StopListening) -> None:
-    # Balancers and peers first learn that this node leaves; until then it serves as before. A listener
-    # closed at once would reset connections that were made but not yet accepted.
+    # The node first reports that it is not ready and serves on, so that balancers and peers send it no more
+    # work. A listener that is closed at once would reset connections that are established but not accepted.
     context.is_lame_duck = True
     limit_shutdown_time(context.settings)
     await asyncio.sleep(context.settings.farewell)
--- a/src/irisstand/settings_reload.py
+++ b/src/irisstand/settings_reload.py
@@ -1,4 +1,4 @@
-"""Settings that change while a process runs: applied where that is possible, reported where it is not."""
+"""Reloading of settings in a running process: applies those that can change, reports those that cannot."""
 
 import asyncio
 import collections.abc
@@ -7,14 +7,16 @@
 
 from irisstand import errors, event_log, node_context, node_settings
 
-# The file may change without a signal; seeds are needed only when all peers are gone.
+# The settings are read again at this interval even without a signal. It may be long, as new seeds are needed
+# only when no known peer is reachable any more.
 RECHECK_INTERVAL_SECONDS = 10.0
-# Bootstrapping concerns only the next start, so a change of it needs no report.
+# Changes of these settings are not reported: `seeds` is applied at once, and `may_found` concerns only the
+# bootstrap at the next start.
 UNREPORTED_SETTINGS = ("seeds", "may_found")
 
 
 def apply_settings(context: node_context.NodeContext, settings: node_settings.Settings) -> list[str]:
-    """Apply the settings that can change; return the names of changed ones that need a restart."""
+    """Apply the settings that can change; return the names of changed settings that need a restart."""
     current = context.settings
     changed = [
         name for name in node_settings.Settings._fields if getattr(current, name) != getattr(settings, name)
@@ -31,12 +33,12 @@
     reload_requested: asyncio.Event,
     read_settings: collections.abc.Callable[[], node_settings.Settings],
 ) -> None:
-    """Read the settings again on each signal and now and then; invalid ones are reported and change nothing.
+    """Reload the settings on each signal and at a fixed interval; invalid settings are reported, not applied.
 
     Args:
-        context: The node whose settings are followed.
-        reload_requested: Set by the signal; cleared here.
-        read_settings: Reads and checks the settings; raises SettingsError.
+        context: The node whose settings are reloaded.
+        reload_requested: Set by the handler of SIGHUP; cleared here.
+        read_settings: Reads and checks the settings; raises SettingsError if they are invalid.
     """
     reported: list[str] = []
     while True:
@@ -46,7 +48,7 @@
         is_requested = reload_requested.is_set()
         reload_requested.clear()
         faults = _reload(context, read_settings)
-        # Reported once for each change, and again to whoever sends a signal.
+        # Faults are reported when they change, and after every signal.
         if faults and (is_requested or faults != reported):
             lines = [f"irisstand: settings: {fault}" for fault in faults]
             print("\n".join(lines), file=sys.stderr, flush=True)
@@ -61,4 +63,4 @@
         needing_restart = apply_settings(context, read_settings())
     except errors.SettingsError as error:
         return error.faults
-    return [f"{name}: changed, which takes a new start" for name in needing_restart]
+    return [f"{name}: the changed value takes effect only after a restart" for name in needing_restart]
--- a/src/irisstand/web.py
+++ b/src/irisstand/web.py
@@ -1,4 +1,4 @@
-"""HTTP towards operators and clients: one sanic application in this very process, with the common pages."""
+"""The HTTP server of a node for operators and clients: a sanic application with the pages of all roles."""
 
 import asyncio
 import collections.abc
@@ -15,7 +15,7 @@
 from irisstand.http1 import open_connections, strict_protocol
 
 BODY_LIMIT_BYTES = 4 * 1024 * 1024
-# An edge listens after that time even if its tables are not current.
+# An edge opens its listener after this time even if its replicas are not current.
 OPENING_TIMEOUT_SECONDS = 30.0
 OPENING_CHECK_SECONDS = 0.02
 SANIC_CONFIG = {
@@ -47,7 +47,7 @@
 
 
 def error_response(error: errors.IrisError) -> Response:
-    """Return the response that reports an error: JSON object, status, and Retry-After if it has one."""
+    """Return the response for an error: its JSON object, its status, and Retry-After if it has a delay."""
     headers = {"Cache-Control": "no-store"}
     if error.retry_after:
         headers["Retry-After"] = str(max(1, math.ceil(error.retry_after)))
@@ -55,7 +55,12 @@
 
 
 class Readiness(typing.NamedTuple):
-    """Whether a node should be sent work, and why."""
+    """Whether a node is ready for requests, as the readiness page reports it.
+
+    Attributes:
+        ready: Whether balancers should send requests to the node.
+        why: The reason, for operators.
+    """
 
     ready: bool
     why: str
@@ -66,6 +71,8 @@
 
     Attributes:
         app: The sanic application, to which other modules add routes.
+        server: The listening server of sanic; None while the node does not listen.
+        connections: The open connections of the server; they remain when it stops listening.
     """
 
     def __init__(self, context: node_context.NodeContext, log: event_log.EventLog) -> None:
@@ -86,7 +93,7 @@
         self.app.register_middleware(self.on_response, "response")
 
     async def open(self) -> None:
-        """Listen; raises OSError if the port is taken."""
+        """Listen on the HTTP port of the settings; raises OSError if the port is taken."""
         settings = self.context.settings
         self.server = await self.app.create_server(
             host=settings.host,
@@ -100,11 +107,15 @@
         await self.server.start_serving()
 
     async def open_when_current(self) -> None:
-        """Listen once the tables are current: before that, an edge would only reject clients."""
+        """Listen once all replicas are current, as an edge would reject every request before that.
+
+        Raises:
+            errors.PortTakenError: The HTTP port is taken.
+        """
         clock = self.context.clock
         started_at = clock.now()
         while not all(map(self.context.is_current, self.context.replicas.values())):
-            # A long quorum loss is no reason to be unreachable: people need to see why.
+            # During a long quorum loss the node must become reachable, so that operators can see the cause.
             if clock.now() - started_at > OPENING_TIMEOUT_SECONDS:
                 break
             await asyncio.sleep(OPENING_CHECK_SECONDS)
@@ -115,75 +126,78 @@
                 raise errors.PortTakenError(str(error)) from None
 
     async def stop_listening(self) -> None:
-        """Accept no more connections; those that exist are served on, and closed as they come to rest."""
+        """Accept no more connections; open connections are served until they are idle, then closed."""
         if self.server is not None:
             self.server.close()
             self.server = None
             self.context.pending_work_checks.append(lambda: open_connections.close_idle(self.connections))
 
     def abort_connections(self) -> None:
-        """Abort all connections, at the very end."""
+        """Abort all open connections, as the last step of the shutdown."""
         open_connections.abort(self.connections)
 
     async def on_response(
         self, _request: sanic.request.Request, response: sanic.response.BaseHTTPResponse
     ) -> None:
-        """Close the connection after a response of a node that shuts down: it would bring more work."""
+        """Close the connection after a response if this node is shutting down, to get no more work on it."""
         if self.context.is_lame_duck or self.context.is_draining:
             response.headers["Connection"] = "close"
 
     def on_error(self, _request: sanic.request.Request, error: Exception) -> Response:
-        """Return the response for an error of a handler, of sanic or of this software."""
+        """Return the response for an exception that a request handler or sanic raised."""
         if isinstance(error, errors.IrisError):
             return error_response(error)
         if isinstance(error, sanic.exceptions.SanicException):
             return _sanic_error_response(error)
         event_log.record("crash", error=repr(error))
-        self.log.write_out(f"error in a request: {error!r}")
-        return error_response(errors.IrisError("an error of this node's own"))
+        self.log.write_out(f"unexpected error while handling an HTTP request: {error!r}")
+        return error_response(errors.IrisError("internal error of this node"))
 
     def readiness(self) -> Readiness:
-        """Return whether this node should be sent work, and why."""
+        """Return whether this node is ready for requests, and the reason."""
         context = self.context
         if context.is_lame_duck or context.is_draining:
             return Readiness(ready=False, why="draining")
         for table in context.replicas.values():
             if not context.is_current(table):
-                return Readiness(ready=False, why=f"the {table.name} table is not known to be current")
-        # The control plane works on wherever it is; only clients' work is kept away.
+                return Readiness(
+                    ready=False, why=f"the replica of table {table.name} is not known to be current"
+                )
+        # Evacuation and standby keep only client requests away, so control plane nodes there remain ready.
         if context.role == "edge" and context.is_evacuated(context.settings.site):
             return Readiness(ready=False, why=f"site {context.settings.site} is evacuated")
         if context.role == "edge" and context.is_standby(context.settings.machine):
-            return Readiness(ready=False, why=f"machine {context.settings.machine} rests")
+            return Readiness(ready=False, why=f"machine {context.settings.machine} is on standby")
         return Readiness(ready=True, why="ready")
 
     async def live(self, _request: sanic.request.Request) -> Response:
-        """Answer that the process runs."""
+        """Serve the liveness page: status 200 whenever the process runs."""
         return json_response({"live": True})
 
     async def ready(self, _request: sanic.request.Request) -> Response:
-        """Answer whether this node should be sent work: status 200 or 503."""
+        """Serve the readiness page: status 200 if this node is ready for requests, 503 otherwise."""
         readiness = self.readiness()
         return json_response(readiness._asdict(), STATUS_OK if readiness.ready else STATUS_UNAVAILABLE)
 
     async def status(self, _request: sanic.request.Request) -> Response:
-        """Answer with the status of the node."""
+        """Serve the status page of this node as JSON."""
         return json_response(self.context.status())
 
     async def counters(self, _request: sanic.request.Request) -> Response:
-        """Answer with all counters in the Prometheus text format."""
+        """Serve all counters and gauges in the Prometheus text format."""
         return sanic.response.text(
             self.context.counters.text(), content_type="text/plain; version=0.0.4; charset=utf-8"
         )
 
     async def write_log(self, _request: sanic.request.Request) -> Response:
-        """Write the event log out."""
-        return json_response({"written": self.log.write_out("asked for by an operator")})
+        """Write the event log to standard error, and respond with the number of events written."""
+        return json_response({"written": self.log.write_out("requested by an operator")})
 
 
 def _sanic_error_response(error: sanic.exceptions.SanicException) -> Response:
     status = error.status_code or STATUS_INTERNAL_ERROR
-    # Sanic calls an oversized head an oversized payload; HTTP has a status of its own (RFC 6585, section 5).
+    # Sanic reports an oversized header section as an oversized payload; HTTP has status 431 for it (RFC 6585,
+    # section 5).
     if status == STATUS_PAYLOAD_TOO_LARGE and "header" in str(error).lower():
         status = STATUS_HEADERS_TOO_LARGE
     remedy = "send what the operators' page describes, within its limits"
--- a/tests/programs/test_http.py
+++ b/tests/programs/test_http.py
@@ -53,10 +53,10 @@
     done = subprocess.run([*command, "--port", "7000"], capture_output=True, text=True)
     assert done.returncode == 2
     assert "port: 99999" not in done.stderr
-    assert "machine: nothing is set" in done.stderr
+    assert "machine: not set" in done.stderr
     done = subprocess.run(command, capture_output=True, text=True)
     assert done.returncode == 2
-    assert "port: 99999 does not do" in done.stderr
+    assert "port: 99999 is not valid" in done.stderr
     for program in ("irisstand.dataplane.program", "irisstand.controlplane.program", "irisstand.commands"):
         for flag in ("--help", "--version"):
             assert subprocess.run([sys.executable, "-m", program, flag], capture_output=True).returncode == 0
