--- a/src/irisstand/drain_guard.py
+++ b/src/irisstand/drain_guard.py
@@ -95,7 +95,11 @@
                 case WorkState.UNSENT | WorkState.WITHDRAWABLE:
                     entry.end(make_draining_error())
                 case WorkState.BEGUN:
-                    entry.end(errors.OutcomeUnknownError("this node stops while an origin may process it"))
+                    entry.end(
+                        errors.OutcomeUnknownError(
+                            "this node stops while an origin may still process the request"
+                        )
+                    )
                 case WorkState.FINISHED:
                     pass
 
--- a/tests/mutation/shutdown_mutations.py
+++ b/tests/mutation/shutdown_mutations.py
@@ -1,4 +1,4 @@
-"""Lines that keep a request from being lost: at holders, during a stop, and after a wait."""
+"""Mutations of lines that keep requests from being lost: at holders, at shutdown and after a wait."""
 # ruff: noqa: E501
 
 GUARDS = [
--- a/tests/programs/test_deployed_programs.py
+++ b/tests/programs/test_deployed_programs.py
@@ -1,4 +1,4 @@
-"""The programs of the deploy file, as the platform starts them."""
+"""The programs of deploy/system.toml, started as the platform starts them."""
 
 import asyncio
 import os
@@ -25,7 +25,7 @@
 
 def test_deployed_programs_serve_requests_changes_purges_evacuations_and_a_graceful_shutdown(tmp_path):
     async def scenario(network):
-        # Requests of each kind; what comes back is what the origin sealed, under the asker's own id.
+        # Requests of each kind get the response that the origin sealed, with the request id of the client.
         for path, method, body in (
             ("/objects/1", "GET", None),
             ("/reads/1?a=%20b", "GET", None),
@@ -44,7 +44,8 @@
         assert len(part) == 5
         assert headers["Attempt-Id"] == "r9"
         assert (await network.send_request("/nowhere/1"))[0] == 404
-        # A change, an older one after it, a removal, and the table read back at another node.
+        # A change, then an older version of it, which has no effect, then a removal; afterwards another node
+        # returns the configuration without the route.
         network.version = 7
         change = {"put": {"routes": [network.route("later", "idempotent", "app")]}}
         assert await network.accepts(change, node=2)
@@ -59,7 +60,7 @@
         found = (await network.call("GET", "/items", node=2))[1]
         assert {route["name"] for route in found["routes"]} == {"objects", "reads", "writes"}
         assert found["limits"]["body_bytes"] == 100000
-        # Invalid calls are refused whole, and change nothing.
+        # Invalid changes are rejected as a whole, and leave the configuration as it was.
         for call in (
             b'{"put": {"rou',
             {"put": {"routes": [network.route("x", "idempotent", "nobody")]}},
@@ -70,7 +71,7 @@
             status, _ = await network.call("POST", "/amendments", call)
             assert 400 <= status < 500, call
         assert (await network.call("GET", "/items", node=3))[1] == found
-        # Purges by path and by tag: what was changed before them is not given out after.
+        # After a purge by path or by tag, the version of the object from before it is not served any more.
         for purge in ({"host": deployed_programs.HOST, "path": "/objects/1"}, {"tag": "t-content"}):
             before = (await network.send_request("/objects/1"))[2]
             for origin in network.origins:
@@ -82,7 +83,7 @@
                 return (await network.send_request("/objects/1"))[2] != before
 
             await network.wait_until(is_new, 2)
-        # An evacuated zone's origins get nothing, and something again after its end.
+        # The origins of an evacuated zone get no requests until the evacuation ends.
         assert (await network.call("PUT", "/sites/z1/evacuation"))[0] == 200
         await asyncio.sleep(0.6)
         evacuated_origin = next(origin for origin in network.origins if origin.instance == "i-app1")
@@ -97,7 +98,7 @@
             return evacuated_origin.arrivals > count
 
         await network.wait_until(is_back, 10)
-        # Settings that change are taken up without an end; what cannot change is told.
+        # Settings are reloaded on SIGHUP; invalid ones are reported, and the process runs on.
         settings = pathlib.Path(network.folder) / "edge-1.toml"
         kept = settings.read_text()
         for spoilt in ("internal_ports = 7\n", "ip = ", kept):
@@ -106,7 +107,7 @@
             await asyncio.sleep(0.3)
         assert network.processes["edge-1"].returncode is None
         assert await network.readiness_status() == 200
-        # A planned end: readiness goes first, and what is under way gets its answer.
+        # Graceful shutdown: the node first reports that it is not ready, and answers requests in flight.
         for origin in network.origins:
             origin.faults["slow"] = 1.5
         pending_request = asyncio.create_task(network.send_request("/writes/2", "POST", b"last"))
@@ -128,7 +129,7 @@
 
 def test_malformed_requests_are_refused_by_the_limits_and_the_node_keeps_serving(tmp_path):
     async def send_raw(network, sent):
-        """The status line of what comes back on a connection of its own, or nothing."""
+        """Send bytes on a new connection; return the status line of the response, or nothing."""
         reader, writer = await asyncio.open_connection("127.0.7.4", network.ports[2])
         writer.write(sent)
         try:
@@ -145,7 +146,7 @@
         assert b" 431 " in await send_raw(network, long)
         assert b" 413 " in await send_raw(network, large)
         assert b" 400 " in await send_raw(network, b"\x00\x01\x02 nonsense\r\n\r\n")
-        # A body that never comes whole is never sent on, and whoever says nothing is not kept.
+        # A request whose body stays incomplete is not sent to an origin, and an idle connection is closed.
         reader, writer = await asyncio.open_connection("127.0.7.4", network.ports[2])
         writer.write(short)
         idle = await send_raw(network, b"")
@@ -189,7 +190,7 @@
     assert ";" in done.stderr
 
 
-# What only the platform says; the product has its own words for all of it.
+# Terms of the platform, which only the adapter in `platform` and the files in `deploy` may use.
 PLATFORM_TERMS = re.compile(
     r"Attempt-Id|Time-Remaining|Answer-Seal|Target-Instance|Answering-Instance|Not-Executed|Object-Tags|"
     r"Cold-Remaining|IRISSTAND_CONFIG|instance_set|next_token|page_token|column_set|row_set|route_set|"
--- a/tests/programs/test_http.py
+++ b/tests/programs/test_http.py
@@ -1,4 +1,4 @@
-"""The programs as people and callers meet them: settings, statuses, real sockets."""
+"""The programs as operators and clients use them: settings, exit codes, HTTP statuses, on real sockets."""
 
 import asyncio
 import json
@@ -32,7 +32,7 @@
 def faults_of(**changed):
     with pytest.raises(errors.SettingsError) as raised:
         node_settings.check({**VALID_SETTINGS, **changed}, "dataplane")
-    return raised.value.faults_of
+    return raised.value.faults
 
 
 def test_every_fault_of_the_settings_is_reported_with_key_value_and_remedy():
@@ -50,13 +50,13 @@
     settings = tmp_path / "edge.toml"
     settings.write_text('name = "edge-1"\nport = 99999\n')
     command = [sys.executable, "-m", "irisstand.dataplane.program", "--settings", str(settings)]
-    done = subprocess.run([*command, "--port", "7000"], capture_output=True, text=True)
-    assert done.returncode == 2
-    assert "port: 99999" not in done.stderr
-    assert "machine: not set" in done.stderr
-    done = subprocess.run(command, capture_output=True, text=True)
-    assert done.returncode == 2
-    assert "port: 99999 is not valid" in done.stderr
+    result = subprocess.run([*command, "--port", "7000"], capture_output=True, text=True)
+    assert result.returncode == 2
+    assert "port: 99999" not in result.stderr
+    assert "machine: not set" in result.stderr
+    result = subprocess.run(command, capture_output=True, text=True)
+    assert result.returncode == 2
+    assert "port: 99999 is not valid" in result.stderr
     for program in ("irisstand.dataplane.program", "irisstand.controlplane.program", "irisstand.commands"):
         for flag in ("--help", "--version"):
             assert subprocess.run([sys.executable, "-m", program, flag], capture_output=True).returncode == 0
@@ -73,7 +73,7 @@
 
 @pytest.fixture(scope="module")
 def running_cluster(tmp_path_factory):
-    """One control plane node, one shield and one edge as real processes."""
+    """A local cluster of one control plane node, one shield and one edge, as real processes."""
     folder = tmp_path_factory.mktemp("thin")
     cluster = processes.LocalCluster(processes.SHAPES["thin"], folder, processes.free_ports(1)[0])
     for name in ("agency-1", "shield-1", "edge-1"):
@@ -118,54 +118,54 @@
 
 
 def test_responses_to_good_and_bad_calls_of_operators(running_cluster):
-    def change(rows, **more):
-        return call(running_cluster, "agency-1", "POST", "/changes", {"rows": rows, **more})
+    def change(rows, **fields):
+        return call(running_cluster, "agency-1", "POST", "/changes", {"rows": rows, **fields})
 
     row = {"kind": "site", "name": "north", "value": {"weight": 2}}
-    done = change([row], change="first")
-    assert done.status == 200
-    assert done.content["confirmed"]
-    assert done.content["change"] == "first"
-    assert change([row], change="first").content["serial"] == done.content["serial"]
+    result = change([row], change="first")
+    assert result.status == 200
+    assert result.content["confirmed"]
+    assert result.content["change"] == "first"
+    assert change([row], change="first").content["serial"] == result.content["serial"]
     table = call(running_cluster, "agency-1", "GET", "/rows").content
-    assert table["rows"] == [{**row, "serial": done.content["serial"]}]
-    stale = change([{**row, "expected": "1@nobody"}])
-    assert stale.status == 409
-    assert stale.content["conflicts"][0]["in_force"] == done.content["serial"]
-    bad = change([{**row, "value": {"weight": "heavy"}}, {"kind": "oven", "name": "x", "value": {}}])
-    assert bad.status == 422
-    assert [fault["row"] for fault in bad.content["faults"]] == [0, 1]
+    assert table["rows"] == [{**row, "serial": result.content["serial"]}]
+    stale_row = change([{**row, "expected": "1@nobody"}])
+    assert stale_row.status == 409
+    assert stale_row.content["conflicts"][0]["in_force"] == result.content["serial"]
+    invalid_rows = change([{**row, "value": {"weight": "heavy"}}, {"kind": "oven", "name": "x", "value": {}}])
+    assert invalid_rows.status == 422
+    assert [fault["row"] for fault in invalid_rows.content["faults"]] == [0, 1]
     assert change([{**row, "colour": 1}]).status == 422
     assert change("x").status == 400
     assert call(running_cluster, "agency-1", "POST", "/changes", raw=b"{").status == 400
     assert call(running_cluster, "agency-1", "POST", "/changes", raw=b"[" * 100000).status == 400
     assert call(running_cluster, "agency-1", "POST", "/changes", raw=b"x" * (5 * 1024 * 1024)).status == 413
-    unknown = call(running_cluster, "agency-1", "PUT", "/sites/atlantis/evacuation")
-    assert unknown.status == 404
-    assert "north" in unknown.content["remedy"]
-    cannot = call(running_cluster, "agency-1", "PUT", "/sites/north/evacuation")
-    assert cannot.status == 409
-    assert cannot.content["figures"]["shield"]["machines_left"] == 0
-    insisted = call(running_cluster, "agency-1", "PUT", "/sites/north/evacuation?insist=true")
-    assert insisted.status == 200
-    assert "no majority" in insisted.content["notes"][-1]
+    unknown_site = call(running_cluster, "agency-1", "PUT", "/sites/atlantis/evacuation")
+    assert unknown_site.status == 404
+    assert "north" in unknown_site.content["remedy"]
+    refused_evacuation = call(running_cluster, "agency-1", "PUT", "/sites/north/evacuation")
+    assert refused_evacuation.status == 409
+    assert refused_evacuation.content["figures"]["shield"]["machines_left"] == 0
+    insisted_evacuation = call(running_cluster, "agency-1", "PUT", "/sites/north/evacuation?insist=true")
+    assert insisted_evacuation.status == 200
+    assert "no majority" in insisted_evacuation.content["notes"][-1]
     assert call(running_cluster, "agency-1", "PUT", "/sites/north/evacuation").status == 200
     assert call(running_cluster, "agency-1", "DELETE", "/sites/north/evacuation").status == 200
     assert call(running_cluster, "agency-1", "POST", "/purges", {"paths": ["no-slash"]}).status == 400
     assert call(running_cluster, "agency-1", "POST", "/purges", {"tags": ["a"]}).status == 200
-    taken = change([{**row, "value": {"weight": 3}}], change="first")
-    assert taken.status == 409
-    assert taken.content["code"] == "change-id-taken"
+    taken_id = change([{**row, "value": {"weight": 3}}], change="first")
+    assert taken_id.status == 409
+    assert taken_id.content["code"] == "change-id-taken"
     limits = {"put": {"limits": {"version": 3, "idle": 5}}}
-    for again in (limits, {"put": {"limits": {"idle": 5.0, "version": 3.0, "note": None}}}):
-        assert call(running_cluster, "agency-1", "POST", "/amendments", again).status == 200
+    for repeated_limits in (limits, {"put": {"limits": {"idle": 5.0, "version": 3.0, "note": None}}}):
+        assert call(running_cluster, "agency-1", "POST", "/amendments", repeated_limits).status == 200
     limits["put"]["limits"]["idle"] = 6
-    clash = call(running_cluster, "agency-1", "POST", "/amendments", limits)
-    assert clash.status == 409
-    assert clash.content["conflicts"][0]["item"] == "limits/all"
-    for answer in (stale, bad, unknown, cannot, taken, clash):
-        assert answer.content["code"]
-        assert answer.content["remedy"]
+    version_conflict = call(running_cluster, "agency-1", "POST", "/amendments", limits)
+    assert version_conflict.status == 409
+    assert version_conflict.content["conflicts"][0]["item"] == "limits/all"
+    for response in (stale_row, invalid_rows, unknown_site, refused_evacuation, taken_id, version_conflict):
+        assert response.content["code"]
+        assert response.content["remedy"]
     names = {
         member["name"] for member in call(running_cluster, "agency-1", "GET", "/members").content["members"]
     }
@@ -185,6 +185,6 @@
     ]
     ports = [f"--port={processes.free_ports(1)[0]}", f"--http-port={place.http_port}"]
     command = [sys.executable, "-m", "irisstand.dataplane.program", *settings, *ports]
-    done = subprocess.run(command, capture_output=True, text=True, env=os.environ)
-    assert done.returncode == 2
-    assert "free the port" in done.stderr
+    result = subprocess.run(command, capture_output=True, text=True, env=os.environ)
+    assert result.returncode == 2
+    assert "free the port" in result.stderr
--- a/tests/programs/test_shutdown.py
+++ b/tests/programs/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Starts and planned ends: over in their time, and not cut short by one more signal."""
+"""Start and graceful shutdown of programs: within the time limits, and not cut short by further signals."""
 
 import os
 import pathlib
@@ -30,15 +30,16 @@
 sys.exit(running.run(types.SimpleNamespace(farewell=0.1, drain=0.5), assemble))
 """
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
-# The same without the stuck thread, and with signals while the interpreter takes itself down.
+# The same program without the stuck thread, and with signals while the interpreter is finalized.
 SIGNAL_SCRIPT = f"""{STUCK_SCRIPT.replace("    loop.run_in_executor(None, threading.Event().wait, 20)", "")}
-class Last:
+class SignalOnDeletion:
     def __del__(self, kill=os.kill, pid=os.getpid()):
         kill(pid, {int(signal.SIGHUP)})
         kill(pid, {int(signal.SIGTERM)})
 """
-# Made before the program ends, and deleted with its module.
-SIGNAL_SCRIPT = SIGNAL_SCRIPT.replace("sys.exit(", "code = (") + "last = Last()\nsys.exit(code)\n"
+# The object that sends the signals is created before the program ends, and deleted when the interpreter
+# finalizes the module.
+SIGNAL_SCRIPT = SIGNAL_SCRIPT.replace("sys.exit(", "code = (") + "last = SignalOnDeletion()\nsys.exit(code)\n"
 
 
 def test_stuck_thread_does_not_keep_the_process_beyond_its_shutdown_time():
@@ -56,7 +57,7 @@
         translated = deployed_programs.platform_settings.translate(decoded, role)
         shutdown_seconds[role] = translated["farewell"] + translated["drain"]
     assert shutdown_seconds["holder"] == pytest.approx(shutdown_seconds["direct"])
-    # The platform's grace, less the last steps.
+    # The grace period of the platform's settings (6 s), less the margin for the last steps (0.5 s).
     assert shutdown_seconds["direct"] == pytest.approx(6 - 0.5)
 
 
@@ -67,7 +68,7 @@
 
 
 def test_hang_up_between_start_and_settings_does_not_end_the_process(tmp_path):
-    # The process waits for its settings when this end of the pipe can be opened.
+    # Opening the pipe for writing returns only when the process opens it to read its settings.
     pipe = tmp_path / "settings.toml"
     os.mkfifo(pipe)
     process = subprocess.Popen(
@@ -85,7 +86,7 @@
 def test_process_does_not_take_its_interpreter_down_after_a_stop():
     script = SIGNAL_SCRIPT.replace("sys.exit(code)", "running.end_process(code + 3)")
     script += "print('not reached')"
-    # The object that sends signals when it is deleted would be deleted on the way down.
+    # If the interpreter were finalized, it would delete the object, which would then print "deleted".
     script = script.replace("kill(pid, ", "print('deleted', ")
     result = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, timeout=60)
     assert (result.returncode, result.stdout) == (3, "")
--- a/tests/programs/test_stopping_listeners.py
+++ b/tests/programs/test_stopping_listeners.py
@@ -1,4 +1,4 @@
-"""Listeners of operators and of role edge, on real sockets: nothing that was read ends without an answer."""
+"""Shutdown of the HTTP listeners for operators and of edges, on real sockets: all requests are answered."""
 
 import asyncio
 import itertools
@@ -11,13 +11,13 @@
 from irisstand.controlplane.api import operator_reads
 from irisstand.dataplane.http import sanic_adapter
 
-# Sanic knows its applications by name for as long as the process lives.
+# Sanic registers applications by name until the process ends, so every node needs a name of its own.
 NODE_NUMBERS = itertools.count(1)
 DRAIN_SECONDS = 0.5
 
 
 class SlowNode:
-    """Stands for what an edge, or a majority, is asked: it answers after some seconds."""
+    """Stub of an edge's request handling and of a majority of voters, which responds after some seconds."""
 
     def __init__(self, context, seconds):
         self.context, self.seconds = context, seconds
@@ -30,7 +30,7 @@
 
 
 def run_scenario(scenario, seconds=60):
-    """Run `scene(server, address)` with a listener for operators and for clients of role edge."""
+    """Run `scenario(server, address)` with an HTTP server for operators and for clients of an edge."""
 
     async def run():
         with socket.socket() as probe:
@@ -59,27 +59,27 @@
 
 
 async def request_and_stop(server, address, request_line):
-    """Send a request, stop the node while it is at work on it, and return the answer."""
+    """Send a request, stop the node while it works on the request, and return the response."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(request_line + b" HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
     await asyncio.sleep(0.05)
     await stop(server)
-    answer = await reader.read()
+    response = await reader.read()
     writer.close()
-    return answer
+    return response
 
 
 @pytest.mark.parametrize(
     ("request_line", "status"),
     [
-        # An operator's read, which waits for a majority.
+        # An operator's read, which waits for a majority of voters, then a read and a write by clients.
         (b"GET /items", b"503"),
         (b"GET /vacancies/1", b"503"),
         (b"POST /applications", b"504"),
     ],
 )
 def test_a_request_that_waits_at_the_end_of_a_drain_is_answered(request_line, status):
-    """Guards against LOST: what waits in a node of role edge, or for an operator, knows of the drain."""
+    """Guards against requests that wait in a handler when the drain ends and get no response."""
 
     async def scenario(server, address):
         return await request_and_stop(server, address, request_line)
@@ -88,7 +88,7 @@
 
 
 def test_an_operator_s_read_that_is_confirmed_within_the_drain_is_answered_by_itself():
-    """Guards against LOST: a drain that was over before what it had read was."""
+    """Guards against a drain that ends while a request that was read is still being processed."""
 
     async def scenario(server, address):
         return await request_and_stop(server, address, b"GET /items")
@@ -97,7 +97,7 @@
 
 
 def test_a_connection_at_rest_is_closed_when_the_listener_stops():
-    """Guards against LOST: a request that a node reads in its last moment, on a connection that was kept."""
+    """Guards against unanswered requests that arrive on a kept-alive connection just before the node ends."""
 
     async def scenario(server, address):
         reader, writer = await asyncio.open_connection(*address)
--- a/tests/support/deployed_programs.py
+++ b/tests/support/deployed_programs.py
@@ -1,4 +1,4 @@
-"""The very programs of the deploy file on loopback, with stand-ins for platform, origins and operator."""
+"""The programs that the platform deploys, run on loopback with emulated platform, origins and operator."""
 
 import asyncio
 import json
@@ -34,7 +34,7 @@
 
 
 def write_settings(name, number, ports, zone, platform_address, folder, **more):
-    """A settings file as the platform would write it."""
+    """Write a settings file as the platform would write it, and return its path."""
     ip = f"127.0.7.{number}"
     listen = (
         {"control": f"{ip}:{ports[1]}"}
@@ -77,7 +77,7 @@
 
 
 class DeployedNetwork:
-    """Three core nodes and one edge; `async with` starts and ends them."""
+    """Three control plane nodes and one edge; `async with` starts and ends their processes."""
 
     def __init__(self, folder):
         self.folder = str(folder)
@@ -128,7 +128,7 @@
         )
 
     async def instances(self, request):
-        """Two entries a page."""
+        """Serve the platform's list of origin instances, two entries a page."""
         page = int(request.query.get("page_token", "0"))
         entries = [
             {
@@ -148,7 +148,7 @@
             {"instance_set": entries[2 * page : 2 * page + 2], "next_token": next_page}
         )
 
-    # -- the operator --------------------------------------------------------------------------------
+    # -- operator --------------------------------------------------------------------------------
     async def call(self, method, path, body=None, node=1):
         content = body if isinstance(body, bytes) or body is None else json.dumps(body).encode()
         url = f"http://127.0.7.{node}:{self.ports[1]}{path}"
--- a/tests/test_drain_guard.py
+++ b/tests/test_drain_guard.py
@@ -1,4 +1,4 @@
-"""The guard of a drain: what is answered in the place of work, by how far it is."""
+"""The drain guard: which error ends unfinished work at the end of a drain, depending on its state."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 def result_of(state, *, is_drain_over):
-    """Return with what a piece of work in a state ends near the end of a drain, or when it is over."""
+    """Return the result or error type of work in a state, near the end of a drain or after its end."""
 
     async def work(guard):
         with guard.fail_at_end(lambda: state):
@@ -41,7 +41,7 @@
     ],
 )
 def test_work_is_answered_by_how_far_it_is(state, near_the_end, over):
-    """Guards against LOST and REFUSED: no silence, and no promise for what may have run."""
+    """Guards against unanswered requests, and against refusals of requests that may have run."""
     assert result_of(state, is_drain_over=False) == near_the_end
     assert result_of(state, is_drain_over=True) == over
 
--- a/tests/test_source_rules.py
+++ b/tests/test_source_rules.py
@@ -1,4 +1,4 @@
-"""Rules that the source keeps: no wall clocks, no processes, no waiting on a disk, imports of modules."""
+"""Source code rules: no wall clocks, no subprocesses, no blocking disk access, imports of modules only."""
 
 import ast
 import pathlib
@@ -9,7 +9,7 @@
 
 ROOT = pathlib.Path(irisstand.__file__).parent
 SOURCE_FILES = sorted(ROOT.rglob("*.py"))
-# Wall clocks jump at some sites, and the local cluster makes them jump on purpose.
+# Functions that read a wall clock. Wall clocks jump at some sites, and the local cluster injects such jumps.
 WALL_CLOCKS = {
     ("time", "time"),
     ("time", "time_ns"),
@@ -17,7 +17,8 @@
     ("datetime", "utcnow"),
     ("date", "today"),
 }
-# Packages that only simulate a network or run a local cluster may do what a node may not.
+# Packages that are not part of a node: they simulate a network, check it, or run it on one machine, and may
+# use what a node may not.
 SIMULATION_PACKAGES = {"simulator", "emulators", "localcluster", "soak", "modelcheck"}
 PRODUCTION_FILES = [path for path in SOURCE_FILES if path.parent.name not in SIMULATION_PACKAGES]
 
@@ -33,11 +34,13 @@
     assert not attributes & WALL_CLOCKS
     imported = {alias.name for node in ast.walk(tree) if isinstance(node, ast.Import) for alias in node.names}
     assert not imported & {"subprocess", "multiprocessing", "multiprocessing.shared_memory", "mmap"}
-    # Connections come from the network that is handed in. One module names an option of them, and opens none.
+    # Nodes open connections only through the network object passed to them. The one module that imports
+    # `socket` sets a socket option and opens no connection.
     assert "socket" not in imported or path == ROOT / "dataplane" / "upstream" / "transport_reset.py"
     assert {name for module, name in attributes if module == "socket"} <= {"SOL_SOCKET", "SO_LINGER"}
     assert not attributes & {("os", "fork"), ("os", "system"), ("os", "posix_spawn")}
-    # The event loop never waits on a disk: files are for the disk's own thread, and settings for the start.
+    # The event loop must never wait on a disk. Only the module whose functions run in the disk thread calls
+    # `open`; settings are read with pathlib when a node starts.
     calls = [node.func for node in ast.walk(tree) if isinstance(node, ast.Call)]
     opens = any(isinstance(function, ast.Name) and function.id == "open" for function in calls)
     assert not opens or path == ROOT / "state" / "storage" / "folder.py"
@@ -45,7 +48,7 @@
 
 @pytest.mark.parametrize("path", SOURCE_FILES, ids=lambda path: str(path.relative_to(ROOT)))
 def test_names_are_qualified_by_their_modules(path):
-    """From-imports bring in modules alone."""
+    """A `from` import may import only modules, so that every other name is qualified by its module."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom):
             for alias in node.names:
