--- a/src/irisstand/node_context.py
+++ b/src/irisstand/node_context.py
@@ -174,9 +174,9 @@
         """Accept no new work, wait a limited time for work in flight, and announce that this node leaves."""
         self.is_draining = True
         started_at = self.clock.now()
-        end = started_at + self.settings.drain
-        while (self.has_pending_work() or self.in_flight) and self.clock.now() < end:
-            if self.clock.now() >= end - FINAL_RESPONSES_SECONDS:
+        deadline = started_at + self.settings.drain
+        while (self.has_pending_work() or self.in_flight) and self.clock.now() < deadline:
+            if self.clock.now() >= deadline - FINAL_RESPONSES_SECONDS:
                 self._announce_drain_ending()
             await asyncio.sleep(DRAIN_CHECK_SECONDS)
         event_log.record(
--- a/src/irisstand/node_tables.py
+++ b/src/irisstand/node_tables.py
@@ -39,9 +39,10 @@
         return self.replicas[items.LEDGER]
 
     def is_fresh(self, table: replica.Replica) -> bool:
-        """Return whether a replica was confirmed current since the process start, within the freshness bound.
+        """Return whether a replica was confirmed within the freshness bound, and after this process started.
 
-        Without the second condition, a node could serve from an older version after a restart than before it.
+        Confirmations from before the start do not count: otherwise a node that was killed and restarted
+        could serve from an older version than it did before.
         """
         age = table.age(self.clock.now())
         if age is None or table.current_as_of is None or table.current_as_of < self.started_at:
@@ -56,8 +57,8 @@
     def is_current(self, table: replica.Replica) -> bool:
         """Return whether a replica is current enough to serve requests from it.
 
-        A fresh replica is. On the data plane an older replica is too while the quorum is lost, up to the age
-        that the setting `outage_bound` allows.
+        A fresh replica is current. On the data plane, an older replica counts as current while the quorum is
+        lost, up to the sum of the settings `freshness_bound` and `outage_bound`.
         """
         if self.is_fresh(table):
             return True
--- a/src/irisstand/process_runner.py
+++ b/src/irisstand/process_runner.py
@@ -105,7 +105,7 @@
 def end_process(code: int) -> typing.NoReturn:
     """End this process without finalizing the interpreter, as that takes long on a busy machine.
 
-    The timer of `bound_end` could not cut that short, as no other thread runs by then.
+    The timer of `limit_shutdown_time` could not shorten that, as other threads do not run during it.
     """
     sys.stdout.flush()
     sys.stderr.flush()
--- a/src/irisstand/settings_reload.py
+++ b/src/irisstand/settings_reload.py
@@ -16,7 +16,7 @@
 
 
 def apply_settings(context: node_context.NodeContext, settings: node_settings.Settings) -> list[str]:
-    """Apply the settings that can change; return the names of changed settings that need a restart."""
+    """Apply changed settings where possible at run time; return the names of those that need a restart."""
     current = context.settings
     changed = [
         name for name in node_settings.Settings._fields if getattr(current, name) != getattr(settings, name)
@@ -48,7 +48,7 @@
         is_requested = reload_requested.is_set()
         reload_requested.clear()
         faults = _reload(context, read_settings)
-        # Faults are reported when they change, and after every signal.
+        # Invalid settings, and changes that need a restart, are printed once, and again after each signal.
         if faults and (is_requested or faults != reported):
             lines = [f"irisstand: settings: {fault}" for fault in faults]
             print("\n".join(lines), file=sys.stderr, flush=True)
--- a/src/irisstand/web.py
+++ b/src/irisstand/web.py
@@ -78,8 +78,8 @@
     def __init__(self, context: node_context.NodeContext, log: event_log.EventLog) -> None:
         self.context = context
         self.log = log
-        name = "".join(letter if letter.isalnum() else "_" for letter in context.settings.name)
-        self.app = sanic.Sanic(f"irisstand_{name}", configure_logging=False)
+        app_name = "".join(letter if letter.isalnum() else "_" for letter in context.settings.name)
+        self.app = sanic.Sanic(f"irisstand_{app_name}", configure_logging=False)
         self.app.config.update(SANIC_CONFIG)
         self.server: typing.Any = None
         self.connections: collections.abc.Iterable[typing.Any] = ()
@@ -139,7 +139,7 @@
     async def on_response(
         self, _request: sanic.request.Request, response: sanic.response.BaseHTTPResponse
     ) -> None:
-        """Close the connection after a response if this node is shutting down, to get no more work on it."""
+        """Close the connection after a response while the node shuts down, as it would bring more work."""
         if self.context.is_lame_duck or self.context.is_draining:
             response.headers["Connection"] = "close"
 
--- a/tests/programs/test_deployed_programs.py
+++ b/tests/programs/test_deployed_programs.py
@@ -51,15 +51,15 @@
         assert await network.accepts(change, node=2)
         await network.wait_until(lambda: network.responds_with("/later/1", 200), 2)
         network.version = 5
-        old = {"put": {"routes": [network.route("later", "idempotent", "app", prefix="/older/")]}}
-        assert await network.accepts(old, node=3)
+        older_change = {"put": {"routes": [network.route("later", "idempotent", "app", prefix="/older/")]}}
+        assert await network.accepts(older_change, node=3)
         assert await network.responds_with("/later/1", 200)
         assert await network.responds_with("/older/1", 404)
         assert await network.accepts({"drop": {"routes": [{"name": "later", "version": 8}]}}, node=3)
         await network.wait_until(lambda: network.responds_with("/later/1", 404), 2)
-        found = (await network.call("GET", "/items", node=2))[1]
-        assert {route["name"] for route in found["routes"]} == {"objects", "reads", "writes"}
-        assert found["limits"]["body_bytes"] == 100000
+        configuration = (await network.call("GET", "/items", node=2))[1]
+        assert {route["name"] for route in configuration["routes"]} == {"objects", "reads", "writes"}
+        assert configuration["limits"]["body_bytes"] == 100000
         # Invalid changes are rejected as a whole, and leave the configuration as it was.
         for call in (
             b'{"put": {"rou',
@@ -70,7 +70,7 @@
         ):
             status, _ = await network.call("POST", "/amendments", call)
             assert 400 <= status < 500, call
-        assert (await network.call("GET", "/items", node=3))[1] == found
+        assert (await network.call("GET", "/items", node=3))[1] == configuration
         # After a purge by path or by tag, the version of the object from before it is not served any more.
         for purge in ({"host": deployed_programs.HOST, "path": "/objects/1"}, {"tag": "t-content"}):
             before = (await network.send_request("/objects/1"))[2]
@@ -87,22 +87,22 @@
         assert (await network.call("PUT", "/sites/z1/evacuation"))[0] == 200
         await asyncio.sleep(0.6)
         evacuated_origin = next(origin for origin in network.origins if origin.instance == "i-app1")
-        count = evacuated_origin.arrivals
+        arrivals_before = evacuated_origin.arrivals
         for number in range(30):
             assert (await network.send_request(f"/reads/{number}"))[0] == 200
-        assert evacuated_origin.arrivals == count
+        assert evacuated_origin.arrivals == arrivals_before
         assert (await network.call("DELETE", "/sites/z1/evacuation"))[0] == 200
 
         async def is_back():
             await network.send_request("/reads/1")
-            return evacuated_origin.arrivals > count
+            return evacuated_origin.arrivals > arrivals_before
 
         await network.wait_until(is_back, 10)
         # Settings are reloaded on SIGHUP; invalid ones are reported, and the process runs on.
-        settings = pathlib.Path(network.folder) / "edge-1.toml"
-        kept = settings.read_text()
-        for spoilt in ("internal_ports = 7\n", "ip = ", kept):
-            settings.write_text(spoilt)
+        settings_file = pathlib.Path(network.folder) / "edge-1.toml"
+        valid_content = settings_file.read_text()
+        for file_content in ("internal_ports = 7\n", "ip = ", valid_content):
+            settings_file.write_text(file_content)
             network.processes["edge-1"].send_signal(signal.SIGHUP)
             await asyncio.sleep(0.3)
         assert network.processes["edge-1"].returncode is None
@@ -140,17 +140,19 @@
 
     async def scenario(network):
         head = f"Host: {deployed_programs.HOST}\r\nAttempt-Id: r1\r\n".encode()
-        long = b"GET /reads/1 HTTP/1.1\r\n" + head + b"X-Long: " + b"x" * 9000 + b"\r\n\r\n"
-        large = b"POST /writes/1 HTTP/1.1\r\n" + head + b"Content-Length: 100001\r\n\r\n" + b"x" * 100001
-        short = b"POST /writes/1 HTTP/1.1\r\n" + head + b"Content-Length: 10\r\n\r\nshort"
-        assert b" 431 " in await send_raw(network, long)
-        assert b" 413 " in await send_raw(network, large)
+        long_request = b"GET /reads/1 HTTP/1.1\r\n" + head + b"X-Long: " + b"x" * 9000 + b"\r\n\r\n"
+        large_request = (
+            b"POST /writes/1 HTTP/1.1\r\n" + head + b"Content-Length: 100001\r\n\r\n" + b"x" * 100001
+        )
+        incomplete_request = b"POST /writes/1 HTTP/1.1\r\n" + head + b"Content-Length: 10\r\n\r\nshort"
+        assert b" 431 " in await send_raw(network, long_request)
+        assert b" 413 " in await send_raw(network, large_request)
         assert b" 400 " in await send_raw(network, b"\x00\x01\x02 nonsense\r\n\r\n")
         # A request whose body stays incomplete is not sent to an origin, and an idle connection is closed.
         reader, writer = await asyncio.open_connection("127.0.7.4", network.ports[2])
-        writer.write(short)
-        idle = await send_raw(network, b"")
-        assert not idle or b" 408 " in idle
+        writer.write(incomplete_request)
+        idle_response = await send_raw(network, b"")
+        assert not idle_response or b" 408 " in idle_response
         writer.close()
         assert not [run for run in network.origin_runs("app") if run.method == "POST"]
         assert (await network.send_request("/reads/1"))[0] == 200
