--- a/src/irisstand/counters.py
+++ b/src/irisstand/counters.py
@@ -5,7 +5,7 @@
 from irisstand import clocks
 
 # The name of a counter or gauge, and its labels as (label name, label value) pairs, sorted by label name.
-Key = tuple[str, tuple[tuple[str, str], ...]]
+SeriesKey = tuple[str, tuple[tuple[str, str], ...]]
 
 
 class LoadGauge:
@@ -42,19 +42,19 @@
     """
 
     def __init__(self) -> None:
-        self.values: dict[Key, float] = collections.defaultdict(float)
+        self.values: dict[SeriesKey, float] = collections.defaultdict(float)
 
     def add(self, name: str, amount: float = 1, **labels: str) -> None:
         """Add an amount to the counter of this name and these labels; a new counter starts at zero."""
-        self.values[_key(name, labels)] += amount
+        self.values[_series_key(name, labels)] += amount
 
     def put(self, name: str, value: float, **labels: str) -> None:
         """Set the gauge of this name and these labels to a value."""
-        self.values[_key(name, labels)] = value
+        self.values[_series_key(name, labels)] = value
 
     def get(self, name: str, **labels: str) -> float:
         """Return the value of the counter or gauge with exactly these labels; zero if none was recorded."""
-        return self.values.get(_key(name, labels), 0)
+        return self.values.get(_series_key(name, labels), 0)
 
     def total(self, name: str) -> float:
         """Return the sum of all values of this name, whatever their labels."""
@@ -76,7 +76,7 @@
         return "\n".join(lines) + "\n"
 
 
-def _key(name: str, labels: dict[str, str]) -> Key:
+def _series_key(name: str, labels: dict[str, str]) -> SeriesKey:
     return (name, tuple(sorted(labels.items())))
 
 
--- a/src/irisstand/drain_guard.py
+++ b/src/irisstand/drain_guard.py
@@ -11,7 +11,7 @@
 
 
 class WorkState(enum.Enum):
-    """How far a request's work has come; this decides which error may end it when the drain ends."""
+    """How far the work on a request has come; this decides with which error a drain may end the work."""
 
     # Nothing has been sent to another node or to an origin for this work.
     UNSENT = enum.auto()
@@ -49,7 +49,7 @@
 
 
 class DrainGuard:
-    """The guarded tasks of one node, which the end of a drain cancels and lets fail with an error.
+    """Keeps the guarded tasks of one node, and lets them fail with an error at the end of a drain.
 
     Attributes:
         guarded: The tasks within `fail_at_end`, as keys.
--- a/tests/programs/test_http.py
+++ b/tests/programs/test_http.py
@@ -65,8 +65,8 @@
 def test_command_line_reports_errors_by_exit_code():
     runner = click.testing.CliRunner()
     assert runner.invoke(irisstand.commands.main, ["purge"]).exit_code == 2
-    refused = processes.free_ports(1)[0]
-    result = runner.invoke(irisstand.commands.main, ["rows", "get", "--core", f"127.0.0.1:{refused}"])
+    unused_port = processes.free_ports(1)[0]
+    result = runner.invoke(irisstand.commands.main, ["rows", "get", "--core", f"127.0.0.1:{unused_port}"])
     assert result.exit_code == 7
     assert "--core" in result.output
 
--- a/tests/support/deployed_programs.py
+++ b/tests/support/deployed_programs.py
@@ -81,8 +81,8 @@
 
     def __init__(self, folder):
         self.folder = str(folder)
-        first = processes.free_ports(1)[0]
-        self.ports = (min(first, 60000), *processes.free_ports(3))
+        first_port = processes.free_ports(1)[0]
+        self.ports = (min(first_port, 60000), *processes.free_ports(3))
         self.processes = {}
         self.origins = [
             upstream_emulator.UpstreamEmulator(service, f"i-{service}{number}", f"z{number}", HEADER_NAMES)
@@ -216,6 +216,7 @@
             return 0
 
     def origin_runs(self, service):
+        """Return the requests that the origins of a service have run."""
         return [run for origin in self.origins if origin.service == service for run in origin.runs]
 
     async def wait_until(self, condition, seconds=20):
@@ -225,14 +226,17 @@
                 await asyncio.sleep(0.05)
 
     async def wait_until_serving(self):
+        """Configure the network, and wait until the edge serves requests of both services."""
         await self.wait_until(lambda: self.accepts(self.initial_configuration()))
         await self.wait_until(lambda: self.responds_with("/reads/0", 200))
         await self.wait_until(lambda: self.responds_with("/objects/0", 200))
 
     async def accepts(self, call, node=1):
+        """Submit a change of the configuration; return whether the control plane node accepted it."""
         return (await self.call("POST", "/amendments", call, node))[0] == 200
 
     async def responds_with(self, path, status, method="GET", **more):
+        """Send a request to the edge; return whether the response has this status."""
         return (await self.send_request(path, method, **more))[0] == status
 
     async def terminate(self, name):
