--- a/src/irisstand/counters.py
+++ b/src/irisstand/counters.py
@@ -1,38 +1,38 @@
-"""Counters and gauges, and the text form of them that scrapers read."""
+"""Counters and gauges, and their Prometheus text format for scrapers."""
 
 import collections
 
 from irisstand import clocks
 
-# A counter's name and its labels, sorted by name.
-Key = tuple[str, tuple[tuple[str, str], ...]]
+# The name of a counter or gauge, and its labels as (label name, label value) pairs, sorted by label name.
+SeriesKey = tuple[str, tuple[tuple[str, str], ...]]
 
 
 class LoadGauge:
-    """Events per second over the last few seconds."""
+    """Measures events per second over a sliding window of a few seconds."""
 
     def __init__(self, clock: clocks.Clock, window_seconds: float = 4.0) -> None:
         self.clock = clock
         self.window_seconds = window_seconds
-        self.moments: collections.deque[float] = collections.deque()
+        self.event_times: collections.deque[float] = collections.deque()
 
     def record(self) -> None:
-        """Count one event at the present moment."""
-        self.moments.append(self.clock.now())
-        self._remove_old_moments()
+        """Count one event at the current time."""
+        self.event_times.append(self.clock.now())
+        self._remove_old_events()
 
     def per_second(self) -> float:
-        """Return the rate over the window."""
-        self._remove_old_moments()
-        return len(self.moments) / self.window_seconds
+        """Return the rate over the window, in events per second."""
+        self._remove_old_events()
+        return len(self.event_times) / self.window_seconds
 
-    def _remove_old_moments(self) -> None:
-        while self.moments and self.moments[0] <= self.clock.now() - self.window_seconds:
-            self.moments.popleft()
+    def _remove_old_events(self) -> None:
+        while self.event_times and self.event_times[0] <= self.clock.now() - self.window_seconds:
+            self.event_times.popleft()
 
 
 class Counters:
-    """Counters by name and labels; `add` raises one, `put` sets a gauge.
+    """Holds counters and gauges by name and labels; `add` raises a counter, `put` sets a gauge.
 
     >>> counters = Counters()
     >>> counters.add("frames_dropped", reason="size")
@@ -42,30 +42,30 @@
     """
 
     def __init__(self) -> None:
-        self.values: dict[Key, float] = collections.defaultdict(float)
+        self.values: dict[SeriesKey, float] = collections.defaultdict(float)
 
     def add(self, name: str, amount: float = 1, **labels: str) -> None:
-        """Add to a counter, which begins at zero."""
-        self.values[_key(name, labels)] += amount
+        """Add an amount to the counter of this name and these labels; a new counter starts at zero."""
+        self.values[_series_key(name, labels)] += amount
 
     def put(self, name: str, value: float, **labels: str) -> None:
-        """Set a gauge."""
-        self.values[_key(name, labels)] = value
+        """Set the gauge of this name and these labels to a value."""
+        self.values[_series_key(name, labels)] = value
 
     def get(self, name: str, **labels: str) -> float:
-        """Return the value with exactly these labels; zero if there is none."""
-        return self.values.get(_key(name, labels), 0)
+        """Return the value of the counter or gauge with exactly these labels; zero if none was recorded."""
+        return self.values.get(_series_key(name, labels), 0)
 
     def total(self, name: str) -> float:
-        """Return the sum over all labels."""
+        """Return the sum of all values of this name, whatever their labels."""
         return sum(value for (key, _), value in self.values.items() if key == name)
 
     def by_text(self) -> dict[str, float]:
-        """Return all values by name and labels, as the text format writes these."""
+        """Return all values by series, which is name and labels in text form, as in `name{label="value"}`."""
         return {_text_name(name, labels): value for (name, labels), value in sorted(self.values.items())}
 
     def text(self) -> str:
-        """Return all values in the Prometheus text format, version 0.0.4."""
+        """Return all counters and gauges in the Prometheus text format, version 0.0.4."""
         lines: list[str] = []
         typed: set[str] = set()
         for (name, labels), value in sorted(self.values.items()):
@@ -76,7 +76,7 @@
         return "\n".join(lines) + "\n"
 
 
-def _key(name: str, labels: dict[str, str]) -> Key:
+def _series_key(name: str, labels: dict[str, str]) -> SeriesKey:
     return (name, tuple(sorted(labels.items())))
 
 
--- a/tests/mutation/shutdown_mutations.py
+++ b/tests/mutation/shutdown_mutations.py
@@ -1,4 +1,4 @@
-"""Lines that keep a request from being lost: at holders, during a stop, and after a wait."""
+"""Mutations of lines that keep requests from being lost: at holders, at shutdown and after a wait."""
 # ruff: noqa: E501
 
 GUARDS = [
@@ -53,7 +53,7 @@
     ),
     (
         "controlplane/api/operator_reads.py",
-        "        with self.context.drain_guard.answer_at_end(lambda: drain_guard.WorkState.WITHDRAWABLE):\n",
+        "        with self.context.drain_guard.fail_at_end(lambda: drain_guard.WorkState.WITHDRAWABLE):\n",
         "        if True:\n",
         "programs/test_stopping_listeners.py",
     ),
@@ -65,7 +65,7 @@
     ),
     (
         "dataplane/http/sanic_adapter.py",
-        ", context.drain_guard.answer_at_end(work_state)",
+        ", context.drain_guard.fail_at_end(work_state)",
         "",
         "programs/test_stopping_listeners.py",
     ),
