--- a/src/irisstand/validation/rules.py
+++ b/src/irisstand/validation/rules.py
@@ -31,7 +31,7 @@
     for (kind, name), value in rows.items():
         for grant in value["grants"] if kind == "path" else ():
             if ("service", grant["service"]) not in rows:
-                message = f"the service {grant['service']!r} has no row; send its row too, or name another"
+                message = f"service {grant['service']!r} has no row; send its row too, or name another"
                 yield TableFault(kind, name, "grants", message)
 
 
