--- a/src/irisstand/balancing/fleet_limits.py
+++ b/src/irisstand/balancing/fleet_limits.py
@@ -26,43 +26,45 @@
     site: str
 
 
-def connection_limit(own: str, members: list[Member], origin: str, limit: int, *, is_held: bool) -> int:
+def connection_limit(
+    own_name: str, members: list[Member], origin: str, limit: int, *, is_fetched_by_holders: bool
+) -> int:
     """Return how many connections this node may have to an origin; 0 for none.
 
     Where holders fetch a service's objects, most connections belong to them. Where there are too few for all
     nodes, rendezvous hashing by the origin chooses who has some, so that each node has some to some origins.
 
     Args:
-        own: This node's name, which is among the members.
+        own_name: This node's name, which is among the members.
         members: All nodes that reach origins.
         origin: The origin's instance name.
         limit: The connections that the origin accepts from all nodes together.
-        is_held: Whether object holders fetch objects of the origin's service.
+        is_fetched_by_holders: Whether object holders fetch objects of the origin's service.
 
     >>> listed = [Member(f"e{number}", "direct", "n") for number in range(8)] + [Member("h", "holder", "n")]
-    >>> connection_limit("e1", listed, "o", 100, is_held=False)
+    >>> connection_limit("e1", listed, "o", 100, is_fetched_by_holders=False)
     10
-    >>> connection_limit("h", listed, "o", 100, is_held=True)
+    >>> connection_limit("h", listed, "o", 100, is_fetched_by_holders=True)
     73
-    >>> sum(connection_limit(member.name, listed, "o", 10, is_held=False) for member in listed)
+    >>> sum(connection_limit(member.name, listed, "o", 10, is_fetched_by_holders=False) for member in listed)
     8
     """
     holders = [member.name for member in members if member.role == HOLDER_ROLE]
     edges = [member.name for member in members if member.role != HOLDER_ROLE]
     total = math.floor(limit * USABLE_FRACTION)
-    is_holder = own in holders
-    if holders and is_held:
-        of_holders = math.floor(total * HOLDER_FRACTION)
-        total = of_holders if is_holder else total - of_holders
+    is_holder = own_name in holders
+    if holders and is_fetched_by_holders:
+        holder_total = math.floor(total * HOLDER_FRACTION)
+        total = holder_total if is_holder else total - holder_total
     elif is_holder:
         return 0
-    return even_share(own, holders if is_holder else edges, origin, total)
+    return even_share(own_name, holders if is_holder else edges, origin, total)
 
 
-def even_share(own: str, group: list[str], origin: str, total: int) -> int:
+def even_share(own_name: str, group: list[str], origin: str, total: int) -> int:
     """Return this node's part of connections that are split over a group of nodes."""
     share = total // len(group)
     if share >= MIN_CONNECTIONS:
         return share
     owners = rendezvous.ranked(origin, [(name, 1.0) for name in group])[: max(1, total // MIN_CONNECTIONS)]
-    return MIN_CONNECTIONS if own in owners else 0
+    return MIN_CONNECTIONS if own_name in owners else 0
--- a/src/irisstand/balancing/quota_shares.py
+++ b/src/irisstand/balancing/quota_shares.py
@@ -119,12 +119,12 @@
         lowered = {machine: lower_of(share, targets[machine]) for machine, share in current.items()}
         if lowered != current:
             reduced.add(service)
-            following = lowered
+            next_shares = lowered
         elif service in frozen:
-            following = current
+            next_shares = current
         else:
-            following = raise_towards(current, targets, limit)
-        for machine, share in following.items():
+            next_shares = raise_towards(current, targets, limit)
+        for machine, share in next_shares.items():
             if share != NO_SHARE:
                 planned[machine][service] = [*share, *limit]
     return SharePlan(planned, reduced)
@@ -150,12 +150,12 @@
     """Raise shares towards the targets, by no more than what belongs to no machine."""
     free_rate = limit[0] - sum(share.rate for share in current.values())
     free_concurrency = limit[1] - sum(share.concurrency for share in current.values())
-    following = {}
+    next_shares = {}
     for machine, share in current.items():
         target = targets[machine]
         added_rate = min(free_rate, max(0, target.rate - share.rate))
         added_concurrency = min(free_concurrency, max(0, target.concurrency - share.concurrency))
         free_rate -= added_rate
         free_concurrency -= added_concurrency
-        following[machine] = ServiceLimit(share.rate + added_rate, share.concurrency + added_concurrency)
-    return following
+        next_shares[machine] = ServiceLimit(share.rate + added_rate, share.concurrency + added_concurrency)
+    return next_shares
--- a/src/irisstand/balancing/rate_limiter.py
+++ b/src/irisstand/balancing/rate_limiter.py
@@ -20,17 +20,17 @@
 
     Args:
         clock: Moments in seconds.
-        opened_at: When this process began; tokens come in from then on.
+        started_at: When this process began; tokens come in from then on.
     """
 
-    def __init__(self, clock: clocks.Clock, opened_at: float) -> None:
+    def __init__(self, clock: clocks.Clock, started_at: float) -> None:
         self.clock = clock
-        self.bucket = token_bucket.TokenBucket(clock, 0.0, opened_at)
-        self.scarce_at = NEVER
+        self.bucket = token_bucket.TokenBucket(clock, 0.0, started_at)
+        self.last_scarce_at = NEVER
 
     def is_scarce(self) -> bool:
         """Tell whether the share was nearly used up in the last seconds."""
-        return self.clock.now() - self.scarce_at < SCARCE_SECONDS
+        return self.clock.now() - self.last_scarce_at < SCARCE_SECONDS
 
     def seconds_until_token(self, rate: float) -> float | None:
         """Return how long until the next request may leave; None without a rate.
@@ -61,7 +61,7 @@
         if wait is None:
             return None
         if self.bucket.tokens < SCARCE_FRACTION * burst_tokens(rate):
-            self.scarce_at = self.clock.now()
+            self.last_scarce_at = self.clock.now()
         if wait > max_wait:
             return None
         self.bucket.tokens -= 1.0
--- a/src/irisstand/balancing/rate_quota.py
+++ b/src/irisstand/balancing/rate_quota.py
@@ -93,32 +93,32 @@
     if is_frozen:
         return UnitsPlan(units, is_reduced=False)
     target = quota_shares.split(TOTAL_UNITS, weights)
-    lacking = {name: target[name] - remaining.get(name, 0) for name in target}
+    shortfalls = {name: target[name] - remaining.get(name, 0) for name in target}
     free = TOTAL_UNITS - sum(remaining.values())
     if free > 0:
-        return UnitsPlan(distribute(remaining, lacking, free), is_reduced=False)
-    if max(lacking.values()) <= TOLERATED_UNITS:
+        return UnitsPlan(distribute(remaining, shortfalls, free), is_reduced=False)
+    if max(shortfalls.values()) <= TOLERATED_UNITS:
         return UnitsPlan(units, is_reduced=False)
-    return UnitsPlan(take_step(remaining, lacking), is_reduced=True)
+    return UnitsPlan(take_units(remaining, shortfalls), is_reduced=True)
 
 
-def take_step(units: dict[str, int], lacking: dict[str, int]) -> dict[str, int]:
+def take_units(units: dict[str, int], shortfalls: dict[str, int]) -> dict[str, int]:
     """Return the units after `STEP_UNITS` were taken from owners that have more than their target."""
-    following = dict(units)
+    next_units = dict(units)
     left = STEP_UNITS
     for name in sorted(units):
-        taken = min(left, max(0, -lacking[name]))
-        following[name] -= taken
+        taken = min(left, max(0, -shortfalls[name]))
+        next_units[name] -= taken
         left -= taken
-    return {name: share for name, share in following.items() if share}
+    return {name: share for name, share in next_units.items() if share}
 
 
-def distribute(units: dict[str, int], lacking: dict[str, int], free: int) -> dict[str, int]:
+def distribute(units: dict[str, int], shortfalls: dict[str, int], free: int) -> dict[str, int]:
     """Return the units with the free ones added, to the owners that lack most first."""
-    following = dict(units)
-    for name in sorted(lacking, key=lambda name: (-lacking[name], name)):
-        added = min(free, max(0, lacking[name]))
+    next_units = dict(units)
+    for name in sorted(shortfalls, key=lambda name: (-shortfalls[name], name)):
+        added = min(free, max(0, shortfalls[name]))
         free -= added
         if added:
-            following[name] = following.get(name, 0) + added
-    return following
+            next_units[name] = next_units.get(name, 0) + added
+    return next_units
--- a/src/irisstand/balancing/service_limits.py
+++ b/src/irisstand/balancing/service_limits.py
@@ -6,7 +6,7 @@
 # Longer than the second in which the origin counts: two requests do not travel equally long.
 WINDOW_SECONDS = 1.05
 # A request that was admitted longer ago without being sent has to be admitted again.
-FRESH_SECONDS = 0.03
+ADMISSION_VALID_SECONDS = 0.03
 # An origin may work on for at least this long, however short the deadline of the request.
 MIN_ORIGIN_WORK_SECONDS = 3.0
 
@@ -25,50 +25,50 @@
 
     Args:
         clock: Moments in seconds.
-        opened_at: When this process began; requests of an earlier process may be in flight still.
+        started_at: When this process began; requests of an earlier process may be in flight still.
     """
 
-    def __init__(self, clock: clocks.Clock, opened_at: float) -> None:
+    def __init__(self, clock: clocks.Clock, started_at: float) -> None:
         self.clock = clock
-        self.opened_at = opened_at
-        self.started = sliding_window.SlidingWindow(clock, WINDOW_SECONDS)
+        self.started_at = started_at
+        self.recent_starts = sliding_window.SlidingWindow(clock, WINDOW_SECONDS)
         self.active = 0
         # For each abandoned request, the moment from which no origin works at it any more.
-        self.abandoned_until: list[float] = []
+        self.abandoned_work_ends: list[float] = []
 
-    def is_opening(self, deadline: float) -> bool:
+    def may_have_earlier_requests(self, deadline: float) -> bool:
         """Tell whether an earlier process of this shield may still fill the share."""
-        return self.clock.now() - self.opened_at < max(MIN_ORIGIN_WORK_SECONDS, deadline)
+        return self.clock.now() - self.started_at < max(MIN_ORIGIN_WORK_SECONDS, deadline)
 
     def in_flight(self) -> int:
         """Return the number of requests at which an origin may be working."""
         now = self.clock.now()
-        self.abandoned_until = [until for until in self.abandoned_until if until > now]
-        return self.active + len(self.abandoned_until)
+        self.abandoned_work_ends = [until for until in self.abandoned_work_ends if until > now]
+        return self.active + len(self.abandoned_work_ends)
 
-    def enter(self, rate: int, concurrency: int) -> bool:
+    def admit(self, rate: int, concurrency: int) -> bool:
         """Admit one request if the share allows it, and return whether it does.
 
         Args:
             rate: Requests that may start within `WINDOW_SECONDS`.
             concurrency: Requests that may be in flight.
         """
-        if self.started.count() >= rate or self.in_flight() >= concurrency:
+        if self.recent_starts.count() >= rate or self.in_flight() >= concurrency:
             return False
-        self.started.record()
+        self.recent_starts.record()
         self.active += 1
         return True
 
-    def is_fresh(self, entered_at: float) -> bool:
+    def is_admission_valid(self, admitted_at: float) -> bool:
         """Tell whether a request admitted at that moment may still be sent."""
-        return self.clock.now() - entered_at <= FRESH_SECONDS
+        return self.clock.now() - admitted_at <= ADMISSION_VALID_SECONDS
 
-    def withdraw(self, entered_at: float) -> None:
+    def withdraw(self, admitted_at: float) -> None:
         """Take back the admission of a request that was not sent."""
         self.active -= 1
-        self.started.withdraw(entered_at)
+        self.recent_starts.withdraw(admitted_at)
 
-    def leave(self, works_until: float = 0.0) -> None:
+    def finish(self, works_until: float = 0.0) -> None:
         """End a request.
 
         Args:
@@ -76,4 +76,4 @@
         """
         self.active -= 1
         if works_until:
-            self.abandoned_until.append(works_until)
+            self.abandoned_work_ends.append(works_until)
--- a/src/irisstand/balancing/sliding_window.py
+++ b/src/irisstand/balancing/sliding_window.py
@@ -25,21 +25,21 @@
     def __init__(self, clock: clocks.Clock, seconds: float) -> None:
         self.clock = clock
         self.seconds = seconds
-        self.moments: collections.deque[float] = collections.deque()
+        self.event_times: collections.deque[float] = collections.deque()
 
     def count(self) -> int:
         """Return the number of events in the window, and forget the older ones."""
         oldest = self.clock.now() - self.seconds
-        moments = self.moments
-        while moments and moments[0] <= oldest:
-            moments.popleft()
-        return len(moments)
+        event_times = self.event_times
+        while event_times and event_times[0] <= oldest:
+            event_times.popleft()
+        return len(event_times)
 
     def record(self) -> None:
         """Count one event now."""
-        self.moments.append(self.clock.now())
+        self.event_times.append(self.clock.now())
 
-    def withdraw(self, moment: float) -> None:
+    def withdraw(self, event_time: float) -> None:
         """Take back the event recorded at that moment, if it is still in the window."""
-        if moment in self.moments:
-            self.moments.remove(moment)
+        if event_time in self.event_times:
+            self.event_times.remove(event_time)
--- a/src/irisstand/balancing/slow_start.py
+++ b/src/irisstand/balancing/slow_start.py
@@ -23,17 +23,17 @@
     return min(1.0, max(MIN_WARM_FRACTION, elapsed / warmup))
 
 
-def allowed_rate(even: float, warm: float, share: float) -> float:
+def allowed_rate(even_rate: float, warmth: float, share: float) -> float:
     """Return the requests per second that one shield may send to an origin.
 
-    The quota shares add up to one at most, so all shields together send at most `even` times `warm`.
+    The quota shares add up to one at most, so all shields together send at most `even_rate` times `warmth`.
 
     Args:
-        even: The origin's even share of the service's rate limit, in requests per second.
-        warm: The fraction by `warm_fraction`.
+        even_rate: The origin's even share of the service's rate limit, in requests per second.
+        warmth: The fraction by `warm_fraction`.
         share: This shield's quota share of the limit, as a fraction.
     """
-    return even * warm * share
+    return even_rate * warmth * share
 
 
 class PacingBucket:
@@ -42,7 +42,7 @@
     def __init__(self, clock: clocks.Clock) -> None:
         self.bucket = token_bucket.TokenBucket(clock, BUCKET_CAPACITY, clock.now())
 
-    def has_room(self, rate: float) -> bool:
+    def has_token(self, rate: float) -> bool:
         """Tell whether a request may leave now, at a rate in requests per second."""
         self.bucket.refill(rate, BUCKET_CAPACITY)
         return self.bucket.tokens >= 1.0
--- a/src/irisstand/balancing/standby_planning.py
+++ b/src/irisstand/balancing/standby_planning.py
@@ -2,12 +2,12 @@
 
 import typing
 
-WAKE_MARGIN = 1.2
+ACTIVATION_MARGIN = 1.2
 STANDBY_MARGIN = 1.5
 # What operators read of a machine; `{loss}` names what would not be covered.
 IN_STANDBY = "resting: the others carry the load, and any one loss besides"
 PINNED = "awake: pinned by operators"
-CORE_TOO_SMALL = "awake: the core could not lose one more machine or site"
+TOO_FEW_VOTERS = "awake: the core could not lose one more machine or site"
 LOSS_NOT_COVERED = "awake: without it the loss of {loss} would not be carried"
 ONE_AT_A_TIME = "awake: one machine is put to rest at a time"
 
@@ -55,73 +55,74 @@
     losses = [("machine", machine.name, [m for m in active if m is not machine]) for machine in active]
     sites = sorted({machine.site for machine in active})
     losses += [("site", site, [m for m in active if m.site != site]) for site in sites]
-    for kind, name, left in losses:
+    for kind, name, remaining in losses:
         # No machine left is a loss even without load: none could be woken in time for the next request.
-        if not left or sum(machine.capacity for machine in left) < load:
+        if not remaining or sum(machine.capacity for machine in remaining) < load:
             return f"{kind} {name}"
     return "" if active else "everything"
 
 
 def plan(
     machines: list[Machine],
-    resting: set[str],
+    current_standby: set[str],
     load: float,
     *,
-    may_rest: bool,
+    may_enter_standby: bool,
     margin: float = STANDBY_MARGIN,
 ) -> StandbyPlan:
     """Plan who should be in standby next; at most one more machine at a time.
 
-    Machines wake when the load with `WAKE_MARGIN` is not covered, and go to standby while it is covered with
-    the larger `margin`, so that a small rise of the load does not wake a machine that just went to standby.
+    A machine becomes active when the load times `ACTIVATION_MARGIN` is not covered, and goes to standby only
+    while the load times the larger `margin` is covered. This hysteresis keeps a small rise of the load from
+    activating a machine that has just gone to standby.
 
     Args:
         machines: All machines of a role that are up.
-        resting: Names of those in standby now.
+        current_standby: Names of those in standby now.
         load: Requests per second on all of them.
-        may_rest: Whether the core could lose one more machine or site.
+        may_enter_standby: Whether the core could lose one more machine or site.
         margin: Factor on the load before a machine goes to standby.
     """
     up = {machine.name: machine for machine in machines}
-    rest = {name for name in resting if name in up and not up[name].pinned and may_rest}
-    wake(machines, rest, load)
-    woken = resting - rest
+    standby = {name for name in current_standby if name in up and not up[name].pinned and may_enter_standby}
+    activate(machines, standby, load)
+    activated = current_standby - standby
     reasons: dict[str, str] = {}
     for machine in sorted(machines, key=lambda m: (m.capacity, m.name)):
-        if machine.name in rest:
+        if machine.name in standby:
             reasons[machine.name] = IN_STANDBY
             continue
-        reason = reason_to_stay(machine, may_rest=may_rest)
+        reason = reason_to_stay_active(machine, may_enter_standby=may_enter_standby)
         if not reason:
-            others = [m for m in machines if m.name not in rest and m is not machine]
+            others = [m for m in machines if m.name not in standby and m is not machine]
             loss = uncovered_loss(others, load * margin)
             if loss:
                 reason = LOSS_NOT_COVERED.format(loss=loss)
-            elif len(rest) > len(resting - woken) or woken:
+            elif len(standby) > len(current_standby - activated) or activated:
                 reason = ONE_AT_A_TIME
             else:
-                rest.add(machine.name)
+                standby.add(machine.name)
                 reason = IN_STANDBY
         reasons[machine.name] = reason
-    return StandbyPlan(rest, reasons)
+    return StandbyPlan(standby, reasons)
 
 
-def wake(machines: list[Machine], rest: set[str], load: float) -> None:
+def activate(machines: list[Machine], standby: set[str], load: float) -> None:
     """Take machines out of standby, the largest first, until every single loss is covered."""
     for machine in sorted(machines, key=lambda m: (-m.capacity, m.name)):
-        active = [m for m in machines if m.name not in rest]
-        if machine.name in rest and uncovered_loss(active, load * WAKE_MARGIN):
-            rest.discard(machine.name)
+        active = [m for m in machines if m.name not in standby]
+        if machine.name in standby and uncovered_loss(active, load * ACTIVATION_MARGIN):
+            standby.discard(machine.name)
 
 
-def reason_to_stay(machine: Machine, *, may_rest: bool) -> str:
+def reason_to_stay_active(machine: Machine, *, may_enter_standby: bool) -> str:
     """Return why a machine never goes to standby now, whatever the load; empty if it may."""
     if machine.pinned:
         return PINNED
-    return "" if may_rest else CORE_TOO_SMALL
+    return "" if may_enter_standby else TOO_FEW_VOTERS
 
 
-def core_survives_any_loss(voters: list[tuple[str, str, str]], up: set[str]) -> bool:
+def voters_survive_any_loss(voters: list[tuple[str, str, str]], up: set[str]) -> bool:
     """Tell whether the voters that are up keep a majority after the loss of any one machine or site.
 
     Args:
@@ -129,7 +130,7 @@
         up: Names of those that are up.
 
     >>> voters = [(n, n, s) for n, s in (("a", "x"), ("b", "y"), ("c", "z"))]
-    >>> core_survives_any_loss(voters, {"a", "b", "c"}), core_survives_any_loss(voters, {"a", "b"})
+    >>> voters_survive_any_loss(voters, {"a", "b", "c"}), voters_survive_any_loss(voters, {"a", "b"})
     (True, False)
     """
     placed = [Voter(*voter) for voter in voters]
--- a/src/irisstand/balancing/token_bucket.py
+++ b/src/irisstand/balancing/token_bucket.py
@@ -9,13 +9,13 @@
     Args:
         clock: Tells how much time passed between two refills.
         tokens: Tokens at the start.
-        filled_at: The moment from which tokens come in.
+        refilled_at: The moment from which tokens come in.
     """
 
-    def __init__(self, clock: clocks.Clock, tokens: float, filled_at: float) -> None:
+    def __init__(self, clock: clocks.Clock, tokens: float, refilled_at: float) -> None:
         self.clock = clock
         self.tokens = tokens
-        self.filled_at = filled_at
+        self.refilled_at = refilled_at
 
     def refill(self, rate: float, capacity: float) -> None:
         """Add what came in since the last refill.
@@ -25,5 +25,5 @@
             capacity: The most tokens that are kept.
         """
         now = self.clock.now()
-        self.tokens = min(capacity, self.tokens + rate * (now - self.filled_at))
-        self.filled_at = now
+        self.tokens = min(capacity, self.tokens + rate * (now - self.refilled_at))
+        self.refilled_at = now
--- a/src/irisstand/controlplane/consensus/voter_administration.py
+++ b/src/irisstand/controlplane/consensus/voter_administration.py
@@ -54,8 +54,8 @@
         everyone = list({voter.disk_id: voter for voter in [*present, *following]}.values())
         up = await self._names_up(everyone, table)
         is_majority = 2 * sum(voter.name in up for voter in following) > len(following)
-        survives_now = standby_planning.core_survives_any_loss(quorum.placements(present), up)
-        is_worse = survives_now and not standby_planning.core_survives_any_loss(
+        survives_now = standby_planning.voters_survive_any_loss(quorum.placements(present), up)
+        is_worse = survives_now and not standby_planning.voters_survive_any_loss(
             quorum.placements(following), up
         )
         if not is_majority or is_worse or not following:
--- a/src/irisstand/controlplane/singletons/capacity_scaling.py
+++ b/src/irisstand/controlplane/singletons/capacity_scaling.py
@@ -105,7 +105,7 @@
         names = {machine.name for machine in machines}
         present = {name for name in names if self.view.is_on_standby(name)}
         wanted, reasons = standby_planning.plan(
-            machines, present, sum(rates.values()), may_rest=may_scale_down
+            machines, present, sum(rates.values()), may_enter_standby=may_scale_down
         )
         added = wanted - present
         if added and now - self.changed_at < self.standby_delay_seconds:
--- a/src/irisstand/controlplane/singletons/fleet_view.py
+++ b/src/irisstand/controlplane/singletons/fleet_view.py
@@ -120,7 +120,7 @@
         voters = quorum.voters_from_wire(self.context.replicas[table].value(items.VOTERS_KEY))
         answers = await asyncio.gather(*(self.is_voting(voter, table) for voter in voters))
         up = {voter.name for voter, answer in zip(voters, answers, strict=True) if answer}
-        return bool(voters) and standby_planning.core_survives_any_loss(quorum.placements(voters), up)
+        return bool(voters) and standby_planning.voters_survive_any_loss(quorum.placements(voters), up)
 
     async def is_voting(self, voter: quorum.Voter, table: str) -> bool:
         """Return whether a voter answers at once, with the disk by which it votes on a table."""
--- a/src/irisstand/dataplane/assembly.py
+++ b/src/irisstand/dataplane/assembly.py
@@ -5,7 +5,7 @@
 import typing
 
 from irisstand import clocks, node_context, node_settings
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.state.replication import refresher, replicator
 from irisstand.transport import network
 
@@ -44,7 +44,7 @@
         connect: typing.Any = None,
     ) -> None:
         self.context = node_context.NodeContext(settings, settings.role, clock, randomness, net)
-        self.view = snapshot.ConfigurationSnapshot(self.context)
+        self.view = configuration_view.ConfigurationView(self.context)
         self.replicator = replicator.Replicator(self.context)
         self.refresher = refresher.Refresher(self.context, self.replicator)
         role_module = importlib.import_module(REGISTRY[settings.role])
--- a/src/irisstand/dataplane/cache/holder_read.py
+++ b/src/irisstand/dataplane/cache/holder_read.py
@@ -10,7 +10,7 @@
 from irisstand.dataplane.retry import actions, events, holder_policy, policy
 
 Read = collections.abc.Coroutine[object, object, objects.CachedObject]
-FetchOwn = collections.abc.Callable[[float], Read]
+FetchFromOrigin = collections.abc.Callable[[float], Read]
 Policy = holder_policy.HolderReadPolicy[objects.CachedObject]
 Event = holder_policy.Event[objects.CachedObject]
 
@@ -21,7 +21,7 @@
     Args:
         holder: The holder's node name.
         call: The call to the holder, as a coroutine that was not started.
-        fetch_own: Fetches the object without the holder; it takes the timeout in seconds.
+        fetch_from_origin: Fetches the object without the holder; it takes the timeout in seconds.
         check_holder: Returns whether an overdue holder is silent or declared failed.
     """
 
@@ -29,12 +29,12 @@
         self,
         holder: str,
         call: Read,
-        fetch_own: FetchOwn,
+        fetch_from_origin: FetchFromOrigin,
         check_holder: collections.abc.Callable[[], events.HolderOverdue],
     ) -> None:
         self.holder = holder
         self.call = call
-        self.fetch_own = fetch_own
+        self.fetch_from_origin = fetch_from_origin
         self.check_holder = check_holder
         self.tasks: dict[str, asyncio.Task[objects.CachedObject]] = {}
 
@@ -60,9 +60,9 @@
 
     async def perform(self, read_policy: Policy, action: holder_policy.HolderAction) -> Event:
         """Carry out one action of the policy, and return the event that ended it."""
-        if isinstance(action, actions.FetchOwn):
-            self.start("", self.fetch_own(read_policy.remaining()))
-            return events.OWN_FETCH_STARTED
+        if isinstance(action, actions.FetchFromOrigin):
+            self.start("", self.fetch_from_origin(read_policy.remaining()))
+            return events.ORIGIN_FETCH_STARTED
         tasks = list(self.tasks.values())
         done, _ = await asyncio.wait(tasks, timeout=action.seconds, return_when=asyncio.FIRST_COMPLETED)
         if not done:
--- a/src/irisstand/dataplane/cache/object_holders.py
+++ b/src/irisstand/dataplane/cache/object_holders.py
@@ -96,7 +96,7 @@
         minimum_version: versions.Version,
         remaining: float,
         cached: objects.CachedObject | None,
-        fetch_own: holder_read.FetchOwn,
+        fetch_from_origin: holder_read.FetchFromOrigin,
     ) -> objects.CachedObject:
         """Return an object from its holder, or from an origin if no other node holds it or the holder fails.
 
@@ -105,7 +105,7 @@
             minimum_version: The oldest ledger version at which the object may have been fetched.
             remaining: Seconds until the request's deadline.
             cached: The object in this node's cache, if any, which the holder may confirm as current.
-            fetch_own: Fetches the object without a holder; takes the timeout in seconds.
+            fetch_from_origin: Fetches the object without a holder; takes the timeout in seconds.
 
         Raises:
             errors.IrisError: The holder or this node's own fetch raised it. Most errors of a holder make this
@@ -114,16 +114,16 @@
         """
         # A lookup that another holder sent is not forwarded to a further holder.
         if lookup.is_forwarded:
-            return await fetch_own(remaining)
+            return await fetch_from_origin(remaining)
         holder = self.choose(lookup.route, lookup.service, lookup.key)
         if holder is None:
-            return await fetch_own(remaining)
+            return await fetch_from_origin(remaining)
         call = self.call_holder(holder, self.request_for(lookup, minimum_version, remaining, cached), cached)
         check_holder = functools.partial(self.check_overdue_holder, holder, asyncio.get_running_loop().time())
         read_policy: holder_read.Policy = holder_policy.HolderReadPolicy(
             self.context.clock, remaining, is_refusal_final=self.context.role != HOLDER_ROLE
         )
-        read = holder_read.HolderRead(holder.identity.name, call, fetch_own, check_holder)
+        read = holder_read.HolderRead(holder.identity.name, call, fetch_from_origin, check_holder)
         # The holder works on the request, so it may stay in flight until the end of a drain.
         with self.context.drain_guard.answer_at_end(lambda: drain_guard.WorkState.WITHDRAWABLE):
             return await read.run(read_policy)
@@ -226,7 +226,7 @@
         """
         request = upstream_request.Request("GET", message.target, message.host, message.headers, b"")
         route = self.table.match(request.host, request.path)
-        if route.name != message.route_name or not self.table.still_allows(route, message.service):
+        if route.name != message.route_name or not self.table.is_service_allowed(route, message.service):
             raise errors.StaleConfigurationError("this holder's route is not that of the requesting node")
         return object_reader.ObjectLookup(
             route, str(message.service), request, message.max_wait, is_forwarded=message.is_from_holder
--- a/src/irisstand/dataplane/cache/object_reader.py
+++ b/src/irisstand/dataplane/cache/object_reader.py
@@ -9,7 +9,7 @@
 from irisstand.dataplane.cache import object_cache, objects
 from irisstand.dataplane.http import header_names
 from irisstand.dataplane.retry import freshness_policy
-from irisstand.dataplane.routing import routes, snapshot
+from irisstand.dataplane.routing import configuration_view, routes
 from irisstand.dataplane.upstream import client, exchange, upstream_request
 from irisstand.http1 import locations
 from irisstand.state import versions
@@ -63,13 +63,13 @@
 
 
 # Fetches an object without asking a holder; takes the timeout in seconds.
-FetchOwn = collections.abc.Callable[
+FetchFromOrigin = collections.abc.Callable[
     [float], collections.abc.Coroutine[typing.Any, typing.Any, objects.CachedObject]
 ]
 # Fetches an object from its holder. Takes the lookup, the minimum ledger version, the seconds until the
 # deadline, the object in this node's cache, and the fetch to use where there is no holder or it failed.
 FetchFromHolder = collections.abc.Callable[
-    [ObjectLookup, versions.Version, float, objects.CachedObject | None, FetchOwn],
+    [ObjectLookup, versions.Version, float, objects.CachedObject | None, FetchFromOrigin],
     collections.abc.Coroutine[typing.Any, typing.Any, objects.CachedObject],
 ]
 
@@ -87,7 +87,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: snapshot.ConfigurationSnapshot,
+        view: configuration_view.ConfigurationView,
         origins: client.UpstreamClient,
         fetch_from_holder: FetchFromHolder,
     ) -> None:
@@ -114,7 +114,7 @@
             errors.IrisError: The holder or the origins raised it.
         """
         deadline = self.context.clock.now() + lookup.remaining
-        minimum = max(minimum_version, self.view.purged_at(lookup.purge_path, ()))
+        minimum = max(minimum_version, self.view.newest_purge(lookup.purge_path, ()))
         cached = self.usable_from_cache(lookup, minimum)
         if cached is not None:
             self.context.counters.add("cache", at=self.context.role, result="hit")
@@ -122,13 +122,13 @@
         self.context.counters.add("cache", at=self.context.role, result="miss")
         while True:
             fetched = await self.fetch_shared(lookup, minimum, deadline - self.context.clock.now())
-            is_usable = fetched.applied >= minimum and freshness_policy.is_fit(
+            is_usable = fetched.applied >= minimum and freshness_policy.is_servable(
                 fetched, lookup.purge_path, self.view, self.context.clock.now()
             )
             if fetched.ttl <= 0 or is_usable:
                 return fetched
             # The object was purged or expired in flight, so it is fetched again within the same deadline.
-            minimum = max(minimum, self.view.purged_at(lookup.purge_path, fetched.tags))
+            minimum = max(minimum, self.view.newest_purge(lookup.purge_path, fetched.tags))
             if deadline - self.context.clock.now() < MIN_REMAINING_SECONDS:
                 raise errors.DeadlineExceededError(
                     "every object fetched before the deadline had been purged or had expired when it arrived"
@@ -180,9 +180,11 @@
     ) -> objects.CachedObject:
         """Fetch the object from its holder, or else from an origin, and cache it if it has a TTL."""
         cached = self.cache.get(lookup.key)
-        fetch_own = functools.partial(self.fetch_from_origin, lookup, minimum_version, cached)
+        fetch_from_origin = functools.partial(self.fetch_from_origin, lookup, minimum_version, cached)
         with self.context.count_in_flight():
-            fetched = await self.fetch_from_holder(lookup, minimum_version, remaining, cached, fetch_own)
+            fetched = await self.fetch_from_holder(
+                lookup, minimum_version, remaining, cached, fetch_from_origin
+            )
         if fetched.ttl > 0:
             self.cache.put(lookup.key, fetched)
         return fetched
--- a/src/irisstand/dataplane/http/client_departures.py
+++ b/src/irisstand/dataplane/http/client_departures.py
@@ -14,7 +14,7 @@
 
 
 @contextlib.contextmanager
-def counted(counters: counters.Counters) -> collections.abc.Iterator[None]:
+def count_departure(counters: counters.Counters) -> collections.abc.Iterator[None]:
     """Count a client that leaves while the block answers it."""
     try:
         yield
@@ -29,7 +29,7 @@
     return task is not None and task.cancelling() > 0
 
 
-def keep_noticing(request: sanic.request.Request) -> None:
+def resume_reading(request: sanic.request.Request) -> None:
     """Read on from the client of a request that has come whole, as its departure is noticed by reading.
 
     Sanic stops reading when a buffer is full, and begins again only when it wants more of a request.
--- a/src/irisstand/dataplane/http/closing_connections.py
+++ b/src/irisstand/dataplane/http/closing_connections.py
@@ -40,16 +40,16 @@
     def check(self) -> None:
         """Abort the connections whose clients have taken in nothing for too long."""
         now = self.now()
-        earlier, self.progress = self.progress, {}
+        previous, self.progress = self.progress, {}
         for connection in list(self.connections()):
             transport = connection.transport
             if transport is None or not transport.is_closing():
                 continue
-            left = transport.get_write_buffer_size()
-            known_left, since = earlier.get(connection, (left, now))
-            if left < known_left:
-                known_left, since = left, now
-            if now - since > self.stall_seconds():
+            unsent = transport.get_write_buffer_size()
+            known_unsent, shrunk_at = previous.get(connection, (unsent, now))
+            if unsent < known_unsent:
+                known_unsent, shrunk_at = unsent, now
+            if now - shrunk_at > self.stall_seconds():
                 transport.abort()
             else:
-                self.progress[connection] = (known_left, since)
+                self.progress[connection] = (known_unsent, shrunk_at)
--- a/src/irisstand/dataplane/http/header_names.py
+++ b/src/irisstand/dataplane/http/header_names.py
@@ -12,7 +12,7 @@
     Attributes:
         request_id: Names one attempt of a client.
         remaining: How long the client still waits.
-        seal: Confirms that an answer is complete.
+        digest: Confirms that an answer is complete.
         expected: The origin instance that is meant.
         instance: The origin instance that answers.
         not_run: Marks the answer to a request that was not carried out.
@@ -23,12 +23,12 @@
 
     request_id: str
     remaining: str
-    seal: str
-    expected: str
+    digest: str
+    expected_instance: str
     instance: str
     not_run: str
     tags: str
-    cold: str
+    cold_remaining: str
     separator: str | None
 
 
@@ -37,12 +37,12 @@
     "irisstand": HeaderNames(
         request_id="x-request-id",
         remaining="x-remaining-ms",
-        seal="content-digest",
-        expected="x-expected-instance",
+        digest="content-digest",
+        expected_instance="x-expected-instance",
         instance="x-instance",
         not_run="x-not-run",
         tags="cache-tag",
-        cold="x-cold-ms",
+        cold_remaining="x-cold-ms",
         separator=",",
     ),
 }
--- a/src/irisstand/dataplane/http/listener.py
+++ b/src/irisstand/dataplane/http/listener.py
@@ -26,7 +26,7 @@
 OPENING_CHECK_SECONDS = 0.02
 BACKLOG = 512
 # An answer of the node's own after more than this time was not for want of a token or an origin alone.
-LATE_ANSWER_SECONDS = 0.5
+LATE_RESPONSE_SECONDS = 0.5
 STATUS_BAD_REQUEST = 400
 STATUS_REQUEST_TIMEOUT = 408
 STATUS_PAYLOAD_TOO_LARGE = 413
@@ -62,8 +62,8 @@
                 "TOUCHUP": False,
             }
         )
-        self.follow()
-        context.configuration.watchers.append(self.follow)
+        self.apply_client_limits()
+        context.configuration.watchers.append(self.apply_client_limits)
         self.app.error_handler.add(Exception, self.on_error)
         self.add_routes()
         context.close_callbacks.append(self.abort_connections)
@@ -81,7 +81,7 @@
         self.app.add_route(serve, "/", methods=METHODS, name="root", stream=True)
         self.app.add_route(serve, "/<rest:path>", methods=METHODS, name="rest", stream=True)
 
-    def follow(self) -> None:
+    def apply_client_limits(self) -> None:
         """Take over the operators' limits; a connection takes those that are in force when it opens."""
         self.node.table.refresh()
         limits = self.node.table.limits
@@ -148,7 +148,7 @@
         # Sanic's stream has no types.
         stream: typing.Any = request.stream
         pieces: list[bytes] = []
-        left = self.node.table.limits.body_bytes
+        bytes_left = self.node.table.limits.body_bytes
         while stream.request_body:
             try:
                 async with asyncio.timeout(self.idle_seconds()):
@@ -158,10 +158,10 @@
                 stream.request_body = None
                 raise sanic.exceptions.RequestTimeout("the body stopped before it was whole") from None
             pieces.append(piece or b"")
-            left -= len(pieces[-1])
-            if left < 0:
+            bytes_left -= len(pieces[-1])
+            if bytes_left < 0:
                 raise sanic.exceptions.PayloadTooLarge("the body is over the limit")
-        client_departures.keep_noticing(request)
+        client_departures.resume_reading(request)
         return b"".join(pieces)
 
     async def serve(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
@@ -169,22 +169,22 @@
         # Sanic's stream has no types; this one is a `strict_protocol.StrictHttp`.
         head: request_head.RequestHead = typing.cast(typing.Any, request.stream).head
         body = await self.read_body(request)
-        asked = direct.Request(request.method, request.raw_url, head.host, head.headers, body)
-        with self.context.count_in_flight(), client_departures.counted(self.context.counters):
-            response = await self.answer(asked)
+        node_request = direct.Request(request.method, request.raw_url, head.host, head.headers, body)
+        with self.context.count_in_flight(), client_departures.count_departure(self.context.counters):
+            response = await self.respond(node_request)
         # A connection that is kept would bring more work to a node that is shutting down.
         if self.context.is_lame_duck or self.context.is_draining:
             typing.cast(typing.Any, request.stream).keep_alive = False
         return response
 
-    async def answer(self, request: direct.Request) -> sanic.response.HTTPResponse:
+    async def respond(self, request: direct.Request) -> sanic.response.HTTPResponse:
         """Return the response to a request, whatever happens; only a client that leaves ends this."""
         started_at = self.context.clock.now()
         try:
             self.check_admission()
             status, headers, body = await self.node.handle(request)
         except errors.IrisError as error:
-            self.count_own_answer(error, started_at)
+            self.count_error_response(error, started_at)
             return messages.error_response(error)
         except asyncio.CancelledError:
             if client_departures.is_cancelled():
@@ -214,9 +214,9 @@
         if self.context.is_draining:
             raise drain_guard.draining_error()
 
-    def count_own_answer(self, error: errors.IrisError, started_at: float) -> None:
+    def count_error_response(self, error: errors.IrisError, started_at: float) -> None:
         """Count an answer of this node's own by code, stage of a shutdown, and whether it came late."""
-        is_late = self.context.clock.now() - started_at > LATE_ANSWER_SECONDS
+        is_late = self.context.clock.now() - started_at > LATE_RESPONSE_SECONDS
         self.context.counters.add(
             "own_answers", code=error.code, stage=self.context.shutdown_stage(), late=str(is_late)
         )
--- a/src/irisstand/dataplane/http/sanic_adapter.py
+++ b/src/irisstand/dataplane/http/sanic_adapter.py
@@ -38,9 +38,9 @@
             errors.BadRequestError: The path could be written in another way.
         """
         check_path(request.path)
-        client_departures.keep_noticing(request)
+        client_departures.resume_reading(request)
         headers = {name.lower(): value for name, value in request.headers.items()}
-        asked = edge_node.Request(
+        edge_request = edge_node.Request(
             request.method, request.path, request.query_string, headers, request.body or b""
         )
         context = self.edge.context
@@ -48,8 +48,11 @@
         is_read = request.method in edge_node.READ_METHODS
         work_state = (lambda: WorkState.WITHDRAWABLE) if is_read else (lambda: WorkState.BEGUN)
         try:
-            with client_departures.counted(context.counters), context.drain_guard.answer_at_end(work_state):
-                result = await self.edge.handle(asked)
+            with (
+                client_departures.count_departure(context.counters),
+                context.drain_guard.answer_at_end(work_state),
+            ):
+                result = await self.edge.handle(edge_request)
         except errors.IrisError as error:
             return web.error_response(error)
         response_headers = dict(result.headers)
--- a/src/irisstand/dataplane/messages.py
+++ b/src/irisstand/dataplane/messages.py
@@ -125,7 +125,7 @@
         return (self.key, self.path, tuple(self.minimum_version))
 
 
-class StoreDeposit(typing.NamedTuple):
+class StorePut(typing.NamedTuple):
     """Gives a store an object to keep under a key."""
 
     key: str
--- a/src/irisstand/dataplane/nodes/direct.py
+++ b/src/irisstand/dataplane/nodes/direct.py
@@ -5,7 +5,7 @@
 from irisstand import node_context, node_settings
 from irisstand.dataplane.cache import object_holders, object_reader, objects, ranges
 from irisstand.dataplane.http import header_names
-from irisstand.dataplane.routing import route_table, routes, snapshot
+from irisstand.dataplane.routing import configuration_view, route_table, routes
 from irisstand.dataplane.upstream import client, endpoint_pool, exchange, upstream_request
 from irisstand.http1 import grammar
 
@@ -27,7 +27,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: snapshot.ConfigurationSnapshot,
+        view: configuration_view.ConfigurationView,
         connect: exchange.Connect,
     ) -> None:
         self.context = context
@@ -83,7 +83,7 @@
         answer = ranges.apply(complete, request.headers) if content.status == STATUS_OK else complete
         if answer.status == ranges.RANGE_NOT_SATISFIABLE:
             # The 416 response is this node's own, so the origin's integrity header does not belong to it.
-            answer.headers.pop(self.header_names.seal, None)
+            answer.headers.pop(self.header_names.digest, None)
         return answer
 
 
@@ -93,7 +93,7 @@
 
 
 def create(
-    context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot, connect: typing.Any
+    context: node_context.NodeContext, view: configuration_view.ConfigurationView, connect: typing.Any
 ) -> DirectNode:
     """Create the node; `connect` opens connections to origins, and None stands for network connections."""
     return DirectNode(context, view, connect or connector(context.settings))
--- a/src/irisstand/dataplane/nodes/edge.py
+++ b/src/irisstand/dataplane/nodes/edge.py
@@ -12,7 +12,7 @@
 from irisstand.dataplane.cache import object_cache, objects
 from irisstand.dataplane.nodes import shield_client
 from irisstand.dataplane.retry import actions, events, freshness_policy
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.state import versions
 
 READ_METHODS = ("GET", "HEAD")
@@ -59,7 +59,7 @@
 class Edge:
     """Answers clients' requests from its cache, or by way of shields."""
 
-    def __init__(self, context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot) -> None:
+    def __init__(self, context: node_context.NodeContext, view: configuration_view.ConfigurationView) -> None:
         self.context = context
         self.view = view
         self.cache = object_cache.ObjectCache(context.settings.cache_bytes)
@@ -90,11 +90,11 @@
             self.context.counters.add("rejected", code=error.code)
             raise
 
-    async def read(self, allowed: snapshot.AllowedRequest, request: Request) -> Result:
+    async def read(self, allowed: configuration_view.AllowedRequest, request: Request) -> Result:
         """Answer a read from the cache, or by way of a shield."""
         read = self.shield_read(allowed, request)
         freshness = freshness_policy.FreshnessPolicy(self.context.clock, self.view, allowed, request.path)
-        minimum_version = self.view.purged_at(request.path, ())
+        minimum_version = self.view.newest_purge(request.path, ())
         if read.is_shared:
             key = self.cache_key(allowed.service, read)
             cached = self.cache.get(key)
@@ -102,7 +102,7 @@
                 if self.is_usable(cached, request.path, minimum_version):
                     self.context.counters.add("cache", at="edge", result="hit")
                     return self.result_from(request, cached)
-                minimum_version = max(minimum_version, self.view.purged_at(request.path, cached.tags))
+                minimum_version = max(minimum_version, self.view.newest_purge(request.path, cached.tags))
                 self.cache.drop(key)
             self.context.counters.add("cache", at="edge", result="miss")
         fetched = await self.fetch(read, minimum_version, freshness)
@@ -112,7 +112,7 @@
             self.cache.put(self.cache_key(fetched.service, read), fetched.content)
         return self.result_from(request, fetched.content)
 
-    def shield_read(self, allowed: snapshot.AllowedRequest, request: Request) -> shield_client.Read:
+    def shield_read(self, allowed: configuration_view.AllowedRequest, request: Request) -> shield_client.Read:
         """Return the read to send to a shield, with the headers that may be forwarded."""
         is_shared = not any(name in request.headers for name in CREDENTIAL_HEADERS)
         # A shared response may depend only on headers that the configuration names; only they are forwarded.
@@ -176,7 +176,7 @@
             content.status, content.headers, content.body, content.age_now(self.context.clock.now())
         )
 
-    async def write(self, allowed: snapshot.AllowedRequest, request: Request) -> Result:
+    async def write(self, allowed: configuration_view.AllowedRequest, request: Request) -> Result:
         """Return the response to a write, which is sent to a shield."""
         headers = {name: value for name, value in request.headers.items() if name not in DROPPED_HEADERS}
         write = shield_client.Write(
@@ -186,7 +186,7 @@
 
 
 def create(
-    context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot, connect: typing.Any
+    context: node_context.NodeContext, view: configuration_view.ConfigurationView, connect: typing.Any
 ) -> Edge:
     """Create the edge of a node; `connect` is not used, as this role does not connect to origins."""
     return Edge(context, view)
--- a/src/irisstand/dataplane/nodes/idempotency_keys.py
+++ b/src/irisstand/dataplane/nodes/idempotency_keys.py
@@ -12,7 +12,7 @@
 from irisstand import errors, node_context
 from irisstand.controlplane.consensus import order_messages
 from irisstand.dataplane import messages
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.dataplane.upstream import origin_client
 
 ORDER_TIMEOUT_SECONDS = 1.5
@@ -46,7 +46,10 @@
         self.context = context
 
     async def run_once(
-        self, allowed: snapshot.AllowedRequest, request: origin_client.OriginRequest, send_write: SendWrite
+        self,
+        allowed: configuration_view.AllowedRequest,
+        request: origin_client.OriginRequest,
+        send_write: SendWrite,
     ) -> messages.WriteResult:
         """Send a write to an origin, or return the recorded result of an earlier write with the same key.
 
--- a/src/irisstand/dataplane/nodes/shield.py
+++ b/src/irisstand/dataplane/nodes/shield.py
@@ -23,7 +23,7 @@
     read_policy,
     write_policy,
 )
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.dataplane.upstream import connections, origin_client, origin_pool
 from irisstand.state import versions
 
@@ -40,7 +40,7 @@
 class Admitted(typing.NamedTuple):
     """What the configuration allows for an admitted request, and the seconds until its deadline."""
 
-    allowed: snapshot.AllowedRequest
+    allowed: configuration_view.AllowedRequest
     remaining_seconds: float
 
 
@@ -50,7 +50,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: snapshot.ConfigurationSnapshot,
+        view: configuration_view.ConfigurationView,
         open_connection: connections.ConnectionOpener,
     ) -> None:
         self.context = context
@@ -112,14 +112,14 @@
         return Admitted(self.view.authorize(request.method, request.path, request.query), remaining)
 
     async def read(
-        self, allowed: snapshot.AllowedRequest, request: messages.ReadRequest, remaining: float
+        self, allowed: configuration_view.AllowedRequest, request: messages.ReadRequest, remaining: float
     ) -> objects.CachedObject:
         """Return an object from this shield's cache, from a store or from an origin."""
         if not request.is_shared:
             return await self.fetch(allowed, request, remaining)
         key = repr((allowed.service, request.path, request.query, sorted(request.headers.items())))
         # The newest purge that the edge knows applies here too, though this node may not have received it.
-        minimum_version = max(request.minimum_version, self.view.purged_at(request.path, ()))
+        minimum_version = max(request.minimum_version, self.view.newest_purge(request.path, ()))
         cached = self.cache.get(key)
         if cached is not None:
             if self.is_usable(cached, request.path, minimum_version):
@@ -138,7 +138,11 @@
         return freshness_policy.is_usable(cached, path, self.view, minimum_version, now)
 
     async def read_through_store(
-        self, key: str, allowed: snapshot.AllowedRequest, request: messages.ReadRequest, remaining: float
+        self,
+        key: str,
+        allowed: configuration_view.AllowedRequest,
+        request: messages.ReadRequest,
+        remaining: float,
     ) -> objects.CachedObject:
         """Return a shared object from its store, or else from an origin, and cache it."""
         store = self.stores.store_for(key)
@@ -157,7 +161,7 @@
         return fetched
 
     async def fetch(
-        self, allowed: snapshot.AllowedRequest, request: messages.ReadRequest, remaining: float
+        self, allowed: configuration_view.AllowedRequest, request: messages.ReadRequest, remaining: float
     ) -> objects.CachedObject:
         """Return an object that is fetched from an origin."""
         retry_policy = read_policy.ShieldReadPolicy(self.context.clock, allowed, remaining, self.budget)
@@ -180,7 +184,7 @@
 
     async def write(
         self,
-        allowed: snapshot.AllowedRequest,
+        allowed: configuration_view.AllowedRequest,
         retry_policy: WritePolicy,
         request: origin_client.OriginRequest,
     ) -> messages.WriteResult:
@@ -195,7 +199,7 @@
 
 
 def create(
-    context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot, connect: typing.Any
+    context: node_context.NodeContext, view: configuration_view.ConfigurationView, connect: typing.Any
 ) -> Shield:
     """Create the shield of a node; `connect` opens connections to origins, None stands for network ones."""
     return Shield(context, view, connect or connections.open_http)
--- a/src/irisstand/dataplane/nodes/shield_client.py
+++ b/src/irisstand/dataplane/nodes/shield_client.py
@@ -10,7 +10,7 @@
 from irisstand.dataplane import messages
 from irisstand.dataplane.nodes import suspicion_watcher
 from irisstand.dataplane.retry import actions, events, policy, read_policy, write_policy
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.membership import updates
 from irisstand.state import versions
 
@@ -27,7 +27,7 @@
 class Read(typing.NamedTuple):
     """A read at an edge: what the configuration allows for it, and the fields that are sent to a shield."""
 
-    allowed: snapshot.AllowedRequest
+    allowed: configuration_view.AllowedRequest
     path: str
     query: str
     headers: dict[str, str]
@@ -37,7 +37,7 @@
 class Write(typing.NamedTuple):
     """A write at an edge: what the configuration allows for it, and the fields that are sent to a shield."""
 
-    allowed: snapshot.AllowedRequest
+    allowed: configuration_view.AllowedRequest
     method: str
     path: str
     query: str
@@ -48,7 +48,7 @@
 class ShieldClient:
     """Sends the reads and writes of one edge to shields."""
 
-    def __init__(self, context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot) -> None:
+    def __init__(self, context: node_context.NodeContext, view: configuration_view.ConfigurationView) -> None:
         self.context = context
         self.view = view
         self.popularity = popularity.PopularityCounter(context.clock)
@@ -113,7 +113,7 @@
         )
         try:
             await asyncio.wait([call, suspicion], return_when=asyncio.FIRST_COMPLETED)
-            if not call.done() and retry_policy.may_leave_shield():
+            if not call.done() and retry_policy.may_retry_at_next_shield():
                 error = errors.NotSentError("the failure detector suspects the shield that was asked")
                 return events.AttemptFailed(error, action.shield.identity.name)
             return await call
--- a/src/irisstand/dataplane/nodes/store.py
+++ b/src/irisstand/dataplane/nodes/store.py
@@ -6,7 +6,7 @@
 from irisstand.dataplane import messages
 from irisstand.dataplane.cache import object_cache, objects
 from irisstand.dataplane.retry import freshness_policy
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 
 
 class StoreNode:
@@ -17,7 +17,7 @@
         view: The replicated configuration and purges.
     """
 
-    def __init__(self, context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot) -> None:
+    def __init__(self, context: node_context.NodeContext, view: configuration_view.ConfigurationView) -> None:
         self.context = context
         self.view = view
         self.cache = object_cache.ObjectCache(context.settings.cache_bytes)
@@ -46,7 +46,7 @@
 
     async def on_put(self, _: str, body: typing.Any) -> tuple[typing.Any, ...]:
         """Cache an object that a shield sent, unless the cached one was fetched at a newer ledger version."""
-        deposit = messages.StoreDeposit.from_wire(body, self.context.clock.now())
+        deposit = messages.StorePut.from_wire(body, self.context.clock.now())
         cached = self.cache.get(deposit.key)
         # Two shields may have fetched the object: the one fetched at the newer ledger version is kept.
         if cached is None or cached.applied <= deposit.content.applied:
@@ -59,7 +59,7 @@
 
 
 def create(
-    context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot, _connect: typing.Any
+    context: node_context.NodeContext, view: configuration_view.ConfigurationView, _connect: typing.Any
 ) -> StoreNode:
     """Create the node; the connection opener is not used, as a store connects to no origin."""
     return StoreNode(context, view)
--- a/src/irisstand/dataplane/nodes/store_client.py
+++ b/src/irisstand/dataplane/nodes/store_client.py
@@ -5,7 +5,7 @@
 from irisstand.dataplane import messages
 from irisstand.dataplane.cache import objects
 from irisstand.dataplane.retry import freshness_policy
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.membership import updates
 from irisstand.state import versions
 
@@ -16,7 +16,7 @@
 class StoreClient:
     """Looks up objects in stores and adds them; a read that no store answers goes to an origin."""
 
-    def __init__(self, context: node_context.NodeContext, view: snapshot.ConfigurationSnapshot) -> None:
+    def __init__(self, context: node_context.NodeContext, view: configuration_view.ConfigurationView) -> None:
         self.context = context
         self.view = view
 
@@ -52,7 +52,7 @@
 
     async def put(self, store: updates.Update, key: str, content: objects.CachedObject) -> None:
         """Add an object to a store; a failure is counted and otherwise ignored."""
-        deposit = messages.StoreDeposit(key, content)
+        deposit = messages.StorePut(key, content)
         try:
             await self.context.transport.call(
                 store.node_info.address,
--- a/src/irisstand/dataplane/program.py
+++ b/src/irisstand/dataplane/program.py
@@ -31,15 +31,15 @@
     context = data_node.context
     # Without a port for operators' pages there are none, and their library is not loaded.
     if not settings.http_port:
-        return context, nothing_listens
+        return context, stop_nothing
     server = importlib.import_module("irisstand.web").HttpServer(context, log)
     if settings.role == "direct":
         # Readiness has an address of its own, and tells from the start why the node is not ready yet.
         await server.open()
         listener = importlib.import_module("irisstand.dataplane.http.listener")
-        clients = listener.ClientListener(context, data_node.role_node, settings.front)
-        context.start_task(clients.open_when_current(), "front")
-        return context, lambda: stop_all([clients.stop_listening, server.stop_listening])
+        client_listener = listener.ClientListener(context, data_node.role_node, settings.front)
+        context.start_task(client_listener.open_when_current(), "front")
+        return context, lambda: stop_all([client_listener.stop_listening, server.stop_listening])
     if settings.role == "edge":
         sanic_adapter = importlib.import_module("irisstand.dataplane.http.sanic_adapter")
         sanic_adapter.SanicAdapter(server, data_node.role_node)
@@ -49,7 +49,7 @@
     return context, server.stop_listening
 
 
-async def nothing_listens() -> None:
+async def stop_nothing() -> None:
     """Close the listeners of a node that has none."""
 
 
--- a/src/irisstand/dataplane/retry/actions.py
+++ b/src/irisstand/dataplane/retry/actions.py
@@ -29,7 +29,7 @@
     minimum_version: versions.Version
 
 
-class FetchOwn(typing.NamedTuple):
+class FetchFromOrigin(typing.NamedTuple):
     """Fetch the object from an origin without the holder, in the time that is left."""
 
 
--- a/src/irisstand/dataplane/retry/attempt_policy.py
+++ b/src/irisstand/dataplane/retry/attempt_policy.py
@@ -44,7 +44,7 @@
         super().__init__(clock, clock.now() + min(remaining, route.timeout) - RETURN_TRIP_SECONDS)
         self.route = route
         self.budget = budget
-        self.sent = 0
+        self.attempts_sent = 0
         self.tried: set[str] = set()
         self.last_error: errors.IrisError | None = None
 
@@ -98,7 +98,7 @@
     def may_retry(self) -> bool:
         """Take a retry from the budget, if the route's limit and the deadline allow one more attempt."""
         return (
-            self.sent < self.route.attempts
+            self.attempts_sent < self.route.attempts
             and self.remaining() > MINIMUM_RETRY_SECONDS
             and self.budget.take()
         )
--- a/src/irisstand/dataplane/retry/events.py
+++ b/src/irisstand/dataplane/retry/events.py
@@ -68,10 +68,10 @@
     is_failed: bool
 
 
-class OwnFetchStarted(typing.NamedTuple):
+class OriginFetchStarted(typing.NamedTuple):
     """This node has begun to fetch the object by itself."""
 
 
 STARTED = Started()
-OWN_FETCH_STARTED = OwnFetchStarted()
+ORIGIN_FETCH_STARTED = OriginFetchStarted()
 TIMER_EXPIRED = TimerExpired()
--- a/src/irisstand/dataplane/retry/forwarding_policy.py
+++ b/src/irisstand/dataplane/retry/forwarding_policy.py
@@ -4,7 +4,7 @@
 
 from irisstand import clocks, errors
 from irisstand.dataplane.retry import actions, events, policy
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.membership import updates
 
 ResponseT = typing.TypeVar("ResponseT")
@@ -38,7 +38,7 @@
 )
 LIMIT_ERRORS: tuple[type[errors.IrisError], ...] = (errors.LimitExceededError, errors.SlowStartError)
 # A service at its limit must not be asked for at all shields in turn for long.
-FULL_SHIELDS_LIMIT = 2
+MAX_SHIELDS_AT_LIMIT = 2
 # With less time left than this, a request that has reached an origin is not sent to another.
 MINIMUM_RETRY_SECONDS = 0.05
 
@@ -49,13 +49,13 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        allowed: snapshot.AllowedRequest,
+        allowed: configuration_view.AllowedRequest,
         shields: list[updates.Update],
         deadline: float | None = None,
     ) -> None:
         super().__init__(clock, clock.now() + allowed.deadline if deadline is None else deadline)
         self.shields = shields
-        self.full_shields = 0
+        self.shields_at_limit = 0
 
     def decide(self, event: events.Started | ToShieldEvent[ResponseT]) -> ToShieldAction[ResponseT]:
         """Take note of `event` and return what to do next."""
@@ -74,8 +74,8 @@
     def may_try_next(self, error: errors.IrisError) -> bool:
         """Whether another shield may take a request that this one certainly did not send on."""
         if type(error) in LIMIT_ERRORS:
-            self.full_shields += 1
-            self.shields = self.shields[: FULL_SHIELDS_LIMIT - self.full_shields + 1]
+            self.shields_at_limit += 1
+            self.shields = self.shields[: MAX_SHIELDS_AT_LIMIT - self.shields_at_limit + 1]
         return type(error) in RETRIABLE_ERRORS and bool(self.shields)
 
     def send_to_next(self) -> actions.SendToShield | actions.Reject:
@@ -90,7 +90,9 @@
 class ToOriginPolicy(policy.DeadlinePolicy):
     """Policy of a request at a shield: sends it to origins that it has not tried yet until the deadline."""
 
-    def __init__(self, clock: clocks.Clock, allowed: snapshot.AllowedRequest, remaining: float) -> None:
+    def __init__(
+        self, clock: clocks.Clock, allowed: configuration_view.AllowedRequest, remaining: float
+    ) -> None:
         super().__init__(clock, clock.now() + min(remaining, allowed.deadline))
         self.tried: set[str] = set()
 
--- a/src/irisstand/dataplane/retry/freshness_policy.py
+++ b/src/irisstand/dataplane/retry/freshness_policy.py
@@ -3,7 +3,7 @@
 from irisstand import clocks, errors
 from irisstand.dataplane.cache import objects
 from irisstand.dataplane.retry import actions, events, policy
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.state import versions
 
 # How far past its time to live a response may be that was fetched for this very request; docs promise 2 s.
@@ -15,21 +15,21 @@
 def is_usable(
     cached: objects.CachedObject,
     path: str,
-    view: snapshot.ConfigurationSnapshot,
+    view: configuration_view.ConfigurationView,
     minimum_version: versions.Version,
     now: float,
 ) -> bool:
     """Whether a cached object has not expired, and was fetched after the newest purge that is known."""
-    purged = max(minimum_version, view.purged_at(path, cached.tags))
+    purged = max(minimum_version, view.newest_purge(path, cached.tags))
     return cached.age_now(now) < cached.ttl and cached.applied >= purged
 
 
-def is_fit(
-    fetched: objects.CachedObject, path: str, view: snapshot.ConfigurationSnapshot, now: float
+def is_servable(
+    fetched: objects.CachedObject, path: str, view: configuration_view.ConfigurationView, now: float
 ) -> bool:
     """Whether a fetched object may be given out now, as purges and time go on while it is fetched."""
     has_expired = fetched.ttl > 0 and fetched.age_now(now) > fetched.ttl + EXPIRED_LIMIT_SECONDS
-    return fetched.applied >= view.purged_at(path, fetched.tags) and not has_expired
+    return fetched.applied >= view.newest_purge(path, fetched.tags) and not has_expired
 
 
 class FreshnessPolicy(policy.DeadlinePolicy):
@@ -38,8 +38,8 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        view: snapshot.ConfigurationSnapshot,
-        allowed: snapshot.AllowedRequest,
+        view: configuration_view.ConfigurationView,
+        allowed: configuration_view.AllowedRequest,
         path: str,
     ) -> None:
         super().__init__(clock, clock.now() + allowed.deadline)
@@ -61,10 +61,10 @@
     ) -> actions.Respond[objects.CachedObject] | actions.FetchAgain | actions.Reject:
         """Respond with an object that is fit; fetch any other again."""
         now = self.clock.now()
-        if is_fit(fetched, self.path, self.view, now):
+        if is_servable(fetched, self.path, self.view, now):
             return actions.Respond(fetched)
         error = errors.DeadlineExceededError("no answer was still good by the time that it came")
-        return self.fetch_again(now, self.view.purged_at(self.path, fetched.tags), error)
+        return self.fetch_again(now, self.view.newest_purge(self.path, fetched.tags), error)
 
     def on_attempt_failed(self, error: errors.IrisError) -> actions.FetchAgain | actions.Reject:
         """Fetch again only what a shared fetch failed to bring in time."""
--- a/src/irisstand/dataplane/retry/idempotent_attempt_policy.py
+++ b/src/irisstand/dataplane/retry/idempotent_attempt_policy.py
@@ -35,7 +35,7 @@
     def on_attempt_sent(self, event: events.AttemptSent) -> Action[ResponseT]:
         """Count the attempt, and set the time at which a hedged request is sent."""
         self.tried.add(event.endpoint)
-        self.sent += 1
+        self.attempts_sent += 1
         self.in_flight += 1
         self.hedge_at = self.next_hedge(event.usual_seconds)
         return self.wait()
@@ -43,7 +43,7 @@
     def next_hedge(self, usual_seconds: float) -> float | None:
         """Return when the attempt that was just sent is taken to be slow; None if nothing follows from it."""
         now = self.clock.now()
-        if self.sent < self.route.attempts:
+        if self.attempts_sent < self.route.attempts:
             usual = HEDGE_USUAL_FACTOR * usual_seconds
             return now + max(usual, HEDGE_TARGET_FACTOR * self.route.target)
         if self.error_response is not None:
@@ -85,7 +85,7 @@
         self.in_flight -= 1
         self.last_error = event.error
         if not event.was_sent:
-            self.sent -= 1
+            self.attempts_sent -= 1
             if self.remaining() > attempt_policy.MINIMUM_RETRY_SECONDS:
                 return self.send()
         if self.in_flight:
--- a/src/irisstand/dataplane/retry/read_policy.py
+++ b/src/irisstand/dataplane/retry/read_policy.py
@@ -6,7 +6,7 @@
 from irisstand.balancing import retry_budget as budgets
 from irisstand.dataplane.cache import objects
 from irisstand.dataplane.retry import actions, events, forwarding_policy
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.membership import updates
 
 ResponseT = typing.TypeVar("ResponseT")
@@ -19,7 +19,7 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        allowed: snapshot.AllowedRequest,
+        allowed: configuration_view.AllowedRequest,
         shields: list[updates.Update],
         budget: budgets.RetryBudget,
         deadline: float,
@@ -32,11 +32,11 @@
         # Nothing has left this node, so asking the next shield is still the first attempt.
         if type(error) is errors.NotSentError or self.may_try_next(error):
             return self.send_to_next()
-        if type(error) is errors.UnansweredError and self.may_leave_shield():
+        if type(error) is errors.UnansweredError and self.may_retry_at_next_shield():
             return self.send_to_next()
         return actions.Reject(error)
 
-    def may_leave_shield(self) -> bool:
+    def may_retry_at_next_shield(self) -> bool:
         """Take a retry from the budget, if there is another shield and time for it."""
         has_time = self.remaining() > forwarding_policy.MINIMUM_RETRY_SECONDS
         return bool(self.shields) and has_time and self.budget.take()
@@ -48,7 +48,7 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        allowed: snapshot.AllowedRequest,
+        allowed: configuration_view.AllowedRequest,
         remaining: float,
         budget: budgets.RetryBudget,
     ) -> None:
--- a/src/irisstand/dataplane/retry/single_attempt_policy.py
+++ b/src/irisstand/dataplane/retry/single_attempt_policy.py
@@ -19,7 +19,7 @@
     def on_attempt_sent(self, event: events.AttemptSent) -> Action[ResponseT]:
         """Count the attempt and wait for its end."""
         self.tried.add(event.endpoint)
-        self.sent += 1
+        self.attempts_sent += 1
         return self.wait()
 
     def wait(self) -> Action[ResponseT]:
@@ -43,7 +43,7 @@
             return actions.Reject(errors.OutcomeUnknownError(error))
         self.last_error = event.error
         if not event.was_sent:
-            self.sent -= 1
+            self.attempts_sent -= 1
             if self.remaining() > attempt_policy.MINIMUM_RETRY_SECONDS:
                 return self.send()
         elif self.may_retry():
--- a/src/irisstand/dataplane/routing/snapshot.py
+++ b/src/irisstand/dataplane/routing/configuration_view.py
@@ -68,7 +68,7 @@
     value: dict[str, typing.Any]
 
 
-class ConfigurationSnapshot:
+class ConfigurationView:
     """Answers questions by the replicas of the tables as they are at the moment of the call.
 
     Args:
@@ -78,8 +78,8 @@
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
         # Of the keys of paths, the longest first, as of the configuration's version that was read.
-        self.lengths: list[int] = []
-        self.lengths_applied = versions.NONE
+        self.key_lengths: list[int] = []
+        self.key_lengths_version = versions.NONE
 
     def check_current(self) -> None:
         """Check that this node may answer by its tables.
@@ -91,14 +91,14 @@
 
     def path_item(self, path: str) -> PathItem | None:
         """Return the path of the configuration that is the longest prefix of a request's path."""
-        copy = self.context.configuration
-        if self.lengths_applied != copy.applied:
-            lengths = {len(item.key) for item in copy.items_with_prefix(PATH_KEY_PREFIX)}
-            self.lengths = sorted(lengths, reverse=True)
-            self.lengths_applied = copy.applied
+        configuration = self.context.configuration
+        if self.key_lengths_version != configuration.applied:
+            key_lengths = {len(item.key) for item in configuration.items_with_prefix(PATH_KEY_PREFIX)}
+            self.key_lengths = sorted(key_lengths, reverse=True)
+            self.key_lengths_version = configuration.applied
         key = PATH_KEY_PREFIX + path
-        for length in self.lengths:
-            if length <= len(key) and (value := copy.value(key[:length])) is not None:
+        for length in self.key_lengths:
+            if length <= len(key) and (value := configuration.value(key[:length])) is not None:
                 return PathItem(key[len(PATH_KEY_PREFIX) : length], value)
         return None
 
@@ -130,14 +130,14 @@
             value.get("probe", DEFAULT_PROBE_PATH),
         )
 
-    def purged_at(self, path: str, tags: tuple[str, ...]) -> versions.Version:
+    def newest_purge(self, path: str, tags: tuple[str, ...]) -> versions.Version:
         """Return the version of the newest purge that strikes the path or a tag, or may have struck one."""
-        copy = self.context.ledger
+        ledger = self.context.ledger
         keys = [f"purge/path/{path}", *(f"purge/tag/{tag}" for tag in tags)]
         # Purges of this version and older may be forgotten, so what was fetched before them counts as
         # purged: a node that comes back after a long time may still have what they were meant for.
-        forgotten = versions.Version.from_wire(copy.value(items.FORGOTTEN_PURGES_KEY) or versions.NONE)
-        return max(forgotten, *(copy.version(key) for key in keys))
+        forgotten = versions.Version.from_wire(ledger.value(items.FORGOTTEN_PURGES_KEY) or versions.NONE)
+        return max(forgotten, *(ledger.version(key) for key in keys))
 
     def is_evacuated(self, site: str) -> bool:
         """Tell whether operators moved all work away from the site."""
@@ -168,7 +168,7 @@
         """Return the shields in the order in which they should be asked for a key of a service."""
         members = {update.identity.name: update for update in self.context.members_of("shield")}
         candidates = [
-            (name, self.shield_weight(update)) for name, update in members.items() if self.takes_work(update)
+            (name, self.shield_weight(update)) for name, update in members.items() if self.is_active(update)
         ]
         slot = rendezvous.slot_of(key)
         owner = self.slot_owner(slot)
@@ -182,7 +182,7 @@
 
         return sorted(ranked, key=rank)
 
-    def takes_work(self, update: updates.Update) -> bool:
+    def is_active(self, update: updates.Update) -> bool:
         """Tell whether a member is neither at an evacuated site nor in standby."""
         node_info = update.node_info
         return not self.is_evacuated(node_info.site) and not self.context.is_standby(node_info.machine)
--- a/src/irisstand/dataplane/routing/prefix_map.py
+++ b/src/irisstand/dataplane/routing/prefix_map.py
@@ -29,17 +29,17 @@
 
     def add(self, prefix: str, name: str, value: Value) -> None:
         """Set the value of a prefix under a name."""
-        named = self.by_prefix.get(prefix)
-        if named is None:
-            named = self.by_prefix[prefix] = {}
+        values_by_name = self.by_prefix.get(prefix)
+        if values_by_name is None:
+            values_by_name = self.by_prefix[prefix] = {}
             self.change_count(len(prefix), 1)
-        named[name] = value
+        values_by_name[name] = value
 
     def remove(self, prefix: str, name: str) -> None:
         """Remove the value of a prefix under a name, which must be there."""
-        named = self.by_prefix[prefix]
-        del named[name]
-        if not named:
+        values_by_name = self.by_prefix[prefix]
+        del values_by_name[name]
+        if not values_by_name:
             del self.by_prefix[prefix]
             self.change_count(len(prefix), -1)
 
@@ -56,7 +56,7 @@
     def longest_match(self, path: str) -> Value | None:
         """Return the value of the longest prefix of the path; of several, the first by name."""
         for length in self.lengths:
-            named = self.by_prefix.get(path[:length])
-            if named is not None:
-                return named[min(named)]
+            values_by_name = self.by_prefix.get(path[:length])
+            if values_by_name is not None:
+                return values_by_name[min(values_by_name)]
         return None
--- a/src/irisstand/dataplane/routing/route_table.py
+++ b/src/irisstand/dataplane/routing/route_table.py
@@ -39,43 +39,46 @@
         # All items of routes and services by key, the dropped ones too, and the container they were read
         # from.
         self.compiled: dict[str, CompiledItem] = {}
-        self.read_from: object = None
+        self.source_items: object = None
 
     # -- following the configuration -----------------------------------------------------------------
     def refresh(self) -> None:
         """Take over what changed in the configuration since the last time."""
-        copy = self.context.configuration
-        if copy.applied == self.applied and copy.items is self.read_from:
+        configuration = self.context.configuration
+        if configuration.applied == self.applied and configuration.items is self.source_items:
             return
         # A replica that was repaired may have other items at versions that were read already.
-        if copy.items is self.read_from and copy.applied > self.applied:
-            self.apply_changes(copy)
+        if configuration.items is self.source_items and configuration.applied > self.applied:
+            self.apply_changes(configuration)
         else:
-            self.compare_all(copy)
-        self.applied = copy.applied
-        self.read_from = copy.items
-        self.limits = routes.ClientLimits.from_item(copy.value(versioned_items.LIMITS_KEY))
+            self.compare_all(configuration)
+        self.applied = configuration.applied
+        self.source_items = configuration.items
+        self.limits = routes.ClientLimits.from_item(configuration.value(versioned_items.LIMITS_KEY))
 
-    def apply_changes(self, copy: replica.Replica) -> None:
+    def apply_changes(self, configuration: replica.Replica) -> None:
         """Take over the items that changed since the version that was read."""
-        changed, removed = copy.changes_since(self.applied)
+        changed, removed = configuration.changes_since(self.applied)
         for item in changed:
             self.update(item.key, item)
         for key in removed:
             self.update(key, None)
         # More may have been removed than the replica remembers by name.
-        if len(self.compiled) != copy.counts_by_prefix["route"] + copy.counts_by_prefix["upstream"]:
-            self.compare_all(copy)
+        if (
+            len(self.compiled)
+            != configuration.counts_by_prefix["route"] + configuration.counts_by_prefix["upstream"]
+        ):
+            self.compare_all(configuration)
 
-    def compare_all(self, copy: replica.Replica) -> None:
+    def compare_all(self, configuration: replica.Replica) -> None:
         """Look at every item, and take over those that differ from what was read."""
-        for key in [key for key in self.compiled if key not in copy.items]:
+        for key in [key for key in self.compiled if key not in configuration.items]:
             self.update(key, None)
         for prefix in (ROUTE_PREFIX, UPSTREAM_PREFIX):
-            for key in copy.items.irange(prefix, prefix + replica.KEY_UPPER_BOUND):
-                item = copy.items[key]
-                known = self.compiled.get(key)
-                if known is None or known.item != item:
+            for key in configuration.items.irange(prefix, prefix + replica.KEY_UPPER_BOUND):
+                item = configuration.items[key]
+                compiled_item = self.compiled.get(key)
+                if compiled_item is None or compiled_item.item != item:
                     self.update(key, item)
 
     def update(self, key: str, item: items.Item | None) -> None:
@@ -87,9 +90,9 @@
 
     def update_route(self, key: str, item: items.Item | None) -> None:
         """Replace the route that was read from the item."""
-        known = self.compiled.pop(key, None)
-        if known is not None and known.route is not None:
-            self.remove(known.host, known.route)
+        compiled_item = self.compiled.pop(key, None)
+        if compiled_item is not None and compiled_item.route is not None:
+            self.remove(compiled_item.host, compiled_item.route)
         host = ""
         route = None
         content = content_of(item)
@@ -150,11 +153,11 @@
             )
         return route
 
-    def still_allows(self, route: routes.Route, service: str) -> bool:
+    def is_service_allowed(self, route: routes.Route, service: str) -> bool:
         """Tell whether the route as it is now lets a request go to the service."""
         self.refresh()
-        now = self.by_name.get(route.name)
-        return now is not None and any(name == service and weight > 0 for name, weight in now.splits)
+        current = self.by_name.get(route.name)
+        return current is not None and any(name == service and weight > 0 for name, weight in current.splits)
 
 
 def content_of(item: items.Item | None) -> dict[str, typing.Any] | None:
--- a/src/irisstand/dataplane/upstream/attempts.py
+++ b/src/irisstand/dataplane/upstream/attempts.py
@@ -101,9 +101,16 @@
         """Send the request over a connection and return the answer, which may have any status."""
         request, words = attempt.request, self.header_names
         remaining_ms = max(1, int(attempt.retry_policy.remaining() * 1000))
-        left_out = (words.remaining, words.expected, words.request_id if attempt.is_anonymous else "")
+        left_out = (
+            words.remaining,
+            words.expected_instance,
+            words.request_id if attempt.is_anonymous else "",
+        )
         headers = [("host", request.host), *((n, v) for n, v in attempt.headers if n not in left_out)]
-        headers += [(words.remaining, str(remaining_ms)), (words.expected, attempt.endpoint.instance)]
+        headers += [
+            (words.remaining, str(remaining_ms)),
+            (words.expected_instance, attempt.endpoint.instance),
+        ]
         # The policy has its own deadline; this one is for what goes on after it.
         async with asyncio.timeout(self.timeout_seconds(attempt)):
             return await connection.send(request.method, request.target, headers, request.body, request_id)
@@ -132,7 +139,7 @@
         if request_id and answer.headers.get(words.request_id) != request_id:
             unnamed = errors.UnsealedResultError("the answer does not name the request")
             return events.AttemptFailed(unnamed, instance)
-        if answer.status < FIRST_REDIRECT_STATUS and words.seal not in answer.headers:
+        if answer.status < FIRST_REDIRECT_STATUS and words.digest not in answer.headers:
             unsealed = errors.UnsealedResultError("the answer bears no seal")
             return events.AttemptFailed(unsealed, instance)
         return events.ResponseReceived(answer, instance)
--- a/src/irisstand/dataplane/upstream/client.py
+++ b/src/irisstand/dataplane/upstream/client.py
@@ -18,7 +18,7 @@
     policy,
     single_attempt_policy,
 )
-from irisstand.dataplane.routing import route_table, routes, snapshot
+from irisstand.dataplane.routing import configuration_view, route_table, routes
 from irisstand.dataplane.upstream import (
     attempt_tasks,
     attempts,
@@ -88,7 +88,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: snapshot.ConfigurationSnapshot,
+        view: configuration_view.ConfigurationView,
         table: route_table.RouteTable,
         endpoints: endpoint_pool.EndpointPool,
     ) -> None:
@@ -191,7 +191,7 @@
         # An object is asked for a second time as this node's own reading of it, under no client's id: an
         # origin that failed under an id would fail under it again.
         is_read = call.route.is_cacheable and call.request.method == "GET"
-        is_anonymous = call.retry_policy.sent > 0 and is_read
+        is_anonymous = call.retry_policy.attempts_sent > 0 and is_read
         check_again = functools.partial(self.check_again, call, endpoint, was_cold=is_cold)
         attempt = attempts.Attempt(
             endpoint,
@@ -225,7 +225,7 @@
         """
         upstream = self.table.upstreams.get(call.service)
         self.view.check_current()
-        if upstream is None or not self.table.still_allows(call.route, call.service):
+        if upstream is None or not self.table.is_service_allowed(call.route, call.service):
             raise errors.StaleConfigurationError(
                 "the route changed while the request waited", retry_after=0.05
             )
--- a/src/irisstand/dataplane/upstream/endpoint_pool.py
+++ b/src/irisstand/dataplane/upstream/endpoint_pool.py
@@ -5,7 +5,7 @@
 from irisstand import errors, node_context
 from irisstand.dataplane.http import header_names
 from irisstand.dataplane.ratelimit import quota_share, token_leases
-from irisstand.dataplane.routing import route_table, routes, snapshot
+from irisstand.dataplane.routing import configuration_view, route_table, routes
 from irisstand.dataplane.upstream import (
     endpoint_prober,
     endpoint_selection,
@@ -27,7 +27,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: snapshot.ConfigurationSnapshot,
+        view: configuration_view.ConfigurationView,
         table: route_table.RouteTable,
         words: header_names.HeaderNames,
         connect: exchange.Connect,
--- a/src/irisstand/dataplane/upstream/endpoint_prober.py
+++ b/src/irisstand/dataplane/upstream/endpoint_prober.py
@@ -4,7 +4,7 @@
 
 from irisstand import errors, node_context
 from irisstand.dataplane.http import header_names
-from irisstand.dataplane.routing import route_table, snapshot
+from irisstand.dataplane.routing import configuration_view, route_table
 from irisstand.dataplane.upstream import origin_endpoint
 
 PROBE_TIMEOUT_SECONDS = 0.6
@@ -19,7 +19,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: snapshot.ConfigurationSnapshot,
+        view: configuration_view.ConfigurationView,
         table: route_table.RouteTable,
         words: header_names.HeaderNames,
         endpoints: dict[str, origin_endpoint.Endpoint],
@@ -56,7 +56,7 @@
         async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
             connection = await endpoint.acquire(PROBE_TIMEOUT_SECONDS)
             host = f"{endpoint.origin.host}:{endpoint.origin.port}"
-            headers = [("host", host), (self.header_names.expected, endpoint.instance)]
+            headers = [("host", host), (self.header_names.expected_instance, endpoint.instance)]
             path = upstream.probe if upstream else "/health"
             answer = await connection.send("GET", path.encode(), headers, b"", "")
         endpoint.release(connection)
--- a/src/irisstand/dataplane/upstream/endpoint_selection.py
+++ b/src/irisstand/dataplane/upstream/endpoint_selection.py
@@ -5,7 +5,7 @@
 from irisstand import errors, node_context
 from irisstand.balancing import fleet_limits
 from irisstand.dataplane.ratelimit import quota_share, token_leases
-from irisstand.dataplane.routing import route_table, routes, snapshot
+from irisstand.dataplane.routing import configuration_view, route_table, routes
 from irisstand.dataplane.upstream import fleet_members, origin_endpoint
 
 # How long a request travels to another site of the region, and to another region.
@@ -28,7 +28,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: snapshot.ConfigurationSnapshot,
+        view: configuration_view.ConfigurationView,
         table: route_table.RouteTable,
         endpoints: dict[str, origin_endpoint.Endpoint],
         fleet: fleet_members.FleetMembers,
@@ -111,15 +111,19 @@
     def connection_limit(self, endpoint: origin_endpoint.Endpoint, upstream: routes.Upstream) -> int:
         """Return how many connections this node may have to the endpoint."""
         members = self.fleet.members()
-        is_held = upstream.name in self.table.services_at_holders and self.fleet.uses_holders()
-        key = (endpoint.instance, upstream.connections, is_held)
+        is_fetched_by_holders = upstream.name in self.table.services_at_holders and self.fleet.uses_holders()
+        key = (endpoint.instance, upstream.connections, is_fetched_by_holders)
         if self.limits_for is not members:
             self.limits_for = members
             self.limits = {}
         if key not in self.limits:
             own = self.context.settings.name
             self.limits[key] = fleet_limits.connection_limit(
-                own, members, endpoint.instance, upstream.connections, is_held=is_held
+                own,
+                members,
+                endpoint.instance,
+                upstream.connections,
+                is_fetched_by_holders=is_fetched_by_holders,
             )
         return self.limits[key]
 
--- a/src/irisstand/dataplane/upstream/origin_client.py
+++ b/src/irisstand/dataplane/upstream/origin_client.py
@@ -7,7 +7,7 @@
 from irisstand.balancing import service_limits
 from irisstand.dataplane.cache import objects
 from irisstand.dataplane.retry import events, forwarding_policy
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.dataplane.upstream import attempt_tasks, connections, origin_connections, origin_pool
 
 # What a request waits for its turn at one shield; three of them are well inside any client's patience.
@@ -39,19 +39,19 @@
 
 
 class Slot(typing.NamedTuple):
-    """A place under this shield's share of a service's limits, taken at `entered_at`."""
+    """A place under this shield's share of a service's limits, taken at `admitted_at`."""
 
     share: service_limits.QuotaShareLimiter
-    entered_at: float
+    admitted_at: float
 
 
 class Attempt:
     """One attempt at one origin: what it holds until it ends."""
 
-    def __init__(self, allowed: snapshot.AllowedRequest) -> None:
+    def __init__(self, allowed: configuration_view.AllowedRequest) -> None:
         self.allowed = allowed
         self.slot: Slot | None = None
-        self.entered_at = 0.0
+        self.admitted_at = 0.0
         self.connection: connections.UpstreamConnection | None = None
         # Until when the origin may work on a request that nobody waits for any more.
         self.works_until = 0.0
@@ -69,12 +69,12 @@
     def hold(self, slot: Slot) -> None:
         """Take over a place."""
         self.slot = slot
-        self.entered_at = slot.entered_at
+        self.admitted_at = slot.admitted_at
 
     async def release(self, origin: origin_connections.OriginConnections) -> None:
         """Give the place and the connection back."""
         if self.slot is not None:
-            self.slot.share.leave(self.works_until)
+            self.slot.share.finish(self.works_until)
         if self.connection is not None:
             await origin.release(self.connection)
 
@@ -85,7 +85,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: snapshot.ConfigurationSnapshot,
+        view: configuration_view.ConfigurationView,
         origins: origin_pool.OriginPool,
     ) -> None:
         self.context = context
@@ -97,7 +97,7 @@
 
     async def attempt(
         self,
-        allowed: snapshot.AllowedRequest,
+        allowed: configuration_view.AllowedRequest,
         request: OriginRequest,
         retry_policy: forwarding_policy.ToOriginPolicy,
     ) -> Event:
@@ -126,7 +126,7 @@
         except (TimeoutError, asyncio.CancelledError) as error:
             # Nobody waits any more, but the origin may work on: its place is kept for as long as it could.
             if attempt.may_have_sent:
-                attempt.works_until = attempt.entered_at + service_limits.origin_work_seconds(
+                attempt.works_until = attempt.admitted_at + service_limits.origin_work_seconds(
                     allowed.deadline
                 )
             if isinstance(error, asyncio.CancelledError):
@@ -169,8 +169,10 @@
 
     async def renew_slot(self, attempt: Attempt, retry_policy: forwarding_policy.ToOriginPolicy) -> None:
         """Take the place anew if it is old: it counts for the moment of sending."""
-        while attempt.slot is not None and not attempt.slot.share.is_fresh(attempt.slot.entered_at):
-            attempt.slot.share.withdraw(attempt.slot.entered_at)
+        while attempt.slot is not None and not attempt.slot.share.is_admission_valid(
+            attempt.slot.admitted_at
+        ):
+            attempt.slot.share.withdraw(attempt.slot.admitted_at)
             attempt.slot = None
             attempt.hold(await self.enter(attempt.allowed, retry_policy))
 
@@ -183,14 +185,14 @@
         known = forwarding_policy.as_iris_error(error)
         return events.AttemptFailed(known, origin.instance, may_have_run, may_have_run)
 
-    def check_grant(self, allowed: snapshot.AllowedRequest, request: OriginRequest) -> None:
+    def check_grant(self, allowed: configuration_view.AllowedRequest, request: OriginRequest) -> None:
         """Raise StaleConfigurationError if the request is now allowed to another service."""
         path, _, query = request.target.partition("?")
         if self.view.authorize(request.method, path, query).service != allowed.service:
             raise errors.StaleConfigurationError("the blueprint changed while the request waited")
 
     async def enter(
-        self, allowed: snapshot.AllowedRequest, retry_policy: forwarding_policy.ToOriginPolicy
+        self, allowed: configuration_view.AllowedRequest, retry_policy: forwarding_policy.ToOriginPolicy
     ) -> Slot:
         """Take a place under this shield's share of the service's limits, after a short wait at most.
 
@@ -207,9 +209,9 @@
         wait_until = self.context.clock.now() + min(
             QUEUE_TIMEOUT_SECONDS, retry_policy.remaining() / QUEUE_REMAINING_DIVISOR
         )
-        if not rate or not in_flight or share.is_opening(allowed.deadline):
+        if not rate or not in_flight or share.may_have_earlier_requests(allowed.deadline):
             raise errors.NoQuotaShareError(f"no share of {allowed.service} is held here")
-        while not share.enter(rate, in_flight):
+        while not share.admit(rate, in_flight):
             if self.context.clock.now() >= wait_until:
                 raise errors.LimitExceededError(f"{allowed.service} is at its ceiling")
             await asyncio.sleep(QUEUE_POLL_SECONDS)
--- a/src/irisstand/dataplane/upstream/origin_connections.py
+++ b/src/irisstand/dataplane/upstream/origin_connections.py
@@ -7,7 +7,7 @@
 
 from irisstand import errors, event_log, node_context
 from irisstand.balancing import slow_start
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.dataplane.upstream import connections
 
 CONNECTIONS_LIMIT = 16
@@ -24,7 +24,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        origin: snapshot.Origin,
+        origin: configuration_view.Origin,
         open_connection: connections.ConnectionOpener,
     ) -> None:
         self.context = context
@@ -75,7 +75,7 @@
             share: this shield's part of the service's rate limit, from 0 to 1.
         """
         warm = self.warmth()
-        return warm >= 1.0 or self.bucket.has_room(slow_start.allowed_rate(even_rate, warm, share))
+        return warm >= 1.0 or self.bucket.has_token(slow_start.allowed_rate(even_rate, warm, share))
 
     async def acquire(self, timeout_seconds: float) -> connections.UpstreamConnection:
         """Return a confirmed connection for one request; opening one sends nothing but the probe.
--- a/src/irisstand/dataplane/upstream/origin_endpoint.py
+++ b/src/irisstand/dataplane/upstream/origin_endpoint.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from irisstand import errors, event_log, node_context
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.dataplane.upstream import exchange
 
 CONNECT_TIMEOUT_SECONDS = 0.4
@@ -26,7 +26,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        origin: snapshot.Origin,
+        origin: configuration_view.Origin,
         connect: exchange.Connect,
     ) -> None:
         self.context = context
@@ -50,7 +50,7 @@
         """The name of the instance."""
         return self.origin.key.removeprefix("origin/")
 
-    def is_at(self, origin: snapshot.Origin) -> bool:
+    def is_at(self, origin: configuration_view.Origin) -> bool:
         """Whether `origin` is this endpoint: the same service at the same address."""
         own = self.origin
         return (own.host, own.port, own.service) == (origin.host, origin.port, origin.service)
--- a/src/irisstand/dataplane/upstream/origin_pool.py
+++ b/src/irisstand/dataplane/upstream/origin_pool.py
@@ -4,7 +4,7 @@
 import collections.abc
 
 from irisstand import errors, node_context
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.dataplane.upstream import connections, origin_connections
 
 # How much rather an origin of the own region is chosen than one of another, when both are idle.
@@ -18,14 +18,14 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: snapshot.ConfigurationSnapshot,
+        view: configuration_view.ConfigurationView,
         open_connection: connections.ConnectionOpener,
     ) -> None:
         self.context = context
         self.view = view
         self.open_connection = open_connection
-        self.pools: dict[snapshot.Origin, origin_connections.OriginConnections] = {}
-        self.tasks: dict[snapshot.Origin, asyncio.Task[None]] = {}
+        self.pools: dict[configuration_view.Origin, origin_connections.OriginConnections] = {}
+        self.tasks: dict[configuration_view.Origin, asyncio.Task[None]] = {}
         context.ledger.watchers.append(self.follow)
 
     def follow(self) -> None:
@@ -44,14 +44,14 @@
                 self.add(identity, origin)
             self.pools[identity].update_evacuation(is_evacuated=self.view.is_evacuated(origin.site))
 
-    def add(self, identity: snapshot.Origin, origin: snapshot.Origin) -> None:
+    def add(self, identity: configuration_view.Origin, origin: configuration_view.Origin) -> None:
         """Begin to probe a new origin."""
         pool = origin_connections.OriginConnections(self.context, origin, self.open_connection)
         self.pools[identity] = pool
         self.tasks[identity] = self.context.start_task(pool.run_probes(), f"keeper of {origin.key}")
 
     def choose(
-        self, allowed: snapshot.AllowedRequest, tried: collections.abc.Container[str]
+        self, allowed: configuration_view.AllowedRequest, tried: collections.abc.Container[str]
     ) -> origin_connections.OriginConnections:
         """Return the less busy of two origins that are drawn at random by warmth and nearness.
 
@@ -80,7 +80,7 @@
         return chosen
 
     def available(
-        self, allowed: snapshot.AllowedRequest, tried: collections.abc.Container[str]
+        self, allowed: configuration_view.AllowedRequest, tried: collections.abc.Container[str]
     ) -> list[origin_connections.OriginConnections]:
         """Return the origins that may get a request now; raises as `choose` does."""
         listed = [
@@ -104,11 +104,11 @@
         is_leaving = pool.is_removed or pool.origin.state == "leaving"
         return not is_leaving and pool.is_healthy and not self.view.is_evacuated(pool.origin.site)
 
-    def share(self, allowed: snapshot.AllowedRequest) -> float:
+    def share(self, allowed: configuration_view.AllowedRequest) -> float:
         """Return this shield's part of the service's rate limit, from 0 to 1."""
         return self.view.quota_share(allowed.service, allowed.limit)[0] / allowed.limit[0]
 
 
-def identity_of(origin: snapshot.Origin) -> snapshot.Origin:
+def identity_of(origin: configuration_view.Origin) -> configuration_view.Origin:
     """Return the fields that make an origin what it is; the others may change during its life."""
     return origin._replace(state="", warmup=0, slots=0)
--- a/src/irisstand/emulators/upstream_emulator.py
+++ b/src/irisstand/emulators/upstream_emulator.py
@@ -59,7 +59,7 @@
         self.probes += 1
         headers = {
             self.header_names.instance: self.instance,
-            self.header_names.cold: str(int(self.cold * 1000)),
+            self.header_names.cold_remaining: str(int(self.cold * 1000)),
         }
         return aiohttp.web.Response(status=200, headers=headers)
 
@@ -69,7 +69,7 @@
         words = self.header_names
         # Every answer names its request, those to what did not run among them.
         request_id = request.headers.get(words.request_id, "")
-        expected = request.headers.get(words.expected, self.instance)
+        expected = request.headers.get(words.expected_instance, self.instance)
         if expected != self.instance or self.faults.get("wrong"):
             return aiohttp.web.Response(
                 status=421, headers={words.instance: self.instance, words.request_id: request_id}
@@ -91,7 +91,7 @@
             words.request_id: request_id,
             words.instance: self.instance,
             "etag": f'"v{version}"',
-            words.seal: hashlib.sha256(content).hexdigest()[:16],
+            words.digest: hashlib.sha256(content).hexdigest()[:16],
             words.tags: f"t-{self.service}",
         }
         return aiohttp.web.Response(body=content, headers=headers)
@@ -99,4 +99,4 @@
 
 def is_whole(words: header_names.HeaderNames, headers: typing.Mapping[str, str], body: bytes) -> bool:
     """Return whether an answer is what the origin sealed."""
-    return headers.get(words.seal) == hashlib.sha256(body).hexdigest()[:16]
+    return headers.get(words.digest) == hashlib.sha256(body).hexdigest()[:16]
--- a/src/irisstand/simulator/hostile_scripts.py
+++ b/src/irisstand/simulator/hostile_scripts.py
@@ -10,7 +10,7 @@
 
 from irisstand import clocks, errors, node_context, node_settings
 from irisstand.dataplane.nodes import direct
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.dataplane.upstream import exchange
 from irisstand.emulators import hostile_origin
 from irisstand.simulator import memory_network, simulated_network, virtual_time
@@ -54,7 +54,7 @@
         self.context = node_context.NodeContext(SETTINGS, "direct", clock, self.randomness, network)
         self.context.drain_ending = asyncio.get_running_loop().create_future()
         self.node = direct.DirectNode(
-            self.context, snapshot.ConfigurationSnapshot(self.context), self.connect
+            self.context, configuration_view.ConfigurationView(self.context), self.connect
         )
         self.counter = 0
         self.put_configuration()
--- a/src/irisstand/simulator/simulated_actors.py
+++ b/src/irisstand/simulator/simulated_actors.py
@@ -9,7 +9,7 @@
 from irisstand.controlplane.changes import orders
 from irisstand.controlplane.singletons import origin_source
 from irisstand.dataplane.nodes import edge
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.emulators import origin_emulator
 from irisstand.localcluster import invariant_checker
 from irisstand.simulator import simulated_origins
@@ -181,12 +181,12 @@
         except TimeoutError:
             return ClientResponse(0, "no-answer", None)
 
-    def count_capacity_elsewhere(self, request: snapshot.AllowedRequest) -> None:
+    def count_capacity_elsewhere(self, request: configuration_view.AllowedRequest) -> None:
         """Count a rejected request by whether another shield could have sent it."""
         room = "had room" if self.has_capacity(request) else "had none"
         self.checker.results[f"over-ceiling while another shield {room}"] += 1
 
-    def has_capacity(self, request: snapshot.AllowedRequest) -> bool:
+    def has_capacity(self, request: configuration_view.AllowedRequest) -> bool:
         """Return whether a shield that is up could have sent one more request of the service just now."""
         now = asyncio.get_running_loop().time()
         for node in self.cluster.with_role("shield"):
--- a/src/irisstand/simulator/sizes.py
+++ b/src/irisstand/simulator/sizes.py
@@ -98,7 +98,9 @@
     for members in (50, 200, 800, 2100):
         figures.append(Figure(f"a member, of {members}", "bytes", member_bytes(members)))
         listed = [fleet_limits.Member(f"e{number}", "direct", f"z{number % 25}") for number in range(members)]
-        work = functools.partial(fleet_limits.connection_limit, "e1", listed, "o", 58, is_held=False)
+        work = functools.partial(
+            fleet_limits.connection_limit, "e1", listed, "o", 58, is_fetched_by_holders=False
+        )
         spent = seconds(work)
         figures.append(Figure(f"an origin's connections split over {members}", "ms", spent * 1000))
     return figures
--- a/src/irisstand/simulator/standby_invariants.py
+++ b/src/irisstand/simulator/standby_invariants.py
@@ -139,7 +139,7 @@
         if not quorum.is_durable(voters, able):
             return MAJORITY_LOST
         names = {voter.name for voter in up}
-        return "" if standby_planning.core_survives_any_loss(quorum.placements(voters), names) else "core"
+        return "" if standby_planning.voters_survive_any_loss(quorum.placements(voters), names) else "core"
 
 
 def newest(replicas: typing.Iterable[replica.Replica]) -> replica.Replica:
--- a/tests/controlplane/test_capacity_scaling.py
+++ b/tests/controlplane/test_capacity_scaling.py
@@ -130,13 +130,15 @@
         ]
         resting_now = {m.name for m in machines if randomness.random() < 0.5}
         load = randomness.uniform(0, 40)
-        may_rest = randomness.random() < 0.9
-        rest, reasons = standby_planning.plan(machines, resting_now, load, may_rest=may_rest)
+        may_enter_standby = randomness.random() < 0.9
+        rest, reasons = standby_planning.plan(
+            machines, resting_now, load, may_enter_standby=may_enter_standby
+        )
         assert set(reasons) == {m.name for m in machines}
         assert not any(m.name in rest and m.pinned for m in machines)
         assert len(rest - resting_now) <= 1
         if rest:
-            assert may_rest
+            assert may_enter_standby
             awake = [m for m in machines if m.name not in rest]
             losses = [[m for m in awake if m is not lost] for lost in awake]
             losses += [[m for m in awake if m.site != site] for site in {m.site for m in awake}]
--- a/tests/dataplane/test_holder_policy.py
+++ b/tests/dataplane/test_holder_policy.py
@@ -17,11 +17,11 @@
 FULL = errors.LimitExceededError("full")
 GONE = errors.UnansweredError("gone")
 FAILED = errors.OriginFailedError("failed")
-STARTED, OWN = events.STARTED, events.OWN_FETCH_STARTED
+STARTED, OWN = events.STARTED, events.ORIGIN_FETCH_STARTED
 BUSY = events.HolderOverdue(is_silent=False, is_failed=False)
 SILENT = events.HolderOverdue(is_silent=True, is_failed=False)
 DEAD = events.HolderOverdue(is_silent=True, is_failed=True)
-FETCH = actions.FetchOwn()
+FETCH = actions.FetchFromOrigin()
 
 
 def last_action(*happened, is_refusal_final=True):
--- a/tests/dataplane/test_listener.py
+++ b/tests/dataplane/test_listener.py
@@ -54,7 +54,7 @@
     async def scene(face):
         face.node.table.limits = face.node.table.limits._replace(header=1.0, idle=1.0)
         face.node.table.refresh = lambda: None
-        face.listener.follow()
+        face.listener.apply_client_limits()
         reader, writer = await face.connect()
         writer.write(b"POST /writes/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nshort")
         try:
--- a/tests/dataplane/test_messages.py
+++ b/tests/dataplane/test_messages.py
@@ -21,7 +21,7 @@
 
 
 def deposit_from_wire(body):
-    return messages.StoreDeposit.from_wire(body, SENT_AT)
+    return messages.StorePut.from_wire(body, SENT_AT)
 
 
 def to_wire(message):
--- a/tests/mutation/dataplane_mutations.py
+++ b/tests/mutation/dataplane_mutations.py
@@ -46,14 +46,14 @@
     ),
     (
         "dataplane/retry/freshness_policy.py",
-        "    return fetched.applied >= view.purged_at(path, fetched.tags) and not has_expired",
+        "    return fetched.applied >= view.newest_purge(path, fetched.tags) and not has_expired",
         "    return not has_expired",
         "dataplane/test_served_objects.py",
     ),
     (
         "dataplane/retry/freshness_policy.py",
-        "    return fetched.applied >= view.purged_at(path, fetched.tags) and not has_expired",
-        "    return fetched.applied >= view.purged_at(path, fetched.tags)",
+        "    return fetched.applied >= view.newest_purge(path, fetched.tags) and not has_expired",
+        "    return fetched.applied >= view.newest_purge(path, fetched.tags)",
         "dataplane/test_served_objects.py::test_answer_that_expires_in_flight_is_not_served",
     ),
     (
@@ -69,14 +69,14 @@
         "dataplane/test_reads.py::test_time_to_live_is_counted_once_over_all_hops",
     ),
     (
-        "dataplane/routing/snapshot.py",
-        "        return max(forgotten, *(copy.version(key) for key in keys))",
-        "        return max(copy.version(key) for key in keys)",
+        "dataplane/routing/configuration_view.py",
+        "        return max(forgotten, *(ledger.version(key) for key in keys))",
+        "        return max(ledger.version(key) for key in keys)",
         "controlplane/test_retention.py::test_a_node_that_was_cut_off_until_a_purge_expired_serves_no_purged_object",
     ),
     (
         "balancing/standby_planning.py",
-        "        if machine.name in rest and uncovered_loss(active, load * WAKE_MARGIN):",
+        "        if machine.name in standby and uncovered_loss(active, load * ACTIVATION_MARGIN):",
         "        if False:",
         "controlplane/test_capacity_scaling.py",
     ),
@@ -100,8 +100,8 @@
     ),
     (
         "dataplane/upstream/origin_connections.py",
-        "        return warm >= 1.0 or self.bucket.has_room",
-        "        return True or self.bucket.has_room",
+        "        return warm >= 1.0 or self.bucket.has_token",
+        "        return True or self.bucket.has_token",
         "dataplane/test_slow_start.py",
     ),
     (
@@ -112,7 +112,7 @@
     ),
     (
         "balancing/service_limits.py",
-        "        return self.clock.now() - self.opened_at < max(MIN_ORIGIN_WORK_SECONDS, deadline)",
+        "        return self.clock.now() - self.started_at < max(MIN_ORIGIN_WORK_SECONDS, deadline)",
         "        return False",
         "dataplane/test_origin_limits.py::test_shield_just_started_uses_no_share_that_its_former_process_may_have_used",
     ),
@@ -124,7 +124,7 @@
     ),
     (
         "balancing/service_limits.py",
-        "        return self.clock.now() - entered_at <= FRESH_SECONDS",
+        "        return self.clock.now() - admitted_at <= ADMISSION_VALID_SECONDS",
         "        return True",
         "dataplane/test_origin_limits.py::test_request_whose_connection_took_long_is_counted_when_it_is_sent",
     ),
--- a/tests/mutation/departure_mutations.py
+++ b/tests/mutation/departure_mutations.py
@@ -8,8 +8,8 @@
 GUARDS = [
     (
         "dataplane/http/listener.py",
-        "            response = await self.answer(asked)\n",
-        "            response = await asyncio.shield(asyncio.ensure_future(self.answer(asked)))\n",
+        "            response = await self.respond(node_request)\n",
+        "            response = await asyncio.shield(asyncio.ensure_future(self.respond(node_request)))\n",
         CLIENTS,
     ),
     (
--- a/tests/mutation/direct_edge_mutations.py
+++ b/tests/mutation/direct_edge_mutations.py
@@ -22,20 +22,20 @@
     ),
     (
         "dataplane/upstream/attempts.py",
-        "        if answer.status < FIRST_REDIRECT_STATUS and words.seal not in answer.headers:",
+        "        if answer.status < FIRST_REDIRECT_STATUS and words.digest not in answer.headers:",
         "        if False:",
         "dataplane/test_direct_edge.py",
     ),
     (
         "dataplane/upstream/client.py",
-        "        if upstream is None or not self.table.still_allows(call.route, call.service):",
+        "        if upstream is None or not self.table.is_service_allowed(call.route, call.service):",
         "        if False:",
         "dataplane/test_direct_edge.py::test_write_in_flight_when_the_route_is_withdrawn_is_not_sent_to_the_old_service",
     ),
     (
         "dataplane/upstream/attempts.py",
-        ", (words.expected, attempt.endpoint.instance)]",
-        "]",
+        "            (words.expected_instance, attempt.endpoint.instance),\n",
+        "",
         "dataplane/test_direct_edge.py",
     ),
     (
@@ -52,8 +52,8 @@
     ),
     (
         "dataplane/cache/object_reader.py",
-        "            is_usable = fetched.applied >= minimum and freshness_policy.is_fit(",
-        "            is_usable = True or freshness_policy.is_fit(",
+        "            is_usable = fetched.applied >= minimum and freshness_policy.is_servable(",
+        "            is_usable = True or freshness_policy.is_servable(",
         "dataplane/test_direct_edge_cache.py",
     ),
     (
@@ -94,7 +94,7 @@
     ),
     (
         "dataplane/retry/attempt_policy.py",
-        "            self.sent < self.route.attempts\n            and self.remaining()",
+        "            self.attempts_sent < self.route.attempts\n            and self.remaining()",
         "            self.remaining()",
         "dataplane/test_endpoint_pool.py",
     ),
@@ -130,19 +130,19 @@
     ),
     (
         "dataplane/routing/route_table.py",
-        "        if copy.items is self.read_from and copy.applied > self.applied:",
-        "        if copy.applied > self.applied:",
+        "        if configuration.items is self.source_items and configuration.applied > self.applied:",
+        "        if configuration.applied > self.applied:",
         "dataplane/test_large_configurations.py",
     ),
     (
         "dataplane/routing/route_table.py",
-        "        if copy.items is self.read_from and copy.applied > self.applied:",
-        "        if False:\n            self.apply_changes(copy)\n        elif self.compiled.clear() or copy.items is None:",
+        "        if configuration.items is self.source_items and configuration.applied > self.applied:",
+        "        if False:\n            self.apply_changes(configuration)\n        elif self.compiled.clear() or configuration.items is None:",
         "dataplane/test_large_configurations.py::test_change_of_one_route_compiles_only_that_route",
     ),
     (
         "dataplane/routing/route_table.py",
-        '        if len(self.compiled) != copy.counts_by_prefix["route"] + copy.counts_by_prefix["upstream"]:',
+        '        if (\n            len(self.compiled)\n            != configuration.counts_by_prefix["route"] + configuration.counts_by_prefix["upstream"]\n        ):',
         "        if False:",
         "dataplane/test_large_configurations.py::test_routes_removed_beyond_the_replicas_removal_records_are_gone",
     ),
@@ -166,8 +166,8 @@
     ),
     (
         "balancing/rate_limiter.py",
-        "token_bucket.TokenBucket(clock, 0.0, opened_at)",
-        "token_bucket.TokenBucket(clock, 50.0, opened_at)",
+        "token_bucket.TokenBucket(clock, 0.0, started_at)",
+        "token_bucket.TokenBucket(clock, 50.0, started_at)",
         "dataplane/test_token_leases.py::test_process_restarted_many_times_gets_no_burst_after_each_start",
     ),
     (
--- a/tests/mutation/shutdown_mutations.py
+++ b/tests/mutation/shutdown_mutations.py
@@ -65,7 +65,7 @@
     ),
     (
         "dataplane/http/sanic_adapter.py",
-        ", context.drain_guard.answer_at_end(work_state)",
+        "                context.drain_guard.answer_at_end(work_state),\n",
         "",
         "programs/test_stopping_listeners.py",
     ),
--- a/tests/support/direct_edge.py
+++ b/tests/support/direct_edge.py
@@ -6,7 +6,7 @@
 
 from irisstand import clocks, errors, node_context, node_settings
 from irisstand.dataplane.nodes import direct
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.dataplane.upstream import exchange
 from irisstand.membership import updates
 from irisstand.simulator import virtual_time
@@ -86,7 +86,7 @@
         self.respond = lambda key, headers, body: complete_answer(headers.get("x-request-id", ""))
         for number in range(2, edges + 1):
             self.add_member(f"edge-{number}", "direct")
-        self.view = snapshot.ConfigurationSnapshot(self.context)
+        self.view = configuration_view.ConfigurationView(self.context)
         self.direct_node = direct.DirectNode(self.context, self.view, self.connect)
         for name, kind in KINDS.items():
             self.route(name, kind=kind)
