--- a/src/irisstand/dataplane/retry/__init__.py
+++ b/src/irisstand/dataplane/retry/__init__.py
@@ -1,5 +1,5 @@
-"""Retry policies: they take typed events, return typed actions and do no I/O.
+"""Retry policies: state machines that map typed events to typed actions and do no I/O.
 
-`policy` has the protocol and the loop that carries out what a policy decides; `events` and `actions` are
-what it takes and returns.
+Module `policy` has their protocol and the loop that performs the actions; `events` and `actions` define the
+input and output of every policy.
 """
--- a/src/irisstand/dataplane/retry/actions.py
+++ b/src/irisstand/dataplane/retry/actions.py
@@ -1,4 +1,4 @@
-"""What a retry policy tells its executor to do next."""
+"""The actions that a retry policy returns: what its executor does next for a request."""
 
 import collections.abc
 import typing
@@ -11,41 +11,41 @@
 
 
 class SendAttempt(typing.NamedTuple):
-    """Send the request to one more endpoint that is not among `tried`."""
+    """Send one more attempt of the request, to an endpoint that is not among the names in `tried`."""
 
     tried: collections.abc.Set[str]
 
 
 class SendToShield(typing.NamedTuple):
-    """Send the request to `shield`, and give up after `timeout_seconds`."""
+    """Send the request to the node `shield`, and wait for its reply for at most `timeout_seconds`."""
 
     shield: updates.Update
     timeout_seconds: float
 
 
 class FetchAgain(typing.NamedTuple):
-    """Fetch the object again, at least as new as `minimum_version`."""
+    """Fetch the object again, at `minimum_version` of the ledger or a later version."""
 
     minimum_version: versions.Version
 
 
 class FetchFromOrigin(typing.NamedTuple):
-    """Fetch the object from an origin without the holder, in the time that is left."""
+    """Fetch the object from an origin without its object holder, before the request's deadline."""
 
 
 class Wait(typing.NamedTuple):
-    """Wait until an attempt in flight ends, or for `seconds`."""
+    """Wait until an attempt in flight ends, but for at most `seconds`."""
 
     seconds: float
 
 
 class Respond(typing.NamedTuple, typing.Generic[ResponseT]):
-    """Give `response` to whoever sent the request."""
+    """End the request with `response`, which goes to the client or node that sent it."""
 
     response: ResponseT
 
 
 class Reject(typing.NamedTuple):
-    """Give `error` to whoever sent the request."""
+    """End the request with `error`, which goes to the client or node that sent it."""
 
     error: errors.IrisError
--- a/src/irisstand/dataplane/retry/attempt_policy.py
+++ b/src/irisstand/dataplane/retry/attempt_policy.py
@@ -1,4 +1,4 @@
-"""What the policies of a node that reaches origins by itself share: a deadline and a limit of attempts."""
+"""Base class of the retry policies at a node that connects to origins itself."""
 
 import typing
 
@@ -7,9 +7,9 @@
 from irisstand.dataplane.retry import actions, events, policy
 from irisstand.dataplane.routing import routes
 
-# The part of a deadline that is kept for the response's way back to the client.
+# Subtracted from a request's deadline, so that the response has time to reach the client.
 RETURN_TRIP_SECONDS = 0.015
-# With less time left than this, no further attempt is sent.
+# No retry is sent with less time than this until the deadline.
 MINIMUM_RETRY_SECONDS = 0.03
 
 
@@ -36,7 +36,14 @@
 
 
 class AttemptPolicy(policy.DeadlinePolicy, typing.Generic[ResponseT]):
-    """What all requests have in common: one deadline, and a limit of attempts."""
+    """Bounds a request by one deadline over all attempts, and by its route's limit of attempts.
+
+    Args:
+        clock: Gives the time in seconds.
+        route: The route of the request, with its timeout and its limit of attempts.
+        remaining: Seconds for which the client still waits.
+        budget: Limits the retries of this node.
+    """
 
     def __init__(
         self, clock: clocks.Clock, route: routes.Route, remaining: float, budget: budgets.RetryBudget
@@ -49,7 +56,7 @@
         self.last_error: errors.IrisError | None = None
 
     def decide(self, event: Event[ResponseT]) -> Action[ResponseT]:
-        """Take note of `event` and return what to do next."""
+        """Update the state of the request by `event` and return the next action."""
         match event:
             case events.Started():
                 return self.on_started()
@@ -65,38 +72,42 @@
                 return self.on_no_endpoint(event.error)
 
     def on_started(self) -> Action[ResponseT]:
-        """Send the first attempt if there is time."""
+        """Send the first attempt, or reject a request whose deadline is too close."""
         self.budget.record_first_attempt()
         if self.remaining() <= policy.MINIMUM_SEND_SECONDS:
             return policy.deadline_rejection("an origin")
         return self.send()
 
     def on_attempt_sent(self, event: events.AttemptSent) -> Action[ResponseT]:
-        """Count the attempt and wait for its end."""
+        """Count the attempt that was sent and wait for it to end."""
         raise NotImplementedError
 
     def on_timer_expired(self) -> Action[ResponseT]:
-        """Decide what to do while no attempt has ended."""
+        """Decide what to do when a wait ended before any attempt did."""
         raise NotImplementedError
 
     def on_response(self, response: ResponseT) -> Action[ResponseT]:
-        """Decide whether the response is given to the client."""
+        """Decide whether the client gets this response or the request is retried."""
         raise NotImplementedError
 
     def on_attempt_failed(self, event: events.AttemptFailed) -> Action[ResponseT]:
-        """Decide whether the request may be sent again."""
+        """Decide whether a request whose attempt failed is sent again."""
         raise NotImplementedError
 
     def on_no_endpoint(self, error: errors.IrisError) -> Action[ResponseT]:
-        """Decide what to do when no endpoint may be used now."""
+        """Decide what to do when no origin endpoint may be used now."""
         raise NotImplementedError
 
     def send(self) -> actions.SendAttempt:
-        """Send one more attempt, to an endpoint that had none yet."""
+        """Return the action that sends one more attempt, to an endpoint that had no attempt yet."""
         return actions.SendAttempt(self.tried)
 
     def may_retry(self) -> bool:
-        """Take a retry from the budget, if the route's limit and the deadline allow one more attempt."""
+        """Take a retry from the retry budget if the route's limit and the deadline allow one more attempt.
+
+        Returns:
+            Whether a retry was taken and may be sent.
+        """
         return (
             self.attempts_sent < self.route.attempts
             and self.remaining() > MINIMUM_RETRY_SECONDS
--- a/src/irisstand/dataplane/retry/freshness_policy.py
+++ b/src/irisstand/dataplane/retry/freshness_policy.py
@@ -1,4 +1,4 @@
-"""Whether an object may be given out: its time to live, and the purges that are known on its way."""
+"""Policy that keeps expired and purged objects from being served."""
 
 from irisstand import clocks, errors
 from irisstand.dataplane.cache import objects
@@ -6,9 +6,10 @@
 from irisstand.dataplane.routing import configuration_view
 from irisstand.state import versions
 
-# How far past its time to live a response may be that was fetched for this very request; docs promise 2 s.
+# A response fetched for this very request may be served for this long after its TTL ran out: its delivery
+# takes time. The documentation promises clients 2 s.
 EXPIRED_LIMIT_SECONDS = 1.0
-# With less time left than this, an object is not fetched again.
+# An object is not fetched again with less time than this until the request's deadline.
 MINIMUM_FETCH_SECONDS = 0.05
 
 
@@ -19,7 +20,15 @@
     minimum_version: versions.Version,
     now: float,
 ) -> bool:
-    """Whether a cached object has not expired, and was fetched after the newest purge that is known."""
+    """Return whether a cached object is within its TTL and newer than every known purge of it.
+
+    Args:
+        cached: The cached object.
+        path: The path by which the object can be purged.
+        view: Finds the purges of a path and of tags.
+        minimum_version: A version of the ledger before which the object must not have been fetched.
+        now: The time in seconds.
+    """
     purged = max(minimum_version, view.newest_purge(path, cached.tags))
     return cached.age_now(now) < cached.ttl and cached.applied >= purged
 
@@ -27,13 +36,27 @@
 def is_servable(
     fetched: objects.CachedObject, path: str, view: configuration_view.ConfigurationView, now: float
 ) -> bool:
-    """Whether a fetched object may be given out now, as purges and time go on while it is fetched."""
+    """Return whether an object that was just fetched may be served: it may expire or be purged on its way.
+
+    Args:
+        fetched: The object that was fetched.
+        path: The path by which the object can be purged.
+        view: Finds the purges of a path and of tags.
+        now: The time in seconds.
+    """
     has_expired = fetched.ttl > 0 and fetched.age_now(now) > fetched.ttl + EXPIRED_LIMIT_SECONDS
     return fetched.applied >= view.newest_purge(path, fetched.tags) and not has_expired
 
 
 class FreshnessPolicy(policy.DeadlinePolicy):
-    """Policy of a read's response: given out, fetched again or rejected; one deadline over all fetches."""
+    """Decides whether a fetched object is served or fetched again, under one deadline over all fetches.
+
+    Args:
+        clock: Gives the time in seconds.
+        view: Finds the purges of a path and of tags.
+        allowed: What the configuration says about the request, with its deadline.
+        path: The path by which the object can be purged.
+    """
 
     def __init__(
         self,
@@ -49,7 +72,7 @@
     def decide(
         self, event: events.ResponseReceived[objects.CachedObject] | events.AttemptFailed
     ) -> actions.Respond[objects.CachedObject] | actions.FetchAgain | actions.Reject:
-        """Take note of the end of a fetch and return what to do next."""
+        """Decide by the result of a fetch whether the object is served, fetched again or rejected."""
         match event:
             case events.ResponseReceived():
                 return self.on_response(event.response)
@@ -59,16 +82,19 @@
     def on_response(
         self, fetched: objects.CachedObject
     ) -> actions.Respond[objects.CachedObject] | actions.FetchAgain | actions.Reject:
-        """Respond with an object that is fit; fetch any other again."""
+        """Respond with an object that may be served; fetch an expired or purged one again."""
         now = self.clock.now()
         if is_servable(fetched, self.path, self.view, now):
             return actions.Respond(fetched)
-        error = errors.DeadlineExceededError("no answer was still good by the time that it came")
+        error = errors.DeadlineExceededError(
+            "each response that was fetched had expired or been purged when it arrived"
+        )
         return self.fetch_again(now, self.view.newest_purge(self.path, fetched.tags), error)
 
     def on_attempt_failed(self, error: errors.IrisError) -> actions.FetchAgain | actions.Reject:
-        """Fetch again only what a shared fetch failed to bring in time."""
-        # A shared fetch ends at the deadline of the request that began it; one that joined later has more.
+        """Fetch the object again after a timeout or a missing reply; reject the request on other errors."""
+        # A fetch shared by several requests ends at the deadline of the request that began it. A request that
+        # joined later has time left to fetch the object again.
         if not isinstance(error, errors.DeadlineExceededError | errors.UnansweredError):
             return actions.Reject(error)
         return self.fetch_again(self.clock.now(), versions.NONE, error)
@@ -76,7 +102,7 @@
     def fetch_again(
         self, now: float, minimum_version: versions.Version, error: errors.IrisError
     ) -> actions.FetchAgain | actions.Reject:
-        """Fetch the object again if there is time, else reject with `error`."""
+        """Fetch the object again, or reject the request with `error` if its deadline is too close."""
         if now > self.deadline - MINIMUM_FETCH_SECONDS:
             return actions.Reject(error)
         return actions.FetchAgain(minimum_version)
--- a/src/irisstand/dataplane/retry/holder_policy.py
+++ b/src/irisstand/dataplane/retry/holder_policy.py
@@ -1,7 +1,8 @@
-"""Policy of a read that an object holder was asked for: how long it is waited for, and what follows then.
+"""Policy of a read that was sent to an object holder: how long to wait for it, and what to do after that.
 
-The holder works with the request's own deadline. It says soon if it can send nothing; so one that is alive
-and has not answered has an origin at work on the request, which no shorter time-out may break off.
+The holder works under the deadline of the request, and replies soon if it cannot send the request to an
+origin. So if a holder is alive and has not replied, an origin is working on the request, and no timeout
+shorter than the deadline may end that work.
 """
 
 import typing
@@ -9,11 +10,12 @@
 from irisstand import clocks, errors
 from irisstand.dataplane.retry import actions, events, policy
 
-# Of the time that a request has left, what passes before the holder is looked at.
+# The fraction of the time until a request's deadline that passes before the holder is first checked.
 FIRST_WAIT_FRACTION = 0.4
 MAX_FIRST_WAIT_SECONDS = 0.6
-# How often it is looked at after that.
+# The time between two later checks whether the holder is alive.
 CHECK_INTERVAL_SECONDS = 0.5
+# The HTTP status of errors after which no origin has executed the request.
 NOT_RUN_STATUS = 503
 
 ResponseT = typing.TypeVar("ResponseT")
@@ -30,14 +32,15 @@
 
 
 class HolderReadPolicy(policy.DeadlinePolicy, typing.Generic[ResponseT]):
-    """Waits for a holder that is alive until the deadline; fetches beside one that is silent.
+    """Waits until the deadline for a holder that is alive, and fetches from an origin if it is silent.
 
-    A refusal of this node's own fetch is given to the client only once the holder has ended the read, too.
+    If this node's fetch is refused, the client gets that error only after the holder has ended the read, too.
 
     Args:
-        clock: Moments in seconds.
+        clock: Gives the time in seconds.
         remaining: Seconds until the deadline of the request.
-        is_refusal_final: Whether this node does not fetch by itself after the holder got no token.
+        is_refusal_final: Whether a request for which the holder got no rate limit token is rejected, instead
+            of being fetched from an origin by this node.
     """
 
     def __init__(self, clock: clocks.Clock, remaining: float, *, is_refusal_final: bool) -> None:
@@ -49,7 +52,7 @@
         self.origin_fetch_error: errors.IrisError | None = None
 
     def decide(self, event: Event[ResponseT]) -> Action[ResponseT]:
-        """Take note of `event` and return what to do next."""
+        """Update the state of the request by `event` and return the next action."""
         match event:
             case events.Started():
                 return actions.Wait(self.first_wait_seconds)
@@ -66,13 +69,13 @@
                 return self.on_origin_fetch_failed(event.error)
 
     def wait(self) -> Action[ResponseT]:
-        """Wait for whatever is in flight; the holder is looked at now and then."""
+        """Wait for the calls in flight until the next check of the holder or the deadline."""
         if self.remaining() <= 0:
             return policy.deadline_rejection("an origin")
         return actions.Wait(min(self.remaining(), CHECK_INTERVAL_SECONDS))
 
     def on_holder_failed(self, error: errors.IrisError) -> Action[ResponseT]:
-        """Fetch by itself, unless that is under way or the holder's refusal holds for this node, too."""
+        """Fetch from an origin, unless a fetch is in flight, has failed, or the holder's refusal is final."""
         self.is_holder_asked = False
         if self.is_fetching:
             return self.wait()
@@ -83,16 +86,16 @@
         return actions.FetchFromOrigin()
 
     def on_holder_overdue(self, event: events.HolderOverdue) -> Action[ResponseT]:
-        """Go on waiting for a holder that is alive, and fetch beside one that is silent or declared failed.
+        """Wait on for a holder that is alive; fetch from an origin if it is silent or declared failed.
 
-        The call to it stays open also then: the failure detector may be wrong about a busy machine.
+        The call to the holder stays open in any case: the failure detector may be wrong about a busy machine.
         """
         has_run = self.origin_fetch_error is not None and self.origin_fetch_error.status != NOT_RUN_STATUS
         is_alive = not event.is_silent and not event.is_failed
         return self.wait() if self.is_fetching or has_run or is_alive else actions.FetchFromOrigin()
 
     def on_origin_fetch_failed(self, error: errors.IrisError) -> Action[ResponseT]:
-        """Wait for the holder, which may have an origin at work, or give up."""
+        """Reject the request, unless the holder has not replied: its origin may still send a response."""
         self.is_fetching = False
         self.origin_fetch_error = error
         return self.wait() if self.is_holder_asked else actions.Reject(error)
--- a/src/irisstand/dataplane/retry/idempotent_attempt_policy.py
+++ b/src/irisstand/dataplane/retry/idempotent_attempt_policy.py
@@ -1,7 +1,7 @@
-"""Policy of idempotent requests at a node that reaches origins by itself.
+"""Policy of idempotent requests at a node that connects to origins itself.
 
-A request is retried at another endpoint when an attempt fails, and a second attempt is sent beside the first
-when that is slow (a hedged request; Dean and Barroso, "The Tail at Scale", 2013).
+A request is retried at another endpoint when an attempt fails. When an attempt is slow, a hedged request is
+sent beside it (Dean and Barroso, "The Tail at Scale", 2013).
 """
 
 import typing
@@ -11,8 +11,8 @@
 from irisstand.dataplane.retry import actions, attempt_policy, events
 from irisstand.dataplane.routing import routes
 
-# A hedged request is sent after this many times the endpoint's usual time, and at least this part of the
-# route's target.
+# A hedged request is sent once an attempt has taken both this multiple of the endpoint's usual response time
+# and, by the second constant, this fraction of the route's target response time.
 HEDGE_USUAL_FACTOR = 2.5
 HEDGE_TARGET_FACTOR = 0.5
 SERVER_ERROR_STATUS = 500
@@ -22,7 +22,14 @@
 
 
 class IdempotentAttemptPolicy(attempt_policy.AttemptPolicy[ResponseT]):
-    """Policy of a request that may run more than once: it is retried, and hedged when it is slow."""
+    """Retries a request that may be executed more than once, and hedges it when an attempt is slow.
+
+    Args:
+        clock: Gives the time in seconds.
+        route: The route of the request, with its limit of attempts and its target response time.
+        remaining: Seconds for which the client still waits.
+        budget: Limits the retries and hedged requests of this node.
+    """
 
     def __init__(
         self, clock: clocks.Clock, route: routes.Route, remaining: float, budget: budgets.RetryBudget
@@ -33,7 +40,7 @@
         self.error_response: ResponseT | None = None
 
     def on_attempt_sent(self, event: events.AttemptSent) -> Action[ResponseT]:
-        """Count the attempt, and set the time at which a hedged request is sent."""
+        """Count the attempt, and set the time at which a hedged request follows it."""
         self.tried.add(event.endpoint)
         self.attempts_sent += 1
         self.in_flight += 1
@@ -41,25 +48,27 @@
         return self.wait()
 
     def next_hedge(self, usual_seconds: float) -> float | None:
-        """Return when the attempt that was just sent is taken to be slow; None if nothing follows from it."""
+        """Return the time from which the newest attempt counts as slow; None if that has no consequence."""
         now = self.clock.now()
         if self.attempts_sent < self.route.attempts:
             usual = HEDGE_USUAL_FACTOR * usual_seconds
             return now + max(usual, HEDGE_TARGET_FACTOR * self.route.target)
         if self.error_response is not None:
-            # There is a response already, though an error: the retry need not be waited for to the end.
+            # The first attempt ended with a server error, which the client gets if the retry is slow, too.
             return now + HEDGE_USUAL_FACTOR * usual_seconds + self.route.target
         return None
 
     def wait(self) -> Action[ResponseT]:
-        """Wait for the attempts in flight until the time of a hedged request or the deadline."""
+        """Wait for the attempts in flight until a hedged request is due or the deadline has passed."""
         if self.remaining() <= 0:
-            return self.give_up(errors.DeadlineExceededError("no origin gave a whole answer in time"))
+            return self.give_up(
+                errors.DeadlineExceededError("no origin sent a complete response before the deadline")
+            )
         until = self.deadline if self.hedge_at is None else min(self.hedge_at, self.deadline)
         return actions.Wait(max(0.0, until - self.clock.now()))
 
     def on_timer_expired(self) -> Action[ResponseT]:
-        """Send a hedged request when its time has come."""
+        """Send the hedged request when it is due, or give the client a server error that came before."""
         if self.hedge_at is not None and self.clock.now() >= self.hedge_at:
             self.hedge_at = None
             if self.error_response is not None:
@@ -69,9 +78,9 @@
         return self.wait()
 
     def on_response(self, response: ResponseT) -> Action[ResponseT]:
-        """Respond, but retry once a response that is a server error."""
+        """Respond to the client, but retry after a server error if another attempt is allowed."""
         self.in_flight -= 1
-        # The origin's error is still its response if no other comes.
+        # The client gets this server error if no other response comes.
         if response.status >= SERVER_ERROR_STATUS:
             self.error_response = response
             if self.in_flight:
@@ -81,7 +90,7 @@
         return actions.Respond(response)
 
     def on_attempt_failed(self, event: events.AttemptFailed) -> Action[ResponseT]:
-        """Retry within the budget; an attempt that reached nobody is not counted as one."""
+        """Retry within the retry budget; an attempt that was not sent is not counted and costs no retry."""
         self.in_flight -= 1
         self.last_error = event.error
         if not event.was_sent:
@@ -95,14 +104,14 @@
         return self.give_up(event.error)
 
     def on_no_endpoint(self, error: errors.IrisError) -> Action[ResponseT]:
-        """Wait for the attempts in flight, or give up."""
+        """Wait for the attempts in flight; without any, end the request with the last error."""
         if self.in_flight:
             self.hedge_at = None
             return self.wait()
         return self.give_up(self.last_error or error)
 
     def give_up(self, error: errors.IrisError) -> Action[ResponseT]:
-        """Respond with an origin's server error if there is one, else reject with `error`."""
+        """Respond with a server error that an origin sent before, or reject the request with `error`."""
         if self.error_response is not None:
             return actions.Respond(self.error_response)
         return actions.Reject(error)
--- a/src/irisstand/dataplane/retry/policy.py
+++ b/src/irisstand/dataplane/retry/policy.py
@@ -1,4 +1,4 @@
-"""The protocol of all retry policies, and the loop that carries out what a policy decides."""
+"""The protocol of all retry policies, and the loop that performs the actions of a policy."""
 
 import collections.abc
 import typing
@@ -12,35 +12,40 @@
 EventT_contra = typing.TypeVar("EventT_contra", contravariant=True)
 ActionT_co = typing.TypeVar("ActionT_co", covariant=True)
 
-# With less time left than this, nothing is sent: the answer could not be back in time.
+# Nothing is sent with less time than this until the deadline: the response could not arrive in time.
 MINIMUM_SEND_SECONDS = 0.005
 
 
 class Policy(typing.Protocol[EventT_contra, ActionT_co]):
-    """Decides on one request, for reads, writes and forwarding alike; does no I/O."""
+    """Decides what happens to one request, from event to event; it does no I/O."""
 
     def remaining(self) -> float:
-        """Return the seconds that are left until the request's deadline."""
+        """Return the seconds until the request's deadline."""
         ...
 
     def decide(self, event: EventT_contra) -> ActionT_co:
-        """Take note of `event` and return what to do next."""
+        """Update the state of the request by `event` and return the next action."""
         ...
 
 
 class DeadlinePolicy:
-    """What all policies have in common: a clock and one deadline over all attempts."""
+    """Base class of all policies, with one deadline over all attempts of a request.
+
+    Args:
+        clock: Gives the time in seconds.
+        deadline: The time by that clock at which the request is given up.
+    """
 
     def __init__(self, clock: clocks.Clock, deadline: float) -> None:
         self.clock = clock
         self.deadline = deadline
 
     def remaining(self) -> float:
-        """Return the seconds that are left until the deadline."""
+        """Return the seconds until the deadline."""
         return self.deadline - self.clock.now()
 
-    def may_withdraw(self, may_have_sent: bool) -> bool:  # noqa: FBT001 - the one thing that is asked about
-        """Return whether an attempt may be cut off once nobody waits for the request any more.
+    def may_withdraw(self, may_have_sent: bool) -> bool:  # noqa: FBT001 - callers map it over several
+        """Return whether an attempt may be aborted once no client waits for the request any more.
 
         Args:
             may_have_sent: Whether a byte of the request may have left for the origin.
@@ -49,9 +54,9 @@
 
 
 def deadline_rejection(receiver: str) -> actions.Reject:
-    """Reject a request whose deadline passed before `receiver` could be asked."""
+    """Return the rejection of a request whose deadline passed before it could be sent to `receiver`."""
     return actions.Reject(
-        errors.DeadlineExceededError(f"the deadline passed before {receiver} could be asked")
+        errors.DeadlineExceededError(f"the deadline passed before the request could be sent to {receiver}")
     )
 
 
@@ -59,11 +64,11 @@
     policy: Policy[EventT | events.Started, ActionT | actions.Respond[ResponseT] | actions.Reject],
     perform: collections.abc.Callable[[ActionT], collections.abc.Awaitable[EventT]],
 ) -> actions.Respond[ResponseT] | actions.Reject:
-    """Carry out what `policy` decides until it responds or rejects.
+    """Perform the actions of `policy` until it responds to the request or rejects it.
 
     Args:
-        policy: decides on one request.
-        perform: carries out one action, such as sending an attempt, and returns the event that it led to.
+        policy: The policy of one request.
+        perform: Performs one action, such as sending an attempt, and returns the event that followed.
     """
     action = policy.decide(events.STARTED)
     while not isinstance(action, (actions.Respond, actions.Reject)):
@@ -72,10 +77,10 @@
 
 
 def response_of(decision: actions.Respond[ResponseT] | actions.Reject) -> ResponseT:
-    """Return the response that a policy decided on.
+    """Return the response with which a policy ended a request.
 
     Raises:
-        IrisError: the policy rejected the request.
+        errors.IrisError: The policy rejected the request with this error.
     """
     if isinstance(decision, actions.Reject):
         raise decision.error
--- a/src/irisstand/dataplane/retry/read_policy.py
+++ b/src/irisstand/dataplane/retry/read_policy.py
@@ -1,4 +1,4 @@
-"""Policies of reads: which shield or origin is asked next, and when a read is given up."""
+"""Policies of reads at edges and shields: where a read is sent next, and when it is rejected."""
 
 import typing
 
@@ -14,7 +14,15 @@
 
 
 class EdgeReadPolicy(forwarding_policy.ToShieldPolicy[ResponseT]):
-    """Policy of a read at an edge: a read that a shield did not answer may be sent to the next one."""
+    """Sends a read from an edge to the next shield if one failed without a reply.
+
+    Args:
+        clock: Gives the time in seconds.
+        allowed: What the configuration says about the request.
+        shields: The shields in the order in which they are asked.
+        budget: Limits the retries of this edge.
+        deadline: The time by the clock at which the read is given up.
+    """
 
     def __init__(
         self,
@@ -29,7 +37,7 @@
 
     def on_attempt_failed(self, error: errors.IrisError) -> actions.SendToShield | actions.Reject:
         """Send the read to the next shield if the error and the retry budget allow it."""
-        # Nothing has left this node, so asking the next shield is still the first attempt.
+        # After a NotSentError nothing has left this node, so the next shield gets the first attempt.
         if type(error) is errors.NotSentError or self.may_try_next(error):
             return self.send_to_next()
         if type(error) is errors.UnansweredError and self.may_retry_at_next_shield():
@@ -37,13 +45,20 @@
         return actions.Reject(error)
 
     def may_retry_at_next_shield(self) -> bool:
-        """Take a retry from the budget, if there is another shield and time for it."""
+        """Return whether the next shield gets a retry, which is then taken from the retry budget."""
         has_time = self.remaining() > forwarding_policy.MINIMUM_RETRY_SECONDS
         return bool(self.shields) and has_time and self.budget.take()
 
 
 class ShieldReadPolicy(forwarding_policy.ToOriginPolicy):
-    """Policy of a read at a shield: retried at another origin within the retry budget."""
+    """Retries a read at another origin within the retry budget of a shield.
+
+    Args:
+        clock: Gives the time in seconds.
+        allowed: What the configuration says about the request, with its deadline.
+        remaining: Seconds for which the edge still waits.
+        budget: Limits the retries of this shield.
+    """
 
     def __init__(
         self,
@@ -61,7 +76,7 @@
     def decide(
         self, event: events.Started | forwarding_policy.ToOriginEvent[objects.CachedObject]
     ) -> forwarding_policy.ToOriginAction[objects.CachedObject]:
-        """Take note of `event` and return what to do next."""
+        """Update the state of the read by `event` and return the next action."""
         match event:
             case events.Started():
                 return self.send()
@@ -75,17 +90,17 @@
     def on_response(
         self, event: events.ResponseReceived[objects.CachedObject]
     ) -> forwarding_policy.ToOriginAction[objects.CachedObject]:
-        """Respond, but retry once a response that is a server error."""
+        """Respond to the edge, but retry after a server error if time and the retry budget allow it."""
         self.count_first_attempt()
         response = event.response
-        # The origin's error is still its response if no other comes.
+        # The edge gets this server error if no other origin can be asked.
         if response.status >= SERVER_ERROR_STATUS and self.may_retry(event.endpoint):
             self.error_response = response
             return self.send()
         return actions.Respond(response)
 
     def on_attempt_failed(self, event: events.AttemptFailed) -> actions.SendAttempt | actions.Reject:
-        """Retry within the budget; an attempt that reached no origin is followed by another at no cost."""
+        """Retry within the retry budget; after an attempt that no origin has executed, at no cost to it."""
         if event.may_have_run:
             self.count_first_attempt()
         self.last_error = event.error
@@ -97,22 +112,22 @@
     def on_no_endpoint(
         self, error: errors.IrisError
     ) -> actions.Respond[objects.CachedObject] | actions.Reject:
-        """Report what the first origin did, which says more than that there is no second one."""
+        """End the read with an earlier origin's response or error, which says more than that none is left."""
         if self.error_response is not None:
             return actions.Respond(self.error_response)
         return actions.Reject(self.last_error or error)
 
     def count_first_attempt(self) -> None:
-        """Let the request earn its part of the retry budget, once.
+        """Count this read as a first attempt in the retry budget, once.
 
-        It counts only when it has gone to an origin: counted at the start, requests that are passed from
-        shield to shield for want of an origin would each earn retries.
+        A read counts only when an origin may have executed it. If it counted from the start, a read that went
+        from shield to shield because no origin was available would raise the retry budget of each shield.
         """
         if not self.is_counted:
             self.is_counted = True
             self.budget.record_first_attempt()
 
     def may_retry(self, origin: str) -> bool:
-        """Take a retry from the budget, if there is time for it."""
+        """Return whether the read may be retried at an origin other than `origin`; takes it from the budget."""
         self.tried.add(origin)
         return self.remaining() > forwarding_policy.MINIMUM_RETRY_SECONDS and self.budget.take()
--- a/src/irisstand/dataplane/retry/single_attempt_policy.py
+++ b/src/irisstand/dataplane/retry/single_attempt_policy.py
@@ -1,4 +1,4 @@
-"""Policy of requests that are not idempotent, at a node that reaches origins by itself."""
+"""Policy of requests that are not idempotent, at a node that connects to origins itself."""
 
 import typing
 
@@ -10,22 +10,24 @@
 
 
 class SingleAttemptPolicy(attempt_policy.AttemptPolicy[ResponseT]):
-    """Policy of a request that may run at most once: sent again only while it certainly has not run."""
+    """Sends a request that may be executed at most once; retries it only if it has certainly not run."""
 
     def may_withdraw(self, may_have_sent: bool) -> bool:  # noqa: FBT001 - as in the base class
-        """Return whether nothing was sent: what an origin has begun is not undone by cutting it off."""
+        """Return whether nothing was sent: aborting an attempt does not undo what an origin has begun."""
         return not may_have_sent
 
     def on_attempt_sent(self, event: events.AttemptSent) -> Action[ResponseT]:
-        """Count the attempt and wait for its end."""
+        """Count the attempt that was sent and wait for it to end."""
         self.tried.add(event.endpoint)
         self.attempts_sent += 1
         return self.wait()
 
     def wait(self) -> Action[ResponseT]:
-        """Wait for the attempt in flight until the deadline."""
+        """Wait for the attempt in flight until the deadline, after which the outcome is unknown."""
         if self.remaining() <= 0:
-            return actions.Reject(errors.OutcomeUnknownError("the origin gave no whole answer in time"))
+            return actions.Reject(
+                errors.OutcomeUnknownError("the origin sent no complete response before the deadline")
+            )
         return actions.Wait(self.remaining())
 
     def on_timer_expired(self) -> Action[ResponseT]:
@@ -33,13 +35,13 @@
         return self.wait()
 
     def on_response(self, response: ResponseT) -> Action[ResponseT]:
-        """Respond, whatever the status."""
+        """Respond to the client with any response of the origin: a server error is not retried."""
         return actions.Respond(response)
 
     def on_attempt_failed(self, event: events.AttemptFailed) -> Action[ResponseT]:
-        """Send again only a request that has not run."""
+        """Retry a request that no origin has executed; the outcome of any other is unknown."""
         if event.may_have_run:
-            error = f"the request went to an origin and then: {event.error}"
+            error = f"the request may have run, as it failed after it was sent to an origin: {event.error}"
             return actions.Reject(errors.OutcomeUnknownError(error))
         self.last_error = event.error
         if not event.was_sent:
@@ -51,5 +53,5 @@
         return actions.Reject(event.error)
 
     def on_no_endpoint(self, error: errors.IrisError) -> Action[ResponseT]:
-        """Reject the request: nothing of it is in flight."""
+        """Reject the request with its last error: it has no attempt in flight that could still succeed."""
         return actions.Reject(self.last_error or error)
--- a/src/irisstand/dataplane/retry/write_policy.py
+++ b/src/irisstand/dataplane/retry/write_policy.py
@@ -1,4 +1,4 @@
-"""Policies of writes: sent on only while it is certain that the write has not run."""
+"""Policies of writes at edges and shields: a write is retried only if it has certainly not run."""
 
 import typing
 
@@ -9,29 +9,33 @@
 
 
 class EdgeWritePolicy(forwarding_policy.ToShieldPolicy[ResponseT]):
-    """Policy of a write at an edge: sent to another shield only if the last one certainly did not send it."""
+    """Sends a write from an edge to the next shield only if the last one has certainly not forwarded it."""
 
     def on_attempt_failed(self, error: errors.IrisError) -> actions.SendToShield | actions.Reject:
-        """Send the write to the next shield if the error says that it has not run."""
+        """Send the write to the next shield, or reject it; the outcome is unknown if it may have run."""
         if self.may_try_next(error):
             return self.send_to_next()
         if type(error) in forwarding_policy.NOT_RUN_ERRORS:
             return actions.Reject(error)
-        # Once a shield may have sent it on, nobody here can say that it did not run.
-        return actions.Reject(errors.OutcomeUnknownError(f"the request left this node and then: {error}"))
+        # The shield may have forwarded the write to an origin, so this node cannot say that it has not run.
+        return actions.Reject(
+            errors.OutcomeUnknownError(
+                f"the request may have run, as it failed after it was sent to a shield: {error}"
+            )
+        )
 
 
 class ShieldWritePolicy(forwarding_policy.ToOriginPolicy, typing.Generic[ResponseT]):
-    """Policy of a write at a shield: the next origin gets it only if the last one certainly did not."""
+    """Sends a write from a shield to another origin only if the last one has certainly not executed it."""
 
     def may_withdraw(self, may_have_sent: bool) -> bool:  # noqa: FBT001 - as in the base class
-        """Return whether nothing was sent: what an origin has begun is not undone by cutting it off."""
+        """Return whether nothing was sent: aborting an attempt does not undo what an origin has begun."""
         return not may_have_sent
 
     def decide(
         self, event: events.Started | forwarding_policy.ToOriginEvent[ResponseT]
     ) -> forwarding_policy.ToOriginAction[ResponseT]:
-        """Take note of `event` and return what to do next."""
+        """Update the state of the write by `event` and return the next action."""
         match event:
             case events.Started():
                 return self.send()
@@ -43,9 +47,9 @@
                 return actions.Reject(event.error)
 
     def on_attempt_failed(self, event: events.AttemptFailed) -> actions.SendAttempt | actions.Reject:
-        """Send the write to another origin if it certainly did not reach this one."""
+        """Send the write to another origin if this one has certainly not executed it."""
         if event.may_have_run:
-            error = f"the request went to an origin and then: {event.error}"
+            error = f"the request may have run, as it failed after it was sent to an origin: {event.error}"
             return actions.Reject(errors.OutcomeUnknownError(error))
         self.tried.add(event.endpoint)
         return self.send()
