--- a/src/irisstand/dataplane/assembly.py
+++ b/src/irisstand/dataplane/assembly.py
@@ -1,4 +1,4 @@
-"""Puts a data plane node together from what it is handed; the simulator uses this as the program does."""
+"""Assembles a data plane node from its clock, randomness and network, for the program and the simulator."""
 
 import importlib
 import random
@@ -9,8 +9,8 @@
 from irisstand.state.replication import refresher, replicator
 from irisstand.transport import network
 
-# Plug-in point: for each role the module whose `create` makes its node. A module is imported when its role is
-# played: a node that was killed is back sooner without the libraries of the others.
+# Plug-in point: for each role, the module whose function `create` creates the node. Only the module of the
+# node's own role is imported: without the libraries of the others a killed node restarts sooner.
 REGISTRY = {
     "edge": "irisstand.dataplane.nodes.edge",
     "shield": "irisstand.dataplane.nodes.shield",
@@ -21,18 +21,18 @@
 
 
 class DataNode:
-    """A node of the data plane in one of its roles.
+    """Holds the parts of a data plane node: context, replicas, and the part that belongs to its role.
 
     Args:
-        settings: The node's settings, with its role.
+        settings: The node's settings, which include its role.
         clock: The node's clock.
         randomness: The node's source of random choices.
-        net: Opens the node's ports and connections to peers.
-        connect: Opens connections to origins; None for the real ones of the role.
+        net: The network on which the node listens and connects to peers.
+        connect: Opens connections to origins; None for the role's default, which opens real sockets.
 
     Attributes:
-        role_node: The part that belongs to the role. Roles have no interface in common but `run`, which some
-            have.
+        role_node: The part that belongs to the role. The roles share no interface, but some have a
+            method `run`, which is started as a task.
     """
 
     def __init__(
@@ -51,12 +51,12 @@
         self.role_node: typing.Any = role_module.create(self.context, self.view, connect)
 
     async def open(self) -> None:
-        """Open the node's ports and start its tasks."""
+        """Open the node's ports and start its background tasks."""
         await self.context.open()
         self.context.start_task(self.refresher.run(), "refresher")
         if hasattr(self.role_node, "run"):
             self.context.start_task(self.role_node.run(), f"part of a {self.context.role}")
 
     async def close(self) -> None:
-        """Close the node's ports and end its tasks."""
+        """Close the node's ports and end its background tasks."""
         await self.context.close()
--- a/src/irisstand/dataplane/http/__init__.py
+++ b/src/irisstand/dataplane/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP towards clients: listeners, adapters and header names."""
+"""Serves HTTP clients: listeners, adapters for sanic, and header names."""
--- a/src/irisstand/dataplane/http/client_departures.py
+++ b/src/irisstand/dataplane/http/client_departures.py
@@ -1,6 +1,6 @@
-"""Clients that leave before they are answered: how that is noticed, and counted.
+"""Detects and counts clients that disconnect before they get their response.
 
-Sanic cancels the handler of a request when the client's connection ends, whoever ended it.
+Sanic cancels the handler of a request when the client's connection ends, whichever end closed it.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 @contextlib.contextmanager
 def count_departure(counters: counters.Counters) -> collections.abc.Iterator[None]:
-    """Count a client that leaves while the block answers it."""
+    """Count a client that disconnects while the block handles its request."""
     try:
         yield
     except asyncio.CancelledError:
@@ -24,14 +24,14 @@
 
 
 def is_cancelled() -> bool:
-    """Return whether the handler itself is cancelled, and not only something that it waits for."""
+    """Return whether the request's handler itself was cancelled, and not only a task that it awaits."""
     task = asyncio.current_task()
     return task is not None and task.cancelling() > 0
 
 
 def resume_reading(request: sanic.request.Request) -> None:
-    """Read on from the client of a request that has come whole, as its departure is noticed by reading.
+    """Resume reading from the client of a complete request: only reading detects that it disconnects.
 
-    Sanic stops reading when a buffer is full, and begins again only when it wants more of a request.
+    Sanic stops reading when its buffer is full, and resumes only when it needs more of a request.
     """
     typing.cast(typing.Any, request.transport).resume_reading()
--- a/src/irisstand/dataplane/http/closing_connections.py
+++ b/src/irisstand/dataplane/http/closing_connections.py
@@ -1,6 +1,6 @@
-"""Clients' connections that are being closed: each is kept while its client still takes in the answer.
+"""Keeps a closing connection open for as long as its client still reads the response.
 
-Sanic would abort one some seconds after its close, however much of an answer is still on its way.
+Sanic by itself would abort a connection some seconds after its close, even while a response is being sent.
 """
 
 import asyncio
@@ -11,12 +11,12 @@
 
 
 class ClosingConnections:
-    """Watches the write buffers of connections that are being closed.
+    """Watches the write buffers of closing connections, and aborts those whose clients stopped reading.
 
     Args:
-        now: Returns the moment in seconds.
-        connections: Returns sanic's open connections, which have no types.
-        stall_seconds: Returns how long a client may take in nothing.
+        now: Returns the time in seconds.
+        connections: Returns sanic's open connections; sanic declares no types for them.
+        stall_seconds: Returns the seconds for which a client may read nothing.
     """
 
     def __init__(
@@ -28,17 +28,17 @@
         self.now = now
         self.connections = connections
         self.stall_seconds = stall_seconds
-        # By connection: the bytes that were left when its buffer last shrank, and when that was.
+        # For each closing connection, the unsent bytes after its buffer last shrank, and the time of that.
         self.progress: dict[typing.Any, tuple[int, float]] = {}
 
     async def run(self) -> None:
-        """Check the connections again and again, until cancelled."""
+        """Check the closing connections at regular intervals until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             self.check()
 
     def check(self) -> None:
-        """Abort the connections whose clients have taken in nothing for too long."""
+        """Abort the closing connections whose clients have read nothing for too long."""
         now = self.now()
         previous, self.progress = self.progress, {}
         for connection in list(self.connections()):
--- a/src/irisstand/dataplane/http/header_names.py
+++ b/src/irisstand/dataplane/http/header_names.py
@@ -1,24 +1,24 @@
-"""The names of the headers by which clients, edges and origins tell each other about attempts and deadlines.
+"""Names of the headers that carry attempt ids, deadlines and tags between clients, edges and origins.
 
-A deployment with other names adds an entry to the registry; no other module knows the names.
+A deployment with other names adds an entry to the registry; no other module contains these names.
 """
 
 import typing
 
 
 class HeaderNames(typing.NamedTuple):
-    """Header names in lower case; times are in whole milliseconds.
+    """Header names in lower case; headers with a duration give it in whole milliseconds.
 
     Attributes:
-        request_id: Names one attempt of a client.
-        remaining: How long the client still waits.
-        digest: Confirms that an answer is complete.
-        expected: The origin instance that is meant.
-        instance: The origin instance that answers.
-        not_run: Marks the answer to a request that was not carried out.
-        tags: The tags by which an object can be purged.
-        cold: How long an origin stays cold.
-        separator: Stands between tags; None for white space.
+        request_id: The header with the id of one attempt of a client.
+        remaining: The header that says how long the client still waits.
+        digest: The header with a digest of the body, by which a receiver sees that a response is complete.
+        expected_instance: The header that names the origin instance for which a request is meant.
+        instance: The header that names the origin instance that sent a response.
+        not_run: The header that marks the response to a request which the origin did not execute.
+        tags: The header with the tags by which an object can be purged.
+        cold_remaining: The header that says how long an origin is still cold.
+        separator: The text between two tags; None for white space.
     """
 
     request_id: str
@@ -32,7 +32,7 @@
     separator: str | None
 
 
-# Plug-in point.
+# Plug-in point: a deployment adds its header names under the name of its vocabulary.
 REGISTRY: dict[str, HeaderNames] = {
     "irisstand": HeaderNames(
         request_id="x-request-id",
@@ -49,7 +49,7 @@
 
 
 def split_tags(names: HeaderNames, text: str) -> tuple[str, ...]:
-    """Return the tags of a header's value.
+    """Return the tags that the value of a tags header lists.
 
     >>> split_tags(REGISTRY["irisstand"], "a, b")
     ('a', 'b')
--- a/src/irisstand/dataplane/http/listener.py
+++ b/src/irisstand/dataplane/http/listener.py
@@ -1,4 +1,4 @@
-"""The clients' listener of a node that reaches origins by itself: adapts sanic's requests and responses."""
+"""The clients' listener of a node that connects to origins itself: adapts requests and responses of sanic."""
 
 import asyncio
 import typing
@@ -14,18 +14,19 @@
 from irisstand.http1 import open_connections, request_head, strict_protocol
 
 METHODS = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"]
-# Sanic writes these headers itself.
+# Headers that sanic writes itself, so that they are not copied from an origin's response.
 SANIC_HEADERS = frozenset(("connection", "keep-alive", "content-length", "transfer-encoding", "content-type"))
 DEFAULT_CONTENT_TYPE = "application/octet-stream"
-# Sanic's own limits are out of the way: a request has a deadline of its own, of a day at the most, and what
-# may hold up a close is watched by `closing_connections`.
+# Timeouts of sanic, longer than any deadline of a request, which is a day at most, so that they never apply:
+# requests have their own deadlines, and `closing_connections` watches connections that are slow to close.
 RESPONSE_TIMEOUT_SECONDS = 100_000
 CLOSE_TIMEOUT_SECONDS = 100_000
-# The least time for a request's head and for a connection at rest, whatever the operators set.
+# The minimum of the timeouts for a request's head and for an idle connection, whatever operators configure.
 MIN_TIMEOUT_SECONDS = 1.0
 OPENING_CHECK_SECONDS = 0.02
 BACKLOG = 512
-# An answer of the node's own after more than this time was not for want of a token or an origin alone.
+# An error response of the node itself counts as late after this time: the lack of a rate limit token or of an
+# origin alone is found out sooner.
 LATE_RESPONSE_SECONDS = 0.5
 STATUS_BAD_REQUEST = 400
 STATUS_REQUEST_TIMEOUT = 408
@@ -35,12 +36,12 @@
 
 
 class ClientListener:
-    """Listens for clients and hands their requests to the node.
+    """Listens for clients and passes their requests to the node.
 
     Args:
         context: The node's context.
-        node: Answers the requests.
-        address: Where to listen.
+        node: The node that handles the requests.
+        address: The host and port to listen on.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
         self.context = context
         self.node = node
         self.address = address
-        # Of sanic's server, which has no types.
+        # Sanic's server once this listener is open; sanic declares no types for it.
         self.server: typing.Any = None
         name = "irisstand_front_" + "".join(c if c.isalnum() else "_" for c in context.settings.name)
         self.app: sanic.Sanic[typing.Any, typing.Any] = sanic.Sanic(name, configure_logging=False)
@@ -72,9 +73,9 @@
         )
 
     def add_routes(self) -> None:
-        """Serve all paths; streamed, so that this listener counts the time for a body itself."""
+        """Serve all paths, with streamed bodies so that this listener enforces the timeout for a body."""
 
-        # Sanic marks the handler as streamed, which a bound method does not allow.
+        # Sanic sets an attribute on a handler with streamed bodies, which a bound method does not allow.
         async def serve(request: sanic.request.Request, rest: str = "") -> sanic.response.HTTPResponse:
             return await self.serve(request)
 
@@ -82,7 +83,7 @@
         self.app.add_route(serve, "/<rest:path>", methods=METHODS, name="rest", stream=True)
 
     def apply_client_limits(self) -> None:
-        """Take over the operators' limits; a connection takes those that are in force when it opens."""
+        """Apply the configured client limits; each connection keeps those in force when it was opened."""
         self.node.table.refresh()
         limits = self.node.table.limits
         self.app.config.update(
@@ -95,17 +96,17 @@
         )
 
     def idle_seconds(self) -> float:
-        """Return how long a client may send or take in nothing."""
+        """Return the seconds for which a client may neither send nor read a byte."""
         return max(MIN_TIMEOUT_SECONDS, self.node.table.limits.idle)
 
     # -- listening -----------------------------------------------------------------------------------
     async def open_when_current(self) -> None:
-        """Listen as soon as the tables are current: before that, the node would only refuse requests.
+        """Listen as soon as the replicas are current: until then, the node would refuse all requests.
 
         Raises:
-            errors.PortTakenError: The address is in use.
+            errors.PortTakenError: Another process listens on the address.
         """
-        # No event tells that the tables are current, as that depends on the time, too.
+        # Whether replicas are current depends on the time, too, so there is no event to wait for.
         while not all(map(self.context.is_current, self.context.replicas.values())):  # noqa: ASYNC110 - see above
             await asyncio.sleep(OPENING_CHECK_SECONDS)
         if self.context.is_lame_duck:
@@ -126,26 +127,26 @@
             raise errors.PortTakenError(str(error)) from None
 
     async def stop_listening(self) -> None:
-        """Accept no more connections; the open ones are closed as they come to rest."""
+        """Stop accepting connections; open ones are closed as they become idle."""
         if self.server is not None:
             self.server.close()
             connections = self.server.connections
             self.context.pending_work_checks.append(lambda: open_connections.close_idle(connections))
 
     def abort_connections(self) -> None:
-        """Abort all connections, at the very end."""
+        """Abort all connections, as the last step of a shutdown."""
         if self.server is not None:
             open_connections.abort(self.server.connections)
 
     # -- requests ------------------------------------------------------------------------------------
     async def read_body(self, request: sanic.request.Request) -> bytes:
-        """Read a request's complete body.
+        """Read the complete body of a request.
 
         Raises:
-            sanic.exceptions.RequestTimeout: Nothing came for as long as a connection may be idle.
-            sanic.exceptions.PayloadTooLarge: The body is over the limit.
+            sanic.exceptions.RequestTimeout: The client sent nothing for as long as a connection may be idle.
+            sanic.exceptions.PayloadTooLarge: The body is larger than the limit for bodies.
         """
-        # Sanic's stream has no types.
+        # Sanic declares no types for its stream.
         stream: typing.Any = request.stream
         pieces: list[bytes] = []
         bytes_left = self.node.table.limits.body_bytes
@@ -154,31 +155,33 @@
                 async with asyncio.timeout(self.idle_seconds()):
                     piece = await stream.read()
             except TimeoutError:
-                # Else the rest of it would be waited for again before the connection could close.
+                # Otherwise sanic would wait for the rest of the body again before it closes the connection.
                 stream.request_body = None
-                raise sanic.exceptions.RequestTimeout("the body stopped before it was whole") from None
+                raise sanic.exceptions.RequestTimeout(
+                    "the client stopped sending before the request body was complete"
+                ) from None
             pieces.append(piece or b"")
             bytes_left -= len(pieces[-1])
             if bytes_left < 0:
-                raise sanic.exceptions.PayloadTooLarge("the body is over the limit")
+                raise sanic.exceptions.PayloadTooLarge("the request body is larger than the limit")
         client_departures.resume_reading(request)
         return b"".join(pieces)
 
     async def serve(self, request: sanic.request.Request) -> sanic.response.HTTPResponse:
-        """Answer a request; sanic cancels this when the client leaves, and the request ends with it."""
-        # Sanic's stream has no types; this one is a `strict_protocol.StrictHttp`.
+        """Return the response to a request; sanic cancels this call if the client disconnects."""
+        # Sanic declares no types for its stream, which here is a `strict_protocol.StrictHttp`.
         head: request_head.RequestHead = typing.cast(typing.Any, request.stream).head
         body = await self.read_body(request)
         node_request = direct.Request(request.method, request.raw_url, head.host, head.headers, body)
         with self.context.count_in_flight(), client_departures.count_departure(self.context.counters):
             response = await self.respond(node_request)
-        # A connection that is kept would bring more work to a node that is shutting down.
+        # A connection that stays open would bring more requests to a node that is shutting down.
         if self.context.is_lame_duck or self.context.is_draining:
             typing.cast(typing.Any, request.stream).keep_alive = False
         return response
 
     async def respond(self, request: direct.Request) -> sanic.response.HTTPResponse:
-        """Return the response to a request, whatever happens; only a client that leaves ends this."""
+        """Return the response to a request, even after an error; raises only if the client disconnects."""
         started_at = self.context.clock.now()
         try:
             self.check_admission()
@@ -189,16 +192,18 @@
         except asyncio.CancelledError:
             if client_departures.is_cancelled():
                 raise
-            # Something that this request shared was cancelled; to sanic it would look like a client that
-            # left.
+            # A task that this request shares with others was cancelled. Raised on, the error would tell sanic
+            # that the client has disconnected.
             self.context.counters.add("requests_crashed")
             return messages.error_response(
-                errors.OutcomeUnknownError("what this request waited for was given up")
+                errors.OutcomeUnknownError("a task that this request shared with others was cancelled")
             )
-        except Exception as error:  # A fault of this software ends one request, and not the node.
+        except Exception as error:  # A bug ends one request, not the node.
             event_log.record("crash", error=repr(error))
             self.context.counters.add("requests_crashed")
-            return messages.error_response(errors.OutcomeUnknownError("an error of this node's own"))
+            return messages.error_response(
+                errors.OutcomeUnknownError("an internal error of the node ended this request")
+            )
         forwarded = {
             name: messages.header_text(value) for name, value in headers.items() if name not in SANIC_HEADERS
         }
@@ -206,7 +211,7 @@
         return sanic.response.HTTPResponse(body, status, forwarded, content_type)
 
     def check_admission(self) -> None:
-        """Refuse new work during a drain: what is sent on now might not be answered before its end.
+        """Refuse a new request while the node drains, as it might not be complete when the drain ends.
 
         Raises:
             errors.DrainingError: The node is draining.
@@ -215,20 +220,20 @@
             raise drain_guard.draining_error()
 
     def count_error_response(self, error: errors.IrisError, started_at: float) -> None:
-        """Count an answer of this node's own by code, stage of a shutdown, and whether it came late."""
+        """Count an error response of the node itself by error code, stage of a shutdown, and lateness."""
         is_late = self.context.clock.now() - started_at > LATE_RESPONSE_SECONDS
         self.context.counters.add(
             "own_answers", code=error.code, stage=self.context.shutdown_stage(), late=str(is_late)
         )
 
     def on_error(self, request: sanic.request.Request, error: Exception) -> sanic.response.HTTPResponse:
-        """Return the response to a request that sanic refuses."""
+        """Return the response to a request that sanic refused or failed to handle."""
         status = getattr(error, "status_code", None) or STATUS_INTERNAL_ERROR
         if status == STATUS_BAD_REQUEST:
             self.context.counters.add("malformed_requests")
         if status == STATUS_REQUEST_TIMEOUT and request.stream is not None:
             typing.cast(typing.Any, request.stream).keep_alive = False
-        # Sanic calls an oversized head an oversized payload; HTTP has a status of its own for it.
+        # Sanic reports an oversized head as status 413, an oversized body; HTTP has status 431 for heads.
         if status == STATUS_PAYLOAD_TOO_LARGE and "header" in str(error).lower():
             status = STATUS_HEADERS_TOO_LARGE
         remedy = "send what the operators' page describes, within its limits"
--- a/src/irisstand/dataplane/http/messages.py
+++ b/src/irisstand/dataplane/http/messages.py
@@ -1,4 +1,4 @@
-"""Responses as the clients' listener hands them to sanic."""
+"""Builds the responses that the clients' listener passes to sanic."""
 
 import sanic.response
 
@@ -6,7 +6,7 @@
 
 
 def error_response(error: errors.IrisError) -> sanic.response.HTTPResponse:
-    """Return the response that reports an error, with Retry-After to a hundredth of a second."""
+    """Return the response that reports an error; its Retry-After header has hundredths of a second."""
     headers = {"Cache-Control": "no-store"}
     if error.retry_after:
         headers["Retry-After"] = f"{error.retry_after:.2f}"
@@ -14,7 +14,7 @@
 
 
 def header_text(value: str) -> str:
-    r"""Return a header's value, one character for each byte, as the text that sanic writes as these bytes.
+    r"""Convert a header's value, which has one character per byte, to text that sanic encodes as these bytes.
 
     >>> header_text("caf\u00e9").encode(errors="surrogateescape")
     b'caf\xe9'
--- a/src/irisstand/dataplane/http/sanic_adapter.py
+++ b/src/irisstand/dataplane/http/sanic_adapter.py
@@ -1,4 +1,4 @@
-"""Adapts sanic's requests and responses to those of an edge that asks shields."""
+"""Adapts sanic's requests and responses to those of an edge that forwards requests to shields."""
 
 import urllib.parse
 
@@ -15,11 +15,11 @@
 
 
 class SanicAdapter:
-    """Serves clients on all paths that the node's own pages leave free.
+    """Serves clients on all paths that the node's own pages do not use.
 
     Args:
-        server: The node's HTTP server, which gets the routes.
-        edge: Answers the requests.
+        server: The node's HTTP server, to which the routes are added.
+        edge: The edge that handles the requests.
     """
 
     def __init__(self, server: web.HttpServer, edge: edge_node.Edge) -> None:
@@ -28,14 +28,14 @@
         server.app.add_route(self.serve, "/<rest:path>", methods=METHODS, name="rest")
 
     async def serve(self, request: sanic.request.Request, rest: str = "") -> sanic.response.HTTPResponse:
-        """Answer a client's request.
+        """Return the response to a client's request.
 
         Args:
             request: The request as sanic parsed it.
-            rest: The path without its first slash, which sanic hands in.
+            rest: The path without its first slash, which sanic passes in; unused.
 
         Raises:
-            errors.BadRequestError: The path could be written in another way.
+            errors.BadRequestError: The path has empty or dotted segments.
         """
         check_path(request.path)
         client_departures.resume_reading(request)
@@ -44,7 +44,7 @@
             request.method, request.path, request.query_string, headers, request.body or b""
         )
         context = self.edge.context
-        # What shields did of it is not known here; a read may be cut off all the same.
+        # The edge does not know how far shields got with the request; a read may be aborted in any case.
         is_read = request.method in edge_node.READ_METHODS
         work_state = (lambda: WorkState.WITHDRAWABLE) if is_read else (lambda: WorkState.BEGUN)
         try:
@@ -63,13 +63,16 @@
 
 
 def check_path(path: str) -> None:
-    """Check that a path has one spelling.
+    """Check that a path has no empty or dotted segments.
 
-    Two spellings of one path would be two objects to a purge, and dots would lead out of an allowed path.
+    With them, one path would have two spellings and a purge would miss one of them, and dots could lead out
+    of an allowed path.
 
     Raises:
-        errors.BadRequestError: The path has empty or dotted parts.
+        errors.BadRequestError: The path has empty or dotted segments.
     """
     parts = urllib.parse.unquote(path).split("/")
     if "//" in path or any(part in (".", "..") for part in parts):
-        raise errors.BadRequestError("the path has empty or dotted parts", "send the plain path")
+        raise errors.BadRequestError(
+            "the path has empty segments or the segments . or ..", "send the plain path"
+        )
--- a/src/irisstand/dataplane/messages.py
+++ b/src/irisstand/dataplane/messages.py
@@ -1,7 +1,8 @@
-"""Messages that edges and shields exchange: one named tuple each, encoded by the order of its fields.
+"""Messages between edges, shields and stores: one named tuple each, encoded in the order of its fields.
 
-The field order is the form on the wire and must not change (docs/architecture.md). `from_wire` takes what the
-codec decoded, and raises ValueError or TypeError on anything else; the transport then rejects the message.
+The field order is part of the wire format and must not change (docs/architecture.md). `from_wire` takes the
+decoded body of a message and raises ValueError or TypeError if it is malformed; the transport then rejects
+the message.
 """
 
 import enum
@@ -14,7 +15,7 @@
 
 
 class RequestKind(enum.StrEnum):
-    """The kinds of requests between the nodes of the data plane, as they stand on the wire."""
+    """The kinds of requests between data plane nodes; the values are part of the wire format."""
 
     READ = "read"
     WRITE = "write"
@@ -23,23 +24,30 @@
 
 
 def check_text(*fields: typing.Any) -> None:
-    """Raise TypeError unless all fields are strings."""
+    """Raise TypeError unless all of these fields of a message are strings."""
     for field in fields:
         if not isinstance(field, str):
-            raise TypeError(f"a text field of a message is {type(field).__name__}")
+            raise TypeError(f"a text field of a message has the type {type(field).__name__}")
 
 
 def header_pairs(headers: typing.Any) -> HeaderPairs:
-    """Return headers from the wire as a tuple of names and values."""
+    """Return decoded headers as a tuple of (name, value) pairs."""
     return tuple((name, value) for name, value in headers)
 
 
 class ReadRequest(typing.NamedTuple):
     """A read that an edge sends to a shield.
 
-    The object must have been fetched at `minimum_version` of the state table or later. `applied_version` is
-    the version of the configuration by which the edge judged the request. An object for `is_shared` readers
-    may be cached.
+    Attributes:
+        request_id: The id of the client's attempt.
+        method: The HTTP method.
+        path: The path without the query.
+        query: The query without its question mark; may be empty.
+        headers: The request's headers by name.
+        minimum_version: The version of the ledger before which the object must not have been fetched.
+        remaining_seconds: Seconds for which the edge still waits.
+        is_shared: Whether the object may be cached and served to other clients, too.
+        applied_version: The version of the configuration by which the edge allowed the request.
     """
 
     request_id: str
@@ -54,12 +62,12 @@
 
     @property
     def target(self) -> str:
-        """The path with the query."""
+        """The request target: the path, with the query if there is one."""
         return f"{self.path}?{self.query}" if self.query else self.path
 
     @classmethod
     def from_wire(cls, body: typing.Any) -> typing.Self:
-        """Decode the body of a request; raises ValueError or TypeError if it is malformed."""
+        """Decode the body of a request; raise ValueError or TypeError if it is malformed."""
         request_id, method, path, query, headers, minimum, remaining, is_shared, applied = body
         check_text(method, path, query)
         return cls(
@@ -75,7 +83,7 @@
         )
 
     def to_wire(self) -> tuple[typing.Any, ...]:
-        """Return the fields in their order, in types that the codec takes."""
+        """Return the fields in wire order, converted to types that the codec encodes."""
         return (
             self.request_id,
             self.method,
@@ -90,24 +98,24 @@
 
 
 class ReadResult(typing.NamedTuple):
-    """A shield's response to a read: the object, and the service that it belongs to."""
+    """A shield's reply to a read: the object, and the name of the service that it belongs to."""
 
     service: str
     content: objects.CachedObject
 
     @classmethod
     def from_wire(cls, body: typing.Any, sent_at: float) -> typing.Self:
-        """Decode the body of a result; the object's age counts on from `sent_at`, when the request left."""
+        """Decode the body of a reply; the object's age counts on from `sent_at`, the time of the request."""
         service, content = body
         return cls(service, objects.from_wire(content, sent_at))
 
     def to_wire(self, now: float) -> tuple[typing.Any, ...]:
-        """Return the fields in their order, with the object's age at `now`."""
+        """Return the fields in wire order, with the object's age at the time `now`."""
         return (self.service, objects.to_wire(self.content, now))
 
 
 class StoreLookup(typing.NamedTuple):
-    """Asks a store for the object of a key, fetched at `minimum_version` of the state table or later."""
+    """A request to a store for an object by key, fetched at `minimum_version` of the ledger or later."""
 
     key: str
     path: str
@@ -115,36 +123,36 @@
 
     @classmethod
     def from_wire(cls, body: typing.Any) -> typing.Self:
-        """Decode the body of a request; raises ValueError or TypeError if it is malformed."""
+        """Decode the body of a request; raise ValueError or TypeError if it is malformed."""
         key, path, minimum = body
         check_text(key, path)
         return cls(key, path, versions.Version.from_wire(minimum))
 
     def to_wire(self) -> tuple[typing.Any, ...]:
-        """Return the fields in their order."""
+        """Return the fields in wire order."""
         return (self.key, self.path, tuple(self.minimum_version))
 
 
 class StorePut(typing.NamedTuple):
-    """Gives a store an object to keep under a key."""
+    """A request to a store to keep an object under a key."""
 
     key: str
     content: objects.CachedObject
 
     @classmethod
     def from_wire(cls, body: typing.Any, received_at: float) -> typing.Self:
-        """Decode the body of a request; the object's age counts on from `received_at`."""
+        """Decode the body of a request; the object's age counts on from the time `received_at`."""
         key, content = body
         check_text(key)
         return cls(key, objects.from_wire(content, received_at))
 
     def to_wire(self, now: float) -> tuple[typing.Any, ...]:
-        """Return the fields in their order, with the object's age at `now`."""
+        """Return the fields in wire order, with the object's age at the time `now`."""
         return (self.key, objects.to_wire(self.content, now))
 
 
 class WriteRequest(typing.NamedTuple):
-    """A write that an edge sends to a shield; `applied_version` is that of `ReadRequest`."""
+    """A write that an edge sends to a shield; its fields mean the same as those of `ReadRequest`."""
 
     request_id: str
     method: str
@@ -157,12 +165,12 @@
 
     @property
     def target(self) -> str:
-        """The path with the query."""
+        """The request target: the path, with the query if there is one."""
         return f"{self.path}?{self.query}" if self.query else self.path
 
     @classmethod
     def from_wire(cls, body: typing.Any) -> typing.Self:
-        """Decode the body of a request; raises ValueError or TypeError if it is malformed."""
+        """Decode the body of a request; raise ValueError or TypeError if it is malformed."""
         request_id, method, path, query, headers, content, remaining, applied = body
         check_text(method, path, query)
         return cls(
@@ -177,12 +185,12 @@
         )
 
     def to_wire(self) -> tuple[typing.Any, ...]:
-        """Return the fields in their order, in types that the codec takes."""
+        """Return the fields in wire order, converted to types that the codec encodes."""
         return (*self[:-1], tuple(self.applied_version))
 
 
 class WriteResult(typing.NamedTuple):
-    """A shield's response to a write: what the origin answered, or what was recorded of it."""
+    """A shield's reply to a write: the origin's response, or the one recorded for its idempotency key."""
 
     status: int
     headers: HeaderPairs
@@ -190,10 +198,10 @@
 
     @classmethod
     def from_wire(cls, body: typing.Any) -> typing.Self:
-        """Decode the body of a result; raises ValueError or TypeError if it is malformed."""
+        """Decode the body of a reply; raise ValueError or TypeError if it is malformed."""
         status, headers, content = body
         return cls(status, header_pairs(headers), content)
 
     def to_wire(self) -> tuple[typing.Any, ...]:
-        """Return the fields in their order."""
+        """Return the fields in wire order."""
         return tuple(self)
--- a/src/irisstand/dataplane/program.py
+++ b/src/irisstand/dataplane/program.py
@@ -1,40 +1,41 @@
-"""The program irisstand-dataplane: a node of the data plane in one of its roles."""
+"""The program irisstand-dataplane, which runs a data plane node in one of its roles."""
 
 import signal
 
-# Until the node follows it: its default ends a process, and the imports below take their time.
+# SIGHUP is ignored until the node handles it: by default it would end the process during the slow imports
+# below.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
-import collections.abc  # noqa: E402 - after the signal
-import importlib  # noqa: E402 - after the signal
-import random  # noqa: E402 - after the signal
+import collections.abc  # noqa: E402 - after the signal handler
+import importlib  # noqa: E402 - after the signal handler
+import random  # noqa: E402 - after the signal handler
 
-from irisstand import clocks, event_log, node_settings, process_runner  # noqa: E402 - after the signal
-from irisstand.dataplane import assembly  # noqa: E402 - after the signal
-from irisstand.transport import network  # noqa: E402 - after the signal
+from irisstand import clocks, event_log, node_settings, process_runner  # noqa: E402 - after the signal handler
+from irisstand.dataplane import assembly  # noqa: E402 - after the signal handler
+from irisstand.transport import network  # noqa: E402 - after the signal handler
 
 
 async def assemble(settings: node_settings.Settings, log: event_log.EventLog) -> process_runner.Opened:
-    """Open a node and its listeners.
+    """Open a data plane node and its listeners.
 
     Args:
         settings: The node's settings.
-        log: The events that the node's pages show.
+        log: The log of events that the node's pages show.
 
     Returns:
-        The node's context, and what closes its listeners.
+        The node's context, and a function that closes its listeners.
     """
     data_node = assembly.DataNode(
         settings, clocks.MonotonicClock(), random.SystemRandom(), network.RealNetwork()
     )
     await data_node.open()
     context = data_node.context
-    # Without a port for operators' pages there are none, and their library is not loaded.
+    # A node without an HTTP port has no pages for operators, and does not load the HTTP library.
     if not settings.http_port:
         return context, stop_nothing
     server = importlib.import_module("irisstand.web").HttpServer(context, log)
     if settings.role == "direct":
-        # Readiness has an address of its own, and tells from the start why the node is not ready yet.
+        # Readiness has an address of its own and from the start reports why the node is not ready yet.
         await server.open()
         listener = importlib.import_module("irisstand.dataplane.http.listener")
         client_listener = listener.ClientListener(context, data_node.role_node, settings.front)
@@ -50,11 +51,11 @@
 
 
 async def stop_nothing() -> None:
-    """Close the listeners of a node that has none."""
+    """Do nothing: closes the listeners of a node that has none."""
 
 
 async def stop_all(stops: list[collections.abc.Callable[[], collections.abc.Awaitable[None]]]) -> None:
-    """Close listeners one after the other."""
+    """Stop several listeners, one after the other."""
     for stop in stops:
         await stop()
 
--- a/src/irisstand/dataplane/retry/read_policy.py
+++ b/src/irisstand/dataplane/retry/read_policy.py
@@ -128,6 +128,6 @@
             self.budget.record_first_attempt()
 
     def may_retry(self, origin: str) -> bool:
-        """Return whether the read may be retried at an origin other than `origin`; takes it from the budget."""
+        """Return whether the read may be retried after `origin`; a retry is taken from the retry budget."""
         self.tried.add(origin)
         return self.remaining() > forwarding_policy.MINIMUM_RETRY_SECONDS and self.budget.take()
--- a/src/irisstand/dataplane/routing/__init__.py
+++ b/src/irisstand/dataplane/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing: routes, path prefixes, and the configuration in force."""
+"""Finds the route and the service of a request in the configuration in force."""
--- a/src/irisstand/dataplane/routing/configuration_view.py
+++ b/src/irisstand/dataplane/routing/configuration_view.py
@@ -1,4 +1,4 @@
-"""What the data plane reads from the tables: allowed requests, purges, origins, quota shares, shields."""
+"""Reads allowed requests, purges, origins, quota shares and shields from the replicated tables."""
 
 import typing
 
@@ -12,15 +12,16 @@
 
 
 class AllowedRequest(typing.NamedTuple):
-    """A request that the configuration allows.
+    """A request that the configuration allows, with the settings that apply to it.
 
     Attributes:
-        path: The name of the configuration's path that covers the request.
-        service: The service that answers.
-        deadline: Seconds until the request is given up.
-        ttl: The time to live of the object, in seconds.
-        vary: The headers that the answer depends on.
-        limit: The service's (rate, concurrency) over the whole fleet.
+        path: The path prefix in the configuration that covers the request.
+        service: The name of the service that answers the request.
+        deadline: Seconds after which the request is given up.
+        ttl: The TTL of the object, in seconds; 0 if it is not cached.
+        vary: The names of request headers on which the response depends.
+        limit: The service's rate limit, in requests per second, and its concurrency limit; all nodes share
+            them.
         probe: The path of the service's health probes.
     """
 
@@ -34,7 +35,7 @@
 
 
 class Origin(typing.NamedTuple):
-    """An origin as the ledger lists it; `warmup` in seconds, `slots` in requests at the same time."""
+    """An origin as the ledger lists it; `warmup` is in seconds, `slots` in concurrent requests."""
 
     key: str
     service: str
@@ -47,7 +48,7 @@
 
     @classmethod
     def from_item(cls, item: items.Item) -> typing.Self:
-        """Read an item `origin/...`."""
+        """Read an origin from an item `origin/...` of the ledger."""
         value = item.value
         return cls(
             item.key,
@@ -62,14 +63,14 @@
 
 
 class PathItem(typing.NamedTuple):
-    """A path of the configuration, and what operators set for it."""
+    """A path of the configuration, and the value that operators set for it."""
 
     name: str
     value: dict[str, typing.Any]
 
 
 class ConfigurationView:
-    """Answers questions by the replicas of the tables as they are at the moment of the call.
+    """Reads a node's replicas of the tables; each call returns what they hold at the time of the call.
 
     Args:
         context: The node's context, with its replicas.
@@ -77,25 +78,27 @@
 
     def __init__(self, context: node_context.NodeContext) -> None:
         self.context = context
-        # Of the keys of paths, the longest first, as of the configuration's version that was read.
+        # The lengths of the keys of configured paths, the longest first.
         self.key_lengths: list[int] = []
+        # The version of the configuration from which `key_lengths` was read.
         self.key_lengths_version = versions.NONE
 
     def check_current(self) -> None:
-        """Check that this node may answer by its tables.
+        """Check that this node's replicas are current enough to serve requests.
 
         Raises:
-            errors.StaleConfigurationError: A table is not known to be current here.
+            errors.StaleConfigurationError: A replica is not known to be current.
         """
         self.context.check_current()
 
     def path_item(self, path: str) -> PathItem | None:
-        """Return the path of the configuration that is the longest prefix of a request's path."""
+        """Return the configuration's path that is the longest prefix of a request's path, or None."""
         configuration = self.context.configuration
         if self.key_lengths_version != configuration.applied:
             key_lengths = {len(item.key) for item in configuration.items_with_prefix(PATH_KEY_PREFIX)}
             self.key_lengths = sorted(key_lengths, reverse=True)
-            self.key_lengths_version = configuration.applied
+            # The version of the configuration from which `key_lengths` was read.
+        self.key_lengths_version = configuration.applied
         key = PATH_KEY_PREFIX + path
         for length in self.key_lengths:
             if length <= len(key) and (value := configuration.value(key[:length])) is not None:
@@ -103,44 +106,44 @@
         return None
 
     def authorize(self, method: str, path: str, query: str) -> AllowedRequest:
-        """Return which service answers a request, and its limits; what no path allows goes nowhere.
+        """Return the service that answers a request, and the settings that apply to the request.
 
         Raises:
-            errors.UnknownPathError: No path of the configuration covers the request, or its service is gone.
-            errors.MethodNotAllowedError: The path does not allow the method.
+            errors.UnknownPathError: No configured path covers the request, or its service is missing.
+            errors.MethodNotAllowedError: The configured path does not allow the method.
         """
-        found = self.path_item(path)
-        if found is None:
-            raise errors.UnknownPathError(f"no path of the blueprint covers {path}")
-        candidates = allowed_services(found.value, method)
+        path_item = self.path_item(path)
+        if path_item is None:
+            raise errors.UnknownPathError(f"no path of the configuration covers {path}")
+        candidates = allowed_services(path_item.value, method)
         if not any(weight > 0 for _, weight in candidates):
-            raise errors.MethodNotAllowedError(f"{method} is not granted on {found.name}")
-        # By the request alone, so that edge and shield, and all edges, choose the same service.
+            raise errors.MethodNotAllowedError(f"method {method} is not allowed on path {path_item.name}")
+        # The choice depends on the request alone, so that all edges and shields choose the same service.
         service = rendezvous.pick(f"{path}?{query}", candidates)
         value = self.context.configuration.value(f"service/{service}")
         if value is None:
-            raise errors.UnknownPathError(f"service {service} has no row")
+            raise errors.UnknownPathError(f"service {service} is not in the configuration")
         return AllowedRequest(
-            found.name,
+            path_item.name,
             service,
             value["deadline"],
-            found.value.get("life", 0),
-            tuple(found.value.get("vary", ())),
+            path_item.value.get("life", 0),
+            tuple(path_item.value.get("vary", ())),
             quota_shares.ServiceLimit(value["ceiling"]["rate"], value["ceiling"]["inflight"]),
             value.get("probe", DEFAULT_PROBE_PATH),
         )
 
     def newest_purge(self, path: str, tags: tuple[str, ...]) -> versions.Version:
-        """Return the version of the newest purge that strikes the path or a tag, or may have struck one."""
+        """Return the version of the newest purge that applies, or may have applied, to the path or a tag."""
         ledger = self.context.ledger
         keys = [f"purge/path/{path}", *(f"purge/tag/{tag}" for tag in tags)]
-        # Purges of this version and older may be forgotten, so what was fetched before them counts as
-        # purged: a node that comes back after a long time may still have what they were meant for.
+        # Purges up to this version may have been deleted from the ledger. An object that was fetched before
+        # counts as purged, because a node that was away for long may still cache what they removed.
         forgotten = versions.Version.from_wire(ledger.value(items.FORGOTTEN_PURGES_KEY) or versions.NONE)
         return max(forgotten, *(ledger.version(key) for key in keys))
 
     def is_evacuated(self, site: str) -> bool:
-        """Tell whether operators moved all work away from the site."""
+        """Return whether operators have evacuated the site, so that it gets no new work."""
         return self.context.is_evacuated(site)
 
     def origins(self) -> list[Origin]:
@@ -148,16 +151,16 @@
         return [Origin.from_item(item) for item in self.context.ledger.items_with_prefix("origin/")]
 
     def quota_share(self, service: str, limit: tuple[int, int]) -> quota_shares.ServiceLimit:
-        """Return this machine's share of a service's (rate, concurrency); zero where none is recorded."""
+        """Return this machine's quota share of a service's (rate, concurrency); zeros if none is recorded."""
         recorded = self.context.ledger.value(f"share/{self.context.settings.machine}") or {}
         return quota_shares.effective_limit(recorded.get(service), limit)
 
     def has_quota_share(self, machine: str, service: str) -> bool:
-        """Tell whether a share of the service is recorded for the machine."""
+        """Return whether the ledger records a quota share of the service for the machine."""
         return service in (self.context.ledger.value(f"share/{machine}") or {})
 
     def slot_owner(self, slot: int) -> str:
-        """Return the machine that owns the slot; empty where none is recorded."""
+        """Return the machine that owns the slot; an empty string if the ledger records none."""
         recorded = self.context.ledger.value(slot_assignment.item_key(slot))
         if not recorded:
             return ""
@@ -165,7 +168,7 @@
         return owner
 
     def shields(self, service: str, key: str) -> list[updates.Update]:
-        """Return the shields in the order in which they should be asked for a key of a service."""
+        """Return the shields in the order in which a request for a key of a service tries them."""
         members = {update.identity.name: update for update in self.context.members_of("shield")}
         candidates = [
             (name, self.shield_weight(update)) for name, update in members.items() if self.is_active(update)
@@ -174,8 +177,8 @@
         owner = self.slot_owner(slot)
         ranked = [members[name] for name in rendezvous.ranked(str(slot), candidates)]
 
-        # The recorded owner first, and after it those with a share of the service. A suspected shield comes
-        # last: its reads move at once, before it is declared failed.
+        # The recorded owner of the slot comes first, then shields with a quota share of the service.
+        # Suspected shields come last, so that reads leave a failed shield before it is declared failed.
         def rank(update: updates.Update) -> tuple[updates.MemberState, bool, bool]:
             machine = update.node_info.machine
             return (update.state, not self.has_quota_share(machine, service), machine != owner)
@@ -183,12 +186,12 @@
         return sorted(ranked, key=rank)
 
     def is_active(self, update: updates.Update) -> bool:
-        """Tell whether a member is neither at an evacuated site nor in standby."""
+        """Return whether a member is neither at an evacuated site nor in standby."""
         node_info = update.node_info
         return not self.is_evacuated(node_info.site) and not self.context.is_standby(node_info.machine)
 
     def shield_weight(self, update: updates.Update) -> float:
-        """Return a shield's weight by the configuration of its machine and site."""
+        """Return a shield's weight: the configured weights of its machine and of its site, multiplied."""
         machine = self.context.configuration.value(f"shield/{update.node_info.machine}") or {}
         site = self.context.configuration.value(f"site/{update.node_info.site}") or {}
         weight: float = machine.get("weight", 1) * site.get("weight", 1)
@@ -196,7 +199,7 @@
 
 
 def allowed_services(path_value: dict[str, typing.Any], method: str) -> list[tuple[str, float]]:
-    """Return the services that a path allows for a method, with their weights; HEAD is allowed as GET is."""
+    """Return the services that a path allows for a method, with weights; allowing GET allows HEAD, too."""
     wanted = "GET" if method == "HEAD" else method
     return [
         (entry["service"], entry.get("weight", 1))
--- a/src/irisstand/dataplane/routing/prefix_map.py
+++ b/src/irisstand/dataplane/routing/prefix_map.py
@@ -1,4 +1,4 @@
-"""Values by path prefix: finds the longest prefix of a path without a walk through all prefixes."""
+"""Maps path prefixes to values and finds the longest prefix of a path without comparing all prefixes."""
 
 import collections
 import typing
@@ -7,7 +7,7 @@
 
 
 class PrefixMap(typing.Generic[Value]):
-    """A lookup costs one step for each length that prefixes have, however many there are.
+    """Maps path prefixes to values; a lookup takes one step for each distinct length of a prefix.
 
     >>> prefixes = PrefixMap()
     >>> prefixes.add("/", "all", 1), prefixes.add("/a/", "some", 2)
@@ -17,18 +17,19 @@
     """
 
     def __init__(self) -> None:
-        # The values of one prefix by their names: two spellings of a host may each have one.
+        # The values of each prefix by name. A prefix has several if operators spell its host in several ways.
         self.by_prefix: dict[str, dict[str, Value]] = {}
+        # The number of prefixes by length.
         self.counts: collections.Counter[int] = collections.Counter()
-        # The longest first.
+        # The distinct lengths of prefixes, the longest first.
         self.lengths: list[int] = []
 
     def is_empty(self) -> bool:
-        """Tell whether there is no prefix."""
+        """Return whether the map has no prefixes."""
         return not self.by_prefix
 
     def add(self, prefix: str, name: str, value: Value) -> None:
-        """Set the value of a prefix under a name."""
+        """Set the value that a prefix has under a name."""
         values_by_name = self.by_prefix.get(prefix)
         if values_by_name is None:
             values_by_name = self.by_prefix[prefix] = {}
@@ -36,7 +37,7 @@
         values_by_name[name] = value
 
     def remove(self, prefix: str, name: str) -> None:
-        """Remove the value of a prefix under a name, which must be there."""
+        """Remove the value that a prefix has under a name; raises KeyError if there is none."""
         values_by_name = self.by_prefix[prefix]
         del values_by_name[name]
         if not values_by_name:
@@ -44,7 +45,7 @@
             self.change_count(len(prefix), -1)
 
     def change_count(self, length: int, change: int) -> None:
-        """Count one prefix of that length more (1) or less (-1)."""
+        """Add `change`, which is 1 or -1, to the number of prefixes of a length."""
         before = self.counts[length]
         after = before + change
         self.counts[length] = after
@@ -54,7 +55,7 @@
             self.lengths = sorted(self.counts, reverse=True)
 
     def longest_match(self, path: str) -> Value | None:
-        """Return the value of the longest prefix of the path; of several, the first by name."""
+        """Return the value of the path's longest prefix, the first by name if it has several; else None."""
         for length in self.lengths:
             values_by_name = self.by_prefix.get(path[:length])
             if values_by_name is not None:
--- a/src/irisstand/dataplane/routing/routes.py
+++ b/src/irisstand/dataplane/routing/routes.py
@@ -1,4 +1,4 @@
-"""Routes and services as operators describe them in the items `route/...` and `upstream/...`."""
+"""Routes, services and client limits as operators describe them in items of the configuration."""
 
 import typing
 
@@ -14,19 +14,19 @@
 
 
 class Route(typing.NamedTuple):
-    """A route of the operator.
+    """A route: which requests go to which services, and how they are treated.
 
     Attributes:
-        name: The route's name.
-        prefix: Of the paths that it covers.
+        name: The name of the route.
+        prefix: The prefix of the paths that the route covers.
         kind: "cacheable", "idempotent" or "non_idempotent".
-        timeout: Seconds until the request is given up.
-        target: Seconds in which most requests should be answered.
-        priority: The larger, the more important.
-        attempts: The most attempts for a request.
-        cache_life: Time to live of its objects, in seconds; 0 for objects that are not cached.
-        regions: The regions in which its bodies may be fetched and kept; empty for all.
-        splits: Services with their weights.
+        timeout: Seconds after which a request is given up.
+        target: The target response time of most requests, in seconds.
+        priority: The priority of the requests; larger numbers are more important.
+        attempts: The maximum number of attempts for a request.
+        cache_life: The TTL of its objects in seconds; 0 if they are not cached.
+        regions: The regions in which response bodies may be fetched and stored; empty for all regions.
+        splits: The services that get its requests, with their weights.
     """
 
     name: str
@@ -42,17 +42,17 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a request may be sent again after it may have been carried out."""
+        """Whether a request of this route may be sent again after an origin may have executed it."""
         return self.kind != NON_IDEMPOTENT
 
     @property
     def is_cacheable(self) -> bool:
-        """Whether answers to GET requests are kept."""
+        """Whether responses to GET requests of this route are cached."""
         return self.kind == CACHEABLE and self.cache_life > 0
 
     @classmethod
     def from_content(cls, content: dict[str, typing.Any]) -> typing.Self:
-        """Read the content of an item.
+        """Read a route from the content of an item `route/...`.
 
         >>> item = {"name": "a", "prefix": "/a/", "kind": "cacheable", "timeout": 2, "service": "s"}
         >>> Route.from_content(item).splits
@@ -73,15 +73,15 @@
 
 
 class Upstream(typing.NamedTuple):
-    """A service of the operator.
+    """A service that answers requests, and the limits of its origins.
 
     Attributes:
-        name: The service's name.
-        probe: The path of health probes.
-        connections: The connections that each origin accepts.
-        warmup: Seconds that an origin takes to warm up.
-        cold_rate: Requests per second of all nodes to a cold origin.
-        rate: Requests per second of all nodes to the service; None without a limit.
+        name: The name of the service.
+        probe: The path of the health probes of its origins.
+        connections: The number of connections that each origin accepts from all nodes together.
+        warmup: Seconds that a cold origin takes to warm up.
+        cold_rate: The requests per second that a cold origin may get from all nodes together.
+        rate: The requests per second that the service may get from all nodes together; None without a limit.
     """
 
     name: str
@@ -93,7 +93,7 @@
 
     @classmethod
     def from_content(cls, content: dict[str, typing.Any]) -> typing.Self:
-        """Read the content of an item."""
+        """Read a service from the content of an item `upstream/...`."""
         return cls(
             content["name"],
             content.get("probe") or DEFAULT_PROBE_PATH,
@@ -105,7 +105,14 @@
 
 
 class ClientLimits(typing.NamedTuple):
-    """What a client may send, in bytes, and how long it may take, in seconds."""
+    """Limits on the requests of clients.
+
+    Attributes:
+        header_bytes: The maximum size of a request's head, in bytes.
+        body_bytes: The maximum size of a request's body, in bytes.
+        header: Seconds within which a request's head must arrive.
+        idle: Seconds for which a client's connection may be idle.
+    """
 
     header_bytes: int = 16384
     body_bytes: int = 64 * 1024 * 1024
@@ -114,13 +121,13 @@
 
     @classmethod
     def from_item(cls, value: dict[str, typing.Any] | None) -> typing.Self:
-        """Read an item's value; what it does not name keeps its default."""
+        """Read the limits from an item's value; limits that it does not name keep their defaults."""
         content = (value or {}).get("item") or {}
         return cls(**{name: content[name] for name in cls._fields if name in content})
 
 
 def pick_service(route: Route, key: str) -> str:
-    """Return one of the route's services, chosen by weight and by the key alone."""
+    """Return one of the route's services by their weights; the same key always gets the same service."""
     if len(route.splits) == 1:
         return route.splits[0][0]
     return rendezvous.pick(key, [(name, weight) for name, weight in route.splits if weight > 0])
