--- a/src/irisstand/balancing/__init__.py
+++ b/src/irisstand/balancing/__init__.py
@@ -1,1 +1,1 @@
-"""How requests and limits are spread over nodes: hashing, slots, quota shares, slow start, budgets."""
+"""Spreads requests and limits over nodes: hashing, slots, quota shares, slow start, retry budgets."""
--- a/src/irisstand/balancing/fleet_limits.py
+++ b/src/irisstand/balancing/fleet_limits.py
@@ -1,7 +1,8 @@
-"""Connection limits of origins, split over the nodes that reach them; see docs/control/ceilings.md.
+"""Splits the connection limit of an origin over the nodes that connect to it; see docs/control/ceilings.md.
 
-No node counts for all. Connections are split evenly, below the limit, so that member lists that differ by a
-node or two do no harm. Rate limits are split by recorded quota shares instead: see `rate_quota`.
+No node counts the connections of all nodes. Each node computes its own share of somewhat less than the
+limit, so that the sum stays within the limit even if the nodes' member lists differ by a node or two. Rate
+limits are split by recorded quota shares instead: see `rate_quota`.
 """
 
 import math
@@ -9,17 +10,18 @@
 
 from irisstand.balancing import rendezvous
 
-# Of a limit over all nodes: the rest is for member lists that differ and requests that travel unequally long.
+# The fraction of an origin's limit that all nodes together use. The rest allows for member lists that differ
+# and for requests with unequal travel times.
 USABLE_FRACTION = 0.85
-# Of an origin's connections, what object holders have where they fetch most objects.
+# The fraction of an origin's connections that belongs to object holders, where they fetch most objects.
 HOLDER_FRACTION = 0.86
-# With a single connection, it is in use while the next is needed.
+# A node that had a single connection could send no request while another one is in flight.
 MIN_CONNECTIONS = 2
 HOLDER_ROLE = "holder"
 
 
 class Member(typing.NamedTuple):
-    """A node that reaches origins: an edge (role `direct`), or an object holder (role `holder`)."""
+    """A node that connects to origins: an edge (role `direct`) or an object holder (role `holder`)."""
 
     name: str
     role: str
@@ -29,16 +31,17 @@
 def connection_limit(
     own_name: str, members: list[Member], origin: str, limit: int, *, is_fetched_by_holders: bool
 ) -> int:
-    """Return how many connections this node may have to an origin; 0 for none.
+    """Return how many connections this node may open to an origin; 0 if it may open none.
 
-    Where holders fetch a service's objects, most connections belong to them. Where there are too few for all
-    nodes, rendezvous hashing by the origin chooses who has some, so that each node has some to some origins.
+    If object holders fetch a service's objects, most connections belong to them. If there are too few
+    connections for all nodes, rendezvous hashing by the origin's name chooses the nodes that get some, so
+    that each node gets connections to some of the origins.
 
     Args:
-        own_name: This node's name, which is among the members.
-        members: All nodes that reach origins.
-        origin: The origin's instance name.
-        limit: The connections that the origin accepts from all nodes together.
+        own_name: The name of this node, which is one of the members.
+        members: All nodes that connect to origins.
+        origin: The instance name of the origin.
+        limit: The number of connections that the origin accepts from all nodes together.
         is_fetched_by_holders: Whether object holders fetch objects of the origin's service.
 
     >>> listed = [Member(f"e{number}", "direct", "n") for number in range(8)] + [Member("h", "holder", "n")]
@@ -62,7 +65,7 @@
 
 
 def even_share(own_name: str, group: list[str], origin: str, total: int) -> int:
-    """Return this node's part of connections that are split over a group of nodes."""
+    """Return this node's share of the `total` connections that a group of nodes splits evenly."""
     share = total // len(group)
     if share >= MIN_CONNECTIONS:
         return share
--- a/src/irisstand/balancing/popularity.py
+++ b/src/irisstand/balancing/popularity.py
@@ -1,16 +1,16 @@
-"""Finds objects that are requested so often that more than one shield should serve them."""
+"""Finds popular objects: those that more than one shield should serve, because of their request rate."""
 
 import collections
 
 from irisstand import clocks
 
 WINDOW_SECONDS = 2.0
-# Fetches by one edge; eight edges at this rate are more than the planned load of one shield.
+# The rate of fetches of one object by one edge. Eight edges at this rate exceed the planned load of a shield.
 POPULAR_REQUESTS_PER_SECOND = 25.0
 
 
 class PopularityCounter:
-    """Counts fetches by key over the present window and the one before it; older counts are dropped.
+    """Counts fetches by key in the current time window and the previous one; older counts are dropped.
 
     >>> class Stopped:
     ...     def now(self): return 1.0
@@ -26,7 +26,7 @@
         self.previous_counts: collections.Counter[str] = collections.Counter()
 
     def record(self, key: str) -> bool:
-        """Count one fetch, and return whether the key is popular."""
+        """Count one fetch of an object, and return whether its key is popular."""
         elapsed = self.clock.now() - self.window_started_at
         if elapsed >= WINDOW_SECONDS:
             self.start_window(elapsed)
@@ -35,7 +35,7 @@
         return count > POPULAR_REQUESTS_PER_SECOND * WINDOW_SECONDS
 
     def start_window(self, elapsed: float) -> None:
-        """Begin a new window; counts of a window that ended longer ago are dropped."""
+        """Begin a new window; keep the old counts only if that window ended just before the new one."""
         is_adjacent = elapsed < 2 * WINDOW_SECONDS
         self.previous_counts = self.counts if is_adjacent else collections.Counter()
         self.counts = collections.Counter()
--- a/src/irisstand/balancing/quota_shares.py
+++ b/src/irisstand/balancing/quota_shares.py
@@ -1,8 +1,8 @@
-"""Quota shares of each service's limits, recorded for each shield machine; their sum is never over the limit.
+"""Plans the shield machines' quota shares of each service's limits; their sum never exceeds a limit.
 
-A ledger item `share/<machine>` is {service: [rate, in flight, rate limit, concurrency limit]}. It names the
-limits for which it was planned, so that a limit that is lowered later reduces every share at once, before any
-item changes.
+A ledger item `share/<machine>` is {service: [rate, concurrency, rate limit, concurrency limit]}. It records
+the limits for which it was planned: if a limit is lowered later, every machine scales its shares down at
+once, before any item changes.
 """
 
 import collections.abc
@@ -14,7 +14,9 @@
 class ServiceLimit(typing.NamedTuple):
     """The limits of a service, or a share of them.
 
-    `rate` is in requests that start in one second, `concurrency` in requests in flight.
+    Attributes:
+        rate: The requests that may start within one second.
+        concurrency: The requests that may be in flight at the same time.
     """
 
     rate: int
@@ -25,7 +27,7 @@
 
 
 class RecordedShare(typing.NamedTuple):
-    """A share as the ledger has it, and the limits for which it was planned."""
+    """A quota share as the ledger records it, and the limits for which it was planned."""
 
     rate: int
     concurrency: int
@@ -34,14 +36,14 @@
 
 
 class SharePlan(typing.NamedTuple):
-    """The next shares by machine, and the services of which a share was reduced."""
+    """The planned quota shares by machine, and the services of which the plan reduces a share."""
 
     rows: ShareRows
     reduced_services: set[str]
 
 
 def split(total: int, weights: dict[str, float]) -> dict[str, int]:
-    """Return whole numbers in proportion to the weights that add up to the total.
+    """Split a total into whole numbers in proportion to the weights.
 
     >>> split(7, {"a": 1, "b": 1, "c": 0})
     {'a': 4, 'b': 3, 'c': 0}
@@ -58,11 +60,11 @@
 
 
 def effective_limit(entry: list[int] | None, limit: tuple[int, int]) -> ServiceLimit:
-    """Return what a shield may use of its recorded share under the limits in force.
+    """Return the part of its recorded quota share that a shield may use under the limits in force.
 
     Args:
-        entry: The recorded share, None where nothing is recorded.
-        limit: The service's (rate, concurrency) as the configuration has it now.
+        entry: The recorded share; None if none is recorded.
+        limit: The service's (rate, concurrency) in the current configuration.
 
     >>> effective_limit([10, 4, 50, 20], (25, 20))
     ServiceLimit(rate=5, concurrency=4)
@@ -80,7 +82,7 @@
 
 
 def scaled_down(share: int, limit: int, planned_limit: int) -> int:
-    """Return the share, reduced in proportion where the limit is lower than the one it was planned for."""
+    """Return the share, scaled down in proportion if the limit is lower than the one it was planned for."""
     return share if limit >= planned_limit else share * limit // planned_limit
 
 
@@ -90,14 +92,14 @@
     weights: dict[str, float],
     frozen: typing.Container[str],
 ) -> SharePlan:
-    """Plan the next shares: first reduce, later give to others what was taken.
+    """Plan the next quota shares: reduce shares first, and raise other shares only in a later plan.
 
     Args:
         rows: The recorded shares by machine and service.
-        limits: The (rate, concurrency) of each service.
+        limits: The (rate, concurrency) limits of each service.
         weights: The machines that should have shares, with their weights.
-        frozen: Services whose shares were reduced a short while ago. Nothing of them is given to others yet,
-            as the machine that had it may not know of the reduction.
+        frozen: Services of which a share was reduced a short while ago. Their shares are not raised yet, as
+            the machine with the reduced share may not know of the reduction.
 
     >>> start, _ = plan({}, {"s": (10, 4)}, {"a": 1, "b": 1}, ())
     >>> start["a"]["s"], start["b"]["s"]
@@ -133,7 +135,7 @@
 def target_shares(
     limit: tuple[int, int], machines: list[str], weights: dict[str, float]
 ) -> dict[str, ServiceLimit]:
-    """Return the shares that the weights ask for, by machine."""
+    """Return each machine's share of the limits in proportion to its weight."""
     all_weights = {machine: weights.get(machine, 0) for machine in machines}
     rates, concurrencies = (split(total, all_weights) for total in limit)
     return {machine: ServiceLimit(rates[machine], concurrencies[machine]) for machine in machines}
@@ -147,7 +149,7 @@
 def raise_towards(
     current: dict[str, ServiceLimit], targets: dict[str, ServiceLimit], limit: tuple[int, int]
 ) -> dict[str, ServiceLimit]:
-    """Raise shares towards the targets, by no more than what belongs to no machine."""
+    """Raise shares towards the targets, by no more than the part of the limit that no machine has."""
     free_rate = limit[0] - sum(share.rate for share in current.values())
     free_concurrency = limit[1] - sum(share.concurrency for share in current.values())
     next_shares = {}
--- a/src/irisstand/balancing/rate_quota.py
+++ b/src/irisstand/balancing/rate_quota.py
@@ -1,9 +1,9 @@
-"""Quota shares of every service's rate limit, recorded in the ledger item `rate-parts`.
+"""Plans the nodes' quota shares of rate limits, which the ledger item `rate-parts` records.
 
-An owner uses its share, or lends tokens of it to other nodes. Shares are in units, which never add up to
-more than `TOTAL_UNITS`. What is taken from one owner is given to another only after the first has certainly
-stopped: an owner uses its share only while its replica of the ledger was confirmed less than `USABLE_SECONDS`
-ago, and the next owner gets it after `REASSIGNMENT_DELAY_SECONDS`. See docs/control/ceilings.md.
+An owner of a share uses its tokens or leases them to other nodes. Shares are in units, whose sum never
+exceeds `TOTAL_UNITS`. Units of one owner go to another only after the first has certainly stopped using them:
+an owner uses its share only for `USABLE_SECONDS` after its replica of the ledger was last confirmed to be
+current, and the next owner gets the units after `REASSIGNMENT_DELAY_SECONDS`. See docs/control/ceilings.md.
 """
 
 import typing
@@ -12,20 +12,21 @@
 
 ITEM_KEY = "rate-parts"
 TOTAL_UNITS = 1000
-# Longer than any freshness bound: while the core restarts, recorded shares stay in use.
+# Longer than any freshness bound, so that recorded shares stay in use while the control plane restarts.
 USABLE_SECONDS = 6.0
-# `USABLE_SECONDS`, a window of five seconds, so that none counts both owners, and a second for clocks.
+# The sum of `USABLE_SECONDS`, a window of five seconds, so that no window counts requests of both owners, and
+# one second for differences between clocks.
 REASSIGNMENT_DELAY_SECONDS = 12.0
-# Each owner has a short burst; with more owners these bursts would add up.
+# The maximum number of owners. Each may send a short burst, and with more owners the bursts would add up.
 OWNER_LIMIT = 10
-# Units that are taken for new owners at a time.
+# The units that one plan takes from owners in favour of new ones.
 STEP_UNITS = 125
-# A difference from the target that is left alone.
+# Owners may have this many units fewer than their target without a new plan.
 TOLERATED_UNITS = 10
 
 
 class Candidate(typing.NamedTuple):
-    """A node that could own a share; `position` counts the nodes of its site by name."""
+    """A node that could own a share; `position` is its rank by name among the nodes of its site."""
 
     position: int
     site: str
@@ -33,18 +34,20 @@
 
 
 class UnitsPlan(typing.NamedTuple):
-    """The next units by owner, and whether any were taken from an owner."""
+    """The planned units by owner, and whether the plan takes units from any owner."""
 
     units: dict[str, int]
     is_reduced: bool
 
 
 def choose_owners(holders: list[tuple[str, str]], edges: list[tuple[str, str]]) -> dict[str, float]:
-    """Return who should own shares, with weights; each site has the same weight, as clients are beside all.
+    """Return the nodes that should own shares, with weights; the weights of each site add up to one.
+
+    All sites have the same weight, as there are clients near each of them.
 
     Args:
-        holders: Object holders as (name, site).
-        edges: Edges as (name, site); they own shares where there are no holders.
+        holders: The object holders as (name, site).
+        edges: The edges as (name, site); they own shares only if there are no holders.
 
     >>> choose_owners([("h1", "n"), ("h2", "n"), ("h3", "s")], [("e", "n")])
     {'h1': 0.5, 'h2': 0.5, 'h3': 1.0}
@@ -52,7 +55,7 @@
     by_site: dict[str, list[str]] = {}
     for name, site in sorted(holders or edges):
         by_site.setdefault(site, []).append(name)
-    # By position first, so that every site has owners where there are more nodes than may own shares.
+    # Sorted by position first, so that every site has owners even if there are more nodes than the limit.
     candidates = sorted(
         Candidate(position, site, name)
         for site, names in by_site.items()
@@ -64,15 +67,16 @@
 
 
 def plan(units: dict[str, int], weights: dict[str, float], *, is_frozen: bool) -> UnitsPlan:
-    """Plan the next units of each owner.
+    """Plan the next number of units of each owner.
 
-    Owners that are gone lose all units at once. For new owners no more than `STEP_UNITS` are taken at a time,
-    as nobody can use them until they are given.
+    Nodes that should no longer own a share lose all units at once. For new owners, at most `STEP_UNITS` are
+    taken at a time, because no node can use them until a later plan assigns them.
 
     Args:
         units: The recorded units by owner.
-        weights: Who should own shares, by `choose_owners`.
-        is_frozen: Whether units were taken less than `REASSIGNMENT_DELAY_SECONDS` ago; then none are given.
+        weights: The nodes that should own shares, with weights, from `choose_owners`.
+        is_frozen: Whether units were taken from an owner less than `REASSIGNMENT_DELAY_SECONDS` ago; then no
+            owner gets units.
 
     >>> plan({}, {"a": 1, "b": 1}, is_frozen=False)
     UnitsPlan(units={'a': 500, 'b': 500}, is_reduced=False)
@@ -103,7 +107,7 @@
 
 
 def take_units(units: dict[str, int], shortfalls: dict[str, int]) -> dict[str, int]:
-    """Return the units after `STEP_UNITS` were taken from owners that have more than their target."""
+    """Return the units by owner after up to `STEP_UNITS` were taken from owners above their targets."""
     next_units = dict(units)
     left = STEP_UNITS
     for name in sorted(units):
@@ -114,7 +118,7 @@
 
 
 def distribute(units: dict[str, int], shortfalls: dict[str, int], free: int) -> dict[str, int]:
-    """Return the units with the free ones added, to the owners that lack most first."""
+    """Return the units by owner after the free ones went to the owners furthest below their targets."""
     next_units = dict(units)
     for name in sorted(shortfalls, key=lambda name: (-shortfalls[name], name)):
         added = min(free, max(0, shortfalls[name]))
--- a/src/irisstand/balancing/retry_budget.py
+++ b/src/irisstand/balancing/retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: a fraction of the first attempts of the last ten seconds, and a few retries more."""
+"""The retry budget of a node: a fraction of its first attempts in the last ten seconds, plus an allowance."""
 
 from irisstand import clocks
 from irisstand.balancing import sliding_window
@@ -7,14 +7,14 @@
 
 
 class RetryBudget:
-    """Counts first attempts and retries of one node.
+    """Limits the retries of one node in proportion to its first attempts.
 
-    The fractions that edges and shields are given add up to less than the fifth that is allowed in all.
+    The fractions of edges and of shields add up to less than the fifth that is allowed in all.
 
     Args:
-        clock: Moments in seconds.
-        share: Retries for each first attempt in the window.
-        allowance: Retries in the window beside these.
+        clock: Gives the time in seconds.
+        share: The retries that each first attempt in the window allows.
+        allowance: The retries that are allowed in the window in addition.
     """
 
     def __init__(self, clock: clocks.Clock, share: float, allowance: float) -> None:
@@ -24,11 +24,11 @@
         self.retries = sliding_window.SlidingWindow(clock, WINDOW_SECONDS)
 
     def record_first_attempt(self) -> None:
-        """Count a request's first attempt."""
+        """Count the first attempt of a request."""
         self.first_attempts.record()
 
     def take(self) -> bool:
-        """Count one retry if it fits into the budget, and return whether it did."""
+        """Count one retry if the budget allows it, and return whether it does."""
         limit = self.share * self.first_attempts.count() + self.allowance
         if self.retries.count() + 1 > limit:
             return False
--- a/src/irisstand/balancing/service_limits.py
+++ b/src/irisstand/balancing/service_limits.py
@@ -1,31 +1,31 @@
-"""Holds a shield to its quota share of a service's rate limit and concurrency limit."""
+"""Limits a shield to its quota share of a service's rate limit and concurrency limit."""
 
 from irisstand import clocks
 from irisstand.balancing import sliding_window
 
-# Longer than the second in which the origin counts: two requests do not travel equally long.
+# Longer than the second over which an origin counts requests, because their travel times differ.
 WINDOW_SECONDS = 1.05
-# A request that was admitted longer ago without being sent has to be admitted again.
+# A request that was admitted this long ago and is still not sent has to be admitted again.
 ADMISSION_VALID_SECONDS = 0.03
-# An origin may work on for at least this long, however short the deadline of the request.
+# An origin is assumed to work at a request for at least this long, however short its deadline.
 MIN_ORIGIN_WORK_SECONDS = 3.0
 
 
 def origin_work_seconds(deadline: float) -> float:
-    """Return how long an origin may work at a request, also at one that was abandoned.
+    """Return the seconds for which an origin may work at a request, even at an abandoned one.
 
     Args:
-        deadline: The service's deadline, in seconds.
+        deadline: The time that requests to the service may take, in seconds.
     """
     return max(MIN_ORIGIN_WORK_SECONDS, 2 * deadline)
 
 
 class QuotaShareLimiter:
-    """Admits requests of one service at one shield, within the share that the caller hands in.
+    """Admits requests to one service at one shield, within the quota share that the caller passes in.
 
     Args:
-        clock: Moments in seconds.
-        started_at: When this process began; requests of an earlier process may be in flight still.
+        clock: Gives the time in seconds.
+        started_at: The time at which this process started; requests of an earlier one may still be in flight.
     """
 
     def __init__(self, clock: clocks.Clock, started_at: float) -> None:
@@ -33,25 +33,25 @@
         self.started_at = started_at
         self.recent_starts = sliding_window.SlidingWindow(clock, WINDOW_SECONDS)
         self.active = 0
-        # For each abandoned request, the moment from which no origin works at it any more.
+        # For each abandoned request, the time from which certainly no origin works at it any more.
         self.abandoned_work_ends: list[float] = []
 
     def may_have_earlier_requests(self, deadline: float) -> bool:
-        """Tell whether an earlier process of this shield may still fill the share."""
+        """Return whether requests of an earlier process of this shield may still use up the quota share."""
         return self.clock.now() - self.started_at < max(MIN_ORIGIN_WORK_SECONDS, deadline)
 
     def in_flight(self) -> int:
-        """Return the number of requests at which an origin may be working."""
+        """Return the number of requests at which origins may be working, with abandoned ones."""
         now = self.clock.now()
         self.abandoned_work_ends = [until for until in self.abandoned_work_ends if until > now]
         return self.active + len(self.abandoned_work_ends)
 
     def admit(self, rate: int, concurrency: int) -> bool:
-        """Admit one request if the share allows it, and return whether it does.
+        """Admit one request if the quota share allows it, and return whether it does.
 
         Args:
             rate: Requests that may start within `WINDOW_SECONDS`.
-            concurrency: Requests that may be in flight.
+            concurrency: Requests that may be in flight at the same time.
         """
         if self.recent_starts.count() >= rate or self.in_flight() >= concurrency:
             return False
@@ -60,19 +60,19 @@
         return True
 
     def is_admission_valid(self, admitted_at: float) -> bool:
-        """Tell whether a request admitted at that moment may still be sent."""
+        """Return whether a request that was admitted at `admitted_at` may still be sent."""
         return self.clock.now() - admitted_at <= ADMISSION_VALID_SECONDS
 
     def withdraw(self, admitted_at: float) -> None:
-        """Take back the admission of a request that was not sent."""
+        """Undo the admission of a request that was not sent."""
         self.active -= 1
         self.recent_starts.withdraw(admitted_at)
 
     def finish(self, works_until: float = 0.0) -> None:
-        """End a request.
+        """Count an admitted request as ended.
 
         Args:
-            works_until: Of an abandoned request, until when an origin may work at it; 0 for others.
+            works_until: The time until which an origin may work at an abandoned request; 0 for others.
         """
         self.active -= 1
         if works_until:
--- a/src/irisstand/balancing/sliding_window.py
+++ b/src/irisstand/balancing/sliding_window.py
@@ -1,4 +1,4 @@
-"""Counts events of the last seconds, one moment for each event."""
+"""Counts the events within a sliding time window, by the time of each event."""
 
 import collections
 
@@ -6,18 +6,18 @@
 
 
 class SlidingWindow:
-    """The moments of all events that are not older than the window.
+    """Keeps the times of all events that are not older than the window.
 
     Args:
-        clock: Gives the moment of each event.
-        seconds: Length of the window; an event exactly that old counts no more.
+        clock: Gives the time of each event, in seconds.
+        seconds: The length of the window; an event exactly that old is not counted any more.
 
     >>> class Clock:
-    ...     moment = 0.0
-    ...     def now(self): return self.moment
+    ...     time = 0.0
+    ...     def now(self): return self.time
     >>> clock = Clock()
     >>> window = SlidingWindow(clock, 2.0)
-    >>> window.record(); clock.moment = 1.0; window.record(); clock.moment = 2.0
+    >>> window.record(); clock.time = 1.0; window.record(); clock.time = 2.0
     >>> window.count()
     1
     """
@@ -28,7 +28,7 @@
         self.event_times: collections.deque[float] = collections.deque()
 
     def count(self) -> int:
-        """Return the number of events in the window, and forget the older ones."""
+        """Return the number of events in the window, and drop older ones."""
         oldest = self.clock.now() - self.seconds
         event_times = self.event_times
         while event_times and event_times[0] <= oldest:
@@ -36,10 +36,10 @@
         return len(event_times)
 
     def record(self) -> None:
-        """Count one event now."""
+        """Record one event at the current time."""
         self.event_times.append(self.clock.now())
 
     def withdraw(self, event_time: float) -> None:
-        """Take back the event recorded at that moment, if it is still in the window."""
+        """Remove the event that was recorded at `event_time`, if it is still in the window."""
         if event_time in self.event_times:
             self.event_times.remove(event_time)
--- a/src/irisstand/balancing/slot_assignment.py
+++ b/src/irisstand/balancing/slot_assignment.py
@@ -1,6 +1,6 @@
-"""Assigns slots, which are shards of the object space, to shield machines, a few at a time.
+"""Assigns slots, the shards of the key space of objects, to shield machines, a few at a time.
 
-The ledger records the owners in items `slots/<number>` of `SLOTS_PER_ITEM` slots each.
+The ledger records the owners of slots in items `slots/<number>`, with `SLOTS_PER_ITEM` slots each.
 """
 
 import typing
@@ -12,34 +12,33 @@
 
 
 class SlotPlan(typing.NamedTuple):
-    """The next owner of each slot, and how many slots move."""
+    """The planned owner of each slot, and the number of slots that move."""
 
     owners: list[str]
     moved: int
 
 
 def item_key(slot: int) -> str:
-    """Return the key of the ledger item that records the slot's owner."""
+    """Return the key of the ledger item that records the owner of a slot."""
     return f"slots/{slot // SLOTS_PER_ITEM:02d}"
 
 
 def preferred_machine(slot: int, weights: dict[str, float]) -> str:
-    """Return the machine that rendezvous hashing prefers for the slot; empty without candidates."""
+    """Return the machine that rendezvous hashing chooses for a slot; empty without candidates."""
     names = rendezvous.ranked(str(slot), sorted(weights.items()))
     return names[0] if names else ""
 
 
 def plan(owners: list[str], weights: dict[str, float], given_up: set[str], step: int) -> SlotPlan:
-    """Plan the next owners: all slots that lost theirs move, and `step` others at most.
+    """Plan the next owners of slots: all slots without an owner move, and at most `step` others.
 
-    Weighted rendezvous hashing prefers another machine only for slots of a machine that went or came, so that
-    no other slot moves.
+    With weighted rendezvous hashing, a machine that joins or leaves moves only its own slots.
 
     Args:
-        owners: The machine of each slot, empty for none.
+        owners: The machine that owns each slot; an empty string for none.
         weights: The machines that are up, with their weights.
-        given_up: Machines that have been missing for so long that their slots move at once.
-        step: How many slots of machines that are up may move.
+        given_up: Machines that have been down for so long that all their slots move at once.
+        step: The maximum number of slots that may move away from machines that are up.
 
     >>> owners, moved = plan([""] * 256, {"a": 1, "b": 1}, set(), 0)
     >>> moved, sorted(set(owners))
@@ -55,7 +54,7 @@
         if not target or target == owner:
             continue
         is_lost = not owner or owner in given_up
-        # A machine that is missing, but not given up, may be back in a moment: its slots wait.
+        # A machine that is down, but not given up, may soon be back, so its slots do not move yet.
         if not is_lost and (owner not in weights or voluntary >= step):
             continue
         voluntary += not is_lost
--- a/src/irisstand/balancing/token_bucket.py
+++ b/src/irisstand/balancing/token_bucket.py
@@ -1,15 +1,15 @@
-"""A token bucket: tokens come in at a rate, up to a capacity, and each request takes one."""
+"""A token bucket: tokens are added at a rate, up to a capacity, and each request takes one."""
 
 from irisstand import clocks
 
 
 class TokenBucket:
-    """Tokens as a real number; less than zero while requests have taken tokens ahead of time.
+    """Holds a number of tokens, below zero while requests have taken tokens in advance.
 
     Args:
-        clock: Tells how much time passed between two refills.
-        tokens: Tokens at the start.
-        refilled_at: The moment from which tokens come in.
+        clock: Gives the time in seconds.
+        tokens: The number of tokens at the start.
+        refilled_at: The time from which tokens are added.
     """
 
     def __init__(self, clock: clocks.Clock, tokens: float, refilled_at: float) -> None:
@@ -18,11 +18,11 @@
         self.refilled_at = refilled_at
 
     def refill(self, rate: float, capacity: float) -> None:
-        """Add what came in since the last refill.
+        """Add the tokens for the time since the last refill.
 
         Args:
-            rate: Tokens per second since then.
-            capacity: The most tokens that are kept.
+            rate: The tokens that were added per second since then.
+            capacity: The maximum number of tokens that the bucket holds.
         """
         now = self.clock.now()
         self.tokens = min(capacity, self.tokens + rate * (now - self.refilled_at))
