--- a/src/irisstand/dataplane/routing/configuration_view.py
+++ b/src/irisstand/dataplane/routing/configuration_view.py
@@ -97,8 +97,7 @@
         if self.key_lengths_version != configuration.applied:
             key_lengths = {len(item.key) for item in configuration.items_with_prefix(PATH_KEY_PREFIX)}
             self.key_lengths = sorted(key_lengths, reverse=True)
-            # The version of the configuration from which `key_lengths` was read.
-        self.key_lengths_version = configuration.applied
+            self.key_lengths_version = configuration.applied
         key = PATH_KEY_PREFIX + path
         for length in self.key_lengths:
             if length <= len(key) and (value := configuration.value(key[:length])) is not None:
