--- a/tests/dataplane/test_departures_on_sockets.py
+++ b/tests/dataplane/test_departures_on_sockets.py
@@ -1,4 +1,4 @@
-"""Clients that leave, on real sockets: the node learns of it, and the origin's connection is reset."""
+"""Clients that disconnect, on real sockets: the node notices it and resets the origin's connection."""
 
 import asyncio
 import socket
@@ -9,14 +9,14 @@
 
 from irisstand.dataplane.upstream import exchange
 
-# As much as the transport reads at once, and as sanic buffers before it stops reading.
+# The size of one read of the transport, and of the buffer after which sanic stops reading.
 BUFFER_BYTES = 64 * 1024
 LARGE_BODY = b"x" * BUFFER_BYTES
 LIMIT_SECONDS = 10
 
 
 class SilentOrigin:
-    """An origin that reads a whole request, answers nothing, and notes how the connection ended."""
+    """An origin that reads a complete request, sends no response, and records how the connection ended."""
 
     def __init__(self, length):
         self.length = length
@@ -37,34 +37,38 @@
             end = "reset"
         finally:
             writer.close()
-        # A second attempt beside the first would end like it.
+        # A hedged request would end in the same way as the first attempt.
         if not self.end.done():
             self.end.set_result(end)
 
 
 class Node:
-    """A node on real sockets, with one silent origin."""
+    """A node on real sockets whose only origin never responds."""
 
     def __init__(self, length):
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             self.address = probe.getsockname()
         self.origin = SilentOrigin(length)
-        self.stage = departing_clients.ListenerHarness(address=self.address)
+        self.harness = departing_clients.ListenerHarness(address=self.address)
 
     async def open(self):
         origin = await self.origin.open()
-        for endpoint in self.stage.node.direct_node.endpoints.endpoints.values():
+        for endpoint in self.harness.node.direct_node.endpoints.endpoints.values():
 
             async def connect(host, port):
                 return await exchange.connector("x-request-id")(*origin)
 
             endpoint.connect = connect
-        await self.stage.listener.open_when_current()
+        await self.harness.listener.open_when_current()
 
 
-async def leave_while_origin_works(method, body, leave):
-    """Ask by a client that leaves once the origin has read its request; return how the origin's ended."""
+async def leave_while_origin_works(method, body, disconnect):
+    """Send a request and disconnect once the origin has read it.
+
+    Returns:
+        How the origin's connection ended, and the number of clients that were counted as disconnected.
+    """
     node = Node(len(body))
     await node.open()
     _, writer = await asyncio.open_connection(*node.address)
@@ -72,16 +76,16 @@
     async with asyncio.timeout(LIMIT_SECONDS):
         await send_whole(node, writer, head.encode(), body)
         await node.origin.has_read.wait()
-        leave(writer)
+        disconnect(writer)
         end = await node.origin.end
-    return end, node.stage.context.counters.total("clients_left")
+    return end, node.harness.context.counters.total("clients_left")
 
 
 async def send_whole(node, writer, head, body):
-    """Send a request so that its body comes to the listener as one piece."""
+    """Send a request so that its body reaches the listener in one piece."""
     writer.write(head)
-    # Sanic has no event for a connection that was made.
-    while not node.stage.listener.server.connections:  # noqa: ASYNC110 - see above
+    # Sanic has no event for a new connection.
+    while not node.harness.listener.server.connections:  # noqa: ASYNC110 - see above
         await asyncio.sleep(0)
     writer.write(body)
 
@@ -95,7 +99,7 @@
 
 
 @pytest.mark.parametrize("run", [asyncio.run, uvloop.run])
-@pytest.mark.parametrize("leave", [by_close, by_reset])
+@pytest.mark.parametrize("disconnect", [by_close, by_reset])
 @pytest.mark.parametrize(("method", "body"), [("GET", b""), ("POST", LARGE_BODY)])
-def test_origins_connection_is_reset_when_the_client_leaves(run, leave, method, body):
-    assert run(leave_while_origin_works(method, body, leave)) == ("reset", 1)
+def test_origins_connection_is_reset_when_the_client_leaves(run, disconnect, method, body):
+    assert run(leave_while_origin_works(method, body, disconnect)) == ("reset", 1)
--- a/tests/dataplane/test_final_answers.py
+++ b/tests/dataplane/test_final_answers.py
@@ -1,4 +1,4 @@
-"""The final answer comes at once, and says when to come back."""
+"""A request that fails gets its error response soon, with a remedy and the time after which to retry."""
 
 import asyncio
 import json
@@ -9,10 +9,10 @@
 from irisstand import errors, web
 
 
-def kinds(root=errors.IrisError):
-    for kind in root.__subclasses__():
-        yield kind
-        yield from kinds(kind)
+def error_classes(root=errors.IrisError):
+    for error_class in root.__subclasses__():
+        yield error_class
+        yield from error_classes(error_class)
 
 
 ARGUMENTS = {
@@ -24,41 +24,43 @@
 }
 
 
-@pytest.mark.parametrize("kind", sorted(set(kinds()), key=lambda kind: kind.__name__))
-def test_every_error_has_a_code_a_remedy_and_where_it_makes_sense_retry_after(kind):
-    error = kind(*ARGUMENTS.get(kind, ("what happened",)))
+@pytest.mark.parametrize(
+    "error_class", sorted(set(error_classes()), key=lambda error_class: error_class.__name__)
+)
+def test_every_error_has_a_code_a_remedy_and_where_it_makes_sense_retry_after(error_class):
+    error = error_class(*ARGUMENTS.get(error_class, ("what happened",)))
     response = web.error_response(error)
     content = json.loads(response.body)
-    assert content["code"] == kind.code
+    assert content["code"] == error_class.code
     assert len(content["remedy"]) > 10
-    assert response.status == kind.status
+    assert response.status == error_class.status
     assert response.headers["Cache-Control"] == "no-store"
-    # Whoever could come back is told when; whoever must change something first is not told to hurry.
-    assert ("Retry-After" in response.headers) == (kind.status in (502, 503, 504))
+    # Only errors that a retry can solve have a Retry-After header; others need a changed request first.
+    assert ("Retry-After" in response.headers) == (error_class.status in (502, 503, 504))
     if "Retry-After" in response.headers:
         assert 1 <= int(response.headers["Retry-After"]) <= 60
 
 
 async def timed(coroutine):
-    began = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     answer = await coroutine
-    return answer[1], asyncio.get_running_loop().time() - began
+    return answer[1], asyncio.get_running_loop().time() - started_at
 
 
 def test_rejections_come_before_the_deadline():
-    """The deadline is three seconds; what cannot be helped is said at once, or after its queue."""
+    """A request that cannot succeed is rejected at once, or after its wait in a queue: well before 3 s."""
 
-    async def scene(day):
-        def ask(number, method="GET", path="/shortlists/"):
+    async def scenario(day):
+        def timed_ask(number, method="GET", path="/shortlists/"):
             return timed(day.actors.ask("edge-1", method, f"{path}{number}", b"{}"))
 
-        told = [await ask(1, path="/nowhere/"), await ask(2, "DELETE")]
+        outcomes = [await timed_ask(1, path="/nowhere/"), await timed_ask(2, "DELETE")]
         applications = [origin for origin in day.actors.origins if origin.service == "application"]
         for origin in applications:
             origin.up = False
         await asyncio.sleep(2)
-        told.append(await ask(3))
-        told.append(await timed(day.actors.ask("edge-1", "POST", "/applications", b"{}")))
+        outcomes.append(await timed_ask(3))
+        outcomes.append(await timed(day.actors.ask("edge-1", "POST", "/applications", b"{}")))
         for origin in applications:
             origin.up = True
         await asyncio.sleep(3)
@@ -66,46 +68,46 @@
         row = {"kind": "service", "name": "application", "value": value}
         await day.actors.order("agency-1", "change", [row])
         await asyncio.sleep(3)
-        many = await asyncio.gather(*(ask(number) for number in range(100, 140)))
-        told += [answer for answer in many if answer[0]]
+        many = await asyncio.gather(*(timed_ask(number) for number in range(100, 140)))
+        outcomes += [answer for answer in many if answer[0]]
         for node in day.cluster.with_role("shield"):
             node.kill()
-        told.append(await ask(4))
+        outcomes.append(await timed_ask(4))
         for node in day.cluster.with_role("agency"):
             node.kill()
         await asyncio.sleep(2)
-        told.append(await ask(5))
-        codes = {code for code, _ in told}
+        outcomes.append(await timed_ask(5))
+        codes = {code for code, _ in outcomes}
         assert {"unknown-path", "method-rejected", "no-origin", "no-shield", "stale-blueprint"} <= codes
         assert codes & {"over-ceiling", "no-share"}
-        assert max(took for _, took in told) < 0.9, told
+        assert max(duration for _, duration in outcomes) < 0.9, outcomes
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_order_to_a_node_that_has_lost_the_voters_is_rejected_at_once():
-    async def scene(day):
+    async def scenario(day):
         day.cluster.partition_off(["agency-2"])
         await asyncio.sleep(2)
-        began = day.watcher.now()
+        started_at = day.watcher.now()
         with pytest.raises(errors.NoQuorumError):
             await day.actors.order("agency-2", "change", [cluster.site_row()])
-        assert day.watcher.now() - began < 0.1
+        assert day.watcher.now() - started_at < 0.1
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_read_leaves_a_shield_without_power_on_suspicion_and_before_its_deadline():
-    async def scene(day):
-        # First tries, so that there is a budget for second ones.
+    async def scenario(day):
+        # First attempts, so that the retry budget allows a retry.
         for number in range(60):
             await day.actors.ask("edge-1", "GET", f"/vacancies/{number}")
         path = "/vacancies/77"
         edge = day.cluster.nodes["edge-1"].program.role_node
         first = edge.view.shields("content", f"{path}?")[0].identity.name
         day.cluster.nodes[first].kill(reset=False)
-        (code, took) = await timed(day.actors.ask("edge-1", "GET", path))
+        (code, duration) = await timed(day.actors.ask("edge-1", "GET", path))
         assert code == ""
-        assert took < 2.9
+        assert duration < 2.9
 
-    cluster.play(scene)
+    cluster.play(scenario)
--- a/tests/dataplane/test_kept_connections.py
+++ b/tests/dataplane/test_kept_connections.py
@@ -12,7 +12,7 @@
 
     async def answer(request):
         asked.append(request)
-        return await test_listener.quick(request)
+        return await test_listener.echo_body(request)
 
     async def scene(face):
         reader, writer = await face.connect()
@@ -26,7 +26,7 @@
         writer.close()
         return told, len(asked)
 
-    return test_listener.play(scene, answer)
+    return test_listener.run_with_listener(scene, answer)
 
 
 def request_comes(connection):
--- a/tests/dataplane/test_listener.py
+++ b/tests/dataplane/test_listener.py
@@ -1,4 +1,4 @@
-"""The clients' listener on real sockets: bodies that stop, clients that go away or never read."""
+"""The clients' listener on real sockets: incomplete bodies, and clients that disconnect or never read."""
 
 import asyncio
 import itertools
@@ -12,93 +12,93 @@
 from irisstand.dataplane.upstream import exchange
 
 HEAD = b"GET /reads/1 HTTP/1.1\r\nHost: h\r\n\r\n"
-# Far more than the socket buffers of both ends hold.
 NUMBERS = itertools.count(1)
+# The size of a body that is far larger than the socket buffers of both ends.
 LARGE = 64 * 1024 * 1024
 
 
-class Face:
-    """A listener whose data plane answers as `play(request)` says."""
+class ListenerHarness:
+    """A client listener in front of a node whose method `handle` the test provides."""
 
-    def __init__(self, play):
-        # Sanic knows its applications by name for as long as the process lives.
+    def __init__(self, handle):
+        # Sanic registers applications by name until the process ends, so each one needs a new name.
         name = f"edge-{next(NUMBERS)}"
-        stage = direct_edge.DirectNodeHarness(settings=direct_edge.SETTINGS._replace(name=name))
-        self.context, stage.direct_node.handle = stage.context, play
+        node_harness = direct_edge.DirectNodeHarness(settings=direct_edge.SETTINGS._replace(name=name))
+        self.context, node_harness.direct_node.handle = node_harness.context, handle
         self.context.crashed = asyncio.get_running_loop().create_future()
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             self.address = probe.getsockname()
-        self.node = stage.direct_node
-        self.listener = listener.ClientListener(self.context, stage.direct_node, self.address)
+        self.node = node_harness.direct_node
+        self.listener = listener.ClientListener(self.context, node_harness.direct_node, self.address)
 
     async def connect(self):
         return await asyncio.open_connection(*self.address)
 
 
-def play(scene, answer):
-    async def whole():
-        face = Face(answer)
-        await face.listener.open_when_current()
+def run_with_listener(scenario, answer):
+    async def run():
+        harness = ListenerHarness(answer)
+        await harness.listener.open_when_current()
         async with asyncio.timeout(20):
-            return await scene(face)
+            return await scenario(harness)
 
-    return asyncio.run(whole())
+    return asyncio.run(run())
 
 
-async def quick(request):
+async def echo_body(request):
     return exchange.Answer(200, {"x-request-id": "a"}, request.body or b"whole")
 
 
 def test_body_that_stops_half_way_is_refused_after_the_idle_limit():
-    async def scene(face):
-        face.node.table.limits = face.node.table.limits._replace(header=1.0, idle=1.0)
-        face.node.table.refresh = lambda: None
-        face.listener.apply_client_limits()
-        reader, writer = await face.connect()
+    async def scenario(harness):
+        harness.node.table.limits = harness.node.table.limits._replace(header=1.0, idle=1.0)
+        harness.node.table.refresh = lambda: None
+        harness.listener.apply_client_limits()
+        reader, writer = await harness.connect()
         writer.write(b"POST /writes/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nshort")
         try:
             async with asyncio.timeout(4):
-                told = await reader.read()
+                response = await reader.read()
         finally:
             writer.close()
-        return told, face.context.counters.total("requests")
+        return response, harness.context.counters.total("requests")
 
-    told, asked = play(scene, quick)
-    assert b" 408 " in told.split(b"\r\n")[0]
-    assert asked == 0
+    response, handled = run_with_listener(scenario, echo_body)
+    assert b" 408 " in response.split(b"\r\n")[0]
+    assert handled == 0
 
 
 def test_body_that_comes_in_pieces_is_handed_on_complete():
-    async def scene(face):
-        reader, writer = await face.connect()
+    async def scenario(harness):
+        reader, writer = await harness.connect()
         writer.write(b"POST /writes/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nshort")
         await asyncio.sleep(0.05)
         writer.write(b"-long")
-        told = await reader.readuntil(b"short-long")
+        response = await reader.readuntil(b"short-long")
         writer.close()
-        return told
+        return response
 
-    assert b" 200 " in play(scene, quick).split(b"\r\n")[0]
+    assert b" 200 " in run_with_listener(scenario, echo_body).split(b"\r\n")[0]
 
 
 def test_clients_that_do_not_read_leave_no_task_after_shutdown():
-    asked = []
+    handled = []
 
     async def large(request):
-        asked.append(request)
-        # The second is under way at the end, behind a first answer that nobody reads.
-        if len(asked) == 2:
+        handled.append(request)
+        # The second request is in flight at the shutdown, behind a response that the client never reads.
+        if len(handled) == 2:
             await asyncio.sleep(60)
         return exchange.Answer(200, {}, b"x" * LARGE)
 
-    async def scene(face):
-        reader, writer = await face.connect()
+    async def scenario(harness):
+        reader, writer = await harness.connect()
         writer.transport.pause_reading()
         writer.write(HEAD * 3)
         await asyncio.sleep(0.5)
-        await face.listener.stop_listening()
-        await face.context.close()
+        await harness.listener.stop_listening()
+        await harness.context.close()
         left = asyncio.all_tasks() - {asyncio.current_task()}
         for task in left:
             task.cancel()
@@ -106,39 +106,39 @@
         writer.transport.abort()
         return len(pending)
 
-    assert play(scene, large) == 0
+    assert run_with_listener(scenario, large) == 0
 
 
-@pytest.mark.parametrize("moment", [0.0, 0.02, 0.05, 0.06])
-def test_clients_that_disconnect_crash_nothing_and_leave_no_request_counted(moment):
+@pytest.mark.parametrize("delay", [0.0, 0.02, 0.05, 0.06])
+def test_clients_that_disconnect_crash_nothing_and_leave_no_request_counted(delay):
     async def slow(request):
         await asyncio.sleep(0.05)
         return exchange.Answer(200, {}, b"x" * 200000)
 
-    async def scene(face):
-        faults = []
-        asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
+    async def scenario(harness):
+        loop_errors = []
+        asyncio.get_running_loop().set_exception_handler(lambda _, context: loop_errors.append(context))
         for _ in range(20):
-            reader, writer = await face.connect()
+            reader, writer = await harness.connect()
             writer.write(HEAD * 2)
-            await asyncio.sleep(moment)
+            await asyncio.sleep(delay)
             writer.transport.abort()
         await asyncio.sleep(0.3)
-        return faults, face.context.crashed.done(), face.context.in_flight
+        return loop_errors, harness.context.crashed.done(), harness.context.in_flight
 
-    assert play(scene, slow) == ([], False, 0)
+    assert run_with_listener(scenario, slow) == ([], False, 0)
 
 
 def test_cancelled_shared_read_is_answered_with_an_error():
     async def cancelled(request):
         raise asyncio.CancelledError
 
-    async def scene(face):
-        reader, writer = await face.connect()
+    async def scenario(harness):
+        reader, writer = await harness.connect()
         writer.write(HEAD)
-        told = await reader.readuntil(b"\r\n")
+        response = await reader.readuntil(b"\r\n")
         writer.close()
-        return told
+        return response
 
-    status = int(play(scene, cancelled).split()[1])
+    status = int(run_with_listener(scenario, cancelled).split()[1])
     assert status == errors.OutcomeUnknownError.status
--- a/tests/dataplane/test_messages.py
+++ b/tests/dataplane/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages of edges, shields and stores: recorded frames keep their bytes, malformed ones are refused."""
+"""Messages of edges, shields and stores: recorded frames keep their bytes, malformed ones are rejected."""
 
 import json
 import pathlib
@@ -20,7 +20,7 @@
     return message.to_wire(SENT_AT)
 
 
-def deposit_from_wire(body):
+def store_put_from_wire(body):
     return messages.StorePut.from_wire(body, SENT_AT)
 
 
@@ -34,7 +34,7 @@
     "ask write": (messages.WriteRequest.from_wire, to_wire),
     "result write": (messages.WriteResult.from_wire, to_wire),
     "ask look": (messages.StoreLookup.from_wire, to_wire),
-    "ask keep": (deposit_from_wire, read_result_to_wire),
+    "ask keep": (store_put_from_wire, read_result_to_wire),
 }
 RECORDED = [
     pytest.param(label, bytes.fromhex(payload), id=f"{label}-{number}")
@@ -44,7 +44,7 @@
 
 
 def body_of(label):
-    """The decoded body of the first recorded frame, as a list of its fields."""
+    """Return the decoded body of the first recorded frame with this label, as a list of its fields."""
     return list(codec.decode(bytes.fromhex(FRAMES[label][0])).body)
 
 
--- a/tests/dataplane/test_reads.py
+++ b/tests/dataplane/test_reads.py
@@ -1,4 +1,4 @@
-"""Reads under trouble: whole and sealed, fresh, purged in time, budgeted, kept apart."""
+"""Reads under faults: complete responses, freshness, purges, the retry budget, and separate services."""
 
 import asyncio
 import json
@@ -18,63 +18,67 @@
 
 @pytest.mark.parametrize("fault", ["wrong-digest", "no-seal", "short", "wrong-request", "lose-answer"])
 def test_read_fails_when_its_answer_is_incomplete_or_unsealed(fault):
-    async def scene(day):
-        bad, good = origins(day, "content")
-        bad.faults.add(fault)
-        seen = [await read(day, f"/vacancies/{number}") for number in range(30)]
-        assert len(bad.started) > 0
-        targets = [content["target"] for status, _, content in seen if status == 200]
+    async def scenario(day):
+        faulty, healthy = origins(day, "content")
+        faulty.faults.add(fault)
+        responses = [await read(day, f"/vacancies/{number}") for number in range(30)]
+        assert len(faulty.started) > 0
+        targets = [content["target"] for status, _, content in responses if status == 200]
         assert targets
         assert all(target.startswith("/vacancies/") for target in targets)
-        good.faults.add(fault)
+        healthy.faults.add(fault)
         await asyncio.sleep(11)
-        seen = [await read(day, f"/vacancies/x{number}") for number in range(20)]
-        assert {status for status, _, _ in seen} <= {502, 503, 504}
+        responses = [await read(day, f"/vacancies/x{number}") for number in range(20)]
+        assert {status for status, _, _ in responses} <= {502, 503, 504}
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_retries_stay_within_budget_when_every_origin_fails():
-    async def scene(day):
+    async def scenario(day):
         for _ in range(100):
             await read(day, "/shortlists/1")
         for origin in origins(day, "application"):
             origin.faults.add("lose-answer")
         before = [len(origin.started) for origin in origins(day, "application")]
-        first = sum(before)
+        first_attempt_count = sum(before)
         for number in range(100):
             await read(day, f"/shortlists/{number}")
             await asyncio.sleep(0.02)
-        ids = [one for origin in origins(day, "application") for _, one in origin.started]
-        second = len(ids) - len(set(ids))
-        nodes = len(day.cluster.with_role("edge")) + len(day.cluster.with_role("shield"))
-        assert 0 < second <= 0.2 * len(set(ids)) + nodes, (first, second, len(set(ids)))
+        attempt_ids = [one for origin in origins(day, "application") for _, one in origin.started]
+        retry_count = len(attempt_ids) - len(set(attempt_ids))
+        node_count = len(day.cluster.with_role("edge")) + len(day.cluster.with_role("shield"))
+        assert 0 < retry_count <= 0.2 * len(set(attempt_ids)) + node_count, (
+            first_attempt_count,
+            retry_count,
+            len(set(attempt_ids)),
+        )
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_purge_during_a_fetch_is_not_lost():
-    """The fetch began before the purge, so what it brings must not be served two seconds after it."""
+    """An object whose fetch began before a purge must not be served two seconds after the purge."""
 
-    async def scene(day):
+    async def scenario(day):
         for origin in origins(day, "content"):
             origin.delay = 0.9
         path = "/vacancies/7"
-        fetching = asyncio.create_task(read(day, path))
-        # The origin has made up its answer; then the object changes and the purge is confirmed.
+        fetch_task = asyncio.create_task(read(day, path))
+        # The origin has already composed its response; then the object changes and the purge is confirmed.
         await asyncio.sleep(0.1)
         day.actors.records.versions[path] += 1
         await day.actors.order("agency-2", "purge", [("path", path)])
-        assert (await fetching)[0] == 200
+        assert (await fetch_task)[0] == 200
         await asyncio.sleep(2.0)
         for edge in ("edge-1", "edge-2"):
             assert (await read(day, path, edge))[2]["version"] == 1
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_purge_by_tag_reaches_every_cache():
-    async def scene(day):
+    async def scenario(day):
         for number in range(5):
             for edge in ("edge-1", "edge-2"):
                 await read(day, f"/vacancies/{number}", edge)
@@ -86,84 +90,84 @@
             for edge in ("edge-1", "edge-2"):
                 assert (await read(day, f"/vacancies/{number}", edge))[2]["version"] == 1
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_time_to_live_is_counted_once_over_all_hops():
-    """Fetched once, an object may sit at shield, store and edge, but for five seconds in all."""
+    """An object that was fetched once may be cached at shield, store and edge for five seconds in all."""
 
-    async def scene(day):
+    async def scenario(day):
         path = "/vacancies/5"
         assert (await read(day, path, "edge-1"))[2]["version"] == 0
         day.actors.records.versions[path] = 1
         for _ in range(3):
             await asyncio.sleep(1.5)
-            # Each edge would start a life of its own if ages were not added up.
+            # Each edge would start a new TTL if it did not add up the age of the object over all hops.
             assert (await read(day, path, "edge-2"))[2]["version"] == 0
         await asyncio.sleep(0.7)
         for edge in ("edge-1", "edge-2"):
             assert (await read(day, path, edge))[2]["version"] == 1
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_identical_reads_in_flight_share_one_fetch():
-    async def scene(day):
+    async def scenario(day):
         before = day.actors.records.requests, sum(len(o.started) for o in origins(day, "content"))
-        jobs = [read(day, "/vacancies/9", edge) for edge in ("edge-1", "edge-2") * 20]
-        assert {status for status, _, _ in await asyncio.gather(*jobs)} == {200}
+        reads = [read(day, "/vacancies/9", edge) for edge in ("edge-1", "edge-2") * 20]
+        assert {status for status, _, _ in await asyncio.gather(*reads)} == {200}
         assert sum(len(o.started) for o in origins(day, "content")) - before[1] == 1
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_address_that_now_belongs_to_another_service_gets_no_request_of_the_old_one():
-    async def scene(day):
+    async def scenario(day):
         old, other = origins(day, "content")
-        stranger = day.actors.add_origin("payroll", "payroll-1", "north", "one")
-        day.actors.origins.remove(stranger)
-        # Taken over before the platform says a word: same address, another service.
-        day.actors.at[(old.host, old.port)] = stranger
+        other_service_origin = day.actors.add_origin("payroll", "payroll-1", "north", "one")
+        day.actors.origins.remove(other_service_origin)
+        # The address now belongs to another service, before the platform reports the change.
+        day.actors.at[(old.host, old.port)] = other_service_origin
         old.up = False
         for number in range(40):
             await read(day, f"/vacancies/{number}")
             await day.actors.write("edge-2")
-        assert stranger.started == []
-        assert stranger.connections > 0
+        assert other_service_origin.started == []
+        assert other_service_origin.connections > 0
         assert len(other.started) > 20
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_reads_leave_a_failed_shield_at_once():
-    async def scene(day):
+    async def scenario(day):
         for number in range(40):
             assert (await read(day, f"/vacancies/{number}"))[0] == 200
         day.cluster.nodes["shield-2"].kill()
-        # Long before any detector can have noticed.
-        seen = [await read(day, f"/vacancies/a{number}") for number in range(40)]
-        assert {status for status, _, _ in seen} == {200}
+        # These reads come long before a failure detector can have noticed.
+        responses = [await read(day, f"/vacancies/a{number}") for number in range(40)]
+        assert {status for status, _, _ in responses} == {200}
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_answer_to_a_request_with_credentials_is_not_shared():
-    async def scene(day):
+    async def scenario(day):
         before = sum(len(o.started) for o in origins(day, "content"))
         for _ in range(3):
             status, _, _ = await day.actors.ask("edge-1", "GET", "/vacancies/2", b"", authorization="me")
             assert status == 200
         assert sum(len(o.started) for o in origins(day, "content")) - before == 3
 
-    cluster.play(scene)
+    cluster.play(scenario)
 
 
 def test_request_without_a_grant_entry_is_rejected():
-    async def scene(day):
+    async def scenario(day):
         before = sum(day.actors.records.requests.values())
         assert (await day.actors.ask("edge-1", "GET", "/secret"))[:2] == (404, "unknown-path")
         assert (await day.actors.ask("edge-1", "POST", "/vacancies/1"))[:2] == (405, "method-rejected")
         assert (await day.actors.ask("edge-1", "DELETE", "/applications"))[:2] == (405, "method-rejected")
         assert sum(day.actors.records.requests.values()) == before
 
-    cluster.play(scene)
+    cluster.play(scenario)
