--- a/src/irisstand/balancing/slot_assignment.py
+++ b/src/irisstand/balancing/slot_assignment.py
@@ -29,16 +29,16 @@
     return names[0] if names else ""
 
 
-def plan(owners: list[str], weights: dict[str, float], given_up: set[str], step: int) -> SlotPlan:
-    """Plan the next owners of slots: all slots without an owner move, and at most `step` others.
+def plan(owners: list[str], weights: dict[str, float], failed_machines: set[str], max_moves: int) -> SlotPlan:
+    """Plan the next owners of slots: all slots without an owner move, and at most `max_moves` others.
 
     With weighted rendezvous hashing, a machine that joins or leaves moves only its own slots.
 
     Args:
         owners: The machine that owns each slot; an empty string for none.
         weights: The machines that are up, with their weights.
-        given_up: Machines that have been down for so long that all their slots move at once.
-        step: The maximum number of slots that may move away from machines that are up.
+        failed_machines: Machines that have been down for so long that all their slots move at once.
+        max_moves: The maximum number of slots that may move away from machines that are up.
 
     >>> owners, moved = plan([""] * 256, {"a": 1, "b": 1}, set(), 0)
     >>> moved, sorted(set(owners))
@@ -48,16 +48,16 @@
     """
     planned = list(owners)
     moved = 0
-    voluntary = 0
+    voluntary_moves = 0
     for slot, owner in enumerate(owners):
         target = preferred_machine(slot, weights)
         if not target or target == owner:
             continue
-        is_lost = not owner or owner in given_up
-        # A machine that is down, but not given up, may soon be back, so its slots do not move yet.
-        if not is_lost and (owner not in weights or voluntary >= step):
+        is_lost = not owner or owner in failed_machines
+        # A machine that is down, but not in `failed_machines`, may soon be back: its slots do not move yet.
+        if not is_lost and (owner not in weights or voluntary_moves >= max_moves):
             continue
-        voluntary += not is_lost
+        voluntary_moves += not is_lost
         planned[slot] = target
         moved += 1
     return SlotPlan(planned, moved)
--- a/src/irisstand/dataplane/http/listener.py
+++ b/src/irisstand/dataplane/http/listener.py
@@ -23,6 +23,7 @@
 CLOSE_TIMEOUT_SECONDS = 100_000
 # The minimum of the timeouts for a request's head and for an idle connection, whatever operators configure.
 MIN_TIMEOUT_SECONDS = 1.0
+# The time between two checks whether the replicas are current, before the listener opens.
 OPENING_CHECK_SECONDS = 0.02
 BACKLOG = 512
 # An error response of the node itself counts as late after this time: the lack of a rate limit token or of an
@@ -68,7 +69,7 @@
         self.app.error_handler.add(Exception, self.on_error)
         self.add_routes()
         context.close_callbacks.append(self.abort_connections)
-        self.closing = closing_connections.ClosingConnections(
+        self.closing_watcher = closing_connections.ClosingConnections(
             context.clock.now, lambda: self.server.connections, self.idle_seconds
         )
 
@@ -122,7 +123,7 @@
             )
             await self.server.startup()
             await self.server.start_serving()
-            self.context.start_task(self.closing.run(), "closing connections")
+            self.context.start_task(self.closing_watcher.run(), "closing connections")
         except OSError as error:
             raise errors.PortTakenError(str(error)) from None
 
--- a/tests/dataplane/test_final_answers.py
+++ b/tests/dataplane/test_final_answers.py
@@ -48,7 +48,7 @@
 
 
 def test_rejections_come_before_the_deadline():
-    """A request that cannot succeed is rejected at once, or after its wait in a queue: well before 3 s."""
+    """A request that cannot succeed is rejected at once or after a queue, not at its deadline of 3 s."""
 
     async def scenario(day):
         def timed_ask(number, method="GET", path="/shortlists/"):
--- a/tests/dataplane/test_large_configurations.py
+++ b/tests/dataplane/test_large_configurations.py
@@ -101,7 +101,7 @@
             table.match("h", paths[2])
         return max(path.comparisons for path in paths)
 
-    # One comparison for each distinct length of a prefix, or two if the lookup repeats without the host's port.
+    # One comparison for each distinct length of a prefix; two if the lookup repeats without the host's port.
     assert run_scenario(scenario) <= 10
 
 
--- a/tests/dataplane/test_reads.py
+++ b/tests/dataplane/test_reads.py
@@ -45,7 +45,9 @@
         for number in range(100):
             await read(day, f"/shortlists/{number}")
             await asyncio.sleep(0.02)
-        attempt_ids = [one for origin in origins(day, "application") for _, one in origin.started]
+        attempt_ids = [
+            attempt_id for origin in origins(day, "application") for _, attempt_id in origin.started
+        ]
         retry_count = len(attempt_ids) - len(set(attempt_ids))
         node_count = len(day.cluster.with_role("edge")) + len(day.cluster.with_role("shield"))
         assert 0 < retry_count <= 0.2 * len(set(attempt_ids)) + node_count, (
