--- a/src/irisstand/simulator/simulated_actors.py
+++ b/src/irisstand/simulator/simulated_actors.py
@@ -193,7 +193,7 @@
             share = node.program.role_node.origin_client.shares.get(request.service) if node.is_up else None
             if share is not None:
                 rate, in_flight = node.program.role_node.view.quota_share(request.service, request.limit)
-                started = sum(moment > now - 1 for moment in share.started.moments)
+                started = sum(start_time > now - 1 for start_time in share.recent_starts.event_times)
                 if started < rate and share.in_flight() < in_flight:
                     return True
         return False
