--- a/src/irisstand/dataplane/retry/forwarding_policy.py
+++ b/src/irisstand/dataplane/retry/forwarding_policy.py
@@ -53,7 +53,7 @@
     Args:
         clock: Gives the time in seconds.
         allowed: What the configuration says about the request, with its deadline.
-        shields: The shields in the order in which they are asked.
+        shields: The shields in the order in which they get the request.
         deadline: The time at which the request is given up; None for the deadline of `allowed` from now on.
     """
 
--- a/src/irisstand/dataplane/retry/read_policy.py
+++ b/src/irisstand/dataplane/retry/read_policy.py
@@ -19,7 +19,7 @@
     Args:
         clock: Gives the time in seconds.
         allowed: What the configuration says about the request.
-        shields: The shields in the order in which they are asked.
+        shields: The shields in the order in which they get the read.
         budget: Limits the retries of this edge.
         deadline: The time by the clock at which the read is given up.
     """
@@ -93,7 +93,7 @@
         """Respond to the edge, but retry after a server error if time and the retry budget allow it."""
         self.count_first_attempt()
         response = event.response
-        # The edge gets this server error if no other origin can be asked.
+        # The edge gets this server error if no other origin is available.
         if response.status >= SERVER_ERROR_STATUS and self.may_retry(event.endpoint):
             self.error_response = response
             return self.send()
--- a/tests/dataplane/test_large_configurations.py
+++ b/tests/dataplane/test_large_configurations.py
@@ -26,9 +26,9 @@
         self.comparisons += 1
         return super().startswith(*arguments)
 
-    def __getitem__(self, place):
+    def __getitem__(self, index):
         self.comparisons += 1
-        return super().__getitem__(place)
+        return super().__getitem__(index)
 
 
 def route(name, **fields):
@@ -52,7 +52,7 @@
 
 
 def put_many_routes(harness, number=ROUTE_COUNT):
-    names = [f"big-{place:05d}" for place in range(number)]
+    names = [f"big-{index:05d}" for index in range(number)]
     put_batch(harness, [(f"route/{n}", {"version": 1, "item": route(n)}, False) for n in names])
     return names
 
--- a/tests/dataplane/test_listener.py
+++ b/tests/dataplane/test_listener.py
@@ -36,9 +36,9 @@
         return await asyncio.open_connection(*self.address)
 
 
-def run_with_listener(scenario, answer):
+def run_with_listener(scenario, handle):
     async def run():
-        harness = ListenerHarness(answer)
+        harness = ListenerHarness(handle)
         await harness.listener.open_when_current()
         async with asyncio.timeout(20):
             return await scenario(harness)
