--- a/src/irisstand/balancing/sliding_window.py
+++ b/src/irisstand/balancing/sliding_window.py
@@ -1,4 +1,4 @@
-"""Counts events of the last seconds, one moment for each event."""
+"""Counts the events within a sliding time window, by the time of each event."""
 
 import collections
 
@@ -6,18 +6,18 @@
 
 
 class SlidingWindow:
-    """The moments of all events that are not older than the window.
+    """Keeps the times of all events that are not older than the window.
 
     Args:
-        clock: Gives the moment of each event.
-        seconds: Length of the window; an event exactly that old counts no more.
+        clock: Gives the time of each event, in seconds.
+        seconds: The length of the window; an event exactly that old is not counted any more.
 
     >>> class Clock:
-    ...     moment = 0.0
-    ...     def now(self): return self.moment
+    ...     time = 0.0
+    ...     def now(self): return self.time
     >>> clock = Clock()
     >>> window = SlidingWindow(clock, 2.0)
-    >>> window.record(); clock.moment = 1.0; window.record(); clock.moment = 2.0
+    >>> window.record(); clock.time = 1.0; window.record(); clock.time = 2.0
     >>> window.count()
     1
     """
@@ -25,21 +25,21 @@
     def __init__(self, clock: clocks.Clock, seconds: float) -> None:
         self.clock = clock
         self.seconds = seconds
-        self.moments: collections.deque[float] = collections.deque()
+        self.event_times: collections.deque[float] = collections.deque()
 
     def count(self) -> int:
-        """Return the number of events in the window, and forget the older ones."""
+        """Return the number of events in the window, and drop older ones."""
         oldest = self.clock.now() - self.seconds
-        moments = self.moments
-        while moments and moments[0] <= oldest:
-            moments.popleft()
-        return len(moments)
+        event_times = self.event_times
+        while event_times and event_times[0] <= oldest:
+            event_times.popleft()
+        return len(event_times)
 
     def record(self) -> None:
-        """Count one event now."""
-        self.moments.append(self.clock.now())
+        """Record one event at the current time."""
+        self.event_times.append(self.clock.now())
 
-    def withdraw(self, moment: float) -> None:
-        """Take back the event recorded at that moment, if it is still in the window."""
-        if moment in self.moments:
-            self.moments.remove(moment)
+    def withdraw(self, event_time: float) -> None:
+        """Remove the event that was recorded at `event_time`, if it is still in the window."""
+        if event_time in self.event_times:
+            self.event_times.remove(event_time)
--- a/src/irisstand/controlplane/consensus/voter_administration.py
+++ b/src/irisstand/controlplane/consensus/voter_administration.py
@@ -61,8 +61,8 @@
         checked_voters = list({voter.disk_id: voter for voter in [*current_voters, *next_voters]}.values())
         names_up = await self._names_up(checked_voters, table)
         is_majority = 2 * sum(voter.name in names_up for voter in next_voters) > len(next_voters)
-        survives_now = standby_planning.core_survives_any_loss(quorum.placements(current_voters), names_up)
-        is_worse = survives_now and not standby_planning.core_survives_any_loss(
+        survives_now = standby_planning.voters_survive_any_loss(quorum.placements(current_voters), names_up)
+        is_worse = survives_now and not standby_planning.voters_survive_any_loss(
             quorum.placements(next_voters), names_up
         )
         if not is_majority or is_worse or not next_voters:
--- a/src/irisstand/controlplane/singletons/capacity_scaling.py
+++ b/src/irisstand/controlplane/singletons/capacity_scaling.py
@@ -105,7 +105,7 @@
         names = {machine.name for machine in machines}
         current_standby = {name for name in names if self.view.is_on_standby(name)}
         planned_standby, reasons = standby_planning.plan(
-            machines, current_standby, sum(rates.values()), may_rest=may_scale_down
+            machines, current_standby, sum(rates.values()), may_enter_standby=may_scale_down
         )
         added = planned_standby - current_standby
         if added and now - self.changed_at < self.standby_delay_seconds:
--- a/src/irisstand/dataplane/http/closing_connections.py
+++ b/src/irisstand/dataplane/http/closing_connections.py
@@ -1,6 +1,6 @@
-"""Clients' connections that are being closed: each is kept while its client still takes in the answer.
+"""Keeps a closing connection open for as long as its client still reads the response.
 
-Sanic would abort one some seconds after its close, however much of an answer is still on its way.
+Sanic by itself would abort a connection some seconds after its close, even while a response is being sent.
 """
 
 import asyncio
@@ -11,12 +11,12 @@
 
 
 class ClosingConnections:
-    """Watches the write buffers of connections that are being closed.
+    """Watches the write buffers of closing connections, and aborts those whose clients stopped reading.
 
     Args:
-        now: Returns the moment in seconds.
-        connections: Returns sanic's open connections, which have no types.
-        stall_seconds: Returns how long a client may take in nothing.
+        now: Returns the time in seconds.
+        connections: Returns sanic's open connections; sanic declares no types for them.
+        stall_seconds: Returns the seconds for which a client may read nothing.
     """
 
     def __init__(
@@ -28,28 +28,28 @@
         self.now = now
         self.connections = connections
         self.stall_seconds = stall_seconds
-        # By connection: the bytes that were left when its buffer last shrank, and when that was.
+        # For each closing connection, the unsent bytes after its buffer last shrank, and the time of that.
         self.progress: dict[typing.Any, tuple[int, float]] = {}
 
     async def run(self) -> None:
-        """Check the connections again and again, until cancelled."""
+        """Check the closing connections at regular intervals until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             self.check()
 
     def check(self) -> None:
-        """Abort the connections whose clients have taken in nothing for too long."""
+        """Abort the closing connections whose clients have read nothing for too long."""
         now = self.now()
-        earlier, self.progress = self.progress, {}
+        previous, self.progress = self.progress, {}
         for connection in list(self.connections()):
             transport = connection.transport
             if transport is None or not transport.is_closing():
                 continue
-            left = transport.get_write_buffer_size()
-            known_left, since = earlier.get(connection, (left, now))
-            if left < known_left:
-                known_left, since = left, now
-            if now - since > self.stall_seconds():
+            unsent = transport.get_write_buffer_size()
+            known_unsent, shrunk_at = previous.get(connection, (unsent, now))
+            if unsent < known_unsent:
+                known_unsent, shrunk_at = unsent, now
+            if now - shrunk_at > self.stall_seconds():
                 transport.abort()
             else:
-                self.progress[connection] = (known_left, since)
+                self.progress[connection] = (known_unsent, shrunk_at)
--- a/src/irisstand/dataplane/retry/holder_policy.py
+++ b/src/irisstand/dataplane/retry/holder_policy.py
@@ -1,7 +1,8 @@
-"""Policy of a read that an object holder was asked for: how long it is waited for, and what follows then.
+"""Policy of a read that was sent to an object holder: how long to wait for it, and what to do after that.
 
-The holder works with the request's own deadline. It says soon if it can send nothing; so one that is alive
-and has not answered has an origin at work on the request, which no shorter time-out may break off.
+The holder works under the deadline of the request, and replies soon if it cannot send the request to an
+origin. So if a holder is alive and has not replied, an origin is working on the request, and no timeout
+shorter than the deadline may end that work.
 """
 
 import typing
@@ -9,19 +10,20 @@
 from irisstand import clocks, errors
 from irisstand.dataplane.retry import actions, events, policy
 
-# Of the time that a request has left, what passes before the holder is looked at.
-PATIENCE_FRACTION = 0.4
-LONGEST_PATIENCE_SECONDS = 0.6
-# How often it is looked at after that.
+# The fraction of the time until a request's deadline that passes before the holder is first checked.
+FIRST_WAIT_FRACTION = 0.4
+MAX_FIRST_WAIT_SECONDS = 0.6
+# The time between two later checks whether the holder is alive.
 CHECK_INTERVAL_SECONDS = 0.5
+# The HTTP status of errors after which no origin has executed the request.
 NOT_RUN_STATUS = 503
 
 ResponseT = typing.TypeVar("ResponseT")
-HolderAction = actions.FetchOwn | actions.Wait
+HolderAction = actions.FetchFromOrigin | actions.Wait
 Action = HolderAction | actions.Respond[ResponseT] | actions.Reject
 Event = (
     events.Started
-    | events.OwnFetchStarted
+    | events.OriginFetchStarted
     | events.ResponseReceived[ResponseT]
     | events.HolderFailed
     | events.HolderOverdue
@@ -30,30 +32,31 @@
 
 
 class HolderReadPolicy(policy.DeadlinePolicy, typing.Generic[ResponseT]):
-    """Waits for a holder that is alive until the deadline; fetches beside one that is silent.
+    """Waits until the deadline for a holder that is alive, and fetches from an origin if it is silent.
 
-    A refusal of this node's own fetch is given to the client only once the holder has ended the read, too.
+    If this node's fetch is refused, the client gets that error only after the holder has ended the read, too.
 
     Args:
-        clock: Moments in seconds.
+        clock: Gives the time in seconds.
         remaining: Seconds until the deadline of the request.
-        is_refusal_final: Whether this node does not fetch by itself after the holder got no token.
+        is_refusal_final: Whether a request for which the holder got no rate limit token is rejected, instead
+            of being fetched from an origin by this node.
     """
 
     def __init__(self, clock: clocks.Clock, remaining: float, *, is_refusal_final: bool) -> None:
         super().__init__(clock, clock.now() + remaining)
         self.is_refusal_final = is_refusal_final
-        self.patience = min(LONGEST_PATIENCE_SECONDS, PATIENCE_FRACTION * remaining)
+        self.first_wait_seconds = min(MAX_FIRST_WAIT_SECONDS, FIRST_WAIT_FRACTION * remaining)
         self.is_holder_asked = True
         self.is_fetching = False
-        self.own_error: errors.IrisError | None = None
+        self.origin_fetch_error: errors.IrisError | None = None
 
     def decide(self, event: Event[ResponseT]) -> Action[ResponseT]:
-        """Take note of `event` and return what to do next."""
+        """Update the state of the request by `event` and return the next action."""
         match event:
             case events.Started():
-                return actions.Wait(self.patience)
-            case events.OwnFetchStarted():
+                return actions.Wait(self.first_wait_seconds)
+            case events.OriginFetchStarted():
                 self.is_fetching = True
                 return self.wait()
             case events.ResponseReceived():
@@ -63,36 +66,36 @@
             case events.HolderOverdue():
                 return self.on_holder_overdue(event)
             case events.AttemptFailed():
-                return self.on_own_fetch_failed(event.error)
+                return self.on_origin_fetch_failed(event.error)
 
     def wait(self) -> Action[ResponseT]:
-        """Wait for whatever is in flight; the holder is looked at now and then."""
+        """Wait for the calls in flight until the next check of the holder or the deadline."""
         if self.remaining() <= 0:
             return policy.deadline_rejection("an origin")
         return actions.Wait(min(self.remaining(), CHECK_INTERVAL_SECONDS))
 
     def on_holder_failed(self, error: errors.IrisError) -> Action[ResponseT]:
-        """Fetch by itself, unless that is under way or the holder's refusal holds for this node, too."""
+        """Fetch from an origin, unless a fetch is in flight, has failed, or the holder's refusal is final."""
         self.is_holder_asked = False
         if self.is_fetching:
             return self.wait()
-        if self.own_error is not None:
-            return actions.Reject(self.own_error)
+        if self.origin_fetch_error is not None:
+            return actions.Reject(self.origin_fetch_error)
         if self.is_refusal_final and isinstance(error, errors.LimitExceededError):
             return actions.Reject(error)
-        return actions.FetchOwn()
+        return actions.FetchFromOrigin()
 
     def on_holder_overdue(self, event: events.HolderOverdue) -> Action[ResponseT]:
-        """Go on waiting for a holder that is alive, and fetch beside one that is silent or declared failed.
+        """Wait on for a holder that is alive; fetch from an origin if it is silent or declared failed.
 
-        The call to it stays open also then: the failure detector may be wrong about a busy machine.
+        The call to the holder stays open in any case: the failure detector may be wrong about a busy machine.
         """
-        has_run = self.own_error is not None and self.own_error.status != NOT_RUN_STATUS
+        has_run = self.origin_fetch_error is not None and self.origin_fetch_error.status != NOT_RUN_STATUS
         is_alive = not event.is_silent and not event.is_failed
-        return self.wait() if self.is_fetching or has_run or is_alive else actions.FetchOwn()
+        return self.wait() if self.is_fetching or has_run or is_alive else actions.FetchFromOrigin()
 
-    def on_own_fetch_failed(self, error: errors.IrisError) -> Action[ResponseT]:
-        """Wait for the holder, which may have an origin at work, or give up."""
+    def on_origin_fetch_failed(self, error: errors.IrisError) -> Action[ResponseT]:
+        """Reject the request, unless the holder has not replied: its origin may still send a response."""
         self.is_fetching = False
-        self.own_error = error
+        self.origin_fetch_error = error
         return self.wait() if self.is_holder_asked else actions.Reject(error)
--- a/src/irisstand/dataplane/upstream/attempts.py
+++ b/src/irisstand/dataplane/upstream/attempts.py
@@ -109,9 +109,16 @@
         """Send the request over a connection and return the response, whatever its status."""
         request, names = attempt.request, self.header_names
         remaining_ms = max(1, int(attempt.retry_policy.remaining() * 1000))
-        left_out = (names.remaining, names.expected, names.request_id if attempt.is_anonymous else "")
+        left_out = (
+            names.remaining,
+            names.expected_instance,
+            names.request_id if attempt.is_anonymous else "",
+        )
         headers = [("host", request.host), *((n, v) for n, v in attempt.headers if n not in left_out)]
-        headers += [(names.remaining, str(remaining_ms)), (names.expected, attempt.endpoint.instance)]
+        headers += [
+            (names.remaining, str(remaining_ms)),
+            (names.expected_instance, attempt.endpoint.instance),
+        ]
         # The retry policy enforces the request's deadline; this timeout bounds an attempt that outlasts it.
         async with asyncio.timeout(self.timeout_seconds(attempt)):
             return await connection.send(request.method, request.target, headers, request.body, request_id)
@@ -147,7 +154,7 @@
         if request_id and answer.headers.get(names.request_id) != request_id:
             unnamed = errors.ResponseIntegrityError("the origin's response does not bear the request's id")
             return events.AttemptFailed(unnamed, instance)
-        if answer.status < FIRST_REDIRECT_STATUS and names.seal not in answer.headers:
+        if answer.status < FIRST_REDIRECT_STATUS and names.digest not in answer.headers:
             unsealed = errors.ResponseIntegrityError(
                 "the origin's response lacks the seal header that confirms it"
             )
--- a/src/irisstand/dataplane/upstream/origin_client.py
+++ b/src/irisstand/dataplane/upstream/origin_client.py
@@ -7,7 +7,7 @@
 from irisstand.balancing import service_limits
 from irisstand.dataplane.cache import objects
 from irisstand.dataplane.retry import events, forwarding_policy
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.dataplane.upstream import attempt_tasks, connections, origin_connections, origin_pool
 
 # How long a request waits at one shield for the service's limits. Even three such waits are well below the
@@ -56,16 +56,16 @@
     """
 
     share: service_limits.QuotaShareLimiter
-    entered_at: float
+    admitted_at: float
 
 
 class Attempt:
     """An attempt at an origin, with the slot and the connection that it holds until it ends."""
 
-    def __init__(self, allowed: snapshot.AllowedRequest) -> None:
+    def __init__(self, allowed: configuration_view.AllowedRequest) -> None:
         self.allowed = allowed
         self.slot: Slot | None = None
-        self.entered_at = 0.0
+        self.admitted_at = 0.0
         self.connection: connections.UpstreamConnection | None = None
         # The time until which the origin may process a request that was abandoned; 0 if it was not.
         self.works_until = 0.0
@@ -83,12 +83,12 @@
     def hold(self, slot: Slot) -> None:
         """Store the slot that the attempt holds."""
         self.slot = slot
-        self.entered_at = slot.entered_at
+        self.admitted_at = slot.admitted_at
 
     async def release(self, origin: origin_connections.OriginConnections) -> None:
         """Release the slot and return the connection to the origin's connections."""
         if self.slot is not None:
-            self.slot.share.leave(self.works_until)
+            self.slot.share.finish(self.works_until)
         if self.connection is not None:
             await origin.release(self.connection)
 
@@ -99,7 +99,7 @@
     def __init__(
         self,
         context: node_context.NodeContext,
-        view: snapshot.ConfigurationSnapshot,
+        view: configuration_view.ConfigurationView,
         origins: origin_pool.OriginPool,
     ) -> None:
         self.context = context
@@ -111,7 +111,7 @@
 
     async def attempt(
         self,
-        allowed: snapshot.AllowedRequest,
+        allowed: configuration_view.AllowedRequest,
         request: OriginRequest,
         retry_policy: forwarding_policy.ToOriginPolicy,
     ) -> Event:
@@ -141,7 +141,7 @@
             # The request is abandoned but the origin may still process it, so it counts as in flight for as
             # long as that may take.
             if attempt.may_have_sent:
-                attempt.works_until = attempt.entered_at + service_limits.origin_work_seconds(
+                attempt.works_until = attempt.admitted_at + service_limits.origin_work_seconds(
                     allowed.deadline
                 )
             if isinstance(error, asyncio.CancelledError):
@@ -185,8 +185,10 @@
 
     async def renew_slot(self, attempt: Attempt, retry_policy: forwarding_policy.ToOriginPolicy) -> None:
         """Replace the attempt's slot if it is old, since the rate limit counts the time of sending."""
-        while attempt.slot is not None and not attempt.slot.share.is_fresh(attempt.slot.entered_at):
-            attempt.slot.share.withdraw(attempt.slot.entered_at)
+        while attempt.slot is not None and not attempt.slot.share.is_admission_valid(
+            attempt.slot.admitted_at
+        ):
+            attempt.slot.share.withdraw(attempt.slot.admitted_at)
             attempt.slot = None
             attempt.hold(await self.acquire_slot(attempt.allowed, retry_policy))
 
@@ -199,7 +201,7 @@
         iris_error = forwarding_policy.as_iris_error(error)
         return events.AttemptFailed(iris_error, origin.instance, may_have_run, may_have_run)
 
-    def check_authorization(self, allowed: snapshot.AllowedRequest, request: OriginRequest) -> None:
+    def check_authorization(self, allowed: configuration_view.AllowedRequest, request: OriginRequest) -> None:
         """Check that the configuration still sends the request to the same service.
 
         Raises:
@@ -210,7 +212,7 @@
             raise errors.StaleConfigurationError("the configuration changed while the request waited")
 
     async def acquire_slot(
-        self, allowed: snapshot.AllowedRequest, retry_policy: forwarding_policy.ToOriginPolicy
+        self, allowed: configuration_view.AllowedRequest, retry_policy: forwarding_policy.ToOriginPolicy
     ) -> Slot:
         """Admit a request by this shield's quota share of the service's limits, after a short wait at most.
 
@@ -227,9 +229,9 @@
         wait_until = self.context.clock.now() + min(
             QUEUE_TIMEOUT_SECONDS, retry_policy.remaining() / QUEUE_REMAINING_DIVISOR
         )
-        if not rate or not in_flight or share.is_opening(allowed.deadline):
+        if not rate or not in_flight or share.may_have_earlier_requests(allowed.deadline):
             raise errors.NoQuotaShareError(f"this shield has no quota share of service {allowed.service}")
-        while not share.enter(rate, in_flight):
+        while not share.admit(rate, in_flight):
             if self.context.clock.now() >= wait_until:
                 raise errors.LimitExceededError(
                     f"service {allowed.service} is at its rate or concurrency limit"
--- a/tests/controlplane/test_capacity_scaling.py
+++ b/tests/controlplane/test_capacity_scaling.py
@@ -150,13 +150,15 @@
         ]
         standby_now = {m.name for m in machines if randomness.random() < 0.5}
         load = randomness.uniform(0, 40)
-        may_rest = randomness.random() < 0.9
-        planned_standby, reasons = standby_planning.plan(machines, standby_now, load, may_rest=may_rest)
+        may_enter_standby = randomness.random() < 0.9
+        planned_standby, reasons = standby_planning.plan(
+            machines, standby_now, load, may_enter_standby=may_enter_standby
+        )
         assert set(reasons) == {m.name for m in machines}
         assert not any(m.name in planned_standby and m.pinned for m in machines)
         assert len(planned_standby - standby_now) <= 1
         if planned_standby:
-            assert may_rest
+            assert may_enter_standby
             active = [m for m in machines if m.name not in planned_standby]
             losses = [[m for m in active if m is not lost] for lost in active]
             losses += [[m for m in active if m.site != site] for site in {m.site for m in active}]
--- a/tests/dataplane/test_kept_connections.py
+++ b/tests/dataplane/test_kept_connections.py
@@ -15,7 +15,7 @@
 
     async def answer(request):
         asked.append(request)
-        return await test_listener.quick(request)
+        return await test_listener.echo_body(request)
 
     async def scene(edge):
         reader, writer = await edge.connect()
@@ -29,7 +29,7 @@
         writer.close()
         return received, len(asked)
 
-    return test_listener.play(scene, answer)
+    return test_listener.run_with_listener(scene, answer)
 
 
 def request_comes(connection):
