--- a/tools/behaviour_digest.py
+++ b/tools/behaviour_digest.py
@@ -100,7 +100,7 @@
     recorder = Recorder()
     install_recorder(recorder)
     played = simulated_day.simulate(seed, seconds, kind)
-    violations = sum(played.checker.violations.values())
+    violations = sum(played.checker.broken.values())
     for channel, count in sorted(recorder.counts.items()):
         if channel == UNSTABLE_LABEL:
             continue
