--- a/src/irisstand/soak/clients.py
+++ b/src/irisstand/soak/clients.py
@@ -127,15 +127,15 @@
         loop = asyncio.get_running_loop()
         kind = self.randomness.choice(REQUEST_KINDS)
         path = f"/{kind}/{self.randomness.randrange(OBJECT_COUNT) if kind == 'objects' else self.sent}"
-        remaining = self.randomness.choice(self.plan.deadlines)
+        remaining_seconds = self.randomness.choice(self.plan.deadlines)
         request_id = f"r{self.plan.seed}-{self.number}-{self.sent}"
-        deadline_at = loop.time() + remaining
+        deadline_at = loop.time() + remaining_seconds
         request = records.ClientRequest(
             request_id, connection.edge, connection.start_number, kind, path, loop.time(), deadline_at
         )
         try:
             async with asyncio.timeout_at(deadline_at):
-                await self.write_request(connection, request, remaining)
+                await self.write_request(connection, request, remaining_seconds)
                 request.sent_at = loop.time()
                 answer = await self.read_response(connection.reader)
             self.record_response(request, answer)
@@ -150,18 +150,18 @@
         self.records.requests.append(request)
 
     async def write_request(
-        self, connection: Connection, request: records.ClientRequest, remaining: float
+        self, connection: Connection, request: records.ClientRequest, remaining_seconds: float
     ) -> None:
         """Write a request to the connection; some requests with a body pause before the body."""
         body = b"claim" if request.kind == "writes" else b""
         head = (
             f"{'POST' if body else 'GET'} {request.path} HTTP/1.1\r\nHost: {HOST}\r\n"
-            f"X-Request-Id: {request.request_id}\r\nX-Remaining-Ms: {int(remaining * 1000)}\r\n"
+            f"X-Request-Id: {request.request_id}\r\nX-Remaining-Ms: {int(remaining_seconds * 1000)}\r\n"
             f"{f'Content-Length: {len(body)}' if body else 'Accept: */*'}\r\n\r\n"
         )
         connection.writer.write(head.encode())
         if body and self.randomness.random() < SLOW_UPLOAD_SHARE:
-            await asyncio.sleep(self.randomness.uniform(0, min(MAX_UPLOAD_SECONDS, 0.6 * remaining)))
+            await asyncio.sleep(self.randomness.uniform(0, min(MAX_UPLOAD_SECONDS, 0.6 * remaining_seconds)))
         connection.writer.write(body)
         await connection.writer.drain()
 
@@ -177,7 +177,7 @@
             if not line.endswith(b"\n"):
                 raise asyncio.IncompleteReadError(line, None)
             head += line
-        start, *lines = head.decode("latin-1").strip().split("\r\n")
+        status_line, *lines = head.decode("latin-1").strip().split("\r\n")
         headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
         body = b""
         length = int(headers.get("content-length", "0"))
@@ -190,7 +190,7 @@
                 raise asyncio.IncompleteReadError(body, length)
             body += piece
             await asyncio.sleep(SLOW_READ_PAUSE_SECONDS)
-        return Answer(int(start.split(" ")[1]), headers, body)
+        return Answer(int(status_line.split(" ")[1]), headers, body)
 
     @staticmethod
     def record_response(request: records.ClientRequest, answer: Answer) -> None:
--- a/src/irisstand/soak/schedule.py
+++ b/src/irisstand/soak/schedule.py
@@ -12,12 +12,12 @@
 from irisstand.soak import clients, fleet, shape
 
 HTTP_OK = 200
-# How long a configuration is retried. The first one waits until the control plane has started.
+# How long an order with a configuration is retried; the first one waits until the control plane has started.
 LATER_ORDER_SECONDS = 5.0
 FIRST_ORDER_SECONDS = 40.0
 READY_TIMEOUT_SECONDS = 40.0
 POLL_SECONDS = 0.1
-# Most edges that are stopped in one series.
+# Largest number of edges that are stopped in one series.
 MAX_SERIES_STOPS = 4
 # Times between two stops of a series, one of which is drawn.
 SERIES_GAPS_SECONDS = (0.05, 0.3, 1.0)
@@ -56,11 +56,11 @@
             steps.append(Step(at_seconds, Action.STOP_EDGE))
             at_seconds += randomness.choice(SERIES_GAPS_SECONDS)
             stops_left -= 1
-    others = (
+    other_actions = (
         [Action.SEND_SIGHUP] * 4 + [Action.CHANGE_CONFIGURATION] * 4 + [Action.SIGNAL_STOPPING_PROCESS] * 2
     )
-    others += [Action.STOP_HOLDER, Action.STOP_CONTROL] if plan.holders else [Action.STOP_CONTROL]
-    for action in others:
+    other_actions += [Action.STOP_HOLDER, Action.STOP_CONTROL] if plan.holders else [Action.STOP_CONTROL]
+    for action in other_actions:
         for _ in range(max(1, round(plan.seconds / 30))):
             steps.append(Step(randomness.uniform(1.0, plan.seconds), action))
     return sorted(steps)
--- a/src/irisstand/soak/slow_origin.py
+++ b/src/irisstand/soak/slow_origin.py
@@ -25,8 +25,8 @@
 
 def parse_head(head: bytes) -> ReceivedRequest:
     """Parse the head of a request; the empty line that ends the head must be cut off."""
-    start, *lines = head.decode("latin-1").split("\r\n")
-    method, target, _ = start.split(" ")
+    request_line, *lines = head.decode("latin-1").split("\r\n")
+    method, target, _ = request_line.split(" ")
     pairs = (line.partition(":") for line in lines)
     return ReceivedRequest(method, target, {name.lower(): value.strip() for name, _, value in pairs})
 
@@ -115,17 +115,17 @@
             while True:
                 request = parse_head((await reader.readuntil(HEAD_END))[: -len(HEAD_END)])
                 await reader.readexactly(int(request.headers.get("content-length", "0")))
-                answer = await self.answer(reader, request)
-                if answer is None:
+                response = await self.respond(reader, request)
+                if response is None:
                     return
-                writer.write(answer)
+                writer.write(response)
                 await writer.drain()
         except (OSError, asyncio.IncompleteReadError, ValueError):
             pass
         finally:
             writer.close()
 
-    async def answer(self, reader: asyncio.StreamReader, request: ReceivedRequest) -> bytes | None:
+    async def respond(self, reader: asyncio.StreamReader, request: ReceivedRequest) -> bytes | None:
         """Execute a request and return its response; None if the caller disconnected in the meantime."""
         instance_header = {"x-instance": self.instance}
         if request.target == "/health":
@@ -150,8 +150,8 @@
     async def work(self, request: ReceivedRequest, request_id: str) -> int:
         """Wait for a slot, work on a request and return the status of the response."""
         loop = asyncio.get_running_loop()
-        remaining = int(request.headers.get("x-remaining-ms", "60000")) / 1000
-        deadline = loop.time() + remaining
+        seconds_to_deadline = int(request.headers.get("x-remaining-ms", "60000")) / 1000
+        deadline = loop.time() + seconds_to_deadline
         self.accepted_requests += 1
         try:
             async with self.slots:
--- a/tests/mutation/run_mutations.py
+++ b/tests/mutation/run_mutations.py
@@ -38,7 +38,7 @@
 
 def run_mutation(mutation: tuple) -> tuple[tuple, str]:
     """Run the test of one mutation, and return the mutation and "detected" if it failed or timed out."""
-    file, line, replacement, test = mutation
+    file, original, replacement, test = mutation
     with tempfile.TemporaryDirectory(prefix="mutation-") as tree:
         for part in ("src", "tests", "pyproject.toml"):
             source = ROOT / part
@@ -46,9 +46,9 @@
             copy(source, pathlib.Path(tree) / part)
         path = pathlib.Path(tree) / "src" / "irisstand" / file
         text = path.read_text()
-        if text.count(line) != 1:
-            return mutation, f"the text occurs {text.count(line)} times"
-        path.write_text(text.replace(line, replacement))
+        if text.count(original) != 1:
+            return mutation, f"the text occurs {text.count(original)} times"
+        path.write_text(text.replace(original, replacement))
         command = [sys.executable, "-m", "pytest", "-x", "-p", "no:cacheprovider", "tests/" + test]
         environment = {"PYTHONPATH": f"{tree}/src", "PATH": "/usr/bin:/bin"}
         try:
@@ -72,13 +72,13 @@
         for mutation in MUTATIONS
         if not words or any(word in mutation[0] + mutation[1] for word in words)
     ]
-    missed = 0
+    undetected = 0
     with concurrent.futures.ThreadPoolExecutor(workers) as pool:
-        for (file, line, _, test), outcome in pool.map(run_mutation, selected):
-            missed += outcome != "detected"
-            click.echo(f"{outcome:<10} {file}: {line.strip().splitlines()[0][:70]} ({test[:60]})")
-    click.echo(f"{len(selected) - missed} of {len(selected)} mutations are detected by their tests")
-    sys.exit(1 if missed else 0)
+        for (file, original, _, test), outcome in pool.map(run_mutation, selected):
+            undetected += outcome != "detected"
+            click.echo(f"{outcome:<10} {file}: {original.strip().splitlines()[0][:70]} ({test[:60]})")
+    click.echo(f"{len(selected) - undetected} of {len(selected)} mutations are detected by their tests")
+    sys.exit(1 if undetected else 0)
 
 
 if __name__ == "__main__":
--- a/tools/behaviour_digest.py
+++ b/tools/behaviour_digest.py
@@ -19,7 +19,7 @@
 
 from irisstand.simulator import day_kinds, memory_disk, memory_network, simulated_day
 
-# Most samples that are kept of each kind of message, and the size of the largest one.
+# Largest number of samples that are kept of each kind of message, and largest size of a sample.
 SAMPLES_PER_LABEL = 4
 SAMPLE_BYTES_LIMIT = 4096
 SUM_MODULUS = 2**64
--- a/tools/fault_themes.py
+++ b/tools/fault_themes.py
@@ -67,6 +67,7 @@
     return Fault(kind, fields, is_planned)
 
 
+# Changes of the configuration and other planned work, one or two of which are added to each day.
 CONFIGURATION_CHANGES = [
     drawn_fault("config_change", "route", "weights", "timeout", is_planned=True),
     drawn_fault("config_storm", is_planned=True, for_s=(2, 5), gap_s=(0.1, 0.4)),
@@ -85,6 +86,7 @@
         drawn_fault("srv_slow", share=(0.3, 0.5), x=(5, 8), for_s=(18, 24)),
     ]
 }
+# Kinds of faults and planned work of each theme, two to four of which are drawn for a day.
 THEMES: dict[str, list[Fault]] = {
     "departures": [
         drawn_fault("srv_slow", "", "across", share=(0.2, 0.5), x=(3, 8), for_s=(5, 15)),
