--- a/src/irisstand/soak/fleet.py
+++ b/src/irisstand/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a soak run: their settings, starts, signals and ends; it ends only what it started."""
+"""Processes of a soak run: writes their settings, starts, signals and stops them, and no other processes."""
 
 import asyncio
 import json
@@ -11,22 +11,27 @@
 
 from irisstand.soak import records, shape
 
+# Ports of every process at its own address: for other nodes, for HTTP of operators and probes, and for the
+# clients of edges.
 PORT = 7002
 HTTP_PORT = 7003
 FRONT_PORT = 7004
-RESTART_SECONDS = 0.3
-INTERPRETER_SECONDS = 0.3
+# Pause between the exit of a process and its next start.
+RESTART_DELAY_SECONDS = 0.3
+# Age below which a process may still be starting its Python interpreter and receives no SIGHUP.
+INTERPRETER_START_SECONDS = 0.3
 MEMORY_CHECK_SECONDS = 0.5
 BYTES_PER_MB = 1e6
-PROGRAMS = {
+# Module that is run for a process of each role.
+PROGRAM_MODULES = {
     "direct": "irisstand.dataplane.program",
     "holder": "irisstand.dataplane.program",
     "agency": "irisstand.controlplane.program",
 }
 
 
-class Place(typing.NamedTuple):
-    """Where a process runs: its name, role, site and IP number."""
+class ProcessAddress(typing.NamedTuple):
+    """Name, role, site and IP address of one process of the run."""
 
     name: str
     role: str
@@ -35,117 +40,133 @@
 
 
 class Fleet:
-    """All processes of a run, each at a loopback address of its own and kept running until the end.
+    """Starts all processes of a run, each at its own loopback address, and restarts each one that exits.
 
     Attributes:
-        lives: How often each process was started.
+        plan: Sizes and parameters of the run.
+        folder: Directory of the settings, data and log files of the processes.
+        platform_port: Port on 127.0.0.1 where the emulated platform lists the origins.
+        records: Where stops, unexpected exits and memory use are recorded.
+        addresses: Address of each process by its name.
+        processes: Latest started process by name.
+        start_counts: How many times each process has been started, by name.
+        started_at: Event loop time of the latest start of each process, in seconds.
+        is_stopping: Whether the run is over, so that a process that exits isn't started again.
+        background_tasks: Tasks that restart the processes and measure their memory.
     """
 
     def __init__(
-        self, plan: shape.SoakShape, folder: pathlib.Path, platform_port: int, seen: records.Records
+        self, plan: shape.SoakShape, folder: pathlib.Path, platform_port: int, run_records: records.Records
     ) -> None:
         self.plan = plan
         self.folder = folder
         self.platform_port = platform_port
-        self.records = seen
-        self.places = place_processes(plan)
+        self.records = run_records
+        self.addresses = assign_addresses(plan)
         self.processes: dict[str, asyncio.subprocess.Process] = {}
-        self.lives: dict[str, int] = dict.fromkeys(self.places, 0)
+        self.start_counts: dict[str, int] = dict.fromkeys(self.addresses, 0)
         self.started_at: dict[str, float] = {}
-        self.is_ending = False
-        self.keepers: list[asyncio.Task[None]] = []
-
-    def named(self, role: str) -> list[Place]:
-        """Return the places of a role."""
-        return [place for place in self.places.values() if place.role == role]
-
-    def settings(self, place: Place) -> dict[str, typing.Any]:
-        """Return the settings of a process."""
-        control = self.named("agency")
-        farewell = shape.EDGE_FAREWELL_SECONDS if place.role == "direct" else shape.OTHER_FAREWELL_SECONDS
+        self.is_stopping = False
+        self.background_tasks: list[asyncio.Task[None]] = []
+
+    def with_role(self, role: str) -> list[ProcessAddress]:
+        """Return the addresses of all processes that have a role."""
+        return [address for address in self.addresses.values() if address.role == role]
+
+    def settings_of(self, address: ProcessAddress) -> dict[str, typing.Any]:
+        """Return the content of the settings file of a process."""
+        control = self.with_role("agency")
+        lame_duck_seconds = (
+            shape.EDGE_LAME_DUCK_SECONDS if address.role == "direct" else shape.OTHER_LAME_DUCK_SECONDS
+        )
         settings = {
-            "name": place.name,
-            "machine": f"m-{place.name}",
-            "site": place.site,
+            "name": address.name,
+            "machine": f"m-{address.name}",
+            "site": address.site,
             "region": "one",
-            "host": place.host,
+            "host": address.host,
             "port": PORT,
             "http_port": HTTP_PORT,
             "seeds": [f"{node.host}:{PORT}" for node in control[:3]],
-            "farewell": farewell,
-            "drain": shape.SHUTDOWN_SECONDS - farewell,
+            "farewell": lame_duck_seconds,
+            "drain": shape.SHUTDOWN_SECONDS - lame_duck_seconds,
         }
-        if place.role == "agency":
-            data = self.folder / place.name
-            more = {"data": str(data), "found_by_seeds": True, "voters": len(control)}
-            more |= {"platform": f"127.0.0.1:{self.platform_port}", "platform_interval": 0.5}
-            return {**settings, **more, "duties": "platform-watch,rate-parts,retention"}
-        settings |= {"role": place.role, "holder_edges": 1.0, "second_allowance": 50.0}
-        if place.role == "direct":
-            settings["front"] = f"{place.host}:{FRONT_PORT}"
+        if address.role == "agency":
+            data = self.folder / address.name
+            control_plane_settings = {"data": str(data), "found_by_seeds": True, "voters": len(control)}
+            control_plane_settings |= {
+                "platform": f"127.0.0.1:{self.platform_port}",
+                "platform_interval": 0.5,
+            }
+            return {**settings, **control_plane_settings, "duties": "platform-watch,rate-parts,retention"}
+        settings |= {"role": address.role, "holder_edges": 1.0, "second_allowance": 50.0}
+        if address.role == "direct":
+            settings["front"] = f"{address.host}:{FRONT_PORT}"
         return settings
 
     async def start_all(self) -> None:
-        """Start all processes, and keep them running."""
-        for name in self.places:
+        """Start all processes and the tasks that restart them and measure their memory."""
+        for name in self.addresses:
             await self.start(name)
-            self.keepers.append(asyncio.create_task(self.keep(name)))
-        self.keepers.append(asyncio.create_task(self.watch_memory()))
+            self.background_tasks.append(asyncio.create_task(self.restart_on_exit(name)))
+        self.background_tasks.append(asyncio.create_task(self.watch_memory()))
 
     async def start(self, name: str) -> None:
-        """Write the settings of a process and start it."""
-        place = self.places[name]
+        """Write the settings file of a process and start the process."""
+        address = self.addresses[name]
         path = self.folder / f"{name}.toml"
-        # JSON strings, numbers and lists of strings are TOML as well.
-        lines = [f"{key} = {json.dumps(value)}\n" for key, value in self.settings(place).items()]
+        # Strings, numbers, booleans and lists of strings are written the same in JSON and in TOML.
+        lines = [f"{key} = {json.dumps(value)}\n" for key, value in self.settings_of(address).items()]
         path.write_text("".join(lines))
-        with open(self.folder / f"{name}.log", "ab") as log:  # noqa: ASYNC230 - a local file, once a start
+        with open(self.folder / f"{name}.log", "ab") as log:  # noqa: ASYNC230 - local file
             self.processes[name] = await asyncio.create_subprocess_exec(
-                *(sys.executable, "-m", PROGRAMS[place.role], "--settings", str(path)),
+                *(sys.executable, "-m", PROGRAM_MODULES[address.role], "--settings", str(path)),
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
                 env=dict(os.environ),
             )
-        self.lives[name] += 1
+        self.start_counts[name] += 1
         self.started_at[name] = asyncio.get_running_loop().time()
 
-    async def keep(self, name: str) -> None:
-        """Start a process again whenever it has ended."""
+    async def restart_on_exit(self, name: str) -> None:
+        """Restart a process whenever it exits, and record each exit, until the run is over."""
         while True:
             code = await self.processes[name].wait()
-            if self.is_ending:
+            if self.is_stopping:
                 return
-            stop = self.records.stops.get((name, self.lives[name]))
+            stop = self.records.stops.get((name, self.start_counts[name]))
             if stop is None:
-                self.records.unexpected_ends.append(f"{name} ended by itself with {code}")
+                self.records.unexpected_ends.append(f"{name} exited with code {code} without SIGTERM")
             else:
                 stop.ended_at = asyncio.get_running_loop().time()
                 stop.code = code
-            await asyncio.sleep(RESTART_SECONDS)
+            await asyncio.sleep(RESTART_DELAY_SECONDS)
             await self.start(name)
 
-    def signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to a process that runs."""
+    def send_signal(self, name: str, signal_number: signal.Signals) -> None:
+        """Send SIGTERM or SIGHUP to a process if it is running, and record the signal."""
         process = self.processes[name]
         age = asyncio.get_running_loop().time() - self.started_at[name]
-        # The interpreter itself cannot be made to ignore a hang-up while it starts.
-        if process.returncode is not None or (number is signal.SIGHUP and age < INTERPRETER_SECONDS):
+        # SIGHUP kills a Python interpreter that is still starting: no handler can be installed yet.
+        if process.returncode is not None or (
+            signal_number is signal.SIGHUP and age < INTERPRETER_START_SECONDS
+        ):
             return
-        if number is signal.SIGTERM:
+        if signal_number is signal.SIGTERM:
             now = asyncio.get_running_loop().time()
-            key = (name, self.lives[name])
+            key = (name, self.start_counts[name])
             self.records.stops.setdefault(key, records.Stop(*key, sent_at=now, age_seconds=age))
         else:
-            self.records.hangups += 1
-        process.send_signal(number)
+            self.records.sighups += 1
+        process.send_signal(signal_number)
 
     async def watch_memory(self) -> None:
-        """Note the most memory that each role had resident, and how late this process itself is."""
+        """Record the peak resident memory of each role and the longest lag of this process's event loop."""
         loop = asyncio.get_running_loop()
         while True:
             for name, process in self.processes.items():
-                role = self.places[name].role
+                role = self.addresses[name].role
                 used = resident_mb(process.pid)
                 self.records.peak_memory_mb[role] = max(self.records.peak_memory_mb.get(role, 0.0), used)
             due_at = loop.time() + MEMORY_CHECK_SECONDS
@@ -154,10 +175,10 @@
             self.records.longest_lag_seconds = max(self.records.longest_lag_seconds, lag)
 
     async def stop_all(self) -> None:
-        """End all processes, in order if they do."""
-        self.is_ending = True
-        for keeper in self.keepers:
-            keeper.cancel()
+        """Send SIGTERM to all processes, and SIGKILL to those that exceed the grace period by 4 seconds."""
+        self.is_stopping = True
+        for task in self.background_tasks:
+            task.cancel()
         running = [process for process in self.processes.values() if process.returncode is None]
         for process in running:
             process.terminate()
@@ -170,11 +191,11 @@
                 await process.wait()
 
 
-def place_processes(plan: shape.SoakShape) -> dict[str, Place]:
-    """Return the places of a run: addresses in a part of 127.0.0.0/8 that is drawn anew for each run."""
-    draws = random.SystemRandom()
-    net = f"127.{draws.randint(20, 250)}.{draws.randint(1, 250)}"
-    places = {}
+def assign_addresses(plan: shape.SoakShape) -> dict[str, ProcessAddress]:
+    """Assign each process an address in a random /24 network of 127.0.0.0/8, drawn anew for each run."""
+    randomness = random.SystemRandom()
+    net = f"127.{randomness.randint(20, 250)}.{randomness.randint(1, 250)}"
+    addresses = {}
     counts = (("agency", plan.control_nodes), ("holder", plan.holders), ("direct", plan.edges))
     number = 0
     for role, count in counts:
@@ -182,12 +203,12 @@
             number += 1
             prefix = "edge" if role == "direct" else role
             name = f"{prefix}-{index + 1}"
-            places[name] = Place(name, role, f"z{index % plan.zones + 1}", f"{net}.{number}")
-    return places
+            addresses[name] = ProcessAddress(name, role, f"z{index % plan.zones + 1}", f"{net}.{number}")
+    return addresses
 
 
 def resident_mb(pid: int) -> float:
-    """Return the resident memory of a process in MB; 0 if it has ended."""
+    """Return the resident memory of a process in MB; 0 if the process has exited."""
     try:
         fields = pathlib.Path(f"/proc/{pid}/statm").read_text().split()
     except OSError:
--- a/src/irisstand/soak/records.py
+++ b/src/irisstand/soak/records.py
@@ -1,62 +1,85 @@
-"""What a soak run saw: runs at origins, requests of clients, and signals to processes; moments in seconds."""
+"""Records of a soak run: work at origins, requests of clients, signals to processes; all times in seconds."""
 
 import dataclasses
 import enum
 
 
 class RunEnd(enum.StrEnum):
-    """How a run at an origin ended."""
+    """How the work of an origin on a request ended."""
 
-    AT_WORK = "at work"
+    RUNNING = "at work"
     ANSWERED = "answered"
-    CUT = "cut off by the caller"
+    CANCELLED = "cut off by the caller"
     TIMED_OUT = "at its deadline"
 
 
 @dataclasses.dataclass(slots=True)
 class OriginRun:
-    """One run of a request at an origin."""
+    """One execution of a request at an origin instance, with event loop times of its start and end."""
 
     request_id: str
     instance: str
     path: str
     began_at: float
     ended_at: float = 0.0
-    end: RunEnd = RunEnd.AT_WORK
+    end: RunEnd = RunEnd.RUNNING
 
 
-class AskEnd(enum.StrEnum):
-    """How a client's request ended."""
+class RequestEnd(enum.StrEnum):
+    """How a client's request ended: with a response of an origin or of the node, or without a response."""
 
     ANSWERED = "whole answer"
-    OWN_ANSWER = "answer of the node's own"
+    NODE_RESPONSE = "answer of the node's own"
     CLOSED = "connection ended"
     DEADLINE = "client's deadline"
 
 
 @dataclasses.dataclass(slots=True)
-class Ask:
-    """One request of a client: `sent_at` is when its last byte was written."""
+class ClientRequest:
+    """One request of a client.
+
+    Attributes:
+        request_id: Value of the request's X-Request-Id header.
+        edge: Name of the edge that the client's connection goes to.
+        start_number: Which start of the edge's process accepted the connection, counted from 1.
+        kind: Kind of the request; one of `clients.REQUEST_KINDS`.
+        path: Path of the request.
+        sent_at: Event loop time when the last byte was written.
+        deadline_at: Event loop time when the client stops waiting.
+        ended_at: Event loop time when the request ended.
+        end: How the request ended.
+        status: HTTP status of the response; 0 if there was none.
+        code: Error code in the body of a node's own response; empty if there was none.
+    """
 
     request_id: str
     edge: str
-    life: int
+    start_number: int
     kind: str
     path: str
     sent_at: float
     deadline_at: float
     ended_at: float = 0.0
-    end: AskEnd = AskEnd.DEADLINE
+    end: RequestEnd = RequestEnd.DEADLINE
     status: int = 0
     code: str = ""
 
 
 @dataclasses.dataclass(slots=True)
 class Stop:
-    """A SIGTERM to one life of a process of some age, and its end; `code` is None while it still runs."""
+    """The first SIGTERM sent to one started process, and the exit of that process.
+
+    Attributes:
+        name: Name of the process.
+        start_number: Which start of the process received the signal, counted from 1.
+        sent_at: Event loop time of the signal.
+        age_seconds: How long the process had been running when it received the signal.
+        ended_at: Event loop time of the exit.
+        code: Exit code of the process; None while it is still running.
+    """
 
     name: str
-    life: int
+    start_number: int
     sent_at: float
     age_seconds: float
     ended_at: float = 0.0
@@ -65,17 +88,28 @@
 
 @dataclasses.dataclass(slots=True)
 class Records:
-    """All that one run saw; `longest_lag_seconds` is how late the run's own event loop was at the most."""
+    """Everything that is recorded during one run.
+
+    Attributes:
+        runs: Executions at origins by the id of their request.
+        requests: Finished requests of all clients.
+        stops: First SIGTERM to each started process, by the name and start number of the process.
+        unexpected_ends: One sentence for each exit of a process that had not been sent SIGTERM.
+        sighups: Number of signals other than SIGTERM that were sent; all of them are SIGHUP.
+        changes: Number of configurations that the control plane accepted.
+        peak_memory_mb: Largest resident memory of a process by role, in MB.
+        longest_lag_seconds: Longest delay of the event loop that clients and origins share.
+    """
 
     runs: dict[str, list[OriginRun]] = dataclasses.field(default_factory=dict)
-    asks: list[Ask] = dataclasses.field(default_factory=list)
+    requests: list[ClientRequest] = dataclasses.field(default_factory=list)
     stops: dict[tuple[str, int], Stop] = dataclasses.field(default_factory=dict)
     unexpected_ends: list[str] = dataclasses.field(default_factory=list)
-    hangups: int = 0
+    sighups: int = 0
     changes: int = 0
     peak_memory_mb: dict[str, float] = dataclasses.field(default_factory=dict)
     longest_lag_seconds: float = 0.0
 
-    def begin_run(self, run: OriginRun) -> None:
-        """Keep a run under the id of its request."""
+    def add_run(self, run: OriginRun) -> None:
+        """Record an execution at an origin under the id of its request."""
         self.runs.setdefault(run.request_id, []).append(run)
--- a/src/irisstand/soak/schedule.py
+++ b/src/irisstand/soak/schedule.py
@@ -1,4 +1,4 @@
-"""What happens to the processes of a soak run: stops, hang-ups and changes in overlapping series."""
+"""Schedule of a soak run: overlapping series of signals to processes and of configuration changes."""
 
 import asyncio
 import enum
@@ -12,56 +12,69 @@
 from irisstand.soak import clients, fleet, shape
 
 HTTP_OK = 200
-ORDER_SECONDS = 5.0
-FOUNDING_SECONDS = 40.0
-READY_SECONDS = 40.0
+# How long an order with a configuration is retried; the first one waits until the control plane has started.
+LATER_ORDER_SECONDS = 5.0
+FIRST_ORDER_SECONDS = 40.0
+READY_TIMEOUT_SECONDS = 40.0
 POLL_SECONDS = 0.1
-SERIES_LIMIT = 4
-# Gaps between the steps of a series.
-GAPS_SECONDS = (0.05, 0.3, 1.0)
-SETTLED_SECONDS = 2.0
+# Largest number of edges that are stopped in one series.
+MAX_SERIES_STOPS = 4
+# Times between two stops of a series, one of which is drawn.
+SERIES_GAPS_SECONDS = (0.05, 0.3, 1.0)
+# Wait between the readiness of all edges and the first request.
+SETTLE_SECONDS = 2.0
+# Connections that each origin of the service "app" accepts from all nodes together.
 APPLICATION_CONNECTIONS = 400
 
 
 class Action(enum.StrEnum):
-    """What is done to a process, or by the operator."""
+    """What a step does: a signal to a process, or a change of the configuration."""
 
     STOP_EDGE = "SIGTERM to an edge"
     STOP_HOLDER = "SIGTERM to a holder"
     STOP_CONTROL = "SIGTERM to a control plane node"
-    HANG_UP = "SIGHUP"
-    STOP_AGAIN = "a second signal to a process that stops"
-    CHANGE = "a change of the configuration"
+    SEND_SIGHUP = "SIGHUP"
+    SIGNAL_STOPPING_PROCESS = "a second signal to a process that stops"
+    CHANGE_CONFIGURATION = "a change of the configuration"
 
 
 class Step(typing.NamedTuple):
-    """One action at a moment, in seconds from the start of the clients."""
+    """One action and its time, in seconds from the start of the clients."""
 
-    at: float
+    at_seconds: float
     action: Action
 
 
 def plan_steps(plan: shape.SoakShape) -> list[Step]:
-    """Draw the steps of a run: the stops of its shape in series, and the other actions between them."""
-    draws = random.Random(f"{plan.seed} schedule")
+    """Draw the steps of a run, ordered by time: series of edge stops, and single other actions."""
+    randomness = random.Random(f"{plan.seed} schedule")
     steps: list[Step] = []
-    left = plan.stops
-    while left > 0:
-        at = draws.uniform(1.0, max(2.0, plan.seconds - 4.0))
-        for _ in range(min(left, draws.randint(1, SERIES_LIMIT))):
-            steps.append(Step(at, Action.STOP_EDGE))
-            at += draws.choice(GAPS_SECONDS)
-            left -= 1
-    others = [Action.HANG_UP] * 4 + [Action.CHANGE] * 4 + [Action.STOP_AGAIN] * 2
-    others += [Action.STOP_HOLDER, Action.STOP_CONTROL] if plan.holders else [Action.STOP_CONTROL]
-    for action in others:
+    stops_left = plan.stops
+    while stops_left > 0:
+        at_seconds = randomness.uniform(1.0, max(2.0, plan.seconds - 4.0))
+        for _ in range(min(stops_left, randomness.randint(1, MAX_SERIES_STOPS))):
+            steps.append(Step(at_seconds, Action.STOP_EDGE))
+            at_seconds += randomness.choice(SERIES_GAPS_SECONDS)
+            stops_left -= 1
+    other_actions = (
+        [Action.SEND_SIGHUP] * 4 + [Action.CHANGE_CONFIGURATION] * 4 + [Action.SIGNAL_STOPPING_PROCESS] * 2
+    )
+    other_actions += [Action.STOP_HOLDER, Action.STOP_CONTROL] if plan.holders else [Action.STOP_CONTROL]
+    for action in other_actions:
         for _ in range(max(1, round(plan.seconds / 30))):
-            steps.append(Step(draws.uniform(1.0, plan.seconds), action))
+            steps.append(Step(randomness.uniform(1.0, plan.seconds), action))
     return sorted(steps)
 
 
 class Operator:
-    """Sends configurations to the control plane, and asks processes whether they are ready."""
+    """Sends configurations to the control plane, and asks edges whether they are ready.
+
+    Attributes:
+        plan: Parameters of the run.
+        fleet: Processes of the run.
+        session: HTTP session of all calls.
+        version: Version of the latest configuration that was sent.
+    """
 
     def __init__(self, plan: shape.SoakShape, processes: fleet.Fleet, session: aiohttp.ClientSession) -> None:
         self.plan = plan
@@ -69,12 +82,22 @@
         self.session = session
         self.version = 0
 
-    async def amend(self, rate_factor: float = 1.0, *, patient: bool = False) -> bool:
-        """Send the whole configuration under a new version to one node after the other until one takes it."""
+    async def submit_configuration(self, rate_factor: float = 1.0, *, is_first: bool = False) -> bool:
+        """Send a new version of the configuration to each control plane node in turn until one accepts it.
+
+        Args:
+            rate_factor: Factor of the rate limit of the service "content".
+            is_first: Whether this is the first configuration, which is retried for longer.
+
+        Returns:
+            Whether a node accepted the configuration in time.
+        """
         self.version += 1
         body = self.configuration(rate_factor)
-        end = asyncio.get_running_loop().time() + (FOUNDING_SECONDS if patient else ORDER_SECONDS)
-        for node in itertools.cycle(self.fleet.named("agency")):
+        give_up_at = asyncio.get_running_loop().time() + (
+            FIRST_ORDER_SECONDS if is_first else LATER_ORDER_SECONDS
+        )
+        for node in itertools.cycle(self.fleet.with_role("agency")):
             url = f"http://{node.host}:{fleet.HTTP_PORT}/amendments"
             try:
                 async with self.session.post(url, json=body) as response:
@@ -83,13 +106,13 @@
                         return True
             except (aiohttp.ClientError, TimeoutError):
                 pass
-            if asyncio.get_running_loop().time() > end:
+            if asyncio.get_running_loop().time() > give_up_at:
                 return False
             await asyncio.sleep(POLL_SECONDS)
         return False
 
     def configuration(self, rate_factor: float) -> dict[str, typing.Any]:
-        """Return all items; the routes' target changes with each version."""
+        """Return an order with all items; the `target` of the routes differs from version to version."""
         kinds = {"objects": "cacheable", "reads": "idempotent", "writes": "non_idempotent"}
         routes: list[dict[str, typing.Any]] = [
             {
@@ -118,21 +141,21 @@
         return {"put": {"routes": routes, "upstreams": services, "limits": limits}, "drop": {"routes": []}}
 
     async def wait_ready(self) -> None:
-        """Wait until all edges are ready.
+        """Wait until all edges have been ready, and then until the cluster has settled.
 
         Raises:
-            TimeoutError: They are not within `READY_SECONDS`.
+            TimeoutError: An edge was not ready within `READY_TIMEOUT_SECONDS`.
         """
-        async with asyncio.timeout(READY_SECONDS):
-            for place in self.fleet.named("direct"):
-                # Readiness is asked over HTTP, so there is no event to wait for.
-                while not await self.is_ready(place):  # noqa: ASYNC110 - see above
+        async with asyncio.timeout(READY_TIMEOUT_SECONDS):
+            for address in self.fleet.with_role("direct"):
+                # The edge is another process that is polled over HTTP, so there is no event to wait for.
+                while not await self.is_ready(address):  # noqa: ASYNC110 - see above
                     await asyncio.sleep(POLL_SECONDS)
-        await asyncio.sleep(SETTLED_SECONDS)
+        await asyncio.sleep(SETTLE_SECONDS)
 
-    async def is_ready(self, place: fleet.Place) -> bool:
-        """Ask an edge whether it is ready."""
-        url = f"http://{place.host}:{fleet.HTTP_PORT}/_irisstand/ready"
+    async def is_ready(self, address: fleet.ProcessAddress) -> bool:
+        """Ask an edge over HTTP whether it is ready; an edge that cannot be reached is not ready."""
+        url = f"http://{address.host}:{fleet.HTTP_PORT}/_irisstand/ready"
         try:
             async with self.session.get(url) as response:
                 return response.status == HTTP_OK
@@ -141,59 +164,67 @@
 
 
 class Schedule:
-    """Carries out the steps of a run."""
+    """Draws the steps of a run, and carries them out.
+
+    Attributes:
+        plan: Parameters of the run.
+        fleet: Processes of the run.
+        operator: Sends changes of the configuration.
+        randomness: Source of the random choices of processes, signals and rates.
+        order_tasks: Tasks that send changes of the configuration.
+    """
 
     def __init__(self, plan: shape.SoakShape, processes: fleet.Fleet, operator: Operator) -> None:
         self.plan = plan
         self.fleet = processes
         self.operator = operator
-        self.draws = random.Random(f"{plan.seed} targets")
-        self.orders: list[asyncio.Task[bool]] = []
+        self.randomness = random.Random(f"{plan.seed} targets")
+        self.order_tasks: list[asyncio.Task[bool]] = []
 
     async def run(self) -> None:
-        """Carry out all steps at their moments."""
+        """Carry out each step at its time, then wait for the changes of the configuration."""
         loop = asyncio.get_running_loop()
         started = loop.time()
         for step in plan_steps(self.plan):
-            await asyncio.sleep(max(0.0, started + step.at - loop.time()))
+            await asyncio.sleep(max(0.0, started + step.at_seconds - loop.time()))
             self.carry_out(step.action)
-        await asyncio.gather(*self.orders)
+        await asyncio.gather(*self.order_tasks)
 
     def carry_out(self, action: Action) -> None:
-        """Carry out one step."""
+        """Carry out one action; a stop is skipped while too many processes of the same role are stopping."""
         match action:
             case Action.STOP_EDGE:
-                # Half of the edges go on, as in a restart by series.
-                self.stop_one("direct", at_most=max(1, self.plan.edges // 2))
+                # At least half of the edges keep running, as in a rolling restart.
+                self.stop_process("direct", max_stopping=max(1, self.plan.edges // 2))
             case Action.STOP_HOLDER:
-                self.stop_one("holder", at_most=max(1, self.plan.holders // 2))
+                self.stop_process("holder", max_stopping=max(1, self.plan.holders // 2))
             case Action.STOP_CONTROL:
-                self.stop_one("agency", at_most=1)
-            case Action.HANG_UP:
-                self.fleet.signal(self.draws.choice(list(self.fleet.places)), signal.SIGHUP)
-            case Action.STOP_AGAIN:
-                self.signal_a_stopping_one()
-            case Action.CHANGE:
-                order = self.operator.amend(self.draws.choice((0.8, 1.0, 1.2)))
-                self.orders.append(asyncio.create_task(order))
-
-    def stopping(self, role: str) -> list[str]:
-        """Return the processes of a role that were told to stop and have not ended, or not yet come back."""
-        names = [place.name for place in self.fleet.named(role)]
-        return [name for name in names if (name, self.fleet.lives[name]) in self.fleet.records.stops]
-
-    def stop_one(self, role: str, at_most: int) -> None:
-        """Send SIGTERM to a process that has run for a while, if few enough others are stopping."""
-        stopping = self.stopping(role)
-        if len(stopping) >= at_most:
+                self.stop_process("agency", max_stopping=1)
+            case Action.SEND_SIGHUP:
+                self.fleet.send_signal(self.randomness.choice(list(self.fleet.addresses)), signal.SIGHUP)
+            case Action.SIGNAL_STOPPING_PROCESS:
+                self.signal_stopping_process()
+            case Action.CHANGE_CONFIGURATION:
+                order = self.operator.submit_configuration(self.randomness.choice((0.8, 1.0, 1.2)))
+                self.order_tasks.append(asyncio.create_task(order))
+
+    def stopping_processes(self, role: str) -> list[str]:
+        """Return the processes of a role that were sent SIGTERM and have not been started again."""
+        names = [address.name for address in self.fleet.with_role(role)]
+        return [name for name in names if (name, self.fleet.start_counts[name]) in self.fleet.records.stops]
+
+    def stop_process(self, role: str, max_stopping: int) -> None:
+        """Send SIGTERM to a random process of a role unless `max_stopping` others are already stopping."""
+        stopping = self.stopping_processes(role)
+        if len(stopping) >= max_stopping:
             return
-        names = [place.name for place in self.fleet.named(role) if place.name not in stopping]
+        names = [address.name for address in self.fleet.with_role(role) if address.name not in stopping]
         if names:
-            self.fleet.signal(self.draws.choice(names), signal.SIGTERM)
+            self.fleet.send_signal(self.randomness.choice(names), signal.SIGTERM)
 
-    def signal_a_stopping_one(self) -> None:
-        """Send a process that is stopping one more signal."""
-        names = self.stopping("direct") or self.stopping("holder")
+    def signal_stopping_process(self) -> None:
+        """Send SIGTERM or SIGHUP to an edge or holder that is already stopping, if there is one."""
+        names = self.stopping_processes("direct") or self.stopping_processes("holder")
         if names:
-            number = self.draws.choice((signal.SIGTERM, signal.SIGHUP))
-            self.fleet.signal(self.draws.choice(names), number)
+            signal_number = self.randomness.choice((signal.SIGTERM, signal.SIGHUP))
+            self.fleet.send_signal(self.randomness.choice(names), signal_number)
