--- a/src/irisstand/modelcheck/bootstrap_image.py
+++ b/src/irisstand/modelcheck/bootstrap_image.py
@@ -11,19 +11,19 @@
 from irisstand.state import items, quorum, replica, versions
 from irisstand.state.storage import durable_store
 
-VOTERS = ("a", "b", "c")
-SPARE = "d"
-NAMES = (*VOTERS, SPARE)
+VOTER_NAMES = ("a", "b", "c")
+SPARE_NODE = "d"
+NODE_NAMES = (*VOTER_NAMES, SPARE_NODE)
 
 
-class Image(typing.NamedTuple):
+class BootstrapImage(typing.NamedTuple):
     """Sealed files by node and file name, and the batch that installed the first voters."""
 
     files: dict[str, dict[str, bytes]]
     batch: items.Batch
 
 
-class NewVoter(typing.NamedTuple):
+class NodeStorage(typing.NamedTuple):
     """A node's empty disk and the store that was opened on it."""
 
     disk: memory_disk.MemoryDisk
@@ -31,36 +31,36 @@
 
 
 @functools.cache
-def image(sites: tuple[str, ...]) -> Image:
+def cached_image(sites: tuple[str, ...]) -> BootstrapImage:
     """Return the disks of three voters and a spare that holds the table; `sites` is one for each."""
-    made: Image = virtual_time.run(make_image(sites))
-    return made
+    bootstrapped: BootstrapImage = virtual_time.run(make_image(sites))
+    return bootstrapped
 
 
-async def make_image(sites: tuple[str, ...]) -> Image:
+async def make_image(sites: tuple[str, ...]) -> BootstrapImage:
     """Bootstrap the cluster on empty disks."""
-    nodes = {name: await open_store(name) for name in NAMES}
+    nodes = {name: await open_store(name) for name in NODE_NAMES}
     voters = [
         quorum.Voter(name, nodes[name].store.disk_id, site, name, model_node.PORT, name)
-        for name, site in zip(NAMES, sites, strict=True)
-        if name in VOTERS
+        for name, site in zip(NODE_NAMES, sites, strict=True)
+        if name in VOTER_NAMES
     ]
     rows = (items.Row(items.VOTERS_KEY, [list(voter) for voter in voters], is_removal=False),)
     batch = items.Batch(bootstrap.FIRST_VERSION, versions.NONE, rows)
     for node in nodes.values():
-        owner = acceptor.Acceptor(node.store, replica.Replica(model_node.TABLE), refuse_catch_up)
-        task = asyncio.get_running_loop().create_task(owner.run())
-        await owner.submit(acceptor.InstallFirstBatch(batch))
+        table_acceptor = acceptor.Acceptor(node.store, replica.Replica(model_node.TABLE), refuse_catch_up)
+        task = asyncio.get_running_loop().create_task(table_acceptor.run())
+        await table_acceptor.submit(acceptor.InstallFirstBatch(batch))
         task.cancel()
-    return Image({name: dict(node.disk.files) for name, node in nodes.items()}, batch)
+    return BootstrapImage({name: dict(node.disk.files) for name, node in nodes.items()}, batch)
 
 
-async def open_store(name: str) -> NewVoter:
+async def open_store(name: str) -> NodeStorage:
     """Open a store on an empty disk; the node's name is the seed."""
     disk = memory_disk.MemoryDisk(random.Random(name))
     store = durable_store.DurableStore(disk, random.Random(name))
     await store.open()
-    return NewVoter(disk, store)
+    return NodeStorage(disk, store)
 
 
 async def refuse_catch_up(table: str, sender: str) -> None:
--- a/src/irisstand/modelcheck/check.py
+++ b/src/irisstand/modelcheck/check.py
@@ -5,11 +5,11 @@
 
 from irisstand.modelcheck import exploration, random_walk, reports, runs, scenarios
 
-Print = collections.abc.Callable[[str], None]
-RESULTS_SHOWN_LIMIT = 5
+PrintLine = collections.abc.Callable[[str], None]
+PRINTED_RESULTS_LIMIT = 5
 
 
-def check(name: str, deviations: int, workers: int, seeds: range, print_line: Print) -> int:
+def check(name: str, deviations: int, workers: int, seeds: range, print_line: PrintLine) -> int:
     """Explore a scenario, or walk it where there are seeds.
 
     Args:
@@ -31,27 +31,27 @@
         report = exploration.explore(scenario, deviations, workers)
         extent = f"{deviations} deviations"
     seconds = time.monotonic() - started
-    broken = len(report.broken)
+    violation_count = len(report.violating_runs)
     print_line(
         f"{name}, {extent}: {report.states} states, {report.runs} runs ({report.pruned} cut short at a known"
-        f" state), {report.steps} steps, {seconds:.0f} s with {workers} worker(s), {broken} broken"
+        f" state), {report.steps} steps, {seconds:.0f} s with {workers} worker(s), {violation_count} broken"
     )
     print_results(report, print_line)
-    return 1 if report.broken else 0
+    return 1 if report.violating_runs else 0
 
 
-def print_results(report: reports.Report, print_line: Print) -> None:
+def print_results(report: reports.Report, print_line: PrintLine) -> None:
     """Print the most frequent results, and how to replay the runs that broke an invariant."""
     by_count = sorted(report.results.items(), key=lambda entry: -entry[1])
-    for results, count in by_count[:RESULTS_SHOWN_LIMIT]:
+    for results, count in by_count[:PRINTED_RESULTS_LIMIT]:
         print_line(f"  {count:7d} ended: {results}")
-    for run in report.broken:
+    for run in report.violating_runs:
         choices = ",".join(map(str, run.choices)) or "0"
         print_line(f"  BROKEN: {run.violation}")
         print_line(f"  check-model --scenarios {report.scenario} --replay {choices}")
 
 
-def replay(name: str, choices: runs.Choices, print_line: Print) -> int:
+def replay(name: str, choices: runs.Choices, print_line: PrintLine) -> int:
     """Run one list of choices and print each step; return the exit status."""
     result = runs.replay(scenarios.REGISTRY[name], choices)
     for line in result.cluster.trace:
--- a/src/irisstand/modelcheck/clients.py
+++ b/src/irisstand/modelcheck/clients.py
@@ -6,7 +6,7 @@
 from irisstand.modelcheck import events, invariants, model_node, scenarios, scheduler
 
 CLIENT = "client"
-SPARE = "d"
+SPARE_NODE = "d"
 
 
 class Clients:
@@ -23,18 +23,18 @@
     def __init__(
         self,
         steps: tuple[scenarios.ClientStep, ...],
-        leaves: str,
+        replaced_voter: str,
         event_scheduler: scheduler.Scheduler,
         checker: invariants.InvariantChecker,
         nodes: dict[str, model_node.ModelNode],
     ) -> None:
         self.steps = list(steps)
-        self.leaves = leaves
+        self.replaced_voter = replaced_voter
         self.scheduler = event_scheduler
         self.checker = checker
         self.nodes = nodes
         self.results: dict[int, scenarios.StepResult] = {}
-        self.posted: set[int] = set()
+        self.posted_steps: set[int] = set()
 
     def add(self, step: scenarios.ClientStep) -> int:
         """Add a step and return its number."""
@@ -53,15 +53,15 @@
         """Return the results by step number, for messages."""
         return str({number: result.value for number, result in self.results.items()})
 
-    def changes(self) -> list[str]:
+    def change_ids(self) -> list[str]:
         """Return the change ids of all orders."""
         return [step.order.change for step in self.steps if step.order is not None]
 
     def post_ready_steps(self) -> None:
         """Post the start of each step whose predecessor is over."""
         for number, step in enumerate(self.steps):
-            if number not in self.posted and (step.after is None or step.after in self.results):
-                self.posted.add(number)
+            if number not in self.posted_steps and (step.after is None or step.after in self.results):
+                self.posted_steps.add(number)
                 self.post_start(number, step)
 
     def post_start(self, number: int, step: scenarios.ClientStep) -> None:
@@ -91,10 +91,10 @@
                 await self.submit(number, self.order_of(step), node)
         except (errors.IrisError, proposer.BallotLostError):
             # A heartbeat that failed is tried again by its loop; here it is over.
-            self.results.setdefault(number, scenarios.StepResult.NO)
+            self.results.setdefault(number, scenarios.StepResult.FAILED)
         except Exception as error:
             # Whatever else is raised is a fault of the code under check.
-            self.results.setdefault(number, scenarios.StepResult.NO)
+            self.results.setdefault(number, scenarios.StepResult.FAILED)
             self.checker.fail(f"{step.kind} at {node.name} crashed: {error!r}")
 
     async def submit(self, number: int, order: orders.Order, node: model_node.ModelNode) -> None:
@@ -104,25 +104,27 @@
         except errors.IrisError as error:
             self.checker.on_refused(order, error)
             is_unknown = isinstance(error, errors.ChangeOutcomeUnknownError)
-            self.results[number] = scenarios.StepResult.UNKNOWN if is_unknown else scenarios.StepResult.NO
+            self.results[number] = scenarios.StepResult.UNKNOWN if is_unknown else scenarios.StepResult.FAILED
             return
         disks = model_node.disk_files(self.nodes.values())
         self.checker.on_confirmed(order, result, node.table_replica.applied, disks)
-        self.results[number] = scenarios.StepResult.YES
+        self.results[number] = scenarios.StepResult.CONFIRMED
 
     def order_of(self, step: scenarios.ClientStep) -> orders.Order:
         """Return the order of a step; an enrolment's is made from the newcomer's disk id of now."""
         if step.order is not None:
             return step.order
-        newcomer = step.newcomer or SPARE
-        voter = self.nodes[newcomer].participant.own_voter()
-        return orders.Order("enrol-blueprint", "", (tuple(voter), step.newcomer or self.leaves, 0))
+        joining_node = step.joining_node or SPARE_NODE
+        voter = self.nodes[joining_node].participant.own_voter()
+        return orders.Order(
+            "enrol-blueprint", "", (tuple(voter), step.joining_node or self.replaced_voter, 0)
+        )
 
-    def lose_steps_at(self, node: str) -> None:
+    def mark_lost_steps(self, node: str) -> None:
         """Note the steps that were running at a node that crashed as lost."""
         for number, step in enumerate(self.steps):
-            is_running = step.node == node and number in self.posted and number not in self.results
-            if is_running and not self.scheduler.holds(start_label(number, step)):
+            is_running = step.node == node and number in self.posted_steps and number not in self.results
+            if is_running and not self.scheduler.has_event(start_label(number, step)):
                 self.results[number] = scenarios.StepResult.LOST
 
 
--- a/src/irisstand/modelcheck/durability.py
+++ b/src/irisstand/modelcheck/durability.py
@@ -34,7 +34,7 @@
     return record.applied >= version or is_accepted
 
 
-def violation(state: history.Content, holding: set[str]) -> str:
+def durability_violation(state: history.ItemsByKey, holding: set[str]) -> str:
     """Return how the disks fall short of a durable majority of a state's voters, or an empty text.
 
     Args:
@@ -42,10 +42,10 @@
         holding: Ids of the disks that hold the version.
     """
     voters = quorum.voters_from_wire(state[items.VOTERS_KEY].value) if items.VOTERS_KEY in state else []
-    held_by = [voter for voter in voters if voter.disk_id in holding]
+    holding_voters = [voter for voter in voters if voter.disk_id in holding]
     sites = {voter.site for voter in voters}
-    if 2 * len(held_by) <= len(voters) and voters:
-        return f"with {len(held_by)} of {len(voters)} disks holding it"
-    if len(sites) >= SITES_NEEDED > len({voter.site for voter in held_by}):
+    if 2 * len(holding_voters) <= len(voters) and voters:
+        return f"with {len(holding_voters)} of {len(voters)} disks holding it"
+    if len(sites) >= SITES_NEEDED > len({voter.site for voter in holding_voters}):
         return "and lies in one site alone"
     return ""
--- a/src/irisstand/modelcheck/events.py
+++ b/src/irisstand/modelcheck/events.py
@@ -38,8 +38,8 @@
     source: str
     label: str
     deliver: collections.abc.Callable[[], None]
-    lose: collections.abc.Callable[[], None] | None = None
-    is_late: bool = False
+    on_lost: collections.abc.Callable[[], None] | None = None
+    is_delayed: bool = False
 
 
 def digest(payload: bytes) -> str:
--- a/src/irisstand/modelcheck/exploration.py
+++ b/src/irisstand/modelcheck/exploration.py
@@ -5,7 +5,7 @@
 from irisstand.modelcheck import cluster, reports, runs, scenarios, scheduler
 
 # Parts of the work for each worker process, so that a worker that is done early takes another.
-PARTS_PER_WORKER = 4
+CHUNKS_PER_WORKER = 4
 
 
 def explore(scenario: scenarios.Scenario, deviations: int, workers: int = 1) -> reports.Report:
@@ -20,20 +20,20 @@
         What was covered, and the first run of each worker that broke an invariant.
     """
     if workers == 1:
-        return explore_below(scenario, deviations, [()])
+        return explore_prefixes(scenario, deviations, [()])
     root = Exploration(scenario, deviations)
     prefixes = root.expand(())
     root.report.states = len(root.seen)
-    count = PARTS_PER_WORKER * workers
-    parts = [prefixes[first::count] for first in range(count)]
+    chunk_count = CHUNKS_PER_WORKER * workers
+    chunks = [prefixes[offset::chunk_count] for offset in range(chunk_count)]
     with concurrent.futures.ProcessPoolExecutor(workers) as pool:
-        tasks = [pool.submit(explore_below, scenario, deviations, part) for part in parts if part]
+        tasks = [pool.submit(explore_prefixes, scenario, deviations, chunk) for chunk in chunks if chunk]
         for task in tasks:
             root.report.add(task.result())
     return root.report
 
 
-def explore_below(
+def explore_prefixes(
     scenario: scenarios.Scenario, deviations: int, prefixes: list[runs.Choices]
 ) -> reports.Report:
     """Explore everything below some prefixes, in one process."""
@@ -56,30 +56,30 @@
     def explore(self, prefix: runs.Choices) -> None:
         """Run everything below a prefix, or until an invariant is broken."""
         stack = [prefix]
-        while stack and not self.report.broken:
+        while stack and not self.report.violating_runs:
             stack += self.expand(stack.pop())
         self.report.states = len(self.seen)
 
     def expand(self, prefix: runs.Choices) -> list[runs.Choices]:
         """Run a prefix and return the prefixes with one more deviation, those of the last step first."""
         option_counts = self.run(prefix)
-        if deviations_in(prefix) >= self.deviations:
+        if count_deviations(prefix) >= self.deviations:
             return []
-        following = []
+        child_prefixes = []
         for position in range(len(option_counts) - 1, len(prefix) - 1, -1):
             defaults = (0,) * (position - len(prefix))
-            following += [(*prefix, *defaults, choice) for choice in range(1, option_counts[position])]
-        return following
+            child_prefixes += [(*prefix, *defaults, choice) for choice in range(1, option_counts[position])]
+        return child_prefixes
 
     def run(self, prefix: runs.Choices) -> list[int]:
         """Run a prefix and then everything in order; return how many options each step had."""
-        deviations_left = self.deviations - deviations_in(prefix)
+        deviations_left = self.deviations - count_deviations(prefix)
         option_counts: list[int] = []
 
         def choose(model: cluster.ModelCluster, actions: list[scheduler.Action]) -> int:
             position = len(option_counts)
             if position >= len(prefix):
-                self.mark_seen(model.state_hash() if actions else model.rest_hash(), deviations_left)
+                self.mark_seen(model.state_hash() if actions else model.final_state_hash(), deviations_left)
             option_counts.append(len(actions))
             return prefix[position] if position < len(prefix) else 0
 
@@ -88,9 +88,9 @@
         self.report.pruned += result.was_pruned
         self.report.steps += len(option_counts)
         if result.violation:
-            self.report.broken.append(reports.BrokenRun(prefix, result.violation))
+            self.report.violating_runs.append(reports.ViolatingRun(prefix, result.violation))
         elif not result.was_pruned:
-            self.report.count(result.cluster.clients.ordered_results())
+            self.report.count_results(result.cluster.clients.ordered_results())
         return option_counts
 
     def mark_seen(self, state: int, deviations_left: int) -> None:
@@ -104,6 +104,6 @@
         self.seen[state] = deviations_left
 
 
-def deviations_in(choices: runs.Choices) -> int:
+def count_deviations(choices: runs.Choices) -> int:
     """Return how many choices are not the default."""
     return sum(choice > 0 for choice in choices)
--- a/src/irisstand/modelcheck/final_checks.py
+++ b/src/irisstand/modelcheck/final_checks.py
@@ -15,7 +15,7 @@
     await decide_last_order(model)
     await read_everywhere(model)
     replicas = [node.table_replica for node in model.nodes.values()]
-    model.checker.check_end(replicas, model.clients.changes())
+    model.checker.check_end(replicas, model.clients.change_ids())
     model.checker.raise_violation()
 
 
@@ -26,7 +26,7 @@
         number = model.clients.add(step)
         model.clients.post_ready_steps()
         await deliver_all(model)
-        if model.clients.results[number] is scenarios.StepResult.YES:
+        if model.clients.results[number] is scenarios.StepResult.CONFIRMED:
             return
         await read_everywhere(model)
     raise invariants.InvariantViolationError(f"with everybody up, {model.last_voter()} decides no order")
@@ -47,5 +47,5 @@
             model.scheduler.deliver(0)
             await model.settle()
         else:
-            await model.wait()
+            await model.wait_for_events()
             model.checker.raise_violation()
--- a/src/irisstand/modelcheck/history.py
+++ b/src/irisstand/modelcheck/history.py
@@ -7,7 +7,7 @@
 from irisstand.controlplane.changes import orders
 from irisstand.state import items, versions
 
-Content = dict[str, items.Item]
+ItemsByKey = dict[str, items.Item]
 
 
 class ConfirmedOrder(typing.NamedTuple):
@@ -23,7 +23,7 @@
     """The items of a table as of its applied version."""
 
     applied: versions.Version
-    content: Content
+    content: ItemsByKey
 
 
 class History:
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self.batches: dict[versions.Version, items.Batch] = {}
-        self.states: dict[versions.Version, Content] = {versions.NONE: {}}
+        self.states: dict[versions.Version, ItemsByKey] = {versions.NONE: {}}
         self.confirmed: list[ConfirmedOrder] = []
         self.refused: list[orders.Order] = []
 
@@ -53,7 +53,7 @@
         """Return the decided batch with this version."""
         return next((batch for batch in self.batches.values() if batch.version == version), None)
 
-    def is_in_force_somewhere(self, entry: ConfirmedOrder) -> bool:
+    def is_in_any_state(self, entry: ConfirmedOrder) -> bool:
         """Return whether any decided state includes a confirmed order."""
         return any(
             self.includes(TableState(applied, content), entry) for applied, content in self.states.items()
@@ -64,11 +64,11 @@
 
         An order that changed nothing has no rows and no state of its own.
         """
-        change = entry.order.change
-        if not entry.rows and not change and entry.version not in self.states:
+        change_id = entry.order.change
+        if not entry.rows and not change_id and entry.version not in self.states:
             return True
-        change_record = state.content.get(change_key(change))
-        if change and (change_record is None or change_record.version != entry.version):
+        change_record = state.content.get(change_record_key(change_id))
+        if change_id and (change_record is None or change_record.version != entry.version):
             return False
         has_rows = all(
             key in state.content and state.content[key].version >= entry.version for key in entry.rows
@@ -76,7 +76,7 @@
         return state.applied >= entry.version and has_rows
 
 
-def apply_batch(content: Content, batch: items.Batch) -> Content:
+def apply_batch(content: ItemsByKey, batch: items.Batch) -> ItemsByKey:
     """Return the items after a batch."""
     changed = dict(content)
     for key, value, is_removed in batch.rows:
@@ -86,16 +86,16 @@
     return changed
 
 
-def change_key(change: str) -> str:
+def change_record_key(change_id: str) -> str:
     """Return the key of the record of a change id."""
-    return f"~change/{change}"
+    return f"~change/{change_id}"
 
 
-def as_on_wire(batch: items.Batch) -> items.Batch:
+def decode_from_wire_form(batch: items.Batch) -> items.Batch:
     """Return the batch as it is decoded from the wire, where a tuple and a list are the same."""
     return items.Batch.from_wire(ormsgpack.unpackb(ormsgpack.packb(batch.to_wire())))
 
 
-def packed(content: typing.Mapping[str, items.Item]) -> bytes:
+def pack_items(content: typing.Mapping[str, items.Item]) -> bytes:
     """Return the items as bytes, which are equal for a tuple and a list."""
     return ormsgpack.packb([content[key].to_wire() for key in sorted(content)])
--- a/src/irisstand/modelcheck/invariants.py
+++ b/src/irisstand/modelcheck/invariants.py
@@ -33,7 +33,7 @@
         self.violations: list[str] = []
         self.wiped_disks: dict[str, dict[str, bytes]] = {}
         # The content confirmed for each key and version number of an amended item.
-        self.amended: dict[tuple[str, int], typing.Any] = {}
+        self.confirmed_amendments: dict[tuple[str, int], typing.Any] = {}
 
     def fail(self, text: str) -> None:
         """Note a violation; `raise_violation` raises it when all coroutines wait."""
@@ -57,7 +57,7 @@
         """Check a batch that a node is about to apply on `base`."""
         if batch.base != base:
             self.fail(f"{node} applied {batch.version} on {base}, and it stands on {batch.base}")
-        batch = history.as_on_wire(batch)
+        batch = history.decode_from_wire_form(batch)
         first = self.history.add_batch(batch)
         if first != batch:
             self.fail(f"two batches on base {batch.base}: {first.version} and, at {node}, {batch.version}")
@@ -90,32 +90,34 @@
         """
         version = versions.Version.parse(result["serial"])
         rows = tuple(result["rows"])
-        self.check_one_result(order, version, rows)
+        self.check_same_result(order, version, rows)
         entry = history.ConfirmedOrder(order, version, rows, asyncio.get_running_loop().time())
         self.history.confirmed.append(entry)
-        if not self.history.is_in_force_somewhere(entry):
+        if not self.history.is_in_any_state(entry):
             self.fail(f"{order.change} was confirmed as {version}, and no decided state has its rows")
         if order.kind == "amend":
-            self.check_amended(order, self.history.states[applied])
+            self.check_amendment(order, self.history.states[applied])
         self.check_disks(version, disks)
 
-    def check_one_result(self, order: orders.Order, version: versions.Version, rows: tuple[str, ...]) -> None:
+    def check_same_result(
+        self, order: orders.Order, version: versions.Version, rows: tuple[str, ...]
+    ) -> None:
         """Check that one change id has one result."""
-        change = order.change
-        earlier = [entry for entry in self.history.confirmed if change and entry.order.change == change]
+        change_id = order.change
+        earlier = [entry for entry in self.history.confirmed if change_id and entry.order.change == change_id]
         if earlier and (earlier[0].version, earlier[0].rows) != (version, rows):
-            self.fail(f"{change} was confirmed as {earlier[0].version} and as {version}")
+            self.fail(f"{change_id} was confirmed as {earlier[0].version} and as {version}")
 
-    def check_amended(self, order: orders.Order, content: history.Content) -> None:
+    def check_amendment(self, order: orders.Order, content: history.ItemsByKey) -> None:
         """Check that a version number has one content, in force or overwritten by a higher one."""
         for key, value in order.payload:
-            known = self.amended.setdefault((key, value["version"]), value)
-            if known != value:
+            first_value = self.confirmed_amendments.setdefault((key, value["version"]), value)
+            if first_value != value:
                 self.fail(f"two contents of {key} were confirmed under version {value['version']}")
-            standing = content[key].value if key in content else None
-            if standing is None or standing["version"] < value["version"]:
+            current_value = content[key].value if key in content else None
+            if current_value is None or current_value["version"] < value["version"]:
                 self.fail(f"{key} was confirmed at version {value['version']} and is not in force")
-            elif standing["version"] == value["version"] and standing != value:
+            elif current_value["version"] == value["version"] and current_value != value:
                 self.fail(f"{key} was confirmed at version {value['version']}, which has another content")
 
     def on_refused(self, order: orders.Order, error: errors.IrisError) -> None:
@@ -135,25 +137,25 @@
             return
         holding = durability.disks_holding({**self.wiped_disks, **disks}, self.table, version)
         for state in (self.history.states[batch.base], self.history.states[version]):
-            violation = durability.violation(state, holding)
+            violation = durability.durability_violation(state, holding)
             if violation:
                 self.fail(f"{version} was confirmed {violation}")
 
     # -- the end of a run ----------------------------------------------------------------------------
-    def check_end(self, replicas: list[replica.Replica], changes: list[str]) -> None:
+    def check_end(self, replicas: list[replica.Replica], change_ids: list[str]) -> None:
         """Check that every replica has all that was confirmed and nothing that was refused.
 
         Args:
             replicas: The replicas of all nodes, after all faults are over.
-            changes: Change ids of all orders of the run; one that was sent twice may be in force.
+            change_ids: Change ids of all orders of the run; one that was sent twice may be in force.
         """
         for table_replica in replicas:
             for entry in self.history.confirmed:
                 if not self.history.includes(state_of(table_replica), entry):
                     self.fail(f"{entry.order.change} was confirmed as {entry.version} and is lost")
             for order in self.history.refused:
-                was_sent_once = changes.count(order.change) == 1
-                is_in_force = history.change_key(order.change) in table_replica.items
+                was_sent_once = change_ids.count(order.change) == 1
+                is_in_force = history.change_record_key(order.change) in table_replica.items
                 if was_sent_once and order.change and is_in_force:
                     self.fail(f"{order.change} was refused and is in force")
 
@@ -166,29 +168,29 @@
         self.node = node
         self.replica = table_replica
         self.last_applied = table_replica.applied
-        self.apply_to_replica = table_replica.apply
-        self.confirm_replica = table_replica.confirm_current
+        self.original_apply = table_replica.apply
+        self.original_confirm_current = table_replica.confirm_current
 
     def attach(self) -> None:
         """Observe the replica's calls and changes, and check what it begins with."""
         # Only this one replica is observed, so its methods are replaced and not its class.
         self.replica.apply = self.apply  # type: ignore[method-assign]
         self.replica.confirm_current = self.confirm_current  # type: ignore[method-assign]
-        self.replica.watchers.append(self.compare)
+        self.replica.watchers.append(self.check_state)
         if self.replica.applied != versions.NONE:
-            self.compare()
+            self.check_state()
 
     def apply(self, batch: items.Batch) -> None:
         """Check a batch before the replica applies it."""
         self.checker.on_applied(self.node, self.replica.applied, batch)
-        self.apply_to_replica(batch)
+        self.original_apply(batch)
 
     def confirm_current(self, current_at: float) -> None:
         """Check the replica before it counts as current as of a moment."""
         self.checker.on_current(self.node, self.replica, current_at)
-        self.confirm_replica(current_at)
+        self.original_confirm_current(current_at)
 
-    def compare(self) -> None:
+    def check_state(self) -> None:
         """Check that the replica did not go back and holds a decided state item by item."""
         applied = self.replica.applied
         if applied < self.last_applied:
@@ -197,7 +199,7 @@
         states = self.checker.history.states
         if applied not in states:
             self.checker.fail(f"{self.node} holds {applied}, which was never decided")
-        elif history.packed(self.replica.items) != history.packed(states[applied]):
+        elif history.pack_items(self.replica.items) != history.pack_items(states[applied]):
             self.checker.fail(f"{self.node} holds other rows at {applied} than were decided")
 
 
--- a/src/irisstand/modelcheck/model_network.py
+++ b/src/irisstand/modelcheck/model_network.py
@@ -12,21 +12,21 @@
 Handler = collections.abc.Callable[[str, typing.Any], collections.abc.Awaitable[typing.Any]]
 
 
-class Endpoint(typing.Protocol):
+class CallNode(typing.Protocol):
     """What a call needs of the nodes at its two ends."""
 
     name: str
     incarnation: int
     actor: virtual_time.Actor
     transport: "ModelTransport"
-    calls_in_service: list["Call"]
+    calls_in_progress: list["Call"]
 
     @property
     def is_up(self) -> bool:
         """Whether the node accepts connections."""
         ...
 
-    def record(self, label: str) -> None:
+    def record_input(self, label: str) -> None:
         """Add an input to the node's history."""
         ...
 
@@ -35,7 +35,7 @@
     """One remote call: the request, the work at the peer and the reply; messages may be lost."""
 
     def __init__(
-        self, event_scheduler: scheduler.Scheduler, caller: Endpoint, callee: Endpoint, payload: bytes
+        self, event_scheduler: scheduler.Scheduler, caller: CallNode, callee: CallNode, payload: bytes
     ) -> None:
         self.scheduler = event_scheduler
         self.caller = caller
@@ -49,25 +49,30 @@
     def request_event(self) -> events.Event:
         """Return the event that delivers the request."""
         return events.Event(
-            events.EventKind.REQUEST, self.callee.name, self.caller.name, self.label, self.serve, self.lose
+            events.EventKind.REQUEST,
+            self.callee.name,
+            self.caller.name,
+            self.label,
+            self.serve,
+            self.fail_unanswered,
         )
 
-    def lose(self) -> None:
+    def fail_unanswered(self) -> None:
         """Let the caller give up: no reply came in time."""
         if not self.future.done():
-            self.caller.record(f"unanswered {self.label}")
+            self.caller.record_input(f"unanswered {self.label}")
             self.future.set_exception(errors.UnansweredError(f"{self.callee.name} gave no result in time"))
 
     def serve(self) -> None:
         """Run the peer's handler as the peer; a peer that is down refuses the connection."""
         if self.callee.is_up:
-            self.callee.calls_in_service.append(self)
-            self.callee.actor.start(self.handle())
+            self.callee.calls_in_progress.append(self)
+            self.callee.actor.start(self.run_handler())
         elif not self.future.done():
-            self.caller.record(f"unreached {self.label}")
+            self.caller.record_input(f"unreached {self.label}")
             self.future.set_exception(errors.NotSentError(f"{self.callee.name} is down"))
 
-    async def handle(self) -> None:
+    async def run_handler(self) -> None:
         """Run the handler and post the reply; errors travel as they do on the real transport."""
         kind, body = codec.unpack(self.payload)[2]
         reply: tuple[str, typing.Any]
@@ -77,8 +82,8 @@
             reply = ("fault", tuple(error.to_wire()))
         except (ValueError, TypeError, IndexError, KeyError) as error:
             reply = ("fault", tuple(errors.BadRequestError(repr(error)).to_wire()))
-        if self in self.callee.calls_in_service:
-            self.callee.calls_in_service.remove(self)
+        if self in self.callee.calls_in_progress:
+            self.callee.calls_in_progress.remove(self)
         self.post_reply(codec.pack(reply))
 
     def post_reply(self, payload: bytes) -> None:
@@ -90,7 +95,12 @@
         label = f"{self.label} -> {events.digest(payload)}"
         self.scheduler.post(
             events.Event(
-                events.EventKind.REPLY, self.caller.name, self.callee.name, label, deliver, self.lose
+                events.EventKind.REPLY,
+                self.caller.name,
+                self.callee.name,
+                label,
+                deliver,
+                self.fail_unanswered,
             )
         )
 
@@ -111,8 +121,8 @@
     def __init__(
         self,
         event_scheduler: scheduler.Scheduler,
-        nodes: collections.abc.Mapping[str, Endpoint],
-        node: Endpoint,
+        nodes: collections.abc.Mapping[str, CallNode],
+        node: CallNode,
     ) -> None:
         self.scheduler = event_scheduler
         self.nodes = nodes
@@ -121,7 +131,12 @@
         self.calls_made = 0
 
     async def call(
-        self, address: tuple[str, int], name: str, kind: str, body: tuple[typing.Any, ...], patience: float
+        self,
+        address: tuple[str, int],
+        name: str,
+        kind: str,
+        body: tuple[typing.Any, ...],
+        timeout_seconds: float,
     ) -> typing.Any:
         """Call a peer. The time-out is not counted: the scheduler chooses whether the caller gives up.
 
@@ -130,7 +145,7 @@
             name: The peer's name.
             kind: The kind of message.
             body: The message's fields.
-            patience: Seconds until the caller would give up, unused.
+            timeout_seconds: Seconds until the caller would give up, unused.
 
         Returns:
             The decoded result.
--- a/src/irisstand/modelcheck/model_node.py
+++ b/src/irisstand/modelcheck/model_node.py
@@ -59,8 +59,8 @@
             cluster.scheduler, cluster.randomness, name, lambda: self.incarnation, files
         )
         self.incarnation = 0
-        self.history_hash = 0
-        self.calls_in_service: list[model_network.Call] = []
+        self.inputs_hash = 0
+        self.calls_in_progress: list[model_network.Call] = []
         self.actor = virtual_time.Actor(name)
         self.actor.dead = True
         self.is_open = False
@@ -72,9 +72,9 @@
         """Whether the node accepts connections: its port opens once its disk is read."""
         return not self.actor.dead and self.is_open
 
-    def record(self, label: str) -> None:
+    def record_input(self, label: str) -> None:
         """Add an input to the history; a node's state is a function of its inputs in their order."""
-        self.history_hash = hash((self.history_hash, label))
+        self.inputs_hash = hash((self.inputs_hash, label))
 
     def settings(self) -> node_settings.Settings:
         """Return the settings of this node."""
@@ -122,11 +122,11 @@
         self.actor.dead = True
         self.is_open = False
         self.cluster.crashed_actors.append(self.actor)
-        calls = self.calls_in_service
-        self.calls_in_service = []
+        calls = self.calls_in_progress
+        self.calls_in_progress = []
         for call in calls:
-            call.lose()
-        self.record("crash")
+            call.fail_unanswered()
+        self.record_input("crash")
 
     def wipe(self) -> None:
         """Crash and lose the disk."""
@@ -134,7 +134,7 @@
         self.cluster.checker.keep_wiped_disk(self.participant.store.disk_id, self.disk.files)
         self.disk.files.clear()
         self.is_rejoining = True
-        self.record("wipe")
+        self.record_input("wipe")
 
 
 def disk_files(nodes: collections.abc.Iterable[ModelNode]) -> dict[str, dict[str, bytes]]:
--- a/src/irisstand/modelcheck/random_walk.py
+++ b/src/irisstand/modelcheck/random_walk.py
@@ -8,16 +8,16 @@
 # What a link's fault may do to its messages.
 LINK_ACTIONS = (
     scheduler.Action.DROP,
-    scheduler.Action.HOLD,
-    scheduler.Action.GIVE_UP,
-    scheduler.Action.DOUBLE,
-    scheduler.Action.OVERTAKE,
+    scheduler.Action.DELAY,
+    scheduler.Action.TIME_OUT,
+    scheduler.Action.DUPLICATE,
+    scheduler.Action.REORDER,
 )
 # Likelihoods: of a fault on a link; of that fault for one message; of any deviation; of a crash.
-FAULTY_LINK_LIKELIHOOD = 0.25
-FAULT_LIKELIHOODS = (0.3, 0.9)
-DEVIATION_LIKELIHOODS = (0.0, 0.05, 0.15)
-CRASH_LIKELIHOODS = (0.0, 0.02)
+FAULTY_LINK_PROBABILITY = 0.25
+FAULT_PROBABILITIES = (0.3, 0.9)
+DEVIATION_PROBABILITIES = (0.0, 0.05, 0.15)
+CRASH_PROBABILITIES = (0.0, 0.02)
 
 
 class Link(typing.NamedTuple):
@@ -33,7 +33,7 @@
     """What happens to a link's messages, and how often."""
 
     action: scheduler.Action
-    likelihood: float
+    probability: float
 
 
 class RandomWalk:
@@ -41,8 +41,8 @@
 
     def __init__(self, seed: str) -> None:
         self.randomness = random.Random(seed)
-        self.deviation_likelihood = self.randomness.choice(DEVIATION_LIKELIHOODS)
-        self.crash_likelihood = self.randomness.choice(CRASH_LIKELIHOODS)
+        self.deviation_probability = self.randomness.choice(DEVIATION_PROBABILITIES)
+        self.crash_probability = self.randomness.choice(CRASH_PROBABILITIES)
         self.link_faults: dict[Link, LinkFault] = {}
         self.choices: list[int] = []
 
@@ -50,26 +50,26 @@
         """Choose an action, and keep the choice for a replay."""
         if not actions:
             return 0
-        self.choices.append(self.pick(model.scheduler.pending[0], actions))
+        self.choices.append(self.pick_action(model.scheduler.pending[0], actions))
         return self.choices[-1]
 
-    def pick(self, event: events.Event, actions: list[scheduler.Action]) -> int:
+    def pick_action(self, event: events.Event, actions: list[scheduler.Action]) -> int:
         """Return the index of the action for this event."""
         fault = self.fault_of(link_of(event))
-        if fault.action in actions and self.randomness.random() < fault.likelihood:
+        if fault.action in actions and self.randomness.random() < fault.probability:
             return actions.index(fault.action)
-        if scheduler.Action.CRASH in actions and self.randomness.random() < self.crash_likelihood:
+        if scheduler.Action.CRASH in actions and self.randomness.random() < self.crash_probability:
             crashes = (scheduler.Action.CRASH, scheduler.Action.WIPE)
             return self.randomness.choice([n for n, action in enumerate(actions) if action in crashes])
-        is_deviation = self.randomness.random() < self.deviation_likelihood
+        is_deviation = self.randomness.random() < self.deviation_probability
         return self.randomness.randrange(len(actions)) if is_deviation else 0
 
     def fault_of(self, link: Link) -> LinkFault:
         """Return the link's fault, drawn when the link is first used."""
         if link not in self.link_faults:
-            is_faulty = self.randomness.random() < FAULTY_LINK_LIKELIHOOD
-            likelihood = self.randomness.choice(FAULT_LIKELIHOODS) if is_faulty else 0.0
-            self.link_faults[link] = LinkFault(self.randomness.choice(LINK_ACTIONS), likelihood)
+            is_faulty = self.randomness.random() < FAULTY_LINK_PROBABILITY
+            probability = self.randomness.choice(FAULT_PROBABILITIES) if is_faulty else 0.0
+            self.link_faults[link] = LinkFault(self.randomness.choice(LINK_ACTIONS), probability)
         return self.link_faults[link]
 
 
@@ -87,7 +87,7 @@
         report.runs += 1
         report.steps += len(random_walk.choices)
         if result.violation:
-            report.broken.append(reports.BrokenRun(tuple(random_walk.choices), result.violation))
+            report.violating_runs.append(reports.ViolatingRun(tuple(random_walk.choices), result.violation))
             break
-        report.count(result.cluster.clients.ordered_results())
+        report.count_results(result.cluster.clients.ordered_results())
     return report
--- a/src/irisstand/modelcheck/reports.py
+++ b/src/irisstand/modelcheck/reports.py
@@ -7,7 +7,7 @@
 from irisstand.modelcheck import runs, scenarios
 
 
-class BrokenRun(typing.NamedTuple):
+class ViolatingRun(typing.NamedTuple):
     """The choices that lead to a violation, and the invariant that is broken."""
 
     choices: runs.Choices
@@ -23,10 +23,10 @@
     steps: int = 0
     states: int = 0
     pruned: int = 0
-    broken: list[BrokenRun] = dataclasses.field(default_factory=list)
+    violating_runs: list[ViolatingRun] = dataclasses.field(default_factory=list)
     results: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
 
-    def count(self, results: list[scenarios.StepResult]) -> None:
+    def count_results(self, results: list[scenarios.StepResult]) -> None:
         """Count the results of a run that ended in order."""
         self.results[" ".join(results)] += 1
 
@@ -36,5 +36,5 @@
         self.steps += other.steps
         self.states += other.states
         self.pruned += other.pruned
-        self.broken += other.broken
+        self.violating_runs += other.violating_runs
         self.results.update(other.results)
--- a/src/irisstand/modelcheck/runs.py
+++ b/src/irisstand/modelcheck/runs.py
@@ -28,7 +28,7 @@
     """Run a scenario in virtual time."""
     model = cluster.ModelCluster(scenario)
     try:
-        virtual_time.run(play(model, choose))
+        virtual_time.run(run_steps(model, choose))
     except invariants.InvariantViolationError as violation:
         return RunResult(model, violation=str(violation))
     except RunPrunedError:
@@ -46,7 +46,7 @@
     return run(scenario, choose)
 
 
-async def play(model: cluster.ModelCluster, choose: Chooser) -> None:
+async def run_steps(model: cluster.ModelCluster, choose: Chooser) -> None:
     """Take steps until the run is over, then make the final checks.
 
     Raises:
@@ -61,10 +61,10 @@
             take_step(model, choose, number)
             await model.settle()
         else:
-            await model.wait()
+            await model.wait_for_events()
             model.checker.raise_violation()
     else:
-        raise model.endless_run()
+        raise model.nontermination_violation()
     # A search may have seen this final state, and prunes the run then.
     choose(model, [])
     await final_checks.check(model)
--- a/src/irisstand/modelcheck/scenarios.py
+++ b/src/irisstand/modelcheck/scenarios.py
@@ -17,8 +17,8 @@
 class StepResult(enum.StrEnum):
     """How a client's step ended; LOST: the node crashed before it could say."""
 
-    YES = "yes"
-    NO = "no"
+    CONFIRMED = "yes"
+    FAILED = "no"
     UNKNOWN = "unknown"
     LOST = "lost"
     READ = "read"
@@ -39,7 +39,7 @@
     node: str
     order: orders.Order | None = None
     after: int | None = None
-    newcomer: str | None = None
+    joining_node: str | None = None
 
 
 class Scenario(typing.NamedTuple):
@@ -58,8 +58,8 @@
     steps: tuple[ClientStep, ...]
     sites: tuple[str, ...] = ("one", "two", "three", "four")
     faults: int = 1
-    leaves: str = "c"
-    wiped: tuple[str, ...] = ("a", "b", "c")
+    replaced_voter: str = "c"
+    wipeable_nodes: tuple[str, ...] = ("a", "b", "c")
 
 
 def site_order(change: str, weight: int, name: str = "north", **fields: typing.Any) -> orders.Order:
@@ -123,7 +123,7 @@
         ClientStep(StepKind.ORDER, "b", site_order("y", 2)),
     ),
     sites=("one", "one", "two", "two"),
-    wiped=("a", "b"),
+    wipeable_nodes=("a", "b"),
 )
 # Two contents under one version, at two proposers.
 CONTENTS = Scenario(
--- a/tests/modelcheck/test_model_check.py
+++ b/tests/modelcheck/test_model_check.py
@@ -8,22 +8,22 @@
 from irisstand.modelcheck import exploration, random_walk, runs, scenarios
 
 # Two contents under one version stand in a test of their own, below.
-NAMES = [name for name in scenarios.REGISTRY if name != "contents"]
+SCENARIO_NAMES = [name for name in scenarios.REGISTRY if name != "contents"]
 
 
-@pytest.mark.parametrize("name", NAMES)
-def test_every_run_with_one_deviation_keeps_all_rules(name):
+@pytest.mark.parametrize("name", SCENARIO_NAMES)
+def test_every_run_with_one_deviation_keeps_all_invariants(name):
     report = exploration.explore(scenarios.REGISTRY[name], deviations=1)
-    assert not report.broken
+    assert not report.violating_runs
     # A model in which nothing happens would keep all rules as well.
     assert report.runs > 100
     assert any("lost" in results for results in report.results)
 
 
-@pytest.mark.parametrize("name", NAMES)
-def test_random_walks_with_links_in_trouble_keep_all_rules(name):
+@pytest.mark.parametrize("name", SCENARIO_NAMES)
+def test_random_walks_with_faulty_links_keep_all_invariants(name):
     report = random_walk.walk(scenarios.REGISTRY[name], range(1, 41))
-    assert not report.broken
+    assert not report.violating_runs
     assert report.runs == 40
 
 
@@ -35,14 +35,14 @@
     assert any("cut" in line for line in first.trace)
 
 
-def directed(steps, *rules):
+def run_directed(steps, *directives):
     """One run in which each event whose label matches a rule's pattern has that action applied to it.
 
     A rule is (pattern, action, whether only until the first batch is decided).
     """
 
     def choose(model, actions):
-        for pattern, action, until_decided in rules if actions else ():
+        for pattern, action, until_decided in directives if actions else ():
             # The bootstrap batch is among the decided ones.
             is_over = until_decided and len(model.checker.history.batches) > 1
             if action in actions and not is_over and re.search(pattern, model.scheduler.pending[0].label):
@@ -52,17 +52,17 @@
     return runs.run(scenarios.Scenario("directed", steps, faults=0), choose)
 
 
-X = scenarios.site_order("x", 1)
-Y = scenarios.site_order("y", 2)
+ORDER_X = scenarios.site_order("x", 1)
+ORDER_Y = scenarios.site_order("y", 2)
 
 
-def test_a_proposer_that_hears_no_promises_proposes_nothing():
+def test_a_proposer_without_promises_proposes_nothing():
     """Its accepts would get through, to a voter that holds another proposer's decided batch as pending."""
     steps = (
-        scenarios.ClientStep(scenarios.StepKind.ORDER, "b", X),
-        scenarios.ClientStep(scenarios.StepKind.ORDER, "a", Y),
+        scenarios.ClientStep(scenarios.StepKind.ORDER, "b", ORDER_X),
+        scenarios.ClientStep(scenarios.StepKind.ORDER, "a", ORDER_Y),
     )
-    result = directed(
+    result = run_directed(
         steps,
         ("^start 1", "hold", False),
         (r"^b\.1#\d+>a", "drop", False),
@@ -75,10 +75,10 @@
 
 def test_of_two_pending_batches_the_one_accepted_under_the_higher_ballot_is_finished():
     steps = (
-        scenarios.ClientStep(scenarios.StepKind.ORDER, "a", X),
-        scenarios.ClientStep(scenarios.StepKind.ORDER, "b", Y),
+        scenarios.ClientStep(scenarios.StepKind.ORDER, "a", ORDER_X),
+        scenarios.ClientStep(scenarios.StepKind.ORDER, "b", ORDER_Y),
     )
-    result = directed(
+    result = run_directed(
         steps,
         ("^start 1", "hold", False),
         (r"^a\.1#\d+>[bc] accept", "drop", True),
@@ -94,12 +94,12 @@
     assert sum("drop: a.1" in line and "accept" in line for line in result.cluster.trace) >= 2
 
 
-def test_a_majority_check_after_a_yes_does_not_rest_on_a_batch_that_is_only_pending_where_it_asks():
+def test_a_heartbeat_after_a_confirmation_does_not_rely_on_a_batch_that_is_only_pending():
     steps = (
-        scenarios.ClientStep(scenarios.StepKind.ORDER, "b", X),
+        scenarios.ClientStep(scenarios.StepKind.ORDER, "b", ORDER_X),
         scenarios.ClientStep(scenarios.StepKind.READ, "a", after=0),
     )
-    result = directed(
+    result = run_directed(
         steps,
         (r"^b\.1#\d+>a", "drop", False),
         (r"^b\.1#\d+>c commit", "hold", False),
@@ -113,10 +113,10 @@
 
 def test_no_two_contents_are_confirmed_under_one_version():
     report = exploration.explore(scenarios.REGISTRY["contents"], deviations=1)
-    assert not report.broken
+    assert not report.violating_runs
 
 
-def test_a_read_that_loses_its_ballot_ends_with_no_and_breaks_nothing(monkeypatch):
+def test_a_read_that_loses_its_ballot_fails_without_a_violation(monkeypatch):
     run_round = heartbeat.Heartbeat.run_round
     # Only the client's read fails; those at the end of the run bring what every replica must have.
     failures = iter([proposer.BallotLostError()])
