--- a/src/irisstand/modelcheck/__init__.py
+++ b/src/irisstand/modelcheck/__init__.py
@@ -1,4 +1,4 @@
-"""Model check of the decision code: the real coroutines under a deterministic scheduler.
+"""Model checker for the consensus code, which runs the real coroutines under a deterministic scheduler.
 
-See docs/control/model.md.
+The page docs/control/model.md describes it.
 """
--- a/src/irisstand/modelcheck/bootstrap_image.py
+++ b/src/irisstand/modelcheck/bootstrap_image.py
@@ -1,4 +1,7 @@
-"""Disks of a bootstrapped core, made once by the real acceptors: every run begins from these."""
+"""Disk images of a bootstrapped control plane, which every run of the model checker starts from.
+
+The real acceptors write them, once per process and list of sites.
+"""
 
 import asyncio
 import functools
@@ -17,14 +20,19 @@
 
 
 class BootstrapImage(typing.NamedTuple):
-    """Sealed files by node and file name, and the batch that installed the first voters."""
+    """Disk images of all nodes after the bootstrap.
+
+    Attributes:
+        files: The files of each disk with their checksums, by node name and file name.
+        batch: The batch that installed the first voters.
+    """
 
     files: dict[str, dict[str, bytes]]
     batch: items.Batch
 
 
 class NodeStorage(typing.NamedTuple):
-    """A node's empty disk and the store that was opened on it."""
+    """A node's disk in memory, which is empty at first, and the durable store that was opened on it."""
 
     disk: memory_disk.MemoryDisk
     store: durable_store.DurableStore
@@ -32,13 +40,17 @@
 
 @functools.cache
 def cached_image(sites: tuple[str, ...]) -> BootstrapImage:
-    """Return the disks of three voters and a spare that holds the table; `sites` is one for each."""
+    """Return the disk images of three voters and a spare node, whose replicas hold the bootstrap batch.
+
+    Args:
+        sites: The site of each node, in the order of `NODE_NAMES`.
+    """
     bootstrapped: BootstrapImage = virtual_time.run(make_image(sites))
     return bootstrapped
 
 
 async def make_image(sites: tuple[str, ...]) -> BootstrapImage:
-    """Bootstrap the cluster on empty disks."""
+    """Install the first batch on the empty disk of each node, and return the resulting disk images."""
     nodes = {name: await open_store(name) for name in NODE_NAMES}
     voters = [
         quorum.Voter(name, nodes[name].store.disk_id, site, name, model_node.PORT, name)
@@ -56,7 +68,7 @@
 
 
 async def open_store(name: str) -> NodeStorage:
-    """Open a store on an empty disk; the node's name is the seed."""
+    """Open a durable store on an empty disk, with the node's name as the seed of all randomness."""
     disk = memory_disk.MemoryDisk(random.Random(name))
     store = durable_store.DurableStore(disk, random.Random(name))
     await store.open()
@@ -64,5 +76,9 @@
 
 
 async def refuse_catch_up(table: str, sender: str) -> None:
-    """Stand in for catching up, which a bootstrap never needs."""
-    raise RuntimeError(f"a bootstrap does not catch up {table} from {sender}")
+    """Fail in place of the catch-up callback of an acceptor, which a bootstrap never calls.
+
+    Raises:
+        RuntimeError: Always.
+    """
+    raise RuntimeError(f"unexpected catch-up of table {table} from {sender} during a bootstrap")
--- a/src/irisstand/modelcheck/clients.py
+++ b/src/irisstand/modelcheck/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the model: they order, read and enrol voters at nodes, and note what they are told."""
+"""Clients of the model, which submit orders, read, enrol voters, and record the result of each request."""
 
 from irisstand import errors
 from irisstand.controlplane.changes import orders
@@ -10,14 +10,14 @@
 
 
 class Clients:
-    """The steps of a scenario, and how each ended.
+    """Starts the client steps of a scenario and records how each step ended.
 
     Args:
-        steps: What the scenario's clients do; more may be added during a run.
-        leaves: The voter that the spare replaces.
-        event_scheduler: Where the starts of steps are posted.
-        checker: Checks what clients are told.
-        nodes: The cluster's nodes by name.
+        steps: The requests of the scenario's clients; more may be added during a run.
+        replaced_voter: The name of the voter that the spare node replaces.
+        event_scheduler: The scheduler that decides when each step starts.
+        checker: The checker of the results that clients receive.
+        nodes: The nodes of the cluster by name.
     """
 
     def __init__(
@@ -37,35 +37,35 @@
         self.posted_steps: set[int] = set()
 
     def add(self, step: scenarios.ClientStep) -> int:
-        """Add a step and return its number."""
+        """Add a client step and return its number, which is its index in `steps`."""
         self.steps.append(step)
         return len(self.steps) - 1
 
     def are_done(self) -> bool:
-        """Return whether every step has a result."""
+        """Return whether every client step has a result."""
         return len(self.results) == len(self.steps)
 
     def ordered_results(self) -> list[scenarios.StepResult]:
-        """Return the results in the order of the steps."""
+        """Return the results of the finished client steps, in the order of the steps."""
         return [self.results[number] for number in sorted(self.results)]
 
     def results_text(self) -> str:
-        """Return the results by step number, for messages."""
+        """Return the results by step number as text for messages."""
         return str({number: result.value for number, result in self.results.items()})
 
     def change_ids(self) -> list[str]:
-        """Return the change ids of all orders."""
+        """Return the change ids of all orders that clients submit, in the order of the steps."""
         return [step.order.change for step in self.steps if step.order is not None]
 
     def post_ready_steps(self) -> None:
-        """Post the start of each step whose predecessor is over."""
+        """Post the start event of each client step that has no predecessor, or one with a result."""
         for number, step in enumerate(self.steps):
             if number not in self.posted_steps and (step.after is None or step.after in self.results):
                 self.posted_steps.add(number)
                 self.post_start(number, step)
 
     def post_start(self, number: int, step: scenarios.ClientStep) -> None:
-        """Post the event that starts a step."""
+        """Post the event that starts a client step."""
 
         def start() -> None:
             self.start(number, step)
@@ -74,7 +74,7 @@
         self.scheduler.post(events.Event(events.EventKind.START, step.node, CLIENT, label, start))
 
     def start(self, number: int, step: scenarios.ClientStep) -> None:
-        """Run a step at its node; one that is down loses it."""
+        """Run a client step at its node, or record the step as lost if the node is down."""
         node = self.nodes[step.node]
         if node.is_up:
             node.actor.start(self.run(number, step, node))
@@ -82,7 +82,10 @@
             self.results[number] = scenarios.StepResult.LOST
 
     async def run(self, number: int, step: scenarios.ClientStep, node: model_node.ModelNode) -> None:
-        """Run a step as the node, and note its result."""
+        """Run a client step in the node's process and record its result.
+
+        An exception that the node should not raise is recorded as a violation.
+        """
         try:
             if step.kind is scenarios.StepKind.READ:
                 await node.heartbeat.run_round()
@@ -90,15 +93,15 @@
             else:
                 await self.submit(number, self.order_of(step), node)
         except (errors.IrisError, proposer.BallotLostError):
-            # A heartbeat that failed is tried again by its loop; here it is over.
+            # In production, the heartbeat loop retries a failed round; a step of the model runs only one.
             self.results.setdefault(number, scenarios.StepResult.FAILED)
         except Exception as error:
-            # Whatever else is raised is a fault of the code under check.
+            # Any other exception is a bug in the code under test.
             self.results.setdefault(number, scenarios.StepResult.FAILED)
-            self.checker.fail(f"{step.kind} at {node.name} crashed: {error!r}")
+            self.checker.fail(f"client step {step.kind} at {node.name} raised an unexpected {error!r}")
 
     async def submit(self, number: int, order: orders.Order, node: model_node.ModelNode) -> None:
-        """Have an order decided, and check what the client is told."""
+        """Submit an order to the node's proposer, then check and record the result for the client."""
         try:
             result = await node.proposer.submit(order)
         except errors.IrisError as error:
@@ -111,7 +114,10 @@
         self.results[number] = scenarios.StepResult.CONFIRMED
 
     def order_of(self, step: scenarios.ClientStep) -> orders.Order:
-        """Return the order of a step; an enrolment's is made from the newcomer's disk id of now."""
+        """Return the order of a client step.
+
+        The order of an enrolment is built at this point, from the current disk id of the joining node.
+        """
         if step.order is not None:
             return step.order
         joining_node = step.joining_node or SPARE_NODE
@@ -121,7 +127,7 @@
         )
 
     def mark_lost_steps(self, node: str) -> None:
-        """Note the steps that were running at a node that crashed as lost."""
+        """Record the client steps that were running at a crashed node as lost."""
         for number, step in enumerate(self.steps):
             is_running = step.node == node and number in self.posted_steps and number not in self.results
             if is_running and not self.scheduler.has_event(start_label(number, step)):
@@ -129,5 +135,5 @@
 
 
 def start_label(number: int, step: scenarios.ClientStep) -> str:
-    """Return the label of the event that starts a step."""
+    """Return the label of the event that starts a client step."""
     return f"start {number} {step.kind}"
--- a/src/irisstand/modelcheck/cluster.py
+++ b/src/irisstand/modelcheck/cluster.py
@@ -1,4 +1,4 @@
-"""The cluster of the model: its nodes, its clients and its faults, advanced one step at a time."""
+"""The model's cluster of nodes, clients and injected faults, which advances by one event at a time."""
 
 import asyncio
 import contextlib
@@ -18,16 +18,20 @@
 from irisstand.simulator import virtual_time
 from irisstand.state import items, quorum, versions
 
-# Virtual seconds.
+# Durations of virtual time.
 SETTLE_SECONDS = 1e-6
 PAUSE_SECONDS = 0.05
 RUN_SECONDS_LIMIT = 60.0
-# Pauses without a pending event before a late one is released.
+# After this many pauses without a pending event, the oldest delayed event is released.
 IDLE_PAUSES_LIMIT = 3
 
 
 class ModelCluster:
-    """Four nodes on bootstrapped disks, ready to run a scenario."""
+    """A cluster of four nodes with bootstrapped disks that runs one scenario.
+
+    Args:
+        scenario: The client steps, the sites of the nodes and the faults that may be injected.
+    """
 
     def __init__(self, scenario: scenarios.Scenario) -> None:
         self.scenario = scenario
@@ -36,7 +40,7 @@
         self.checker = invariants.InvariantChecker(model_node.TABLE)
         self.scheduler = scheduler.Scheduler(lambda node, label: self.nodes[node].record_input(label))
         self.nodes: dict[str, model_node.ModelNode] = {}
-        # A crashed process's tasks must stay referenced, or their clean-up code would run.
+        # Tasks of crashed processes stay referenced, as their cleanup code would run if they were collected.
         self.crashed_actors: list[virtual_time.Actor] = []
         self.clients = clients.Clients(
             scenario.steps, scenario.replaced_voter, self.scheduler, self.checker, self.nodes
@@ -44,7 +48,7 @@
         self.make_nodes()
 
     def make_nodes(self) -> None:
-        """Make the nodes on copies of the bootstrapped disks."""
+        """Create the nodes, each with a disk that starts from its bootstrap image."""
         image = bootstrap_image.cached_image(self.scenario.sites)
         context = model_node.ClusterContext(
             self.scheduler, self.checker, random.Random(1), self.nodes, self.crashed_actors
@@ -54,30 +58,30 @@
         self.checker.on_applied("founding", image.batch.base, image.batch)
 
     def start(self) -> None:
-        """Start all nodes."""
+        """Start the processes of all nodes."""
         for node in self.nodes.values():
             node.start()
 
     # -- faults --------------------------------------------------------------------------------------
     def crash(self, name: str) -> None:
-        """Crash a node; it restarts from what was synced once the scheduler delivers its restart."""
+        """Crash a node, which restarts from its synced files when its restart event is delivered."""
         self.begin_fault(name)
         self.nodes[name].crash()
         self.finish_fault(name)
 
     def wipe(self, name: str) -> None:
-        """Crash a node and lose its disk; it restarts empty and rejoins."""
+        """Crash a node and erase its disk; after its restart it rejoins with an empty disk."""
         self.begin_fault(name)
         self.nodes[name].wipe()
         self.finish_fault(name)
 
     def begin_fault(self, name: str) -> None:
-        """Count the fault and forget the node's unsynced writes."""
+        """Count an injected fault and discard the unsynced writes of the node."""
         self.faults_left -= 1
         self.scheduler.discard_syncs(name)
 
     def finish_fault(self, name: str) -> None:
-        """Note the lost steps and post the restart."""
+        """Record the client steps that the crashed node lost, and post its restart event."""
         self.clients.mark_lost_steps(name)
         self.scheduler.post(
             events.Event(
@@ -90,15 +94,15 @@
         )
 
     def restart(self, name: str) -> None:
-        """Start a crashed node again."""
+        """Restart a crashed node, which also rejoins the cluster if its disk was wiped."""
         node = self.nodes[name]
         node.start()
         if node.is_rejoining:
             node.actor.start(self.rejoin(node))
 
     async def rejoin(self, node: model_node.ModelNode) -> None:
-        """Let a wiped voter learn the table and hold it durably before it asks to be voted in."""
-        while not node.is_open:  # noqa: ASYNC110 - the model has virtual time, and its nodes no events for this
+        """Copy the table to a wiped node and persist it, then add a client step that enrols it as a voter."""
+        while not node.is_open:  # noqa: ASYNC110 - time is virtual, and a node has no event for its opening
             await asyncio.sleep(SETTLE_SECONDS)
         peers = [name for name in bootstrap_image.VOTER_NAMES if name != node.name]
         while node.table_replica.applied == versions.NONE:
@@ -110,9 +114,9 @@
         node.is_rejoining = False
         self.clients.add(scenarios.ClientStep(scenarios.StepKind.ENROL, peers[0], joining_node=node.name))
 
-    # -- the scheduler's options ---------------------------------------------------------------------
+    # -- actions that the model may take -------------------------------------------------------------
     def options(self) -> list[scheduler.Option]:
-        """Return what may be done with the oldest event; the first is the default, others deviations."""
+        """Return the possible actions for the oldest event; all but the first one are deviations."""
         options = self.scheduler.options()
         oldest_event = self.scheduler.pending[0]
         name = oldest_event.target
@@ -125,16 +129,20 @@
 
     # -- time ----------------------------------------------------------------------------------------
     async def settle(self) -> None:
-        """Let all coroutines run until each waits: virtual time moves only then."""
+        """Run all coroutines until each of them waits, as virtual time advances only then.
+
+        Raises:
+            invariants.InvariantViolationError: An invariant is violated.
+        """
         await asyncio.sleep(SETTLE_SECONDS)
         self.checker.raise_violation()
         self.clients.post_ready_steps()
 
     async def wait_for_events(self) -> None:
-        """With nothing pending, let timers run, and then release an event that was held back.
+        """Let timers run while no event is pending, and release a delayed event if none of them posts one.
 
         Raises:
-            invariants.InvariantViolationError: The run does not end.
+            invariants.InvariantViolationError: The run exceeded `RUN_SECONDS_LIMIT`.
         """
         for _ in range(IDLE_PAUSES_LIMIT):
             await asyncio.sleep(PAUSE_SECONDS)
@@ -146,17 +154,19 @@
             raise self.nontermination_violation()
 
     def nontermination_violation(self) -> invariants.InvariantViolationError:
-        """Return the violation of a run that does not end."""
-        return invariants.InvariantViolationError(f"it does not end: {self.clients.results_text()}")
+        """Return the error for a run that exceeded its limit of steps or of virtual time."""
+        return invariants.InvariantViolationError(
+            f"the run does not end; client results by step number: {self.clients.results_text()}"
+        )
 
     def is_finished(self) -> bool:
-        """Return whether nothing is left to do."""
+        """Return whether no event is left, all client steps have results, and no node is rejoining."""
         is_quiet = self.scheduler.is_empty() and self.clients.are_done()
         return is_quiet and not any(node.is_rejoining for node in self.nodes.values())
 
-    # -- equal states --------------------------------------------------------------------------------
+    # -- hashes of states ----------------------------------------------------------------------------
     def state_hash(self) -> int:
-        """Return a hash that is equal for two runs which can only continue alike."""
+        """Return a hash of the cluster's state; runs in equal states have the same continuations."""
         pending = tuple((event.label, event.is_delayed) for event in self.scheduler.pending)
         delayed = tuple(event.label for event in self.scheduler.delayed)
         histories = tuple(node.inputs_hash for node in self.nodes.values())
@@ -171,7 +181,7 @@
         )
 
     def final_state_hash(self) -> int:
-        """Return a hash that is equal for two finished runs with equal disks, replicas and results."""
+        """Return a hash of a finished run's disks, replicas, ballot numbers and client results."""
         tables = [
             (node.participant.store.records[model_node.TABLE], node.table_replica.root_digest())
             for node in self.nodes.values()
@@ -181,15 +191,15 @@
         return hash(repr((tables, highest, self.sorted_results(), self.confirmed_versions(), refused)))
 
     def sorted_results(self) -> tuple[tuple[int, scenarios.StepResult], ...]:
-        """Return results by step number."""
+        """Return pairs of step number and result, sorted by step number."""
         return tuple(sorted(self.clients.results.items()))
 
     def confirmed_versions(self) -> tuple[tuple[str, versions.Version], ...]:
-        """Return change id and version of each confirmed order."""
+        """Return the change id and the version of each confirmed order."""
         return tuple((entry.order.change, entry.version) for entry in self.checker.history.confirmed)
 
     def last_voter(self) -> str:
-        """Return the last of the newest voters whose disk is still the one that was voted in."""
+        """Return the name of the last voter in the newest voter set whose enrolled disk was not wiped."""
         replicas = [node.table_replica for node in self.nodes.values()]
         newest = max(replicas, key=lambda replica: replica.applied)
         voters = quorum.voters_from_wire(newest.value(items.VOTERS_KEY))
--- a/src/irisstand/modelcheck/events.py
+++ b/src/irisstand/modelcheck/events.py
@@ -1,4 +1,4 @@
-"""Events among which the scheduler chooses: messages, disk syncs and starts, pending until delivered."""
+"""Events that the scheduler orders: messages, disk syncs, starts of client steps, and restarts of nodes."""
 
 import collections.abc
 import dataclasses
@@ -9,7 +9,7 @@
 
 
 class EventKind(enum.StrEnum):
-    """What an event delivers."""
+    """The kinds of events that the scheduler delivers."""
 
     REQUEST = "ask"
     REPLY = "reply"
@@ -20,17 +20,18 @@
 
 @dataclasses.dataclass
 class Event:
-    """One pending event.
+    """An event that the scheduler may deliver, delay or lose.
 
     Attributes:
-        kind: What is delivered.
-        target: The node that the event is delivered to.
-        source: The node that sent it, or "client".
-        label: Stable text that identifies the event in traces and node histories.
-        deliver: Carries the event out.
-        lose: Tells the caller that no reply came; None where nobody waits for one.
-        is_late: Whether it was held back or duplicated once. Such an event is not delayed again, or no run
-            would end.
+        kind: The kind of the event.
+        target: The name of the node that the event is delivered to.
+        source: The name of the node that caused the event, or "client".
+        label: A text that identifies the event in traces and node histories; it is equal in equal runs.
+        deliver: A callback that carries out the event.
+        on_lost: A callback that tells the caller of a lost message that no reply arrived; None if the event
+            cannot be lost.
+        is_delayed: Whether the event was delayed, or is the duplicate of another event. Such an event is not
+            delayed again, as a run might otherwise never end.
     """
 
     kind: EventKind
@@ -43,5 +44,5 @@
 
 
 def digest(payload: bytes) -> str:
-    """Return a short digest of a payload for labels."""
+    """Return a short hexadecimal digest of a payload, for use in event labels."""
     return hashlib.blake2b(payload, digest_size=DIGEST_BYTES).hexdigest()
--- a/src/irisstand/modelcheck/exploration.py
+++ b/src/irisstand/modelcheck/exploration.py
@@ -1,23 +1,28 @@
-"""Exploration: every list of choices with a bounded number of deviations is run, depth first, by replay."""
+"""Exhaustive depth-first exploration of all runs with a bounded number of deviations.
+
+A run cannot be rewound, so each one starts from the beginning and replays a prefix of choices.
+"""
 
 import concurrent.futures
 
 from irisstand.modelcheck import cluster, reports, runs, scenarios, scheduler
 
-# Parts of the work for each worker process, so that a worker that is done early takes another.
+# Each worker process gets several chunks of prefixes, so that a worker that finishes early takes another one.
 CHUNKS_PER_WORKER = 4
 
 
 def explore(scenario: scenarios.Scenario, deviations: int, workers: int = 1) -> reports.Report:
-    """Run all choices within a bound.
+    """Run a scenario with all lists of choices that have at most a given number of deviations.
 
     Args:
-        scenario: What is run.
-        deviations: The most deviations from delivery in order in one run.
-        workers: Number of processes. They share no states, so their sum counts some states twice.
+        scenario: The scenario to run.
+        deviations: The maximum number of deviations from delivery in order in one run.
+        workers: The number of processes. They do not share the states they have seen, so the total number
+            of states counts some states more than once.
 
     Returns:
-        What was covered, and the first run of each worker that broke an invariant.
+        The coverage, and the first run that violated an invariant; with several workers, the first such run
+        of each chunk of prefixes.
     """
     if workers == 1:
         return explore_prefixes(scenario, deviations, [()])
@@ -36,7 +41,7 @@
 def explore_prefixes(
     scenario: scenarios.Scenario, deviations: int, prefixes: list[runs.Choices]
 ) -> reports.Report:
-    """Explore everything below some prefixes, in one process."""
+    """Explore all runs that start with any of the prefixes, in one process."""
     exploration = Exploration(scenario, deviations)
     for prefix in prefixes:
         exploration.explore(prefix)
@@ -44,24 +49,31 @@
 
 
 class Exploration:
-    """Depth-first search; a state is continued from once for each number of deviations left."""
+    """A depth-first search that prunes runs at states from which it has continued before.
+
+    A state is continued again only if more deviations remain than before.
+
+    Args:
+        scenario: The scenario to run.
+        deviations: The maximum number of deviations from delivery in order in one run.
+    """
 
     def __init__(self, scenario: scenarios.Scenario, deviations: int) -> None:
         self.scenario = scenario
         self.deviations = deviations
-        # The most deviations that were left when a state was continued from, by its hash.
+        # For each state hash, the most deviations that remained when the search continued from that state.
         self.seen: dict[int, int] = {}
         self.report = reports.Report(scenario.name)
 
     def explore(self, prefix: runs.Choices) -> None:
-        """Run everything below a prefix, or until an invariant is broken."""
+        """Explore all runs that start with a prefix, and stop at the first violation."""
         stack = [prefix]
         while stack and not self.report.violating_runs:
             stack += self.expand(stack.pop())
         self.report.states = len(self.seen)
 
     def expand(self, prefix: runs.Choices) -> list[runs.Choices]:
-        """Run a prefix and return the prefixes with one more deviation, those of the last step first."""
+        """Run a prefix, and return its extensions that end with one more deviation, the longest first."""
         option_counts = self.run(prefix)
         if count_deviations(prefix) >= self.deviations:
             return []
@@ -72,7 +84,7 @@
         return child_prefixes
 
     def run(self, prefix: runs.Choices) -> list[int]:
-        """Run a prefix and then everything in order; return how many options each step had."""
+        """Run a prefix of choices, then deliver events in order; return the number of options per step."""
         deviations_left = self.deviations - count_deviations(prefix)
         option_counts: list[int] = []
 
@@ -94,10 +106,15 @@
         return option_counts
 
     def mark_seen(self, state: int, deviations_left: int) -> None:
-        """Note that a state is continued from.
+        """Record that the search continues from a state.
+
+        Args:
+            state: The hash of the state.
+            deviations_left: The number of deviations that the current run may still make.
 
         Raises:
-            runs.RunPrunedError: It was before, with at least as many deviations left.
+            runs.RunPrunedError: The search continued from this state before, with at least as many
+                deviations left.
         """
         if self.seen.get(state, -1) >= deviations_left:
             raise runs.RunPrunedError
@@ -105,5 +122,5 @@
 
 
 def count_deviations(choices: runs.Choices) -> int:
-    """Return how many choices are not the default."""
+    """Return the number of choices that deviate from the default action, which has index 0."""
     return sum(choice > 0 for choice in choices)
--- a/src/irisstand/modelcheck/final_checks.py
+++ b/src/irisstand/modelcheck/final_checks.py
@@ -1,4 +1,7 @@
-"""The end of a run: all nodes are up, no message is lost any more, and all that was confirmed must hold."""
+"""Checks at the end of a run, when all nodes are up and messages are no longer lost.
+
+Every confirmed order must be in force on all replicas then.
+"""
 
 from irisstand.modelcheck import cluster, invariants, scenarios
 
@@ -7,10 +10,10 @@
 
 
 async def check(model: cluster.ModelCluster) -> None:
-    """Decide one more order, read at every node, and compare all replicas with what was confirmed.
+    """Decide one more order, run a heartbeat at every node, and check all replicas against the history.
 
     Raises:
-        invariants.InvariantViolationError: An invariant is broken.
+        invariants.InvariantViolationError: An invariant is violated.
     """
     await decide_last_order(model)
     await read_everywhere(model)
@@ -20,7 +23,13 @@
 
 
 async def decide_last_order(model: cluster.ModelCluster) -> None:
-    """Decide an order; a voter that missed a change of the voters learns of it by its heartbeats."""
+    """Have a final order decided, with heartbeats at all nodes before each retry.
+
+    The heartbeats bring a changed voter set to a voter that missed the change.
+
+    Raises:
+        invariants.InvariantViolationError: The order was not decided within `ATTEMPTS_LIMIT` attempts.
+    """
     for _ in range(ATTEMPTS_LIMIT):
         step = scenarios.ClientStep(scenarios.StepKind.ORDER, model.last_voter(), LAST_ORDER)
         number = model.clients.add(step)
@@ -29,11 +38,13 @@
         if model.clients.results[number] is scenarios.StepResult.CONFIRMED:
             return
         await read_everywhere(model)
-    raise invariants.InvariantViolationError(f"with everybody up, {model.last_voter()} decides no order")
+    raise invariants.InvariantViolationError(
+        f"voter {model.last_voter()} cannot have an order decided although all nodes are up"
+    )
 
 
 async def read_everywhere(model: cluster.ModelCluster) -> None:
-    """Run a heartbeat at every node."""
+    """Run a heartbeat round at every node and wait for its result."""
     for name in model.nodes:
         model.clients.add(scenarios.ClientStep(scenarios.StepKind.READ, name))
     model.clients.post_ready_steps()
@@ -41,7 +52,11 @@
 
 
 async def deliver_all(model: cluster.ModelCluster) -> None:
-    """Deliver events in their order until nothing is left to do."""
+    """Deliver all events in their order until the run is finished.
+
+    Raises:
+        invariants.InvariantViolationError: An invariant is violated, or the run does not end.
+    """
     while not model.is_finished():
         if model.scheduler.pending:
             model.scheduler.deliver(0)
--- a/src/irisstand/modelcheck/history.py
+++ b/src/irisstand/modelcheck/history.py
@@ -1,4 +1,4 @@
-"""History of a run: the decided batches, the states that follow from them, and what clients were told."""
+"""The history of a run: decided batches, the resulting table states, and the results for clients."""
 
 import typing
 
@@ -11,7 +11,14 @@
 
 
 class ConfirmedOrder(typing.NamedTuple):
-    """An order that a client was told is in force; `confirmed_at` in virtual seconds."""
+    """An order that was reported to a client as in force.
+
+    Attributes:
+        order: The confirmed order.
+        version: The version that was reported to the client.
+        rows: The keys of the rows that the order wrote, as reported to the client.
+        confirmed_at: When the client received the result, in seconds of virtual time.
+    """
 
     order: orders.Order
     version: versions.Version
@@ -20,20 +27,20 @@
 
 
 class TableState(typing.NamedTuple):
-    """The items of a table as of its applied version."""
+    """The applied version of a table, and the items of the table at that version by key."""
 
     applied: versions.Version
     content: ItemsByKey
 
 
 class History:
-    """The one chain of decided states, worked out apart from any node.
+    """The chain of decided table states, computed from the batches independently of any node.
 
     Attributes:
-        batches: Decided batches by the version that they were decided on.
-        states: Items of the table by version.
-        confirmed: Orders that clients were told are in force, in that order.
-        refused: Orders that clients were told are not.
+        batches: The decided batches, by the base version that each was decided on.
+        states: The items of the table at each decided version.
+        confirmed: The orders that were reported to clients as in force, the earliest first.
+        refused: The orders that were reported to clients as not in force.
     """
 
     def __init__(self) -> None:
@@ -43,26 +50,26 @@
         self.refused: list[orders.Order] = []
 
     def add_batch(self, batch: items.Batch) -> items.Batch:
-        """Add a decided batch; return the one that was decided first on the same base."""
+        """Add a decided batch, and return the first batch that was decided on the same base version."""
         first = self.batches.setdefault(batch.base, batch)
         if batch.version not in self.states and batch.base in self.states:
             self.states[batch.version] = apply_batch(self.states[batch.base], batch)
         return first
 
     def batch_of(self, version: versions.Version) -> items.Batch | None:
-        """Return the decided batch with this version."""
+        """Return the decided batch that has this version, or None if there is none."""
         return next((batch for batch in self.batches.values() if batch.version == version), None)
 
     def is_in_any_state(self, entry: ConfirmedOrder) -> bool:
-        """Return whether any decided state includes a confirmed order."""
+        """Return whether any decided table state includes the effects of a confirmed order."""
         return any(
             self.includes(TableState(applied, content), entry) for applied, content in self.states.items()
         )
 
     def includes(self, state: TableState, entry: ConfirmedOrder) -> bool:
-        """Return whether a state has a confirmed order's rows as they were or overwritten since.
+        """Return whether a state has the rows that a confirmed order wrote, or later versions of these rows.
 
-        An order that changed nothing has no rows and no state of its own.
+        An order without effect has no rows, and no decided state need have its version.
         """
         change_id = entry.order.change
         if not entry.rows and not change_id and entry.version not in self.states:
@@ -77,7 +84,7 @@
 
 
 def apply_batch(content: ItemsByKey, batch: items.Batch) -> ItemsByKey:
-    """Return the items after a batch."""
+    """Return the items of a table after a batch is applied to the given items."""
     changed = dict(content)
     for key, value, is_removed in batch.rows:
         changed.pop(key, None)
@@ -87,15 +94,15 @@
 
 
 def change_record_key(change_id: str) -> str:
-    """Return the key of the record of a change id."""
+    """Return the key of the item that records the result of a change id."""
     return f"~change/{change_id}"
 
 
 def decode_from_wire_form(batch: items.Batch) -> items.Batch:
-    """Return the batch as it is decoded from the wire, where a tuple and a list are the same."""
+    """Encode and decode a batch, so that tuples in it become lists and equal batches compare equal."""
     return items.Batch.from_wire(ormsgpack.unpackb(ormsgpack.packb(batch.to_wire())))
 
 
 def pack_items(content: typing.Mapping[str, items.Item]) -> bytes:
-    """Return the items as bytes, which are equal for a tuple and a list."""
+    """Return the encoded items, sorted by key; a tuple and an equal list have the same encoding."""
     return ormsgpack.packb([content[key].to_wire() for key in sorted(content)])
--- a/src/irisstand/modelcheck/invariants.py
+++ b/src/irisstand/modelcheck/invariants.py
@@ -1,6 +1,6 @@
-"""Invariants that must hold after every step, checked on replicas, disks and what clients were told.
+"""Checks of the invariants that replicas, disks and results for clients must keep after every step.
 
-docs/control/model.md lists them.
+The page docs/control/model.md lists the invariants.
 """
 
 import asyncio
@@ -17,14 +17,14 @@
 
 
 class InvariantViolationError(Exception):
-    """An invariant is broken; the message says which, and the report has the choices that led here."""
+    """Raised if an invariant is violated, as the message says; the report has the choices that led to it."""
 
 
 class InvariantChecker:
-    """Collects violations of one run.
+    """Checks the invariants during one run and collects violations.
 
     Args:
-        table: The table that is checked.
+        table: The name of the table to check.
     """
 
     def __init__(self, table: str) -> None:
@@ -32,47 +32,60 @@
         self.history = history.History()
         self.violations: list[str] = []
         self.wiped_disks: dict[str, dict[str, bytes]] = {}
-        # The content confirmed for each key and version number of an amended item.
+        # The value that was confirmed to a client for each key and version number of an amended item.
         self.confirmed_amendments: dict[tuple[str, int], typing.Any] = {}
 
     def fail(self, text: str) -> None:
-        """Note a violation; `raise_violation` raises it when all coroutines wait."""
+        """Record a violation, which `raise_violation` raises once all coroutines wait."""
         self.violations.append(text)
 
     def raise_violation(self) -> None:
-        """Raise the first violation, if there is one.
+        """Raise an error for the first recorded violation, if there is one.
 
         Raises:
-            InvariantViolationError: An invariant is broken.
+            InvariantViolationError: A violation was recorded.
         """
         if self.violations:
             raise InvariantViolationError(self.violations[0])
 
-    # -- what the nodes apply ------------------------------------------------------------------------
+    # -- replicas ------------------------------------------------------------------------------------
     def observe(self, node: str, table_replica: replica.Replica) -> None:
-        """Check whatever this replica applies and calls current from now on."""
+        """Start to check all changes of a replica, and each time at which it is confirmed as current."""
         ReplicaObserver(self, node, table_replica).attach()
 
     def on_applied(self, node: str, base: versions.Version, batch: items.Batch) -> None:
-        """Check a batch that a node is about to apply on `base`."""
+        """Check a batch that a node is about to apply to its replica.
+
+        Args:
+            node: The name of the node.
+            base: The applied version of the replica before the batch.
+            batch: The batch to apply.
+        """
         if batch.base != base:
-            self.fail(f"{node} applied {batch.version} on {base}, and it stands on {batch.base}")
+            self.fail(f"{node} applied batch {batch.version} at {base}, but its base is {batch.base}")
         batch = history.decode_from_wire_form(batch)
         first = self.history.add_batch(batch)
         if first != batch:
-            self.fail(f"two batches on base {batch.base}: {first.version} and, at {node}, {batch.version}")
+            self.fail(f"two batches on base {batch.base}: {first.version}, and at {node}: {batch.version}")
         if batch.version <= batch.base:
-            self.fail(f"{batch.version} was applied on the higher {batch.base}")
+            self.fail(f"batch {batch.version} was decided on base {batch.base}, which is not lower")
 
     def on_current(self, node: str, table_replica: replica.Replica, current_at: float) -> None:
-        """Check that a replica which is current as of a moment has all that was confirmed before it."""
+        """Check that a replica confirmed as current at a time has all orders confirmed before that time.
+
+        Args:
+            node: The name of the node.
+            table_replica: The replica of the node.
+            current_at: The time as of which the replica is current, in seconds of virtual time.
+        """
         for entry in self.history.confirmed:
             if entry.confirmed_at < current_at and not self.history.includes(state_of(table_replica), entry):
                 self.fail(
-                    f"{node} is called current at {table_replica.applied}, without confirmed {entry.version}"
+                    f"the replica of {node} at {table_replica.applied} was declared current, but lacks the order"
+                    f" confirmed at {entry.version}"
                 )
 
-    # -- what clients are told -----------------------------------------------------------------------
+    # -- results for clients -------------------------------------------------------------------------
     def on_confirmed(
         self,
         order: orders.Order,
@@ -80,13 +93,13 @@
         applied: versions.Version,
         disks: DiskFiles,
     ) -> None:
-        """Check an order that a client is told is in force.
+        """Check and record an order that is reported to a client as in force.
 
         Args:
-            order: The order.
-            result: What the client is told: version and rows.
-            applied: The applied version of the node that says so.
-            disks: Synced files by disk id.
+            order: The confirmed order.
+            result: The result for the client, with the version and the keys of the written rows.
+            applied: The applied version of the node that reports the result.
+            disks: The synced files of all nodes by disk id.
         """
         version = versions.Version.parse(result["serial"])
         rows = tuple(result["rows"])
@@ -94,7 +107,7 @@
         entry = history.ConfirmedOrder(order, version, rows, asyncio.get_running_loop().time())
         self.history.confirmed.append(entry)
         if not self.history.is_in_any_state(entry):
-            self.fail(f"{order.change} was confirmed as {version}, and no decided state has its rows")
+            self.fail(f"change id '{order.change}' was confirmed at {version}, but no decided state has it")
         if order.kind == "amend":
             self.check_amendment(order, self.history.states[applied])
         self.check_disks(version, disks)
@@ -102,36 +115,48 @@
     def check_same_result(
         self, order: orders.Order, version: versions.Version, rows: tuple[str, ...]
     ) -> None:
-        """Check that one change id has one result."""
+        """Check that all confirmations of a change id have the same version and rows."""
         change_id = order.change
         earlier = [entry for entry in self.history.confirmed if change_id and entry.order.change == change_id]
         if earlier and (earlier[0].version, earlier[0].rows) != (version, rows):
-            self.fail(f"{change_id} was confirmed as {earlier[0].version} and as {version}")
+            self.fail(f"change id '{change_id}' was confirmed both at {earlier[0].version} and at {version}")
 
     def check_amendment(self, order: orders.Order, content: history.ItemsByKey) -> None:
-        """Check that a version number has one content, in force or overwritten by a higher one."""
+        """Check that a confirmed amendment is in force, or that one with a higher version number is.
+
+        No two values may be confirmed for the same key and version number.
+
+        Args:
+            order: The confirmed amendment.
+            content: The decided items by key, at the applied version of the node that reports the result.
+        """
         for key, value in order.payload:
             first_value = self.confirmed_amendments.setdefault((key, value["version"]), value)
             if first_value != value:
-                self.fail(f"two contents of {key} were confirmed under version {value['version']}")
+                self.fail(f"two values of item {key} were confirmed with version {value['version']}")
             current_value = content[key].value if key in content else None
             if current_value is None or current_value["version"] < value["version"]:
-                self.fail(f"{key} was confirmed at version {value['version']} and is not in force")
+                self.fail(f"item {key} was confirmed with version {value['version']}, but is not in force")
             elif current_value["version"] == value["version"] and current_value != value:
-                self.fail(f"{key} was confirmed at version {value['version']}, which has another content")
+                self.fail(f"item {key} differs from the value confirmed with version {value['version']}")
 
     def on_refused(self, order: orders.Order, error: errors.IrisError) -> None:
-        """Note an order that a client is told is not in force; an unknown outcome says nothing."""
+        """Record an order that is reported to a client as refused, unless its outcome is unknown."""
         if not isinstance(error, errors.ChangeOutcomeUnknownError):
             self.history.refused.append(order)
 
     # -- disks ---------------------------------------------------------------------------------------
     def keep_wiped_disk(self, disk_id: str, files: dict[str, bytes]) -> None:
-        """Keep what was synced on a disk that is about to be wiped."""
+        """Keep the synced files of a disk that is about to be wiped, as `check_disks` still counts them."""
         self.wiped_disks[disk_id] = dict(files)
 
     def check_disks(self, version: versions.Version, disks: DiskFiles) -> None:
-        """Check that a confirmed batch is durable with the voters before it and with those after it."""
+        """Check that a confirmed batch is durable with the voters before the batch and with those after it.
+
+        Args:
+            version: The version of the confirmed batch.
+            disks: The synced files of all nodes by disk id.
+        """
         batch = self.history.batch_of(version)
         if batch is None or batch.base not in self.history.states:
             return
@@ -139,29 +164,38 @@
         for state in (self.history.states[batch.base], self.history.states[version]):
             violation = durability.durability_violation(state, holding)
             if violation:
-                self.fail(f"{version} was confirmed {violation}")
+                self.fail(f"batch {version} was confirmed {violation}")
 
-    # -- the end of a run ----------------------------------------------------------------------------
+    # -- end of the run ------------------------------------------------------------------------------
     def check_end(self, replicas: list[replica.Replica], change_ids: list[str]) -> None:
-        """Check that every replica has all that was confirmed and nothing that was refused.
+        """Check that every replica has all confirmed orders and no refused order.
 
         Args:
-            replicas: The replicas of all nodes, after all faults are over.
-            change_ids: Change ids of all orders of the run; one that was sent twice may be in force.
+            replicas: The replicas of all nodes, after the last fault.
+            change_ids: The change ids of all orders of the run. If an order was sent twice, it may be in
+                force although one of the two was refused.
         """
         for table_replica in replicas:
             for entry in self.history.confirmed:
                 if not self.history.includes(state_of(table_replica), entry):
-                    self.fail(f"{entry.order.change} was confirmed as {entry.version} and is lost")
+                    self.fail(
+                        f"a replica lacks change id '{entry.order.change}', confirmed at {entry.version}"
+                    )
             for order in self.history.refused:
                 was_sent_once = change_ids.count(order.change) == 1
                 is_in_force = history.change_record_key(order.change) in table_replica.items
                 if was_sent_once and order.change and is_in_force:
-                    self.fail(f"{order.change} was refused and is in force")
+                    self.fail(f"change id '{order.change}' was refused, but is in force")
 
 
 class ReplicaObserver:
-    """Compares one replica with the decided states whenever it changes."""
+    """Compares a replica with the decided table states after each change of the replica.
+
+    Args:
+        checker: The checker that records violations.
+        node: The name of the node that has the replica.
+        table_replica: The replica to observe.
+    """
 
     def __init__(self, checker: InvariantChecker, node: str, table_replica: replica.Replica) -> None:
         self.checker = checker
@@ -172,8 +206,8 @@
         self.original_confirm_current = table_replica.confirm_current
 
     def attach(self) -> None:
-        """Observe the replica's calls and changes, and check what it begins with."""
-        # Only this one replica is observed, so its methods are replaced and not its class.
+        """Intercept the replica's calls, watch its changes, and check its initial state if it has one."""
+        # The methods are replaced on this instance, as other replicas of the class are not observed.
         self.replica.apply = self.apply  # type: ignore[method-assign]
         self.replica.confirm_current = self.confirm_current  # type: ignore[method-assign]
         self.replica.watchers.append(self.check_state)
@@ -181,26 +215,32 @@
             self.check_state()
 
     def apply(self, batch: items.Batch) -> None:
-        """Check a batch before the replica applies it."""
+        """Check a batch and then apply it to the replica."""
         self.checker.on_applied(self.node, self.replica.applied, batch)
         self.original_apply(batch)
 
     def confirm_current(self, current_at: float) -> None:
-        """Check the replica before it counts as current as of a moment."""
+        """Check the replica and then confirm it as current at a time.
+
+        Args:
+            current_at: The time as of which the replica is current, in seconds of virtual time.
+        """
         self.checker.on_current(self.node, self.replica, current_at)
         self.original_confirm_current(current_at)
 
     def check_state(self) -> None:
-        """Check that the replica did not go back and holds a decided state item by item."""
+        """Check that the replica's applied version did not decrease and that its items are as decided."""
         applied = self.replica.applied
         if applied < self.last_applied:
-            self.checker.fail(f"{self.node} went back from {self.last_applied} to {applied}")
+            self.checker.fail(
+                f"the applied version of {self.node} decreased from {self.last_applied} to {applied}"
+            )
         self.last_applied = applied
         states = self.checker.history.states
         if applied not in states:
-            self.checker.fail(f"{self.node} holds {applied}, which was never decided")
+            self.checker.fail(f"{self.node} has applied version {applied}, which was never decided")
         elif history.pack_items(self.replica.items) != history.pack_items(states[applied]):
-            self.checker.fail(f"{self.node} holds other rows at {applied} than were decided")
+            self.checker.fail(f"the items of {self.node} at version {applied} differ from the decided ones")
 
 
 def state_of(table_replica: replica.Replica) -> history.TableState:
--- a/src/irisstand/modelcheck/model_disk.py
+++ b/src/irisstand/modelcheck/model_disk.py
@@ -1,4 +1,4 @@
-"""The disk of the model: a write is durable once the scheduler delivers its sync."""
+"""A simulated disk whose writes become durable when the scheduler delivers their sync events."""
 
 import asyncio
 import collections.abc
@@ -10,14 +10,14 @@
 
 
 class ModelDisk(memory_disk.MemoryDisk):
-    """Holds what was synced; a write whose sync was not delivered before a crash is lost.
+    """A disk that contains only synced files; a write is lost if the node crashes before its sync event.
 
     Args:
-        event_scheduler: Where syncs are posted.
-        randomness: The source that all disks of the cluster share.
-        name: The node's name.
-        incarnation: Returns the node's incarnation, for labels.
-        files: Sealed files to begin with, by name.
+        event_scheduler: The scheduler that decides when each sync takes effect.
+        randomness: The source of randomness, which all disks of the cluster share.
+        name: The name of the node.
+        incarnation: A callback that returns the node's incarnation number, for event labels.
+        files: The initial files with their checksums, by file name.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self.files = dict(files)
 
     async def write(self, files: collections.abc.Sequence[tuple[str, bytes]]) -> None:
-        """Post a sync of these files and wait until it is delivered."""
+        """Post a sync event for these files and wait until the scheduler delivers it."""
         synced = asyncio.get_running_loop().create_future()
         written = list(files)
 
@@ -51,6 +51,6 @@
         await synced
 
     async def remove(self, names: collections.abc.Sequence[str]) -> None:
-        """Remove files at once: removals are not events of the model."""
+        """Remove files immediately, as the model has no events for removals."""
         for name in names:
             self.files.pop(name, None)
--- a/src/irisstand/modelcheck/model_network.py
+++ b/src/irisstand/modelcheck/model_network.py
@@ -1,4 +1,4 @@
-"""The network of the model: each request and each reply is an event that may be lost."""
+"""A simulated network in which each request and each reply is an event that may be lost."""
 
 import asyncio
 import collections.abc
@@ -13,7 +13,7 @@
 
 
 class CallNode(typing.Protocol):
-    """What a call needs of the nodes at its two ends."""
+    """The interface of a node that makes or serves a remote call."""
 
     name: str
     incarnation: int
@@ -27,12 +27,19 @@
         ...
 
     def record_input(self, label: str) -> None:
-        """Add an input to the node's history."""
+        """Add an input, such as a delivered event, to the hash of the node's inputs."""
         ...
 
 
 class Call:
-    """One remote call: the request, the work at the peer and the reply; messages may be lost."""
+    """A remote call between two nodes, whose request or reply may be lost.
+
+    Args:
+        event_scheduler: The scheduler that delivers the reply.
+        caller: The node that makes the call.
+        callee: The node that serves the call.
+        payload: The encoded request.
+    """
 
     def __init__(
         self, event_scheduler: scheduler.Scheduler, caller: CallNode, callee: CallNode, payload: bytes
@@ -58,22 +65,26 @@
         )
 
     def fail_unanswered(self) -> None:
-        """Let the caller give up: no reply came in time."""
+        """Fail the call at the caller with a timeout, unless it already has a result."""
         if not self.future.done():
             self.caller.record_input(f"unanswered {self.label}")
-            self.future.set_exception(errors.UnansweredError(f"{self.callee.name} gave no result in time"))
+            self.future.set_exception(
+                errors.UnansweredError(f"{self.callee.name} did not reply within the timeout")
+            )
 
     def serve(self) -> None:
-        """Run the peer's handler as the peer; a peer that is down refuses the connection."""
+        """Start the handler in the callee's process, or fail the call as not sent if the callee is down."""
         if self.callee.is_up:
             self.callee.calls_in_progress.append(self)
             self.callee.actor.start(self.run_handler())
         elif not self.future.done():
             self.caller.record_input(f"unreached {self.label}")
-            self.future.set_exception(errors.NotSentError(f"{self.callee.name} is down"))
+            self.future.set_exception(
+                errors.NotSentError(f"{self.callee.name} is down and refused the connection")
+            )
 
     async def run_handler(self) -> None:
-        """Run the handler and post the reply; errors travel as they do on the real transport."""
+        """Run the handler and post its reply; errors are encoded in the same way as on the real transport."""
         kind, body = codec.unpack(self.payload)[2]
         reply: tuple[str, typing.Any]
         try:
@@ -87,7 +98,7 @@
         self.post_reply(codec.pack(reply))
 
     def post_reply(self, payload: bytes) -> None:
-        """Post the event that delivers the reply."""
+        """Post the event that delivers an encoded reply to the caller."""
 
         def deliver() -> None:
             self.receive_reply(payload)
@@ -105,7 +116,7 @@
         )
 
     def receive_reply(self, payload: bytes) -> None:
-        """Resolve the caller's future, unless the caller has given up."""
+        """Set the result or error of the call at the caller, unless the call has failed before."""
         status, content = codec.unpack(payload)
         if self.future.done():
             return
@@ -116,7 +127,17 @@
 
 
 class ModelTransport:
-    """Stands in for `transport.peers.Transport`: the same registry of handlers, every call an event."""
+    """Replaces `transport.peers.Transport` with one whose calls are events of the scheduler.
+
+    Args:
+        event_scheduler: The scheduler that delivers requests and replies.
+        nodes: All nodes of the cluster by name.
+        node: The node that uses this transport.
+
+    Attributes:
+        handlers: The request handlers of this node by kind of message, as on the real transport.
+        calls_made: The number of calls that this node has made since its start, for event labels.
+    """
 
     def __init__(
         self,
@@ -138,20 +159,20 @@
         body: tuple[typing.Any, ...],
         timeout_seconds: float,
     ) -> typing.Any:
-        """Call a peer. The time-out is not counted: the scheduler chooses whether the caller gives up.
+        """Call a peer and return its reply; the scheduler, not a timer, decides whether the call times out.
 
         Args:
-            address: Host and port, unused: nodes are found by name.
-            name: The peer's name.
-            kind: The kind of message.
-            body: The message's fields.
-            timeout_seconds: Seconds until the caller would give up, unused.
+            address: The host and port of the peer; unused, as peers are looked up by name.
+            name: The node name of the peer.
+            kind: The name of the peer's handler.
+            body: The fields of the request.
+            timeout_seconds: The timeout of the real transport, in seconds; unused.
 
         Returns:
-            The decoded result.
+            The decoded reply of the handler.
 
         Raises:
-            errors.IrisError: The peer refused, is down, or gave no reply.
+            errors.IrisError: The peer is down, did not reply, or replied with an error.
         """
         self.calls_made += 1
         payload = codec.pack(("ask", 0, (kind, body)))
--- a/src/irisstand/modelcheck/model_node.py
+++ b/src/irisstand/modelcheck/model_node.py
@@ -1,4 +1,4 @@
-"""One core node of the model: the real participant, proposer and heartbeat on a disk of its own."""
+"""A control plane node of the model: the real participant, proposer and heartbeat on a simulated disk."""
 
 import collections.abc
 import random
@@ -18,25 +18,33 @@
 
 
 class UnusedNetwork:
-    """Fulfils the network interface of the node context; the model's transport never uses it."""
+    """A network for the node context that has no connections, as the model's transport never uses it."""
 
     async def connect(self, address: network.Address) -> network.Stream:
-        """Refuse to connect."""
+        """Raise NotImplementedError, as the model never opens connections."""
         raise NotImplementedError
 
     async def listen(self, address: network.Address, on_stream: network.OnStream) -> typing.Any:
-        """Refuse to listen."""
+        """Raise NotImplementedError, as the model never listens for connections."""
         raise NotImplementedError
 
     async def open_datagram_socket(
         self, address: network.Address, on_datagram: network.OnDatagram
     ) -> network.DatagramSocket:
-        """Refuse to open a datagram port."""
+        """Raise NotImplementedError, as the model never opens datagram sockets."""
         raise NotImplementedError
 
 
 class ClusterContext(typing.NamedTuple):
-    """What all nodes of one model cluster share."""
+    """The objects that all nodes of a model cluster share.
+
+    Attributes:
+        scheduler: The scheduler of all events.
+        checker: The checker of the invariants.
+        randomness: The source of randomness that all disks share.
+        nodes: All nodes of the cluster by name.
+        crashed_actors: The simulated processes that have crashed.
+    """
 
     scheduler: scheduler.Scheduler
     checker: invariants.InvariantChecker
@@ -46,9 +54,16 @@
 
 
 class ModelNode:
-    """A process that can crash and restart; a wiped one restarts with an empty disk under a new disk id.
+    """A control plane node that can crash and restart.
+
+    A node whose disk was wiped restarts with an empty disk and a new disk id. Each call of `open` sets
+    `transport`, `participant`, `table_replica`, `proposer` and `heartbeat` to new objects.
 
-    `open` sets `core`, `table_replica`, `proposer` and `heartbeat`, anew for each start.
+    Args:
+        cluster: The objects that all nodes of the cluster share.
+        name: The name of the node.
+        site: The site of the node.
+        files: The initial files of the node's disk with their checksums, by file name.
     """
 
     def __init__(self, cluster: ClusterContext, name: str, site: str, files: dict[str, bytes]) -> None:
@@ -64,34 +79,37 @@
         self.actor = virtual_time.Actor(name)
         self.actor.dead = True
         self.is_open = False
-        # Wiped, and not yet voted in again.
+        # Whether the disk was wiped and the node has not yet fetched the table and persisted it again.
         self.is_rejoining = False
 
     @property
     def is_up(self) -> bool:
-        """Whether the node accepts connections: its port opens once its disk is read."""
+        """Whether the node accepts connections, which it does once it has read its disk."""
         return not self.actor.dead and self.is_open
 
     def record_input(self, label: str) -> None:
-        """Add an input to the history; a node's state is a function of its inputs in their order."""
+        """Add an input to the hash of all inputs, which identifies the state of the node.
+
+        The node is deterministic, so its state is a function of its inputs and their order.
+        """
         self.inputs_hash = hash((self.inputs_hash, label))
 
     def settings(self) -> node_settings.Settings:
-        """Return the settings of this node."""
+        """Return node settings for this node, with addresses that are never connected to."""
         addresses = (self.name, self.name, self.site, "region", self.name, PORT, PORT + 1)
         return node_settings.Settings(*addresses, [], data="memory", founding=VOTERS_AT_BOOTSTRAP)
 
     def start(self) -> None:
-        """Start a new incarnation."""
+        """Start the node's process as a new incarnation."""
         self.incarnation += 1
         self.actor = virtual_time.Actor(self.name)
         self.actor.start(self.open())
 
     async def open(self) -> None:
-        """Read the disk, start the participant and its proposer, and accept connections."""
+        """Open the participant on the disk, start its proposer, and accept connections."""
         context = self.make_context()
         self.transport = model_network.ModelTransport(self.cluster.scheduler, self.cluster.nodes, self)
-        # The participant uses only the registry of handlers and `call`, which the model's transport has.
+        # Of the transport, the participant uses only `handlers` and `call`, which the model transport has.
         context.transport = typing.cast(typing.Any, self.transport)
         self.participant = participant.Participant(context, self.disk)
         await self.participant.open()
@@ -103,7 +121,7 @@
         self.is_open = True
 
     def make_context(self) -> node_context.NodeContext:
-        """Return a node context that knows all nodes; membership is not part of the model."""
+        """Return a node context with all other nodes as alive members, as membership is not modelled."""
         randomness = random.Random(f"{self.name} {self.incarnation}")
         context = node_context.NodeContext(
             self.settings(), "agency", clocks.LoopClock(), randomness, UnusedNetwork()
@@ -118,7 +136,7 @@
         return context
 
     def crash(self) -> None:
-        """Lose memory and unsynced writes; callers that wait for this node learn that it went."""
+        """Stop the process, which loses its memory, and fail the calls that it was serving."""
         self.actor.dead = True
         self.is_open = False
         self.cluster.crashed_actors.append(self.actor)
@@ -129,7 +147,7 @@
         self.record_input("crash")
 
     def wipe(self) -> None:
-        """Crash and lose the disk."""
+        """Crash the node and erase its disk."""
         self.crash()
         self.cluster.checker.keep_wiped_disk(self.participant.store.disk_id, self.disk.files)
         self.disk.files.clear()
@@ -138,5 +156,5 @@
 
 
 def disk_files(nodes: collections.abc.Iterable[ModelNode]) -> dict[str, dict[str, bytes]]:
-    """Return the synced files of each node by the id of its disk."""
+    """Return the synced files of each node, by disk id."""
     return {node.participant.store.disk_id: node.disk.files for node in nodes}
--- a/src/irisstand/modelcheck/reports.py
+++ b/src/irisstand/modelcheck/reports.py
@@ -1,4 +1,4 @@
-"""What an exploration or a set of random walks covered, and which runs broke an invariant."""
+"""Reports on an exploration or a set of random walks: what was covered, and which runs had violations."""
 
 import collections
 import dataclasses
@@ -8,7 +8,12 @@
 
 
 class ViolatingRun(typing.NamedTuple):
-    """The choices that lead to a violation, and the invariant that is broken."""
+    """A run that violated an invariant.
+
+    Attributes:
+        choices: The choices that reproduce the run.
+        violation: The description of the violation.
+    """
 
     choices: runs.Choices
     violation: str
@@ -16,7 +21,17 @@
 
 @dataclasses.dataclass
 class Report:
-    """Counts of one scenario; `results` counts runs by the results of their client steps."""
+    """The coverage of one scenario and the violations found.
+
+    Attributes:
+        scenario: The name of the scenario.
+        runs: The number of runs, including pruned ones.
+        steps: The number of choices that were made in all runs.
+        states: The number of different states that the exploration continued from.
+        pruned: The number of runs that ended early at a state that was explored before.
+        violating_runs: The runs that violated an invariant.
+        results: The number of completed runs by the results of their client steps, joined with spaces.
+    """
 
     scenario: str
     runs: int = 0
@@ -27,11 +42,11 @@
     results: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
 
     def count_results(self, results: list[scenarios.StepResult]) -> None:
-        """Count the results of a run that ended in order."""
+        """Count the client results of a run that completed without a violation."""
         self.results[" ".join(results)] += 1
 
     def add(self, other: "Report") -> None:
-        """Add the counts of another worker."""
+        """Add the counts and the violating runs of another report."""
         self.runs += other.runs
         self.steps += other.steps
         self.states += other.states
--- a/src/irisstand/modelcheck/runs.py
+++ b/src/irisstand/modelcheck/runs.py
@@ -1,4 +1,4 @@
-"""One run of a scenario: a chooser picks an action for each step until nothing is left to do."""
+"""Runs of a scenario, in which a callback chooses an action for each event until no event is left."""
 
 import collections.abc
 import typing
@@ -6,18 +6,25 @@
 from irisstand.modelcheck import cluster, final_checks, invariants, scenarios, scheduler
 from irisstand.simulator import virtual_time
 
-# Returns the index of one of these actions; with no actions the run is over, and the result is not used.
+# Gets the cluster and the possible actions, and returns the index of one of these actions. At the end of
+# the run the list of actions is empty, and the return value is ignored.
 Chooser = collections.abc.Callable[[cluster.ModelCluster, list[scheduler.Action]], int]
 Choices = tuple[int, ...]
 STEPS_LIMIT = 3000
 
 
 class RunPrunedError(Exception):
-    """This state was continued from before, with at least as many deviations left."""
+    """Raised to end a run at a state that was explored before with at least as many deviations left."""
 
 
 class RunResult(typing.NamedTuple):
-    """The cluster after a run, the invariant that it broke or an empty text, and whether it was cut short."""
+    """The result of a run.
+
+    Attributes:
+        cluster: The cluster in its state at the end of the run.
+        violation: The description of the violated invariant, or "" if there was no violation.
+        was_pruned: Whether the run ended early at a state that was explored before.
+    """
 
     cluster: cluster.ModelCluster
     violation: str = ""
@@ -25,7 +32,7 @@
 
 
 def run(scenario: scenarios.Scenario, choose: Chooser) -> RunResult:
-    """Run a scenario in virtual time."""
+    """Run a scenario in virtual time with the actions that a callback chooses."""
     model = cluster.ModelCluster(scenario)
     try:
         virtual_time.run(run_steps(model, choose))
@@ -37,7 +44,16 @@
 
 
 def replay(scenario: scenarios.Scenario, choices: Choices) -> RunResult:
-    """Run these choices; after the last one every event is delivered in its order."""
+    """Replay a run from its choices; after the last choice, all events are delivered in their order.
+
+    Args:
+        scenario: The scenario to run.
+        choices: The index of the action for each step; an index that is too high selects the last
+            action.
+
+    Returns:
+        The result of the run.
+    """
     remaining = iter(choices)
 
     def choose(_: cluster.ModelCluster, actions: list[scheduler.Action]) -> int:
@@ -47,10 +63,11 @@
 
 
 async def run_steps(model: cluster.ModelCluster, choose: Chooser) -> None:
-    """Take steps until the run is over, then make the final checks.
+    """Take steps until the run is finished, then make the final checks.
 
     Raises:
-        invariants.InvariantViolationError: An invariant is broken, or the run does not end.
+        RunPrunedError: The callback ended the run early.
+        invariants.InvariantViolationError: An invariant is violated, or the run does not end.
     """
     model.start()
     await model.settle()
@@ -65,13 +82,13 @@
             model.checker.raise_violation()
     else:
         raise model.nontermination_violation()
-    # A search may have seen this final state, and prunes the run then.
+    # An exploration that has seen this final state before prunes the run here by raising RunPrunedError.
     choose(model, [])
     await final_checks.check(model)
 
 
 def take_step(model: cluster.ModelCluster, choose: Chooser, number: int) -> None:
-    """Do the chosen action with the oldest event."""
+    """Apply the chosen action to the oldest pending event, and add a line to the trace."""
     options = model.options()
     option = options[choose(model, [option.action for option in options])]
     model.trace.append(f"{number} {option.action}: {model.scheduler.pending[0].label}")
--- a/src/irisstand/modelcheck/scenarios.py
+++ b/src/irisstand/modelcheck/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios of the model check: who votes, what clients order and read, and which faults may happen."""
+"""Scenarios for the model checker: voters and sites, requests of clients, and faults that may be injected."""
 
 import enum
 import typing
@@ -7,7 +7,7 @@
 
 
 class StepKind(enum.StrEnum):
-    """What a client asks of a node."""
+    """The kinds of requests that clients make."""
 
     ORDER = "order"
     READ = "read"
@@ -15,7 +15,15 @@
 
 
 class StepResult(enum.StrEnum):
-    """How a client's step ended; LOST: the node crashed before it could say."""
+    """The result of a client step.
+
+    Attributes:
+        CONFIRMED: The order was confirmed as in force.
+        FAILED: The order was refused, or the read failed.
+        UNKNOWN: The node reported that the outcome of the order is unknown.
+        LOST: The node was down, or crashed before it reported a result.
+        READ: A heartbeat round for the read completed.
+    """
 
     CONFIRMED = "yes"
     FAILED = "no"
@@ -25,14 +33,15 @@
 
 
 class ClientStep(typing.NamedTuple):
-    """One request of a client.
+    """A request that a client makes.
 
     Attributes:
-        kind: What is asked.
-        node: The node that is asked.
-        order: The order, for an order.
-        after: Number of the step that must be over before; None: at once.
-        newcomer: The node that becomes a voter, for an enrolment; None: the scenario's spare.
+        kind: The kind of the request.
+        node: The name of the node that receives the request.
+        order: The order to submit, if the request is an order.
+        after: The number of the step that must have a result before this one starts; None to start at once.
+        joining_node: The name of the node to enrol as a voter, if the request is an enrolment; None for the
+            spare node.
     """
 
     kind: StepKind
@@ -43,15 +52,15 @@
 
 
 class Scenario(typing.NamedTuple):
-    """What one model check runs.
+    """The clients, nodes and faults of one model check.
 
     Attributes:
-        name: The name on the command line.
-        steps: What clients do.
-        sites: The site of each node, in the order of their names.
-        faults: Number of crashes and wipes that a run may have.
-        leaves: The voter that the spare replaces.
-        wiped: Nodes whose disk may be lost, within what a majority survives.
+        name: The name of the scenario on the command line.
+        steps: The requests of clients.
+        sites: The site of each node, in the order of the node names.
+        faults: The maximum number of crashes and wipes in a run.
+        replaced_voter: The name of the voter that the spare node replaces when it is enrolled.
+        wipeable_nodes: The names of the nodes whose disks may be wiped without the loss of a majority.
     """
 
     name: str
@@ -63,22 +72,34 @@
 
 
 def site_order(change: str, weight: int, name: str = "north", **fields: typing.Any) -> orders.Order:
-    """Return an order that sets a site's weight under a change id."""
+    """Return an order that sets the weight of a site.
+
+    Args:
+        change: The change id of the order.
+        weight: The weight of the site.
+        name: The name of the site.
+        **fields: More fields of the row, such as the version that the order expects.
+    """
     row = {"kind": "site", "name": name, "value": {"weight": weight}, **fields}
     return orders.Order("change", change, [row])
 
 
 def limits_order(version: int, header_bytes: int) -> orders.Order:
-    """Return an order that amends the limits under a version number."""
+    """Return an order that amends the limits.
+
+    Args:
+        version: The version number of the amended item.
+        header_bytes: The new limit for the size of headers, in bytes.
+    """
     value = {"version": version, "item": {"version": version, "header_bytes": header_bytes}}
     return orders.Order("amend", "", [("limits/all", value)])
 
 
-# The smallest: one order, and a majority check after it.
+# The smallest scenario: one order, and a read once the order has a result.
 SINGLE = Scenario(
     "single", (ClientStep(StepKind.ORDER, "a", site_order("x", 1)), ClientStep(StepKind.READ, "c", after=0))
 )
-# Two orders that expect the same version: one may win, and whoever reads after the yes sees it.
+# Two orders expect the same version of a row, so at most one is confirmed; a later read must see it.
 RACE = Scenario(
     "race",
     (
@@ -87,7 +108,7 @@
         ClientStep(StepKind.READ, "c", after=0),
     ),
 )
-# One order sent to two proposers: both name one result.
+# The same order is sent to two proposers, which must report the same result.
 TWICE = Scenario(
     "twice",
     (
@@ -96,7 +117,7 @@
         ClientStep(StepKind.READ, "d", after=0),
     ),
 )
-# The second order comes when the first is over, however it ended, perhaps with its proposer.
+# The second order starts when the first has any result, also if the first proposer crashed.
 HANDOVER = Scenario(
     "handover",
     (
@@ -105,7 +126,7 @@
         ClientStep(StepKind.READ, "c", after=0),
     ),
 )
-# A change of voters beside an order.
+# The voter set changes while an order is being decided.
 VOTERS = Scenario(
     "voters",
     (
@@ -115,7 +136,7 @@
         ClientStep(StepKind.READ, "d", after=2),
     ),
 )
-# Two of three voters in one site: that majority alone decides nothing.
+# Two of the three voters are in one site, so a majority of these two alone must not decide anything.
 SITES = Scenario(
     "sites",
     (
@@ -125,7 +146,7 @@
     sites=("one", "one", "two", "two"),
     wipeable_nodes=("a", "b"),
 )
-# Two contents under one version, at two proposers.
+# Two proposers each get an amendment with the same version number, but with different content.
 CONTENTS = Scenario(
     "contents",
     (
@@ -135,6 +156,6 @@
     ),
 )
 
-# Scenarios by name; a new one is an entry here.
+# All scenarios; a new one is added to `ALL` and thereby to the registry by name.
 ALL = (SINGLE, RACE, TWICE, HANDOVER, VOTERS, SITES, CONTENTS)
 REGISTRY = {scenario.name: scenario for scenario in ALL}
--- a/tests/modelcheck/test_model_check.py
+++ b/tests/modelcheck/test_model_check.py
@@ -1,4 +1,4 @@
-"""The decision code under a scheduler that chooses every step: small sizes whole, larger ones by walks."""
+"""Model checks of the consensus code, by exploration with one deviation, random walks and directed runs."""
 
 import re
 
@@ -7,7 +7,7 @@
 from irisstand.controlplane.consensus import heartbeat, proposer
 from irisstand.modelcheck import exploration, random_walk, runs, scenarios
 
-# Two contents under one version stand in a test of their own, below.
+# The scenario "contents" has its own test, test_no_two_contents_are_confirmed_under_one_version.
 SCENARIO_NAMES = [name for name in scenarios.REGISTRY if name != "contents"]
 
 
@@ -15,7 +15,7 @@
 def test_every_run_with_one_deviation_keeps_all_invariants(name):
     report = exploration.explore(scenarios.REGISTRY[name], deviations=1)
     assert not report.violating_runs
-    # A model in which nothing happens would keep all rules as well.
+    # These checks fail if the model does nothing, in which case it would never violate an invariant.
     assert report.runs > 100
     assert any("lost" in results for results in report.results)
 
@@ -36,14 +36,20 @@
 
 
 def run_directed(steps, *directives):
-    """One run in which each event whose label matches a rule's pattern has that action applied to it.
+    """Run the client steps, and apply the given actions to the events whose labels match a pattern.
 
-    A rule is (pattern, action, whether only until the first batch is decided).
+    Args:
+        steps: The client steps of the run.
+        *directives: Tuples of a pattern for event labels, the action on matching events, and whether the
+            action ends when the first batch after the bootstrap is decided.
+
+    Returns:
+        The result of the run.
     """
 
     def choose(model, actions):
         for pattern, action, until_decided in directives if actions else ():
-            # The bootstrap batch is among the decided ones.
+            # The history contains the bootstrap batch, too.
             is_over = until_decided and len(model.checker.history.batches) > 1
             if action in actions and not is_over and re.search(pattern, model.scheduler.pending[0].label):
                 return actions.index(action)
@@ -57,7 +63,10 @@
 
 
 def test_a_proposer_without_promises_proposes_nothing():
-    """Its accepts would get through, to a voter that holds another proposer's decided batch as pending."""
+    """Guards against a proposer that proposes a batch without promises from a majority.
+
+    Its accept requests would reach a voter on which a batch that another proposer decided is still pending.
+    """
     steps = (
         scenarios.ClientStep(scenarios.StepKind.ORDER, "b", ORDER_X),
         scenarios.ClientStep(scenarios.StepKind.ORDER, "a", ORDER_Y),
@@ -82,7 +91,7 @@
         steps,
         ("^start 1", "hold", False),
         (r"^a\.1#\d+>[bc] accept", "drop", True),
-        # All but the first ballot's.
+        # Only the prepare requests of the first ballot get through, until a batch is decided.
         (r"^a\.1#(?![12]>)\d+>[bc] promise", "drop", True),
         (r"^a\.1#\d+>b", "drop", False),
         (r"^b\.1#\d+>a", "drop", False),
@@ -90,7 +99,7 @@
     )
     assert not result.violation
     assert result.cluster.clients.results[1] == "yes"
-    # The first stood against it: its proposer's accepts were dropped, on the way to both others.
+    # Proposer a had a competing batch pending: its accept requests to both other voters were dropped.
     assert sum("drop: a.1" in line and "accept" in line for line in result.cluster.trace) >= 2
 
 
@@ -107,7 +116,7 @@
     )
     assert not result.violation
     assert result.cluster.clients.results[0] == "yes"
-    # One check may end without a word, as here, where it lost its ballot; its loop begins another.
+    # The round may fail, as here, because it lost its ballot; in production the heartbeat loop retries it.
     assert result.cluster.clients.results[1] in ("read", "no")
 
 
@@ -118,7 +127,7 @@
 
 def test_a_read_that_loses_its_ballot_fails_without_a_violation(monkeypatch):
     run_round = heartbeat.Heartbeat.run_round
-    # Only the client's read fails; those at the end of the run bring what every replica must have.
+    # Only the client's read fails: the reads at the end of the run have to bring all replicas up to date.
     failures = iter([proposer.BallotLostError()])
 
     async def lose_first_ballot(self):
