--- a/src/irisstand/modelcheck/invariants.py
+++ b/src/irisstand/modelcheck/invariants.py
@@ -81,8 +81,8 @@
         for entry in self.history.confirmed:
             if entry.confirmed_at < current_at and not self.history.includes(state_of(table_replica), entry):
                 self.fail(
-                    f"the replica of {node} at {table_replica.applied} was declared current, but lacks the order"
-                    f" confirmed at {entry.version}"
+                    f"the replica of {node} at {table_replica.applied} was declared current, but lacks the"
+                    f" order confirmed at {entry.version}"
                 )
 
     # -- results for clients -------------------------------------------------------------------------
