--- a/src/irisstand/cli/control_api.py
+++ b/src/irisstand/cli/control_api.py
@@ -37,7 +37,7 @@
     http.client.NOT_FOUND: ExitCode.UNKNOWN_NAME,
 }
 
-core_option = click.option(
+node_option = click.option(
     "--core",
     metavar="HOST:PORT",
     default="127.0.0.1:8081",
@@ -73,14 +73,14 @@
     return EXIT_CODE_BY_STATUS.get(status, ExitCode.OTHER)
 
 
-def call(core: str, method: str, path: str, content: typing.Any = None) -> typing.Any:
+def call(node_address: str, method: str, path: str, content: typing.Any = None) -> typing.Any:
     """Send a request to a control plane node and return its JSON answer.
 
     An error answer is printed to standard error as it came, and ends the program with its status's exit code.
     """
     body = None if content is None else json.dumps(content).encode()
     request = urllib.request.Request(
-        f"http://{core}{path}", body, {"Content-Type": "application/json"}, method=method
+        f"http://{node_address}{path}", body, {"Content-Type": "application/json"}, method=method
     )
     try:
         with urllib.request.urlopen(request, timeout=TIMEOUT_SECONDS) as response:
@@ -89,7 +89,9 @@
         click.echo(error.read().decode(errors="replace"), err=True)
         sys.exit(exit_code_of(error.code))
     except OSError as error:
-        click.echo(f"irisstand: {core}: {error}; name a running control plane node with --core", err=True)
+        click.echo(
+            f"irisstand: {node_address}: {error}; name a running control plane node with --core", err=True
+        )
         sys.exit(ExitCode.NOT_REACHABLE)
 
 
@@ -114,7 +116,7 @@
         return formats.read(getattr(file, "name", ""), file.read(), form)
     except errors.InvalidChangeError as error:
         for fault in error.faults:
-            place = "" if fault["document"] is None else f"document {fault['document'] + 1}: "
-            click.echo(f"fault: {place}{fault['field']}: {fault['message']}", err=True)
+            document = "" if fault["document"] is None else f"document {fault['document'] + 1}: "
+            click.echo(f"fault: {document}{fault['field']}: {fault['message']}", err=True)
         click.echo(f"{len(error.faults)} fault(s); nothing was sent", err=True)
         sys.exit(ExitCode.INVALID)
--- a/src/irisstand/cli/inspect.py
+++ b/src/irisstand/cli/inspect.py
@@ -11,14 +11,14 @@
 
 
 @get_group.command("configuration", help="Show the configuration in force, with versions.")
-@control_api.core_option
+@control_api.node_option
 def get_configuration(*, core: str) -> None:
     """Print the entries in a form that `apply` takes."""
     control_api.print_json(control_api.call(core, "GET", "/rows"))
 
 
 @get_group.command("items", help="Show the versioned items in force. The output may be given to apply-items.")
-@control_api.core_option
+@control_api.node_option
 def get_items(*, core: str) -> None:
     """Print the versioned items."""
     control_api.print_json(control_api.call(core, "GET", "/items"))
@@ -29,7 +29,7 @@
     help="Show what became of a change. Its entries, what replaced them, who has it in force.",
 )
 @click.argument("change", metavar="ID")
-@control_api.core_option
+@control_api.node_option
 def get_change(*, change: str, core: str) -> None:
     """Print a change's state; the nodes are asked live."""
     control_api.print_json(control_api.call(core, "GET", "/changes/" + control_api.quote(change)))
@@ -43,7 +43,7 @@
 @list_group.command(
     "machines", help="List machines and why they are on standby or not. Machine-hours saved are shown too."
 )
-@control_api.core_option
+@control_api.node_option
 def list_machines(*, core: str) -> None:
     """Print one line for each machine."""
     answer = control_api.call(core, "GET", "/machines")
@@ -54,7 +54,7 @@
 
 
 @list_group.command("members", help="List the members and their state. The node named by --core is asked.")
-@control_api.core_option
+@control_api.node_option
 def list_members(*, core: str) -> None:
     """Print one line for each member, by role, name and state."""
     members = control_api.call(core, "GET", "/members")["members"]
@@ -69,7 +69,7 @@
     "voters",
     help="List voters and spare nodes (JSON). For each table, with those that answer now.",
 )
-@control_api.core_option
+@control_api.node_option
 def list_voters(*, core: str) -> None:
     """Print the voter sets; the voters are asked live."""
     control_api.print_json(control_api.call(core, "GET", "/voters"))
--- a/src/irisstand/cli/operate.py
+++ b/src/irisstand/cli/operate.py
@@ -14,7 +14,7 @@
 @click.argument("file", type=click.File("rb"))
 @click.option("--strict", is_flag=True, help="Exit with code 8 if there are only warnings.")
 @control_api.format_option
-@control_api.core_option
+@control_api.node_option
 def validate(*, file: typing.BinaryIO, strict: bool, form: str, core: str) -> None:
     """Print faults and warnings; exit code 4 for a fault, 8 for warnings with --strict."""
     proposed = control_api.read_entries(file, form)
@@ -34,11 +34,11 @@
 @click.command(help="Compare the configuration with FILE. Exit code 9 if they differ.")
 @click.argument("file", type=click.File("rb"))
 @control_api.format_option
-@control_api.core_option
+@control_api.node_option
 def diff(*, file: typing.BinaryIO, form: str, core: str) -> None:
     """Print one line for each entry that differs."""
-    wanted = control_api.read_entries(file, form)
-    lines = formats.differences(wanted, control_api.call(core, "GET", "/rows")["rows"])
+    proposed = control_api.read_entries(file, form)
+    lines = formats.differences(proposed, control_api.call(core, "GET", "/rows")["rows"])
     for line in lines:
         click.echo(line)
     click.echo(f"{len(lines)} difference(s)")
@@ -49,7 +49,7 @@
 @click.argument("file", type=click.File("rb"))
 @control_api.change_option
 @control_api.format_option
-@control_api.core_option
+@control_api.node_option
 def apply(*, file: typing.BinaryIO, change: str | None, form: str, core: str) -> None:
     """Send entries; one that carries a version is refused if the entry in force has another."""
     entries = []
@@ -67,7 +67,7 @@
     help="Apply the versioned items in FILE. JSON: put and drop, lists by kind; all or none.",
 )
 @click.argument("file", type=click.File("rb"))
-@control_api.core_option
+@control_api.node_option
 def apply_items(*, file: typing.BinaryIO, core: str) -> None:
     """Send an amendment; an item counts if its version is the highest seen for its name."""
     try:
@@ -81,7 +81,7 @@
 @click.option("--path", "paths", multiple=True, metavar="PATH", help="A whole path; may be repeated.")
 @click.option("--tag", "tags", multiple=True, metavar="TAG", help="A tag of objects; may be repeated.")
 @control_api.change_option
-@control_api.core_option
+@control_api.node_option
 def purge(*, paths: tuple[str, ...], tags: tuple[str, ...], change: str | None, core: str) -> None:
     """Purge what is named; nothing purged is served 2 s after the answer."""
     if not paths and not tags:
@@ -93,7 +93,7 @@
 @click.command(help="Send no new requests to SITE. With the setting evacuates=origins: none to its origins.")
 @click.argument("site")
 @click.option("--insist", is_flag=True, help="Drain even if the other sites cannot carry the load.")
-@control_api.core_option
+@control_api.node_option
 def drain(*, site: str, insist: bool, core: str) -> None:
     """Evacuate a site; refused with figures if the others cannot carry the load."""
     path = f"/sites/{site}/evacuation{'?insist=true' if insist else ''}"
@@ -102,7 +102,7 @@
 
 @click.command(help="Take SITE back after a drain.")
 @click.argument("site")
-@control_api.core_option
+@control_api.node_option
 def undrain(*, site: str, core: str) -> None:
     """End a site's evacuation."""
     control_api.print_json(control_api.call(core, "DELETE", f"/sites/{site}/evacuation"))
@@ -111,7 +111,7 @@
 @click.command("replace-voter", help="Replace the voter OLD by NEW. NEW is a spare control plane node.")
 @click.argument("old")
 @click.argument("new")
-@control_api.core_option
+@control_api.node_option
 def replace_voter(*, old: str, new: str, core: str) -> None:
     """Replace one voter in the voter sets of all tables."""
     path = "/voters/" + control_api.quote(new)
@@ -120,7 +120,7 @@
 
 @click.command("remove-voter", help="Remove a voter. No other node takes its place.")
 @click.argument("name")
-@control_api.core_option
+@control_api.node_option
 def remove_voter(*, name: str, core: str) -> None:
     """Shrink the voter sets of all tables by one."""
     control_api.print_json(control_api.call(core, "DELETE", "/voters/" + control_api.quote(name)))
--- a/src/irisstand/emulators/hostile_origin.py
+++ b/src/irisstand/emulators/hostile_origin.py
@@ -6,16 +6,16 @@
 import random
 import typing
 
-ID = "x-request-id"
-SEAL = "content-digest"
-NOT_RUN = "x-not-run"
+REQUEST_ID_HEADER = "x-request-id"
+DIGEST_HEADER = "content-digest"
+NOT_RUN_HEADER = "x-not-run"
 # A request's head ends here.
-END = b"\r\n\r\n"
-LIKELIHOOD = 0.5
+END_OF_HEAD = b"\r\n\r\n"
+PROBABILITY = 0.5
 PIPE_DELAY_SECONDS = 0.001
 
 
-def seal(body: bytes) -> str:
+def digest(body: bytes) -> str:
     """Return the digest that an answer with this body bears."""
     return hashlib.sha256(body).hexdigest()[:16]
 
@@ -26,7 +26,7 @@
     def __init__(self) -> None:
         self.runs: collections.Counter[str] = collections.Counter()
 
-    def body(self, request_id: str, target: str) -> bytes:
+    def run_request(self, request_id: str, target: str) -> bytes:
         """Run a request and return the body of its answer."""
         self.runs[request_id] += 1
         return f"{target} answered".encode()
@@ -43,13 +43,13 @@
 class HostileOrigin(asyncio.Protocol):
     """One connection. `ways` are the names of the methods `way_...`; one is drawn for each request."""
 
-    def __init__(self, randomness: random.Random, record: RequestLog) -> None:
+    def __init__(self, randomness: random.Random, request_log: RequestLog) -> None:
         self.randomness = randomness
-        self.record = record
+        self.request_log = request_log
         self.received = b""
-        self.free_at = 0.0
+        self.next_send_at = 0.0
         self.transport: typing.Any = None
-        self.earlier = ReceivedRequest("earlier", "/earlier", "GET")
+        self.previous_request = ReceivedRequest("earlier", "/earlier", "GET")
         self.ways = sorted(name for name in dir(self) if name.startswith("way_"))
 
     def connection_made(self, transport: typing.Any) -> None:
@@ -59,8 +59,8 @@
     def data_received(self, data: bytes) -> None:
         """Answer each request that has arrived in full."""
         self.received += data
-        while END in self.received:
-            head, _, rest = self.received.partition(END)
+        while END_OF_HEAD in self.received:
+            head, _, rest = self.received.partition(END_OF_HEAD)
             first, *lines = head.decode("latin-1").split("\r\n")
             headers = dict(line.lower().split(": ", 1) for line in lines)
             size = int(headers.get("content-length", "0"))
@@ -68,11 +68,11 @@
                 return
             self.received = rest[size:]
             method, target, _ = first.split(" ")
-            request = ReceivedRequest(headers.get(ID, ""), target, method)
+            request = ReceivedRequest(headers.get(REQUEST_ID_HEADER, ""), target, method)
             # Half of all requests are answered as they should be, so that connections are used again.
-            way = self.way_whole if self.randomness.random() < LIKELIHOOD else getattr(self, self.draw_way())
+            way = self.way_whole if self.randomness.random() < PROBABILITY else getattr(self, self.draw_way())
             way(request)
-            self.earlier = request
+            self.previous_request = request
 
     def draw_way(self) -> str:
         """Draw the name of a way."""
@@ -83,8 +83,8 @@
         """Send after a delay in seconds."""
         # In the order in which it was sent, as on any connection; timers of one moment keep none.
         loop = asyncio.get_running_loop()
-        self.free_at = max(self.free_at + 1e-6, loop.time() + delay)
-        loop.call_at(self.free_at, self.write, data)
+        self.next_send_at = max(self.next_send_at + 1e-6, loop.time() + delay)
+        loop.call_at(self.next_send_at, self.write, data)
 
     def write(self, data: bytes) -> None:
         """Write unless the connection is closing."""
@@ -92,20 +92,29 @@
             self.transport.write(data)
 
     def answer(
-        self, request: ReceivedRequest, body: bytes | None = None, status: str = "200 OK", more: str = ""
+        self,
+        request: ReceivedRequest,
+        body: bytes | None = None,
+        status: str = "200 OK",
+        extra_headers: str = "",
     ) -> bytes:
         """Run a request and return its answer; with a body given, it does not run."""
-        body = self.record.body(request.request_id, request.target) if body is None else body
-        named = f"{ID}: {request.request_id}\r\n" if request.request_id else ""
+        body = self.request_log.run_request(request.request_id, request.target) if body is None else body
+        id_header = f"{REQUEST_ID_HEADER}: {request.request_id}\r\n" if request.request_id else ""
         head = (
-            f"HTTP/1.1 {status}\r\n{named}{SEAL}: {seal(body)}\r\n{more}content-length: {len(body)}\r\n\r\n"
+            f"HTTP/1.1 {status}\r\n{id_header}{DIGEST_HEADER}: {digest(body)}\r\n{extra_headers}"
+            f"content-length: {len(body)}\r\n\r\n"
         )
         return head.encode() + (b"" if request.method == "HEAD" else body)
 
-    def rejection(self, request: ReceivedRequest, status: str = "503 Busy", *, named: bool = True) -> bytes:
+    def rejection(
+        self, request: ReceivedRequest, status: str = "503 Busy", *, with_request_id: bool = True
+    ) -> bytes:
         """Return an answer that says that the request did not run; `named`: with the request's id."""
-        id_header = f"{ID}: {request.request_id}\r\n" if named and request.request_id else ""
-        return f"HTTP/1.1 {status}\r\n{id_header}{NOT_RUN}: 1\r\ncontent-length: 0\r\n\r\n".encode()
+        id_header = (
+            f"{REQUEST_ID_HEADER}: {request.request_id}\r\n" if with_request_id and request.request_id else ""
+        )
+        return f"HTTP/1.1 {status}\r\n{id_header}{NOT_RUN_HEADER}: 1\r\ncontent-length: 0\r\n\r\n".encode()
 
     # -- ways ----------------------------------------------------------------------------------------
     def way_whole(self, request: ReceivedRequest) -> None:
@@ -128,23 +137,25 @@
     def way_surplus_refusal_before(self, request: ReceivedRequest) -> None:
         """Send a rejection of an earlier request before the answer."""
         # Only a connection that was used may bring what belongs to an earlier request.
-        before = self.rejection(self.earlier, named=self.randomness.random() < LIKELIHOOD)
-        self.send((b"" if self.earlier.target == "/earlier" else before) + self.answer(request))
+        before = self.rejection(self.previous_request, with_request_id=self.randomness.random() < PROBABILITY)
+        self.send((b"" if self.previous_request.target == "/earlier" else before) + self.answer(request))
 
     def way_surplus_answer_before(self, request: ReceivedRequest) -> None:
         """Send an answer to an earlier request before the answer."""
-        self.send(self.answer(self.earlier, body=b"of an earlier one") + self.answer(request))
+        self.send(self.answer(self.previous_request, body=b"of an earlier one") + self.answer(request))
 
     def way_surplus_after(self, request: ReceivedRequest) -> None:
         """Send something more after the answer."""
         whole = self.answer(request)
         self.send(whole)
-        surplus = self.randomness.choice((whole, self.rejection(request, named=False), b"\x00bytes"))
+        surplus = self.randomness.choice(
+            (whole, self.rejection(request, with_request_id=False), b"\x00bytes")
+        )
         self.send(surplus, self.randomness.choice((0.0, 0.001, 0.05, 0.4)))
 
     def way_silence(self, request: ReceivedRequest) -> None:
         """Run the request and answer nothing."""
-        self.record.body(request.request_id, request.target)
+        self.request_log.run_request(request.request_id, request.target)
 
     def way_cut(self, request: ReceivedRequest) -> None:
         """Send a part of the answer and close."""
@@ -154,7 +165,7 @@
 
     def way_closed(self, request: ReceivedRequest) -> None:
         """Run the request and close."""
-        self.record.body(request.request_id, request.target)
+        self.request_log.run_request(request.request_id, request.target)
         self.transport.close()
 
     def way_length_too_long(self, request: ReceivedRequest) -> None:
@@ -171,12 +182,12 @@
 
     def way_garbage(self, request: ReceivedRequest) -> None:
         """Send random bytes."""
-        self.record.body(request.request_id, request.target)
+        self.request_log.run_request(request.request_id, request.target)
         self.send(self.randomness.randbytes(40))
 
     def way_no_seal(self, request: ReceivedRequest) -> None:
         """Leave the digest out."""
-        self.send(self.answer(request).replace(SEAL.encode(), b"x-other"))
+        self.send(self.answer(request).replace(DIGEST_HEADER.encode(), b"x-other"))
 
     def way_in_pieces(self, request: ReceivedRequest) -> None:
         """Send the answer byte by byte."""
@@ -194,27 +205,27 @@
 
     peer: "Pipe"
 
-    def __init__(self, other: asyncio.Protocol, own: asyncio.Protocol) -> None:
+    def __init__(self, peer_protocol: asyncio.Protocol, own_protocol: asyncio.Protocol) -> None:
         super().__init__()
-        self.other = other
-        self.own = own
+        self.peer_protocol = peer_protocol
+        self.own_protocol = own_protocol
         self.closed = False
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         """Send data to the other protocol."""
-        asyncio.get_running_loop().call_later(PIPE_DELAY_SECONDS, self.arrive, data)
+        asyncio.get_running_loop().call_later(PIPE_DELAY_SECONDS, self.deliver, data)
 
-    def arrive(self, data: bytes | bytearray | memoryview) -> None:
+    def deliver(self, data: bytes | bytearray | memoryview) -> None:
         """Hand data to the other protocol, unless its end is closed."""
         if not self.peer.closed:
-            self.other.data_received(bytes(data))
+            self.peer_protocol.data_received(bytes(data))
 
     def close(self) -> None:
         """Close both ends."""
         if not self.closed:
             self.closed = True
             asyncio.get_running_loop().call_later(PIPE_DELAY_SECONDS, self.peer.close)
-            asyncio.get_running_loop().call_soon(self.own.connection_lost, None)
+            asyncio.get_running_loop().call_soon(self.own_protocol.connection_lost, None)
 
     def is_closing(self) -> bool:
         """Return whether this end is closed."""
@@ -225,7 +236,7 @@
         return 0
 
 
-def join(client: asyncio.Protocol, origin: asyncio.Protocol) -> None:
+def connect_in_memory(client: asyncio.Protocol, origin: asyncio.Protocol) -> None:
     """Connect two protocols in memory."""
     client_end = Pipe(origin, client)
     origin_end = Pipe(client, origin)
--- a/src/irisstand/emulators/origin_emulator.py
+++ b/src/irisstand/emulators/origin_emulator.py
@@ -71,7 +71,7 @@
         await asyncio.sleep(self.faults.get("delay", 0.002))
         if request.method == "GET":
             now = asyncio.get_running_loop().time()
-            body, tag = self.records.sealed_object(self.service, request.path_qs, now)
+            body, tag = self.records.current_object(self.service, request.path_qs, now)
         else:
             body, tag = self.records.execute(self.service, self.instance, content), ""
         headers = {
@@ -100,7 +100,7 @@
         self.executions: collections.Counter[str] = collections.Counter()
         self.requests: collections.Counter[str] = collections.Counter()
 
-    def sealed_object(self, service: str, target: str, now: float) -> tuple[bytes, str]:
+    def current_object(self, service: str, target: str, now: float) -> tuple[bytes, str]:
         """Return the present content of a target, made at `now`, and its cache tags."""
         path = target.partition("?")[0]
         tag = path.strip("/").partition("/")[0]
@@ -127,11 +127,11 @@
     """Lists origins as the platform would: over HTTP, with a limit on how often it may be asked."""
 
     def __init__(self, origins: list[OriginEmulator], limit_per_second: float = 5.0) -> None:
-        self.origins, self.limit = origins, limit_per_second
-        self.asked: list[float] = []
+        self.origins, self.limit_per_second = origins, limit_per_second
+        self.request_times: list[float] = []
         self.over_limit = 0
         self.port = 0
-        self.broken = False
+        self.sends_invalid_json = False
         self.runner: aiohttp.web.AppRunner | None = None
 
     async def start(self) -> None:
@@ -151,11 +151,11 @@
     async def list_origins(self, request: aiohttp.web.Request) -> aiohttp.web.Response:
         """Answer with the list, or refuse a node that asks too often."""
         now = asyncio.get_running_loop().time()
-        self.asked = [moment for moment in self.asked if moment > now - 1.0] + [now]
-        if len(self.asked) > self.limit:
+        self.request_times = [asked_at for asked_at in self.request_times if asked_at > now - 1.0] + [now]
+        if len(self.request_times) > self.limit_per_second:
             self.over_limit += 1
             return aiohttp.web.json_response({"error": "asked too often"}, status=429)
-        if self.broken:
+        if self.sends_invalid_json:
             return aiohttp.web.Response(body=b"{", status=200)
         return aiohttp.web.json_response({"origins": [origin.listing() for origin in self.origins]})
 
@@ -163,10 +163,12 @@
 async def run_emulators(platform_port: int, site: str) -> None:
     """Run one content and one application origin and a platform that lists them, until cancelled."""
     records = OriginRecords()
-    made = [OriginEmulator(service, f"{service}-1", site, records) for service in ("content", "application")]
-    for origin in made:
+    origins = [
+        OriginEmulator(service, f"{service}-1", site, records) for service in ("content", "application")
+    ]
+    for origin in origins:
         await origin.start()
-    platform = PlatformEmulator(made)
+    platform = PlatformEmulator(origins)
     platform.port = platform_port
     await platform.start()
     await asyncio.Event().wait()
--- a/src/irisstand/emulators/upstream_emulator.py
+++ b/src/irisstand/emulators/upstream_emulator.py
@@ -23,17 +23,17 @@
 class UpstreamEmulator:
     """One origin. `faults` by name: full, lost, slow (seconds), wrong (another instance has the address)."""
 
-    def __init__(self, service: str, instance: str, site: str, words: header_names.HeaderNames) -> None:
+    def __init__(self, service: str, instance: str, site: str, names: header_names.HeaderNames) -> None:
         self.service = service
         self.instance = instance
         self.site = site
-        self.header_names = words
+        self.header_names = names
         self.state = "ready"
         self.cold = 0.0
         self.faults: dict[str, float] = {}
         self.versions: collections.Counter[str] = collections.Counter()
         self.arrivals = 0
-        self.probes = 0
+        self.health_checks = 0
         self.runs: list[RequestRecord] = []
         self.runner: aiohttp.web.AppRunner | None = None
         self.port = 0
@@ -56,7 +56,7 @@
 
     async def health(self, request: aiohttp.web.Request) -> aiohttp.web.Response:
         """Answer a health check."""
-        self.probes += 1
+        self.health_checks += 1
         headers = {
             self.header_names.instance: self.instance,
             self.header_names.cold: str(int(self.cold * 1000)),
@@ -66,18 +66,18 @@
     async def serve(self, request: aiohttp.web.Request) -> aiohttp.web.StreamResponse:
         """Carry out a request as the faults have it."""
         self.arrivals += 1
-        words = self.header_names
+        names = self.header_names
         # Every answer names its request, those to what did not run among them.
-        request_id = request.headers.get(words.request_id, "")
-        expected = request.headers.get(words.expected, self.instance)
+        request_id = request.headers.get(names.request_id, "")
+        expected = request.headers.get(names.expected, self.instance)
         if expected != self.instance or self.faults.get("wrong"):
             return aiohttp.web.Response(
-                status=421, headers={words.instance: self.instance, words.request_id: request_id}
+                status=421, headers={names.instance: self.instance, names.request_id: request_id}
             )
         body = await request.read()
         if self.faults.get("full"):
             return aiohttp.web.Response(
-                status=503, headers={words.not_run: "1", words.request_id: request_id}
+                status=503, headers={names.not_run: "1", names.request_id: request_id}
             )
         self.runs.append(RequestRecord(self.instance, request_id, request.method, request.path_qs, body))
         await asyncio.sleep(self.faults.get("slow", 0.002))
@@ -88,15 +88,15 @@
         version = self.versions[request.path]
         content = f"{self.service} {request.path_qs} v{version} ".encode() * 40 + body
         headers = {
-            words.request_id: request_id,
-            words.instance: self.instance,
+            names.request_id: request_id,
+            names.instance: self.instance,
             "etag": f'"v{version}"',
-            words.seal: hashlib.sha256(content).hexdigest()[:16],
-            words.tags: f"t-{self.service}",
+            names.seal: hashlib.sha256(content).hexdigest()[:16],
+            names.tags: f"t-{self.service}",
         }
         return aiohttp.web.Response(body=content, headers=headers)
 
 
-def is_whole(words: header_names.HeaderNames, headers: typing.Mapping[str, str], body: bytes) -> bool:
+def has_valid_digest(names: header_names.HeaderNames, headers: typing.Mapping[str, str], body: bytes) -> bool:
     """Return whether an answer is what the origin sealed."""
-    return headers.get(words.seal) == hashlib.sha256(body).hexdigest()[:16]
+    return headers.get(names.seal) == hashlib.sha256(body).hexdigest()[:16]
--- a/src/irisstand/localcluster/fault_injection.py
+++ b/src/irisstand/localcluster/fault_injection.py
@@ -19,12 +19,12 @@
 from irisstand.state.storage import disk
 from irisstand.transport import network
 
-VARIABLE = "IRISSTAND_WEATHER"
+FAULT_FILE_VARIABLE = "IRISSTAND_WEATHER"
 DELAY_BETWEEN_REGIONS_SECONDS = 0.006
 POLL_SECONDS = 0.05
 READ_INTERVAL_SECONDS = 0.1
-FULL = "full"
-STALLED = "stalled"
+DISK_FULL = "full"
+DISK_STALLED = "stalled"
 
 
 class FaultFile:
@@ -34,30 +34,30 @@
         self.path = path
         self.content: dict[str, typing.Any] = {}
         self.read()
-        self.own = self.content["self"][os.environ[VARIABLE + "_NAME"]]
+        self.own = self.content["self"][os.environ[FAULT_FILE_VARIABLE + "_NAME"]]
 
     def read(self) -> None:
         """Read the file, which the cluster replaces as a whole."""
         self.content = json.loads(self.path.read_text())
 
-    async def follow(self) -> None:
+    async def poll(self) -> None:
         """Read the file again and again."""
         while True:
             await asyncio.to_thread(self.read)
             await asyncio.sleep(READ_INTERVAL_SECONDS)
 
-    def place(self, port: int) -> dict[str, str]:
+    def process_at(self, port: int) -> dict[str, str]:
         """Return name, site and region of the process at a port."""
-        place: dict[str, str] = self.content["places"].get(str(port), self.own)
-        return place
+        process: dict[str, str] = self.content["places"].get(str(port), self.own)
+        return process
 
     def delay(self, port: int) -> float:
         """Return the delay to the process at a port, one way, in seconds."""
-        return DELAY_BETWEEN_REGIONS_SECONDS if self.place(port)["region"] != self.own["region"] else 0.0
+        return DELAY_BETWEEN_REGIONS_SECONDS if self.process_at(port)["region"] != self.own["region"] else 0.0
 
-    def is_cut(self, port: int) -> bool:
+    def is_partitioned(self, port: int) -> bool:
         """Return whether a partition lies between: each is a list of the names on one side."""
-        other = self.place(port)["name"]
+        other = self.process_at(port)["name"]
         return any((self.own["name"] in side) != (other in side) for side in self.content["cuts"])
 
     def disk(self) -> str:
@@ -73,25 +73,25 @@
         self.inner = inner
         self.faults = faults
         self.port = port
-        self.free_at = 0.0
+        self.next_send_at = 0.0
 
     async def read(self) -> bytes:
         """Return the next payload once it could have arrived."""
         payload = await self.inner.read()
         await asyncio.sleep(self.faults.delay(self.port))
-        while self.faults.is_cut(self.port):  # noqa: ASYNC110 - another process changes the file
+        while self.faults.is_partitioned(self.port):  # noqa: ASYNC110 - another process changes the file
             await asyncio.sleep(POLL_SECONDS)
         return payload
 
     def write(self, payload: bytes) -> None:
         """Send a payload after the delay: in order and never lost, since TCP sends again."""
         loop = asyncio.get_running_loop()
-        self.free_at = max(self.free_at, loop.time() + self.faults.delay(self.port))
-        loop.call_at(self.free_at, self.send, payload)
+        self.next_send_at = max(self.next_send_at, loop.time() + self.faults.delay(self.port))
+        loop.call_at(self.next_send_at, self.send, payload)
 
     def send(self, payload: bytes) -> None:
         """Write a payload, or try again later across a partition."""
-        if self.faults.is_cut(self.port):
+        if self.faults.is_partitioned(self.port):
             asyncio.get_running_loop().call_later(POLL_SECONDS, self.send, payload)
         else:
             self.inner.write(payload)
@@ -105,7 +105,7 @@
         self.inner.close()
 
 
-class FaultyPort:
+class FaultyDatagramSocket:
     """A datagram port that loses datagrams."""
 
     def __init__(self, inner: network.DatagramSocket, faults: FaultFile) -> None:
@@ -114,7 +114,7 @@
 
     def send(self, payload: bytes, address: network.Address) -> None:
         """Send a datagram after the delay, or lose it."""
-        if self.faults.is_cut(address[1]) or random.random() < self.faults.content["loss"]:
+        if self.faults.is_partitioned(address[1]) or random.random() < self.faults.content["loss"]:
             return
         delay = self.faults.delay(address[1])
         asyncio.get_running_loop().call_later(delay, self.inner.send, payload, address)
@@ -131,20 +131,20 @@
 
     async def connect(self, address: network.Address) -> network.Stream:
         """Connect, across a partition once it has healed."""
-        while self.faults.is_cut(address[1]):  # noqa: ASYNC110 - another process changes the file
+        while self.faults.is_partitioned(address[1]):  # noqa: ASYNC110 - another process changes the file
             await asyncio.sleep(POLL_SECONDS)
         return FaultyStream(await super().connect(address), self.faults, address[1])
 
     async def listen(self, address: network.Address, on_stream: network.OnStream) -> typing.Any:
         """Listen, and follow the file of faults from now on."""
-        self.following = asyncio.get_running_loop().create_task(self.faults.follow())
+        self.poll_task = asyncio.get_running_loop().create_task(self.faults.poll())
         return await super().listen(address, on_stream)
 
     async def open_datagram_socket(
         self, address: network.Address, on_datagram: network.OnDatagram
     ) -> network.DatagramSocket:
         """Open a datagram port."""
-        return FaultyPort(await super().open_datagram_socket(address, on_datagram), self.faults)
+        return FaultyDatagramSocket(await super().open_datagram_socket(address, on_datagram), self.faults)
 
 
 class FaultyDisk(disk.FolderDisk):
@@ -158,16 +158,16 @@
         Raises:
             errors.DiskFullError: The disk is full.
         """
-        while self.faults.disk() == STALLED:  # noqa: ASYNC110 - another process changes the file
+        while self.faults.disk() == DISK_STALLED:  # noqa: ASYNC110 - another process changes the file
             await asyncio.sleep(POLL_SECONDS)
-        if self.faults.disk() == FULL:
+        if self.faults.disk() == DISK_FULL:
             raise errors.DiskFullError(f"no space left in {self.path}, says the rehearsal")
         await super().write(files)
 
 
 def main() -> None:
     """Run the program that the first argument names, under faults, with the other arguments."""
-    faults = FaultFile(pathlib.Path(os.environ[VARIABLE]))
+    faults = FaultFile(pathlib.Path(os.environ[FAULT_FILE_VARIABLE]))
     FaultyNetwork.faults = faults
     FaultyDisk.faults = faults
     # The programs look their network and disk up by these names.
--- a/src/irisstand/localcluster/invariant_checker.py
+++ b/src/irisstand/localcluster/invariant_checker.py
@@ -40,7 +40,7 @@
         examples: The first violation of each rule.
         results: Counts of answers by kind.
         write_results: What the client knows of each write, by its number.
-        lives: Seconds that content may be cached, by the first part of its path.
+        ttl_seconds: Seconds that content may be cached, by the first part of its path.
     """
 
     def __init__(self, records: origin_emulator.OriginRecords) -> None:
@@ -51,14 +51,14 @@
         self.results: collections.Counter[str] = collections.Counter()
         self.write_results: dict[str, WriteResult] = {}
         self.purges: dict[str, list[ConfirmedPurge]] = collections.defaultdict(list)
-        self.lives: dict[str, float] = {}
+        self.ttl_seconds: dict[str, float] = {}
 
-    def check(self, rule: str, holds: bool, example: str = "") -> None:  # noqa: FBT001 - what is checked
+    def check(self, invariant: str, holds: bool, example: str = "") -> None:  # noqa: FBT001 - what is checked
         """Count a check of a rule, and keep the first example of a violation."""
-        self.checked[rule] += 1
+        self.checked[invariant] += 1
         if not holds:
-            self.broken[rule] += 1
-            self.examples.setdefault(rule, example)
+            self.broken[invariant] += 1
+            self.examples.setdefault(invariant, example)
 
     def read(  # noqa: PLR0913, PLR0917 - the parts of one answer
         self,
@@ -83,32 +83,36 @@
         if status != HTTP_OK:
             return
         content = decode_content(body)
-        is_meant = content is not None and (content["service"], content["target"]) == (service, target)
-        is_sealed = headers.get("content-digest") == objects.digest_header(body)
-        rule = "a success is the origin's whole, sealed answer, meant for the asker"
-        self.check(rule, is_meant and is_sealed, f"{target}: {body[:80]!r}")
+        answers_request = content is not None and (content["service"], content["target"]) == (service, target)
+        digest_matches = headers.get("content-digest") == objects.digest_header(body)
+        invariant = "a success is the origin's whole, sealed answer, meant for the asker"
+        self.check(invariant, answers_request and digest_matches, f"{target}: {body[:80]!r}")
         version, made_at = (-1, now) if content is None else (content["version"], content["made"])
         self.check_purged(target, version, now)
         self.check_age(target, now - made_at, now)
 
     def check_purged(self, target: str, version: int, now: float) -> None:
         """Check that content from before a confirmed purge is not served."""
-        due = [
+        minimum_versions = [
             purge.minimum_version
             for purge in self.purges[path_of(target)]
             if now > purge.confirmed_at + GRACE_SECONDS
         ]
-        if due:
-            rule = "purged content is not served 2 s after the purge is confirmed"
-            self.check(rule, version >= max(due), f"{target}: {version} < {max(due)} at {now:.3f}")
+        if minimum_versions:
+            invariant = "purged content is not served 2 s after the purge is confirmed"
+            self.check(
+                invariant,
+                version >= max(minimum_versions),
+                f"{target}: {version} < {max(minimum_versions)} at {now:.3f}",
+            )
 
     def check_age(self, target: str, age: float, now: float) -> None:
         """Check that content is not served long after its time to live."""
-        life = self.lives.get(path_of(target).split("/")[1])
-        if life is not None:
-            rule = "no content outlives its cache life by more than 2 s"
-            example = f"{target}: {age:.3f} s old, life {life}, at {now:.3f}"
-            self.check(rule, age <= life + GRACE_SECONDS, example)
+        ttl = self.ttl_seconds.get(path_of(target).split("/")[1])
+        if ttl is not None:
+            invariant = "no content outlives its cache life by more than 2 s"
+            example = f"{target}: {age:.3f} s old, life {ttl}, at {now:.3f}"
+            self.check(invariant, age <= ttl + GRACE_SECONDS, example)
 
     def write(self, number: str, status: int, code: str) -> None:
         """Note what a client was told of a write."""
@@ -122,7 +126,7 @@
             # A rejected repetition under the same key says nothing of the first, whose outcome is unknown.
             self.write_results[number] = WriteResult.REJECTED
 
-    def purged(self, path: str, confirmed_at: float, version: int) -> None:
+    def record_confirmed_purge(self, path: str, confirmed_at: float, version: int) -> None:
         """Note a confirmed purge of a path, after which `version` is the oldest that may be served."""
         kept = self.purges[path][-KEPT_PURGES_LIMIT:]
         self.purges[path] = [*kept, ConfirmedPurge(confirmed_at, version)]
@@ -140,11 +144,11 @@
     def lines(self) -> list[str]:
         """Return the counts and the examples of violations, for printing."""
         results = [f"{count:7d}  {result}" for result, count in sorted(self.results.items())]
-        rules = [
-            f"{self.checked[rule]:7d} checked {self.broken[rule]:4d} broken  {rule}"
-            for rule in sorted(self.checked)
+        counts = [
+            f"{self.checked[invariant]:7d} checked {self.broken[invariant]:4d} broken  {invariant}"
+            for invariant in sorted(self.checked)
         ]
-        return [*results, *rules, *(f"        broken: {example}" for example in self.examples.values())]
+        return [*results, *counts, *(f"        broken: {example}" for example in self.examples.values())]
 
 
 def decode_content(body: bytes) -> dict[str, typing.Any] | None:
--- a/src/irisstand/localcluster/load_generator.py
+++ b/src/irisstand/localcluster/load_generator.py
@@ -35,52 +35,52 @@
 LOGO_BOUND = 0.85
 SHORTLIST_BOUND = 0.92
 # With one of these codes a client turns to another edge.
-NOT_READY = ("connection refused", "stale-blueprint", "draining", "site-evacuated")
+NOT_READY_CODES = ("connection refused", "stale-blueprint", "draining", "site-evacuated")
 
 
 class LoadGenerator:
     """Sends requests at the rate of the cluster's shape.
 
     Attributes:
-        failed_in: Number of failed requests by second of the run.
-        planned: Whether the plan only stops processes in order, so that no answer may be dropped.
+        failures_by_second: Number of failed requests by second of the run.
+        expects_no_drops: Whether the plan only stops processes in order, so that no answer may be dropped.
     """
 
     def __init__(
         self,
-        fleet: processes.LocalCluster,
+        cluster: processes.LocalCluster,
         session: aiohttp.ClientSession,
         checker: invariant_checker.InvariantChecker,
         seed: int,
     ) -> None:
-        self.fleet = fleet
+        self.cluster = cluster
         self.session = session
         self.checker = checker
         self.randomness = random.Random(seed)
-        self.edges = [place.name for place in fleet.named("edge")]
+        self.edges = [placement.name for placement in cluster.with_role("edge")]
         self.tasks: set[asyncio.Task[None]] = set()
         self.number = 0
         self.sent = 0
-        self.started = 0.0
-        self.failed_in: collections.Counter[int] = collections.Counter()
-        self.planned = False
+        self.started_at = 0.0
+        self.failures_by_second: collections.Counter[int] = collections.Counter()
+        self.expects_no_drops = False
 
     async def run(self, seconds: float) -> None:
         """Send for so many seconds, whether or not earlier requests have been answered."""
         loop = asyncio.get_running_loop()
-        self.started = start = loop.time()
+        self.started_at = start = loop.time()
         while loop.time() < start + seconds:
-            due = (loop.time() - start) * self.fleet.shape.rate
-            while self.sent < due:
+            minimum_versions = (loop.time() - start) * self.cluster.shape.rate
+            while self.sent < minimum_versions:
                 self.sent += 1
-                task = loop.create_task(self.one())
+                task = loop.create_task(self.send_random_request())
                 self.tasks.add(task)
                 task.add_done_callback(self.tasks.discard)
             await asyncio.sleep(0.01)
         if self.tasks:
             await asyncio.wait(self.tasks)
 
-    async def one(self) -> None:
+    async def send_random_request(self) -> None:
         """Send one random request."""
         draw = self.randomness.random()
         edge = self.randomness.choice(self.edges)
@@ -93,14 +93,14 @@
         else:
             await self.write(edge)
 
-    def another(self, edge: str) -> str:
+    def other_edge(self, edge: str) -> str:
         """Draw another edge."""
         return self.randomness.choice([name for name in self.edges if name != edge] or [edge])
 
-    async def read(self, edge: str, service: str, target: str, *, first: bool = True) -> None:
+    async def read(self, edge: str, service: str, target: str, *, is_first_attempt: bool = True) -> None:
         """Read as a client does: from another edge, once, where this one is not ready."""
         try:
-            async with self.session.get(self.fleet.url(edge) + target) as response:
+            async with self.session.get(self.cluster.url(edge) + target) as response:
                 # Given out when its head came; this busy process may read the rest later.
                 now = asyncio.get_running_loop().time()
                 body = await response.read()
@@ -108,19 +108,19 @@
                 self.checker.read(service, target, response.status, headers, body, now)
                 if response.status == HTTP_OK:
                     return
-                code = self.code(body)
+                code = self.error_code(body)
         except (aiohttp.ClientError, TimeoutError) as error:
             if not isinstance(error, aiohttp.ClientConnectorError):
-                self.no_answer("read", edge, error)
+                self.count_unanswered("read", edge, error)
                 return
             code = "connection refused"
-        if first and code in NOT_READY:
+        if is_first_attempt and code in NOT_READY_CODES:
             self.checker.results[f"read turned to another edge: {code}"] += 1
-            await self.read(self.another(edge), service, target, first=False)
+            await self.read(self.other_edge(edge), service, target, is_first_attempt=False)
         else:
             self.count_failure("read", code)
 
-    def code(self, body: bytes) -> str:
+    def error_code(self, body: bytes) -> str:
         """Return the code in an error's body, or an empty text."""
         try:
             return str(json.loads(body).get("code", ""))
@@ -130,18 +130,18 @@
     def count_failure(self, kind: str, code: str) -> None:
         """Count a failed request under its second."""
         self.checker.results[f"{kind} failed: {code}"] += 1
-        second = int(asyncio.get_running_loop().time() - self.started)
-        self.failed_in[second] += 1
+        second = int(asyncio.get_running_loop().time() - self.started_at)
+        self.failures_by_second[second] += 1
 
-    def no_answer(self, kind: str, edge: str, error: Exception) -> None:
+    def count_unanswered(self, kind: str, edge: str, error: Exception) -> None:
         """Count a request without an answer; one whose connection was accepted has been dropped."""
         if isinstance(error, aiohttp.ClientConnectorError):
             self.count_failure(kind, "connection refused")
             return
         self.count_failure(kind, type(error).__name__)
-        if self.planned:
-            rule = "a planned restart drops no answer under way"
-            self.checker.check(rule, holds=False, example=f"{kind} at {edge}: {error!r}")
+        if self.expects_no_drops:
+            invariant = "a planned restart drops no answer under way"
+            self.checker.check(invariant, holds=False, example=f"{kind} at {edge}: {error!r}")
 
     async def write(self, edge: str) -> None:
         """Send one write and note what the client was told."""
@@ -149,37 +149,39 @@
         number = f"application-{self.number}"
         try:
             async with self.session.post(
-                self.fleet.url(edge) + "/applications", data=json.dumps({"number": number})
+                self.cluster.url(edge) + "/applications", data=json.dumps({"number": number})
             ) as response:
-                code = self.code(await response.read())
+                code = self.error_code(await response.read())
                 self.checker.write(number, response.status, code)
                 if response.status != HTTP_OK:
                     self.count_failure("write", code)
         except (aiohttp.ClientError, TimeoutError) as error:
-            self.no_answer("write", edge, error)
-            refused = isinstance(error, aiohttp.ClientConnectorError)
+            self.count_unanswered("write", edge, error)
+            is_connection_refused = isinstance(error, aiohttp.ClientConnectorError)
             self.checker.write_results[number] = (
-                invariant_checker.WriteResult.REJECTED if refused else invariant_checker.WriteResult.UNKNOWN
+                invariant_checker.WriteResult.REJECTED
+                if is_connection_refused
+                else invariant_checker.WriteResult.UNKNOWN
             )
 
-    async def order(
+    async def call_control_plane(
         self, method: str, path: str, content: typing.Any = None
     ) -> tuple[int, dict[str, typing.Any]]:
         """Call the control plane at the first node that answers, and return status and content."""
-        names = [place.name for place in self.fleet.named("agency")]
+        names = [placement.name for placement in self.cluster.with_role("agency")]
         for name in self.randomness.sample(names, len(names)):
-            status, answer = await self.ask_node(name, method, path, content)
+            status, answer = await self.call_node(name, method, path, content)
             # Nobody there, or not fit to answer: as an operator would, turn to the next.
             if status and answer.get("code") != "stale-blueprint":
                 return status, answer
         return 0, {}
 
-    async def ask_node(
+    async def call_node(
         self, name: str, method: str, path: str, content: typing.Any = None
     ) -> tuple[int, dict[str, typing.Any]]:
         """Call one control plane node; return status and content, status 0 without an answer."""
         try:
-            url = self.fleet.url(name) + path
+            url = self.cluster.url(name) + path
             async with self.session.request(method, url, json=content) as response:
                 return response.status, await response.json()
         except (aiohttp.ClientError, TimeoutError):
--- a/src/irisstand/localcluster/processes.py
+++ b/src/irisstand/localcluster/processes.py
@@ -67,113 +67,119 @@
 
 def place_processes(shape: ClusterShape) -> list[ProcessPlacement]:
     """Return the processes of a shape, spread over its sites."""
-    places = []
-    wanted = [("edge", shape.edges), ("shield", shape.shields), ("store", shape.stores)]
+    placements = []
+    role_counts = [("edge", shape.edges), ("shield", shape.shields), ("store", shape.stores)]
     ports = iter(free_ports(2 * (shape.edges + 2 * shape.shields + shape.stores)))
-    for role, count in wanted:
+    for role, count in role_counts:
         for number in range(1, count + 1):
             site, region = shape.sites[(number - 1) % len(shape.sites)]
             machine = f"{role}-machine-{number}"
-            where = (machine, site, region)
-            places.append(
-                ProcessPlacement(f"{role}-{number}", "dataplane", role, *where, next(ports), next(ports))
+            location = (machine, site, region)
+            placements.append(
+                ProcessPlacement(f"{role}-{number}", "dataplane", role, *location, next(ports), next(ports))
             )
             if role == "shield":
                 name = f"agency-{number}"
-                places.append(
-                    ProcessPlacement(name, "controlplane", "agency", *where, next(ports), next(ports))
+                placements.append(
+                    ProcessPlacement(name, "controlplane", "agency", *location, next(ports), next(ports))
                 )
-    return places
+    return placements
 
 
 class LocalCluster:
     """The processes of one cluster, their settings files, and the file with the injected faults.
 
     Attributes:
-        weather: The faults that `fault_injection` reads in each process.
+        faults: The faults that `fault_injection` reads in each process.
     """
 
     def __init__(self, shape: ClusterShape, folder: pathlib.Path, platform_port: int) -> None:
         self.shape = shape
         self.folder = folder
         self.platform_port = platform_port
-        self.places = {place.name: place for place in place_processes(shape)}
-        self.lost = 0
+        self.placements = {placement.name: placement for placement in place_processes(shape)}
+        self.lost_disk_count = 0
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        control_nodes = [place for place in self.places.values() if place.program == "controlplane"]
-        self.seeds = [f"127.0.0.1:{place.port}" for place in control_nodes[:3]]
-        self.founding = len(control_nodes)
-        cards = {
-            name: {"name": name, "site": place.site, "region": place.region}
-            for name, place in self.places.items()
+        control_plane_nodes = [
+            placement for placement in self.placements.values() if placement.program == "controlplane"
+        ]
+        self.seeds = [f"127.0.0.1:{placement.port}" for placement in control_plane_nodes[:3]]
+        self.founder_count = len(control_plane_nodes)
+        identities = {
+            name: {"name": name, "site": placement.site, "region": placement.region}
+            for name, placement in self.placements.items()
         }
-        self.report = folder / "weather.json"
-        self.weather: dict[str, typing.Any] = {
-            "self": cards,
-            "places": {str(p.port): cards[p.name] for p in self.places.values()},
+        self.faults_path = folder / "weather.json"
+        self.faults: dict[str, typing.Any] = {
+            "self": identities,
+            "places": {str(p.port): identities[p.name] for p in self.placements.values()},
             "cuts": [],
             "loss": 0.0,
             "disks": {},
             "jump": 0.0,
         }
         folder.mkdir(parents=True, exist_ok=True)
-        self.forecast()
+        self.set_faults()
 
-    def named(self, role: str) -> list[ProcessPlacement]:
+    def with_role(self, role: str) -> list[ProcessPlacement]:
         """Return the processes of a role."""
-        return [place for place in self.places.values() if place.role == role]
+        return [placement for placement in self.placements.values() if placement.role == role]
 
     def start(self, name: str) -> None:
         """Write the settings of a process and start it."""
-        place = self.places[name]
+        placement = self.placements[name]
         settings = {
             "name": name,
-            "machine": place.machine,
-            "site": place.site,
-            "region": place.region,
+            "machine": placement.machine,
+            "site": placement.site,
+            "region": placement.region,
             "host": "127.0.0.1",
-            "port": place.port,
-            "http_port": place.http_port,
+            "port": placement.port,
+            "http_port": placement.http_port,
             "seeds": self.seeds,
         }
-        if place.program == "controlplane":
-            settings |= {"data": str(self.folder / name), "founding": self.founding}
+        if placement.program == "controlplane":
+            settings |= {"data": str(self.folder / name), "founding": self.founder_count}
             settings |= {"platform": f"127.0.0.1:{self.platform_port}", "platform_interval": 0.5}
         else:
-            settings["role"] = place.role
+            settings["role"] = placement.role
         path = self.folder / f"{name}.toml"
         # JSON strings, numbers and lists of strings are TOML as well.
         path.write_text("".join(f"{key} = {json.dumps(value)}\n" for key, value in settings.items()))
-        entry = ["-m", "irisstand.localcluster.fault_injection", place.program]
-        command = [sys.executable, *entry, "--settings", str(path)]
-        environment = {**os.environ, "IRISSTAND_WEATHER": str(self.report), "IRISSTAND_WEATHER_NAME": name}
+        module_arguments = ["-m", "irisstand.localcluster.fault_injection", placement.program]
+        command = [sys.executable, *module_arguments, "--settings", str(path)]
+        environment = {
+            **os.environ,
+            "IRISSTAND_WEATHER": str(self.faults_path),
+            "IRISSTAND_WEATHER_NAME": name,
+        }
         with open(self.folder / f"{name}.log", "ab") as log:
             self.processes[name] = subprocess.Popen(command, stdout=log, stderr=log, env=environment)
 
-    def forecast(self, **changes: typing.Any) -> None:
+    def set_faults(self, **changes: typing.Any) -> None:
         """Change the injected faults; the processes see it within about a tenth of a second."""
-        self.weather |= changes
-        aside = self.report.with_suffix(".aside")
-        aside.write_text(json.dumps(self.weather))
-        aside.rename(self.report)
+        self.faults |= changes
+        temporary_path = self.faults_path.with_suffix(".aside")
+        temporary_path.write_text(json.dumps(self.faults))
+        temporary_path.rename(self.faults_path)
 
     def start_all(self) -> None:
         """Start all processes."""
-        for name in self.places:
+        for name in self.placements:
             self.start(name)
 
     def kill(self, name: str, number: int = signal.SIGKILL) -> None:
         """Send a signal to a process."""
         self.processes[name].send_signal(number)
 
-    async def ended(self, name: str, patience: float = 10.0) -> int:
+    async def wait_for_exit(self, name: str, timeout_seconds: float = 10.0) -> int:
         """Wait on a thread until a process has ended, and return its exit code."""
-        return await asyncio.to_thread(self.processes[name].wait, patience)
+        return await asyncio.to_thread(self.processes[name].wait, timeout_seconds)
 
     def wipe(self, name: str) -> None:
         """Lose a disk; its directory is kept under another name for inspection."""
-        self.lost += 1
-        (self.folder / name).rename(self.folder / f"{name}.lost-{self.lost}")
+        self.lost_disk_count += 1
+        (self.folder / name).rename(self.folder / f"{name}.lost-{self.lost_disk_count}")
 
     def stop_all(self) -> None:
         """End all processes, in order if they do."""
@@ -190,11 +196,13 @@
 
     def url(self, name: str) -> str:
         """Return the base URL of a process."""
-        return f"http://127.0.0.1:{self.places[name].http_port}"
+        return f"http://127.0.0.1:{self.placements[name].http_port}"
 
-    async def ready(self, session: aiohttp.ClientSession, names: list[str], patience: float = 30.0) -> None:
+    async def wait_until_ready(
+        self, session: aiohttp.ClientSession, names: list[str], timeout_seconds: float = 30.0
+    ) -> None:
         """Wait until every one of these calls itself ready; a process that ended is an error at once."""
-        end = asyncio.get_running_loop().time() + patience
+        end = asyncio.get_running_loop().time() + timeout_seconds
         for name in names:
             while True:
                 if self.processes[name].poll() is not None:
--- a/src/irisstand/localcluster/runner.py
+++ b/src/irisstand/localcluster/runner.py
@@ -11,7 +11,7 @@
 from irisstand.emulators import origin_emulator
 from irisstand.localcluster import day_plan, fault_plans, invariant_checker, load_generator, processes
 
-Say = day_plan.Say
+PrintLine = day_plan.PrintLine
 
 
 class LocalClusterRun:
@@ -25,56 +25,65 @@
         self.origins = self.make_origins()
         self.platform = origin_emulator.PlatformEmulator(self.origins)
         self.checker = invariant_checker.InvariantChecker(self.records)
-        self.checker.lives = {"vacancies": 10.0, "logos": 60.0}
+        self.checker.ttl_seconds = {"vacancies": 10.0, "logos": 60.0}
 
     def make_origins(self) -> list[origin_emulator.OriginEmulator]:
         """Return the origins of the shape, spread over its sites."""
-        made = []
+        origins = []
         counts = (("content", self.shape.content_origins), ("application", self.shape.application_origins))
         for service, count in counts:
             for number in range(count):
                 site = self.shape.sites[number % len(self.shape.sites)][0]
-                made.append(
+                origins.append(
                     origin_emulator.OriginEmulator(service, f"{service}-{number + 1}", site, self.records)
                 )
-        return made
+        return origins
 
-    async def run(self, seconds: float, plan: str, say: Say) -> int:
+    async def run(self, seconds: float, plan: str, print_line: PrintLine) -> int:
         """Run for so many seconds under a plan, print the figures, and return the exit status."""
         for origin in self.origins:
             await origin.start()
         await self.platform.start()
-        self.fleet = processes.LocalCluster(self.shape, self.folder, self.platform.port)
+        self.cluster = processes.LocalCluster(self.shape, self.folder, self.platform.port)
         try:
-            self.fleet.start_all()
+            self.cluster.start_all()
             timeout = aiohttp.ClientTimeout(total=self.shape.deadline + 7)
             # A connection for each request: a kept one that is just being closed would look like a drop.
             connector = aiohttp.TCPConnector(limit=0, force_close=True)
             async with aiohttp.ClientSession(timeout=timeout, connector=connector) as session:
-                self.load = load_generator.LoadGenerator(self.fleet, session, self.checker, self.seed)
+                self.load = load_generator.LoadGenerator(self.cluster, session, self.checker, self.seed)
                 await self.set_up(session)
-                say(f"fleet of {len(self.fleet.places)} processes is ready")
-                jobs = [self.load.run(seconds), fault_plans.REGISTRY[plan](self, seconds, say)]
+                print_line(f"fleet of {len(self.cluster.placements)} processes is ready")
+                jobs = [self.load.run(seconds), fault_plans.REGISTRY[plan](self, seconds, print_line)]
                 await asyncio.gather(*jobs)
-                await self.fleet.ready(session, [place.name for place in self.fleet.named("agency")])
-                await self.read_back(session)
+                await self.cluster.wait_until_ready(
+                    session, [placement.name for placement in self.cluster.with_role("agency")]
+                )
+                await self.check_configuration(session)
         finally:
-            self.fleet.stop_all()
+            self.cluster.stop_all()
             await self.platform.stop()
             for origin in self.origins:
                 await origin.stop()
         self.checker.close()
         for line in self.checker.lines():
-            say(line)
-        calm = [second for second in range(int(seconds)) if second not in self.load.failed_in]
-        failed = sum(self.load.failed_in.values())
-        say(f"{failed} of {self.load.sent} requests failed; {len(calm)} of {int(seconds)} seconds had none")
+            print_line(line)
+        seconds_without_failures = [
+            second for second in range(int(seconds)) if second not in self.load.failures_by_second
+        ]
+        failed_count = sum(self.load.failures_by_second.values())
+        print_line(
+            f"{failed_count} of {self.load.sent} requests failed; "
+            f"{len(seconds_without_failures)} of {int(seconds)} seconds had none"
+        )
         connections = sum(len(origin.connections) for origin in self.origins)
-        share = connections / max(1, self.load.sent)
-        say(f"{connections} connections opened to origins, {share:.4f} for each request")
-        say(f"seconds with failures: {dict(sorted(self.load.failed_in.items()))}")
+        connections_per_request = connections / max(1, self.load.sent)
+        print_line(
+            f"{connections} connections opened to origins, {connections_per_request:.4f} for each request"
+        )
+        print_line(f"seconds with failures: {dict(sorted(self.load.failures_by_second.items()))}")
         requests = sum(self.records.requests.values())
-        say(
+        print_line(
             f"{self.load.sent} requests from consumers, {requests} at origins; "
             f"platform asked over its limit {self.platform.over_limit} times"
         )
@@ -82,25 +91,29 @@
 
     async def set_up(self, session: aiohttp.ClientSession) -> None:
         """Send the first configuration and wait until all nodes serve."""
-        control_nodes = [place.name for place in self.fleet.named("agency")]
-        await self.fleet.ready(session, control_nodes)
-        status, answer = await self.load.order(
+        control_plane_nodes = [placement.name for placement in self.cluster.with_role("agency")]
+        await self.cluster.wait_until_ready(session, control_plane_nodes)
+        status, answer = await self.load.call_control_plane(
             "POST", "/changes", {"rows": load_generator.first_configuration(self.shape)}
         )
         if status != day_plan.HTTP_OK:
             raise errors.IrisError(f"the blueprint was not confirmed: {status} {answer}")
         self.confirmed = answer
-        others = [place.name for place in self.fleet.places.values() if place.program != "controlplane"]
-        await self.fleet.ready(session, others)
-        await self.warm(session)
-
-    async def warm(self, session: aiohttp.ClientSession) -> None:
+        others = [
+            placement.name
+            for placement in self.cluster.placements.values()
+            if placement.program != "controlplane"
+        ]
+        await self.cluster.wait_until_ready(session, others)
+        await self.wait_for_first_reads(session)
+
+    async def wait_for_first_reads(self, session: aiohttp.ClientSession) -> None:
         """Wait until the first read of each service is answered through all nodes on its way."""
         end = asyncio.get_running_loop().time() + 20
         for edge in self.load.edges:
             for target in ("/vacancies/1", "/shortlists/1"):
                 while True:
-                    async with session.get(self.fleet.url(edge) + target) as response:
+                    async with session.get(self.cluster.url(edge) + target) as response:
                         if response.status == day_plan.HTTP_OK:
                             break
                         answer = await response.text()
@@ -108,14 +121,14 @@
                         raise errors.IrisError(f"no first read through {edge}: {answer}")
                     await asyncio.sleep(0.1)
 
-    async def served_again(self, patience: float) -> bool:
+    async def wait_until_served(self, timeout_seconds: float) -> bool:
         """Wait until an edge answers a read that goes to an origin; False if none does in time."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + patience
+        end = loop.time() + timeout_seconds
         number = 0
         while loop.time() < end:
             number += 1
-            url = self.fleet.url(self.load.edges[number % len(self.load.edges)])
+            url = self.cluster.url(self.load.edges[number % len(self.load.edges)])
             try:
                 async with self.load.session.get(f"{url}/vacancies/again-{number}") as response:
                     if response.status == day_plan.HTTP_OK:
@@ -125,25 +138,29 @@
             await asyncio.sleep(0.1)
         return False
 
-    async def read_back(self, session: aiohttp.ClientSession) -> None:
+    async def check_configuration(self, session: aiohttp.ClientSession) -> None:
         """Check that each control plane node has the configuration that was confirmed."""
-        wanted = {
+        expected_values = {
             (row["kind"], row["name"]): row["value"] for row in load_generator.first_configuration(self.shape)
         }
-        for place in self.fleet.named("agency"):
+        for placement in self.cluster.with_role("agency"):
             try:
-                async with session.get(self.fleet.url(place.name) + "/rows") as response:
+                async with session.get(self.cluster.url(placement.name) + "/rows") as response:
                     if response.status != day_plan.HTTP_OK:
                         continue
                     table = await response.json()
             except aiohttp.ClientError:
                 continue
-            got = {(row["kind"], row["name"]): row["value"] for row in table["rows"]}
-            self.checker.check("the table read back is the one confirmed", got == wanted, str(got)[:200])
+            actual_values = {(row["kind"], row["name"]): row["value"] for row in table["rows"]}
+            self.checker.check(
+                "the table read back is the one confirmed",
+                actual_values == expected_values,
+                str(actual_values)[:200],
+            )
 
 
 def run(  # noqa: PLR0913, PLR0917 - each is an option of the command
-    shape: str, seconds: float, plan: str, seed: int, folder: str, say: Say
+    shape: str, seconds: float, plan: str, seed: int, folder: str, print_line: PrintLine
 ) -> int:
     """Run a local cluster and return the exit status: 1 if an invariant was broken.
 
@@ -153,11 +170,13 @@
         plan: Name of the fault plan.
         seed: Seed of the clients' draws.
         folder: Where settings, data and logs are kept; empty: a temporary directory.
-        say: Prints one line.
+        print_line: Prints one line.
     """
     with contextlib.ExitStack() as stack:
         if not folder:
             folder = stack.enter_context(tempfile.TemporaryDirectory(prefix="irisstand-"))
         path = pathlib.Path(folder)
         path.mkdir(parents=True, exist_ok=True)
-        return asyncio.run(LocalClusterRun(processes.SHAPES[shape], path, seed).run(seconds, plan, say))
+        return asyncio.run(
+            LocalClusterRun(processes.SHAPES[shape], path, seed).run(seconds, plan, print_line)
+        )
--- a/src/irisstand/simulator/hostile_scripts.py
+++ b/src/irisstand/simulator/hostile_scripts.py
@@ -84,8 +84,10 @@
 
     async def connect(self, host: str, port: int) -> exchange.Exchange:
         """Open a connection to a hostile origin, whichever address is wanted."""
-        connection = exchange.Exchange(hostile_origin.ID)
-        hostile_origin.join(connection, hostile_origin.HostileOrigin(self.randomness, self.record))
+        connection = exchange.Exchange(hostile_origin.REQUEST_ID_HEADER)
+        hostile_origin.connect_in_memory(
+            connection, hostile_origin.HostileOrigin(self.randomness, self.record)
+        )
         return connection
 
     async def request(self, number: int) -> None:
@@ -97,7 +99,9 @@
         if kind == "writes":
             self.writes.add(request_id)
         body = b"body" if method == "POST" else b""
-        request = direct.Request(method, target.encode(), "h", {hostile_origin.ID: request_id}, body)
+        request = direct.Request(
+            method, target.encode(), "h", {hostile_origin.REQUEST_ID_HEADER: request_id}, body
+        )
         try:
             async with asyncio.timeout(self.randomness.choice(CLIENT_TIMEOUTS_SECONDS)):
                 answer = await self.node.handle(request)
@@ -108,10 +112,10 @@
             return
         self.answered += 1
         expected = b"" if method == "HEAD" else f"{target} answered".encode()
-        is_sealed = method == "HEAD" or answer.headers.get(hostile_origin.SEAL) == hostile_origin.seal(
-            answer.body
-        )
-        is_own = answer.headers.get(hostile_origin.ID) == request_id
+        is_sealed = method == "HEAD" or answer.headers.get(
+            hostile_origin.DIGEST_HEADER
+        ) == hostile_origin.digest(answer.body)
+        is_own = answer.headers.get(hostile_origin.REQUEST_ID_HEADER) == request_id
         if answer.status in NOT_RUN_STATUSES and self.record.runs[request_id]:
             self.broken.append(f"{request_id} was told {answer.status}, and ran")
         if answer.status == HTTP_OK and (answer.body != expected or not is_sealed or not is_own):
--- a/src/irisstand/simulator/simulated_day.py
+++ b/src/irisstand/simulator/simulated_day.py
@@ -52,7 +52,7 @@
         self.cluster.replace_after = kind.replace_after
         self.actors = self.cluster.actors
         self.checker = self.actors.checker
-        self.checker.lives = dict(CACHE_LIFE_SECONDS)
+        self.checker.ttl_seconds = dict(CACHE_LIFE_SECONDS)
         self.configuration_invariants = configuration_invariants.ConfigurationInvariants(self.cluster)
         self.watcher = invariant_watcher.InvariantWatcher(self.cluster)
         self.origin_invariants = origin_invariants.OriginInvariants(self.cluster, dict(kind.limits))
@@ -161,7 +161,7 @@
         except (errors.IrisError, TimeoutError):
             self.checker.results["purge not confirmed"] += 1
         else:
-            self.checker.purged(path, self.now(), version)
+            self.checker.record_confirmed_purge(path, self.now(), version)
             self.checker.results["purge confirmed"] += 1
 
     async def change_at(self, control_node: str) -> None:
--- a/src/irisstand/simulator/simulated_origins.py
+++ b/src/irisstand/simulator/simulated_origins.py
@@ -95,7 +95,7 @@
         self.spans.append((now, now + self.delay))
         tag = ""
         if method == "GET":
-            content, tag = self.records.sealed_object(self.service, target, now)
+            content, tag = self.records.current_object(self.service, target, now)
         else:
             content = self.records.execute(self.service, self.instance, body)
         answer_headers = {
--- a/tests/dataplane/test_hostile_origin_scripts.py
+++ b/tests/dataplane/test_hostile_origin_scripts.py
@@ -27,13 +27,13 @@
         server = await loop.create_server(
             lambda: hostile_origin.HostileOrigin(randomness, record), "127.0.0.1", 0
         )
-        connect = exchange.connector(hostile_origin.ID)
+        connect = exchange.connector(hostile_origin.REQUEST_ID_HEADER)
         line, answered = None, 0
         for number in range(25):
             request_id, target = f"r{number}", f"/reads/{number}"
             if line is None or not line.is_usable():
                 line = await connect(*server.sockets[0].getsockname())
-            headers = [("host", "h"), (hostile_origin.ID, request_id)]
+            headers = [("host", "h"), (hostile_origin.REQUEST_ID_HEADER, request_id)]
             try:
                 async with asyncio.timeout(0.35):
                     found = await line.send("GET", target.encode(), headers, b"", request_id)
@@ -41,10 +41,10 @@
                 assert not line.is_usable()
                 continue
             answered += 1
-            assert found.headers.get(hostile_origin.ID) in (request_id, None)
+            assert found.headers.get(hostile_origin.REQUEST_ID_HEADER) in (request_id, None)
             if found.status == 200:
                 assert found.body == f"{target} answered".encode()
-            elif hostile_origin.NOT_RUN in found.headers:
+            elif hostile_origin.NOT_RUN_HEADER in found.headers:
                 assert not record.runs[request_id]
         line.close()
         server.close()
--- a/tests/programs/test_deployed_programs.py
+++ b/tests/programs/test_deployed_programs.py
@@ -33,7 +33,7 @@
         ):
             status, headers, content = await fleet.ask(path, method, body, request_id="r-" + path[1:4])
             assert status == 200, path
-            assert upstream_emulator.is_whole(deployed_programs.WORDS, headers, content), path
+            assert upstream_emulator.has_valid_digest(deployed_programs.WORDS, headers, content), path
             assert headers["Attempt-Id"] == "r-" + path[1:4]
         assert [run.target for run in fleet.runs("app") if "?" in run.target] == ["/reads/1?a=%20b"]
         assert [run.body for run in fleet.runs("app") if run.method == "POST"] == [b"claim"]
@@ -117,7 +117,7 @@
         await fleet.wait_until(is_leaving, 2)
         status, headers, content = await asking
         assert status == 200
-        assert upstream_emulator.is_whole(deployed_programs.WORDS, headers, content)
+        assert upstream_emulator.has_valid_digest(deployed_programs.WORDS, headers, content)
         assert await ending == 0
         assert await fleet.end("shield-2") == 0
 
--- a/tests/programs/test_http.py
+++ b/tests/programs/test_http.py
@@ -81,8 +81,8 @@
 
     async def wait():
         async with aiohttp.ClientSession() as session:
-            await fleet.ready(session, ["agency-1"])
-            await fleet.ready(session, ["shield-1", "edge-1"])
+            await fleet.wait_until_ready(session, ["agency-1"])
+            await fleet.wait_until_ready(session, ["shield-1", "edge-1"])
 
     asyncio.run(wait())
     yield fleet
@@ -177,7 +177,7 @@
 
 
 def test_taken_port_ends_the_start_with_a_remedy(thin):
-    place = thin.places["shield-1"]
+    place = thin.placements["shield-1"]
     settings = [f"--{key.replace('_', '-')}={value}" for key, value in GOOD.items() if "port" not in key]
     ports = [f"--port={processes.free_ports(1)[0]}", f"--http-port={place.http_port}"]
     command = [sys.executable, "-m", "irisstand.dataplane.program", *settings, *ports]
