--- a/src/irisstand/localcluster/fault_plans.py
+++ b/src/irisstand/localcluster/fault_plans.py
@@ -73,7 +73,7 @@
         cluster_run.checker.check("SIGTERM drains and exits 0", code == 0, f"{name} exited {code}")
         cluster.start(name)
         await cluster.wait_until_ready(cluster_run.load.session, [name])
-        cluster_run.checker.check("a planned restart drops no answer under way", holds=True)
+        cluster_run.checker.check("a planned restart drops no request in progress", holds=True)
     print_line("every process was restarted")
 
 
--- a/src/irisstand/localcluster/invariant_checker.py
+++ b/src/irisstand/localcluster/invariant_checker.py
@@ -85,7 +85,7 @@
         content = decode_content(body)
         answers_request = content is not None and (content["service"], content["target"]) == (service, target)
         digest_matches = headers.get("content-digest") == objects.digest_header(body)
-        invariant = "a success is the origin's whole, sealed answer, meant for the asker"
+        invariant = "a successful read is the origin's complete response to it, with a valid digest"
         self.check(invariant, answers_request and digest_matches, f"{target}: {body[:80]!r}")
         version, made_at = (-1, now) if content is None else (content["version"], content["made"])
         self.check_purged(target, version, now)
@@ -110,7 +110,7 @@
         """Check that content is not served long after its time to live."""
         ttl = self.ttl_seconds.get(path_of(target).split("/")[1])
         if ttl is not None:
-            invariant = "no content outlives its cache life by more than 2 s"
+            invariant = "no content is served more than 2 s after its TTL ended"
             example = f"{target}: {age:.3f} s old, life {ttl}, at {now:.3f}"
             self.check(invariant, age <= ttl + GRACE_SECONDS, example)
 
--- a/src/irisstand/localcluster/load_generator.py
+++ b/src/irisstand/localcluster/load_generator.py
@@ -140,7 +140,7 @@
             return
         self.count_failure(kind, type(error).__name__)
         if self.expects_no_drops:
-            invariant = "a planned restart drops no answer under way"
+            invariant = "a planned restart drops no request in progress"
             self.checker.check(invariant, holds=False, example=f"{kind} at {edge}: {error!r}")
 
     async def write(self, edge: str) -> None:
--- a/src/irisstand/simulator/simulated_node.py
+++ b/src/irisstand/simulator/simulated_node.py
@@ -130,7 +130,7 @@
         await self.actor.start(asyncio.sleep(context.settings.farewell))
         await self.actor.start(context.drain())
         # A request that still waits now will never be answered.
-        rule = "a planned restart drops no answer under way"
+        rule = "a planned restart drops no request in progress"
         if self.is_up:
             asks = self.actor.asks
             self.cluster.actors.checker.check(rule, asks == 0, f"{self.placement.name}: {asks} dropped")
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -31,8 +31,8 @@
         for control_plane_node in day.cluster.with_role("agency"):
             control_plane_node.disk.stalled = False
         await stop_task
-        assert not day.checker.broken["a planned restart drops no answer under way"]
-        assert day.checker.checked["a planned restart drops no answer under way"] == 1
+        assert not day.checker.broken["a planned restart drops no request in progress"]
+        assert day.checker.checked["a planned restart drops no request in progress"] == 1
         # Submitted again with the same change id to another node, the change returns its one result.
         result = await day.actors.order("agency-4", "change", [cluster.site_row(weight=3)], "change-x")
         await asyncio.sleep(1)
