--- a/src/irisstand/localcluster/__init__.py
+++ b/src/irisstand/localcluster/__init__.py
@@ -1,1 +1,1 @@
-"""A whole fleet as real processes on one machine, with its load, failures and judge."""
+"""A local cluster: the real programs as processes on one machine, with load, faults and checks."""
--- a/src/irisstand/localcluster/day_plan.py
+++ b/src/irisstand/localcluster/day_plan.py
@@ -1,4 +1,4 @@
-"""The plan of a day: the expected failures one after another, on real processes."""
+"""Steps of the fault plan `day`: failures to be expected in operation, one at a time, on real processes."""
 
 import asyncio
 import collections.abc
@@ -6,18 +6,18 @@
 import typing
 
 PrintLine = collections.abc.Callable[[str], None]
-# The run of the cluster; its module imports the plans.
+# A `runner.LocalClusterRun`; `Any`, because `runner` imports the fault plans and could not be imported here.
 ClusterRun = typing.Any
 HTTP_OK = 200
 SERVICE_BACK_LIMIT_SECONDS = 15
 
 
 async def herd(cluster_run: ClusterRun, print_line: PrintLine) -> None:
-    """Kill all processes of a site and restart them."""
+    """Kill all processes of one site at once, and restart them three seconds after the last has exited."""
     cluster = cluster_run.cluster
     site = cluster_run.shape.sites[1][0]
     names = [placement.name for placement in cluster.placements.values() if placement.site == site]
-    print_line(f"site {site} goes: {', '.join(names)}")
+    print_line(f"killing all processes of site {site}: {', '.join(names)}")
     for name in names:
         cluster.kill(name)
     for name in names:
@@ -29,13 +29,13 @@
 
 
 async def evacuate(cluster_run: ClusterRun, print_line: PrintLine) -> None:
-    """Evacuate a site and return it; after five seconds none of its origins may get new work."""
+    """Evacuate a site, check that its origins get no requests after five seconds, and end the evacuation."""
     site = cluster_run.shape.sites[2][0]
     print_line(f"evacuating {site}")
     status, answer = await cluster_run.load.call_control_plane("PUT", f"/sites/{site}/evacuation")
     cluster_run.checker.results[f"evacuation {status}"] += 1
     if status != HTTP_OK:
-        print_line(f"not evacuated: {answer}")
+        print_line(f"the control plane refused the evacuation: {answer}")
         return
     await asyncio.sleep(5)
     origins = [origin for origin in cluster_run.origins if origin.site == site]
@@ -45,15 +45,18 @@
         new = origin.requests - before[origin.instance]
         invariant = "an evacuated site gets no new work after 5 s"
         cluster_run.checker.check(invariant, new == 0, f"{origin.instance} got {new}")
-    print_line(f"returning {site}")
+    print_line(f"ending the evacuation of {site}")
     await cluster_run.load.call_control_plane("DELETE", f"/sites/{site}/evacuation")
 
 
 async def leave(cluster_run: ClusterRun, print_line: PrintLine) -> None:
-    """List an origin as leaving; two seconds later it may get no new work."""
+    """Let one origin of each service leave, check that it gets no requests after two seconds, and replace it.
+
+    The platform lists the origin as leaving, as it would before the origin is shut down.
+    """
     for service in ("content", "application"):
         origin = next(origin for origin in cluster_run.origins if origin.service == service)
-        print_line(f"{origin.instance} is leaving")
+        print_line(f"the platform lists origin {origin.instance} as leaving")
         origin.state = "leaving"
         await asyncio.sleep(2)
         before = origin.requests
@@ -61,7 +64,7 @@
         invariant = "a leaving origin gets no new work 2 s after the platform says so"
         new = origin.requests - before
         cluster_run.checker.check(invariant, new == 0, f"{origin.instance} got {new}")
-        # It is gone, and another comes in its place, cold.
+        # The origin stops, and a replacement with empty caches (state `cold`) starts at the same address.
         await origin.stop()
         await asyncio.sleep(1)
         origin.state, origin.warmup = "cold", 5.0
@@ -69,8 +72,8 @@
 
 
 async def replace_core(cluster_run: ClusterRun, print_line: PrintLine) -> None:
-    """Wipe a core node and start it again."""
-    print_line("agency-2 loses its disk")
+    """Kill a control plane node, delete its data, and start it again, as after the loss of its disk."""
+    print_line("killing control plane node agency-2 and deleting its data")
     cluster = cluster_run.cluster
     cluster.kill("agency-2")
     await cluster.wait_for_exit("agency-2")
@@ -80,10 +83,10 @@
 
 
 async def pause(cluster_run: ClusterRun, print_line: PrintLine) -> None:
-    """Freeze an edge and a shield for a while."""
+    """Suspend an edge and a shield with SIGSTOP for four seconds, and then let them continue."""
     cluster = cluster_run.cluster
     for name in ("edge-2", "shield-3"):
-        print_line(f"freezing {name}")
+        print_line(f"suspending {name} with SIGSTOP")
         cluster.kill(name, signal.SIGSTOP)
     await asyncio.sleep(4)
     for name in ("edge-2", "shield-3"):
@@ -92,11 +95,11 @@
 
 
 async def spoil(cluster_run: ClusterRun, print_line: PrintLine) -> None:
-    """Let origins send wrong bytes, lose answers and slow down."""
+    """Inject faults at two origins, two seconds each: wrong digest, lost or slow response, no digest."""
     for fault, value in (("wrong-digest", 1), ("lose-answer", 1), ("delay", 0.4), ("no-seal", 1)):
         origin = cluster_run.origins[1]
         other = cluster_run.origins[-1]
-        print_line(f"{origin.instance} and {other.instance}: {fault}")
+        print_line(f"injecting the fault {fault} at origins {origin.instance} and {other.instance}")
         origin.faults[fault] = other.faults[fault] = value
         await asyncio.sleep(2)
         origin.faults.clear()
@@ -104,12 +107,15 @@
 
 
 async def total_loss(cluster_run: ClusterRun, print_line: PrintLine) -> None:
-    """Kill all processes at once; the disks remain, and service must be back in time."""
+    """Kill all processes at once and restart them; requests must be served again within 15 s.
+
+    The data on the disks remains.
+    """
     cluster = cluster_run.cluster
-    # A process that is killed writes no event log, so each is asked for it before.
+    # A killed process cannot write its event log any more, so each writes it now on request.
     for name in cluster.placements:
         await cluster_run.load.call_node(name, "POST", "/_irisstand/ring")
-    print_line("everything is killed at once")
+    print_line("killing all processes at once")
     for name in cluster.placements:
         cluster.kill(name)
     for name in cluster.placements:
@@ -121,7 +127,7 @@
     invariant = "after a total loss service is back within 15 s"
     took = asyncio.get_running_loop().time() - started_at
     cluster_run.checker.check(invariant, back and took <= SERVICE_BACK_LIMIT_SECONDS, f"{took:.1f} s")
-    print_line(f"service is back: {back}")
+    print_line(f"requests are served again: {back}")
 
 
 STEPS = (herd, evacuate, leave, replace_core, pause, spoil, total_loss)
--- a/src/irisstand/localcluster/fault_plans.py
+++ b/src/irisstand/localcluster/fault_plans.py
@@ -1,4 +1,7 @@
-"""Fault plans for a run of a local cluster. A plan is an entry in the registry."""
+"""Fault plans: which faults are injected, and when, during a run of a local cluster.
+
+`REGISTRY` names the plans that the command line offers.
+"""
 
 import asyncio
 import collections.abc
@@ -9,12 +12,15 @@
 
 
 async def calm(cluster_run: day_plan.ClusterRun, seconds: float, print_line: day_plan.PrintLine) -> None:
-    """Inject no fault, only purge, for figures that others can be compared with."""
+    """Inject no fault and only purge paths, so that the figures of other plans can be compared with these."""
     await purges(cluster_run, seconds)
 
 
 async def purges(cluster_run: day_plan.ClusterRun, seconds: float) -> None:
-    """Purge one path after another."""
+    """Purge one of five paths after another, twice a second, until three seconds before the end.
+
+    Each purge is preceded by a new version of the content, and confirmed purges are reported to the checker.
+    """
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds - 3
     number = 0
@@ -31,7 +37,7 @@
 
 
 async def kills(cluster_run: day_plan.ClusterRun, seconds: float, print_line: day_plan.PrintLine) -> None:
-    """Kill one node after another and restart it."""
+    """Kill and restart a shield, two control plane nodes and a store, one after another, during purges."""
     purging = asyncio.create_task(purges(cluster_run, seconds))
     cluster = cluster_run.cluster
     node_names = ["shield-2", "agency-1", "store-1", "agency-3"]
@@ -47,11 +53,11 @@
 
 
 async def wipes(cluster_run: day_plan.ClusterRun, seconds: float, print_line: day_plan.PrintLine) -> None:
-    """Wipe a core node and restart it."""
+    """Kill a control plane node, delete its data and restart it, during purges."""
     purging = asyncio.create_task(purges(cluster_run, seconds))
     cluster = cluster_run.cluster
     await asyncio.sleep(seconds * 0.2)
-    print_line("killing and wiping agency-2")
+    print_line("killing control plane node agency-2 and deleting its data")
     cluster.kill("agency-2")
     await cluster.wait_for_exit("agency-2")
     cluster.wipe("agency-2")
@@ -63,24 +69,28 @@
 async def rolling_restart(
     cluster_run: day_plan.ClusterRun, seconds: float, print_line: day_plan.PrintLine
 ) -> None:
-    """Stop every process in order, one after another, and restart it: no answer may be dropped."""
+    """Shut down each process gracefully with SIGTERM and restart it; no pending request may be dropped."""
     cluster = cluster_run.cluster
     cluster_run.load.expects_no_drops = True
     for name in list(cluster.placements):
         print_line(f"restarting {name}")
         cluster.kill(name, signal.SIGTERM)
         code = await cluster.wait_for_exit(name, 15)
-        cluster_run.checker.check("SIGTERM drains and exits 0", code == 0, f"{name} exited {code}")
+        cluster_run.checker.check(
+            "a process that receives SIGTERM drains and exits with status 0",
+            code == 0,
+            f"{name} exited with status {code}",
+        )
         cluster.start(name)
         await cluster.wait_until_ready(cluster_run.load.session, [name])
         cluster_run.checker.check("a planned restart drops no request in progress", holds=True)
-    print_line("every process was restarted")
+    print_line("every process was shut down and restarted")
 
 
 async def run_all_steps(
     cluster_run: day_plan.ClusterRun, seconds: float, print_line: day_plan.PrintLine
 ) -> None:
-    """Run the steps of the day plan one after another, during purges."""
+    """Run the steps of `day_plan`, spread evenly over the run and one after another, during purges."""
     purging = asyncio.create_task(purges(cluster_run, seconds))
     step_seconds = seconds / (len(day_plan.STEPS) + 1)
     loop = asyncio.get_running_loop()
@@ -96,7 +106,7 @@
 async def inject_environment_faults(
     cluster_run: day_plan.ClusterRun, seconds: float, print_line: day_plan.PrintLine
 ) -> None:
-    """Inject partitions, loss, bad disks and jumps of the clock, during purges; no process is killed."""
+    """Inject partitions, datagram loss, faulty disks and clock jumps, during purges; no process is killed."""
     cluster = cluster_run.cluster
     purging = asyncio.create_task(purges(cluster_run, seconds))
     sites = [site for site, _ in cluster_run.shape.sites]
@@ -107,13 +117,22 @@
     names_on_machine = [p.name for p in cluster.placements.values() if p.machine == "shield-machine-2"]
     steps: list[tuple[str, dict[str, typing.Any]]] = [
         ("a tenth of all datagrams is lost", {"loss": 0.1}),
-        (f"site {sites[1]} is cut off", {"cuts": [names_by_site[sites[1]]]}),
-        ("the sites are split two and two", {"cuts": [names_by_site[sites[0]] + names_by_site[sites[1]]]}),
-        ("one machine is isolated", {"cuts": [names_on_machine]}),
-        ("two core disks stall", {"disks": {"agency-1": "stalled", "agency-2": "stalled"}}),
-        ("two core disks are full", {"disks": {"agency-3": "full", "agency-4": "full"}}),
-        ("clocks jump an hour ahead", {"jump": 3600.0}),
-        ("clocks jump two days back", {"jump": -172800.0}),
+        (f"site {sites[1]} is partitioned from the other sites", {"cuts": [names_by_site[sites[1]]]}),
+        (
+            "a partition separates two sites from the other two",
+            {"cuts": [names_by_site[sites[0]] + names_by_site[sites[1]]]},
+        ),
+        ("one machine is partitioned from all others", {"cuts": [names_on_machine]}),
+        (
+            "the disks of two control plane nodes stall",
+            {"disks": {"agency-1": "stalled", "agency-2": "stalled"}},
+        ),
+        (
+            "the disks of two control plane nodes are full",
+            {"disks": {"agency-3": "full", "agency-4": "full"}},
+        ),
+        ("the wall clocks jump an hour ahead", {"jump": 3600.0}),
+        ("the wall clocks jump two days back", {"jump": -172800.0}),
     ]
     step_seconds = (seconds - 4) / len(steps)
     for what, change in steps:
--- a/src/irisstand/localcluster/invariant_checker.py
+++ b/src/irisstand/localcluster/invariant_checker.py
@@ -1,4 +1,4 @@
-"""Invariant checker: what clients and operators see, each rule counted as checked and as broken."""
+"""Invariant checker: counts how often each invariant was checked, on responses to clients, and violated."""
 
 import collections
 import enum
@@ -9,15 +9,16 @@
 from irisstand.emulators import origin_emulator
 
 HTTP_OK = 200
-# Codes that say nothing about whether a write ran.
+# Error codes of a write after which it is unknown whether an origin executed it.
 UNKNOWN_OUTCOME_CODES = ("outcome-unknown", "unanswered", "irisstand")
+# Content may be served this long after its TTL ended or its purge was confirmed.
 GRACE_SECONDS = 2.0
-# Older purges of a path are covered by the newer ones.
+# Purges kept for each path; older ones can go, since newer ones require newer versions.
 KEPT_PURGES_LIMIT = 20
 
 
 class WriteResult(enum.StrEnum):
-    """What a client knows of a write."""
+    """Whether a client knows that its write was executed (`DONE`), was not (`REJECTED`), or neither."""
 
     DONE = "done"
     UNKNOWN = "unknown"
@@ -25,22 +26,29 @@
 
 
 class ConfirmedPurge(typing.NamedTuple):
-    """A purge, and the version of the content that it makes the oldest allowed one."""
+    """A purge of a path that the control plane confirmed.
+
+    Attributes:
+        confirmed_at: When the purge was confirmed, in seconds.
+        minimum_version: The oldest version of the content that may be served after the purge.
+    """
 
     confirmed_at: float
     minimum_version: int
 
 
 class InvariantChecker:
-    """Checks from outside, on what clients are told and on the origins' records.
+    """Checks invariants on the responses that clients get and on the origins' records.
 
     Attributes:
-        checked: Number of checks by rule.
-        broken: Number of violations by rule.
-        examples: The first violation of each rule.
-        results: Counts of answers by kind.
-        write_results: What the client knows of each write, by its number.
-        ttl_seconds: Seconds that content may be cached, by the first part of its path.
+        checked: Number of checks by invariant.
+        broken: Number of violations by invariant.
+        examples: Description of the first violation of each invariant.
+        results: Number of responses by kind of request and status.
+        write_results: What the client knows of each write, by the write's number.
+        purges: The last confirmed purges of each path.
+        ttl_seconds: TTL of content in seconds, by the first segment of its path. Content without an entry
+            is not checked.
     """
 
     def __init__(self, records: origin_emulator.OriginRecords) -> None:
@@ -54,13 +62,19 @@
         self.ttl_seconds: dict[str, float] = {}
 
     def check(self, invariant: str, holds: bool, example: str = "") -> None:  # noqa: FBT001 - what is checked
-        """Count a check of a rule, and keep the first example of a violation."""
+        """Count a check of an invariant, and a violation if it does not hold.
+
+        Args:
+            invariant: The statement that must hold, by which checks are counted and printed.
+            holds: Whether the statement held at this check.
+            example: What was observed; kept for printing if this is the first violation.
+        """
         self.checked[invariant] += 1
         if not holds:
             self.broken[invariant] += 1
             self.examples.setdefault(invariant, example)
 
-    def read(  # noqa: PLR0913, PLR0917 - the parts of one answer
+    def read(  # noqa: PLR0913, PLR0917 - the parts of one response
         self,
         service: str,
         target: str,
@@ -69,15 +83,15 @@
         body: bytes,
         now: float,
     ) -> None:
-        """Check an answer to a read at the moment when it was given.
+        """Check the response to a read, and count it by its status.
 
         Args:
-            service: The service that should answer.
-            target: Path and query.
-            status: The answer's status.
-            headers: The answer's headers, names in lower case.
-            body: The answer's body.
-            now: When it was given, in seconds.
+            service: The service that the target is routed to.
+            target: Path and query of the request.
+            status: HTTP status of the response.
+            headers: Headers of the response, with names in lower case.
+            body: Body of the response.
+            now: Time at which the client got the head of the response, in seconds.
         """
         self.results[f"read {status}"] += 1
         if status != HTTP_OK:
@@ -92,7 +106,7 @@
         self.check_age(target, now - made_at, now)
 
     def check_purged(self, target: str, version: int, now: float) -> None:
-        """Check that content from before a confirmed purge is not served."""
+        """Check that content older than a purge is not served two seconds or more after its confirmation."""
         minimum_versions = [
             purge.minimum_version
             for purge in self.purges[path_of(target)]
@@ -103,36 +117,42 @@
             self.check(
                 invariant,
                 version >= max(minimum_versions),
-                f"{target}: {version} < {max(minimum_versions)} at {now:.3f}",
+                f"{target}: version {version} < {max(minimum_versions)} at {now:.3f}",
             )
 
     def check_age(self, target: str, age: float, now: float) -> None:
-        """Check that content is not served long after its time to live."""
+        """Check that content is not served more than two seconds after its TTL ended."""
         ttl = self.ttl_seconds.get(path_of(target).split("/")[1])
         if ttl is not None:
             invariant = "no content is served more than 2 s after its TTL ended"
-            example = f"{target}: {age:.3f} s old, life {ttl}, at {now:.3f}"
+            example = f"{target}: {age:.3f} s old, TTL {ttl} s, at {now:.3f}"
             self.check(invariant, age <= ttl + GRACE_SECONDS, example)
 
     def write(self, number: str, status: int, code: str) -> None:
-        """Note what a client was told of a write."""
+        """Record what the response to a write tells the client.
+
+        Args:
+            number: The number that identifies the write.
+            status: HTTP status of the response.
+            code: Error code in the body of the response; empty if it has none.
+        """
         self.results[f"write {status}"] += 1
         if status == HTTP_OK:
             self.write_results[number] = WriteResult.DONE
         elif not code or code in UNKNOWN_OUTCOME_CODES:
-            # An answer without a code is the origin's own, and says nothing about its record.
+            # An error without a code comes from the origin and does not say whether the write was executed.
             self.write_results[number] = WriteResult.UNKNOWN
         elif self.write_results.get(number) is not WriteResult.UNKNOWN:
-            # A rejected repetition under the same key says nothing of the first, whose outcome is unknown.
+            # A rejected retry under the same idempotency key leaves open whether the first attempt ran.
             self.write_results[number] = WriteResult.REJECTED
 
     def record_confirmed_purge(self, path: str, confirmed_at: float, version: int) -> None:
-        """Note a confirmed purge of a path, after which `version` is the oldest that may be served."""
+        """Record a confirmed purge of a path, after which `version` is the oldest that may be served."""
         kept = self.purges[path][-KEPT_PURGES_LIMIT:]
         self.purges[path] = [*kept, ConfirmedPurge(confirmed_at, version)]
 
     def close(self) -> None:
-        """Compare what clients know of each write with the origins' records."""
+        """Check what clients know of each write against the origins' records, at the end of the run."""
         for number, result in self.write_results.items():
             runs = self.records.executions[number]
             self.check("no write runs twice", runs <= 1, f"{number} ran {runs} times")
@@ -142,7 +162,7 @@
                 self.check("a write that succeeded did run", runs == 1, f"{number} ran {runs} times")
 
     def lines(self) -> list[str]:
-        """Return the counts and the examples of violations, for printing."""
+        """Return lines to print: counts of responses, checks and violations, and examples of violations."""
         results = [f"{count:7d}  {result}" for result, count in sorted(self.results.items())]
         counts = [
             f"{self.checked[invariant]:7d} checked {self.broken[invariant]:4d} broken  {invariant}"
@@ -152,7 +172,7 @@
 
 
 def decode_content(body: bytes) -> dict[str, typing.Any] | None:
-    """Return an origin's content with all its fields, or None if the body is not one."""
+    """Return the JSON object in the body of an origin's response, or None if the body is something else."""
     try:
         content: dict[str, typing.Any] = json.loads(body)
         return content if {"service", "target"} <= content.keys() else None
@@ -161,5 +181,5 @@
 
 
 def path_of(target: str) -> str:
-    """Return a request target without its query."""
+    """Return the path of a request target, without the query."""
     return target.partition("?")[0]
--- a/src/irisstand/localcluster/load_generator.py
+++ b/src/irisstand/localcluster/load_generator.py
@@ -1,4 +1,4 @@
-"""Load generator: clients and operators of a local cluster, in the expected mix of requests."""
+"""Load generator: sends the requests of clients and operators to a local cluster."""
 
 import asyncio
 import collections
@@ -12,7 +12,7 @@
 
 
 def first_configuration(shape: processes.ClusterShape) -> list[dict[str, typing.Any]]:
-    """Return the rows that operators send first."""
+    """Return the configuration rows that operators submit when the cluster has started."""
 
     def row(kind: str, name: str, value: dict[str, typing.Any]) -> dict[str, typing.Any]:
         return {"kind": kind, "name": name, "value": value}
@@ -30,20 +30,25 @@
 
 
 HTTP_OK = 200
-# A request is of the first kind whose bound is above the draw; otherwise it is a write.
+# Cumulative shares of the kinds of requests: 70 % read vacancies, 15 % logos, 7 % shortlists; 8 % are writes.
+# A request is of the first kind whose bound exceeds a random number from 0 to 1.
 CONTENT_BOUND = 0.70
 LOGO_BOUND = 0.85
 SHORTLIST_BOUND = 0.92
-# With one of these codes a client turns to another edge.
+# Error codes after which a client retries a read once at another edge.
 NOT_READY_CODES = ("connection refused", "stale-blueprint", "draining", "site-evacuated")
 
 
 class LoadGenerator:
-    """Sends requests at the rate of the cluster's shape.
+    """Sends client requests to random edges at the rate of the cluster's shape, and checks the responses.
 
     Attributes:
-        failures_by_second: Number of failed requests by second of the run.
-        expects_no_drops: Whether the plan only stops processes in order, so that no answer may be dropped.
+        number: Number of writes sent, from which each write takes the number that identifies it.
+        sent: Number of requests sent.
+        started_at: When the load started, in seconds of the event loop's clock.
+        failures_by_second: Number of failed requests by second since the start of the load.
+        expects_no_drops: Whether the fault plan only shuts processes down gracefully, so that no
+            request may be dropped.
     """
 
     def __init__(
@@ -66,7 +71,7 @@
         self.expects_no_drops = False
 
     async def run(self, seconds: float) -> None:
-        """Send for so many seconds, whether or not earlier requests have been answered."""
+        """Send requests at a fixed rate for a number of seconds, without waiting for earlier responses."""
         loop = asyncio.get_running_loop()
         self.started_at = start = loop.time()
         while loop.time() < start + seconds:
@@ -81,7 +86,7 @@
             await asyncio.wait(self.tasks)
 
     async def send_random_request(self) -> None:
-        """Send one random request."""
+        """Send one request of a random kind to a random edge."""
         draw = self.randomness.random()
         edge = self.randomness.choice(self.edges)
         if draw < CONTENT_BOUND:
@@ -94,14 +99,21 @@
             await self.write(edge)
 
     def other_edge(self, edge: str) -> str:
-        """Draw another edge."""
+        """Return a random edge other than `edge`; if there is no other, `edge` itself."""
         return self.randomness.choice([name for name in self.edges if name != edge] or [edge])
 
     async def read(self, edge: str, service: str, target: str, *, is_first_attempt: bool = True) -> None:
-        """Read as a client does: from another edge, once, where this one is not ready."""
+        """Read a target and check the response; if the edge is not ready, retry once at another edge.
+
+        Args:
+            edge: Name of the edge that gets the request.
+            service: The service that the target is routed to.
+            target: Path and query of the request.
+            is_first_attempt: Whether a retry at another edge is allowed.
+        """
         try:
             async with self.session.get(self.cluster.url(edge) + target) as response:
-                # Given out when its head came; this busy process may read the rest later.
+                # The content's age counts until its head arrived: this busy process may read the body late.
                 now = asyncio.get_running_loop().time()
                 body = await response.read()
                 headers = {name.lower(): value for name, value in response.headers.items()}
@@ -115,26 +127,29 @@
                 return
             code = "connection refused"
         if is_first_attempt and code in NOT_READY_CODES:
-            self.checker.results[f"read turned to another edge: {code}"] += 1
+            self.checker.results[f"read retried at another edge: {code}"] += 1
             await self.read(self.other_edge(edge), service, target, is_first_attempt=False)
         else:
             self.count_failure("read", code)
 
     def error_code(self, body: bytes) -> str:
-        """Return the code in an error's body, or an empty text."""
+        """Return the error code in the JSON body of a response, or an empty text if it has none."""
         try:
             return str(json.loads(body).get("code", ""))
         except (ValueError, AttributeError):
             return ""
 
     def count_failure(self, kind: str, code: str) -> None:
-        """Count a failed request under its second."""
+        """Count a failed request by its error code and by the present second of the run."""
         self.checker.results[f"{kind} failed: {code}"] += 1
         second = int(asyncio.get_running_loop().time() - self.started_at)
         self.failures_by_second[second] += 1
 
     def count_unanswered(self, kind: str, edge: str, error: Exception) -> None:
-        """Count a request without an answer; one whose connection was accepted has been dropped."""
+        """Count a request that got no response.
+
+        If its connection was accepted, the edge dropped it; during graceful shutdowns that is a violation.
+        """
         if isinstance(error, aiohttp.ClientConnectorError):
             self.count_failure(kind, "connection refused")
             return
@@ -144,7 +159,7 @@
             self.checker.check(invariant, holds=False, example=f"{kind} at {edge}: {error!r}")
 
     async def write(self, edge: str) -> None:
-        """Send one write and note what the client was told."""
+        """Send one write to an edge and record what its response tells the client."""
         self.number += 1
         number = f"application-{self.number}"
         try:
@@ -167,11 +182,15 @@
     async def call_control_plane(
         self, method: str, path: str, content: typing.Any = None
     ) -> tuple[int, dict[str, typing.Any]]:
-        """Call the control plane at the first node that answers, and return status and content."""
+        """Send a request to the control plane nodes in random order until one can answer it.
+
+        Returns:
+            HTTP status and JSON content of the response; status 0 if no node could answer.
+        """
         names = [placement.name for placement in self.cluster.with_role("agency")]
         for name in self.randomness.sample(names, len(names)):
             status, answer = await self.call_node(name, method, path, content)
-            # Nobody there, or not fit to answer: as an operator would, turn to the next.
+            # A node that is unreachable or whose configuration is stale: try the next, as an operator would.
             if status and answer.get("code") != "stale-blueprint":
                 return status, answer
         return 0, {}
@@ -179,7 +198,7 @@
     async def call_node(
         self, name: str, method: str, path: str, content: typing.Any = None
     ) -> tuple[int, dict[str, typing.Any]]:
-        """Call one control plane node; return status and content, status 0 without an answer."""
+        """Send a request to one node and return status and JSON content; status 0: no response."""
         try:
             url = self.cluster.url(name) + path
             async with self.session.request(method, url, json=content) as response:
--- a/src/irisstand/localcluster/processes.py
+++ b/src/irisstand/localcluster/processes.py
@@ -1,4 +1,4 @@
-"""A local cluster: all programs as processes on one machine; it ends only processes that it started."""
+"""Starts, stops and watches the processes of a local cluster. Only processes that it started are ended."""
 
 import asyncio
 import json
@@ -18,7 +18,14 @@
 
 
 class ProcessPlacement(typing.NamedTuple):
-    """Name, program, place and ports of a process."""
+    """Which program a process runs, in which role, at which emulated location and on which ports.
+
+    Attributes:
+        program: The package whose module `program` runs: `dataplane` or `controlplane`.
+        role: `edge`, `shield` or `store`; `agency` for a control plane node.
+        port: Port of 127.0.0.1 for messages between nodes.
+        http_port: TCP port of 127.0.0.1 for HTTP.
+    """
 
     name: str
     program: str
@@ -31,7 +38,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return so many TCP ports of 127.0.0.1 that are free now."""
+    """Return `count` different TCP ports of 127.0.0.1 that are free at present."""
     sockets = [socket.socket() for _ in range(count)]
     for bound in sockets:
         bound.bind(("127.0.0.1", 0))
@@ -42,7 +49,14 @@
 
 
 class ClusterShape(typing.NamedTuple):
-    """Numbers of machines, and the sites they are spread over, each with its region."""
+    """Size, sites and load of a network.
+
+    Attributes:
+        shields: Number of shields; each shares its machine with a control plane node.
+        sites: Name and region of each site; nodes and origins are spread over them in turn.
+        rate: Requests of all clients together, per second.
+        deadline: Time that a request to a service may take, in seconds.
+    """
 
     edges: int
     shields: int
@@ -66,7 +80,7 @@
 
 
 def place_processes(shape: ClusterShape) -> list[ProcessPlacement]:
-    """Return the processes of a shape, spread over its sites."""
+    """Return a placement for each process of a shape, spread over its sites in turn."""
     placements = []
     role_counts = [("edge", shape.edges), ("shield", shape.shields), ("store", shape.stores)]
     ports = iter(free_ports(2 * (shape.edges + 2 * shape.shields + shape.stores)))
@@ -90,7 +104,13 @@
     """The processes of one cluster, their settings files, and the file with the injected faults.
 
     Attributes:
-        faults: The faults that `fault_injection` reads in each process.
+        folder: Directory of settings, data, logs and fault file.
+        platform_port: TCP port of 127.0.0.1 of the emulated platform, which lists the origins.
+        placements: Program, location and ports of each process, by its name.
+        lost_disk_count: Number of data directories that were moved aside to emulate the loss of a disk.
+        seeds: Addresses of the control plane nodes that a starting node contacts first.
+        founder_count: Number of control plane nodes that found the network together.
+        faults: Content of the fault file, which `fault_injection` polls in each process.
     """
 
     def __init__(self, shape: ClusterShape, folder: pathlib.Path, platform_port: int) -> None:
@@ -122,11 +142,11 @@
         self.set_faults()
 
     def with_role(self, role: str) -> list[ProcessPlacement]:
-        """Return the processes of a role."""
+        """Return the placements of all processes in a role."""
         return [placement for placement in self.placements.values() if placement.role == role]
 
     def start(self, name: str) -> None:
-        """Write the settings of a process and start it."""
+        """Write the settings file of a process and start the process; its output is appended to its log."""
         placement = self.placements[name]
         settings = {
             "name": name,
@@ -144,7 +164,7 @@
         else:
             settings["role"] = placement.role
         path = self.folder / f"{name}.toml"
-        # JSON strings, numbers and lists of strings are TOML as well.
+        # Strings, numbers and lists of strings have the same syntax in JSON as in TOML.
         path.write_text("".join(f"{key} = {json.dumps(value)}\n" for key, value in settings.items()))
         module_arguments = ["-m", "irisstand.localcluster.fault_injection", placement.program]
         command = [sys.executable, *module_arguments, "--settings", str(path)]
@@ -157,32 +177,37 @@
             self.processes[name] = subprocess.Popen(command, stdout=log, stderr=log, env=environment)
 
     def set_faults(self, **changes: typing.Any) -> None:
-        """Change the injected faults; the processes see it within about a tenth of a second."""
+        """Change the injected faults; the processes see the change within about a tenth of a second.
+
+        Args:
+            **changes: New values of the fault file's keys: `cuts` (partitions), `loss` (share of datagrams),
+                `disks` (fault by name of the process) and `jump` (seconds added to the wall clocks).
+        """
         self.faults |= changes
         temporary_path = self.faults_path.with_suffix(".aside")
         temporary_path.write_text(json.dumps(self.faults))
         temporary_path.rename(self.faults_path)
 
     def start_all(self) -> None:
-        """Start all processes."""
+        """Start all processes of the cluster."""
         for name in self.placements:
             self.start(name)
 
     def kill(self, name: str, number: int = signal.SIGKILL) -> None:
-        """Send a signal to a process."""
+        """Send a signal, by default SIGKILL, to a process that was started."""
         self.processes[name].send_signal(number)
 
     async def wait_for_exit(self, name: str, timeout_seconds: float = 10.0) -> int:
-        """Wait on a thread until a process has ended, and return its exit code."""
+        """Return the exit status of a process once it has exited; a thread waits for it."""
         return await asyncio.to_thread(self.processes[name].wait, timeout_seconds)
 
     def wipe(self, name: str) -> None:
-        """Lose a disk; its directory is kept under another name for inspection."""
+        """Emulate the loss of a node's disk; its data directory is renamed and so kept for inspection."""
         self.lost_disk_count += 1
         (self.folder / name).rename(self.folder / f"{name}.lost-{self.lost_disk_count}")
 
     def stop_all(self) -> None:
-        """End all processes, in order if they do."""
+        """End all processes with SIGTERM, suspended ones too; kill one that does not exit in ten seconds."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -195,18 +220,22 @@
                 process.wait()
 
     def url(self, name: str) -> str:
-        """Return the base URL of a process."""
+        """Return the base URL of a process's HTTP interface."""
         return f"http://127.0.0.1:{self.placements[name].http_port}"
 
     async def wait_until_ready(
         self, session: aiohttp.ClientSession, names: list[str], timeout_seconds: float = 30.0
     ) -> None:
-        """Wait until every one of these calls itself ready; a process that ended is an error at once."""
+        """Wait until the readiness endpoint of each of the named processes answers 200.
+
+        Raises:
+            errors.IrisError: A process has exited, or not all were ready within the timeout.
+        """
         end = asyncio.get_running_loop().time() + timeout_seconds
         for name in names:
             while True:
                 if self.processes[name].poll() is not None:
-                    raise errors.IrisError(f"{name} ended; its log is {self.folder / name}.log")
+                    raise errors.IrisError(f"process {name} has exited; its log is {self.folder / name}.log")
                 try:
                     async with session.get(self.url(name) + "/_irisstand/ready") as response:
                         if response.status == HTTP_OK:
@@ -215,5 +244,7 @@
                 except aiohttp.ClientError as error:
                     why = repr(error)
                 if asyncio.get_running_loop().time() > end:
-                    raise errors.IrisError(f"{name} did not get ready: {why}")
+                    raise errors.IrisError(
+                        f"process {name} did not become ready in time; it last reported: {why}"
+                    )
                 await asyncio.sleep(0.1)
--- a/src/irisstand/localcluster/runner.py
+++ b/src/irisstand/localcluster/runner.py
@@ -1,4 +1,4 @@
-"""A run of a local cluster: processes, load, faults by plan, and the invariant checker's figures."""
+"""Runs a local cluster: starts processes and emulators, sends load, injects faults and prints the results."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,19 @@
 
 
 class LocalClusterRun:
-    """One run, with its emulated origins and platform."""
+    """One run of a local cluster, with emulated origins and an emulated platform.
+
+    Attributes:
+        shape: Size, sites and load of the cluster.
+        folder: Directory of settings, data and logs.
+        seed: Seed of the clients' random choices.
+        records: Content versions and executed writes of all origins.
+        origins: The emulated origins.
+        platform: The emulated platform, which lists the origins.
+        checker: The invariant checker.
+        cluster: The processes; set when the run starts.
+        load: The load generator; set when the run starts.
+    """
 
     def __init__(self, shape: processes.ClusterShape, folder: pathlib.Path, seed: int) -> None:
         self.shape = shape
@@ -28,7 +40,7 @@
         self.checker.ttl_seconds = {"vacancies": 10.0, "logos": 60.0}
 
     def make_origins(self) -> list[origin_emulator.OriginEmulator]:
-        """Return the origins of the shape, spread over its sites."""
+        """Return the emulated origins of the shape, spread over its sites in turn."""
         origins = []
         counts = (("content", self.shape.content_origins), ("application", self.shape.application_origins))
         for service, count in counts:
@@ -40,7 +52,16 @@
         return origins
 
     async def run(self, seconds: float, plan: str, print_line: PrintLine) -> int:
-        """Run for so many seconds under a plan, print the figures, and return the exit status."""
+        """Run the load and a fault plan, print the results and return the exit status.
+
+        Args:
+            seconds: Length of the load, in seconds.
+            plan: Name of the fault plan in `fault_plans.REGISTRY`.
+            print_line: Prints one line.
+
+        Returns:
+            1 if an invariant was violated, otherwise 0.
+        """
         for origin in self.origins:
             await origin.start()
         await self.platform.start()
@@ -48,12 +69,13 @@
         try:
             self.cluster.start_all()
             timeout = aiohttp.ClientTimeout(total=self.shape.deadline + 7)
-            # A connection for each request: a kept one that is just being closed would look like a drop.
+            # Each request has a connection of its own: a request on a kept connection that the edge closes at
+            # that time would look like a dropped request.
             connector = aiohttp.TCPConnector(limit=0, force_close=True)
             async with aiohttp.ClientSession(timeout=timeout, connector=connector) as session:
                 self.load = load_generator.LoadGenerator(self.cluster, session, self.checker, self.seed)
                 await self.set_up(session)
-                print_line(f"fleet of {len(self.cluster.placements)} processes is ready")
+                print_line(f"all {len(self.cluster.placements)} processes of the cluster are ready")
                 jobs = [self.load.run(seconds), fault_plans.REGISTRY[plan](self, seconds, print_line)]
                 await asyncio.gather(*jobs)
                 await self.cluster.wait_until_ready(
@@ -81,23 +103,25 @@
         print_line(
             f"{connections} connections opened to origins, {connections_per_request:.4f} for each request"
         )
-        print_line(f"seconds with failures: {dict(sorted(self.load.failures_by_second.items()))}")
+        print_line(
+            f"failed requests by second of the run: {dict(sorted(self.load.failures_by_second.items()))}"
+        )
         requests = sum(self.records.requests.values())
         print_line(
-            f"{self.load.sent} requests from consumers, {requests} at origins; "
-            f"platform asked over its limit {self.platform.over_limit} times"
+            f"{self.load.sent} requests from clients, {requests} requests at origins; "
+            f"requests to the platform over its rate limit: {self.platform.over_limit}"
         )
         return 1 if sum(self.checker.broken.values()) else 0
 
     async def set_up(self, session: aiohttp.ClientSession) -> None:
-        """Send the first configuration and wait until all nodes serve."""
+        """Submit the first configuration and wait until all nodes are ready and serve requests."""
         control_plane_nodes = [placement.name for placement in self.cluster.with_role("agency")]
         await self.cluster.wait_until_ready(session, control_plane_nodes)
         status, answer = await self.load.call_control_plane(
             "POST", "/changes", {"rows": load_generator.first_configuration(self.shape)}
         )
         if status != day_plan.HTTP_OK:
-            raise errors.IrisError(f"the blueprint was not confirmed: {status} {answer}")
+            raise errors.IrisError(f"the first configuration was not confirmed: status {status}, {answer}")
         self.confirmed = answer
         others = [
             placement.name
@@ -108,7 +132,7 @@
         await self.wait_for_first_reads(session)
 
     async def wait_for_first_reads(self, session: aiohttp.ClientSession) -> None:
-        """Wait until the first read of each service is answered through all nodes on its way."""
+        """Wait until each edge has served a read of each service, so that the whole request path works."""
         end = asyncio.get_running_loop().time() + 20
         for edge in self.load.edges:
             for target in ("/vacancies/1", "/shortlists/1"):
@@ -118,11 +142,17 @@
                             break
                         answer = await response.text()
                     if asyncio.get_running_loop().time() > end:
-                        raise errors.IrisError(f"no first read through {edge}: {answer}")
+                        raise errors.IrisError(
+                            f"edge {edge} did not serve a first read in time; its last response: {answer}"
+                        )
                     await asyncio.sleep(0.1)
 
     async def wait_until_served(self, timeout_seconds: float) -> bool:
-        """Wait until an edge answers a read that goes to an origin; False if none does in time."""
+        """Read uncached targets through one edge after another until a read succeeds.
+
+        Returns:
+            Whether a read succeeded within the timeout.
+        """
         loop = asyncio.get_running_loop()
         end = loop.time() + timeout_seconds
         number = 0
@@ -139,7 +169,7 @@
         return False
 
     async def check_configuration(self, session: aiohttp.ClientSession) -> None:
-        """Check that each control plane node has the configuration that was confirmed."""
+        """Check that each reachable control plane node returns the configuration that was confirmed."""
         expected_values = {
             (row["kind"], row["name"]): row["value"] for row in load_generator.first_configuration(self.shape)
         }
@@ -153,7 +183,7 @@
                 continue
             actual_values = {(row["kind"], row["name"]): row["value"] for row in table["rows"]}
             self.checker.check(
-                "the table read back is the one confirmed",
+                "a control plane node returns the confirmed configuration",
                 actual_values == expected_values,
                 str(actual_values)[:200],
             )
@@ -162,14 +192,14 @@
 def run(  # noqa: PLR0913, PLR0917 - each is an option of the command
     shape: str, seconds: float, plan: str, seed: int, folder: str, print_line: PrintLine
 ) -> int:
-    """Run a local cluster and return the exit status: 1 if an invariant was broken.
+    """Run a local cluster and return the exit status: 1 if an invariant was violated.
 
     Args:
-        shape: Name of the shape.
-        seconds: Length of the load.
-        plan: Name of the fault plan.
-        seed: Seed of the clients' draws.
-        folder: Where settings, data and logs are kept; empty: a temporary directory.
+        shape: Name of the shape in `processes.SHAPES`.
+        seconds: Length of the load, in seconds.
+        plan: Name of the fault plan in `fault_plans.REGISTRY`.
+        seed: Seed of the clients' random choices.
+        folder: Directory of settings, data and logs; empty for a temporary directory.
         print_line: Prints one line.
     """
     with contextlib.ExitStack() as stack:
