--- a/src/irisstand/cli/__init__.py
+++ b/src/irisstand/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The `irisstand` command line: one module for each group of commands."""
+"""The `irisstand` command line: one module for each section of commands in its help."""
--- a/src/irisstand/cli/control_api.py
+++ b/src/irisstand/cli/control_api.py
@@ -1,4 +1,4 @@
-"""Calls of a control plane node's HTTP interface, options that commands share, and exit codes."""
+"""Client of a control plane node's HTTP interface, options that several commands have, and exit codes."""
 
 import enum
 import http.client
@@ -14,11 +14,12 @@
 from irisstand import errors
 from irisstand.validation import formats
 
+# A request to a control plane node fails if the node sends nothing for this long.
 TIMEOUT_SECONDS = 15
 
 
 class ExitCode(enum.IntEnum):
-    """What scripts can tell apart. Code 2 is click's own, for wrong usage."""
+    """Exit codes of the commands, for use in scripts. Code 2 is missing: click uses it for wrong usage."""
 
     OK = 0
     OTHER = 1
@@ -50,7 +51,7 @@
     metavar="ID",
     default=None,
     show_default="chosen by the node",
-    help="Your id for this change. Sending the same change again under the same id is safe.",
+    help="Id that you choose for the change. Sending the same change again under the same id is safe.",
 )
 format_option = click.option(
     "--format",
@@ -63,7 +64,7 @@
 
 
 def exit_code_of(status: int) -> ExitCode:
-    """The exit code for an HTTP status that is an error.
+    """Return the exit code for an HTTP status that is an error.
 
     >>> exit_code_of(409), exit_code_of(503), exit_code_of(400)
     (<ExitCode.CONFLICT: 3>, <ExitCode.NOT_CONFIRMED: 6>, <ExitCode.OTHER: 1>)
@@ -74,9 +75,16 @@
 
 
 def call(node_address: str, method: str, path: str, content: typing.Any = None) -> typing.Any:
-    """Send a request to a control plane node and return its JSON answer.
+    """Send a request to a control plane node and return the JSON content of its response.
 
-    An error answer is printed to standard error as it came, and ends the program with its status's exit code.
+    The body of an error response is printed to standard error unchanged, and the program ends with the exit
+    code for its HTTP status. If the node cannot be reached, the program ends with code 7.
+
+    Args:
+        node_address: Host and HTTP port of the node, with a colon between.
+        method: HTTP method.
+        path: Path and query, already escaped.
+        content: JSON content of the request; None for a request without a body.
     """
     body = None if content is None else json.dumps(content).encode()
     request = urllib.request.Request(
@@ -96,19 +104,24 @@
 
 
 def quote(word: str) -> str:
-    """One segment of a path, with every reserved character escaped."""
+    """Return a text as one segment of a URL path, with every reserved character escaped."""
     return urllib.parse.quote(word, safe="")
 
 
 def print_json(content: typing.Any) -> None:
-    """Print a node's answer for people and scripts."""
+    """Print JSON content to standard output, indented for reading."""
     click.echo(json.dumps(content, indent=2))
 
 
 def read_entries(file: typing.BinaryIO, form: str) -> formats.Rows:
-    """Read configuration entries from a file, in the format named or that of the file's ending.
+    """Read configuration entries from a file.
+
+    If the file is invalid, all of its faults are printed to standard error and the program ends with code 4,
+    before anything is sent to the network.
 
-    All faults of the file are printed to standard error, and then the program ends: nothing was sent.
+    Args:
+        file: The opened file.
+        form: Name of the file's format in `formats.REGISTRY`; empty: the file's ending decides.
     """
     if form and form not in formats.REGISTRY:
         raise click.BadParameter(f"no format {form!r}; use one of {', '.join(formats.REGISTRY)}")
--- a/src/irisstand/cli/develop.py
+++ b/src/irisstand/cli/develop.py
@@ -1,6 +1,6 @@
-"""Commands that run a network on this machine or in the simulator, check it and measure it.
+"""Commands that run a network on one machine or in the simulator, check it and measure it.
 
-Their modules are imported when a command runs: operators need none of them.
+The modules that a command needs are imported when it runs, since operators need none of them.
 """
 
 import asyncio
@@ -9,6 +9,7 @@
 
 import click
 
+# Number of violations that `fuzz-origins` prints.
 EXAMPLES_LIMIT = 20
 
 folder_option = click.option(
@@ -16,7 +17,7 @@
     default="",
     metavar="DIRECTORY",
     show_default="a temporary one",
-    help="Where settings, data and logs are kept.",
+    help="Directory in which settings, data and logs are kept.",
 )
 
 
@@ -41,16 +42,16 @@
     "--plan",
     default="calm",
     metavar="NAME",
-    help="Which faults are injected: calm (none), kills, wipes, roll, day or weather.",
+    help="Plan of the injected faults: calm (none), kills, wipes, roll, day or weather.",
 )
 @click.option("--seed", type=int, default=1, help="Seed of the clients' random choices.")
 @folder_option
 def start_cluster(*, shape: str, seconds: float, plan: str, seed: int, folder: str) -> None:
-    """Run a local cluster; exit code 1 if an invariant was broken."""
+    """Run a local cluster; exit with code 1 if an invariant was violated."""
     from irisstand.localcluster import fault_plans, runner
 
     if plan not in fault_plans.REGISTRY:
-        raise click.BadParameter(f"no such plan; use one of {', '.join(fault_plans.REGISTRY)}")
+        raise click.BadParameter(f"no such fault plan; use one of {', '.join(fault_plans.REGISTRY)}")
     sys.exit(runner.run(shape, seconds, plan, seed, folder, click.echo))
 
 
@@ -61,31 +62,31 @@
     "--platform-port",
     type=click.IntRange(1, 65535),
     default=9000,
-    help="TCP port on 127.0.0.1 of the platform's list of origins.",
+    help="TCP port on 127.0.0.1 at which the emulated platform lists origins.",
 )
-@click.option("--site", default="north", help="Site that the origins are listed in.")
+@click.option("--site", default="north", help="Site of the origins in the platform's list.")
 def start_emulators(*, platform_port: int, site: str) -> None:
-    """Serve until interrupted."""
+    """Run the emulators of two origins and a platform until the user interrupts."""
     from irisstand.emulators import origin_emulator
 
-    click.echo(f"content-1 and application-1 are listed by the platform at 127.0.0.1:{platform_port}")
+    click.echo(f"origins content-1 and application-1 are listed by the platform at 127.0.0.1:{platform_port}")
     with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(origin_emulator.run_emulators(platform_port, site))
 
 
-@click.command(help="Run random faults in virtual time. Each seed is one day; the invariants are checked.")
+@click.command(help="Simulate days with random faults. Each seed is one day; the invariants are checked.")
 @click.option("--first", type=int, default=1, help="The first seed.")
-@click.option("--days", type=click.IntRange(1), default=8, help="How many days; each has the next seed.")
+@click.option("--days", type=click.IntRange(1), default=8, help="How many days; each day has the next seed.")
 @click.option(
     "--seconds", type=click.FloatRange(5, 86400), default=30, help="Length of a day, in virtual seconds."
 )
-@click.option("--workers", type=click.IntRange(1, 256), default=4, help="How many processes run days.")
+@click.option("--workers", type=click.IntRange(1, 256), default=4, help="How many processes simulate days.")
 @click.option("--log", is_flag=True, help="Print each day's faults with their virtual time.")
-@click.option("--kind", default="busy", metavar="NAME", help="busy, kildespor, quiet, dark or planned.")
+@click.option("--kind", default="busy", metavar="NAME", help="Kind: busy, kildespor, quiet, dark or planned.")
 def simulate(  # noqa: PLR0913 - click passes each option as an argument
     *, first: int, days: int, seconds: float, workers: int, log: bool, kind: str
 ) -> None:
-    """Run simulated days; exit code 1 if one of them broke an invariant."""
+    """Run simulated days; exit with code 1 if one of them violated an invariant."""
     from irisstand.simulator import day_kinds, day_runner
 
     if kind not in day_kinds.KINDS:
@@ -94,12 +95,12 @@
     sys.exit(day_runner.simulate(seeds, seconds, workers, log=log, print_line=click.echo, kind=kind))
 
 
-@click.command("fuzz-origins", help="Play hostile origins against a node. The invariants are checked.")
+@click.command("fuzz-origins", help="Test a node against hostile origins. The invariants are checked.")
 @click.option("--scripts", type=click.IntRange(1), default=2000, help="How many scripts, one seed each.")
-@click.option("--workers", type=click.IntRange(1, 256), default=4, help="How many processes play scripts.")
+@click.option("--workers", type=click.IntRange(1, 256), default=4, help="How many processes run scripts.")
 @click.option("--first", type=int, default=1, help="The first seed.")
 def fuzz_origins(*, scripts: int, workers: int, first: int) -> None:
-    """Play scripts; exit code 1 if one of them broke an invariant."""
+    """Run scripts of a client and hostile origins; exit with code 1 if one violated an invariant."""
     from irisstand.simulator import hostile_scripts
 
     figures = hostile_scripts.play_all(scripts, workers, first)
@@ -112,10 +113,10 @@
     sys.exit(1 if figures.broken else 0)
 
 
-@click.command(help="Stop real processes in series. Origins are slow, and a rate is scarce.")
+@click.command(help="Stop real processes one after another. Origins are slow, and a rate limit is tight.")
 @click.option("--first", type=int, default=1, help="The first seed.")
 @click.option("--runs", type=click.IntRange(1), default=1, help="How many runs; each has the next seed.")
-@click.option("--edges", type=click.IntRange(2, 300), help="How many edges.", show_default="drawn")
+@click.option("--edges", type=click.IntRange(2, 300), help="How many edges.", show_default="random")
 @click.option(
     "--seconds",
     type=click.FloatRange(5, 3600),
@@ -124,7 +125,7 @@
 )
 @folder_option
 def soak(*, first: int, runs: int, edges: int | None, seconds: float, folder: str) -> None:
-    """Play soak runs; exit code 1 if one of them found something."""
+    """Run soak tests; exit with code 1 if one of them found a failure."""
     from irisstand.soak import runner
 
     sys.exit(runner.run(range(first, first + runs), edges, seconds, folder, click.echo))
@@ -132,13 +133,13 @@
 
 @click.command(
     "check-model",
-    help="Explore the consensus code. Tried at a small size: orders of messages, losses, crashes.",
+    help="Explore the consensus code. Tries message orders, losses and crashes in small networks.",
 )
 @click.option(
     "--deviations",
     type=click.IntRange(0, 9),
     default=1,
-    help="At most so many steps of a run differ from the regular order.",
+    help="How many steps of a run may differ from the regular order, at most.",
 )
 @click.option(
     "--scenarios",
@@ -146,11 +147,11 @@
     default="",
     metavar="NAMES",
     show_default="all",
-    help="Names, with commas between.",
+    help="Names of scenarios, with commas between.",
 )
 @click.option("--workers", type=click.IntRange(1, 256), default=1, help="How many processes explore.")
 @click.option(
-    "--walks", type=click.IntRange(0), default=0, help="So many random walks instead; 0: explore in order."
+    "--walks", type=click.IntRange(0), default=0, help="How many random walks instead; 0: explore in order."
 )
 @click.option("--first", type=int, default=1, help="Seed of the first random walk.")
 @click.option(
@@ -158,12 +159,12 @@
     default="",
     metavar="CHOICES",
     show_default="none",
-    help="Play one run by its choices (numbers with commas between) and print its steps.",
+    help="Repeat one run by its choices (numbers with commas between) and print its steps.",
 )
 def check_model(  # noqa: PLR0913 - click passes each option as an argument
     *, deviations: int, wanted: str, workers: int, walks: int, first: int, replay: str
 ) -> None:
-    """Check scenarios; exit code 1 if a run broke an invariant."""
+    """Explore scenarios; exit with code 1 if a run violated an invariant."""
     from irisstand.modelcheck import check, scenarios
 
     names = wanted.split(",") if wanted else list(scenarios.REGISTRY)
@@ -178,19 +179,19 @@
 
 @click.group("benchmark", help="Measure the software in the simulator.")
 def benchmark_group() -> None:
-    """Commands that measure; none of them checks anything."""
+    """Group the commands that measure and print figures; they check no invariants."""
 
 
 @benchmark_group.command(
     "propagation",
-    help="Measure many changes at once. All control plane nodes are sent some.",
+    help="Measure many changes at once. All control plane nodes are sent changes.",
 )
-@click.option("--clients", type=click.IntRange(1), default=20, help="How many operators send at once.")
+@click.option("--clients", type=click.IntRange(1), default=20, help="Operators that send changes at once.")
 @click.option("--seconds", type=click.FloatRange(1), default=10, help="Length of a run, in virtual seconds.")
 @click.option("--seeds", type=click.IntRange(1), default=3, help="How many runs; each has the next seed.")
-@click.option("--rows", type=click.IntRange(0), default=0, help="Configuration entries there at the start.")
+@click.option("--rows", type=click.IntRange(0), default=0, help="Configuration entries at the start.")
 def benchmark_propagation(*, clients: int, seconds: float, seeds: int, rows: int) -> None:
-    """Print one line of figures for each seed."""
+    """Print one line of figures on the propagation of changes for each seed."""
     from irisstand.simulator import propagation_benchmark
 
     for seed in range(1, seeds + 1):
@@ -208,7 +209,7 @@
 )
 @click.option("--seed", type=int, default=1, help="Seed of the run.")
 def benchmark_failure_detection(*, kills: int, loss: float, seed: int) -> None:
-    """Print the measured times."""
+    """Print the measured detection times, one line each."""
     from irisstand.simulator import failure_detection_benchmark
 
     for line in failure_detection_benchmark.measure(seed, kills, loss):
@@ -217,7 +218,7 @@
 
 @benchmark_group.command("sizes", help="Measure bytes in memory and messages. See docs/CAPACITY.md.")
 def benchmark_sizes() -> None:
-    """Print one line for each measured object."""
+    """Print the size of each measured object or message."""
     from irisstand.simulator import sizes
 
     for what, unit, figure in sizes.measure():
@@ -225,14 +226,15 @@
 
 
 @benchmark_group.command(
-    "large-configurations", help="Measure changes of many routes. The cost is each node's."
+    "large-configurations",
+    help="Measure configurations of many routes. The figures are the cost to each node.",
 )
 @click.option(
     "--routes",
     type=click.IntRange(8),
     multiple=True,
     default=(100, 1500, 5000),
-    help="How many routes; may be repeated.",
+    help="How many routes the configuration has; may be repeated.",
 )
 def benchmark_large_configurations(*, routes: tuple[int, ...]) -> None:
     """Print one line for each measured step and number of routes."""
--- a/src/irisstand/cli/inspect.py
+++ b/src/irisstand/cli/inspect.py
@@ -1,51 +1,53 @@
-"""Commands that show the state of a running network and change nothing."""
+"""Commands that show the state of a running network and change nothing in it."""
 
 import click
 
 from irisstand.cli import control_api
 
 
-@click.group("get", help="Show configuration, items or a change.")
+@click.group("get", help="Show the configuration, versioned items or a change.")
 def get_group() -> None:
-    """Commands whose answer is JSON as the node gave it."""
+    """Group the commands that print the JSON content of a node's response."""
 
 
-@get_group.command("configuration", help="Show the configuration in force, with versions.")
+@get_group.command("configuration", help="Show the configuration in force. Each entry has its version.")
 @control_api.node_option
 def get_configuration(*, core: str) -> None:
-    """Print the entries in a form that `apply` takes."""
+    """Print the configuration entries as a list that the command `apply` accepts as a file."""
     control_api.print_json(control_api.call(core, "GET", "/rows"))
 
 
-@get_group.command("items", help="Show the versioned items in force. The output may be given to apply-items.")
+@get_group.command(
+    "items", help="Show the versioned items in force. The output is a valid file for apply-items."
+)
 @control_api.node_option
 def get_items(*, core: str) -> None:
-    """Print the versioned items."""
+    """Print the versioned items in force as a file for the command `apply-items`."""
     control_api.print_json(control_api.call(core, "GET", "/items"))
 
 
 @get_group.command(
     "change",
-    help="Show what became of a change. Its entries, what replaced them, who has it in force.",
+    help="Show the state of a change. Its entries, what replaced them, and who has it in force.",
 )
 @click.argument("change", metavar="ID")
 @control_api.node_option
 def get_change(*, change: str, core: str) -> None:
-    """Print a change's state; the nodes are asked live."""
+    """Print the state of a change; the control plane node asks the other nodes for theirs when called."""
     control_api.print_json(control_api.call(core, "GET", "/changes/" + control_api.quote(change)))
 
 
 @click.group("list", help="List machines, members or voters.")
 def list_group() -> None:
-    """Commands that list what the network consists of."""
+    """Group the commands that list machines, members and voters."""
 
 
 @list_group.command(
-    "machines", help="List machines and why they are on standby or not. Machine-hours saved are shown too."
+    "machines", help="List machines and why they are active or on standby. Saved machine-hours are shown too."
 )
 @control_api.node_option
 def list_machines(*, core: str) -> None:
-    """Print one line for each machine."""
+    """Print site, state, saved hours and reason of the state of each machine, and the sum of the hours."""
     answer = control_api.call(core, "GET", "/machines")
     for name, entry in sorted(answer["machines"].items()):
         state = "evacuated" if entry["evacuated"] else "rests" if entry["rests"] else "awake"
@@ -53,10 +55,12 @@
     click.echo(f"machine-hours saved: {answer['machine_hours_saved']}")
 
 
-@list_group.command("members", help="List the members and their state. The node named by --core is asked.")
+@list_group.command(
+    "members", help="List members and their state. Both as known to the node that --core names."
+)
 @control_api.node_option
 def list_members(*, core: str) -> None:
-    """Print one line for each member, by role, name and state."""
+    """Print one line for each member, sorted by role, name and state."""
     members = control_api.call(core, "GET", "/members")["members"]
     for member in sorted(members, key=lambda member: (member["role"], member["name"], member["state"])):
         click.echo(
@@ -67,11 +71,11 @@
 
 @list_group.command(
     "voters",
-    help="List voters and spare nodes (JSON). For each table, with those that answer now.",
+    help="List voters and spare nodes (JSON). For each table, with the voters that respond now.",
 )
 @control_api.node_option
 def list_voters(*, core: str) -> None:
-    """Print the voter sets; the voters are asked live."""
+    """Print the voter sets and spare nodes; the control plane node asks the voters whether they respond."""
     control_api.print_json(control_api.call(core, "GET", "/voters"))
 
 
--- a/src/irisstand/cli/operate.py
+++ b/src/irisstand/cli/operate.py
@@ -1,4 +1,4 @@
-"""Commands that change a running network."""
+"""Commands that change a running network, or check a change before it is sent."""
 
 import json
 import sys
@@ -10,13 +10,13 @@
 from irisstand.validation import checker, formats
 
 
-@click.command(help="Check FILE, send nothing. Schema, rules and the running network are looked at.")
+@click.command(help="Check FILE without sending it. Against schema, validation rules and running network.")
 @click.argument("file", type=click.File("rb"))
 @click.option("--strict", is_flag=True, help="Exit with code 8 if there are only warnings.")
 @control_api.format_option
 @control_api.node_option
 def validate(*, file: typing.BinaryIO, strict: bool, form: str, core: str) -> None:
-    """Print faults and warnings; exit code 4 for a fault, 8 for warnings with --strict."""
+    """Print faults and warnings on a file; exit with code 4 for a fault, 8 for warnings with --strict."""
     proposed = control_api.read_entries(file, form)
     table = control_api.call(core, "GET", "/rows")["rows"]
     members = control_api.call(core, "GET", "/members")["members"]
@@ -36,7 +36,7 @@
 @control_api.format_option
 @control_api.node_option
 def diff(*, file: typing.BinaryIO, form: str, core: str) -> None:
-    """Print one line for each entry that differs."""
+    """Print a line for each entry that differs between the file and the configuration in force."""
     proposed = control_api.read_entries(file, form)
     lines = formats.differences(proposed, control_api.call(core, "GET", "/rows")["rows"])
     for line in lines:
@@ -45,13 +45,13 @@
     sys.exit(control_api.ExitCode.DIFFERENCES if lines else control_api.ExitCode.OK)
 
 
-@click.command(help="Apply the entries in FILE. All of them change or none; '-' reads standard input.")
+@click.command(help="Apply the entries in FILE. All of them or none change; '-' reads standard input.")
 @click.argument("file", type=click.File("rb"))
 @control_api.change_option
 @control_api.format_option
 @control_api.node_option
 def apply(*, file: typing.BinaryIO, change: str | None, form: str, core: str) -> None:
-    """Send entries; one that carries a version is refused if the entry in force has another."""
+    """Send entries; an entry with a version is rejected if the entry in force has another version."""
     entries = []
     for entry in control_api.read_entries(file, form):
         sent = {key: value for key, value in entry.items() if key != "serial"}
@@ -64,12 +64,12 @@
 
 @click.command(
     "apply-items",
-    help="Apply the versioned items in FILE. JSON: put and drop, lists by kind; all or none.",
+    help="Apply the versioned items in FILE. JSON: under put and drop, lists by kind; all or none change.",
 )
 @click.argument("file", type=click.File("rb"))
 @control_api.node_option
 def apply_items(*, file: typing.BinaryIO, core: str) -> None:
-    """Send an amendment; an item counts if its version is the highest seen for its name."""
+    """Send versioned items; an item takes effect if its version is the highest seen for its name."""
     try:
         content = json.load(file)
     except ValueError as error:
@@ -78,12 +78,20 @@
 
 
 @click.command(help="Purge cached objects by path or by tag.")
-@click.option("--path", "paths", multiple=True, metavar="PATH", help="A whole path; may be repeated.")
-@click.option("--tag", "tags", multiple=True, metavar="TAG", help="A tag of objects; may be repeated.")
+@click.option(
+    "--path",
+    "paths",
+    multiple=True,
+    metavar="PATH",
+    help="The complete path of objects to purge; may be repeated.",
+)
+@click.option(
+    "--tag", "tags", multiple=True, metavar="TAG", help="A cache tag of objects to purge; may be repeated."
+)
 @control_api.change_option
 @control_api.node_option
 def purge(*, paths: tuple[str, ...], tags: tuple[str, ...], change: str | None, core: str) -> None:
-    """Purge what is named; nothing purged is served 2 s after the answer."""
+    """Purge objects by path and by tag; they are not served later than 2 s after the response."""
     if not paths and not tags:
         raise click.UsageError("give at least one --path or --tag")
     content = {"paths": list(paths), "tags": list(tags), **({"change": change} if change else {})}
@@ -92,23 +100,23 @@
 
 @click.command(help="Send no new requests to SITE. With the setting evacuates=origins: none to its origins.")
 @click.argument("site")
-@click.option("--insist", is_flag=True, help="Drain even if the other sites cannot carry the load.")
+@click.option("--insist", is_flag=True, help="Drain SITE even if the other sites cannot carry its load.")
 @control_api.node_option
 def drain(*, site: str, insist: bool, core: str) -> None:
-    """Evacuate a site; refused with figures if the others cannot carry the load."""
+    """Evacuate a site; the node rejects this, with figures, if the other sites cannot carry the load."""
     path = f"/sites/{site}/evacuation{'?insist=true' if insist else ''}"
     control_api.print_json(control_api.call(core, "PUT", path))
 
 
-@click.command(help="Take SITE back after a drain.")
+@click.command(help="End the drain of SITE. It gets new requests again.")
 @click.argument("site")
 @control_api.node_option
 def undrain(*, site: str, core: str) -> None:
-    """End a site's evacuation."""
+    """End the evacuation of a site."""
     control_api.print_json(control_api.call(core, "DELETE", f"/sites/{site}/evacuation"))
 
 
-@click.command("replace-voter", help="Replace the voter OLD by NEW. NEW is a spare control plane node.")
+@click.command("replace-voter", help="Replace voter OLD by NEW. NEW is a spare control plane node.")
 @click.argument("old")
 @click.argument("new")
 @control_api.node_option
@@ -118,11 +126,11 @@
     control_api.print_json(control_api.call(core, "PUT", path, {"replaces": old}))
 
 
-@click.command("remove-voter", help="Remove a voter. No other node takes its place.")
+@click.command("remove-voter", help="Remove a voter without a replacement.")
 @click.argument("name")
 @control_api.node_option
 def remove_voter(*, name: str, core: str) -> None:
-    """Shrink the voter sets of all tables by one."""
+    """Remove one voter from the voter sets of all tables."""
     control_api.print_json(control_api.call(core, "DELETE", "/voters/" + control_api.quote(name)))
 
 
--- a/src/irisstand/cli/sections.py
+++ b/src/irisstand/cli/sections.py
@@ -1,4 +1,4 @@
-"""A command group whose help lists commands by section, and hidden aliases for names of the last version."""
+"""A command group whose help lists commands in sections, and hidden aliases for earlier command names."""
 
 import collections.abc
 import typing
@@ -7,22 +7,26 @@
 
 
 class SectionedGroup(click.Group):
-    """A group that shows its commands under one heading for each kind of user."""
+    """A command group whose help lists the commands under several headings.
+
+    Attributes:
+        sections: The commands of each section, by its heading.
+    """
 
     def __init__(self, *arguments: typing.Any, **options: typing.Any) -> None:
         super().__init__(*arguments, **options)
         self.sections: dict[str, list[click.Command]] = {}
 
     def add_section(self, title: str, commands: collections.abc.Iterable[click.Command]) -> None:
-        """Add commands that the help lists under `title`, in the order given."""
+        """Add commands, which the help lists under the heading `title` in the given order."""
         self.sections[title] = list(commands)
         for command in self.sections[title]:
             self.add_command(command)
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """Write one list of commands for each section."""
+        """Write the commands of each section below its heading into the help text."""
         names = [command.name or "" for commands in self.sections.values() for command in commands]
-        # Six columns of indentation and space between the two columns, as in click's own lists.
+        # Click's lists take six characters of a line for the indentation and the gap between the columns.
         limit = formatter.width - 6 - max(map(len, names))
         for title, commands in self.sections.items():
             rows = [(command.name or "", command.get_short_help_str(limit)) for command in commands]
@@ -31,12 +35,12 @@
 
 
 def alias(command: click.Command, earlier: str, current: str) -> click.Command:
-    """Make a hidden command that prints a notice to standard error and then does what `command` does.
+    """Return a hidden command that prints a deprecation notice to standard error and then runs `command`.
 
     Args:
-        command: the command under its current name.
-        earlier: the words that users typed, without the program's name; the last one is the alias's own name.
-        current: the words to type now.
+        command: The command under its current name.
+        earlier: The words that users typed before, without `irisstand`; the alias is named by the last word.
+        current: The words that users type now, without `irisstand`.
     """
     callback = typing.cast("collections.abc.Callable[..., typing.Any]", command.callback)
 
--- a/src/irisstand/emulators/__init__.py
+++ b/src/irisstand/emulators/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for outside systems: origins and their record of what was asked."""
+"""Emulators of systems outside of irisstand, origins and the platform, which record the requests they get."""
--- a/src/irisstand/emulators/hostile_origin.py
+++ b/src/irisstand/emulators/hostile_origin.py
@@ -1,4 +1,4 @@
-"""Hostile origin: breaks the protocol in ways drawn by a seed, on any transport, and records what ran."""
+"""Hostile origin: violates HTTP in ways drawn from a seeded generator, and records executed requests."""
 
 import asyncio
 import collections
@@ -9,31 +9,30 @@
 REQUEST_ID_HEADER = "x-request-id"
 DIGEST_HEADER = "content-digest"
 NOT_RUN_HEADER = "x-not-run"
-# A request's head ends here.
 END_OF_HEAD = b"\r\n\r\n"
-PROBABILITY = 0.5
+PROBABILITY = 0.5  # of a correct response, and of a request id in a surplus rejection
 PIPE_DELAY_SECONDS = 0.001
 
 
 def digest(body: bytes) -> str:
-    """Return the digest that an answer with this body bears."""
+    """Return the digest that a response with this body has in its digest header."""
     return hashlib.sha256(body).hexdigest()[:16]
 
 
 class RequestLog:
-    """How often each request began to run, by its id."""
+    """Counts in `runs` how often the execution of each request began, by request id."""
 
     def __init__(self) -> None:
         self.runs: collections.Counter[str] = collections.Counter()
 
     def run_request(self, request_id: str, target: str) -> bytes:
-        """Run a request and return the body of its answer."""
+        """Record an execution of a request and return the body of its response."""
         self.runs[request_id] += 1
         return f"{target} answered".encode()
 
 
 class ReceivedRequest(typing.NamedTuple):
-    """What the origin needs of a request."""
+    """The request id, target and method of a request that was received in full."""
 
     request_id: str
     target: str
@@ -41,7 +40,11 @@
 
 
 class HostileOrigin(asyncio.Protocol):
-    """One connection. `ways` are the names of the methods `way_...`; one is drawn for each request."""
+    """The origin's end of one connection, which handles each request in a random way.
+
+    Attributes:
+        ways: Names of the methods `way_...`, each of which handles a request in a way of its own.
+    """
 
     def __init__(self, randomness: random.Random, request_log: RequestLog) -> None:
         self.randomness = randomness
@@ -53,11 +56,11 @@
         self.ways = sorted(name for name in dir(self) if name.startswith("way_"))
 
     def connection_made(self, transport: typing.Any) -> None:
-        """Keep the transport."""
+        """Store the transport of the new connection."""
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Answer each request that has arrived in full."""
+        """Handle each request that has arrived in full, in a random way."""
         self.received += data
         while END_OF_HEAD in self.received:
             head, _, rest = self.received.partition(END_OF_HEAD)
@@ -69,25 +72,25 @@
             self.received = rest[size:]
             method, target, _ = first.split(" ")
             request = ReceivedRequest(headers.get(REQUEST_ID_HEADER, ""), target, method)
-            # Half of all requests are answered as they should be, so that connections are used again.
+            # Half of all requests get a correct response, so that the client reuses connections.
             way = self.way_whole if self.randomness.random() < PROBABILITY else getattr(self, self.draw_way())
             way(request)
             self.previous_request = request
 
     def draw_way(self) -> str:
-        """Draw the name of a way."""
+        """Return the name of a random method `way_...`."""
         return self.randomness.choice(self.ways)
 
-    # -- pieces --------------------------------------------------------------------------------------
+    # -- parts of responses --------------------------------------------------------------------------
     def send(self, data: bytes, delay: float = 0.0) -> None:
-        """Send after a delay in seconds."""
-        # In the order in which it was sent, as on any connection; timers of one moment keep none.
+        """Send data after a delay in seconds."""
+        # Data must stay in order, but timers that are due at the same time run in any order.
         loop = asyncio.get_running_loop()
         self.next_send_at = max(self.next_send_at + 1e-6, loop.time() + delay)
         loop.call_at(self.next_send_at, self.write, data)
 
     def write(self, data: bytes) -> None:
-        """Write unless the connection is closing."""
+        """Write data to the connection unless it is closing."""
         if not self.transport.is_closing():
             self.transport.write(data)
 
@@ -98,7 +101,7 @@
         status: str = "200 OK",
         extra_headers: str = "",
     ) -> bytes:
-        """Run a request and return its answer; with a body given, it does not run."""
+        """Execute a request and return its response; if a body is given, return it without an execution."""
         body = self.request_log.run_request(request.request_id, request.target) if body is None else body
         id_header = f"{REQUEST_ID_HEADER}: {request.request_id}\r\n" if request.request_id else ""
         head = (
@@ -110,42 +113,42 @@
     def rejection(
         self, request: ReceivedRequest, status: str = "503 Busy", *, with_request_id: bool = True
     ) -> bytes:
-        """Return an answer that says that the request did not run; `named`: with the request's id."""
+        """Return a response that says that the request was not executed."""
         id_header = (
             f"{REQUEST_ID_HEADER}: {request.request_id}\r\n" if with_request_id and request.request_id else ""
         )
         return f"HTTP/1.1 {status}\r\n{id_header}{NOT_RUN_HEADER}: 1\r\ncontent-length: 0\r\n\r\n".encode()
 
-    # -- ways ----------------------------------------------------------------------------------------
+    # -- ways to handle a request --------------------------------------------------------------------
     def way_whole(self, request: ReceivedRequest) -> None:
-        """Answer as one should, sooner or later."""
+        """Send a correct response without delay, after 10 ms or after 300 ms."""
         self.send(self.answer(request), self.randomness.choice((0.0, 0.01, 0.3)))
 
     def way_did_not_run(self, request: ReceivedRequest) -> None:
-        """Reject the request, which did not run."""
+        """Reject the request without executing it, and say so."""
         self.send(self.rejection(request, self.randomness.choice(("503 Busy", "429 Many", "400 Bad"))))
 
     def way_another_instance(self, request: ReceivedRequest) -> None:
-        """Say that another instance has this address."""
+        """Reject the request with status 421, as if another origin instance now had this address."""
         self.send(self.rejection(request, "421 Misdirected"))
 
     def way_may_have_run(self, request: ReceivedRequest) -> None:
-        """Run the request and answer with a status of rejections."""
+        """Execute the request, but respond with a status that rejections have."""
         status = self.randomness.choice(("503 Busy", "408 Late", "429 Many"))
         self.send(self.answer(request, status=status))
 
     def way_surplus_refusal_before(self, request: ReceivedRequest) -> None:
-        """Send a rejection of an earlier request before the answer."""
-        # Only a connection that was used may bring what belongs to an earlier request.
+        """Send a surplus rejection of the previous request before the response."""
+        # Responses to earlier requests can only come on a connection that has carried one.
         before = self.rejection(self.previous_request, with_request_id=self.randomness.random() < PROBABILITY)
         self.send((b"" if self.previous_request.target == "/earlier" else before) + self.answer(request))
 
     def way_surplus_answer_before(self, request: ReceivedRequest) -> None:
-        """Send an answer to an earlier request before the answer."""
+        """Send a surplus response to the previous request before the response."""
         self.send(self.answer(self.previous_request, body=b"of an earlier one") + self.answer(request))
 
     def way_surplus_after(self, request: ReceivedRequest) -> None:
-        """Send something more after the answer."""
+        """Send surplus data after the response: the response again, a rejection or invalid bytes."""
         whole = self.answer(request)
         self.send(whole)
         surplus = self.randomness.choice(
@@ -154,53 +157,54 @@
         self.send(surplus, self.randomness.choice((0.0, 0.001, 0.05, 0.4)))
 
     def way_silence(self, request: ReceivedRequest) -> None:
-        """Run the request and answer nothing."""
+        """Execute the request and send no response."""
         self.request_log.run_request(request.request_id, request.target)
 
     def way_cut(self, request: ReceivedRequest) -> None:
-        """Send a part of the answer and close."""
+        """Send the beginning of the response and close the connection."""
         whole = self.answer(request)
         self.send(whole[: self.randomness.randrange(len(whole))])
         asyncio.get_running_loop().call_later(0.01, self.transport.close)
 
     def way_closed(self, request: ReceivedRequest) -> None:
-        """Run the request and close."""
+        """Execute the request and close the connection without a response."""
         self.request_log.run_request(request.request_id, request.target)
         self.transport.close()
 
     def way_length_too_long(self, request: ReceivedRequest) -> None:
-        """Announce a longer body than is sent."""
+        """Send a response whose content length exceeds its body."""
         self.send(self.answer(request).replace(b"content-length: ", b"content-length: 9"))
 
     def way_interim_first(self, request: ReceivedRequest) -> None:
-        """Send an interim answer first."""
+        """Send an interim response (100 Continue) before the response."""
         self.send(b"HTTP/1.1 100 Continue\r\n\r\n" + self.answer(request))
 
     def way_no_content_with_content(self, request: ReceivedRequest) -> None:
-        """Send a body with a status that has none."""
+        """Send a response with status 204, which must not have a body, and a body."""
         self.send(self.answer(request, status="204 None"))
 
     def way_garbage(self, request: ReceivedRequest) -> None:
-        """Send random bytes."""
+        """Execute the request and send random bytes instead of a response."""
         self.request_log.run_request(request.request_id, request.target)
         self.send(self.randomness.randbytes(40))
 
     def way_no_seal(self, request: ReceivedRequest) -> None:
-        """Leave the digest out."""
+        """Send a response without the digest header."""
         self.send(self.answer(request).replace(DIGEST_HEADER.encode(), b"x-other"))
 
     def way_in_pieces(self, request: ReceivedRequest) -> None:
-        """Send the answer byte by byte."""
+        """Send the response byte by byte."""
         whole = self.answer(request)
         for index in range(len(whole)):
             self.send(whole[index : index + 1], 0.001 * index)
 
 
 class Pipe(asyncio.Transport):
-    """One end of a connection in memory, for both protocols; what is written arrives a little later.
+    """One end of a connection in memory between two protocols; data arrives after a short delay.
 
     Attributes:
-        peer: The other end; set by `join` before the pipe is used.
+        peer: The other end; set by `connect_in_memory` before the pipe is used.
+        peer_protocol: The protocol at the other end, which gets the data written to this end.
     """
 
     peer: "Pipe"
@@ -212,16 +216,16 @@
         self.closed = False
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Send data to the other protocol."""
+        """Send data to the protocol at the other end."""
         asyncio.get_running_loop().call_later(PIPE_DELAY_SECONDS, self.deliver, data)
 
     def deliver(self, data: bytes | bytearray | memoryview) -> None:
-        """Hand data to the other protocol, unless its end is closed."""
+        """Pass data to the protocol at the other end, unless that end is closed."""
         if not self.peer.closed:
             self.peer_protocol.data_received(bytes(data))
 
     def close(self) -> None:
-        """Close both ends."""
+        """Close this end and, after the delay, the other end."""
         if not self.closed:
             self.closed = True
             asyncio.get_running_loop().call_later(PIPE_DELAY_SECONDS, self.peer.close)
@@ -232,12 +236,12 @@
         return self.closed
 
     def get_write_buffer_size(self) -> int:
-        """Return 0: nothing is buffered."""
+        """Return 0, since written data is never buffered."""
         return 0
 
 
 def connect_in_memory(client: asyncio.Protocol, origin: asyncio.Protocol) -> None:
-    """Connect two protocols in memory."""
+    """Connect the protocols of a client and an origin in memory."""
     client_end = Pipe(origin, client)
     origin_end = Pipe(client, origin)
     client_end.peer = origin_end
--- a/src/irisstand/emulators/origin_emulator.py
+++ b/src/irisstand/emulators/origin_emulator.py
@@ -1,4 +1,4 @@
-"""Emulated origins: a content store of versioned objects, an application that takes writes, a platform."""
+"""Emulators of origins, which serve versioned objects and take writes, and of the platform listing them."""
 
 import asyncio
 import collections
@@ -11,7 +11,20 @@
 
 
 class OriginEmulator:
-    """One origin over HTTP. What it ran is on record for the invariant checker."""
+    """An origin with an HTTP server. Executed requests are recorded for the invariant checker.
+
+    Attributes:
+        service: Name of the service that the origin belongs to.
+        instance: Name of the origin instance.
+        site: Name of the site that the platform lists the origin in.
+        records: Content versions and executed writes, shared with other origins.
+        state: State in the platform's list: `ready`, `cold` or `leaving`.
+        warmup: Duration of the slow start in the platform's list, in seconds.
+        faults: Value of each injected fault by name: `delay` (in seconds), `lose-answer` (the connection is
+            closed instead of a response), `wrong-digest`, `no-seal` (the digest header is left out).
+        requests: Number of requests received, without health checks.
+        connections: The connections on which health checks arrived.
+    """
 
     def __init__(self, service: str, instance: str, site: str, records: "OriginRecords") -> None:
         self.service = service
@@ -28,7 +41,7 @@
         self.runner: aiohttp.web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Listen; the port is drawn if it is 0."""
+        """Start to listen; if the port is 0, the operating system chooses one."""
         app = aiohttp.web.Application(client_max_size=4 * 1024 * 1024)
         app.router.add_get("/health", self.health)
         app.router.add_route("*", "/{rest:.*}", self.serve)
@@ -39,13 +52,13 @@
         self.port = self.runner.addresses[0][1]
 
     async def stop(self) -> None:
-        """Stop listening."""
+        """Close the listening socket and all connections."""
         if self.runner is not None:
             await self.runner.cleanup()
             self.runner = None
 
     def listing(self) -> dict[str, typing.Any]:
-        """Return the platform's entry for it."""
+        """Return the origin's entry in the platform's list."""
         return {
             "id": self.instance,
             "service": self.service,
@@ -57,13 +70,13 @@
         }
 
     async def health(self, request: aiohttp.web.Request) -> aiohttp.web.Response:
-        """Answer a health check."""
-        # Kept whole: an id alone would be given out again.
+        """Answer a health check, and record the connection on which it came."""
+        # The transport itself is kept, because Python may give its `id()` to a later object.
         self.connections.add(request.transport)
         return aiohttp.web.json_response({"service": self.service, "instance": self.instance})
 
     async def serve(self, request: aiohttp.web.Request) -> aiohttp.web.StreamResponse:
-        """Carry out a request as the faults have it."""
+        """Execute a request and respond as the injected faults demand."""
         self.requests += 1
         self.records.requests[self.service] += 1
         request_id = request.headers.get("X-Request-Id", "")
@@ -93,7 +106,13 @@
 
 
 class OriginRecords:
-    """Versions of objects and executions of writes, shared by all origins of a cluster."""
+    """Versions of objects and executions of writes, shared by all origins of a cluster.
+
+    Attributes:
+        versions: Version of the content by path.
+        executions: Number of executions of each write, by the number that identifies the write.
+        requests: Number of requests by service.
+    """
 
     def __init__(self) -> None:
         self.versions: collections.defaultdict[str, int] = collections.defaultdict(int)
@@ -101,7 +120,7 @@
         self.requests: collections.Counter[str] = collections.Counter()
 
     def current_object(self, service: str, target: str, now: float) -> tuple[bytes, str]:
-        """Return the present content of a target, made at `now`, and its cache tags."""
+        """Return the current content of a target, in which `now` is the creation time, and its cache tags."""
         path = target.partition("?")[0]
         tag = path.strip("/").partition("/")[0]
         content = {
@@ -114,7 +133,7 @@
         return json.dumps(content).encode(), f"{tag},{service}"
 
     def execute(self, service: str, instance: str, content: bytes) -> bytes:
-        """Run a write, count it by its number, and return the answer."""
+        """Execute a write, count the execution by the write's number, and return the body of the response."""
         try:
             number = json.loads(content)["number"]
         except (ValueError, KeyError, TypeError):
@@ -124,7 +143,15 @@
 
 
 class PlatformEmulator:
-    """Lists origins as the platform would: over HTTP, with a limit on how often it may be asked."""
+    """Emulates the platform, which lists origins over HTTP and limits the rate of requests for the list.
+
+    Attributes:
+        origins: The origins that are listed.
+        limit_per_second: Number of requests that are answered in a second.
+        request_times: Time of each request in the last second.
+        over_limit: Number of requests that were refused by the limit.
+        sends_invalid_json: Whether the body of responses is cut short.
+    """
 
     def __init__(self, origins: list[OriginEmulator], limit_per_second: float = 5.0) -> None:
         self.origins, self.limit_per_second = origins, limit_per_second
@@ -135,7 +162,7 @@
         self.runner: aiohttp.web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Listen; the port is drawn if it is 0."""
+        """Start to listen; if the port is 0, the operating system chooses one."""
         app = aiohttp.web.Application()
         app.router.add_get("/origins", self.list_origins)
         self.runner = aiohttp.web.AppRunner(app, access_log=None)
@@ -144,12 +171,12 @@
         self.port = self.runner.addresses[0][1]
 
     async def stop(self) -> None:
-        """Stop listening."""
+        """Close the listening socket and all connections."""
         if self.runner is not None:
             await self.runner.cleanup()
 
     async def list_origins(self, request: aiohttp.web.Request) -> aiohttp.web.Response:
-        """Answer with the list, or refuse a node that asks too often."""
+        """Respond with the list of origins, or with status 429 above the rate limit."""
         now = asyncio.get_running_loop().time()
         self.request_times = [asked_at for asked_at in self.request_times if asked_at > now - 1.0] + [now]
         if len(self.request_times) > self.limit_per_second:
@@ -161,7 +188,7 @@
 
 
 async def run_emulators(platform_port: int, site: str) -> None:
-    """Run one content and one application origin and a platform that lists them, until cancelled."""
+    """Emulate one content origin, one application origin and a platform that lists them, until cancelled."""
     records = OriginRecords()
     origins = [
         OriginEmulator(service, f"{service}-1", site, records) for service in ("content", "application")
--- a/src/irisstand/emulators/upstream_emulator.py
+++ b/src/irisstand/emulators/upstream_emulator.py
@@ -1,4 +1,4 @@
-"""Emulated origins for edges that connect to them directly, with any header names; requests are recorded."""
+"""Emulators of origins for edges that connect to them directly, with configurable names of headers."""
 
 import asyncio
 import collections
@@ -11,7 +11,15 @@
 
 
 class RequestRecord(typing.NamedTuple):
-    """One request that an origin began to work on."""
+    """One request whose execution an origin began.
+
+    Attributes:
+        instance: Name of the origin instance.
+        request_id: Id of the attempt, from the request's headers.
+        method: HTTP method.
+        target: Path and query.
+        body: Body of the request.
+    """
 
     instance: str
     request_id: str
@@ -21,7 +29,23 @@
 
 
 class UpstreamEmulator:
-    """One origin. `faults` by name: full, lost, slow (seconds), wrong (another instance has the address)."""
+    """An origin with an HTTP server, which records the requests that it executes.
+
+    Attributes:
+        service: Name of the service that the origin belongs to.
+        instance: Name of the origin instance.
+        site: Name of the site that the platform lists the origin in.
+        header_names: Names of the headers that edges and origins exchange.
+        state: State in the platform's list.
+        cold: How long the origin stays cold, in seconds, as health checks report it.
+        faults: Value of each injected fault by name: `full` (requests are rejected), `lost` (the connection
+            is closed instead of a response), `slow` (seconds that a request takes), `wrong` (the origin
+            responds as if another instance had its address).
+        versions: Version of the content by path.
+        arrivals: Number of requests received, without health checks.
+        health_checks: Number of health checks received.
+        runs: The requests whose execution began, in order.
+    """
 
     def __init__(self, service: str, instance: str, site: str, names: header_names.HeaderNames) -> None:
         self.service = service
@@ -39,7 +63,7 @@
         self.port = 0
 
     async def start(self, host: str = "127.0.0.1") -> None:
-        """Listen; the port is drawn if it is 0."""
+        """Start to listen; if the port is 0, the operating system chooses one."""
         app = aiohttp.web.Application(client_max_size=64 * 1024 * 1024)
         app.router.add_get("/health", self.health)
         app.router.add_route("*", "/{rest:.*}", self.serve)
@@ -49,13 +73,13 @@
         self.port = self.runner.addresses[0][1]
 
     async def stop(self) -> None:
-        """Stop listening."""
+        """Close the listening socket and all connections."""
         if self.runner is not None:
             await self.runner.cleanup()
             self.runner = None
 
     async def health(self, request: aiohttp.web.Request) -> aiohttp.web.Response:
-        """Answer a health check."""
+        """Answer a health check with the instance's name and how long it stays cold."""
         self.health_checks += 1
         headers = {
             self.header_names.instance: self.instance,
@@ -64,10 +88,10 @@
         return aiohttp.web.Response(status=200, headers=headers)
 
     async def serve(self, request: aiohttp.web.Request) -> aiohttp.web.StreamResponse:
-        """Carry out a request as the faults have it."""
+        """Execute a request and respond as the injected faults demand."""
         self.arrivals += 1
         names = self.header_names
-        # Every answer names its request, those to what did not run among them.
+        # Every response carries the request id, also one to a request that was not executed.
         request_id = request.headers.get(names.request_id, "")
         expected = request.headers.get(names.expected, self.instance)
         if expected != self.instance or self.faults.get("wrong"):
@@ -98,5 +122,5 @@
 
 
 def has_valid_digest(names: header_names.HeaderNames, headers: typing.Mapping[str, str], body: bytes) -> bool:
-    """Return whether an answer is what the origin sealed."""
+    """Return whether the digest header of a response matches its body."""
     return headers.get(names.seal) == hashlib.sha256(body).hexdigest()[:16]
