--- a/tests/programs/test_commands.py
+++ b/tests/programs/test_commands.py
@@ -14,11 +14,13 @@
 
 FIXTURE = pathlib.Path(__file__).parents[1] / "fixtures" / "commands" / "earlier_names.json"
 RECORDED = json.loads(FIXTURE.read_text())
-NOTICE = re.compile(r"irisstand: '([^']*)' is now '([^']*)'; the earlier name goes with the next version\n")
-NUMBER = re.compile(r" *\d+(\.\d+)?(e[-+]\d+)?")
+NOTICE_PATTERN = re.compile(
+    r"irisstand: '([^']*)' is now '([^']*)'; the earlier name goes with the next version\n"
+)
+NUMBER_PATTERN = re.compile(r" *\d+(\.\d+)?(e[-+]\d+)?")
 
 
-def run(*words: str) -> click.testing.Result:
+def invoke(*words: str) -> click.testing.Result:
     return click.testing.CliRunner().invoke(commands.main, words)
 
 
@@ -39,13 +41,13 @@
 @pytest.mark.parametrize("recorded", RECORDED, ids=lambda recorded: " ".join(recorded["words"]))
 def test_every_earlier_name_does_what_it_did(recorded, tmp_path):
     """Recorded from the code before the commands had their present names."""
-    played = control_plane_stub.play(commands.main, recorded["words"], tmp_path)
-    notice = NOTICE.match(played["stderr"])
+    result = control_plane_stub.run_command(commands.main, recorded["words"], tmp_path)
+    notice = NOTICE_PATTERN.match(result["stderr"])
     assert (notice is None) == (recorded["words"][0] == "purge")
     if notice is not None:
         assert recorded["words"][: len(notice[1].split())] == notice[1].split()
-        played["stderr"] = played["stderr"][notice.end() :]
-    assert played == {name: recorded[name] for name in played}
+        result["stderr"] = result["stderr"][notice.end() :]
+    assert result == {name: recorded[name] for name in result}
 
 
 @pytest.mark.parametrize("recorded", RECORDED, ids=lambda recorded: " ".join(recorded["words"]))
@@ -55,11 +57,11 @@
         if words[: len(earlier.split())] == earlier.split():
             words = [*current.split(), *words[len(earlier.split()) :]]
             break
-    played = control_plane_stub.play(commands.main, words, tmp_path)
-    assert NOTICE.search(played["stderr"]) is None
+    result = control_plane_stub.run_command(commands.main, words, tmp_path)
+    assert NOTICE_PATTERN.search(result["stderr"]) is None
     # A usage error names the command as it was typed.
     compared = ["stdout", "code", "requests"] + ([] if recorded["code"] == 2 else ["stderr"])
-    assert {name: played[name] for name in compared} == {name: recorded[name] for name in compared}
+    assert {name: result[name] for name in compared} == {name: recorded[name] for name in compared}
 
 
 def test_every_earlier_name_is_hidden_and_takes_the_same_parameters():
@@ -67,28 +69,28 @@
         group: click.Group = commands.main
         *groups, name = earlier.split()
         for word in groups:
-            found = group.commands[word]
-            assert isinstance(found, click.Group)
-            assert found.hidden
-            group = found
+            subgroup = group.commands[word]
+            assert isinstance(subgroup, click.Group)
+            assert subgroup.hidden
+            group = subgroup
         assert group.commands[name].hidden
         assert group.commands[name].params == command.params
         assert VISIBLE[tuple(current.split())] is command
 
 
 def test_an_alias_hands_on_its_options_and_what_the_command_ends_with():
-    given = []
+    received_numbers = []
 
     @click.command()
     @click.option("--number", type=int, default=1)
     def command(number: int) -> None:
-        given.append(number)
+        received_numbers.append(number)
         raise SystemExit(9)
 
     alias = sections.alias(command, "old name", "new")
     result = click.testing.CliRunner().invoke(alias, ["--number", "7"])
-    assert (alias.name, given, result.exit_code) == ("name", [7], 9)
-    assert NOTICE.fullmatch(result.stderr).groups() == ("old name", "new")
+    assert (alias.name, received_numbers, result.exit_code) == ("name", [7], 9)
+    assert NOTICE_PATTERN.fullmatch(result.stderr).groups() == ("old name", "new")
     assert result.stdout == ""
 
 
@@ -104,25 +106,25 @@
     ],
 )
 def test_earlier_names_for_developers_do_the_same(earlier, current, words, code):
-    old, new = run(earlier, *words), run(*current.split(), *words)
+    old, new = invoke(earlier, *words), invoke(*current.split(), *words)
     assert (old.exit_code, new.exit_code) == (code, code)
-    assert NUMBER.sub(" N", old.stdout) == NUMBER.sub(" N", new.stdout)
+    assert NUMBER_PATTERN.sub(" N", old.stdout) == NUMBER_PATTERN.sub(" N", new.stdout)
     # A usage error names the command as it was typed; its last line says what is wrong.
-    without_notice = old.stderr[NOTICE.match(old.stderr).end() :] if code == 0 else old.stderr
+    without_notice = old.stderr[NOTICE_PATTERN.match(old.stderr).end() :] if code == 0 else old.stderr
     assert without_notice.splitlines()[-1:] == new.stderr.splitlines()[-1:]
 
 
 def test_names_that_stayed_still_work():
-    assert run("simulate", "--kind", "unknown").exit_code == 2
-    assert run("fuzz-origins", "--scripts", "0").exit_code == 2
-    assert run("check-model", "--scenarios", "unknown").exit_code == 2
+    assert invoke("simulate", "--kind", "unknown").exit_code == 2
+    assert invoke("fuzz-origins", "--scripts", "0").exit_code == 2
+    assert invoke("check-model", "--scenarios", "unknown").exit_code == 2
     assert develop.simulate in VISIBLE.values()
 
 
 def test_help_lists_every_command_under_who_uses_it():
-    text = run("--help").stdout
-    places = [text.index(f"\n{title}:\n") for title in ("Operate", "Inspect", "Develop")]
-    assert places == sorted(places)
+    text = invoke("--help").stdout
+    positions = [text.index(f"\n{title}:\n") for title in ("Operate", "Inspect", "Develop")]
+    assert positions == sorted(positions)
     for name, command in commands.main.commands.items():
         assert (f"\n  {name} " in text) is not command.hidden, name
     assert "..." not in text.partition("\n")[2]
@@ -130,7 +132,7 @@
 
 @pytest.mark.parametrize("path", VISIBLE, ids=" ".join)
 def test_every_option_has_help_and_its_default(path):
-    command, text = VISIBLE[path], run(*path, "--help").stdout
+    command, text = VISIBLE[path], invoke(*path, "--help").stdout
     assert command.help
     assert command.help.endswith(".")
     for parameter in command.params:
--- a/tests/support/control_plane_stub.py
+++ b/tests/support/control_plane_stub.py
@@ -16,11 +16,11 @@
 
 import click.testing
 
-CEILING = {"rate": 100, "inflight": 50}
+LIMITS = {"rate": 100, "inflight": 50}
 SERVICE = {
     "kind": "service",
     "name": "content",
-    "value": {"deadline": 3, "ceiling": CEILING},
+    "value": {"deadline": 3, "ceiling": LIMITS},
     "serial": "5.agency-1",
 }
 MEMBER = {
@@ -42,7 +42,7 @@
     },
     "machine_hours_saved": 1.5,
 }
-ANSWERS = {
+RESPONSES = {
     "GET /rows": (200, {"rows": [SERVICE]}),
     "GET /members": (200, {"members": [MEMBER]}),
     "GET /ledger": (200, {"rows": []}),
@@ -60,19 +60,23 @@
     "DELETE /sites/north/evacuation": (200, {"serial": "7.agency-1"}),
     "POST /purges": (200, {"serial": "8.agency-1"}),
 }
-GOOD = {"kind": "service", "name": "content", "value": {"deadline": 3, "ceiling": {"rate": 9, "inflight": 5}}}
+CHANGED_SERVICE = {
+    "kind": "service",
+    "name": "content",
+    "value": {"deadline": 3, "ceiling": {"rate": 9, "inflight": 5}},
+}
 FILES = {
-    "good.json": [GOOD],
+    "good.json": [CHANGED_SERVICE],
     "same.json": [{name: SERVICE[name] for name in ("kind", "name", "value")}],
-    "versioned.json": [{**GOOD, "serial": "5.agency-1"}],
+    "versioned.json": [{**CHANGED_SERVICE, "serial": "5.agency-1"}],
     "bad.json": {"kind": "service"},
     "twice.yaml": "kind: Site\nkind: Path\n",
-    "fault.json": [{**GOOD, "value": {}}],
+    "fault.json": [{**CHANGED_SERVICE, "value": {}}],
     "site.json": [{"kind": "site", "name": "nowhere", "value": {}}],
     "items.json": {"put": {"routes": []}},
 }
 # Words as typed; FILES stand for their paths.
-CALLS = [
+COMMAND_LINES = [
     ["rows", "get"],
     ["rows", "send", "good.json"],
     ["rows", "send", "versioned.json", "--change", "c1"],
@@ -105,25 +109,25 @@
 class Handler(http.server.BaseHTTPRequestHandler):
     """Answers from ANSWERS; an unknown call is a 500."""
 
-    def answer(self):
-        call = f"{self.command} {self.path}"
+    def respond(self):
+        request_line = f"{self.command} {self.path}"
         body = self.rfile.read(int(self.headers.get("Content-Length") or 0))
-        self.server.requests.append([call, json.loads(body) if body else None])
-        status, content = ANSWERS.get(call, (500, {"code": "not-in-the-stub"}))
+        self.server.requests.append([request_line, json.loads(body) if body else None])
+        status, content = RESPONSES.get(request_line, (500, {"code": "not-in-the-stub"}))
         encoded = json.dumps(content).encode()
         self.send_response(status)
         self.send_header("Content-Length", str(len(encoded)))
         self.end_headers()
         self.wfile.write(encoded)
 
-    do_GET = do_POST = do_PUT = do_DELETE = answer
+    do_GET = do_POST = do_PUT = do_DELETE = respond
 
     def log_message(self, *_):
         """Nothing is logged."""
 
 
 @contextlib.contextmanager
-def stub():
+def running_stub():
     """A running stub; `requests` holds what it was sent, `address` is what --core is given."""
     server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), Handler)
     server.requests = []
@@ -138,12 +142,12 @@
         thread.join()
 
 
-def play(main, words, folder):
+def run_command(main, words, folder):
     """What one call prints, its exit code, and what it sent to the node."""
     for name, content in FILES.items():
         (folder / name).write_text(content if isinstance(content, str) else json.dumps(content))
     words = [str(folder / word) if word in FILES else word for word in words]
-    with stub() as server:
+    with running_stub() as server:
         result = click.testing.CliRunner().invoke(main, [*words, "--core", server.address])
         return {
             "stdout": result.stdout.replace(str(folder), "FOLDER"),
@@ -154,8 +158,11 @@
 
 
 if __name__ == "__main__":
-    with tempfile.TemporaryDirectory() as place:
+    with tempfile.TemporaryDirectory() as directory:
         command = importlib.import_module("irisstand.commands").main
-        recorded = [{"words": words, **play(command, words, pathlib.Path(place))} for words in CALLS]
+        recorded = [
+            {"words": words, **run_command(command, words, pathlib.Path(directory))}
+            for words in COMMAND_LINES
+        ]
     json.dump(recorded, sys.stdout, indent=1)
     print()
