--- a/tests/programs/test_commands.py
+++ b/tests/programs/test_commands.py
@@ -1,4 +1,4 @@
-"""The `irisstand` command line: help, and the names of the version before."""
+"""The `irisstand` command line: help texts, exit codes, and aliases for the command names of version 0.1."""
 
 import json
 import pathlib
@@ -25,7 +25,7 @@
 
 
 def every_command(group: click.Group, path: tuple[str, ...] = ()):
-    """All commands below a group with the words that name them, hidden ones left out."""
+    """Yield the words that name each visible command of a group and its subgroups, and the command itself."""
     for name, command in group.commands.items():
         if command.hidden:
             continue
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("recorded", RECORDED, ids=lambda recorded: " ".join(recorded["words"]))
 def test_every_earlier_name_does_what_it_did(recorded, tmp_path):
-    """Recorded from the code before the commands had their present names."""
+    """Compare output, exit code and requests with a recording from before the commands were renamed."""
     result = control_plane_stub.run_command(commands.main, recorded["words"], tmp_path)
     notice = NOTICE_PATTERN.match(result["stderr"])
     assert (notice is None) == (recorded["words"][0] == "purge")
@@ -59,7 +59,7 @@
             break
     result = control_plane_stub.run_command(commands.main, words, tmp_path)
     assert NOTICE_PATTERN.search(result["stderr"]) is None
-    # A usage error names the command as it was typed.
+    # A usage error names the command as it was typed, so its text differs between the two names.
     compared = ["stdout", "code", "requests"] + ([] if recorded["code"] == 2 else ["stderr"])
     assert {name: result[name] for name in compared} == {name: recorded[name] for name in compared}
 
@@ -109,7 +109,7 @@
     old, new = invoke(earlier, *words), invoke(*current.split(), *words)
     assert (old.exit_code, new.exit_code) == (code, code)
     assert NUMBER_PATTERN.sub(" N", old.stdout) == NUMBER_PATTERN.sub(" N", new.stdout)
-    # A usage error names the command as it was typed; its last line says what is wrong.
+    # A usage error names the command as typed; only its last line, the error, is the same for both names.
     without_notice = old.stderr[NOTICE_PATTERN.match(old.stderr).end() :] if code == 0 else old.stderr
     assert without_notice.splitlines()[-1:] == new.stderr.splitlines()[-1:]
 
@@ -140,7 +140,7 @@
             continue
         assert parameter.help, parameter.name
         assert parameter.help.endswith("."), parameter.name
-        # A flag is off and a repeated option without a default is empty unless given.
+        # Two defaults need not be shown: a flag is off, and a repeatable option without a default is empty.
         if not parameter.is_flag and (not parameter.multiple or isinstance(parameter.default, tuple)):
             entry = re.split(rf"^  {parameter.opts[-1]}(?= )", text, flags=re.MULTILINE)[1]
             assert "default: " in " ".join(re.split(r"^  -", entry, flags=re.MULTILINE)[0].split())
--- a/tests/support/control_plane_stub.py
+++ b/tests/support/control_plane_stub.py
@@ -1,8 +1,10 @@
-"""A stub of a control plane node's HTTP interface that keeps what it was sent; and runs of the command line.
+"""Run `irisstand` commands against a stub of a control plane node, which records the requests it gets.
+
+This command records the expected output of the commands for `tests/programs/test_commands.py`:
 
     python tests/support/control_plane_stub.py > tests/fixtures/commands/earlier_names.json
 
-records what the command line on the path prints for each call of CALLS.
+It runs each entry of COMMAND_LINES with the `irisstand` package that Python finds on its path.
 """
 
 import contextlib
@@ -75,7 +77,7 @@
     "site.json": [{"kind": "site", "name": "nowhere", "value": {}}],
     "items.json": {"put": {"routes": []}},
 }
-# Words as typed; FILES stand for their paths.
+# Arguments of `irisstand`; a name in FILES is replaced by the path of that file.
 COMMAND_LINES = [
     ["rows", "get"],
     ["rows", "send", "good.json"],
@@ -107,7 +109,7 @@
 
 
 class Handler(http.server.BaseHTTPRequestHandler):
-    """Answers from ANSWERS; an unknown call is a 500."""
+    """Responds to a request as RESPONSES says, and with status 500 if it has no entry."""
 
     def respond(self):
         request_line = f"{self.command} {self.path}"
@@ -123,12 +125,12 @@
     do_GET = do_POST = do_PUT = do_DELETE = respond
 
     def log_message(self, *_):
-        """Nothing is logged."""
+        """Suppress the log lines that http.server writes to standard error."""
 
 
 @contextlib.contextmanager
 def running_stub():
-    """A running stub; `requests` holds what it was sent, `address` is what --core is given."""
+    """Run a stub that has the requests it received in `requests` and its host and port in `address`."""
     server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), Handler)
     server.requests = []
     server.address = f"127.0.0.1:{server.server_address[1]}"
@@ -143,7 +145,7 @@
 
 
 def run_command(main, words, folder):
-    """What one call prints, its exit code, and what it sent to the node."""
+    """Run a command against a stub; return its output, exit code and the requests that the stub received."""
     for name, content in FILES.items():
         (folder / name).write_text(content if isinstance(content, str) else json.dumps(content))
     words = [str(folder / word) if word in FILES else word for word in words]
