--- a/src/irisstand/cli/develop.py
+++ b/src/irisstand/cli/develop.py
@@ -75,7 +75,7 @@
 
 
 @click.command(help="Simulate days with random faults. Each seed is one day; the invariants are checked.")
-@click.option("--first", type=int, default=1, help="The first seed.")
+@click.option("--first", type=int, default=1, help="Seed of the first day.")
 @click.option("--days", type=click.IntRange(1), default=8, help="How many days; each day has the next seed.")
 @click.option(
     "--seconds", type=click.FloatRange(5, 86400), default=30, help="Length of a day, in virtual seconds."
@@ -98,7 +98,7 @@
 @click.command("fuzz-origins", help="Test a node against hostile origins. The invariants are checked.")
 @click.option("--scripts", type=click.IntRange(1), default=2000, help="How many scripts, one seed each.")
 @click.option("--workers", type=click.IntRange(1, 256), default=4, help="How many processes run scripts.")
-@click.option("--first", type=int, default=1, help="The first seed.")
+@click.option("--first", type=int, default=1, help="Seed of the first script.")
 def fuzz_origins(*, scripts: int, workers: int, first: int) -> None:
     """Run scripts of a client and hostile origins; exit with code 1 if one violated an invariant."""
     from irisstand.simulator import hostile_scripts
@@ -114,7 +114,7 @@
 
 
 @click.command(help="Stop real processes one after another. Origins are slow, and a rate limit is tight.")
-@click.option("--first", type=int, default=1, help="The first seed.")
+@click.option("--first", type=int, default=1, help="Seed of the first run.")
 @click.option("--runs", type=click.IntRange(1), default=1, help="How many runs; each has the next seed.")
 @click.option("--edges", type=click.IntRange(2, 300), help="How many edges.", show_default="random")
 @click.option(
--- a/src/irisstand/localcluster/day_plan.py
+++ b/src/irisstand/localcluster/day_plan.py
@@ -9,6 +9,7 @@
 # A `runner.LocalClusterRun`; `Any`, because `runner` imports the fault plans and could not be imported here.
 ClusterRun = typing.Any
 HTTP_OK = 200
+# After the loss of all processes, requests must be served again within this time.
 SERVICE_BACK_LIMIT_SECONDS = 15
 
 
@@ -44,7 +45,7 @@
     for origin in origins:
         new = origin.requests - before[origin.instance]
         invariant = "an evacuated site gets no new work after 5 s"
-        cluster_run.checker.check(invariant, new == 0, f"{origin.instance} got {new}")
+        cluster_run.checker.check(invariant, new == 0, f"origin {origin.instance} got {new} requests")
     print_line(f"ending the evacuation of {site}")
     await cluster_run.load.call_control_plane("DELETE", f"/sites/{site}/evacuation")
 
@@ -63,7 +64,7 @@
         await asyncio.sleep(2)
         invariant = "a leaving origin gets no new work 2 s after the platform says so"
         new = origin.requests - before
-        cluster_run.checker.check(invariant, new == 0, f"{origin.instance} got {new}")
+        cluster_run.checker.check(invariant, new == 0, f"origin {origin.instance} got {new} requests")
         # The origin stops, and a replacement with empty caches (state `cold`) starts at the same address.
         await origin.stop()
         await asyncio.sleep(1)
@@ -126,7 +127,11 @@
     back = await cluster_run.wait_until_served(20)
     invariant = "after a total loss service is back within 15 s"
     took = asyncio.get_running_loop().time() - started_at
-    cluster_run.checker.check(invariant, back and took <= SERVICE_BACK_LIMIT_SECONDS, f"{took:.1f} s")
+    cluster_run.checker.check(
+        invariant,
+        back and took <= SERVICE_BACK_LIMIT_SECONDS,
+        f"waited {took:.1f} s for a served request",
+    )
     print_line(f"requests are served again: {back}")
 
 
--- a/src/irisstand/localcluster/fault_injection.py
+++ b/src/irisstand/localcluster/fault_injection.py
@@ -22,7 +22,9 @@
 
 FAULT_FILE_VARIABLE = "IRISSTAND_WEATHER"
 DELAY_BETWEEN_REGIONS_SECONDS = 0.006
+# Interval of checks whether a partition or a stall of the disk has ended.
 POLL_SECONDS = 0.05
+# Interval of reads of the fault file.
 READ_INTERVAL_SECONDS = 0.1
 DISK_FULL = "full"
 DISK_STALLED = "stalled"
--- a/src/irisstand/localcluster/invariant_checker.py
+++ b/src/irisstand/localcluster/invariant_checker.py
@@ -61,7 +61,7 @@
         self.purges: dict[str, list[ConfirmedPurge]] = collections.defaultdict(list)
         self.ttl_seconds: dict[str, float] = {}
 
-    def check(self, invariant: str, holds: bool, example: str = "") -> None:  # noqa: FBT001 - what is checked
+    def check(self, invariant: str, holds: bool, example: str = "") -> None:  # noqa: FBT001 - the result of the check
         """Count a check of an invariant, and a violation if it does not hold.
 
         Args:
@@ -100,7 +100,7 @@
         answers_request = content is not None and (content["service"], content["target"]) == (service, target)
         digest_matches = headers.get("content-digest") == objects.digest_header(body)
         invariant = "a successful read is the origin's complete response to it, with a valid digest"
-        self.check(invariant, answers_request and digest_matches, f"{target}: {body[:80]!r}")
+        self.check(invariant, answers_request and digest_matches, f"read of {target} returned {body[:80]!r}")
         version, made_at = (-1, now) if content is None else (content["version"], content["made"])
         self.check_purged(target, version, now)
         self.check_age(target, now - made_at, now)
@@ -117,7 +117,7 @@
             self.check(
                 invariant,
                 version >= max(minimum_versions),
-                f"{target}: version {version} < {max(minimum_versions)} at {now:.3f}",
+                f"{target}: version {version} < {max(minimum_versions)} served at {now:.3f} s",
             )
 
     def check_age(self, target: str, age: float, now: float) -> None:
@@ -125,7 +125,7 @@
         ttl = self.ttl_seconds.get(path_of(target).split("/")[1])
         if ttl is not None:
             invariant = "no content is served more than 2 s after its TTL ended"
-            example = f"{target}: {age:.3f} s old, TTL {ttl} s, at {now:.3f}"
+            example = f"{target}: content is {age:.3f} s old at {now:.3f} s, TTL {ttl} s"
             self.check(invariant, age <= ttl + GRACE_SECONDS, example)
 
     def write(self, number: str, status: int, code: str) -> None:
@@ -155,11 +155,17 @@
         """Check what clients know of each write against the origins' records, at the end of the run."""
         for number, result in self.write_results.items():
             runs = self.records.executions[number]
-            self.check("no write runs twice", runs <= 1, f"{number} ran {runs} times")
+            self.check("no write runs twice", runs <= 1, f"write {number} was executed {runs} times")
             if result is WriteResult.REJECTED:
-                self.check("no write runs after it was rejected", runs == 0, f"{number} was rejected and ran")
+                self.check(
+                    "no write runs after it was rejected",
+                    runs == 0,
+                    f"write {number} was rejected and executed",
+                )
             if result is WriteResult.DONE:
-                self.check("a write that succeeded did run", runs == 1, f"{number} ran {runs} times")
+                self.check(
+                    "a write that succeeded did run", runs == 1, f"write {number} was executed {runs} times"
+                )
 
     def lines(self) -> list[str]:
         """Return lines to print: counts of responses, checks and violations, and examples of violations."""
--- a/src/irisstand/localcluster/load_generator.py
+++ b/src/irisstand/localcluster/load_generator.py
@@ -75,8 +75,8 @@
         loop = asyncio.get_running_loop()
         self.started_at = start = loop.time()
         while loop.time() < start + seconds:
-            minimum_versions = (loop.time() - start) * self.cluster.shape.rate
-            while self.sent < minimum_versions:
+            requests_due = (loop.time() - start) * self.cluster.shape.rate
+            while self.sent < requests_due:
                 self.sent += 1
                 task = loop.create_task(self.send_random_request())
                 self.tasks.add(task)
@@ -113,7 +113,7 @@
         """
         try:
             async with self.session.get(self.cluster.url(edge) + target) as response:
-                # The content's age counts until its head arrived: this busy process may read the body late.
+                # Age is measured when the head arrives, since this busy process may read the body much later.
                 now = asyncio.get_running_loop().time()
                 body = await response.read()
                 headers = {name.lower(): value for name, value in response.headers.items()}
@@ -156,7 +156,9 @@
         self.count_failure(kind, type(error).__name__)
         if self.expects_no_drops:
             invariant = "a planned restart drops no request in progress"
-            self.checker.check(invariant, holds=False, example=f"{kind} at {edge}: {error!r}")
+            self.checker.check(
+                invariant, holds=False, example=f"{kind} at edge {edge} got no response: {error!r}"
+            )
 
     async def write(self, edge: str) -> None:
         """Send one write to an edge and record what its response tells the client."""
