--- a/src/irisstand/cli/inspect.py
+++ b/src/irisstand/cli/inspect.py
@@ -13,7 +13,7 @@
 @get_group.command("configuration", help="Show the configuration in force. Each entry has its version.")
 @control_api.node_option
 def get_configuration(*, core: str) -> None:
-    """Print the configuration entries as a list that the command `apply` accepts as a file."""
+    """Print the configuration entries in force in a form that the command `apply` accepts as its file."""
     control_api.print_json(control_api.call(core, "GET", "/rows"))
 
 
@@ -22,7 +22,7 @@
 )
 @control_api.node_option
 def get_items(*, core: str) -> None:
-    """Print the versioned items in force as a file for the command `apply-items`."""
+    """Print the versioned items in force in a form that the command `apply-items` accepts as its file."""
     control_api.print_json(control_api.call(core, "GET", "/items"))
 
 
