--- a/src/irisstand/localcluster/processes.py
+++ b/src/irisstand/localcluster/processes.py
@@ -193,9 +193,9 @@
         for name in self.placements:
             self.start(name)
 
-    def kill(self, name: str, number: int = signal.SIGKILL) -> None:
+    def kill(self, name: str, signal_number: int = signal.SIGKILL) -> None:
         """Send a signal, by default SIGKILL, to a process that was started."""
-        self.processes[name].send_signal(number)
+        self.processes[name].send_signal(signal_number)
 
     async def wait_for_exit(self, name: str, timeout_seconds: float = 10.0) -> int:
         """Return the exit status of a process once it has exited; a thread waits for it."""
