--- a/src/irisstand/localcluster/day_plan.py
+++ b/src/irisstand/localcluster/day_plan.py
@@ -36,7 +36,7 @@
     status, answer = await cluster_run.load.call_control_plane("PUT", f"/sites/{site}/evacuation")
     cluster_run.checker.results[f"evacuation {status}"] += 1
     if status != HTTP_OK:
-        print_line(f"the control plane refused the evacuation: {answer}")
+        print_line(f"the evacuation of the site was not confirmed: {answer}")
         return
     await asyncio.sleep(5)
     origins = [origin for origin in cluster_run.origins if origin.site == site]
