--- a/tests/programs/test_http.py
+++ b/tests/programs/test_http.py
@@ -81,8 +81,8 @@
 
     async def wait():
         async with aiohttp.ClientSession() as session:
-            await cluster.ready(session, ["agency-1"])
-            await cluster.ready(session, ["shield-1", "edge-1"])
+            await cluster.wait_until_ready(session, ["agency-1"])
+            await cluster.wait_until_ready(session, ["shield-1", "edge-1"])
 
     asyncio.run(wait())
     yield cluster
@@ -179,7 +179,7 @@
 
 
 def test_taken_port_ends_the_start_with_a_remedy(running_cluster):
-    place = running_cluster.places["shield-1"]
+    place = running_cluster.placements["shield-1"]
     settings = [
         f"--{key.replace('_', '-')}={value}" for key, value in VALID_SETTINGS.items() if "port" not in key
     ]
