--- a/src/irisstand/cli/develop.py
+++ b/src/irisstand/cli/develop.py
@@ -102,14 +102,14 @@
     """Play scripts; exit code 1 if one of them broke an invariant."""
     from irisstand.simulator import hostile_scripts
 
-    figures = hostile_scripts.play_all(scripts, workers, first)
-    for example in figures.broken[:EXAMPLES_LIMIT]:
+    figures = hostile_scripts.run_all(scripts, workers, first)
+    for example in figures.violations[:EXAMPLES_LIMIT]:
         click.echo(example)
     click.echo(
         f"{figures.scripts} scripts, {figures.answered} answered, {figures.runs} runs at origins, "
-        f"{len(figures.broken)} broken"
+        f"{len(figures.violations)} broken"
     )
-    sys.exit(1 if figures.broken else 0)
+    sys.exit(1 if figures.violations else 0)
 
 
 @click.command(help="Stop real processes in series. Origins are slow, and a rate is scarce.")
--- a/src/irisstand/simulator/cluster_faults.py
+++ b/src/irisstand/simulator/cluster_faults.py
@@ -76,11 +76,15 @@
     """Cut the power of a node right after it confirmed a change, and in half of the cases lose its disk."""
     control_nodes = faults.cluster.with_role("agency")
     is_wiped = faults.randomness.random() < LIKELIHOOD
-    if not all(node.is_up for node in control_nodes) or faults.change is None or not faults.may_lose_disk():
+    if (
+        not all(node.is_up for node in control_nodes)
+        or faults.send_change is None
+        or not faults.may_lose_disk()
+    ):
         return
     node = faults.randomness.choice(control_nodes)
     faults.begin("gone-after-yes", node, " wiped" if is_wiped else "")
-    await faults.change(node.placement.name)
+    await faults.send_change(node.placement.name)
     if node.is_up:
         node.kill(reset=False)
     if is_wiped:
@@ -148,7 +152,7 @@
         number += 1
         for edge in sorted(waiting):
             path = f"/vacancies/again-{began:.0f}-{number}"
-            if (await actors.ask(edge, "GET", path))[0] == HTTP_OK:
+            if (await actors.send_request(edge, "GET", path))[0] == HTTP_OK:
                 waiting.discard(edge)
         edges = faults.cluster.with_role("edge")
         if not has_written:
--- a/src/irisstand/simulator/configuration_invariants.py
+++ b/src/irisstand/simulator/configuration_invariants.py
@@ -48,15 +48,15 @@
         self.cluster = cluster
         self.actors = cluster.actors
         self.checker = cluster.actors.checker
-        self.offers: dict[str, list[OfferedValue]] = collections.defaultdict(list)
-        self.number = 0
+        self.offered_values: dict[str, list[OfferedValue]] = collections.defaultdict(list)
+        self.changes_sent = 0
 
     # -- changes -------------------------------------------------------------------------------------
     def add_confirmed(self, values: dict[str, typing.Any], version: str) -> None:
         """Note values, by the names of their rows, that were confirmed just now."""
         now = asyncio.get_running_loop().time()
         for name, value in values.items():
-            self.offers[name].append(OfferedValue(value, now, now, versions.Version.parse(version)))
+            self.offered_values[name].append(OfferedValue(value, now, now, versions.Version.parse(version)))
 
     async def change(self, control_node: str, row: Row) -> None:
         """Send a change that expects the node's version of the row, again while its outcome is unknown."""
@@ -65,25 +65,25 @@
         expecting_row = {**row, "expected": str(configuration.version(name))}
         # From here on the change may be in force, long before its sender learns of it.
         offer = OfferedValue(row["value"], asyncio.get_running_loop().time(), None, None)
-        self.offers[name].append(offer)
-        self.number += 1
-        change_id = f"switch-{self.number}"
+        self.offered_values[name].append(offer)
+        self.changes_sent += 1
+        change_id = f"switch-{self.changes_sent}"
         for attempt in range(ATTEMPTS_LIMIT):
             try:
                 result = await self.actors.order(control_node, "change", [expecting_row], change_id)
             except errors.StaleVersionError:
                 self.checker.results["change: another came first"] += 1
-                self.offers[name].remove(offer)
+                self.offered_values[name].remove(offer)
                 return
             except errors.NoQuorumError:
                 self.checker.results["change: no majority"] += 1
                 # On a later attempt this may hide the unknown outcome of an earlier one.
                 if not attempt:
-                    self.offers[name].remove(offer)
+                    self.offered_values[name].remove(offer)
                 return
             except (errors.IrisError, TimeoutError):
                 # Unknown: under the same id every node must give the one true result.
-                control_node = self.another_node(control_node)
+                control_node = self.other_control_node(control_node)
             else:
                 self.confirm(name, offer, versions.Version.parse(result["serial"]))
                 return
@@ -92,13 +92,15 @@
     def confirm(self, name: str, offer: OfferedValue, version: versions.Version) -> None:
         """Note the confirmation of a change, and check that no other value has its version."""
         self.checker.results["change confirmed"] += 1
-        is_taken = any(other.version == version and other.value != offer.value for other in self.offers[name])
+        is_taken = any(
+            other.version == version and other.value != offer.value for other in self.offered_values[name]
+        )
         self.checker.check("two racing changes never both win", not is_taken, f"{name} {version}")
-        position = self.offers[name].index(offer)
+        position = self.offered_values[name].index(offer)
         now = asyncio.get_running_loop().time()
-        self.offers[name][position] = offer._replace(confirmed_at=now, version=version)
+        self.offered_values[name][position] = offer._replace(confirmed_at=now, version=version)
 
-    def another_node(self, control_node: str) -> str:
+    def other_control_node(self, control_node: str) -> str:
         """Return another control plane node that is up, or the same if there is none."""
         names = [node.placement.name for node in self.cluster.with_role("agency") if node.is_up]
         return next((name for name in names if name != control_node), control_node)
@@ -115,12 +117,12 @@
             pass
 
     # -- reads ---------------------------------------------------------------------------------------
-    async def read_switch(self, edge: str, number: int) -> None:
+    async def read_switch(self, edge: str, switch_number: int) -> None:
         """Read a path that changes point at different services, and check which service answered."""
-        name = f"/switch-{number}"
+        name = f"/switch-{switch_number}"
         loop = asyncio.get_running_loop()
         asked_at = loop.time()
-        response = await self.actors.ask(edge, "GET", name)
+        response = await self.actors.send_request(edge, "GET", name)
         self.checker.results[f"switch {response.status}"] += 1
         if response.status == HTTP_OK:
             service = json.loads(response.result.body)["service"]
@@ -130,42 +132,44 @@
 
     def allowed_services(self, name: str, asked_at: float, answered_at: float) -> set[str]:
         """Return the services that may answer: of the newest change surely in force, and of newer ones."""
-        offers = self.offers[name]
+        offered_values = self.offered_values[name]
         due = asked_at - IN_FORCE_GRACE_SECONDS
-        in_force = [offer for offer in offers if offer.confirmed_at is not None and offer.confirmed_at <= due]
+        in_force = [
+            offer for offer in offered_values if offer.confirmed_at is not None and offer.confirmed_at <= due
+        ]
         newest = newest_confirmed(in_force)
         return {
             offer.value["grants"][0]["service"]
-            for offer in offers
+            for offer in offered_values
             if (offer.version is None or offer.version >= newest.version) and offer.sent_at <= answered_at
         }
 
     async def read_ungranted(self, edge: str) -> None:
         """Read a path that no valid change ever allowed."""
-        response = await self.actors.ask(edge, "GET", NEVER_IN_FORCE)
+        response = await self.actors.send_request(edge, "GET", NEVER_IN_FORCE)
         rule = "no request reaches a service that no blueprint allowed"
         self.checker.check(rule, response.status != HTTP_OK, f"{edge} answered")
 
     # -- the end of a day ----------------------------------------------------------------------------
-    def close(self) -> None:
+    def check_nodes(self) -> None:
         """Check the tables of all nodes that are up."""
         contexts = {name: node.program.context for name, node in self.cluster.nodes.items() if node.is_up}
         for name, context in contexts.items():
             self.check_configuration(name, context)
         for table in items.TABLES:
             self.check_replicas(table, list(contexts.values()))
-        self.checker.results["rows watched"] += len(self.offers)
+        self.checker.results["rows watched"] += len(self.offered_values)
 
     def check_configuration(self, node: str, context: node_context.NodeContext) -> None:
         """Check that a node has each row as confirmed last, or as a newer change of unknown outcome."""
         configuration = context.configuration
-        for key, offers in self.offers.items():
+        for key, offered_values in self.offered_values.items():
             value = configuration.value(key)
             version = configuration.version(key)
-            newest = newest_confirmed(offers)
+            newest = newest_confirmed(offered_values)
             is_confirmed = value == newest.value and version == newest.version
             is_newer = version > newest.version and any(
-                offer.version is None and offer.value == value for offer in offers
+                offer.version is None and offer.value == value for offer in offered_values
             )
             rule = "the table read back is what was confirmed"
             example = f"{node} {key}: {version} where {newest.version} was confirmed"
@@ -181,7 +185,9 @@
         self.checker.check("all copies come out alike", are_equal, f"{table}: {states}")
 
 
-def newest_confirmed(offers: list[OfferedValue]) -> ConfirmedValue:
+def newest_confirmed(offered_values: list[OfferedValue]) -> ConfirmedValue:
     """Return the confirmed value with the highest version; of equal versions, the first."""
-    confirmed = [ConfirmedValue(offer.value, offer.version) for offer in offers if offer.version is not None]
+    confirmed = [
+        ConfirmedValue(offer.value, offer.version) for offer in offered_values if offer.version is not None
+    ]
     return max(confirmed, key=lambda entry: entry.version)
--- a/src/irisstand/simulator/failure_detection_benchmark.py
+++ b/src/irisstand/simulator/failure_detection_benchmark.py
@@ -13,13 +13,13 @@
 PERIOD_SECONDS = detector.Parameters.period_seconds
 
 
-def spread(values: list[float]) -> str:
+def summarize(values: list[float]) -> str:
     """Return mean, median, 90th percentile and maximum as a text."""
     ordered = sorted(values)
-    middle = ordered[len(ordered) // 2]
-    tenth = ordered[int(len(ordered) * 0.9)]
+    median = ordered[len(ordered) // 2]
+    percentile_90 = ordered[int(len(ordered) * 0.9)]
     mean = sum(ordered) / len(ordered)
-    return f"mean {mean:.2f}, median {middle:.2f}, 90th hundredth {tenth:.2f}, most {ordered[-1]:.2f}"
+    return f"mean {mean:.2f}, median {median:.2f}, 90th hundredth {percentile_90:.2f}, most {ordered[-1]:.2f}"
 
 
 class FailureDetectionBenchmark:
@@ -34,11 +34,11 @@
     def __init__(self, seed: int, loss: float) -> None:
         self.cluster = simulated_cluster.SimulatedCluster(seed, processes.SHAPES["karbes"])
         self.loss = loss
-        self.first: dict[updates.MemberState, float] = {}
-        self.last = 0.0
+        self.first_update_at: dict[updates.MemberState, float] = {}
+        self.last_confirm_at = 0.0
         self.victim = ""
 
-    def listen(self) -> None:
+    def attach_listeners(self) -> None:
         """Listen to the detectors of all present processes."""
         for node in self.cluster.nodes.values():
             listeners = node.program.context.detector.listeners
@@ -49,15 +49,15 @@
         """Note an update on the victim."""
         if update.identity.name == self.victim and update.state is not updates.MemberState.ALIVE:
             now = asyncio.get_running_loop().time()
-            self.first.setdefault(update.state, now)
+            self.first_update_at.setdefault(update.state, now)
             if update.state is updates.MemberState.CONFIRM:
-                self.last = now
+                self.last_confirm_at = now
 
-    def is_known(self) -> bool:
+    def is_removed_everywhere(self) -> bool:
         """Return whether no other member lists the victim any more."""
         others = [node for name, node in self.cluster.nodes.items() if name != self.victim]
         return all(
-            all(who.name != self.victim for who in node.program.context.detector.member_list.members)
+            all(member.name != self.victim for member in node.program.context.detector.member_list.members)
             for node in others
         )
 
@@ -67,28 +67,34 @@
         await cluster.start_all()
         await cluster.wait_until_ready()
         cluster.network.loss = self.loss
-        suspicions: list[float] = []
-        confirms: list[float] = []
-        spreads: list[float] = []
+        suspicion_periods: list[float] = []
+        confirm_periods: list[float] = []
+        dissemination_periods: list[float] = []
         for _ in range(kills):
             await asyncio.sleep(cluster.randomness.uniform(10, 20))
-            self.listen()
+            self.attach_listeners()
             self.victim = cluster.randomness.choice(list(cluster.nodes))
-            self.first.clear()
+            self.first_update_at.clear()
             node = cluster.nodes[self.victim]
             node.kill(reset=False)
             killed = asyncio.get_running_loop().time()
-            await cluster.wait_until(self.is_known, 120)
-            suspicions.append((self.first[updates.MemberState.SUSPECT] - killed) / PERIOD_SECONDS)
-            confirms.append((self.first[updates.MemberState.CONFIRM] - killed) / PERIOD_SECONDS)
-            spreads.append((self.last - self.first[updates.MemberState.CONFIRM]) / PERIOD_SECONDS)
+            await cluster.wait_until(self.is_removed_everywhere, 120)
+            suspicion_periods.append(
+                (self.first_update_at[updates.MemberState.SUSPECT] - killed) / PERIOD_SECONDS
+            )
+            confirm_periods.append(
+                (self.first_update_at[updates.MemberState.CONFIRM] - killed) / PERIOD_SECONDS
+            )
+            dissemination_periods.append(
+                (self.last_confirm_at - self.first_update_at[updates.MemberState.CONFIRM]) / PERIOD_SECONDS
+            )
             self.victim = ""
             await node.start()
         members = len(cluster.nodes)
         lines = [f"{members} members, {kills} kills, {self.loss:.0%} of packets lost; figures in periods"]
-        lines.append(f"first suspicion: {spread(suspicions)}")
-        lines.append(f"first Confirm: {spread(confirms)}")
-        lines.append(f"spread of Confirm: {spread(spreads)}")
+        lines.append(f"first suspicion: {summarize(suspicion_periods)}")
+        lines.append(f"first Confirm: {summarize(confirm_periods)}")
+        lines.append(f"spread of Confirm: {summarize(dissemination_periods)}")
         expected = 1 / (1 - math.exp(-1))
         lines.append(f"the paper expects a first suspicion after {expected:.2f} periods, section 3.1")
         contexts = [node.program.context for node in cluster.nodes.values()]
@@ -96,8 +102,8 @@
             "a suspicion ripens after "
             f"{max(context.detector.transmission_limit() for context in contexts)} periods"
         )
-        lives = sum(context.counters.get("swim_lives") for context in contexts)
-        lines.append(f"living members that were declared failed: {lives:.0f}")
+        false_positives = sum(context.counters.get("swim_lives") for context in contexts)
+        lines.append(f"living members that were declared failed: {false_positives:.0f}")
         return lines
 
 
--- a/src/irisstand/simulator/fault_context.py
+++ b/src/irisstand/simulator/fault_context.py
@@ -8,7 +8,7 @@
 
 from irisstand.simulator import simulated_cluster, simulated_node
 
-Change = collections.abc.Callable[[str], collections.abc.Awaitable[None]]
+SendChange = collections.abc.Callable[[str], collections.abc.Awaitable[None]]
 
 
 class LogEntry(typing.NamedTuple):
@@ -38,7 +38,7 @@
         self.affected: set[str] = set()
         self.tasks: set[asyncio.Task[None]] = set()
         self.is_exclusive = False
-        self.change: Change | None = None
+        self.send_change: SendChange | None = None
 
     def record(self, kind: str, target: str) -> None:
         """Count a fault and write it to the log."""
--- a/src/irisstand/simulator/hostile_scripts.py
+++ b/src/irisstand/simulator/hostile_scripts.py
@@ -35,7 +35,7 @@
 # By then whatever was still on its way has run.
 SETTLE_SECONDS = 3
 ALWAYS_CURRENT_SECONDS = 1e6
-SCRIPTS_IN_A_PIECE = 500
+SCRIPTS_PER_BATCH = 500
 
 
 class Script:
@@ -43,8 +43,8 @@
 
     def __init__(self, seed: int) -> None:
         self.randomness = random.Random(seed)
-        self.record = hostile_origin.RequestLog()
-        self.broken: list[str] = []
+        self.request_log = hostile_origin.RequestLog()
+        self.violations: list[str] = []
         self.answered = 0
         self.writes: set[str] = set()
         clock = clocks.LoopClock()
@@ -85,7 +85,7 @@
     async def connect(self, host: str, port: int) -> exchange.Exchange:
         """Open a connection to a hostile origin, whichever address is wanted."""
         connection = exchange.Exchange(hostile_origin.ID)
-        hostile_origin.join(connection, hostile_origin.HostileOrigin(self.randomness, self.record))
+        hostile_origin.join(connection, hostile_origin.HostileOrigin(self.randomness, self.request_log))
         return connection
 
     async def request(self, number: int) -> None:
@@ -112,20 +112,20 @@
             answer.body
         )
         is_own = answer.headers.get(hostile_origin.ID) == request_id
-        if answer.status in NOT_RUN_STATUSES and self.record.runs[request_id]:
-            self.broken.append(f"{request_id} was told {answer.status}, and ran")
+        if answer.status in NOT_RUN_STATUSES and self.request_log.runs[request_id]:
+            self.violations.append(f"{request_id} was told {answer.status}, and ran")
         if answer.status == HTTP_OK and (answer.body != expected or not is_sealed or not is_own):
-            self.broken.append(f"{request_id} got {answer}")
+            self.violations.append(f"{request_id} got {answer}")
 
     async def check_rejection(self, kind: str, request_id: str, error: errors.IrisError) -> None:
         """Check that a write whose client was told that it has not run never runs."""
         if kind != "writes" or error.status not in NOT_RUN_STATUSES:
             return
         await asyncio.sleep(SETTLE_SECONDS)
-        if self.record.runs[request_id]:
-            self.broken.append(f"{request_id} was told {error.code}, and ran")
+        if self.request_log.runs[request_id]:
+            self.violations.append(f"{request_id} was told {error.code}, and ran")
 
-    async def play(self) -> None:
+    async def run(self) -> None:
         """Send all requests, and check that no write ran twice."""
         requests = []
         for number in range(REQUESTS):
@@ -134,8 +134,8 @@
         await asyncio.gather(*requests)
         await asyncio.sleep(SETTLE_SECONDS)
         for name in sorted(self.writes):
-            if self.record.runs[name] > 1:
-                self.broken.append(f"{name} ran {self.record.runs[name]} times")
+            if self.request_log.runs[name] > 1:
+                self.violations.append(f"{name} ran {self.request_log.runs[name]} times")
 
 
 class FuzzResult(typing.NamedTuple):
@@ -144,36 +144,36 @@
     scripts: int
     answered: int
     runs: int
-    broken: tuple[str, ...]
+    violations: tuple[str, ...]
 
 
-def play(seeds: range) -> FuzzResult:
+def run_scripts(seeds: range) -> FuzzResult:
     """Play these scripts, each on a loop of its own."""
     answered = 0
     runs = 0
-    broken: list[str] = []
+    violations: list[str] = []
 
-    async def play_script(seed: int) -> Script:
+    async def run_script(seed: int) -> Script:
         script = Script(seed)
-        await script.play()
+        await script.run()
         return script
 
     for seed in seeds:
-        script = virtual_time.run(play_script(seed))
+        script = virtual_time.run(run_script(seed))
         answered += script.answered
-        runs += script.record.runs.total()
-        broken += [f"seed {seed}: {what}" for what in script.broken]
-    return FuzzResult(len(seeds), answered, runs, tuple(broken))
+        runs += script.request_log.runs.total()
+        violations += [f"seed {seed}: {what}" for what in script.violations]
+    return FuzzResult(len(seeds), answered, runs, tuple(violations))
 
 
-def play_all(scripts: int, workers: int, first: int = 1, size: int = SCRIPTS_IN_A_PIECE) -> FuzzResult:
+def run_all(scripts: int, workers: int, first: int = 1, size: int = SCRIPTS_PER_BATCH) -> FuzzResult:
     """Play scripts in several processes, `size` of them at a time, and return the sums."""
-    pieces = [range(n, min(n + size, first + scripts)) for n in range(first, first + scripts, size)]
+    batches = [range(n, min(n + size, first + scripts)) for n in range(first, first + scripts, size)]
     with concurrent.futures.ProcessPoolExecutor(workers) as pool:
-        results = list(pool.map(play, pieces))
+        results = list(pool.map(run_scripts, batches))
     return FuzzResult(
         scripts=sum(result.scripts for result in results),
         answered=sum(result.answered for result in results),
         runs=sum(result.runs for result in results),
-        broken=tuple(violation for result in results for violation in result.broken),
+        violations=tuple(violation for result in results for violation in result.violations),
     )
--- a/src/irisstand/simulator/invariant_watcher.py
+++ b/src/irisstand/simulator/invariant_watcher.py
@@ -7,7 +7,7 @@
 from irisstand.simulator import simulated_cluster, simulated_node, standby_invariants
 from irisstand.state import versions
 
-LOOK_INTERVAL_SECONDS = standby_invariants.LOOK_INTERVAL_SECONDS
+CHECK_INTERVAL_SECONDS = standby_invariants.CHECK_INTERVAL_SECONDS
 
 
 class QuotaUse(typing.NamedTuple):
@@ -34,10 +34,10 @@
     async def run(self) -> None:
         """Look until cancelled."""
         while True:
-            self.look()
-            await asyncio.sleep(LOOK_INTERVAL_SECONDS)
+            self.check()
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Check all nodes as they are now."""
         nodes = {
             name: node for name, node in self.cluster.nodes.items() if node.is_up and node.program is not None
@@ -46,7 +46,7 @@
             self.check_replicas(name, node)
         self.check_leases(nodes)
         self.check_quota_shares(nodes)
-        self.standby_invariants.look(self.now())
+        self.standby_invariants.check(self.now())
 
     def check_replicas(self, name: str, node: simulated_node.SimulatedNode) -> None:
         """Check that no current replica of a node goes back."""
--- a/src/irisstand/simulator/memory_disk.py
+++ b/src/irisstand/simulator/memory_disk.py
@@ -28,13 +28,13 @@
         self.quarantined: list[str] = []
         self.stalled = False
         self.full = False
-        self.slowness = DEFAULT_WRITE_SECONDS
+        self.max_operation_seconds = DEFAULT_WRITE_SECONDS
         self.writes = 0
         self.removals = 0
 
-    async def turn(self) -> None:
+    async def simulate_latency(self) -> None:
         """Take the time of one disk operation."""
-        await asyncio.sleep(self.randomness.uniform(0.1, 1.0) * self.slowness)
+        await asyncio.sleep(self.randomness.uniform(0.1, 1.0) * self.max_operation_seconds)
         while self.stalled:  # noqa: ASYNC110 - the draws and times of seeded days rest on polling
             await asyncio.sleep(STALL_POLL_SECONDS)
 
@@ -45,17 +45,17 @@
             errors.DiskFullError: The disk is full; files written before it was are there.
         """
         for name, content in files:
-            await self.turn()
+            await self.simulate_latency()
             if self.full:
                 raise errors.DiskFullError("the simulated disk is full")
             self.files[name] = disk.add_checksum(content)
             self.writes += 1
-        await self.turn()
+        await self.simulate_latency()
 
     async def remove(self, names: collections.abc.Sequence[str]) -> None:
         """Remove files, all in the time of one operation: the real disk renames them for later use."""
         self.removals += 1
-        await self.turn()
+        await self.simulate_latency()
         for name in names:
             self.files.pop(name, None)
 
--- a/src/irisstand/simulator/memory_network.py
+++ b/src/irisstand/simulator/memory_network.py
@@ -29,19 +29,19 @@
 
     def __init__(
         self,
-        shared: simulated_network.SimulatedNetwork,
+        shared_network: simulated_network.SimulatedNetwork,
         actor: virtual_time.Actor | None,
         host: str,
         peer_host: str,
     ) -> None:
-        self.network = shared
+        self.network = shared_network
         self.actor = actor
         self.host = host
         self.peer_host = peer_host
         self.received: asyncio.Queue[bytes | None] = asyncio.Queue()
         self.closed = False
-        self.free_at = 0.0
-        self.empty = contextvars.Context()
+        self.last_arrival_at = 0.0
+        self.empty_context = contextvars.Context()
 
     async def read(self) -> bytes:
         """Return the next payload.
@@ -62,23 +62,27 @@
         if self.closed:
             return
         self.network.bytes_sent[self.host] += len(payload) + FRAME_HEADER_BYTES
-        self.post(payload)
+        self.schedule_delivery(payload)
 
-    def post(self, payload: bytes | None) -> None:
+    def schedule_delivery(self, payload: bytes | None) -> None:
         """Schedule the arrival of a payload, or of the end of the connection."""
         loop = virtual_time.running_loop()
         if loop.ending:
             return
         # Never before what was written earlier, whatever the draw of the delay.
-        self.free_at = max(self.free_at, loop.time() + self.network.delay(self.host, self.peer_host))
-        loop.call_at(self.free_at, self.deliver, payload, context=self.empty.copy())
+        self.last_arrival_at = max(
+            self.last_arrival_at, loop.time() + self.network.delay(self.host, self.peer_host)
+        )
+        loop.call_at(self.last_arrival_at, self.deliver, payload, context=self.empty_context.copy())
 
     def deliver(self, payload: bytes | None) -> None:
         """Let a payload arrive, or try again later across a partition."""
         loop = asyncio.get_running_loop()
-        if self.network.is_cut(self.host, self.peer_host):
-            self.free_at = max(self.free_at, loop.time() + RETRANSMIT_SECONDS)
-            loop.call_at(loop.time() + RETRANSMIT_SECONDS, self.deliver, payload, context=self.empty.copy())
+        if self.network.is_partitioned(self.host, self.peer_host):
+            self.last_arrival_at = max(self.last_arrival_at, loop.time() + RETRANSMIT_SECONDS)
+            loop.call_at(
+                loop.time() + RETRANSMIT_SECONDS, self.deliver, payload, context=self.empty_context.copy()
+            )
         elif not self.peer.closed:
             self.peer.received.put_nowait(payload)
         elif payload is not None and self.network.is_machine_up(self.peer_host):
@@ -99,18 +103,18 @@
         if not self.closed:
             self.closed = True
             self.received.put_nowait(None)
-            self.post(None)
+            self.schedule_delivery(None)
 
     def reset_peer(self) -> None:
         """Close the other end."""
-        self.post(None)
+        self.schedule_delivery(None)
 
 
 class MemoryPort:
     """A datagram port of one host."""
 
-    def __init__(self, shared: simulated_network.SimulatedNetwork, address: network.Address) -> None:
-        self.network = shared
+    def __init__(self, shared_network: simulated_network.SimulatedNetwork, address: network.Address) -> None:
+        self.network = shared_network
         self.address = address
 
     def send(self, payload: bytes, address: network.Address) -> None:
@@ -125,7 +129,7 @@
     def arrive(self, payload: bytes, address: network.Address) -> None:
         """Hand a datagram to the process at the address, if there is one and it can be reached."""
         target = self.network.ports.get(address)
-        if target is not None and not self.network.is_cut(self.address[0], address[0]):
+        if target is not None and not self.network.is_partitioned(self.address[0], address[0]):
             loop = asyncio.get_running_loop()
             loop.call_soon(target.on_datagram, payload, self.address, context=target.actor.context.copy())
 
@@ -137,8 +141,8 @@
 class MemoryListener:
     """Accepts connections at an address until it is closed."""
 
-    def __init__(self, shared: simulated_network.SimulatedNetwork, address: network.Address) -> None:
-        self.network = shared
+    def __init__(self, shared_network: simulated_network.SimulatedNetwork, address: network.Address) -> None:
+        self.network = shared_network
         self.address = address
 
     def close(self) -> None:
@@ -149,8 +153,8 @@
 class HostNetwork:
     """The network as one process sees it (`transport.network.Network`)."""
 
-    def __init__(self, shared: simulated_network.SimulatedNetwork, host: str) -> None:
-        self.network = shared
+    def __init__(self, shared_network: simulated_network.SimulatedNetwork, host: str) -> None:
+        self.network = shared_network
         self.host = host
 
     async def connect(self, address: network.Address) -> network.Stream:
@@ -160,7 +164,7 @@
             ConnectionRefusedError: Nobody listens there.
         """
         await asyncio.sleep(2 * self.network.delay(self.host, address[0]))
-        while self.network.is_cut(self.host, address[0]):  # noqa: ASYNC110 - the draws and times of seeded days rest on polling
+        while self.network.is_partitioned(self.host, address[0]):  # noqa: ASYNC110 - the draws and times of seeded days rest on polling
             await asyncio.sleep(RETRANSMIT_SECONDS)
         if address not in self.network.listeners:
             raise ConnectionRefusedError(str(address))
--- a/src/irisstand/simulator/node_faults.py
+++ b/src/irisstand/simulator/node_faults.py
@@ -62,7 +62,7 @@
 async def isolate(faults: fault_context.FaultContext) -> None:
     """Partition one node off from all others."""
     node = faults.pick_node()
-    if node is None or faults.cluster.network.cuts:
+    if node is None or faults.cluster.network.partitioned_pairs:
         return
     faults.begin("isolate", node)
     faults.cluster.partition_off([node.placement.name])
@@ -74,7 +74,7 @@
 
 async def split(faults: fault_context.FaultContext) -> None:
     """Partition two sites off from the others."""
-    if faults.cluster.network.cuts:
+    if faults.cluster.network.partitioned_pairs:
         return
     sites = {site for site, _ in faults.randomness.sample(faults.cluster.shape.sites, 2)}
     faults.record("split", str(sorted(sites)))
--- a/src/irisstand/simulator/origin_faults.py
+++ b/src/irisstand/simulator/origin_faults.py
@@ -58,7 +58,7 @@
     """Let an origin be listed as cold from now on."""
     origin.state = "cold"
     origin.warmup = WARMUP_SECONDS
-    origin.cold.append((fault_context.now(), WARMUP_SECONDS))
+    origin.warmup_periods.append((fault_context.now(), WARMUP_SECONDS))
 
 
 def staying_origins(faults: fault_context.FaultContext) -> list[simulated_origins.SimulatedOrigin]:
@@ -74,7 +74,7 @@
     old = faults.randomness.choice(candidates)
     faults.record("origin-leaves", old.instance)
     old.state = "leaving"
-    old.leaves.append([fault_context.now(), float("inf")])
+    old.leaving_periods.append([fault_context.now(), float("inf")])
     await faults.pause(2.5, 6)
     if old in faults.cluster.actors.origins:
         replace(faults, old)
@@ -103,7 +103,7 @@
     successor.host = old.host
     successor.port = old.port
     mark_cold(successor)
-    actors.at[(old.host, old.port)] = successor
+    actors.origins_by_address[(old.host, old.port)] = successor
     actors.all_origins.append(successor)
     await faults.pause(0.5, 3)
     if old in actors.origins:
--- a/src/irisstand/simulator/origin_invariants.py
+++ b/src/irisstand/simulator/origin_invariants.py
@@ -37,13 +37,13 @@
         self.checker = cluster.actors.checker
         self.limits = {service: ServiceLimit(*limit) for service, limit in limits.items()}
 
-    def close(self) -> None:
+    def check_records(self) -> None:
         """Check all records."""
         for service, limit in self.limits.items():
             origins = [origin for origin in self.actors.all_origins if origin.service == service]
             self.check_rate(service, origins, limit.rate)
             self.check_in_flight(service, origins, limit.in_flight)
-            even_share = limit.rate / max(1, self.actors.counts[service])
+            even_share = limit.rate / max(1, self.actors.minimum_origin_counts[service])
             for origin in origins:
                 self.check_cold(origin, even_share)
                 self.check_leaving(origin)
@@ -63,8 +63,8 @@
     ) -> None:
         """Check the number of requests in flight at the start of each; ends of a moment come first."""
         rule = "no service has more under way than its ceiling"
-        events = [(start, 1) for origin in origins for start, _ in origin.spans]
-        events += [(end, -1) for origin in origins for _, end in origin.spans]
+        events = [(start, 1) for origin in origins for start, _ in origin.work_periods]
+        events += [(end, -1) for origin in origins for _, end in origin.work_periods]
         count = 0
         for moment, step in sorted(events):
             count += step
@@ -75,7 +75,7 @@
         """Check that a warming origin gets its part of an even share, and one request more per shield."""
         rule = "a cold origin gets no more than its warmth allows"
         moments = [moment for moment, _ in origin.started]
-        for began, lasts in origin.cold:
+        for began, lasts in origin.warmup_periods:
             first = bisect.bisect_left(moments, began)
             for position in range(first, bisect.bisect_left(moments, began + lasts)):
                 moment = moments[position]
@@ -89,7 +89,7 @@
     def check_leaving(self, origin: simulated_origins.SimulatedOrigin) -> None:
         """Check that an origin which is listed as leaving gets no new work."""
         rule = "a leaving origin gets no new work 2 s after the platform says so"
-        for listed_at, until in origin.leaves:
+        for listed_at, until in origin.leaving_periods:
             due = self.learnable_at(listed_at) + LEAVING_GRACE_SECONDS
             late = [moment for moment, _ in origin.started if due < moment < until]
             self.checker.check(rule, not late, f"{origin.instance} said {listed_at:.2f}: work at {late[:3]}")
--- a/src/irisstand/simulator/propagation_benchmark.py
+++ b/src/irisstand/simulator/propagation_benchmark.py
@@ -9,8 +9,8 @@
 # Before the measurement quota shares and standbys come to rest.
 SETTLE_SECONDS = 40
 ROWS_IN_A_CHANGE_LIMIT = 500
-CORE_NODES = 5
-INVALID_EACH = 10
+CONTROL_NODES = 5
+INVALID_ORDER_INTERVAL = 10
 QUANTILE = 0.99
 COUNTERS = ("ballots_held", "ballots_lost", "batches_confirmed")
 
@@ -59,13 +59,13 @@
     async def run(self) -> PropagationFigures:
         """Run the clients and return what was measured."""
         await self.day.open()
-        await self.fill()
+        await self.add_unrelated_rows()
         await asyncio.sleep(SETTLE_SECONDS)
-        counts_before = [self.counted(name) for name in COUNTERS]
+        counts_before = [self.counter_total(name) for name in COUNTERS]
         bytes_before = self.day.cluster.network.bytes_sent.total()
         await asyncio.gather(*(self.run_client(number) for number in range(self.clients)))
         held, lost, batches = (
-            self.counted(name) - before for name, before in zip(COUNTERS, counts_before, strict=True)
+            self.counter_total(name) - before for name, before in zip(COUNTERS, counts_before, strict=True)
         )
         bytes_sent = self.day.cluster.network.bytes_sent.total() - bytes_before
         ordered = sorted(self.latencies)
@@ -81,12 +81,12 @@
             bytes_each_second=bytes_sent / self.seconds / len(self.day.cluster.nodes),
         )
 
-    def counted(self, name: str) -> float:
+    def counter_total(self, name: str) -> float:
         """Return the sum of a counter over the control plane nodes."""
         nodes = self.day.cluster.with_role("agency")
         return float(sum(node.program.context.counters.total(name) for node in nodes))
 
-    async def fill(self) -> None:
+    async def add_unrelated_rows(self) -> None:
         """Add rows that the clients do not touch."""
         grants = [{"service": "content", "methods": ["GET"]}]
         rows = [
@@ -100,7 +100,7 @@
         """Send orders until the time is over."""
         loop = asyncio.get_running_loop()
         end = loop.time() + self.seconds
-        control_node = f"agency-{number % CORE_NODES + 1}"
+        control_node = f"agency-{number % CONTROL_NODES + 1}"
         count = 0
         while loop.time() < end:
             count += 1
@@ -117,7 +117,7 @@
 
 def make_order(client: int, count: int) -> Order:
     """Return a client's order by its count: invalid ones, changes and purges."""
-    if count % INVALID_EACH == 0:
+    if count % INVALID_ORDER_INTERVAL == 0:
         return Order("change", [day_kinds.switch_row(client % day_kinds.SWITCHES, "nobody")])
     if client % 2:
         row = {"kind": "site", "name": f"storm-{client}", "value": {"weight": count % 1000}}
--- a/src/irisstand/simulator/restart_measurement.py
+++ b/src/irisstand/simulator/restart_measurement.py
@@ -13,9 +13,9 @@
 from irisstand.state import items, replica
 from irisstand.state.storage import disk, durable_store
 
-CHANGES = (300, 3000, 30000)
+CHANGE_COUNTS = (300, 3000, 30000)
 KEYS = 2000
-REMOVALS = 0.2
+REMOVAL_LIKELIHOOD = 0.2
 
 
 class RestartFigures(typing.NamedTuple):
@@ -31,16 +31,16 @@
     wiped_seconds: float
 
 
-def change(live: replica.Replica, randomness: random.Random) -> None:
+def apply_random_change(live_replica: replica.Replica, randomness: random.Random) -> None:
     """Apply one batch of one row; some remove what is there."""
     key = f"path/{randomness.randrange(KEYS)}"
-    is_removal = key in live.items and randomness.random() < REMOVALS
+    is_removal = key in live_replica.items and randomness.random() < REMOVAL_LIKELIHOOD
     value = None if is_removal else {"grants": [{"service": "content"}], "life": randomness.random()}
     row = items.Row(key, value, is_removal)
-    live.apply(items.Batch(live.applied.successor("core-1~ab"), live.applied, (row,)))
+    live_replica.apply(items.Batch(live_replica.applied.successor("core-1~ab"), live_replica.applied, (row,)))
 
 
-async def opened(folder: simulated_folder.SimulatedFolder) -> durable_store.DurableStore:
+async def open_store(folder: simulated_folder.SimulatedFolder) -> durable_store.DurableStore:
     """Return a store that was opened on a directory."""
     folder_disk = disk.FolderDisk(pathlib.Path("simulated"), folder)
     store = durable_store.DurableStore(folder_disk, random.Random(1))
@@ -53,40 +53,40 @@
     table = items.CONFIGURATION
     randomness = random.Random(changes)
     folder = simulated_folder.SimulatedFolder(random.Random(2))
-    live = replica.Replica(table)
-    store = await opened(folder)
+    live_replica = replica.Replica(table)
+    store = await open_store(folder)
     for _ in range(changes):
-        change(live, randomness)
-        await store.save_replica(table, live, store.records[table])
+        apply_random_change(live_replica, randomness)
+        await store.save_replica(table, live_replica, store.records[table])
     files = len(folder.entries)
     folder_bytes = sum(folder.size(name) for name in folder.entries)
     started = time.process_time()
-    again = await opened(folder)
-    loading = time.process_time() - started
-    assert again.intact[table]
-    assert again.replicas[table].root_digest() == live.root_digest()
+    restarted = await open_store(folder)
+    load_seconds = time.process_time() - started
+    assert restarted.intact[table]
+    assert restarted.replicas[table].root_digest() == live_replica.root_digest()
     empty = simulated_folder.SimulatedFolder(random.Random(3))
-    wiped = await opened(empty)
+    wiped = await open_store(empty)
     syncs = empty.syncs
-    written = empty.written
+    bytes_written = empty.bytes_written
     started = time.process_time()
-    await wiped.save_replica(table, live, wiped.records[table])
-    saving = time.process_time() - started
+    await wiped.save_replica(table, live_replica, wiped.records[table])
+    save_seconds = time.process_time() - started
     return RestartFigures(
         changes=changes,
-        items=len(live.items),
+        items=len(live_replica.items),
         files=files,
         folder_bytes=folder_bytes,
-        load_seconds=loading,
+        load_seconds=load_seconds,
         wiped_syncs=empty.syncs - syncs,
-        wiped_bytes=empty.written - written,
-        wiped_seconds=saving,
+        wiped_bytes=empty.bytes_written - bytes_written,
+        wiped_seconds=save_seconds,
     )
 
 
 def main() -> None:
     """Print one line for each number of changes."""
-    for changes in CHANGES:
+    for changes in CHANGE_COUNTS:
         print(asyncio.run(measure(changes)))
 
 
--- a/src/irisstand/simulator/simulated_actors.py
+++ b/src/irisstand/simulator/simulated_actors.py
@@ -25,7 +25,7 @@
 PLATFORM_WINDOW_LIMIT = 12
 PLATFORM_SECOND_LIMIT = 2
 PLATFORM_DELAY_SECONDS = 0.01
-CREDENTIALS_EACH = 5
+CREDENTIALS_INTERVAL = 5
 KEYED_WRITE_PAUSE_SECONDS = 0.5
 
 
@@ -66,22 +66,25 @@
         self.checker = invariant_checker.InvariantChecker(self.records)
         self.origins: list[simulated_origins.SimulatedOrigin] = []
         self.all_origins: list[simulated_origins.SimulatedOrigin] = []
-        self.counts: dict[str, int] = {}
+        self.minimum_origin_counts: dict[str, int] = {}
         self.platform_requests: list[float] = []
         self.platform_outages: list[tuple[float, float]] = []
         self.evacuations: dict[str, list[list[float]]] = collections.defaultdict(list)
-        self.at: dict[tuple[str, int], simulated_origins.SimulatedOrigin] = {}
+        self.origins_by_address: dict[tuple[str, int], simulated_origins.SimulatedOrigin] = {}
         self.platform_up = True
-        self.platform_says: bytes | None = None
-        self.number = 0
+        self.platform_override: bytes | None = None
+        self.last_number = 0
         self.add_origins()
 
     # -- origins and platform ------------------------------------------------------------------------
     def add_origins(self) -> None:
         """Add the origins of the cluster's shape, spread over its sites."""
         shape = self.cluster.shape
-        self.counts = {"content": shape.content_origins, "application": shape.application_origins}
-        for service, count in self.counts.items():
+        self.minimum_origin_counts = {
+            "content": shape.content_origins,
+            "application": shape.application_origins,
+        }
+        for service, count in self.minimum_origin_counts.items():
             for index in range(count):
                 site, region = shape.sites[index % len(shape.sites)]
                 self.add_origin(service, f"{service}-{index + 1}", site, region)
@@ -91,22 +94,22 @@
     ) -> simulated_origins.SimulatedOrigin:
         """Add an origin at an address of its own, and list it."""
         origin = simulated_origins.SimulatedOrigin(service, instance, site, self.records)
-        origin.host = f"10.0.1.{len(self.at) + 1}"
+        origin.host = f"10.0.1.{len(self.origins_by_address) + 1}"
         self.cluster.network.regions[origin.host] = region
         self.origins.append(origin)
         self.all_origins.append(origin)
-        self.at[(origin.host, origin.port)] = origin
+        self.origins_by_address[(origin.host, origin.port)] = origin
         return origin
 
     def unlist(self, origin: simulated_origins.SimulatedOrigin) -> None:
         """Take an origin out of the platform's list."""
         self.origins.remove(origin)
         left = sum(other.service == origin.service for other in self.origins)
-        self.counts[origin.service] = min(self.counts[origin.service], left)
+        self.minimum_origin_counts[origin.service] = min(self.minimum_origin_counts[origin.service], left)
 
-    def reaches(self, origin: simulated_origins.SimulatedOrigin, address: tuple[str, int]) -> bool:
+    def answers_at(self, origin: simulated_origins.SimulatedOrigin, address: tuple[str, int]) -> bool:
         """Return whether this origin still answers at this address."""
-        return origin.up and self.at.get(address) is origin
+        return origin.up and self.origins_by_address.get(address) is origin
 
     async def ask_platform(self) -> origin_source.PlatformAnswer:
         """Return the platform's list of origins.
@@ -126,8 +129,8 @@
         await asyncio.sleep(PLATFORM_DELAY_SECONDS)
         if not self.platform_up:
             raise ConnectionRefusedError("the platform is down")
-        if self.platform_says is not None:
-            return origin_source.PlatformAnswer(self.platform_says, 0.0)
+        if self.platform_override is not None:
+            return origin_source.PlatformAnswer(self.platform_override, 0.0)
         listed = [origin.listing() for origin in self.origins]
         return origin_source.PlatformAnswer(json.dumps({"origins": listed}).encode(), 0.0)
 
@@ -147,20 +150,20 @@
             errors.IrisError: The order was refused, or its outcome is unknown.
             TimeoutError: No answer came.
         """
-        self.number += 1
-        order = orders.Order(kind, change or f"change-{self.number}", payload)
+        self.last_number += 1
+        order = orders.Order(kind, change or f"change-{self.last_number}", payload)
         node = self.cluster.nodes[name]
         # The operators' interface says so, or its listener is closed.
         if node.program.context.is_draining:
             raise errors.DrainingError(f"{name} is shutting down")
         with node.counted_request():
-            result: dict[str, typing.Any] = await node.do(
+            result: dict[str, typing.Any] = await node.run(
                 node.program.submitter.submit_for_operator(order), REQUEST_TIMEOUT_SECONDS
             )
             return result
 
     # -- clients -------------------------------------------------------------------------------------
-    async def ask(
+    async def send_request(
         self, name: str, method: str, path: str, body: bytes = b"", **headers: str
     ) -> ClientResponse:
         """Send a client's request to an edge; underscores in names of headers stand for hyphens."""
@@ -172,7 +175,7 @@
         request = edge.Request(method, path, "", sent_headers, body)
         try:
             with node.counted_request():
-                result = await node.do(node.program.role_node.handle(request), REQUEST_TIMEOUT_SECONDS)
+                result = await node.run(node.program.role_node.handle(request), REQUEST_TIMEOUT_SECONDS)
             return ClientResponse(result.status, "", result)
         except errors.IrisError as error:
             if error.code == "over-ceiling":
@@ -201,9 +204,9 @@
     async def read(self, name: str, service: str, path: str) -> int:
         """Read a path through an edge, check the answer, and return its status."""
         # Some requests bear credentials, which are handled by other code of the edge.
-        headers = {} if self.number % CREDENTIALS_EACH else {"authorization": "Bearer me"}
-        self.number += 1
-        status, code, result = await self.ask(name, "GET", path, b"", **headers)
+        headers = {} if self.last_number % CREDENTIALS_INTERVAL else {"authorization": "Bearer me"}
+        self.last_number += 1
+        status, code, result = await self.send_request(name, "GET", path, b"", **headers)
         if result is not None:
             now = asyncio.get_running_loop().time()
             self.checker.read(service, path, status, dict(result.headers), result.body, now)
@@ -213,26 +216,26 @@
 
     async def write(self, name: str, path: str = "/applications") -> WriteOutcome:
         """Write once through an edge, and note what the client was told."""
-        self.number += 1
-        number = f"application-{self.number}"
-        status, code, _ = await self.ask(name, "POST", path, write_body(number))
-        self.note_write(number, status, code)
+        self.last_number += 1
+        number = f"application-{self.last_number}"
+        status, code, _ = await self.send_request(name, "POST", path, write_body(number))
+        self.record_write(number, status, code)
         return WriteOutcome(number, status, code)
 
     async def write_until_known(self, names: list[str]) -> None:
         """Send a write through one edge after another, under one key, until its outcome is known."""
-        self.number += 1
-        number = f"keyed-{self.number}"
+        self.last_number += 1
+        number = f"keyed-{self.last_number}"
         for name in names:
-            status, code, _ = await self.ask(
+            status, code, _ = await self.send_request(
                 name, "POST", "/applications", write_body(number), idempotency_key=number
             )
-            self.note_write(number, status, code)
+            self.record_write(number, status, code)
             if status == HTTP_OK:
                 return
             await asyncio.sleep(KEYED_WRITE_PAUSE_SECONDS)
 
-    def note_write(self, number: str, status: int, code: str) -> None:
+    def record_write(self, number: str, status: int, code: str) -> None:
         """Note what a client was told of a write; without an answer its outcome is unknown."""
         self.checker.write(number, status, "outcome-unknown" if status == 0 else code)
 
--- a/src/irisstand/simulator/simulated_cluster.py
+++ b/src/irisstand/simulator/simulated_cluster.py
@@ -32,7 +32,7 @@
         self.crashed_actors: list[virtual_time.Actor] = []
         self.retired: list[simulated_node.SimulatedNode] = []
         self.replace_after = DEFAULT_REPLACE_AFTER_SECONDS
-        self.by_seeds = False
+        self.seeds_bootstrap = False
         self.outage_bound = 0.0
         self.founding = founding or shape.shields
         self.seeds: list[tuple[str, int]] = []
@@ -89,7 +89,7 @@
     def partition_off(self, names: collections.abc.Collection[str]) -> None:
         """Cut the links between these nodes and all others."""
         others = [name for name in self.nodes if name not in names]
-        self.network.cut(self.hosts(names), self.hosts(others))
+        self.network.partition(self.hosts(names), self.hosts(others))
 
     def describe(self) -> str:
         """Return one line for each node that is up and not ready, for a failure message."""
--- a/src/irisstand/simulator/simulated_day.py
+++ b/src/irisstand/simulator/simulated_day.py
@@ -59,7 +59,7 @@
         self.fault_injector = fault_injector.FaultInjector(
             self.cluster, self.randomness, kind.faults, kind.pauses
         )
-        self.fault_injector.change = self.change_at
+        self.fault_injector.send_change = self.send_random_change
         self.tasks: set[asyncio.Task[object]] = set()
 
     def now(self) -> float:
@@ -102,8 +102,8 @@
         await self.cluster.wait_until_ready(READY_AT_THE_END_TIMEOUT_SECONDS)
         await asyncio.sleep(SETTLE_SECONDS)
         watch.cancel()
-        self.configuration_invariants.close()
-        self.origin_invariants.close()
+        self.configuration_invariants.check_nodes()
+        self.origin_invariants.check_records()
         self.checker.close()
 
     def start(self, job: Job) -> None:
@@ -164,7 +164,7 @@
             self.checker.purged(path, self.now(), version)
             self.checker.results["purge confirmed"] += 1
 
-    async def change_at(self, control_node: str) -> None:
+    async def send_random_change(self, control_node: str) -> None:
         """Send a random change to a node."""
         number = self.randomness.randrange(day_kinds.SWITCHES)
         row = day_kinds.switch_row(number, self.randomness.choice(day_kinds.SERVICES))
--- a/src/irisstand/simulator/simulated_folder.py
+++ b/src/irisstand/simulator/simulated_folder.py
@@ -26,30 +26,30 @@
         self.randomness = randomness
         self.contents: dict[int, bytes] = {}
         self.entries: dict[str, int] = {}
-        self.synced: dict[str, int] = {}
-        self.numbers = 0
+        self.synced_entries: dict[str, int] = {}
+        self.last_file_number = 0
         self.operations = 0
         self.syncs = 0
-        self.written = 0
-        self.off_at: int | None = None
-        self.full_at: range = range(0)
+        self.bytes_written = 0
+        self.power_loss_operation: int | None = None
+        self.full_operations: range = range(0)
 
-    def step(self) -> None:
+    def count_operation(self) -> None:
         """Count a file operation, and lose the power if this is its moment."""
         self.operations += 1
-        if self.operations == self.off_at:
+        if self.operations == self.power_loss_operation:
             raise PowerLossError
 
     def lose_power(self) -> None:
         """Keep or lose each entry that was made, renamed or removed since the last sync."""
         kept = {}
-        for name in sorted(self.synced.keys() | self.entries.keys()):
-            chosen = self.randomness.choice((self.synced, self.entries))
+        for name in sorted(self.synced_entries.keys() | self.entries.keys()):
+            chosen = self.randomness.choice((self.synced_entries, self.entries))
             if name in chosen:
                 kept[name] = chosen[name]
         self.entries = dict(kept)
-        self.synced = kept
-        self.off_at = None
+        self.synced_entries = kept
+        self.power_loss_operation = None
 
     # -- what a disk asks for ------------------------------------------------------------------------
     def make(self) -> None:
@@ -83,33 +83,33 @@
             PowerLossError: The power is lost with half of it written.
         """
         if name not in self.entries:
-            self.numbers += 1
-            self.entries[name] = self.numbers
-            self.contents[self.numbers] = b""
+            self.last_file_number += 1
+            self.entries[name] = self.last_file_number
+            self.contents[self.last_file_number] = b""
         number = self.entries[name]
         old = self.contents[number]
         # A loss of power in between leaves the first part new and the rest old.
         half = self.randomness.randrange(len(content))
         self.contents[number] = content[:half] + old[half:]
-        self.step()
-        if self.operations in self.full_at:
+        self.count_operation()
+        if self.operations in self.full_operations:
             raise OSError(errno.ENOSPC, "the simulated disk is full")
         self.contents[number] = content + old[len(content) :]
         self.syncs += 1
-        self.written += len(content)
+        self.bytes_written += len(content)
 
     def rename(self, name: str, other: str) -> None:
         """Give a file another name, in place of a file that has it."""
-        self.step()
+        self.count_operation()
         self.entries[other] = self.entries.pop(name)
 
     def unlink(self, name: str) -> None:
         """Remove a name."""
-        self.step()
+        self.count_operation()
         del self.entries[name]
 
     def sync(self) -> None:
         """Make all entries durable."""
-        self.step()
-        self.synced = dict(self.entries)
+        self.count_operation()
+        self.synced_entries = dict(self.entries)
         self.syncs += 1
--- a/src/irisstand/simulator/simulated_network.py
+++ b/src/irisstand/simulator/simulated_network.py
@@ -53,7 +53,7 @@
     def __init__(self, randomness: random.Random) -> None:
         self.randomness = randomness
         self.loss = 0.0
-        self.cuts: set[frozenset[str]] = set()
+        self.partitioned_pairs: set[frozenset[str]] = set()
         self.regions: dict[str, str] = {}
         self.listeners: dict[network.Address, StreamHandler] = {}
         self.ports: dict[network.Address, DatagramHandler] = {}
@@ -70,20 +70,22 @@
         """Return whether a process on this host receives datagrams."""
         return any(address[0] == host for address in self.ports)
 
-    def is_cut(self, one: str, other: str) -> bool:
+    def is_partitioned(self, one: str, other: str) -> bool:
         """Return whether two hosts cannot reach one another."""
-        return one != other and frozenset((one, other)) in self.cuts
+        return one != other and frozenset((one, other)) in self.partitioned_pairs
 
-    def cut(self, some: typing.Iterable[str], others: typing.Iterable[str]) -> None:
+    def partition(self, hosts: typing.Iterable[str], other_hosts: typing.Iterable[str]) -> None:
         """Cut the links between each of some hosts and each of the others."""
-        others = list(others)
-        self.cuts |= {frozenset((one, other)) for one in some for other in others if one != other}
+        other_hosts = list(other_hosts)
+        self.partitioned_pairs |= {
+            frozenset((one, other)) for one in hosts for other in other_hosts if one != other
+        }
 
     def heal(self) -> None:
         """Undo all cuts."""
-        self.cuts.clear()
+        self.partitioned_pairs.clear()
 
-    def drop(self, actor: virtual_time.Actor, *, reset: bool) -> None:
+    def disconnect(self, actor: virtual_time.Actor, *, reset: bool) -> None:
         """Close what a process that is gone had open.
 
         Args:
--- a/src/irisstand/simulator/simulated_node.py
+++ b/src/irisstand/simulator/simulated_node.py
@@ -74,8 +74,8 @@
             data="memory",
             founding=cluster.founding,
             replace_after=cluster.replace_after,
-            found_by_seeds=cluster.by_seeds,
-            may_found=not (cluster.by_seeds and self.was_wiped),
+            found_by_seeds=cluster.seeds_bootstrap,
+            may_found=not (cluster.seeds_bootstrap and self.was_wiped),
             outage_bound=cluster.outage_bound,
         )
 
@@ -121,7 +121,7 @@
     def kill(self, *, reset: bool = True) -> None:
         """Kill the process; without a reset its peers learn nothing, as after a loss of power."""
         self.actor.dead = True
-        self.cluster.network.drop(self.actor, reset=reset)
+        self.cluster.network.disconnect(self.actor, reset=reset)
 
     async def stop(self) -> None:
         """Shut down in order, as on SIGTERM, and check that no request is left waiting."""
@@ -132,11 +132,13 @@
         # A request that still waits now will never be answered.
         rule = "a planned restart drops no answer under way"
         if self.is_up:
-            asks = self.actor.asks
-            self.cluster.actors.checker.check(rule, asks == 0, f"{self.placement.name}: {asks} dropped")
+            pending_requests = self.actor.pending_requests
+            self.cluster.actors.checker.check(
+                rule, pending_requests == 0, f"{self.placement.name}: {pending_requests} dropped"
+            )
         await self.actor.start(self.program.close())
         self.actor.dead = True
-        self.cluster.network.drop(self.actor, reset=True)
+        self.cluster.network.disconnect(self.actor, reset=True)
 
     def freeze(self) -> None:
         """Stop the process; what comes up for it is held back."""
@@ -151,7 +153,7 @@
         self.disk.files.clear()
         self.was_wiped = True
 
-    async def do(
+    async def run(
         self, coroutine: collections.abc.Coroutine[typing.Any, typing.Any, Result], timeout_seconds: float
     ) -> Result:
         """Run a coroutine as this process and wait for it from outside.
@@ -169,8 +171,8 @@
     def counted_request(self) -> collections.abc.Iterator[None]:
         """Count a request from outside while it waits for the present process."""
         actor = self.actor
-        actor.asks += 1
+        actor.pending_requests += 1
         try:
             yield
         finally:
-            actor.asks -= 1
+            actor.pending_requests -= 1
--- a/src/irisstand/simulator/simulated_origins.py
+++ b/src/irisstand/simulator/simulated_origins.py
@@ -46,9 +46,9 @@
         self.delay = NORMAL_DELAY_SECONDS
         self.faults: set[str] = set()
         self.started: list[tuple[float, str]] = []
-        self.spans: list[tuple[float, float]] = []
-        self.cold: list[tuple[float, float]] = []
-        self.leaves: list[list[float]] = []
+        self.work_periods: list[tuple[float, float]] = []
+        self.warmup_periods: list[tuple[float, float]] = []
+        self.leaving_periods: list[list[float]] = []
         self.connections = 0
 
     @property
@@ -60,10 +60,10 @@
     def up(self, value: bool) -> None:
         now = asyncio.get_running_loop().time()
         if value and not self.is_up and self.warmup:
-            self.cold.append((now, self.warmup))
+            self.warmup_periods.append((now, self.warmup))
         if self.is_up and not value:
             self.generation += 1
-            self.spans = [(start, min(end, now)) for start, end in self.spans]
+            self.work_periods = [(start, min(end, now)) for start, end in self.work_periods]
         self.is_up = value
 
     def listing(self) -> dict[str, typing.Any]:
@@ -92,7 +92,7 @@
         now = asyncio.get_running_loop().time()
         request_id = headers.get("X-Request-Id", "")
         self.started.append((now, request_id))
-        self.spans.append((now, now + self.delay))
+        self.work_periods.append((now, now + self.delay))
         tag = ""
         if method == "GET":
             content, tag = self.records.sealed_object(self.service, target, now)
@@ -106,9 +106,9 @@
         }
         if tag:
             answer_headers["cache-tag"] = tag
-        return self.spoil(connections.Answer(200, answer_headers, content))
+        return self.apply_faults(connections.Answer(200, answer_headers, content))
 
-    def spoil(self, answer: connections.Answer) -> connections.Answer | None:
+    def apply_faults(self, answer: connections.Answer) -> connections.Answer | None:
         """Return the answer as its faults leave it."""
         status, headers, content = answer
         if "lose-answer" in self.faults:
@@ -129,9 +129,9 @@
 class OriginDirectory(typing.Protocol):
     """Who answers at which address."""
 
-    at: dict[tuple[str, int], SimulatedOrigin]
+    origins_by_address: dict[tuple[str, int], SimulatedOrigin]
 
-    def reaches(self, origin: SimulatedOrigin, address: tuple[str, int]) -> bool:
+    def answers_at(self, origin: SimulatedOrigin, address: tuple[str, int]) -> bool:
         """Return whether this origin still answers at this address."""
         ...
 
@@ -167,7 +167,7 @@
             TimeoutError: No answer came in time.
         """
         # A kept connection that the other end has closed is known as such before anything is written.
-        if not self.directory.reaches(self.origin, self.address) or not self.is_same_generation():
+        if not self.directory.answers_at(self.origin, self.address) or not self.is_same_generation():
             self.is_open = False
             raise connections.ConnectionReopenedError("the connection was gone")
         self.may_have_sent = True
@@ -175,7 +175,7 @@
         future: asyncio.Future[connections.Answer] = loop.create_future()
 
         def deliver_request() -> None:
-            if self.is_cut():
+            if self.is_partitioned():
                 return
             is_there = self.origin.up and self.is_same_generation()
             answer = self.origin.answer(method, target, headers, body) if is_there else None
@@ -197,16 +197,16 @@
         self, future: asyncio.Future[connections.Answer], answer: connections.Answer | None
     ) -> None:
         """Resolve the request's future, unless the answer cannot reach this host."""
-        if future.done() or self.is_cut():
+        if future.done() or self.is_partitioned():
             return
         if answer is None:
             future.set_exception(ConnectionResetError("the origin closed the connection"))
         else:
             future.set_result(answer)
 
-    def is_cut(self) -> bool:
+    def is_partitioned(self) -> bool:
         """Return whether a partition lies between this host and the origin."""
-        return self.network.is_cut(self.host, self.address[0])
+        return self.network.is_partitioned(self.host, self.address[0])
 
     def is_same_generation(self) -> bool:
         """Return whether the origin has not crashed since the connection was opened."""
@@ -224,7 +224,7 @@
 
     async def open_connection(origin_host: str, port: int) -> connections.UpstreamConnection:
         await asyncio.sleep(network.delay(host, origin_host))
-        origin = directory.at.get((origin_host, port))
+        origin = directory.origins_by_address.get((origin_host, port))
         if origin is None or not origin.up:
             raise ConnectionRefusedError(f"{origin_host}:{port}")
         return SimulatedConnection(directory, network, host, origin)
--- a/src/irisstand/simulator/sizes.py
+++ b/src/irisstand/simulator/sizes.py
@@ -17,9 +17,9 @@
 class Figure(typing.NamedTuple):
     """A measured figure: what was measured, its unit, and the figure."""
 
-    what: str
+    description: str
     unit: str
-    figure: float
+    value: float
 
 
 def make_update(number: int) -> updates.Update:
@@ -30,7 +30,7 @@
     return updates.Update(updates.MemberState.ALIVE, updates.Identity(name, f"{number:016x}"), 0, place)
 
 
-def grown(make: typing.Callable[[int], object], count: int) -> float:
+def bytes_per_object(make: typing.Callable[[int], object], count: int) -> float:
     """Return the bytes of memory for each of `count` objects that `make` makes."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -43,16 +43,18 @@
 def member_bytes(members: int) -> float:
     """Return the bytes of memory for one of so many members."""
     clock = clocks.MonotonicClock()
-    counted = counters.Counters()
-    found = detector.FailureDetector("own", make_update(0).node_info, clock, random.Random(1), counted)
-    return grown(lambda number: found.apply_update(make_update(number + 1)), members)
+    counter_registry = counters.Counters()
+    failure_detector = detector.FailureDetector(
+        "own", make_update(0).node_info, clock, random.Random(1), counter_registry
+    )
+    return bytes_per_object(lambda number: failure_detector.apply_update(make_update(number + 1)), members)
 
 
 def row_bytes(prefix: str, value: typing.Any, rows: int) -> float:
     """Return the bytes of memory for one row of a table."""
-    copy = replica.Replica(items.LEDGER)
+    table_replica = replica.Replica(items.LEDGER)
     made = versions.Version(1, "core-1~ab")
-    return grown(lambda n: copy.put(items.Item(f"{prefix}/{n:08d}", made, value)), rows)
+    return bytes_per_object(lambda n: table_replica.put(items.Item(f"{prefix}/{n:08d}", made, value)), rows)
 
 
 def object_bytes(body: int, count: int) -> float:
@@ -66,10 +68,10 @@
             f"s h/{number}", objects.CachedObject(200, head, bytes(body), applied, 0.0, 0.0, 20.0, ("t",))
         )
 
-    return grown(put, count) - body
+    return bytes_per_object(put, count) - body
 
 
-def seconds(work: typing.Callable[[], object], times: int = 20) -> float:
+def processor_seconds(work: typing.Callable[[], object], times: int = 20) -> float:
     """Return the processor seconds of one call."""
     started = time.process_time()
     for _ in range(times):
@@ -99,6 +101,6 @@
         figures.append(Figure(f"a member, of {members}", "bytes", member_bytes(members)))
         listed = [fleet_limits.Member(f"e{number}", "direct", f"z{number % 25}") for number in range(members)]
         work = functools.partial(fleet_limits.connection_limit, "e1", listed, "o", 58, is_held=False)
-        spent = seconds(work)
+        spent = processor_seconds(work)
         figures.append(Figure(f"an origin's connections split over {members}", "ms", spent * 1000))
     return figures
--- a/src/irisstand/simulator/virtual_time.py
+++ b/src/irisstand/simulator/virtual_time.py
@@ -43,7 +43,7 @@
         self.name = name
         self.frozen = False
         self.dead = False
-        self.asks = 0
+        self.pending_requests = 0
         self.parked: list[ParkedCallback] = []
         self.tasks: list[asyncio.Task[typing.Any]] = []
         self.context = contextvars.Context()
@@ -76,7 +76,7 @@
         """
         if timeout is None or self.loop is None:
             raise RuntimeError("every simulated task waits for something that never comes")
-        self.loop.moment += max(0.0, timeout)
+        self.loop.current_time += max(0.0, timeout)
         return []
 
     def register(self, fileobj: typing.Any, events: int, data: typing.Any = None) -> selectors.SelectorKey:
@@ -110,18 +110,18 @@
     """
 
     def __init__(self) -> None:
-        self.moment = 0.0
+        self.current_time = 0.0
         self.ending = False
         selector = IdleSelector()
         selector.loop = self
         super().__init__(selector)
         self.set_task_factory(self.make_task)
-        self.faults: list[dict[str, typing.Any]] = []
-        self.set_exception_handler(lambda _, context: self.faults.append(context))
+        self.unhandled_errors: list[dict[str, typing.Any]] = []
+        self.set_exception_handler(lambda _, context: self.unhandled_errors.append(context))
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self.moment
+        return self.current_time
 
     def make_task(
         self, loop: asyncio.AbstractEventLoop, coroutine: typing.Any, **keywords: typing.Any
@@ -140,7 +140,7 @@
         """Schedule a callback as the process of the context."""
         context = context if context is not None else contextvars.copy_context()
         handles: list[asyncio.Handle] = []
-        handle = super().call_soon(self.gate, handles, callback, arguments, context, context=context)
+        handle = super().call_soon(self.dispatch, handles, callback, arguments, context, context=context)
         handles.append(handle)
         return handle
 
@@ -154,11 +154,11 @@
         """Schedule a callback at a virtual time as the process of the context."""
         context = context if context is not None else contextvars.copy_context()
         handles: list[asyncio.Handle] = []
-        handle = super().call_at(when, self.gate, handles, callback, arguments, context, context=context)
+        handle = super().call_at(when, self.dispatch, handles, callback, arguments, context, context=context)
         handles.append(handle)
         return handle
 
-    def gate(
+    def dispatch(
         self,
         handles: list[asyncio.Handle],
         callback: Callback,
@@ -206,10 +206,10 @@
         return loop.run_until_complete(coroutine)
     finally:
         loop.ending = True
-        left = asyncio.all_tasks(loop)
-        for task in left:
+        remaining_tasks = asyncio.all_tasks(loop)
+        for task in remaining_tasks:
             task.cancel()
-        if left:
-            loop.run_until_complete(asyncio.wait(left, timeout=CANCELLATION_TIMEOUT_SECONDS))
+        if remaining_tasks:
+            loop.run_until_complete(asyncio.wait(remaining_tasks, timeout=CANCELLATION_TIMEOUT_SECONDS))
         asyncio.set_event_loop(None)
         loop.close()
--- a/tests/controlplane/test_ballots.py
+++ b/tests/controlplane/test_ballots.py
@@ -98,8 +98,8 @@
         with pytest.raises(errors.NoQuorumError):
             await day.actors.order("agency-1", "change", [cluster.site_row(weight=9)])
         assert not day.cluster.is_ready(day.cluster.nodes["agency-1"])
-        assert (await day.actors.ask("edge-1", "GET", "/vacancies/1"))[1] == "stale-blueprint"
-        assert (await day.actors.ask("edge-2", "GET", "/vacancies/1"))[0] == 200
+        assert (await day.actors.send_request("edge-1", "GET", "/vacancies/1"))[1] == "stale-blueprint"
+        assert (await day.actors.send_request("edge-2", "GET", "/vacancies/1"))[0] == 200
         day.cluster.network.heal()
         await day.cluster.wait_until_ready()
         # A refused change must never take effect, not even after the partition has healed.
--- a/tests/controlplane/test_bootstrap.py
+++ b/tests/controlplane/test_bootstrap.py
@@ -15,7 +15,11 @@
 def play(scenario, seed=1, outage_bound=0.0):
     async def run():
         simulation = simulated_cluster.SimulatedCluster(seed, cluster.SHAPE)
-        simulation.by_seeds, simulation.replace_after, simulation.outage_bound = True, 1.2, outage_bound
+        simulation.seeds_bootstrap, simulation.replace_after, simulation.outage_bound = (
+            True,
+            1.2,
+            outage_bound,
+        )
         await simulation.start_all()
         result = await scenario(simulation)
         assert not asyncio.get_running_loop().faults, asyncio.get_running_loop().faults[0]
@@ -133,7 +137,7 @@
         await simulation.wait_until_ready()
         control_plane_hosts = [node.placement.host for node in simulation.with_role("agency")]
         edge = simulation.nodes["edge-1"]
-        simulation.network.cut([edge.placement.host], control_plane_hosts)
+        simulation.network.partition([edge.placement.host], control_plane_hosts)
         unready_checks = 0
         for _ in range(400):
             await asyncio.sleep(0.02)
--- a/tests/controlplane/test_capacity_scaling.py
+++ b/tests/controlplane/test_capacity_scaling.py
@@ -34,10 +34,12 @@
         assert len(cluster.members(day, "edge-1")) == len(day.cluster.nodes) - 1
         assert all(node.program.participant.is_voter("ledger") for node in day.cluster.with_role("agency"))
         for number in range(10):
-            assert (await day.actors.ask("edge-1", "GET", f"/vacancies/r{number}"))[0] == 200
+            assert (await day.actors.send_request("edge-1", "GET", f"/vacancies/r{number}"))[0] == 200
         # After the loss of one of the two another machine is activated, and all reads in between succeed.
         active[0].kill()
-        statuses = [(await day.actors.ask("edge-1", "GET", f"/vacancies/s{n}"))[0] for n in range(10)]
+        statuses = [
+            (await day.actors.send_request("edge-1", "GET", f"/vacancies/s{n}"))[0] for n in range(10)
+        ]
         assert set(statuses) == {200}
         lost = active[0].placement.machine
         elapsed = await wait_until_true(
@@ -68,7 +70,9 @@
         assert why["shield-machine-5"] == "awake: pinned by operators"
         requests = []
         for number in range(400):
-            requests.append(asyncio.create_task(day.actors.ask("edge-1", "GET", f"/shortlists/{number}")))
+            requests.append(
+                asyncio.create_task(day.actors.send_request("edge-1", "GET", f"/shortlists/{number}"))
+            )
             await asyncio.sleep(0.025)
         # The load is about 40 requests per second at 20 for each machine: three machines are needed after the
         # loss of any one, so four are active.
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -47,7 +47,7 @@
 def test_change_in_flight_is_finished_before_a_shutdown(name):
     async def scenario(day):
         for control_plane_node in day.cluster.with_role("agency"):
-            control_plane_node.disk.slowness = 0.8
+            control_plane_node.disk.max_operation_seconds = 0.8
         change_task = asyncio.create_task(day.actors.order(name, "change", [cluster.site_row(weight=3)]))
         await asyncio.sleep(0.1)
         await day.cluster.nodes[name].stop()
@@ -76,7 +76,9 @@
         await asyncio.sleep(2)
         # None of the three sides has a majority, so the holder cannot renew its lease.
         day.cluster.partition_off(["agency-1", "agency-2"])
-        day.cluster.network.cut(day.cluster.hosts(["agency-3"]), day.cluster.hosts(["agency-4", "agency-5"]))
+        day.cluster.network.partition(
+            day.cluster.hosts(["agency-3"]), day.cluster.hosts(["agency-4", "agency-5"])
+        )
         await asyncio.sleep(6)
         assert holder_of(day, "platform-watch") is None
         day.cluster.network.heal()
--- a/tests/controlplane/test_idempotent_changes_racing.py
+++ b/tests/controlplane/test_idempotent_changes_racing.py
@@ -23,7 +23,7 @@
 async def amend(day, name, payload):
     """Submit an amendment as the operators' HTTP interface does, without a change id."""
     node = day.cluster.nodes[name]
-    return await node.do(node.program.submitter.submit_for_operator(orders.Order("amend", "", payload)), 8.0)
+    return await node.run(node.program.submitter.submit_for_operator(orders.Order("amend", "", payload)), 8.0)
 
 
 async def send_until_answered(day, payload, names):
@@ -222,17 +222,17 @@
         monkeypatch.setattr(evacuation_check.EvacuationCheck, "check_capacity", refuse_capacity)
         # The partitioned node cannot confirm its ledger; after the partition it does so before it refuses.
         with pytest.raises(errors.NoQuorumError):
-            await node.do(check.check_unless_evacuated("north", insist=False), 8.0)
+            await node.run(check.check_unless_evacuated("north", insist=False), 8.0)
         assert not check.view.is_evacuated("north")
         day.cluster.network.heal()
         for _ in range(20):
             try:
-                assert await node.do(check.check_unless_evacuated("north", insist=False), 8.0) == []
+                assert await node.run(check.check_unless_evacuated("north", insist=False), 8.0) == []
                 break
             except errors.NoQuorumError:
                 await asyncio.sleep(0.1)
         assert check.view.is_evacuated("north")
         with pytest.raises(errors.InsufficientCapacityError):
-            await node.do(check.check_unless_evacuated("south", insist=False), 8.0)
+            await node.run(check.check_unless_evacuated("south", insist=False), 8.0)
 
     cluster.play(scenario)
--- a/tests/controlplane/test_leases_under_partition.py
+++ b/tests/controlplane/test_leases_under_partition.py
@@ -36,7 +36,7 @@
         await day.cluster.wait_until_ready()
         task.fencing_token = fencing_token
         with pytest.raises(errors.StaleVersionError):
-            await node.do(task.write_fenced([("rest/x", {"since": 1})]), 8)
+            await node.run(task.write_fenced([("rest/x", {"since": 1})]), 8)
         await asyncio.sleep(2)
         assert cluster.context(day, "agency-1").ledger.value("rest/x") is None
         assert [pair[0] for pair in holder_of(day)] == [other]
@@ -62,9 +62,9 @@
         task.submitter = types.SimpleNamespace(submit=lose_reply)
         asked_at = day.now()
         with pytest.raises(errors.ChangeOutcomeUnknownError):
-            await node.do(task.acquire(vacant), 8)
+            await node.run(task.acquire(vacant), 8)
         task.submitter = real
-        await node.do(task.acquire(vacant), 8)
+        await node.run(task.acquire(vacant), 8)
         assert task.fencing_token
         assert task.lease_ends_at <= asked_at + task.lease_seconds
 
--- a/tests/controlplane/test_mutation_scenarios.py
+++ b/tests/controlplane/test_mutation_scenarios.py
@@ -26,10 +26,10 @@
         node = day.cluster.nodes[name]
         table_acceptor = node.program.participant.acceptors[items.CONFIGURATION]
         assert isinstance(
-            await node.do(table_acceptor.submit(acceptor.Prepare(ballot)), 1), messages.Promised
+            await node.run(table_acceptor.submit(acceptor.Prepare(ballot)), 1), messages.Promised
         )
         command = acceptor.Accept(ballot, batch, "agency-1")
-        assert await node.do(table_acceptor.submit(command), 1) == messages.Accepted()
+        assert await node.run(table_acceptor.submit(command), 1) == messages.Accepted()
     return batch
 
 
@@ -79,7 +79,7 @@
             versions.Version(applied.counter + 9, "x"), earlier_version, (("site/north", {}, False),)
         )
         ballot = versions.Version(applied.counter + 9, "x")
-        reply = await node.do(table_acceptor.submit(acceptor.Accept(ballot, batch, "agency-1")), 1)
+        reply = await node.run(table_acceptor.submit(acceptor.Accept(ballot, batch, "agency-1")), 1)
         assert reply == messages.Rejected(messages.VoteStatus.BASE_MISMATCH, applied)
         assert table_acceptor.record.pending is None
         assert table_acceptor.record.applied == applied
@@ -97,12 +97,12 @@
         await day.cluster.wait_until(lambda: node.program.participant.is_voter(items.CONFIGURATION), 20)
         ballot = (10**6, "x")
         with pytest.raises(errors.NotBootstrappedError):
-            await node.do(
+            await node.run(
                 node.program.participant.handle_prepare("x", [items.CONFIGURATION, ballot, old_disk_id]), 1
             )
         batch = items.Batch(versions.Version(10**6, "x"), versions.NONE, ()).to_wire()
         with pytest.raises(errors.NotBootstrappedError):
-            await node.do(
+            await node.run(
                 node.program.participant.handle_accept(
                     "x", [items.CONFIGURATION, ballot, batch, old_disk_id]
                 ),
@@ -117,7 +117,7 @@
         path = "/vacancies/77"
         for origin in day.actors.origins:
             origin.delay = 2.4
-        fetch_task = asyncio.create_task(day.actors.ask("edge-1", "GET", path))
+        fetch_task = asyncio.create_task(day.actors.send_request("edge-1", "GET", path))
         await asyncio.sleep(0.1)
         day.actors.records.versions[path] += 1
         await day.actors.order("agency-2", "purge", [("tag", "vacancies")])
@@ -182,15 +182,17 @@
 
         idempotency_keys.settle = settle_late
         with pytest.raises(errors.NoOriginError):
-            await first.do(idempotency_keys.run_once(grant, request, fail_before_execution), 3)
+            await first.run(idempotency_keys.run_once(grant, request, fail_before_execution), 3)
         second.program.role_node.idempotency_keys.settle = settle_late
         for node in (second, third):
             with pytest.raises(errors.OutcomeUnknownError):
-                await node.do(node.program.role_node.idempotency_keys.run_once(grant, request, execute), 3)
+                await node.run(node.program.role_node.idempotency_keys.run_once(grant, request, execute), 3)
         await asyncio.sleep(1.5)
         second_request = (*request[:4], "request-2")
         for node in (third, second):
-            await node.do(node.program.role_node.idempotency_keys.run_once(grant, second_request, execute), 3)
+            await node.run(
+                node.program.role_node.idempotency_keys.run_once(grant, second_request, execute), 3
+            )
             await asyncio.sleep(1.5)
         assert len(executions) == 1
 
--- a/tests/controlplane/test_operations.py
+++ b/tests/controlplane/test_operations.py
@@ -26,9 +26,9 @@
         await asyncio.sleep(1)
         node = day.cluster.nodes["agency-4"]
         status = change_status.ChangeStatus(node.program.context)
-        first = await node.do(status.show("first"), 3)
-        second = await node.do(status.show("second"), 3)
-        third = await node.do(status.show("third"), 3)
+        first = await node.run(status.show("first"), 3)
+        second = await node.run(status.show("second"), 3)
+        third = await node.run(status.show("third"), 3)
         assert first["rows"][0]["superseded_by"] == second["serial"]
         assert not first["rows"][0]["in_force"]
         assert second["rows"] == [{"row": "site/north", "in_force": True}]
@@ -36,9 +36,9 @@
         assert second["nodes"]["agency-4"] == "in force"
         # edge-2 was partitioned off before the third change, so it does not reply.
         assert third["nodes"]["edge-2"] == "silent"
-        assert (await node.do(status.show("swept"), 3))["rows"][0]["row"] == "purge/path//vacancies/1"
+        assert (await node.run(status.show("swept"), 3))["rows"][0]["row"] == "purge/path//vacancies/1"
         with pytest.raises(errors.UnknownNameError):
-            await node.do(status.show("never-sent"), 3)
+            await node.run(status.show("never-sent"), 3)
 
     cluster.play(scenario)
 
@@ -50,7 +50,7 @@
         store_replica = cluster.context(day, "store-1").configuration
         store_replica.applied = store_replica.applied._replace(counter=store_replica.applied.counter - 1)
         node = day.cluster.nodes["agency-1"]
-        shown = await node.do(change_status.ChangeStatus(node.program.context).show("x"), 3)
+        shown = await node.run(change_status.ChangeStatus(node.program.context).show("x"), 3)
         assert shown["serial"] == result["serial"]
         assert shown["nodes"]["store-1"] == "behind"
 
@@ -77,15 +77,15 @@
     async def scenario(day):
         await add_spare(day, "agency-7", "north", "one")
         node, admin = administration(day)
-        assert (await node.do(admin.describe(), 3))["spares"] == ["agency-7"]
+        assert (await node.run(admin.describe(), 3))["spares"] == ["agency-7"]
         for _ in range(2):
-            await node.do(admin.replace("agency-1", "agency-7"), 8)
+            await node.run(admin.replace("agency-1", "agency-7"), 8)
             await asyncio.sleep(1)
             for table in items.TABLES:
                 names = {f"agency-{n}" for n in (2, 3, 4, 5, 7)}
                 assert voter_names(day, table) == names
         with pytest.raises(errors.UnknownNameError):
-            await node.do(admin.replace("agency-2", "agency-99"), 8)
+            await node.run(admin.replace("agency-2", "agency-99"), 8)
         # The replaced voter can be shut down now, and the voters survive one more loss.
         day.cluster.nodes["agency-1"].kill()
         day.cluster.nodes["agency-7"].kill()
@@ -101,21 +101,21 @@
         # Two of five voters are at site north: if a voter of another site retired, the loss of site north
         # would leave two of four.
         with pytest.raises((errors.InsufficientCapacityError, errors.InvalidChangeError)) as caught:
-            await node.do(admin.retire("agency-2"), 8)
+            await node.run(admin.retire("agency-2"), 8)
         assert caught.value.figures["voters"] == 4
         assert len(voter_names(day)) == 5
         for _ in range(2):
-            assert len((await node.do(admin.retire("agency-1"), 8))["voters"]) == 4
+            assert len((await node.run(admin.retire("agency-1"), 8))["voters"]) == 4
             await asyncio.sleep(1)
             for table in items.TABLES:
                 assert voter_names(day, table) == {f"agency-{number}" for number in (2, 3, 4, 5)}
-        await node.do(admin.retire("agency-2"), 8)
+        await node.run(admin.retire("agency-2"), 8)
         await asyncio.sleep(1)
         # The last three voters cannot be retired.
         with pytest.raises((errors.InsufficientCapacityError, errors.InvalidChangeError)):
-            await node.do(admin.retire("agency-3"), 8)
+            await node.run(admin.retire("agency-3"), 8)
         with pytest.raises(errors.UnknownNameError):
-            await node.do(admin.retire("agency-99"), 8)
+            await node.run(admin.retire("agency-99"), 8)
         assert len(voter_names(day)) == 3
 
     cluster.play(scenario)
@@ -128,10 +128,10 @@
             day.cluster.nodes[name].kill()
         node, admin = administration(day)
         with pytest.raises(errors.InsufficientCapacityError) as caught:
-            await node.do(admin.retire("agency-4"), 8)
+            await node.run(admin.retire("agency-4"), 8)
         assert caught.value.figures["up"] == ["agency-1", "agency-5"]
         # A dead voter may be replaced, as that increases the number of voters that are up.
-        await node.do(admin.replace("agency-2", "agency-7"), 8)
+        await node.run(admin.replace("agency-2", "agency-7"), 8)
         assert "agency-7" in voter_names(day)
 
     cluster.play(scenario)
@@ -222,7 +222,7 @@
     async def scenario(day):
         counts = collections.Counter()
         for number in range(300):
-            await day.actors.ask(f"edge-{number % 2 + 1}", "GET", f"/shortlists/{number}")
+            await day.actors.send_request(f"edge-{number % 2 + 1}", "GET", f"/shortlists/{number}")
         for name in ("shield-1", "shield-2", "shield-3", "shield-4", "shield-5"):
             role_node = day.cluster.nodes[name].program.role_node
             grant = role_node.view.authorize("GET", "/shortlists/1", "")
--- a/tests/controlplane/test_origin_list.py
+++ b/tests/controlplane/test_origin_list.py
@@ -22,7 +22,7 @@
     statuses = []
     for number in range(count):
         edge = f"edge-{number % 2 + 1}"
-        statuses.append((await day.actors.ask(edge, "GET", f"/vacancies/{path_prefix}-{number}"))[0])
+        statuses.append((await day.actors.send_request(edge, "GET", f"/vacancies/{path_prefix}-{number}"))[0])
         await asyncio.sleep(0.02)
     return statuses
 
@@ -96,7 +96,7 @@
     async def scenario(day):
         before = listed_origins(day)
         assert len(before) == 4
-        day.actors.platform_says = answer
+        day.actors.platform_override = answer
         await asyncio.sleep(3)
         assert listed_origins(day) == before
         failed = sum(
--- a/tests/controlplane/test_partitioned_control_plane.py
+++ b/tests/controlplane/test_partitioned_control_plane.py
@@ -49,7 +49,7 @@
         changes_confirmed, reads_answered = 0, 0
         for number in range(CHANGES):
             if number == 3:
-                day.cluster.network.cut(*(day.cluster.hosts(node_names(half)) for half in halves))
+                day.cluster.network.partition(*(day.cluster.hosts(node_names(half)) for half in halves))
             if number == CHANGES - 3:
                 day.cluster.network.heal()
             if await order_change(day, number):
--- a/tests/controlplane/test_partitioned_nodes.py
+++ b/tests/controlplane/test_partitioned_nodes.py
@@ -33,7 +33,7 @@
 
 async def read(day, name, page="get_rows", *arguments):
     reads = operator_reads_of(day, name)
-    response = await day.cluster.nodes[name].do(getattr(reads, page)(None, *arguments), 5)
+    response = await day.cluster.nodes[name].run(getattr(reads, page)(None, *arguments), 5)
     return json.loads(response.body)
 
 
@@ -89,8 +89,8 @@
         for name in ("agency-2", "agency-3", "agency-4"):
             node = day.cluster.nodes[name]
             table_acceptor = node.program.participant.acceptors[items.CONFIGURATION]
-            await node.do(table_acceptor.submit(acceptor.Prepare(ballot)), 1)
-            await node.do(table_acceptor.submit(acceptor.Accept(ballot, batch, "agency-1")), 1)
+            await node.run(table_acceptor.submit(acceptor.Prepare(ballot)), 1)
+            await node.run(table_acceptor.submit(acceptor.Accept(ballot, batch, "agency-1")), 1)
         # The proposer may have confirmed the batch to its operator before it was killed.
         try:
             assert weight_of(await read(day, "agency-5"), "south") == 9
@@ -106,7 +106,7 @@
         node = day.cluster.nodes["agency-1"]
         reads = operator_reads_of(day, "agency-1")
         counters_before = node.program.context.counters.text()
-        results = await asyncio.gather(*(node.do(reads.get_rows(None), 5) for _ in range(200)))
+        results = await asyncio.gather(*(node.run(reads.get_rows(None), 5) for _ in range(200)))
         assert len({response.body for response in results}) == 1
         counters_after = node.program.context.counters.text()
         assert count_state_requests(counters_after) - count_state_requests(counters_before) < 40
@@ -127,7 +127,7 @@
         first_read = node.actor.start(heartbeat.confirm_read())
         await asyncio.sleep(0.1)
         asked_at = day.now()
-        await node.do(heartbeat.confirm_read(), 2)
+        await node.run(heartbeat.confirm_read(), 2)
         assert day.now() >= asked_at + 0.2
         await first_read
 
@@ -155,7 +155,7 @@
 
         proposer.propose = partition_before_accept
         submissions = [proposer.submit(orders.Order("change", f"c{n}", rows[n])) for n in range(2)]
-        results = await node.do(asyncio.wait_for(gather_results(submissions), 20), 30)
+        results = await node.run(asyncio.wait_for(gather_results(submissions), 20), 30)
         # No majority received either order, so neither may be refused because of the other.
         assert all(isinstance(result, UNDECIDED_ERRORS) for result in results), results
         day.cluster.network.heal()
@@ -194,8 +194,8 @@
         frozen_node.freeze()
         evacuate, restore = orders.Order("evacuate", "", "north"), orders.Order("return", "", "north")
         node = day.cluster.nodes["agency-1"]
-        await node.do(node.program.submitter.submit_for_operator(evacuate), 8)
-        await node.do(node.program.submitter.submit_for_operator(restore), 8)
+        await node.run(node.program.submitter.submit_for_operator(evacuate), 8)
+        await node.run(node.program.submitter.submit_for_operator(restore), 8)
         frozen_node.thaw()
         await asyncio.sleep(6)
         assert not cluster.context(day, "agency-3").is_evacuated("north")
--- a/tests/controlplane/test_placement.py
+++ b/tests/controlplane/test_placement.py
@@ -112,7 +112,7 @@
         await pin_all(day)
         for origin in day.actors.origins:
             origin.delay = 1.0
-        under_way = asyncio.create_task(day.actors.ask("edge-1", "GET", "/shortlists/9"))
+        under_way = asyncio.create_task(day.actors.send_request("edge-1", "GET", "/shortlists/9"))
         await asyncio.sleep(0.3)
         await day.actors.order("agency-3", "evacuate", site)
         # The request that was in flight before the evacuation completes.
@@ -127,7 +127,7 @@
             gauge.moments.clear()
         for number in range(60):
             for edge in ("edge-1", "edge-2"):
-                counts[(edge, (await day.actors.ask(edge, "GET", f"/shortlists/{number}"))[:2])] += 1
+                counts[(edge, (await day.actors.send_request(edge, "GET", f"/shortlists/{number}"))[:2])] += 1
         assert counts[("edge-1", (503, "site-evacuated"))] == 60
         assert counts[("edge-2", (200, ""))] == 60
         for origin in day.actors.origins:
@@ -137,7 +137,7 @@
         assert any(g.moments for g in shields.values())
         await day.actors.order("agency-4", "return", site)
         await asyncio.sleep(3)
-        assert (await day.actors.ask("edge-1", "GET", "/shortlists/1"))[0] == 200
+        assert (await day.actors.send_request("edge-1", "GET", "/shortlists/1"))[0] == 200
         await wait_until_true(day, lambda: "shield-machine-1" in owners(day), 20)
 
     cluster.play(scenario)
@@ -156,7 +156,7 @@
         for part in range(3):
             before = len(returned_origin.started)
             for number in range(200):
-                await day.actors.ask("edge-2", "GET", f"/shortlists/{part}-{number}")
+                await day.actors.send_request("edge-2", "GET", f"/shortlists/{part}-{number}")
                 await asyncio.sleep(0.02)
             counts.append(len(returned_origin.started) - before)
         # Each round takes four to five seconds: the origin gets few requests at first, and its half of 200
--- a/tests/controlplane/test_retention.py
+++ b/tests/controlplane/test_retention.py
@@ -95,7 +95,7 @@
             "agency-1", "change", [{"kind": "path", "name": "/vacancies/", "value": value}]
         )
         await asyncio.sleep(1)
-        assert (await day.actors.ask("edge-1", "GET", path))[0] == 200
+        assert (await day.actors.send_request("edge-1", "GET", path))[0] == 200
         edge = cluster.context(day, "edge-1")
         day.cluster.partition_off(["edge-1"])
         day.actors.records.versions[path] += 1
@@ -111,7 +111,7 @@
         # This edge never received the purge, and all tables have removed it; the edge's cached object must
         # still be treated as purged.
         assert edge.ledger.value(f"purge/path/{path}") is None
-        status, _, result = await day.actors.ask("edge-1", "GET", path)
+        status, _, result = await day.actors.send_request("edge-1", "GET", path)
         assert status == 200
         assert json.loads(result.body)["version"] == 1
 
@@ -184,7 +184,7 @@
     async def scenario(day):
         body = json.dumps({"number": "once"}).encode()
         ask = ("POST", "/applications", body)
-        assert (await day.actors.ask("edge-1", *ask, idempotency_key="once"))[0] == 200
+        assert (await day.actors.send_request("edge-1", *ask, idempotency_key="once"))[0] == 200
         await asyncio.sleep(40)
         before = (
             cluster.context(day, "agency-1")
@@ -206,7 +206,7 @@
         )
         # Table time does not count the time while all nodes were down: no client could have retried then.
         assert before < after < before + 45
-        status, _, result = await day.actors.ask("edge-2", *ask, idempotency_key="once")
+        status, _, result = await day.actors.send_request("edge-2", *ask, idempotency_key="once")
         assert status == 200
         assert day.actors.records.executions["once"] == 1
 
--- a/tests/controlplane/test_voter_sets.py
+++ b/tests/controlplane/test_voter_sets.py
@@ -41,7 +41,7 @@
             node.placement.name for node in simulation.with_role("agency") if node.placement.name not in names
         ]
         for spare in spares:
-            simulation.network.cut(simulation.hosts([spare]), simulation.hosts([sorted(names)[2]]))
+            simulation.network.partition(simulation.hosts([spare]), simulation.hosts([sorted(names)[2]]))
         await asyncio.sleep(6)
         assert {voter.disk_id for voter in voters(simulation)} == disk_ids_before
 
@@ -94,7 +94,7 @@
         await asyncio.sleep(2)
         number = await confirm_change(simulation, 1)
         for node in simulation.with_role("agency"):
-            node.disk.slowness = disk_delay_seconds
+            node.disk.max_operation_seconds = disk_delay_seconds
         leaving_node = simulation.nodes[voters(simulation)[0].name]
         await leaving_node.stop()
         # When the node has stopped, another node that holds all tables must have replaced it as a voter.
@@ -215,7 +215,7 @@
         await asyncio.sleep(2)
         disk_ids_before = {voter.disk_id for voter in voters(simulation)}
         first_name, second_name = (voter.name for voter in voters(simulation)[:2])
-        simulation.network.cut(simulation.hosts([first_name]), simulation.hosts([second_name]))
+        simulation.network.partition(simulation.hosts([first_name]), simulation.hosts([second_name]))
         await asyncio.sleep(6)
         assert {voter.disk_id for voter in voters(simulation)} == disk_ids_before
 
--- a/tests/controlplane/test_voter_target.py
+++ b/tests/controlplane/test_voter_target.py
@@ -45,7 +45,7 @@
             tuple(voter) for voter in {voter.site: voter for voter in voters(simulation)}.values()
         )
         payload = (str(claims_replica.version(items.VOTERS_KEY)), three_voters)
-        await node.do(node.program.submitter.submit(orders.Order("voters-claims", "", payload)), 3)
+        await node.run(node.program.submitter.submit(orders.Order("voters-claims", "", payload)), 3)
         assert len(voters(simulation, items.IDEMPOTENCY_KEYS)) == 3
         await simulation.wait_until(lambda: has_full_voters(simulation), CATCH_UP_SECONDS)
 
@@ -66,7 +66,7 @@
             ((version, ()), errors.InvalidChangeError),
         ):
             with pytest.raises(error_class):
-                await node.do(node.program.submitter.submit(orders.Order("voters-ledger", "", payload)), 3)
+                await node.run(node.program.submitter.submit(orders.Order("voters-ledger", "", payload)), 3)
         assert [tuple(voter) for voter in voters(simulation)] == in_force
 
     play(scenario, "abcab")
--- a/tests/dataplane/test_decisions_after_waits.py
+++ b/tests/dataplane/test_decisions_after_waits.py
@@ -155,7 +155,7 @@
                 pool.idle.clear()
         for origin in origins:
             origin.started.clear()
-        status = (await day.actors.ask("edge-1", "GET", "/shortlists/1"))[0]
+        status = (await day.actors.send_request("edge-1", "GET", "/shortlists/1"))[0]
         return status, len(opened) > 1, opened[0].started
 
     assert cluster.play(scenario) == (200, True, [])
--- a/tests/dataplane/test_final_answers.py
+++ b/tests/dataplane/test_final_answers.py
@@ -50,7 +50,7 @@
 
     async def scene(day):
         def ask(number, method="GET", path="/shortlists/"):
-            return timed(day.actors.ask("edge-1", method, f"{path}{number}", b"{}"))
+            return timed(day.actors.send_request("edge-1", method, f"{path}{number}", b"{}"))
 
         told = [await ask(1, path="/nowhere/"), await ask(2, "DELETE")]
         applications = [origin for origin in day.actors.origins if origin.service == "application"]
@@ -58,7 +58,7 @@
             origin.up = False
         await asyncio.sleep(2)
         told.append(await ask(3))
-        told.append(await timed(day.actors.ask("edge-1", "POST", "/applications", b"{}")))
+        told.append(await timed(day.actors.send_request("edge-1", "POST", "/applications", b"{}")))
         for origin in applications:
             origin.up = True
         await asyncio.sleep(3)
@@ -99,12 +99,12 @@
     async def scene(day):
         # First tries, so that there is a budget for second ones.
         for number in range(60):
-            await day.actors.ask("edge-1", "GET", f"/vacancies/{number}")
+            await day.actors.send_request("edge-1", "GET", f"/vacancies/{number}")
         path = "/vacancies/77"
         edge = day.cluster.nodes["edge-1"].program.role_node
         first = edge.view.shields("content", f"{path}?")[0].identity.name
         day.cluster.nodes[first].kill(reset=False)
-        (code, took) = await timed(day.actors.ask("edge-1", "GET", path))
+        (code, took) = await timed(day.actors.send_request("edge-1", "GET", path))
         assert code == ""
         assert took < 2.9
 
--- a/tests/dataplane/test_keyed_departures.py
+++ b/tests/dataplane/test_keyed_departures.py
@@ -8,7 +8,7 @@
 
 def write(day, edge, key):
     body = json.dumps({"number": key}).encode()
-    return day.actors.ask(edge, "POST", "/applications", body, idempotency_key=key)
+    return day.actors.send_request(edge, "POST", "/applications", body, idempotency_key=key)
 
 
 def test_keyed_write_whose_client_left_is_carried_on_and_its_result_kept():
@@ -51,7 +51,7 @@
     async def scenario(day):
         for origin in day.actors.origins:
             origin.delay = 0.5
-        client = asyncio.create_task(day.actors.ask("edge-1", "GET", "/vacancies/1"))
+        client = asyncio.create_task(day.actors.send_request("edge-1", "GET", "/vacancies/1"))
         await asyncio.sleep(0.2)
         day.cluster.nodes["edge-1"].kill(reset=True)
         client.cancel()
--- a/tests/dataplane/test_large_configurations.py
+++ b/tests/dataplane/test_large_configurations.py
@@ -222,6 +222,6 @@
 
 
 def test_cost_of_large_configurations_can_be_measured():
-    figures = {entry.what: entry.figure for entry in large_configurations.measure(300)}
+    figures = {entry.description: entry.value for entry in large_configurations.measure(300)}
     assert figures["all rows in compressed parts"] < figures["all rows, packed"] / 4
     assert figures["a changed row on its way"] < 1000
--- a/tests/dataplane/test_origin_limits.py
+++ b/tests/dataplane/test_origin_limits.py
@@ -23,7 +23,7 @@
     await asyncio.sleep(14)
     for origin in day.actors.all_origins:
         origin.started.clear()
-        origin.spans.clear()
+        origin.work_periods.clear()
 
 
 def ask_steadily(day, rate, seconds, path="/shortlists/"):
@@ -33,7 +33,7 @@
         jobs = []
         for number in range(int(rate * seconds)):
             edge = f"edge-{number % 2 + 1}"
-            jobs.append(asyncio.create_task(day.actors.ask(edge, "GET", f"{path}{rate}-{number}")))
+            jobs.append(asyncio.create_task(day.actors.send_request(edge, "GET", f"{path}{rate}-{number}")))
             await asyncio.sleep(1 / rate)
         return [answer[:2] for answer in await asyncio.gather(*jobs)]
 
@@ -42,7 +42,7 @@
 
 def judge(day, service, ceiling):
     watch = origin_invariants.OriginInvariants(day.cluster, {service: ceiling})
-    watch.close()
+    watch.check_records()
     assert not any(day.checker.broken.values()), day.checker.examples
     return day.checker.checked
 
@@ -122,10 +122,10 @@
         while day.watcher.now() < began + granted.deadline:
             decision = write_policy.ShieldWritePolicy(part.context.clock, granted, 3.0)
             with pytest.raises(errors.NoQuotaShareError):
-                await node.do(part.origin_client.enter(granted, decision), 1)
+                await node.run(part.origin_client.enter(granted, decision), 1)
             await asyncio.sleep(0.3)
         decision = write_policy.ShieldWritePolicy(part.context.clock, granted, 3.0)
-        await node.do(part.origin_client.enter(granted, decision), 1)
+        await node.run(part.origin_client.enter(granted, decision), 1)
 
     cluster.play(scene)
 
--- a/tests/dataplane/test_popularity.py
+++ b/tests/dataplane/test_popularity.py
@@ -19,7 +19,7 @@
     requests = []
     for number in range(int(rate * seconds)):
         edge = f"edge-{number % 2 + 1}"
-        requests.append(asyncio.create_task(day.actors.ask(edge, "GET", path)))
+        requests.append(asyncio.create_task(day.actors.send_request(edge, "GET", path)))
         await asyncio.sleep(1 / rate)
     results = await asyncio.gather(*requests)
     assert {status for status, _, _ in results} == {200}
--- a/tests/dataplane/test_reads.py
+++ b/tests/dataplane/test_reads.py
@@ -8,7 +8,7 @@
 
 
 async def read(day, path, edge="edge-1"):
-    status, code, result = await day.actors.ask(edge, "GET", path)
+    status, code, result = await day.actors.send_request(edge, "GET", path)
     return status, code, json.loads(result.body) if result else None
 
 
@@ -123,7 +123,7 @@
         stranger = day.actors.add_origin("payroll", "payroll-1", "north", "one")
         day.actors.origins.remove(stranger)
         # Taken over before the platform says a word: same address, another service.
-        day.actors.at[(old.host, old.port)] = stranger
+        day.actors.origins_by_address[(old.host, old.port)] = stranger
         old.up = False
         for number in range(40):
             await read(day, f"/vacancies/{number}")
@@ -151,7 +151,9 @@
     async def scene(day):
         before = sum(len(o.started) for o in origins(day, "content"))
         for _ in range(3):
-            status, _, _ = await day.actors.ask("edge-1", "GET", "/vacancies/2", b"", authorization="me")
+            status, _, _ = await day.actors.send_request(
+                "edge-1", "GET", "/vacancies/2", b"", authorization="me"
+            )
             assert status == 200
         assert sum(len(o.started) for o in origins(day, "content")) - before == 3
 
@@ -161,9 +163,15 @@
 def test_request_without_a_grant_entry_is_rejected():
     async def scene(day):
         before = sum(day.actors.records.requests.values())
-        assert (await day.actors.ask("edge-1", "GET", "/secret"))[:2] == (404, "unknown-path")
-        assert (await day.actors.ask("edge-1", "POST", "/vacancies/1"))[:2] == (405, "method-rejected")
-        assert (await day.actors.ask("edge-1", "DELETE", "/applications"))[:2] == (405, "method-rejected")
+        assert (await day.actors.send_request("edge-1", "GET", "/secret"))[:2] == (404, "unknown-path")
+        assert (await day.actors.send_request("edge-1", "POST", "/vacancies/1"))[:2] == (
+            405,
+            "method-rejected",
+        )
+        assert (await day.actors.send_request("edge-1", "DELETE", "/applications"))[:2] == (
+            405,
+            "method-rejected",
+        )
         assert sum(day.actors.records.requests.values()) == before
 
     cluster.play(scene)
--- a/tests/dataplane/test_served_objects.py
+++ b/tests/dataplane/test_served_objects.py
@@ -18,7 +18,7 @@
     async def scenario(day):
         path = "/vacancies/7"
         await set_origin_delay(day, 2.4)
-        fetching = asyncio.create_task(day.actors.ask("edge-1", "GET", path, **headers))
+        fetching = asyncio.create_task(day.actors.send_request("edge-1", "GET", path, **headers))
         await asyncio.sleep(0.1)
         day.actors.records.versions[path] += 1
         await day.actors.order("agency-2", "purge", [purge])
@@ -35,7 +35,7 @@
     async def scenario(day):
         path = "/vacancies/7"
         await set_origin_delay(day, 0.7)
-        asking = asyncio.create_task(day.actors.ask("edge-1", "GET", path, **headers))
+        asking = asyncio.create_task(day.actors.send_request("edge-1", "GET", path, **headers))
         started_at = asyncio.get_running_loop().time()
         while not asking.done():
             await day.actors.order("agency-2", "purge", [("path", path)])
@@ -55,9 +55,9 @@
         await asyncio.sleep(1)
         # The origin takes so long that the TTL of 0.5 s is over when its response arrives.
         await set_origin_delay(day, 2.8)
-        assert (await day.actors.ask("edge-1", "GET", "/vacancies/1"))[0] == 504
+        assert (await day.actors.send_request("edge-1", "GET", "/vacancies/1"))[0] == 504
         await set_origin_delay(day, 0.003)
-        assert (await day.actors.ask("edge-1", "GET", "/vacancies/1"))[0] == 200
+        assert (await day.actors.send_request("edge-1", "GET", "/vacancies/1"))[0] == 200
 
     cluster.play(scenario)
 
@@ -65,9 +65,9 @@
 def test_request_that_joins_a_fetch_that_times_out_keeps_its_own_deadline():
     async def scenario(day):
         await set_origin_delay(day, 60)
-        first = asyncio.create_task(day.actors.ask("edge-1", "GET", "/vacancies/1"))
+        first = asyncio.create_task(day.actors.send_request("edge-1", "GET", "/vacancies/1"))
         await asyncio.sleep(2.5)
-        second = asyncio.create_task(day.actors.ask("edge-1", "GET", "/vacancies/1"))
+        second = asyncio.create_task(day.actors.send_request("edge-1", "GET", "/vacancies/1"))
         await asyncio.sleep(0.4)
         await set_origin_delay(day, 0.003)
         assert (await first)[0] == 504
--- a/tests/dataplane/test_slow_start.py
+++ b/tests/dataplane/test_slow_start.py
@@ -21,7 +21,7 @@
     fresh = [origin_faults.replace(trouble, old) for old in of(day, service)]
     for origin in fresh:
         origin.warmup = warmup
-        origin.cold[:] = [(origin.cold[0][0], warmup)]
+        origin.warmup_periods[:] = [(origin.warmup_periods[0][0], warmup)]
     return fresh
 
 
--- a/tests/dataplane/test_writes.py
+++ b/tests/dataplane/test_writes.py
@@ -112,7 +112,7 @@
 
 def keyed(day, edge, key, number, path="/applications"):
     body = json.dumps({"number": number}).encode()
-    return day.actors.ask(edge, "POST", path, body, idempotency_key=key)
+    return day.actors.send_request(edge, "POST", path, body, idempotency_key=key)
 
 
 def test_same_idempotency_key_at_two_edges_runs_once_with_one_result():
--- a/tests/simulator/test_departing_clients.py
+++ b/tests/simulator/test_departing_clients.py
@@ -94,7 +94,7 @@
                 await shield.stop()
                 await shield.restart()
             case "cut":
-                day.cluster.network.cut([shield.placement.host], [draw.choice(day.actors.origins).host])
+                day.cluster.network.partition([shield.placement.host], [draw.choice(day.actors.origins).host])
             case "heal":
                 day.cluster.network.heal()
             case _:
--- a/tests/state/test_disk_faults.py
+++ b/tests/state/test_disk_faults.py
@@ -25,7 +25,7 @@
         for node in day.cluster.nodes.values():
             await node.start()
         took = await day.cluster.wait_until_ready(15)
-        while (await day.actors.ask("edge-1", "GET", "/vacancies/1"))[0] != 200:
+        while (await day.actors.send_request("edge-1", "GET", "/vacancies/1"))[0] != 200:
             took += 0.1
             await asyncio.sleep(0.1)
         assert took < 15
@@ -49,7 +49,7 @@
         assert not votes_on_all_tables(day, victim)
         # A request that names its old disk id gets no vote, whatever the node holds in memory.
         with pytest.raises(errors.NotBootstrappedError):
-            await node.do(
+            await node.run(
                 node.program.participant.handle_prepare("x", [items.CONFIGURATION, (999, "x"), old]), 1
             )
         await day.cluster.wait_until(lambda: votes_on_all_tables(day, victim), 10)
@@ -114,7 +114,7 @@
         assert not day.cluster.is_ready(node)
         if part == ".item.":
             with pytest.raises(errors.NotBootstrappedError):
-                await node.do(
+                await node.run(
                     participant.acceptors[items.CONFIGURATION].submit(
                         acceptor.Prepare(versions.Version(10**6, "x"))
                     ),
--- a/tests/state/test_power_loss.py
+++ b/tests/state/test_power_loss.py
@@ -76,8 +76,8 @@
     for _ in range(RUNS_PER_VOTER):
         if full:
             start = voter.folder.operations + voter.randomness.randrange(100)
-            voter.folder.full_at = range(start, start + voter.randomness.randrange(1, 20))
-        voter.folder.off_at = voter.folder.operations + voter.randomness.randrange(1, 600)
+            voter.folder.full_operations = range(start, start + voter.randomness.randrange(1, 20))
+        voter.folder.power_loss_operation = voter.folder.operations + voter.randomness.randrange(1, 600)
         try:
             for _ in range(STEPS_PER_RUN):
                 try:
@@ -86,16 +86,18 @@
                     assert full
         except simulated_folder.PowerLossError:
             pass
-        voter.folder.full_at = range(0)
+        voter.folder.full_operations = range(0)
         voter.folder.lose_power()
         try:
             # The power may fail again while the store is opened.
             if voter.randomness.random() < 0.3:
-                voter.folder.off_at = voter.folder.operations + voter.randomness.randrange(1, 40)
+                voter.folder.power_loss_operation = voter.folder.operations + voter.randomness.randrange(
+                    1, 40
+                )
                 await voter.start()
         except simulated_folder.PowerLossError:
             voter.folder.lose_power()
-        voter.folder.off_at = None
+        voter.folder.power_loss_operation = None
         await voter.start()
         voter.check()
         for table in items.TABLES:
--- a/tests/state/test_quorum_loss.py
+++ b/tests/state/test_quorum_loss.py
@@ -29,7 +29,7 @@
 
 
 def partition(simulated, names, other_names):
-    simulated.network.cut(simulated.hosts(names), simulated.hosts(other_names))
+    simulated.network.partition(simulated.hosts(names), simulated.hosts(other_names))
 
 
 def voter_names(simulated, *numbers):
--- a/tests/state/test_restart_after_changes.py
+++ b/tests/state/test_restart_after_changes.py
@@ -129,7 +129,7 @@
 def test_restarted_voter_catches_up_in_time_while_15_changes_per_second_go_on(is_wiped):
     async def scenario(day):
         for node in day.cluster.with_role("agency"):
-            node.disk.slowness = SYNC_SECONDS
+            node.disk.max_operation_seconds = SYNC_SECONDS
         confirmed = []
 
         async def change(number):
--- a/tests/state/test_slow_disks.py
+++ b/tests/state/test_slow_disks.py
@@ -60,7 +60,7 @@
 def test_disks_100_times_slower_leave_a_working_control_plane():
     async def scenario(day):
         for node in day.cluster.with_role("agency"):
-            node.disk.slowness = 0.12
+            node.disk.max_operation_seconds = 0.12
         durations_seconds = []
         for weight in range(1, 11):
             started = asyncio.get_running_loop().time()
--- a/tests/support/voter_cluster.py
+++ b/tests/support/voter_cluster.py
@@ -19,7 +19,7 @@
         sites = tuple((zone, "one" if zone < "c" else "two") for zone in zones)
         shape = cluster.SHAPE._replace(shields=len(zones), sites=sites, edges=1)
         simulation = simulated_cluster.SimulatedCluster(seed, shape)
-        simulation.by_seeds = True
+        simulation.seeds_bootstrap = True
         simulation.replace_after = 1.2
         await simulation.start_all()
         result = await scenario(simulation)
--- a/tests/transport/test_incarnations.py
+++ b/tests/transport/test_incarnations.py
@@ -124,7 +124,7 @@
                 (node.placement.host, 7000), "agency-2", "order", tuple(order), 0.3
             )
             with pytest.raises(errors.UnansweredError):
-                await caller.do(call, 5)
+                await caller.run(call, 5)
             await asyncio.sleep(0.1)
         await asyncio.sleep(2)
         assert node.program.context.configuration.value("site/north") == before
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -45,7 +45,7 @@
                 except ConnectionResetError:
                     pass
             assert context.counters.total("frames_dropped") - before == len(bad)
-        assert (await day.actors.ask("edge-1", "GET", "/vacancies/1"))[0] == 200
+        assert (await day.actors.send_request("edge-1", "GET", "/vacancies/1"))[0] == 200
 
     cluster.play(scenario)
 
@@ -75,7 +75,7 @@
                     address = (node.placement.host, 7000)
                     call = source.program.context.transport.call(address, name, kind, body, 0.3)
                     try:
-                        await source.do(call, 5)
+                        await source.run(call, 5)
                     except errors.IrisError:
                         rejected += 1
             assert not node.program.context.crashed.done()
