--- a/src/irisstand/simulator/cluster_faults.py
+++ b/src/irisstand/simulator/cluster_faults.py
@@ -6,20 +6,20 @@
 from irisstand import errors
 from irisstand.simulator import fault_context, simulated_node
 
-SERVICE_BACK_LIMIT_SECONDS = 15.0
-LIKELIHOOD = 0.5
+RECOVERY_LIMIT_SECONDS = 15.0
+FAULT_LIKELIHOOD = 0.5
 ROLLED_NODES_LIMIT = 8
 RETURN_ATTEMPTS_LIMIT = 8
 HTTP_OK = 200
 
 
-async def kill_herd(faults: fault_context.FaultContext) -> None:
+async def kill_half(faults: fault_context.FaultContext) -> None:
     """Kill half of all nodes at the same moment."""
-    nodes = [node for node in faults.healthy_nodes() if faults.randomness.random() < LIKELIHOOD]
+    nodes = [node for node in faults.healthy_nodes() if faults.randomness.random() < FAULT_LIKELIHOOD]
     faults.affected |= {node.placement.name for node in nodes}
     faults.record("herd", " ".join(node.placement.name for node in nodes))
     for node in nodes:
-        node.kill(reset=faults.randomness.random() < LIKELIHOOD)
+        node.kill(reset=faults.randomness.random() < FAULT_LIKELIHOOD)
     await faults.pause(0.2, 4)
     faults.record("mend", "herd")
     for node in nodes:
@@ -58,10 +58,10 @@
         pass
     await faults.pause(6, 12)
     entry[1] = fault_context.now()
-    await take_back(faults, site)
+    await order_return(faults, site)
 
 
-async def take_back(faults: fault_context.FaultContext, site: str) -> None:
+async def order_return(faults: fault_context.FaultContext, site: str) -> None:
     """Order the return of a site until the order is confirmed."""
     for _ in range(RETURN_ATTEMPTS_LIMIT):
         try:
@@ -75,7 +75,7 @@
 async def kill_after_confirmation(faults: fault_context.FaultContext) -> None:
     """Cut the power of a node right after it confirmed a change, and in half of the cases lose its disk."""
     control_nodes = faults.cluster.with_role("agency")
-    is_wiped = faults.randomness.random() < LIKELIHOOD
+    is_wiped = faults.randomness.random() < FAULT_LIKELIHOOD
     if (
         not all(node.is_up for node in control_nodes)
         or faults.send_change is None
@@ -94,7 +94,7 @@
     faults.release(node)
 
 
-async def replace_core(faults: fault_context.FaultContext) -> None:
+async def replace_control_plane_machine(faults: fault_context.FaultContext) -> None:
     """Remove a core machine for good, and start an empty one elsewhere."""
     cluster = faults.cluster
     control_nodes = cluster.with_role("agency")
@@ -136,19 +136,19 @@
     for node in faults.cluster.nodes.values():
         await node.restart()
         await asyncio.sleep(faults.randomness.uniform(0, 0.2))
-    is_back = await serves_again(faults, began)
-    rule = "after a total loss service is back within 15 s"
-    faults.cluster.actors.checker.check(rule, is_back, f"at {began:.2f}")
+    is_serving = await wait_until_serving(faults, began)
+    invariant = "after a total loss service is back within 15 s"
+    faults.cluster.actors.checker.check(invariant, is_serving, f"at {began:.2f}")
     faults.is_exclusive = False
 
 
-async def serves_again(faults: fault_context.FaultContext, began: float) -> bool:
+async def wait_until_serving(faults: fault_context.FaultContext, began: float) -> bool:
     """Wait until every edge answers a read that goes to an origin, and a write has run; False if too late."""
     actors = faults.cluster.actors
     number = 0
     waiting = {node.placement.name for node in faults.cluster.with_role("edge")}
     has_written = False
-    while fault_context.now() - began < SERVICE_BACK_LIMIT_SECONDS:
+    while fault_context.now() - began < RECOVERY_LIMIT_SECONDS:
         number += 1
         for edge in sorted(waiting):
             path = f"/vacancies/again-{began:.0f}-{number}"
@@ -166,10 +166,10 @@
 
 # The order counts: seeded days draw from it.
 REGISTRY: dict[str, fault_context.Fault] = {
-    "herd": kill_herd,
+    "herd": kill_half,
     "roll": roll,
     "evacuate": evacuate,
     "gone-after-yes": kill_after_confirmation,
-    "core-replaced": replace_core,
+    "core-replaced": replace_control_plane_machine,
     "total-loss": total_loss,
 }
--- a/src/irisstand/simulator/configuration_invariants.py
+++ b/src/irisstand/simulator/configuration_invariants.py
@@ -13,7 +13,7 @@
 ATTEMPTS_LIMIT = 3
 HTTP_OK = 200
 NEVER_IN_FORCE = "/never-in-force"
-INVALID_CHANGE_RULE = "an invalid change is rejected whole"
+INVALID_CHANGE_INVARIANT = "an invalid change is rejected whole"
 
 Row = dict[str, typing.Any]
 
@@ -110,9 +110,9 @@
         valid_row = {"kind": "path", "name": NEVER_IN_FORCE, "value": row["value"]}
         try:
             await self.actors.order(control_node, "change", [valid_row, row])
-            self.checker.check(INVALID_CHANGE_RULE, holds=False, example="it was confirmed")
+            self.checker.check(INVALID_CHANGE_INVARIANT, holds=False, example="it was confirmed")
         except errors.InvalidChangeError:
-            self.checker.check(INVALID_CHANGE_RULE, holds=True)
+            self.checker.check(INVALID_CHANGE_INVARIANT, holds=True)
         except (errors.IrisError, TimeoutError):
             pass
 
@@ -127,15 +127,17 @@
         if response.status == HTTP_OK:
             service = json.loads(response.result.body)["service"]
             allowed = self.allowed_services(f"path/{name}", asked_at, loop.time())
-            rule = "a change is in force 2 s after the yes, and no node goes back"
-            self.checker.check(rule, service in allowed, f"{edge} {name}: {service} at {asked_at:.3f}")
+            invariant = "a change is in force 2 s after the yes, and no node goes back"
+            self.checker.check(invariant, service in allowed, f"{edge} {name}: {service} at {asked_at:.3f}")
 
     def allowed_services(self, name: str, asked_at: float, answered_at: float) -> set[str]:
         """Return the services that may answer: of the newest change surely in force, and of newer ones."""
         offered_values = self.offered_values[name]
-        due = asked_at - IN_FORCE_GRACE_SECONDS
+        latest_confirmation = asked_at - IN_FORCE_GRACE_SECONDS
         in_force = [
-            offer for offer in offered_values if offer.confirmed_at is not None and offer.confirmed_at <= due
+            offer
+            for offer in offered_values
+            if offer.confirmed_at is not None and offer.confirmed_at <= latest_confirmation
         ]
         newest = newest_confirmed(in_force)
         return {
@@ -147,8 +149,8 @@
     async def read_ungranted(self, edge: str) -> None:
         """Read a path that no valid change ever allowed."""
         response = await self.actors.send_request(edge, "GET", NEVER_IN_FORCE)
-        rule = "no request reaches a service that no blueprint allowed"
-        self.checker.check(rule, response.status != HTTP_OK, f"{edge} answered")
+        invariant = "no request reaches a service that no blueprint allowed"
+        self.checker.check(invariant, response.status != HTTP_OK, f"{edge} answered")
 
     # -- the end of a day ----------------------------------------------------------------------------
     def check_nodes(self) -> None:
@@ -171,11 +173,11 @@
             is_newer = version > newest.version and any(
                 offer.version is None and offer.value == value for offer in offered_values
             )
-            rule = "the table read back is what was confirmed"
+            invariant = "the table read back is what was confirmed"
             example = f"{node} {key}: {version} where {newest.version} was confirmed"
-            self.checker.check(rule, is_confirmed or is_newer, example)
+            self.checker.check(invariant, is_confirmed or is_newer, example)
         is_absent = configuration.value(f"path/{NEVER_IN_FORCE}") is None
-        self.checker.check(INVALID_CHANGE_RULE, is_absent, node)
+        self.checker.check(INVALID_CHANGE_INVARIANT, is_absent, node)
 
     def check_replicas(self, table: str, contexts: list[node_context.NodeContext]) -> None:
         """Check that replicas with the same applied version are equal; leases change all the time."""
--- a/src/irisstand/simulator/day_kinds.py
+++ b/src/irisstand/simulator/day_kinds.py
@@ -27,7 +27,7 @@
     "application": origin_invariants.ServiceLimit(200, 100),
 }
 # Number of paths that changes point at different services.
-SWITCHES = 3
+SWITCH_PATHS = 3
 
 
 class DayKind(typing.NamedTuple):
@@ -97,7 +97,7 @@
         {"kind": "shield", "name": f"shield-machine-{number + 1}", "value": {"limit": kind.capacity}}
         for number in range(kind.shape.shields)
     ]
-    switches = [switch_row(number, "content") for number in range(SWITCHES)]
+    switches = [switch_row(number, "content") for number in range(SWITCH_PATHS)]
     return [*services, *paths, *shields, *switches]
 
 
--- a/src/irisstand/simulator/day_runner.py
+++ b/src/irisstand/simulator/day_runner.py
@@ -30,7 +30,7 @@
 
     seed: int
     checked: collections.Counter[str] = collections.Counter()
-    broken: collections.Counter[str] = collections.Counter()
+    violations: collections.Counter[str] = collections.Counter()
     examples: collections.abc.Mapping[str, str] = {}
     results: collections.Counter[str] = collections.Counter()
     faults: collections.Counter[str] = collections.Counter()
@@ -39,7 +39,7 @@
 
     def has_failed(self) -> bool:
         """Return whether an invariant was broken or the day did not end in order."""
-        return bool(self.error) or any(self.broken.values())
+        return bool(self.error) or any(self.violations.values())
 
 
 def run_day(seed: int, seconds: float, kind: str) -> Outcome:
@@ -52,7 +52,7 @@
     return Outcome(
         seed,
         checked=day.checker.checked,
-        broken=day.checker.broken,
+        violations=day.checker.broken,
         examples=dict(day.checker.examples),
         results=day.checker.results,
         faults=day.fault_injector.counts,
@@ -101,9 +101,9 @@
 def print_sums(outcomes: list[Outcome], print_line: Print) -> None:
     """Print the checks of each invariant, and counts of results and faults, over all days."""
     checked = total([outcome.checked for outcome in outcomes])
-    broken = total([outcome.broken for outcome in outcomes])
-    for rule in sorted(checked):
-        print_line(f"{checked[rule]:9d} checked {broken[rule]:5d} broken  {rule}")
+    violations = total([outcome.violations for outcome in outcomes])
+    for invariant in sorted(checked):
+        print_line(f"{checked[invariant]:9d} checked {violations[invariant]:5d} broken  {invariant}")
     for title, counts in (
         ("results", total([outcome.results for outcome in outcomes])),
         ("troubles", total([outcome.faults for outcome in outcomes])),
--- a/src/irisstand/simulator/hostile_scripts.py
+++ b/src/irisstand/simulator/hostile_scripts.py
@@ -162,7 +162,7 @@
         script = virtual_time.run(run_script(seed))
         answered += script.answered
         runs += script.request_log.runs.total()
-        violations += [f"seed {seed}: {what}" for what in script.violations]
+        violations += [f"seed {seed}: {violation}" for violation in script.violations]
     return FuzzResult(len(seeds), answered, runs, tuple(violations))
 
 
--- a/src/irisstand/simulator/invariant_watcher.py
+++ b/src/irisstand/simulator/invariant_watcher.py
@@ -50,12 +50,12 @@
 
     def check_replicas(self, name: str, node: simulated_node.SimulatedNode) -> None:
         """Check that no current replica of a node goes back."""
-        rule = "no node that serves slips back to an older table"
+        invariant = "no node that serves slips back to an older table"
         for table, replica in node.program.context.replicas.items():
             if node.program.context.is_current(replica):
                 before = self.applied_versions.get((name, table), versions.NONE)
                 example = f"{name} {table}: {replica.applied} after {before}"
-                self.checker.check(rule, replica.applied >= before, example)
+                self.checker.check(invariant, replica.applied >= before, example)
                 self.applied_versions[(name, table)] = max(before, replica.applied)
 
     def check_leases(self, nodes: dict[str, simulated_node.SimulatedNode]) -> None:
@@ -76,12 +76,12 @@
             context = node.program.context
             if node.placement.role == "shield" and all(map(context.is_current, context.replicas.values())):
                 self.add_quota_uses(name, node, uses)
-        rule = "the shares of a ceiling add up to no more than it"
+        invariant = "the shares of a ceiling add up to no more than it"
         for service, entries in uses.items():
             rate = sum(entry.rate for entry in entries)
             limit = max(entry.limit for entry in entries)
             example = f"{service}: {[tuple(entry) for entry in entries]} at {self.now():.2f}"
-            self.checker.check(rule, rate <= limit, example)
+            self.checker.check(invariant, rate <= limit, example)
 
     def add_quota_uses(
         self, name: str, node: simulated_node.SimulatedNode, uses: dict[str, list[QuotaUse]]
--- a/src/irisstand/simulator/large_configurations.py
+++ b/src/irisstand/simulator/large_configurations.py
@@ -35,7 +35,7 @@
     return table_replica
 
 
-def change_one(table_replica: replica.Replica) -> items.Item:
+def change_one_route(table_replica: replica.Replica) -> items.Item:
     """Change one route and return its new item."""
     version = versions.Version(table_replica.applied.counter + 1, "core-1")
     value = {"version": version.counter, "item": route_item(7, version.counter)}
@@ -60,7 +60,7 @@
 ) -> replica.Replica:
     """Return the replica that an edge makes of the chunks."""
     table_replica = replica.Replica(items.CONFIGURATION)
-    rows = [item for part in chunks for item in chunk_transfer.unpack_items(part.packed_items)]
+    rows = [item for chunk in chunks for item in chunk_transfer.unpack_items(chunk.packed_items)]
     if not table_replica.apply_changes(applied, root, rows, []):
         raise ValueError("the parts do not add up")
     return table_replica
@@ -105,9 +105,9 @@
     figures = [
         sizes.Figure("all rows, packed", "kB", packed_bytes / 1000),
         sizes.Figure(
-            "all rows in compressed parts", "kB", sum(len(part.packed_items) for part in chunks) / 1000
+            "all rows in compressed parts", "kB", sum(len(chunk.packed_items) for chunk in chunks) / 1000
         ),
-        sizes.Figure("the largest part", "kB", max(len(part.packed_items) for part in chunks) / 1000),
+        sizes.Figure("the largest part", "kB", max(len(chunk.packed_items) for chunk in chunks) / 1000),
         sizes.Figure("parts", "parts", len(chunks)),
         sizes.Figure(
             "a core node cuts all parts, once for all askers",
@@ -136,7 +136,7 @@
         ),
         sizes.Figure("memory of rows and routes", "MB", memory_megabytes(count)),
     ]
-    changed = change_one(table_replica)
+    changed = change_one_route(table_replica)
     figures.append(sizes.Figure("a changed row on its way", "bytes", len(ormsgpack.packb(changed.to_wire()))))
     figures.append(
         sizes.Figure("an edge compiles a changed row", "ms", processor_milliseconds(table.refresh))
--- a/src/irisstand/simulator/node_faults.py
+++ b/src/irisstand/simulator/node_faults.py
@@ -2,9 +2,9 @@
 
 from irisstand.simulator import fault_context
 
-LOSS_OF_DATAGRAMS = 0.1
+DATAGRAM_LOSS_SHARE = 0.1
 # Parts of the names of a voter's files, one of which is damaged.
-DAMAGED_FILE_NAMES = (".voter.", ".item.", "vault")
+DAMAGED_NAME_PARTS = (".voter.", ".item.", "vault")
 
 
 async def kill(faults: fault_context.FaultContext) -> None:
@@ -111,7 +111,7 @@
     if not faults.may_lose_disk():
         return
     node = faults.randomness.choice(faults.cluster.with_role("agency"))
-    name_part = faults.randomness.choice(DAMAGED_FILE_NAMES)
+    name_part = faults.randomness.choice(DAMAGED_NAME_PARTS)
     faults.begin("corrupt", node)
     node.kill()
     node.disk.corrupt(name_part)
@@ -134,7 +134,7 @@
 async def lose_datagrams(faults: fault_context.FaultContext) -> None:
     """Lose a tenth of all datagrams for a while."""
     faults.record("loss", "10 %")
-    faults.cluster.network.loss = LOSS_OF_DATAGRAMS
+    faults.cluster.network.loss = DATAGRAM_LOSS_SHARE
     await faults.pause(1, 5)
     faults.cluster.network.loss = 0.0
 
--- a/src/irisstand/simulator/origin_faults.py
+++ b/src/irisstand/simulator/origin_faults.py
@@ -4,7 +4,7 @@
 
 WARMUP_SECONDS = 4.0
 NORMAL_DELAY_SECONDS = simulated_origins.NORMAL_DELAY_SECONDS
-ANSWER_FAULTS = ("lose-answer", "wrong-digest", "no-seal", "short", "wrong-request", "fails")
+RESPONSE_FAULTS = ("lose-answer", "wrong-digest", "no-seal", "short", "wrong-request", "fails")
 SERVICES = ("content", "application")
 
 
@@ -18,10 +18,10 @@
     origin.up = True
 
 
-async def spoil_answers(faults: fault_context.FaultContext) -> None:
+async def inject_response_fault(faults: fault_context.FaultContext) -> None:
     """Let an origin spoil its answers in one way for a while."""
     origin = faults.randomness.choice(faults.cluster.actors.origins)
-    kind = faults.randomness.choice(ANSWER_FAULTS)
+    kind = faults.randomness.choice(RESPONSE_FAULTS)
     faults.record(f"origin {kind}", origin.instance)
     origin.faults.add(kind)
     await faults.pause(0.3, 4)
@@ -88,7 +88,7 @@
         replace(faults, old)
 
 
-async def hand_over(faults: fault_context.FaultContext) -> None:
+async def reuse_address(faults: fault_context.FaultContext) -> None:
     """Let an origin vanish and one of the other service answer at its address; the platform lags."""
     actors = faults.cluster.actors
     candidates = staying_origins(faults)
@@ -114,9 +114,9 @@
 # The order counts: seeded days draw from it.
 REGISTRY: dict[str, fault_context.Fault] = {
     "origin-down": stop,
-    "origin-fault": spoil_answers,
+    "origin-fault": inject_response_fault,
     "origin-slow": slow_down,
     "origin-leaves": leave,
     "origins-replaced": replace_all,
-    "address-handed-over": hand_over,
+    "address-handed-over": reuse_address,
 }
--- a/src/irisstand/simulator/origin_invariants.py
+++ b/src/irisstand/simulator/origin_invariants.py
@@ -43,95 +43,107 @@
             origins = [origin for origin in self.actors.all_origins if origin.service == service]
             self.check_rate(service, origins, limit.rate)
             self.check_in_flight(service, origins, limit.in_flight)
-            even_share = limit.rate / max(1, self.actors.minimum_origin_counts[service])
+            even_rate = limit.rate / max(1, self.actors.minimum_origin_counts[service])
             for origin in origins:
-                self.check_cold(origin, even_share)
+                self.check_cold(origin, even_rate)
                 self.check_leaving(origin)
                 self.check_evacuated(origin)
         self.check_retries()
 
     def check_rate(self, service: str, origins: list[simulated_origins.SimulatedOrigin], limit: int) -> None:
         """Check the rate in the second before each request."""
-        rule = "no service gets more requests in any one second than its ceiling"
-        moments = sorted(moment for origin in origins for moment, _ in origin.started)
-        for position, moment in enumerate(moments):
-            count = position + 1 - bisect.bisect_right(moments, moment - RATE_WINDOW_SECONDS)
-            self.checker.check(rule, count <= limit, f"{service}: {count} of {limit} at {moment:.3f}")
+        invariant = "no service gets more requests in any one second than its ceiling"
+        start_times = sorted(start_time for origin in origins for start_time, _ in origin.started)
+        for position, start_time in enumerate(start_times):
+            count = position + 1 - bisect.bisect_right(start_times, start_time - RATE_WINDOW_SECONDS)
+            self.checker.check(
+                invariant, count <= limit, f"{service}: {count} of {limit} at {start_time:.3f}"
+            )
 
     def check_in_flight(
         self, service: str, origins: list[simulated_origins.SimulatedOrigin], limit: int
     ) -> None:
         """Check the number of requests in flight at the start of each; ends of a moment come first."""
-        rule = "no service has more under way than its ceiling"
+        invariant = "no service has more under way than its ceiling"
         events = [(start, 1) for origin in origins for start, _ in origin.work_periods]
         events += [(end, -1) for origin in origins for _, end in origin.work_periods]
         count = 0
-        for moment, step in sorted(events):
+        for event_time, step in sorted(events):
             count += step
             if step > 0:
-                self.checker.check(rule, count <= limit, f"{service}: {count} of {limit} at {moment:.3f}")
+                self.checker.check(
+                    invariant, count <= limit, f"{service}: {count} of {limit} at {event_time:.3f}"
+                )
 
-    def check_cold(self, origin: simulated_origins.SimulatedOrigin, even_share: float) -> None:
+    def check_cold(self, origin: simulated_origins.SimulatedOrigin, even_rate: float) -> None:
         """Check that a warming origin gets its part of an even share, and one request more per shield."""
-        rule = "a cold origin gets no more than its warmth allows"
-        moments = [moment for moment, _ in origin.started]
+        invariant = "a cold origin gets no more than its warmth allows"
+        start_times = [start_time for start_time, _ in origin.started]
         for began, lasts in origin.warmup_periods:
-            first = bisect.bisect_left(moments, began)
-            for position in range(first, bisect.bisect_left(moments, began + lasts)):
-                moment = moments[position]
-                window_start = max(began, moment - RATE_WINDOW_SECONDS)
-                count = position + 1 - bisect.bisect_right(moments, window_start)
-                warmth = slow_start.warm_fraction(moment - began, lasts)
-                limit = even_share * warmth + self.cluster.shape.shields
-                example = f"{origin.instance}: {count} over {limit:.1f} at {moment:.3f}"
-                self.checker.check(rule, count <= limit, f"{example}, cold since {began:.3f}")
+            first = bisect.bisect_left(start_times, began)
+            for position in range(first, bisect.bisect_left(start_times, began + lasts)):
+                start_time = start_times[position]
+                window_start = max(began, start_time - RATE_WINDOW_SECONDS)
+                count = position + 1 - bisect.bisect_right(start_times, window_start)
+                warmth = slow_start.warm_fraction(start_time - began, lasts)
+                limit = even_rate * warmth + self.cluster.shape.shields
+                example = f"{origin.instance}: {count} over {limit:.1f} at {start_time:.3f}"
+                self.checker.check(invariant, count <= limit, f"{example}, cold since {began:.3f}")
 
     def check_leaving(self, origin: simulated_origins.SimulatedOrigin) -> None:
         """Check that an origin which is listed as leaving gets no new work."""
-        rule = "a leaving origin gets no new work 2 s after the platform says so"
+        invariant = "a leaving origin gets no new work 2 s after the platform says so"
         for listed_at, until in origin.leaving_periods:
             due = self.learnable_at(listed_at) + LEAVING_GRACE_SECONDS
-            late = [moment for moment, _ in origin.started if due < moment < until]
-            self.checker.check(rule, not late, f"{origin.instance} said {listed_at:.2f}: work at {late[:3]}")
+            late_requests = [start_time for start_time, _ in origin.started if due < start_time < until]
+            self.checker.check(
+                invariant,
+                not late_requests,
+                f"{origin.instance} said {listed_at:.2f}: work at {late_requests[:3]}",
+            )
 
     def learnable_at(self, listed_at: float) -> float:
         """Return when the first node could have learned what the platform listed at a moment."""
-        moment = listed_at
+        earliest = listed_at
         for began, ended in sorted(self.actors.platform_outages):
-            if began <= moment + LEAVING_GRACE_SECONDS and ended > moment:
-                moment = max(moment, ended)
-        return moment
+            if began <= earliest + LEAVING_GRACE_SECONDS and ended > earliest:
+                earliest = max(earliest, ended)
+        return earliest
 
     def check_evacuated(self, origin: simulated_origins.SimulatedOrigin) -> None:
         """Check that an origin of an evacuated site gets no new work."""
-        rule = "an evacuated site gets no new work after 5 s"
+        invariant = "an evacuated site gets no new work after 5 s"
         for confirmed_at, returned_at in self.actors.evacuations[origin.site]:
             due = confirmed_at + EVACUATION_GRACE_SECONDS
-            late = [moment for moment, _ in origin.started if due < moment < returned_at]
-            self.checker.check(rule, not late, f"{origin.instance} since {confirmed_at:.2f}: {late[:3]}")
+            late_requests = [start_time for start_time, _ in origin.started if due < start_time < returned_at]
+            self.checker.check(
+                invariant,
+                not late_requests,
+                f"{origin.instance} since {confirmed_at:.2f}: {late_requests[:3]}",
+            )
 
     def check_retries(self) -> None:
         """Check that retries stay within a share of the traffic, and one more for each node."""
-        rule = "second tries stay within a fifth of the traffic in any 10 s"
+        invariant = "second tries stay within a fifth of the traffic in any 10 s"
         requests = sorted(request for origin in self.actors.all_origins for request in origin.started)
-        moments = [moment for moment, _ in requests]
-        retries = retry_moments(requests)
+        start_times = [start_time for start_time, _ in requests]
+        retries = retry_start_times(requests)
         allowance = len(self.cluster.with_role("edge")) + len(self.cluster.with_role("shield"))
-        for moment in retries:
-            window_start = moment - RETRY_WINDOW_SECONDS
-            first = bisect.bisect_left(moments, window_start)
-            total = bisect.bisect_right(moments, moment) - first
-            count = sum(window_start <= other <= moment for other in retries)
+        for start_time in retries:
+            window_start = start_time - RETRY_WINDOW_SECONDS
+            first = bisect.bisect_left(start_times, window_start)
+            total = bisect.bisect_right(start_times, start_time) - first
+            count = sum(window_start <= other <= start_time for other in retries)
             limit = RETRY_SHARE * (total - count) + allowance
-            self.checker.check(rule, count <= limit, f"{count} of {total} at {moment:.2f}")
+            self.checker.check(invariant, count <= limit, f"{count} of {total} at {start_time:.2f}")
 
 
-def retry_moments(requests: list[tuple[float, str]]) -> list[float]:
+def retry_start_times(requests: list[tuple[float, str]]) -> list[float]:
     """Return the times of requests whose id an origin had seen before, from (time, id) in order."""
     seen: set[str] = set()
-    moments = []
-    for moment, request_id in requests:
+    start_times = []
+    for start_time, request_id in requests:
         if request_id in seen:
-            moments.append(moment)
+            start_times.append(start_time)
         seen.add(request_id)
-    return moments
+    return start_times
--- a/src/irisstand/simulator/propagation_benchmark.py
+++ b/src/irisstand/simulator/propagation_benchmark.py
@@ -118,7 +118,7 @@
 def make_order(client: int, count: int) -> Order:
     """Return a client's order by its count: invalid ones, changes and purges."""
     if count % INVALID_ORDER_INTERVAL == 0:
-        return Order("change", [day_kinds.switch_row(client % day_kinds.SWITCHES, "nobody")])
+        return Order("change", [day_kinds.switch_row(client % day_kinds.SWITCH_PATHS, "nobody")])
     if client % 2:
         row = {"kind": "site", "name": f"storm-{client}", "value": {"weight": count % 1000}}
         return Order("change", [row])
--- a/src/irisstand/simulator/restart_measurement.py
+++ b/src/irisstand/simulator/restart_measurement.py
@@ -65,12 +65,12 @@
     load_seconds = time.process_time() - started
     assert restarted.intact[table]
     assert restarted.replicas[table].root_digest() == live_replica.root_digest()
-    empty = simulated_folder.SimulatedFolder(random.Random(3))
-    wiped = await open_store(empty)
-    syncs = empty.syncs
-    bytes_written = empty.bytes_written
+    empty_folder = simulated_folder.SimulatedFolder(random.Random(3))
+    wiped_store = await open_store(empty_folder)
+    syncs = empty_folder.syncs
+    bytes_written = empty_folder.bytes_written
     started = time.process_time()
-    await wiped.save_replica(table, live_replica, wiped.records[table])
+    await wiped_store.save_replica(table, live_replica, wiped_store.records[table])
     save_seconds = time.process_time() - started
     return RestartFigures(
         changes=changes,
@@ -78,8 +78,8 @@
         files=files,
         folder_bytes=folder_bytes,
         load_seconds=load_seconds,
-        wiped_syncs=empty.syncs - syncs,
-        wiped_bytes=empty.bytes_written - bytes_written,
+        wiped_syncs=empty_folder.syncs - syncs,
+        wiped_bytes=empty_folder.bytes_written - bytes_written,
         wiped_seconds=save_seconds,
     )
 
--- a/src/irisstand/simulator/simulated_actors.py
+++ b/src/irisstand/simulator/simulated_actors.py
@@ -104,8 +104,10 @@
     def unlist(self, origin: simulated_origins.SimulatedOrigin) -> None:
         """Take an origin out of the platform's list."""
         self.origins.remove(origin)
-        left = sum(other.service == origin.service for other in self.origins)
-        self.minimum_origin_counts[origin.service] = min(self.minimum_origin_counts[origin.service], left)
+        remaining = sum(other.service == origin.service for other in self.origins)
+        self.minimum_origin_counts[origin.service] = min(
+            self.minimum_origin_counts[origin.service], remaining
+        )
 
     def answers_at(self, origin: simulated_origins.SimulatedOrigin, address: tuple[str, int]) -> bool:
         """Return whether this origin still answers at this address."""
@@ -118,14 +120,14 @@
             ConnectionRefusedError: The platform is down.
         """
         now = asyncio.get_running_loop().time()
-        recent = [moment for moment in self.platform_requests if moment > now - PLATFORM_WINDOW_SECONDS]
+        recent = [sent_at for sent_at in self.platform_requests if sent_at > now - PLATFORM_WINDOW_SECONDS]
         self.platform_requests = [*recent, now]
-        in_last_second = sum(moment > now - 0.99 for moment in self.platform_requests)
+        in_last_second = sum(sent_at > now - 0.99 for sent_at in self.platform_requests)
         is_allowed = (
             in_last_second <= PLATFORM_SECOND_LIMIT and len(self.platform_requests) <= PLATFORM_WINDOW_LIMIT
         )
-        rule = "the platform is asked no more often than it allows"
-        self.checker.check(rule, is_allowed, f"{self.platform_requests} at {now:.2f}")
+        invariant = "the platform is asked no more often than it allows"
+        self.checker.check(invariant, is_allowed, f"{self.platform_requests} at {now:.2f}")
         await asyncio.sleep(PLATFORM_DELAY_SECONDS)
         if not self.platform_up:
             raise ConnectionRefusedError("the platform is down")
@@ -186,8 +188,8 @@
 
     def count_capacity_elsewhere(self, request: snapshot.AllowedRequest) -> None:
         """Count a rejected request by whether another shield could have sent it."""
-        room = "had room" if self.has_capacity(request) else "had none"
-        self.checker.results[f"over-ceiling while another shield {room}"] += 1
+        capacity = "had room" if self.has_capacity(request) else "had none"
+        self.checker.results[f"over-ceiling while another shield {capacity}"] += 1
 
     def has_capacity(self, request: snapshot.AllowedRequest) -> bool:
         """Return whether a shield that is up could have sent one more request of the service just now."""
@@ -196,7 +198,7 @@
             share = node.program.role_node.origin_client.shares.get(request.service) if node.is_up else None
             if share is not None:
                 rate, in_flight = node.program.role_node.view.quota_share(request.service, request.limit)
-                started = sum(moment > now - 1 for moment in share.started.moments)
+                started = sum(sent_at > now - 1 for sent_at in share.started.moments)
                 if started < rate and share.in_flight() < in_flight:
                     return True
         return False
--- a/src/irisstand/simulator/simulated_day.py
+++ b/src/irisstand/simulator/simulated_day.py
@@ -17,7 +17,7 @@
 )
 
 SEED_FACTOR = 7919
-CACHE_LIFE_SECONDS = {"vacancies": 5.0}
+CACHE_TTL_SECONDS = {"vacancies": 5.0}
 READY_TIMEOUT_SECONDS = 20
 READY_AT_THE_END_TIMEOUT_SECONDS = 40
 ORIGINS_KNOWN_TIMEOUT_SECONDS = 10
@@ -52,7 +52,7 @@
         self.cluster.replace_after = kind.replace_after
         self.actors = self.cluster.actors
         self.checker = self.actors.checker
-        self.checker.lives = dict(CACHE_LIFE_SECONDS)
+        self.checker.lives = dict(CACHE_TTL_SECONDS)
         self.configuration_invariants = configuration_invariants.ConfigurationInvariants(self.cluster)
         self.watcher = invariant_watcher.InvariantWatcher(self.cluster)
         self.origin_invariants = origin_invariants.OriginInvariants(self.cluster, dict(kind.limits))
@@ -135,7 +135,7 @@
         if draw < KEYED_WRITE_BOUND:
             return self.actors.write_until_known([edge, *edges])
         if draw < SWITCH_READ_BOUND:
-            number = self.randomness.randrange(day_kinds.SWITCHES)
+            number = self.randomness.randrange(day_kinds.SWITCH_PATHS)
             return self.configuration_invariants.read_switch(edge, number)
         return self.configuration_invariants.read_ungranted(edge)
 
@@ -166,7 +166,7 @@
 
     async def send_random_change(self, control_node: str) -> None:
         """Send a random change to a node."""
-        number = self.randomness.randrange(day_kinds.SWITCHES)
+        number = self.randomness.randrange(day_kinds.SWITCH_PATHS)
         row = day_kinds.switch_row(number, self.randomness.choice(day_kinds.SERVICES))
         await self.configuration_invariants.change(control_node, row)
 
@@ -175,7 +175,7 @@
         end = self.now() + self.seconds
         while self.now() < end:
             await asyncio.sleep(self.randomness.uniform(0.3, 1.5))
-            number = self.randomness.randrange(day_kinds.SWITCHES)
+            number = self.randomness.randrange(day_kinds.SWITCH_PATHS)
             for _ in range(self.randomness.choice((1, 1, 2))):
                 row = day_kinds.switch_row(number, self.randomness.choice(day_kinds.SERVICES))
                 control_node = self.fault_injector.pick_control_node()
--- a/src/irisstand/simulator/simulated_node.py
+++ b/src/irisstand/simulator/simulated_node.py
@@ -130,11 +130,11 @@
         await self.actor.start(asyncio.sleep(context.settings.farewell))
         await self.actor.start(context.drain())
         # A request that still waits now will never be answered.
-        rule = "a planned restart drops no answer under way"
+        invariant = "a planned restart drops no answer under way"
         if self.is_up:
             pending_requests = self.actor.pending_requests
             self.cluster.actors.checker.check(
-                rule, pending_requests == 0, f"{self.placement.name}: {pending_requests} dropped"
+                invariant, pending_requests == 0, f"{self.placement.name}: {pending_requests} dropped"
             )
         await self.actor.start(self.program.close())
         self.actor.dead = True
--- a/src/irisstand/simulator/sizes.py
+++ b/src/irisstand/simulator/sizes.py
@@ -26,18 +26,18 @@
     """Return the update of a living member."""
     name = f"edge-zone-{number % 25}-{number}"
     zone, region = f"zone-{number % 25}", f"region-{number % 10}"
-    place = updates.NodeInfo("direct", name, zone, region, "10.100.100.100", 7661, 8140)
-    return updates.Update(updates.MemberState.ALIVE, updates.Identity(name, f"{number:016x}"), 0, place)
+    node_info = updates.NodeInfo("direct", name, zone, region, "10.100.100.100", 7661, 8140)
+    return updates.Update(updates.MemberState.ALIVE, updates.Identity(name, f"{number:016x}"), 0, node_info)
 
 
 def bytes_per_object(make: typing.Callable[[int], object], count: int) -> float:
     """Return the bytes of memory for each of `count` objects that `make` makes."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    kept = [make(number) for number in range(count)]
+    retained = [make(number) for number in range(count)]
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return (after - before) / len(kept)
+    return (after - before) / len(retained)
 
 
 def member_bytes(members: int) -> float:
@@ -53,19 +53,21 @@
 def row_bytes(prefix: str, value: typing.Any, rows: int) -> float:
     """Return the bytes of memory for one row of a table."""
     table_replica = replica.Replica(items.LEDGER)
-    made = versions.Version(1, "core-1~ab")
-    return bytes_per_object(lambda n: table_replica.put(items.Item(f"{prefix}/{n:08d}", made, value)), rows)
+    version = versions.Version(1, "core-1~ab")
+    return bytes_per_object(
+        lambda n: table_replica.put(items.Item(f"{prefix}/{n:08d}", version, value)), rows
+    )
 
 
 def object_bytes(body: int, count: int) -> float:
     """Return the bytes of memory for one cached object, beside its body."""
-    kept = object_cache.ObjectCache(1 << 40)
-    head = (("etag", '"v1"'), ("content-type", "text/html"))
+    retained = object_cache.ObjectCache(1 << 40)
+    headers = (("etag", '"v1"'), ("content-type", "text/html"))
 
     def put(number: int) -> None:
         applied = versions.Version(number, "n")
-        kept.put(
-            f"s h/{number}", objects.CachedObject(200, head, bytes(body), applied, 0.0, 0.0, 20.0, ("t",))
+        retained.put(
+            f"s h/{number}", objects.CachedObject(200, headers, bytes(body), applied, 0.0, 0.0, 20.0, ("t",))
         )
 
     return bytes_per_object(put, count) - body
@@ -82,13 +84,15 @@
 def measure() -> list[Figure]:
     """Return all sizes."""
     applied = (123456, "core-region-1-zone-1-1~0123456789ab")
-    question = (("blueprint", applied, bytes(16)), ("ledger", applied, bytes(16)))
+    known_versions = (("blueprint", applied, bytes(16)), ("ledger", applied, bytes(16)))
     same = ((applied, 0.12, bytes(16), ("same",)),) * 2
     purge = ("purge/path/host.example/objects/1234", applied, {"purge": "path"})
-    riding = tuple(make_update(number).to_wire() for number in range(6))
-    ping = ("ping", 123456, ("edge-zone-1-1", "0" * 16), ("edge-zone-2-2", "0" * 16), riding)
+    piggybacked_updates = tuple(make_update(number).to_wire() for number in range(6))
+    ping = ("ping", 123456, ("edge-zone-1-1", "0" * 16), ("edge-zone-2-2", "0" * 16), piggybacked_updates)
     figures = [
-        Figure("a question for two tables", "bytes", len(codec.pack(("ask", 1234, ("after", question))))),
+        Figure(
+            "a question for two tables", "bytes", len(codec.pack(("ask", 1234, ("after", known_versions))))
+        ),
         Figure("its answer when nothing is new", "bytes", len(codec.pack(("result", 1234, same)))),
         Figure("a purge on its way", "bytes", len(codec.pack(("result", 1, purge)))),
         Figure("a ping with six updates", "bytes", len(codec.pack(ping))),
@@ -99,8 +103,10 @@
     ]
     for members in (50, 200, 800, 2100):
         figures.append(Figure(f"a member, of {members}", "bytes", member_bytes(members)))
-        listed = [fleet_limits.Member(f"e{number}", "direct", f"z{number % 25}") for number in range(members)]
-        work = functools.partial(fleet_limits.connection_limit, "e1", listed, "o", 58, is_held=False)
-        spent = processor_seconds(work)
-        figures.append(Figure(f"an origin's connections split over {members}", "ms", spent * 1000))
+        member_list = [
+            fleet_limits.Member(f"e{number}", "direct", f"z{number % 25}") for number in range(members)
+        ]
+        work = functools.partial(fleet_limits.connection_limit, "e1", member_list, "o", 58, is_held=False)
+        split_seconds = processor_seconds(work)
+        figures.append(Figure(f"an origin's connections split over {members}", "ms", split_seconds * 1000))
     return figures
--- a/src/irisstand/simulator/standby_invariants.py
+++ b/src/irisstand/simulator/standby_invariants.py
@@ -103,18 +103,18 @@
         new = records - self.seen_records
         self.seen_records |= records
         if new and now - self.last_loss_at > UNKNOWN_LOSS_SECONDS:
-            rule = "a rest leaves enough for any one further loss"
+            invariant = "a rest leaves enough for any one further loss"
             example = f"{sorted(new)} rest at {now:.2f}: {shortage} is not carried at {load:.1f}/s"
-            self.checker.check(rule, not shortage, example)
+            self.checker.check(invariant, not shortage, example)
 
     def check_active_again(self, role: str, shortage: str, now: float) -> None:
         """Check that a shortage, which a loss has caused, does not last."""
         since = self.shortage_since.setdefault(role, max(now, self.last_loss_at))
-        lasted = now - since
-        self.longest_shortage[role] = max(self.longest_shortage.get(role, 0.0), lasted)
-        rule = f"after a loss enough is awake again within {ACTIVE_AGAIN_SECONDS:g} s"
+        duration = now - since
+        self.longest_shortage[role] = max(self.longest_shortage.get(role, 0.0), duration)
+        invariant = f"after a loss enough is awake again within {ACTIVE_AGAIN_SECONDS:g} s"
         example = f"{role}: {shortage} at {now:.2f}, since {since:.2f}"
-        self.checker.check(rule, lasted <= ACTIVE_AGAIN_SECONDS, example)
+        self.checker.check(invariant, duration <= ACTIVE_AGAIN_SECONDS, example)
 
     def has_stuck_disk(self, name: str) -> bool:
         """Return whether a node's disk is full or stalled."""
@@ -140,8 +140,8 @@
         voters = quorum.voters_from_wire(ledger.value(items.VOTERS_KEY))
         up = [voter for voter in voters if voter.name in self.up]
         # A voter whose disk is full or stalled answers reads, but decides nothing.
-        able = {voter.disk_id for voter in up if not self.has_stuck_disk(voter.name)}
-        if not quorum.is_durable(voters, able):
+        deciding_disk_ids = {voter.disk_id for voter in up if not self.has_stuck_disk(voter.name)}
+        if not quorum.is_durable(voters, deciding_disk_ids):
             return MAJORITY_LOST
         names = {voter.name for voter in up}
         return "" if standby_planning.core_survives_any_loss(quorum.placements(voters), names) else "core"
--- a/tests/controlplane/test_bootstrap.py
+++ b/tests/controlplane/test_bootstrap.py
@@ -22,7 +22,7 @@
         )
         await simulation.start_all()
         result = await scenario(simulation)
-        assert not asyncio.get_running_loop().faults, asyncio.get_running_loop().faults[0]
+        assert not asyncio.get_running_loop().unhandled_errors, asyncio.get_running_loop().unhandled_errors[0]
         return result
 
     return virtual_time.run(run())
--- a/tests/dataplane/test_origin_limits.py
+++ b/tests/dataplane/test_origin_limits.py
@@ -194,7 +194,7 @@
     async def scene(day):
         asking = ask_steadily(day, 60, 8, "/vacancies/")
         await asyncio.sleep(1)
-        await origin_faults.hand_over(day.fault_injector)
+        await origin_faults.reuse_address(day.fault_injector)
         fresh = day.actors.all_origins[-1]
         told = await asking
         assert sum(status == 200 for status, _ in told) > 400
--- a/tests/simulator/test_departing_clients.py
+++ b/tests/simulator/test_departing_clients.py
@@ -17,53 +17,57 @@
 from irisstand.state import items
 
 # For the cancel frame's way between two nodes.
-TRAVEL_SECONDS = 0.1
+CANCEL_DELAY_SECONDS = 0.1
 QUIET_SECONDS = 6
-VISITS = 400
+REQUESTS = 400
 
 
-class Record:
+class RequestTimes:
     """When the clients of requests left, and when requests reached origins, by the requests' names."""
 
     def __init__(self):
-        self.left = {}
+        self.departed_at = {}
         self.reached = collections.defaultdict(list)
 
-    def note_reached(self, name):
+    def add_arrival(self, name):
         self.reached[name].append(asyncio.get_running_loop().time())
 
-    def note_left(self, name):
-        self.left[name] = asyncio.get_running_loop().time()
+    def add_departure(self, name):
+        self.departed_at[name] = asyncio.get_running_loop().time()
 
-    def late(self, allowed_seconds):
+    def late_requests(self, allowed_seconds):
         """Requests that reached an origin longer after their clients had left, and by how much."""
         return {
-            name: [moment - left for moment in self.reached[name] if moment > left + allowed_seconds]
-            for name, left in self.left.items()
-            if any(moment > left + allowed_seconds for moment in self.reached[name])
+            name: [
+                reached_at - departed_at
+                for reached_at in self.reached[name]
+                if reached_at > departed_at + allowed_seconds
+            ]
+            for name, departed_at in self.departed_at.items()
+            if any(reached_at > departed_at + allowed_seconds for reached_at in self.reached[name])
         }
 
 
 # -- edges and shields -------------------------------------------------------------------------------------
-class ShieldedDay:
+class ShieldedClients:
     """Clients of edges whose origins are slow, while shields are killed, stopped and cut off from origins."""
 
     def __init__(self, day, seed):
-        self.day, self.draw, self.record = day, random.Random(seed), Record()
+        self.day, self.randomness, self.times = day, random.Random(seed), RequestTimes()
         for origin in day.actors.origins:
-            origin.answer = self.recorded(origin.answer)
+            origin.answer = self.with_arrivals(origin.answer)
 
-    def recorded(self, answer):
-        def recorded_answer(method, target, headers, body):
+    def with_arrivals(self, answer):
+        def answer_with_arrival(method, target, headers, body):
             if target != "/health":
-                self.record.note_reached(target.partition("?")[2] or target)
+                self.times.add_arrival(target.partition("?")[2] or target)
             return answer(method, target, headers, body)
 
-        return recorded_answer
+        return answer_with_arrival
 
-    async def visit(self, number):
-        node = self.day.cluster.nodes[f"edge-{self.draw.randrange(2) + 1}"]
-        kind = self.draw.choice(("read", "write", "keyed"))
+    async def send_request(self, number):
+        node = self.day.cluster.nodes[f"edge-{self.randomness.randrange(2) + 1}"]
+        kind = self.randomness.choice(("read", "write", "keyed"))
         body = b'{"number": "%s-%d"}' % (kind.encode(), number)
         headers = {"idempotency-key": f"key-{number}"} if kind == "keyed" else {}
         method, path, query = ("GET", f"/vacancies/{number}", "")
@@ -71,44 +75,46 @@
             method, path, query = "POST", "/applications", f"n={number}"
         request = edge.Request(method, path, query, headers, body if kind != "read" else b"")
         task = node.actor.start(node.program.role_node.handle(request))
-        patience = self.draw.choice((0.01, 0.05, 0.2, 0.5, 4.0))
-        done, _ = await asyncio.wait([task], timeout=patience)
+        timeout = self.randomness.choice((0.01, 0.05, 0.2, 0.5, 4.0))
+        done, _ = await asyncio.wait([task], timeout=timeout)
         if not done:
             task.cancel()
             if kind != "keyed":
-                self.record.note_left(query or path)
+                self.times.add_departure(query or path)
             await asyncio.wait([task])
         if not task.cancelled():
             task.exception()
 
-    async def disturb(self):
-        day, draw = self.day, self.draw
+    async def inject_fault(self):
+        day, randomness = self.day, self.randomness
         for origin in day.actors.origins:
-            origin.delay = draw.choice((0.003, 0.1, 0.4, 1.2))
-        shield = day.cluster.nodes[f"shield-{draw.randrange(5) + 1}"]
-        match draw.choice(("kill", "stop", "cut", "heal", "origin")):
+            origin.delay = randomness.choice((0.003, 0.1, 0.4, 1.2))
+        shield = day.cluster.nodes[f"shield-{randomness.randrange(5) + 1}"]
+        match randomness.choice(("kill", "stop", "cut", "heal", "origin")):
             case "kill" if shield.is_up:
-                shield.kill(reset=draw.random() < 0.5)
+                shield.kill(reset=randomness.random() < 0.5)
                 await shield.restart()
             case "stop" if shield.is_up:
                 await shield.stop()
                 await shield.restart()
             case "cut":
-                day.cluster.network.partition([shield.placement.host], [draw.choice(day.actors.origins).host])
+                day.cluster.network.partition(
+                    [shield.placement.host], [randomness.choice(day.actors.origins).host]
+                )
             case "heal":
                 day.cluster.network.heal()
             case _:
-                origin = draw.choice(day.actors.origins)
+                origin = randomness.choice(day.actors.origins)
                 origin.up = not origin.up
 
-    async def play(self):
-        visits = []
-        for number in range(VISITS):
-            visits.append(asyncio.create_task(self.visit(number)))
-            await asyncio.sleep(self.draw.uniform(0.0, 0.08))
+    async def run(self):
+        requests = []
+        for number in range(REQUESTS):
+            requests.append(asyncio.create_task(self.send_request(number)))
+            await asyncio.sleep(self.randomness.uniform(0.0, 0.08))
             if number % 40 == 20:
-                await self.disturb()
-        await asyncio.gather(*visits)
+                await self.inject_fault()
+        await asyncio.gather(*requests)
         self.day.cluster.network.heal()
         await asyncio.sleep(QUIET_SECONDS)
 
@@ -122,73 +128,82 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_nothing_goes_on_behind_shields_for_clients_that_left(seed):
-    async def scene(day):
-        clients = ShieldedDay(day, seed)
-        await clients.play()
-        return clients.record, clients.in_flight()
-
-    record, in_flight = cluster.play(scene, seed + 1)
-    assert len(record.left) > VISITS / 16
-    assert record.late(TRAVEL_SECONDS) == {}
+    async def scenario(day):
+        clients = ShieldedClients(day, seed)
+        await clients.run()
+        return clients.times, clients.in_flight()
+
+    times, in_flight = cluster.play(scenario, seed + 1)
+    assert len(times.departed_at) > REQUESTS / 16
+    assert times.late_requests(CANCEL_DELAY_SECONDS) == {}
     assert in_flight == (0, 0, 0)
 
 
 # -- nodes that reach origins by themselves ----------------------------------------------------------------
-class DirectDay:
+class DirectClients:
     """Clients of a direct node whose origins are slow, full, silent or not there, some under a limit."""
 
     def __init__(self, stage, seed):
-        self.stage, self.draw, self.record = stage, random.Random(seed), Record()
-        stage.origins.answer, self.answer = self.recorded, stage.origins.answer
-        stage.node.respond = self.recorded
+        self.stage, self.randomness, self.times = stage, random.Random(seed), RequestTimes()
+        stage.origins.answer, self.answer = self.with_arrivals, stage.origins.answer
+        stage.node.respond = self.with_arrivals
 
-    async def recorded(self, key, headers, body):
-        self.record.note_reached(headers.get("x-visit"))
+    async def with_arrivals(self, key, headers, body):
+        self.times.add_arrival(headers.get("x-visit"))
         return await self.answer(key, headers, body)
 
-    async def visit(self, number):
+    async def send_request(self, number):
         name = str(number)
-        path, method = self.draw.choice((("/reads/", "GET"), ("/objects/", "GET"), ("/writes/", "POST")))
+        path, method = self.randomness.choice(
+            (("/reads/", "GET"), ("/objects/", "GET"), ("/writes/", "POST"))
+        )
         client = self.stage.start_request(f"{path}{name}", method, x_visit=name)
-        done, _ = await asyncio.wait([client], timeout=self.draw.choice((0.0, 0.01, 0.05, 0.3, 4.0)))
+        done, _ = await asyncio.wait([client], timeout=self.randomness.choice((0.0, 0.01, 0.05, 0.3, 4.0)))
         if not done:
-            self.record.note_left(name)
+            self.times.add_departure(name)
             await self.stage.disconnect(client)
 
-    def disturb(self):
-        draw, scene = self.draw, self.stage.node
-        self.stage.origins.seconds = draw.choice((0.003, 0.1, 0.4, 60.0))
-        self.stage.origins.status = draw.choice((200, 200, 500))
-        scene.refused = set(draw.choice(("", "", "a", "ab")))
-        rate = draw.choice((None, None, 50.0))
-        item = {**UPSTREAM, "version": scene.version_counter, "rate": rate}
-        scene.put(items.CONFIGURATION, "upstream/s", {"version": scene.version_counter, "item": item})
-
-    async def play(self):
-        visits = []
-        for number in range(VISITS):
-            visits.append(asyncio.create_task(self.visit(number)))
-            await asyncio.sleep(self.draw.uniform(0.0, 0.03))
+    def inject_fault(self):
+        randomness, node = self.randomness, self.stage.node
+        self.stage.origins.seconds = randomness.choice((0.003, 0.1, 0.4, 60.0))
+        self.stage.origins.status = randomness.choice((200, 200, 500))
+        node.refused = set(randomness.choice(("", "", "a", "ab")))
+        rate = randomness.choice((None, None, 50.0))
+        item = {**UPSTREAM, "version": node.version_counter, "rate": rate}
+        node.put(items.CONFIGURATION, "upstream/s", {"version": node.version_counter, "item": item})
+
+    async def run(self):
+        requests = []
+        for number in range(REQUESTS):
+            requests.append(asyncio.create_task(self.send_request(number)))
+            await asyncio.sleep(self.randomness.uniform(0.0, 0.03))
             if number % 25 == 10:
-                self.disturb()
-        await asyncio.gather(*visits)
+                self.inject_fault()
+        await asyncio.gather(*requests)
         await asyncio.sleep(QUIET_SECONDS)
 
     def in_flight(self):
         """What is left on the node: (counted, carried on, attempts, in flight at endpoints)."""
-        part, context = self.stage.node.direct_node, self.stage.context
-        at_endpoints = sum(len(endpoint.in_flight) for endpoint in part.endpoints.endpoints.values())
-        return context.in_flight, len(context.carried_on), len(part.origins.attempts), at_endpoints
+        direct_node, context = self.stage.node.direct_node, self.stage.context
+        in_flight_at_endpoints = sum(
+            len(endpoint.in_flight) for endpoint in direct_node.endpoints.endpoints.values()
+        )
+        return (
+            context.in_flight,
+            len(context.carried_on),
+            len(direct_node.origins.attempts),
+            in_flight_at_endpoints,
+        )
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_nothing_goes_on_at_a_direct_node_for_clients_that_left(seed):
-    async def scene(stage):
-        clients = DirectDay(stage, seed)
-        await clients.play()
-        return clients.record, clients.in_flight()
-
-    record, in_flight = departing_clients.run_scenario(scene)
-    assert len(record.left) > VISITS / 16
-    assert record.late(0.0) == {}
+    async def scenario(stage):
+        clients = DirectClients(stage, seed)
+        await clients.run()
+        return clients.times, clients.in_flight()
+
+    times, in_flight = departing_clients.run_scenario(scenario)
+    assert len(times.departed_at) > REQUESTS / 16
+    assert times.late_requests(0.0) == {}
     assert in_flight == (0, 0, 0, 0)
--- a/tests/state/test_quorum_loss.py
+++ b/tests/state/test_quorum_loss.py
@@ -23,7 +23,7 @@
         await simulated.wait_until_ready()
         await asyncio.sleep(1)
         await scenario(simulated)
-        assert not asyncio.get_running_loop().faults, asyncio.get_running_loop().faults[0]
+        assert not asyncio.get_running_loop().unhandled_errors, asyncio.get_running_loop().unhandled_errors[0]
 
     virtual_time.run(run_scenario())
 
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -21,7 +21,9 @@
         try:
             return await scenario(day)
         finally:
-            assert not asyncio.get_running_loop().faults, asyncio.get_running_loop().faults[0]
+            assert not asyncio.get_running_loop().unhandled_errors, (
+                asyncio.get_running_loop().unhandled_errors[0]
+            )
 
     return virtual_time.run(run())
 
--- a/tests/support/voter_cluster.py
+++ b/tests/support/voter_cluster.py
@@ -23,7 +23,7 @@
         simulation.replace_after = 1.2
         await simulation.start_all()
         result = await scenario(simulation)
-        assert not asyncio.get_running_loop().faults, asyncio.get_running_loop().faults[0]
+        assert not asyncio.get_running_loop().unhandled_errors, asyncio.get_running_loop().unhandled_errors[0]
         return result
 
     return virtual_time.run(run())
