--- a/src/irisstand/simulator/cluster_faults.py
+++ b/src/irisstand/simulator/cluster_faults.py
@@ -125,7 +125,7 @@
     """Cut the power of all nodes at once; disks remain, so confirmed changes must be in force again later."""
     faults.is_exclusive = True
     # Wait for other faults to end, so that the total loss is not a second fault on top of a first one.
-    while len([task for task in faults.tasks if not task.done()]) > 1:  # noqa: ASYNC110 - the draws and times of seeded days rest on polling
+    while len([task for task in faults.tasks if not task.done()]) > 1:  # noqa: ASYNC110 - draws and times of seeded days depend on polling
         await asyncio.sleep(0.1)
     await faults.repair_all()
     faults.record("total-loss", "")
@@ -138,7 +138,7 @@
         await asyncio.sleep(faults.randomness.uniform(0, 0.2))
     is_serving = await wait_until_serving(faults, began)
     invariant = "after a total loss service is back within 15 s"
-    faults.cluster.actors.checker.check(invariant, is_serving, f"at {began:.2f}")
+    faults.cluster.actors.checker.check(invariant, is_serving, f"total loss at {began:.2f}")
     faults.is_exclusive = False
 
 
--- a/src/irisstand/simulator/configuration_invariants.py
+++ b/src/irisstand/simulator/configuration_invariants.py
@@ -96,7 +96,9 @@
             other.version == version and other.value != offer.value for other in self.offered_values[name]
         )
         self.checker.check(
-            "two concurrent changes of a row are never both confirmed", not is_taken, f"{name} {version}"
+            "two concurrent changes of a row are never both confirmed",
+            not is_taken,
+            f"{name}: another value has version {version}",
         )
         position = self.offered_values[name].index(offer)
         now = asyncio.get_running_loop().time()
@@ -193,7 +195,9 @@
         states = {(replica.applied, replica.root_digest()) for replica in replicas}
         are_equal = len(states) == len({applied for applied, _ in states})
         self.checker.check(
-            "replicas with the same applied version are equal", are_equal, f"{table}: {states}"
+            "replicas with the same applied version are equal",
+            are_equal,
+            f"{table}: versions and digests {states}",
         )
 
 
--- a/src/irisstand/simulator/failure_detection_benchmark.py
+++ b/src/irisstand/simulator/failure_detection_benchmark.py
@@ -19,9 +19,7 @@
     median = ordered[len(ordered) // 2]
     percentile_90 = ordered[int(len(ordered) * 0.9)]
     mean = sum(ordered) / len(ordered)
-    return (
-        f"mean {mean:.2f}, median {median:.2f}, 90th percentile {percentile_90:.2f}, most {ordered[-1]:.2f}"
-    )
+    return f"mean {mean:.2f}, median {median:.2f}, 90th percentile {percentile_90:.2f}, max {ordered[-1]:.2f}"
 
 
 class FailureDetectionBenchmark:
--- a/src/irisstand/simulator/hostile_scripts.py
+++ b/src/irisstand/simulator/hostile_scripts.py
@@ -100,7 +100,7 @@
         request = direct.Request(method, target.encode(), "h", {hostile_origin.ID: request_id}, body)
         try:
             async with asyncio.timeout(self.randomness.choice(CLIENT_TIMEOUTS_SECONDS)):
-                answer = await self.node.handle(request)
+                response = await self.node.handle(request)
         except TimeoutError:
             return
         except errors.IrisError as error:
@@ -108,17 +108,17 @@
             return
         self.answered += 1
         expected = b"" if method == "HEAD" else f"{target} answered".encode()
-        is_sealed = method == "HEAD" or answer.headers.get(hostile_origin.SEAL) == hostile_origin.seal(
-            answer.body
+        is_sealed = method == "HEAD" or response.headers.get(hostile_origin.SEAL) == hostile_origin.seal(
+            response.body
         )
-        is_own = answer.headers.get(hostile_origin.ID) == request_id
-        if answer.status in NOT_RUN_STATUSES and self.request_log.runs[request_id]:
+        is_own = response.headers.get(hostile_origin.ID) == request_id
+        if response.status in NOT_RUN_STATUSES and self.request_log.runs[request_id]:
             self.violations.append(
-                f"request {request_id} was executed although its status {answer.status} says that it was not"
+                f"request {request_id} was executed although its status {response.status} says it was not"
             )
-        if answer.status == HTTP_OK and (answer.body != expected or not is_sealed or not is_own):
+        if response.status == HTTP_OK and (response.body != expected or not is_sealed or not is_own):
             self.violations.append(
-                f"request {request_id} got a response that is not its own or not intact: {answer}"
+                f"request {request_id} got a response that is not its own or not intact: {response}"
             )
 
     async def check_rejection(self, kind: str, request_id: str, error: errors.IrisError) -> None:
@@ -128,7 +128,7 @@
         await asyncio.sleep(SETTLE_SECONDS)
         if self.request_log.runs[request_id]:
             self.violations.append(
-                f"request {request_id} was executed although the error {error.code} says that it was not"
+                f"request {request_id} was executed although the error {error.code} says it was not"
             )
 
     async def run(self) -> None:
--- a/src/irisstand/simulator/invariant_watcher.py
+++ b/src/irisstand/simulator/invariant_watcher.py
@@ -54,7 +54,7 @@
         for table, replica in node.program.context.replicas.items():
             if node.program.context.is_current(replica):
                 before = self.applied_versions.get((name, table), versions.NONE)
-                example = f"{name} {table}: {replica.applied} after {before}"
+                example = f"{name} {table}: version {replica.applied} after {before}"
                 self.checker.check(invariant, replica.applied >= before, example)
                 self.applied_versions[(name, table)] = max(before, replica.applied)
 
@@ -68,7 +68,9 @@
                         holders[task.name].append(name)
         for task_name, names in holders.items():
             self.checker.check(
-                "the lease of a singleton task has one holder", len(names) == 1, f"{task_name}: {names}"
+                "the lease of a singleton task has one holder",
+                len(names) == 1,
+                f"{task_name}: held by {names}",
             )
 
     def check_quota_shares(self, nodes: dict[str, simulated_node.SimulatedNode]) -> None:
@@ -82,7 +84,7 @@
         for service, entries in uses.items():
             rate = sum(entry.rate for entry in entries)
             limit = max(entry.limit for entry in entries)
-            example = f"{service}: {[tuple(entry) for entry in entries]} at {self.now():.2f}"
+            example = f"{service}: shares {[tuple(entry) for entry in entries]} at {self.now():.2f}"
             self.checker.check(invariant, rate <= limit, example)
 
     def add_quota_uses(
@@ -90,7 +92,7 @@
     ) -> None:
         """Add a shield's current quota share of the rate limit of each configured service."""
         for item in node.program.context.configuration.items_with_prefix("service/"):
-            ceiling = item.value["ceiling"]
+            limits = item.value["ceiling"]
             service = item.key.removeprefix("service/")
-            rate, _ = node.program.view.quota_share(service, (ceiling["rate"], ceiling["inflight"]))
-            uses[service].append(QuotaUse(name, rate, ceiling["rate"]))
+            rate, _ = node.program.view.quota_share(service, (limits["rate"], limits["inflight"]))
+            uses[service].append(QuotaUse(name, rate, limits["rate"]))
--- a/src/irisstand/simulator/large_configurations.py
+++ b/src/irisstand/simulator/large_configurations.py
@@ -110,7 +110,7 @@
         sizes.Figure("the largest chunk", "kB", max(len(chunk.packed_items) for chunk in chunks) / 1000),
         sizes.Figure("chunks", "chunks", len(chunks)),
         sizes.Figure(
-            "a control plane node builds all chunks, once for all",
+            "a voter builds all chunks, once for all requesters",
             "ms",
             processor_milliseconds(lambda: build_chunks(table_replica)),
         ),
@@ -125,12 +125,12 @@
             "an edge compiles all rows", "ms", processor_milliseconds(lambda: compile_routes(table_replica))
         ),
         sizes.Figure(
-            "a control plane node validates all rows",
+            "a voter validates an order of all rows",
             "ms",
             processor_milliseconds(lambda: item_entries.read(call)),
         ),
         sizes.Figure(
-            "a control plane node validates the new table",
+            "a voter validates the table after the order",
             "ms",
             processor_milliseconds(lambda: item_entries.faults_of(items_by_key)),
         ),
--- a/src/irisstand/simulator/memory_disk.py
+++ b/src/irisstand/simulator/memory_disk.py
@@ -39,7 +39,7 @@
     async def simulate_latency(self) -> None:
         """Sleep for the random time of one disk operation, and as long as the disk is stalled."""
         await asyncio.sleep(self.randomness.uniform(0.1, 1.0) * self.max_operation_seconds)
-        while self.stalled:  # noqa: ASYNC110 - the draws and times of seeded days rest on polling
+        while self.stalled:  # noqa: ASYNC110 - draws and times of seeded days depend on polling
             await asyncio.sleep(STALL_POLL_SECONDS)
 
     async def write(self, files: collections.abc.Sequence[tuple[str, bytes]]) -> None:
--- a/src/irisstand/simulator/memory_network.py
+++ b/src/irisstand/simulator/memory_network.py
@@ -165,7 +165,7 @@
             ConnectionRefusedError: No process listens at the address.
         """
         await asyncio.sleep(2 * self.network.delay(self.host, address[0]))
-        while self.network.is_partitioned(self.host, address[0]):  # noqa: ASYNC110 - the draws and times of seeded days rest on polling
+        while self.network.is_partitioned(self.host, address[0]):  # noqa: ASYNC110 - draws and times of seeded days depend on polling
             await asyncio.sleep(RETRANSMIT_SECONDS)
         if address not in self.network.listeners:
             raise ConnectionRefusedError(str(address))
--- a/src/irisstand/simulator/origin_invariants.py
+++ b/src/irisstand/simulator/origin_invariants.py
@@ -57,7 +57,7 @@
         for position, start_time in enumerate(start_times):
             count = position + 1 - bisect.bisect_right(start_times, start_time - RATE_WINDOW_SECONDS)
             self.checker.check(
-                invariant, count <= limit, f"{service}: {count} of {limit} at {start_time:.3f}"
+                invariant, count <= limit, f"{service}: {count} requests over {limit} at {start_time:.3f}"
             )
 
     def check_in_flight(
@@ -72,7 +72,9 @@
             count += step
             if step > 0:
                 self.checker.check(
-                    invariant, count <= limit, f"{service}: {count} of {limit} at {event_time:.3f}"
+                    invariant,
+                    count <= limit,
+                    f"{service}: {count} in flight over {limit} at {event_time:.3f}",
                 )
 
     def check_cold(self, origin: simulated_origins.SimulatedOrigin, even_rate: float) -> None:
--- a/src/irisstand/simulator/simulated_actors.py
+++ b/src/irisstand/simulator/simulated_actors.py
@@ -130,7 +130,7 @@
             in_last_second <= PLATFORM_SECOND_LIMIT and len(self.platform_requests) <= PLATFORM_WINDOW_LIMIT
         )
         invariant = "the platform is asked no more often than it allows"
-        self.checker.check(invariant, is_allowed, f"{self.platform_requests} at {now:.2f}")
+        self.checker.check(invariant, is_allowed, f"asked at {self.platform_requests}, now {now:.2f}")
         await asyncio.sleep(PLATFORM_DELAY_SECONDS)
         if not self.platform_up:
             raise ConnectionRefusedError("the platform is down")
--- a/src/irisstand/simulator/simulated_folder.py
+++ b/src/irisstand/simulator/simulated_folder.py
@@ -5,7 +5,7 @@
 
 
 class PowerLossError(Exception):
-    """The simulated machine loses power at a file operation, before the operation takes effect."""
+    """The simulated machine loses power at a file operation, before the operation is complete."""
 
 
 class SimulatedFolder:
--- a/src/irisstand/simulator/simulated_network.py
+++ b/src/irisstand/simulator/simulated_network.py
@@ -43,7 +43,7 @@
 
     Attributes:
         loss: Share of all datagrams that are lost at random, from 0 to 1.
-        cuts: Pairs of hosts that cannot reach each other.
+        partitioned_pairs: Pairs of hosts that cannot reach each other.
         regions: Name of the region of each host.
         listeners: Handler of new connections by the address at which it listens.
         ports: Handler of datagrams by the address to which it is bound.
--- a/src/irisstand/simulator/simulated_origins.py
+++ b/src/irisstand/simulator/simulated_origins.py
@@ -54,7 +54,7 @@
 
     @property
     def up(self) -> bool:
-        """Whether it answers; a crash breaks its connections and, if it has a warm-up, empties its caches."""
+        """Whether it answers; a crash breaks its connections and, if it warms up, empties its caches."""
         return self.is_up
 
     @up.setter
@@ -99,19 +99,19 @@
             content, tag = self.records.sealed_object(self.service, target, now)
         else:
             content = self.records.execute(self.service, self.instance, body)
-        answer_headers = {
+        response_headers = {
             "content-length": str(len(content)),
             "content-digest": objects.digest_header(content),
             "x-request-id": request_id,
             "content-type": "application/json",
         }
         if tag:
-            answer_headers["cache-tag"] = tag
-        return self.apply_faults(connections.Answer(200, answer_headers, content))
+            response_headers["cache-tag"] = tag
+        return self.apply_faults(connections.Answer(200, response_headers, content))
 
-    def apply_faults(self, answer: connections.Answer) -> connections.Answer | None:
+    def apply_faults(self, response: connections.Answer) -> connections.Answer | None:
         """Return the response with the current faults applied; None if it is lost."""
-        status, headers, content = answer
+        status, headers, content = response
         if "lose-answer" in self.faults:
             return None
         if "wrong-digest" in self.faults:
@@ -179,10 +179,10 @@
             if self.is_partitioned():
                 return
             is_there = self.origin.up and self.is_same_generation()
-            answer = self.origin.answer(method, target, headers, body) if is_there else None
+            response = self.origin.answer(method, target, headers, body) if is_there else None
             # A slow origin answers health checks as quickly as a normal one.
             delay = HEALTH_CHECK_DELAY_SECONDS if target == "/health" else self.origin.delay
-            loop.call_later(delay, self.deliver_answer, future, answer, context=contextvars.Context())
+            loop.call_later(delay, self.deliver_response, future, response, context=contextvars.Context())
 
         delay = self.network.delay(self.host, self.address[0])
         # An empty context, since the origin runs on when the sender of the request is killed or frozen.
@@ -194,16 +194,16 @@
             self.is_open = False
             raise
 
-    def deliver_answer(
-        self, future: asyncio.Future[connections.Answer], answer: connections.Answer | None
+    def deliver_response(
+        self, future: asyncio.Future[connections.Answer], response: connections.Answer | None
     ) -> None:
         """Set the result of a request, unless its sender has left or is partitioned from the origin."""
         if future.done() or self.is_partitioned():
             return
-        if answer is None:
+        if response is None:
             future.set_exception(ConnectionResetError("the origin closed the connection without a response"))
         else:
-            future.set_result(answer)
+            future.set_result(response)
 
     def is_partitioned(self) -> bool:
         """Return whether a partition separates this host from the origin."""
--- a/src/irisstand/simulator/sizes.py
+++ b/src/irisstand/simulator/sizes.py
@@ -66,12 +66,12 @@
         body: Bytes of each body.
         count: Number of objects in the cache.
     """
-    retained = object_cache.ObjectCache(1 << 40)
+    cache = object_cache.ObjectCache(1 << 40)
     headers = (("etag", '"v1"'), ("content-type", "text/html"))
 
     def put(number: int) -> None:
         applied = versions.Version(number, "n")
-        retained.put(
+        cache.put(
             f"s h/{number}", objects.CachedObject(200, headers, bytes(body), applied, 0.0, 0.0, 20.0, ("t",))
         )
 
@@ -79,7 +79,7 @@
 
 
 def processor_seconds(work: typing.Callable[[], object], times: int = 20) -> float:
-    """Return the processor time of one call in seconds, as the mean of so many calls."""
+    """Return the processor time of one call in seconds, as the mean of `times` calls."""
     started = time.process_time()
     for _ in range(times):
         work()
@@ -100,7 +100,7 @@
             "bytes",
             len(codec.pack(("ask", 1234, ("after", known_versions)))),
         ),
-        Figure("its reply when nothing changed", "bytes", len(codec.pack(("result", 1234, same)))),
+        Figure("a reply for two tables without changes", "bytes", len(codec.pack(("result", 1234, same)))),
         Figure("a reply that carries one purge", "bytes", len(codec.pack(("result", 1, purge)))),
         Figure("a ping with six membership updates", "bytes", len(codec.pack(ping))),
         Figure("a ping without membership updates", "bytes", len(codec.pack((*ping[:4], ())))),
--- a/tests/simulator/test_simulated_days.py
+++ b/tests/simulator/test_simulated_days.py
@@ -45,13 +45,13 @@
 # Busy 25: an edge cached a response under the service that it expected instead of the one that answered.
 # Busy 11 and 20: a control plane node shut down without waiting for its pending orders.
 # Busy 19: a node forgot a version that it had seen before a partition.
-# Planned 10: a shutdown dropped orders. Planned 15: a service whose origins were all replaced was taken for
-# one that had lost origins, so that its leaving origin was kept too.
+# Planned 10: a shutdown dropped orders. Planned 15: a service whose origins were replaced was taken for one
+# that had lost origins, and so was its leaving origin.
 # Quiet 4: a machine was put on standby although a control plane machine had just died.
 # Kildespor 1002: abandoned requests exceeded the concurrency limit. Kildespor 1028: a lease was granted after
 # its end.
 # Busy 3020, planned 3012: a restarted node served from an older table than it had before the restart.
-# Busy 2001: during a partition a leaving origin got requests for 2.4 s.
+# Busy 2001: during a partition a leaving origin got requests until 2.4 s after it was listed as leaving.
 # Planned 2011: a partition leaves two and two of five voters and the fifth is dead, so that no change can be
 # confirmed; the invariant check did not take this into account.
 SEEDS = [
