--- a/src/irisstand/simulator/invariant_watcher.py
+++ b/src/irisstand/simulator/invariant_watcher.py
@@ -84,7 +84,7 @@
         for service, entries in uses.items():
             rate = sum(entry.rate for entry in entries)
             limit = max(entry.limit for entry in entries)
-            example = f"{service}: shares {[tuple(entry) for entry in entries]} at {self.now():.2f}"
+            example = f"{service}: {[tuple(entry) for entry in entries]} at {self.now():.2f}"
             self.checker.check(invariant, rate <= limit, example)
 
     def add_quota_uses(
