--- a/src/irisstand/simulator/hostile_scripts.py
+++ b/src/irisstand/simulator/hostile_scripts.py
@@ -10,7 +10,7 @@
 
 from irisstand import clocks, errors, node_context, node_settings
 from irisstand.dataplane.nodes import direct
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.dataplane.upstream import exchange
 from irisstand.emulators import hostile_origin
 from irisstand.simulator import memory_network, simulated_network, virtual_time
@@ -54,7 +54,7 @@
         self.context = node_context.NodeContext(SETTINGS, "direct", clock, self.randomness, network)
         self.context.drain_ending = asyncio.get_running_loop().create_future()
         self.node = direct.DirectNode(
-            self.context, snapshot.ConfigurationSnapshot(self.context), self.connect
+            self.context, configuration_view.ConfigurationView(self.context), self.connect
         )
         self.counter = 0
         self.put_configuration()
@@ -84,8 +84,10 @@
 
     async def connect(self, host: str, port: int) -> exchange.Exchange:
         """Open a connection to a new hostile origin, whatever the address."""
-        connection = exchange.Exchange(hostile_origin.ID)
-        hostile_origin.join(connection, hostile_origin.HostileOrigin(self.randomness, self.request_log))
+        connection = exchange.Exchange(hostile_origin.REQUEST_ID_HEADER)
+        hostile_origin.connect_in_memory(
+            connection, hostile_origin.HostileOrigin(self.randomness, self.request_log)
+        )
         return connection
 
     async def request(self, number: int) -> None:
@@ -97,7 +99,9 @@
         if kind == "writes":
             self.writes.add(request_id)
         body = b"body" if method == "POST" else b""
-        request = direct.Request(method, target.encode(), "h", {hostile_origin.ID: request_id}, body)
+        request = direct.Request(
+            method, target.encode(), "h", {hostile_origin.REQUEST_ID_HEADER: request_id}, body
+        )
         try:
             async with asyncio.timeout(self.randomness.choice(CLIENT_TIMEOUTS_SECONDS)):
                 response = await self.node.handle(request)
@@ -108,10 +112,10 @@
             return
         self.answered += 1
         expected = b"" if method == "HEAD" else f"{target} answered".encode()
-        is_sealed = method == "HEAD" or response.headers.get(hostile_origin.SEAL) == hostile_origin.seal(
-            response.body
-        )
-        is_own = response.headers.get(hostile_origin.ID) == request_id
+        is_sealed = method == "HEAD" or response.headers.get(
+            hostile_origin.DIGEST_HEADER
+        ) == hostile_origin.digest(response.body)
+        is_own = response.headers.get(hostile_origin.REQUEST_ID_HEADER) == request_id
         if response.status in NOT_RUN_STATUSES and self.request_log.runs[request_id]:
             self.violations.append(
                 f"request {request_id} was executed although its status {response.status} says it was not"
--- a/src/irisstand/simulator/large_configurations.py
+++ b/src/irisstand/simulator/large_configurations.py
@@ -132,7 +132,7 @@
         sizes.Figure(
             "a voter validates the table after the order",
             "ms",
-            processor_milliseconds(lambda: item_entries.faults_of(items_by_key)),
+            processor_milliseconds(lambda: item_entries.faults_of_table(items_by_key)),
         ),
         sizes.Figure("memory of rows and routes", "MB", memory_megabytes(count)),
     ]
--- a/src/irisstand/simulator/memory_network.py
+++ b/src/irisstand/simulator/memory_network.py
@@ -191,7 +191,9 @@
         self.network.listeners[address] = simulated_network.StreamHandler(current_actor(), on_stream)
         return MemoryListener(self.network, address)
 
-    async def datagrams(self, address: network.Address, on_datagram: network.OnDatagram) -> MemoryPort:
+    async def open_datagram_socket(
+        self, address: network.Address, on_datagram: network.OnDatagram
+    ) -> MemoryPort:
         """Bind a datagram socket to an address; the simulated process that runs now gets its datagrams."""
         self.network.ports[address] = simulated_network.DatagramHandler(current_actor(), on_datagram)
         return MemoryPort(self.network, address)
--- a/src/irisstand/simulator/simulated_actors.py
+++ b/src/irisstand/simulator/simulated_actors.py
@@ -9,7 +9,7 @@
 from irisstand.controlplane.changes import orders
 from irisstand.controlplane.singletons import origin_source
 from irisstand.dataplane.nodes import edge
-from irisstand.dataplane.routing import snapshot
+from irisstand.dataplane.routing import configuration_view
 from irisstand.emulators import origin_emulator
 from irisstand.localcluster import invariant_checker
 from irisstand.simulator import simulated_origins
@@ -189,19 +189,19 @@
         except TimeoutError:
             return ClientResponse(0, "no-answer", None)
 
-    def count_capacity_elsewhere(self, request: snapshot.AllowedRequest) -> None:
+    def count_capacity_elsewhere(self, request: configuration_view.AllowedRequest) -> None:
         """Count a request rejected by a quota share, by whether another shield could have sent it."""
         capacity = "had capacity" if self.has_capacity(request) else "had none"
         self.checker.results[f"over-ceiling while another shield {capacity}"] += 1
 
-    def has_capacity(self, request: snapshot.AllowedRequest) -> bool:
+    def has_capacity(self, request: configuration_view.AllowedRequest) -> bool:
         """Return whether the quota share of a running shield allows one more request of the service now."""
         now = asyncio.get_running_loop().time()
         for node in self.cluster.with_role("shield"):
             share = node.program.role_node.origin_client.shares.get(request.service) if node.is_up else None
             if share is not None:
                 rate, in_flight = node.program.role_node.view.quota_share(request.service, request.limit)
-                started = sum(sent_at > now - 1 for sent_at in share.started.moments)
+                started = sum(sent_at > now - 1 for sent_at in share.recent_starts.event_times)
                 if started < rate and share.in_flight() < in_flight:
                     return True
         return False
--- a/src/irisstand/simulator/simulated_day.py
+++ b/src/irisstand/simulator/simulated_day.py
@@ -53,7 +53,7 @@
         self.cluster.replace_after = kind.replace_after
         self.actors = self.cluster.actors
         self.checker = self.actors.checker
-        self.checker.lives = dict(CACHE_TTL_SECONDS)
+        self.checker.ttl_seconds = dict(CACHE_TTL_SECONDS)
         self.configuration_invariants = configuration_invariants.ConfigurationInvariants(self.cluster)
         self.watcher = invariant_watcher.InvariantWatcher(self.cluster)
         self.origin_invariants = origin_invariants.OriginInvariants(self.cluster, dict(kind.limits))
@@ -162,7 +162,7 @@
         except (errors.IrisError, TimeoutError):
             self.checker.results["purge not confirmed"] += 1
         else:
-            self.checker.purged(path, self.now(), version)
+            self.checker.record_confirmed_purge(path, self.now(), version)
             self.checker.results["purge confirmed"] += 1
 
     async def send_random_change(self, control_node: str) -> None:
--- a/src/irisstand/simulator/simulated_node.py
+++ b/src/irisstand/simulator/simulated_node.py
@@ -135,7 +135,7 @@
         await self.actor.start(asyncio.sleep(context.settings.farewell))
         await self.actor.start(context.drain())
         # A request that still waits for this process after the drain will get no response.
-        invariant = "a planned restart drops no answer under way"
+        invariant = "a planned restart drops no request in progress"
         if self.is_up:
             pending_requests = self.actor.pending_requests
             self.cluster.actors.checker.check(
--- a/src/irisstand/simulator/simulated_origins.py
+++ b/src/irisstand/simulator/simulated_origins.py
@@ -96,7 +96,7 @@
         self.work_periods.append((now, now + self.delay))
         tag = ""
         if method == "GET":
-            content, tag = self.records.sealed_object(self.service, target, now)
+            content, tag = self.records.current_object(self.service, target, now)
         else:
             content = self.records.execute(self.service, self.instance, body)
         response_headers = {
--- a/src/irisstand/simulator/sizes.py
+++ b/src/irisstand/simulator/sizes.py
@@ -113,7 +113,9 @@
         member_list = [
             fleet_limits.Member(f"e{number}", "direct", f"z{number % 25}") for number in range(members)
         ]
-        work = functools.partial(fleet_limits.connection_limit, "e1", member_list, "o", 58, is_held=False)
+        work = functools.partial(
+            fleet_limits.connection_limit, "e1", member_list, "o", 58, is_fetched_by_holders=False
+        )
         split_seconds = processor_seconds(work)
         figures.append(Figure(f"dividing connections among {members} nodes", "ms", split_seconds * 1000))
     return figures
--- a/src/irisstand/simulator/standby_invariants.py
+++ b/src/irisstand/simulator/standby_invariants.py
@@ -152,7 +152,7 @@
         names = {voter.name for voter in up}
         return (
             ""
-            if standby_planning.core_survives_any_loss(quorum.placements(voters), names)
+            if standby_planning.voters_survive_any_loss(quorum.placements(voters), names)
             else "control plane"
         )
 
--- a/tests/simulator/test_departing_clients.py
+++ b/tests/simulator/test_departing_clients.py
@@ -122,7 +122,7 @@
         """Return numbers on all shields: requests in flight, requests without a client, attempts."""
         shields = [node.program for node in self.day.cluster.with_role("shield") if node.is_up]
         counted = sum(shield.context.in_flight for shield in shields)
-        carried_on = sum(len(shield.context.carried_on) for shield in shields)
+        carried_on = sum(len(shield.context.detached_tasks) for shield in shields)
         return counted, carried_on, sum(len(shield.role_node.origin_client.attempts) for shield in shields)
 
 
@@ -190,7 +190,7 @@
         )
         return (
             context.in_flight,
-            len(context.carried_on),
+            len(context.detached_tasks),
             len(direct_node.origins.attempts),
             in_flight_at_endpoints,
         )
--- a/tests/simulator/test_simulated_days.py
+++ b/tests/simulator/test_simulated_days.py
@@ -13,8 +13,8 @@
     "each node has the configuration that was confirmed",
     "replicas with the same applied version are equal",
     "purged content is not served 2 s after the purge is confirmed",
-    "no content outlives its cache life by more than 2 s",
-    "a success is the origin's whole, sealed answer, meant for the asker",
+    "no content is served more than 2 s after its TTL ended",
+    "a successful read is the origin's complete response to it, with a valid digest",
     "no write runs twice",
     "no write runs after it was rejected",
     "a write that succeeded did run",
@@ -26,7 +26,7 @@
     "the platform is asked no more often than it allows",
 }
 PLANNED_INVARIANTS = {
-    "a planned restart drops no answer under way",
+    "a planned restart drops no request in progress",
     "a leaving origin gets no new work 2 s after the platform says so",
     "an evacuated site gets no new work after 5 s",
     "a cold origin gets no more requests than slow start allows",
