--- a/src/irisstand/simulator/cluster_faults.py
+++ b/src/irisstand/simulator/cluster_faults.py
@@ -1,4 +1,4 @@
-"""Faults of many nodes at once, and operators' orders given during faults. A kind is an entry."""
+"""Faults of many nodes at once and planned operations under faults; `REGISTRY` lists them by name."""
 
 import asyncio
 import collections
@@ -6,20 +6,20 @@
 from irisstand import errors
 from irisstand.simulator import fault_context, simulated_node
 
-SERVICE_BACK_LIMIT_SECONDS = 15.0
-LIKELIHOOD = 0.5
+RECOVERY_LIMIT_SECONDS = 15.0
+FAULT_LIKELIHOOD = 0.5
 ROLLED_NODES_LIMIT = 8
 RETURN_ATTEMPTS_LIMIT = 8
 HTTP_OK = 200
 
 
-async def kill_herd(faults: fault_context.FaultContext) -> None:
-    """Kill half of all nodes at the same moment."""
-    nodes = [node for node in faults.healthy_nodes() if faults.randomness.random() < LIKELIHOOD]
+async def kill_half(faults: fault_context.FaultContext) -> None:
+    """Kill about half of the healthy nodes at the same time, some without connection resets."""
+    nodes = [node for node in faults.healthy_nodes() if faults.randomness.random() < FAULT_LIKELIHOOD]
     faults.affected |= {node.placement.name for node in nodes}
     faults.record("herd", " ".join(node.placement.name for node in nodes))
     for node in nodes:
-        node.kill(reset=faults.randomness.random() < LIKELIHOOD)
+        node.kill(reset=faults.randomness.random() < FAULT_LIKELIHOOD)
     await faults.pause(0.2, 4)
     faults.record("mend", "herd")
     for node in nodes:
@@ -28,7 +28,7 @@
 
 
 async def roll(faults: fault_context.FaultContext) -> None:
-    """Restart nodes one after another, as for an upgrade."""
+    """Restart nodes gracefully one after another, as for an upgrade."""
     nodes = faults.healthy_nodes()
     faults.randomness.shuffle(nodes)
     faults.record("roll", str(len(nodes)))
@@ -43,7 +43,7 @@
 
 
 async def evacuate(faults: fault_context.FaultContext) -> None:
-    """Evacuate a site and take it back later."""
+    """Evacuate a random site and return it to service later, unless an evacuation already runs."""
     actors = faults.cluster.actors
     if any(entry[1] == float("inf") for entries in actors.evacuations.values() for entry in entries):
         return
@@ -58,11 +58,11 @@
         pass
     await faults.pause(6, 12)
     entry[1] = fault_context.now()
-    await take_back(faults, site)
+    await order_return(faults, site)
 
 
-async def take_back(faults: fault_context.FaultContext, site: str) -> None:
-    """Order the return of a site until the order is confirmed."""
+async def order_return(faults: fault_context.FaultContext, site: str) -> None:
+    """Order the return of an evacuated site to service, again until the order is confirmed."""
     for _ in range(RETURN_ATTEMPTS_LIMIT):
         try:
             await faults.cluster.actors.order(faults.pick_control_node(), "return", site)
@@ -73,14 +73,18 @@
 
 
 async def kill_after_confirmation(faults: fault_context.FaultContext) -> None:
-    """Cut the power of a node right after it confirmed a change, and in half of the cases lose its disk."""
+    """Cut the power of a node right after it confirmed a change, and wipe its disk in half of the cases."""
     control_nodes = faults.cluster.with_role("agency")
-    is_wiped = faults.randomness.random() < LIKELIHOOD
-    if not all(node.is_up for node in control_nodes) or faults.change is None or not faults.may_lose_disk():
+    is_wiped = faults.randomness.random() < FAULT_LIKELIHOOD
+    if (
+        not all(node.is_up for node in control_nodes)
+        or faults.send_change is None
+        or not faults.may_lose_disk()
+    ):
         return
     node = faults.randomness.choice(control_nodes)
     faults.begin("gone-after-yes", node, " wiped" if is_wiped else "")
-    await faults.change(node.placement.name)
+    await faults.send_change(node.placement.name)
     if node.is_up:
         node.kill(reset=False)
     if is_wiped:
@@ -90,8 +94,8 @@
     faults.release(node)
 
 
-async def replace_core(faults: fault_context.FaultContext) -> None:
-    """Remove a core machine for good, and start an empty one elsewhere."""
+async def replace_control_plane_machine(faults: fault_context.FaultContext) -> None:
+    """Remove a control plane machine for good, and start an empty one at the site with the fewest."""
     cluster = faults.cluster
     control_nodes = cluster.with_role("agency")
     if not all(node.is_up for node in control_nodes) or not faults.may_lose_disk():
@@ -100,7 +104,7 @@
     machine = old.placement.machine
     shields = [node for node in cluster.with_role("shield") if node.placement.machine == machine]
     removed = [node for node in (old, *shields[:1]) if node.placement.name not in faults.affected]
-    # Where the fewest others are, so that the loss of one site can still be survived.
+    # The site with the fewest other control plane nodes, so that the loss of one site can be survived.
     counts = collections.Counter(node.placement.site for node in control_nodes if node is not old)
     site, region = min(cluster.shape.sites, key=lambda entry: counts[entry[0]])
     faults.record("core-replaced", f"{old.placement.name} by an empty one at {site}")
@@ -118,10 +122,10 @@
 
 
 async def total_loss(faults: fault_context.FaultContext) -> None:
-    """Cut the power of all nodes at once; the disks remain, and what was confirmed must be there again."""
+    """Cut the power of all nodes at once; disks remain, so confirmed changes must be in force again later."""
     faults.is_exclusive = True
-    # Other faults end first: this is one loss of everything, not a second one during a first.
-    while len([task for task in faults.tasks if not task.done()]) > 1:  # noqa: ASYNC110 - the draws and times of seeded days rest on polling
+    # Wait for other faults to end, so that the total loss is not a second fault on top of a first one.
+    while len([task for task in faults.tasks if not task.done()]) > 1:  # noqa: ASYNC110 - draws and times of seeded days depend on polling
         await asyncio.sleep(0.1)
     await faults.repair_all()
     faults.record("total-loss", "")
@@ -132,23 +136,23 @@
     for node in faults.cluster.nodes.values():
         await node.restart()
         await asyncio.sleep(faults.randomness.uniform(0, 0.2))
-    is_back = await serves_again(faults, began)
-    rule = "after a total loss service is back within 15 s"
-    faults.cluster.actors.checker.check(rule, is_back, f"at {began:.2f}")
+    is_serving = await wait_until_serving(faults, began)
+    invariant = "after a total loss service is back within 15 s"
+    faults.cluster.actors.checker.check(invariant, is_serving, f"total loss at {began:.2f}")
     faults.is_exclusive = False
 
 
-async def serves_again(faults: fault_context.FaultContext, began: float) -> bool:
-    """Wait until every edge answers a read that goes to an origin, and a write has run; False if too late."""
+async def wait_until_serving(faults: fault_context.FaultContext, began: float) -> bool:
+    """Wait until every edge has served a read from an origin and a write succeeded; False if too late."""
     actors = faults.cluster.actors
     number = 0
     waiting = {node.placement.name for node in faults.cluster.with_role("edge")}
     has_written = False
-    while fault_context.now() - began < SERVICE_BACK_LIMIT_SECONDS:
+    while fault_context.now() - began < RECOVERY_LIMIT_SECONDS:
         number += 1
         for edge in sorted(waiting):
             path = f"/vacancies/again-{began:.0f}-{number}"
-            if (await actors.ask(edge, "GET", path))[0] == HTTP_OK:
+            if (await actors.send_request(edge, "GET", path))[0] == HTTP_OK:
                 waiting.discard(edge)
         edges = faults.cluster.with_role("edge")
         if not has_written:
@@ -160,12 +164,12 @@
     return False
 
 
-# The order counts: seeded days draw from it.
+# Kinds of faults by name. A changed order would change which faults a seed draws.
 REGISTRY: dict[str, fault_context.Fault] = {
-    "herd": kill_herd,
+    "herd": kill_half,
     "roll": roll,
     "evacuate": evacuate,
     "gone-after-yes": kill_after_confirmation,
-    "core-replaced": replace_core,
+    "core-replaced": replace_control_plane_machine,
     "total-loss": total_loss,
 }
--- a/tests/dataplane/test_origin_limits.py
+++ b/tests/dataplane/test_origin_limits.py
@@ -23,7 +23,7 @@
     await asyncio.sleep(14)
     for origin in day.actors.all_origins:
         origin.started.clear()
-        origin.spans.clear()
+        origin.work_periods.clear()
 
 
 def ask_steadily(day, rate, seconds, path="/shortlists/"):
@@ -36,16 +36,16 @@
         jobs = []
         for number in range(int(rate * seconds)):
             edge = f"edge-{number % 2 + 1}"
-            jobs.append(asyncio.create_task(day.actors.ask(edge, "GET", f"{path}{rate}-{number}")))
+            jobs.append(asyncio.create_task(day.actors.send_request(edge, "GET", f"{path}{rate}-{number}")))
             await asyncio.sleep(1 / rate)
         return [answer[:2] for answer in await asyncio.gather(*jobs)]
 
     return asyncio.create_task(run())
 
 
-def check_limits(day, service, limits):
-    watch = origin_invariants.OriginInvariants(day.cluster, {service: limits})
-    watch.close()
+def judge(day, service, ceiling):
+    watch = origin_invariants.OriginInvariants(day.cluster, {service: ceiling})
+    watch.check_records()
     assert not any(day.checker.broken.values()), day.checker.examples
     return day.checker.checked
 
@@ -66,8 +66,8 @@
             await asyncio.sleep(1.5)
             await restart(day.cluster.nodes[name])
         await asking
-        checked = check_limits(day, "application", (30, 10))
-        assert checked["no service has more under way than its ceiling"] > 30
+        checked = judge(day, "application", (30, 10))
+        assert checked["no service has more requests in flight than its concurrency limit"] > 30
 
     cluster.play(scene)
 
@@ -125,10 +125,10 @@
         while day.watcher.now() < began + granted.deadline:
             decision = write_policy.ShieldWritePolicy(part.context.clock, granted, 3.0)
             with pytest.raises(errors.NoQuotaShareError):
-                await node.do(part.origin_client.acquire_slot(granted, decision), 1)
+                await node.run(part.origin_client.enter(granted, decision), 1)
             await asyncio.sleep(0.3)
         decision = write_policy.ShieldWritePolicy(part.context.clock, granted, 3.0)
-        await node.do(part.origin_client.acquire_slot(granted, decision), 1)
+        await node.run(part.origin_client.enter(granted, decision), 1)
 
     cluster.play(scene)
 
@@ -187,8 +187,8 @@
                 await victim.start()
             await day.actors.order("agency-3", "return", victim.placement.site)
         await asking
-        checked = check_limits(day, "application", (25, 8))
-        assert checked["no service gets more requests in any one second than its ceiling"] > 300
+        checked = judge(day, "application", (25, 8))
+        assert checked["no service gets more requests in any one second than its rate limit"] > 300
 
     cluster.play(scene, seed + 1)
 
@@ -197,11 +197,11 @@
     async def scene(day):
         asking = ask_steadily(day, 60, 8, "/vacancies/")
         await asyncio.sleep(1)
-        await origin_faults.hand_over(day.fault_injector)
-        new_origin = day.actors.all_origins[-1]
-        results = await asking
-        assert sum(status == 200 for status, _ in results) > 400
-        own = {"content": "/vacancies/", "application": "/shortlists/"}[new_origin.service]
+        await origin_faults.reuse_address(day.fault_injector)
+        fresh = day.actors.all_origins[-1]
+        told = await asking
+        assert sum(status == 200 for status, _ in told) > 400
+        own = {"content": "/vacancies/", "application": "/shortlists/"}[fresh.service]
         if own == "/shortlists/":
             assert not new_origin.started
         assert not any(day.checker.broken.values())
--- a/tests/state/test_quorum_loss.py
+++ b/tests/state/test_quorum_loss.py
@@ -23,13 +23,13 @@
         await simulated.wait_until_ready()
         await asyncio.sleep(1)
         await scenario(simulated)
-        assert not asyncio.get_running_loop().faults, asyncio.get_running_loop().faults[0]
+        assert not asyncio.get_running_loop().unhandled_errors, asyncio.get_running_loop().unhandled_errors[0]
 
     virtual_time.run(run_scenario())
 
 
 def partition(simulated, names, other_names):
-    simulated.network.cut(simulated.hosts(names), simulated.hosts(other_names))
+    simulated.network.partition(simulated.hosts(names), simulated.hosts(other_names))
 
 
 def voter_names(simulated, *numbers):
