--- a/tests/dataplane/test_final_answers.py
+++ b/tests/dataplane/test_final_answers.py
@@ -50,8 +50,8 @@
 def test_rejections_come_before_the_deadline():
     """A request that cannot succeed is rejected at once or after a queue, not at its deadline of 3 s."""
 
-    async def scene(day):
-        def ask(number, method="GET", path="/shortlists/"):
+    async def scenario(day):
+        def timed_ask(number, method="GET", path="/shortlists/"):
             return timed(day.actors.send_request("edge-1", method, f"{path}{number}", b"{}"))
 
         outcomes = [await timed_ask(1, path="/nowhere/"), await timed_ask(2, "DELETE")]
@@ -59,8 +59,8 @@
         for origin in applications:
             origin.up = False
         await asyncio.sleep(2)
-        told.append(await ask(3))
-        told.append(await timed(day.actors.send_request("edge-1", "POST", "/applications", b"{}")))
+        outcomes.append(await timed_ask(3))
+        outcomes.append(await timed(day.actors.send_request("edge-1", "POST", "/applications", b"{}")))
         for origin in applications:
             origin.up = True
         await asyncio.sleep(3)
@@ -106,7 +106,7 @@
         edge = day.cluster.nodes["edge-1"].program.role_node
         first = edge.view.shields("content", f"{path}?")[0].identity.name
         day.cluster.nodes[first].kill(reset=False)
-        (code, took) = await timed(day.actors.send_request("edge-1", "GET", path))
+        (code, duration) = await timed(day.actors.send_request("edge-1", "GET", path))
         assert code == ""
         assert duration < 2.9
 
--- a/tests/dataplane/test_hostile_origin_scripts.py
+++ b/tests/dataplane/test_hostile_origin_scripts.py
@@ -14,7 +14,7 @@
 def test_hostile_origins_give_each_client_its_own_answer_and_run_no_write_twice():
     figures = hostile_scripts.run_scripts(range(1, 301))
     assert not figures.violations, figures.violations[:5]
-    # The scripts do reach answers, and runs beyond the answered ones.
+    # The scripts produce responses, and also requests that ran without a response.
     assert figures.answered > 1000
     assert figures.runs > figures.answered
 
--- a/tests/dataplane/test_origin_limits.py
+++ b/tests/dataplane/test_origin_limits.py
@@ -43,8 +43,8 @@
     return asyncio.create_task(run())
 
 
-def judge(day, service, ceiling):
-    watch = origin_invariants.OriginInvariants(day.cluster, {service: ceiling})
+def check_limits(day, service, limits):
+    watch = origin_invariants.OriginInvariants(day.cluster, {service: limits})
     watch.check_records()
     assert not any(day.checker.broken.values()), day.checker.examples
     return day.checker.checked
@@ -66,7 +66,7 @@
             await asyncio.sleep(1.5)
             await restart(day.cluster.nodes[name])
         await asking
-        checked = judge(day, "application", (30, 10))
+        checked = check_limits(day, "application", (30, 10))
         assert checked["no service has more requests in flight than its concurrency limit"] > 30
 
     cluster.play(scene)
@@ -125,10 +125,10 @@
         while day.watcher.now() < began + granted.deadline:
             decision = write_policy.ShieldWritePolicy(part.context.clock, granted, 3.0)
             with pytest.raises(errors.NoQuotaShareError):
-                await node.run(part.origin_client.enter(granted, decision), 1)
+                await node.run(part.origin_client.acquire_slot(granted, decision), 1)
             await asyncio.sleep(0.3)
         decision = write_policy.ShieldWritePolicy(part.context.clock, granted, 3.0)
-        await node.run(part.origin_client.enter(granted, decision), 1)
+        await node.run(part.origin_client.acquire_slot(granted, decision), 1)
 
     cluster.play(scene)
 
@@ -187,7 +187,7 @@
                 await victim.start()
             await day.actors.order("agency-3", "return", victim.placement.site)
         await asking
-        checked = judge(day, "application", (25, 8))
+        checked = check_limits(day, "application", (25, 8))
         assert checked["no service gets more requests in any one second than its rate limit"] > 300
 
     cluster.play(scene, seed + 1)
@@ -198,10 +198,10 @@
         asking = ask_steadily(day, 60, 8, "/vacancies/")
         await asyncio.sleep(1)
         await origin_faults.reuse_address(day.fault_injector)
-        fresh = day.actors.all_origins[-1]
-        told = await asking
-        assert sum(status == 200 for status, _ in told) > 400
-        own = {"content": "/vacancies/", "application": "/shortlists/"}[fresh.service]
+        new_origin = day.actors.all_origins[-1]
+        results = await asking
+        assert sum(status == 200 for status, _ in results) > 400
+        own = {"content": "/vacancies/", "application": "/shortlists/"}[new_origin.service]
         if own == "/shortlists/":
             assert not new_origin.started
         assert not any(day.checker.broken.values())
--- a/tests/dataplane/test_reads.py
+++ b/tests/dataplane/test_reads.py
@@ -126,10 +126,10 @@
 def test_address_that_now_belongs_to_another_service_gets_no_request_of_the_old_one():
     async def scenario(day):
         old, other = origins(day, "content")
-        stranger = day.actors.add_origin("payroll", "payroll-1", "north", "one")
-        day.actors.origins.remove(stranger)
-        # Taken over before the platform says a word: same address, another service.
-        day.actors.origins_by_address[(old.host, old.port)] = stranger
+        other_service_origin = day.actors.add_origin("payroll", "payroll-1", "north", "one")
+        day.actors.origins.remove(other_service_origin)
+        # The address now belongs to another service, before the platform reports the change.
+        day.actors.origins_by_address[(old.host, old.port)] = other_service_origin
         old.up = False
         for number in range(40):
             await read(day, f"/vacancies/{number}")
--- a/tests/dataplane/test_slow_start.py
+++ b/tests/dataplane/test_slow_start.py
@@ -22,15 +22,15 @@
     for origin in new_origins:
         origin.warmup = warmup
         origin.warmup_periods[:] = [(origin.warmup_periods[0][0], warmup)]
-    return fresh
+    return new_origins
 
 
 def test_origins_replaced_all_at_once_get_what_slow_start_allows_and_all_in_the_end():
     async def scene(day):
-        await set_ceiling(day, "content", 60, 60)
-        fresh = make_cold(day, "content")
-        told = await ask_steadily(day, 100, 16, "/vacancies/")
-        checked = judge(day, "content", (60, 60))
+        await set_service_limits(day, "content", 60, 60)
+        new_origins = make_cold(day, "content")
+        results = await ask_steadily(day, 100, 16, "/vacancies/")
+        checked = check_limits(day, "content", (60, 60))
         assert checked["a cold origin gets no more requests than slow start allows"] > 50
         kinds = {"over-ceiling", "warming-up", "no-origin", "origin-failed", "no-share"}
         assert {code for status, code in results if status != 200} <= kinds
@@ -51,7 +51,10 @@
             await restart(day.cluster.nodes[name])
         await asking
         assert (
-            judge(day, "content", (60, 60))["a cold origin gets no more requests than slow start allows"] > 30
+            check_limits(day, "content", (60, 60))[
+                "a cold origin gets no more requests than slow start allows"
+            ]
+            > 30
         )
 
     cluster.play(scene)
@@ -71,7 +74,10 @@
         first.up = second.up = True
         await asking
         assert (
-            judge(day, "content", (60, 60))["a cold origin gets no more requests than slow start allows"] > 30
+            check_limits(day, "content", (60, 60))[
+                "a cold origin gets no more requests than slow start allows"
+            ]
+            > 30
         )
 
     cluster.play(scene)
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -44,7 +44,7 @@
                             await stream.read()
                 except ConnectionResetError:
                     pass
-            assert context.counters.total("frames_dropped") - before == len(bad)
+            assert context.counters.total("frames_dropped") - before == len(malformed_payloads)
         assert (await day.actors.send_request("edge-1", "GET", "/vacancies/1"))[0] == 200
 
     cluster.play(scenario)
