--- a/src/irisstand/dataplane/upstream/attempts.py
+++ b/src/irisstand/dataplane/upstream/attempts.py
@@ -155,8 +155,8 @@
             unnamed = errors.ResponseIntegrityError("the origin's response does not bear the request's id")
             return events.AttemptFailed(unnamed, instance)
         if answer.status < FIRST_REDIRECT_STATUS and names.digest not in answer.headers:
-            unsealed = errors.ResponseIntegrityError(
+            missing_digest = errors.ResponseIntegrityError(
                 "the origin's response lacks the seal header that confirms it"
             )
-            return events.AttemptFailed(unsealed, instance)
+            return events.AttemptFailed(missing_digest, instance)
         return events.ResponseReceived(answer, instance)
--- a/tests/controlplane/test_ballots.py
+++ b/tests/controlplane/test_ballots.py
@@ -30,7 +30,7 @@
                 assert configuration.value("site/north") == {"weight": weight}, round_number
                 assert str(configuration.version("site/north")) == confirmed[0]["serial"]
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_change_id_sent_again_to_another_node_returns_the_first_result():
@@ -41,7 +41,7 @@
         assert repeated_result == first
         assert cluster.context(day, "agency-3").configuration.value("site/north") == {"weight": 6}
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_invalid_change_is_refused_as_a_whole_with_every_fault():
@@ -65,7 +65,7 @@
             )
         assert cluster.context(day, "agency-1").configuration.applied == version_before
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -89,7 +89,7 @@
             await day.cluster.wait_until_ready()
             assert cluster.context(day, proposer).configuration.value("site/north") == {"weight": number + 1}
 
-    cluster.play(scenario, seed)
+    cluster.run_scenario(scenario, seed)
 
 
 def test_minority_partition_accepts_no_change_and_stops_serving():
@@ -105,7 +105,7 @@
         # A refused change must never take effect, not even after the partition has healed.
         assert cluster.context(day, "agency-3").configuration.value("site/north") is None
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_batch_numbered_below_its_base_is_rejected():
--- a/tests/controlplane/test_capacity_scaling.py
+++ b/tests/controlplane/test_capacity_scaling.py
@@ -51,7 +51,7 @@
         saved = cluster.context(day, "agency-2").ledger
         await wait_until_true(day, lambda: any(True for _ in saved.items_with_prefix("saved/shield")), 90)
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_load_wakes_machines_and_a_pinned_machine_never_goes_on_standby():
@@ -79,7 +79,7 @@
         assert len([n for n in standby_machines(day) if n.startswith("shield")]) <= 1
         await asyncio.gather(*requests)
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_no_machine_goes_on_standby_while_the_voters_could_not_survive_another_loss():
@@ -91,7 +91,7 @@
         day.cluster.nodes["agency-4"].kill()
         await wait_until_true(day, lambda: not standby_machines(day), 40)
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_no_machine_goes_on_standby_right_after_a_voter_died():
@@ -120,7 +120,7 @@
             await asyncio.sleep(0.1)
             assert not standby_machines(day, holder) - before
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_a_machine_on_standby_wakes_on_suspicion_before_a_death_is_confirmed():
@@ -138,7 +138,7 @@
         # SWIM confirms the death only about 7 seconds later.
         assert elapsed < 2.5
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/controlplane/test_change_rows.py
+++ b/tests/controlplane/test_change_rows.py
@@ -34,4 +34,4 @@
         await asyncio.sleep(1)
         return [node.name for node in day.cluster.nodes.values() if node.program is None]
 
-    assert cluster.play(scenario) == []
+    assert cluster.run_scenario(scenario) == []
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -39,7 +39,7 @@
         assert cluster.context(day, "agency-4").configuration.value("site/north") == {"weight": 3}
         assert result["rows"] == ["site/north"]
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 # If the change were not counted as in flight, the node would stop before the change is decided.
@@ -53,7 +53,7 @@
         await day.cluster.nodes[name].stop()
         assert (await change_task)["rows"] == ["site/north"]
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 @pytest.mark.parametrize("task_name", ["platform-watch", "placement", "staffing", "retention"])
@@ -68,7 +68,7 @@
         assert day.watcher.now() - started_at < 1.2
         await stop_task
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_vacant_lease_is_acquired_soon_after_a_partition_heals():
@@ -87,7 +87,7 @@
         )
         assert elapsed_seconds < 1.2
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_lease_decided_after_its_end_is_acquired_again_at_once():
@@ -109,7 +109,7 @@
         )
         assert elapsed_seconds < 0.8
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_lease_won_after_its_end_is_acquired_again_though_the_next_attempt_failed():
@@ -146,7 +146,7 @@
         elapsed_seconds = await day.cluster.wait_until(task.holds_lease, 5)
         assert elapsed_seconds < 0.5
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_candidate_acquires_a_lease_soon_though_the_last_winner_is_cut_off():
@@ -164,4 +164,4 @@
         assert task.holds_lease()
         assert asyncio.get_running_loop().time() - started_at < 0.8
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
--- a/tests/controlplane/test_idempotent_changes_racing.py
+++ b/tests/controlplane/test_idempotent_changes_racing.py
@@ -64,7 +64,7 @@
             await asyncio.sleep(1)
             assert rates(day) == confirmed
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -92,7 +92,7 @@
             for name in CONTROL_NODES:
                 assert await send_until_answered(day, upstream(version, 1), [name]) is answers[0]
 
-    cluster.play(scenario, seed=seed + 1)
+    cluster.run_scenario(scenario, seed=seed + 1)
 
 
 def test_a_repeat_is_confirmed_after_it_was_overtaken_and_all_nodes_restarted():
@@ -115,7 +115,7 @@
             assert raised.value.details == [{"item": "upstream/s9", "version": 3, "in_force": 5}]
         assert rates(day) == {2}
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_a_taken_change_id_is_refused_with_its_details_at_every_node():
@@ -127,7 +127,7 @@
                 await day.actors.order(name, "change", [cluster.site_row(weight=6)], "mine")
             assert raised.value.details == [{"change": "mine", "rows": ["site/north"]}]
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_no_order_is_refused_because_of_rows_of_its_batch_that_were_never_decided(monkeypatch):
@@ -157,7 +157,7 @@
         assert isinstance(done[1], dict), done
         assert proposer.replica.value("site/north") == {"weight": 2}
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_an_unknown_site_is_refused_only_if_settings_or_a_majority_of_voters_exclude_it():
@@ -184,7 +184,7 @@
         with pytest.raises(errors.UnknownNameError):
             await check.check_site("newest")
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 @pytest.mark.parametrize("error_class", [errors.BadRequestError, errors.UnknownNameError])
@@ -207,7 +207,7 @@
         monkeypatch.undo()
         await amend(day, "agency-3", upstream(2, 2))
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_a_repeated_evacuation_is_not_refused_by_a_node_that_missed_the_first(monkeypatch):
@@ -235,4 +235,4 @@
         with pytest.raises(errors.InsufficientCapacityError):
             await node.run(check.check_unless_evacuated("south", insist=False), 8.0)
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
--- a/tests/controlplane/test_leases_under_partition.py
+++ b/tests/controlplane/test_leases_under_partition.py
@@ -41,7 +41,7 @@
         assert cluster.context(day, "agency-1").ledger.value("rest/x") is None
         assert [pair[0] for pair in holder_of(day)] == [other]
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_a_lease_taken_by_an_order_whose_answer_was_lost_counts_from_that_order():
@@ -68,4 +68,4 @@
         assert task.fencing_token
         assert task.lease_ends_at <= asked_at + task.lease_seconds
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
--- a/tests/controlplane/test_mutation_scenarios.py
+++ b/tests/controlplane/test_mutation_scenarios.py
@@ -44,7 +44,7 @@
             assert configuration.version("site/south") == batch.version
             assert configuration.value("site/north") == {"weight": 2}
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_no_node_is_current_while_a_pending_batch_cannot_be_decided():
@@ -63,7 +63,7 @@
         await day.cluster.wait_until_ready()
         assert cluster.context(day, "edge-1").configuration.value("site/south") == {"weight": 9}
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_a_voter_refuses_a_batch_whose_base_is_not_its_applied_version():
@@ -84,7 +84,7 @@
         assert table_acceptor.record.pending is None
         assert table_acceptor.record.applied == applied
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_a_disk_addressed_by_its_predecessors_id_has_no_vote_though_it_holds_the_table():
@@ -109,7 +109,7 @@
                 1,
             )
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_an_answer_fetched_before_a_purge_by_tag_is_not_served_two_seconds_after_it():
@@ -126,7 +126,7 @@
         status, _, result = await fetch_task
         assert status != 200 or json.loads(result.body)["version"] == 1
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_a_write_whose_shield_dies_during_it_has_an_unknown_outcome():
@@ -141,7 +141,7 @@
         assert day.actors.records.executions[number] == 1
         assert (status, code) == (504, "outcome-unknown")
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_a_quota_share_taken_from_one_shield_is_not_given_out_while_the_shield_may_not_know():
@@ -196,4 +196,4 @@
             await asyncio.sleep(1.5)
         assert len(executions) == 1
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
--- a/tests/controlplane/test_operations.py
+++ b/tests/controlplane/test_operations.py
@@ -40,7 +40,7 @@
         with pytest.raises(errors.UnknownNameError):
             await node.run(status.show("never-sent"), 3)
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_the_status_of_a_change_shows_a_node_that_is_behind():
@@ -54,7 +54,7 @@
         assert shown["serial"] == result["serial"]
         assert shown["nodes"]["store-1"] == "behind"
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 async def add_spare(day, name, site, region):
@@ -92,7 +92,7 @@
         await asyncio.sleep(1)
         await day.actors.order("agency-4", "change", [cluster.site_row()])
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_a_voter_is_retired_only_if_the_rest_survive_the_loss_of_any_site():
@@ -118,7 +118,7 @@
             await node.run(admin.retire("agency-99"), 8)
         assert len(voter_names(day)) == 3
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_an_order_that_would_leave_no_majority_up_is_refused_whole_with_figures():
@@ -134,7 +134,7 @@
         await node.run(admin.replace("agency-2", "agency-7"), 8)
         assert "agency-7" in voter_names(day)
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 OBJECTS = b"""
@@ -236,4 +236,4 @@
         assert counts[True] > 2.5 * counts[False], counts
 
     shape = cluster.SHAPE._replace(application_origins=4)
-    cluster.play(scenario, shape=shape)
+    cluster.run_scenario(scenario, shape=shape)
--- a/tests/controlplane/test_origin_discovery.py
+++ b/tests/controlplane/test_origin_discovery.py
@@ -49,7 +49,7 @@
         assert f"origin/{omitted.instance}" in listed_origins(day)
         assert platform_record(day)["state"] == "well"
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_old_answers_are_recorded_as_lagging_and_failures_as_silent():
@@ -71,7 +71,7 @@
         await asyncio.sleep(3)
         assert platform_record(day)["state"] == "well"
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_a_service_that_shrinks_suddenly_is_held_back_and_other_services_are_not():
@@ -94,4 +94,4 @@
         await asyncio.sleep(6)
         assert not {f"origin/{name}" for name in content[:3]} & listed_origins(day)
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
--- a/tests/controlplane/test_origin_list.py
+++ b/tests/controlplane/test_origin_list.py
@@ -38,7 +38,7 @@
         assert set(await reads(day, 60, "after")) == {200}
         assert len(leaving.started) == requests_before
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_rolling_replacement_of_all_origins_loses_no_read():
@@ -56,7 +56,7 @@
         assert set(statuses) == {200}
         assert all("new" in origin.instance and origin.started for origin in day.actors.origins[:2])
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_a_cold_origin_ramps_over_its_warm_up():
@@ -78,7 +78,7 @@
         assert counts[0] < counts[1] < counts[-1], counts
         assert 115 < sum(counts[-2:]) < 165, counts
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -106,7 +106,7 @@
         assert failed >= 2 or state == "shrunk"
         assert set(await reads(day, 10, "still")) == {200}
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_the_platform_is_asked_by_one_node_within_its_limit_through_changes_of_holder():
@@ -134,7 +134,7 @@
         # The platform gets at most one request per second, though three lease holders were paused meanwhile.
         assert max(sum(one <= other < one + 3 for other in asked) for one in asked) <= 4
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_a_holder_paused_past_its_lease_stops_by_itself_and_its_late_write_is_refused():
@@ -161,7 +161,7 @@
             await day.actors.order(holder, "fenced", ("placement", fencing_token, [row]))
         assert cluster.context(day, holder).ledger.value("slots/00") != row[1]
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_rows_of_an_unknown_kind_are_kept_and_replicated():
@@ -188,4 +188,4 @@
         assert cluster.context(day, "agency-1").ledger.value("hologram/7") == {"depth": 3}
         assert newer is not day.cluster.nodes["agency-1"].program
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
--- a/tests/controlplane/test_partitioned_control_plane.py
+++ b/tests/controlplane/test_partitioned_control_plane.py
@@ -60,7 +60,7 @@
         await asyncio.sleep(3)
         return changes_confirmed, reads_answered, await read_weights(day)
 
-    changes_confirmed, reads_answered, final_weights = cluster.play(scenario)
+    changes_confirmed, reads_answered, final_weights = cluster.run_scenario(scenario)
     # The side with the majority confirms all changes and answers reads throughout the partition.
     assert changes_confirmed == CHANGES
     assert reads_answered >= 3 * CHANGES - 6
--- a/tests/controlplane/test_partitioned_nodes.py
+++ b/tests/controlplane/test_partitioned_nodes.py
@@ -56,7 +56,7 @@
         assert raised.value.status == 503
         assert raised.value.retry_after
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_control_node_cut_off_refuses_to_report_a_change_it_does_not_know():
@@ -66,7 +66,7 @@
         with pytest.raises(errors.StaleConfigurationError):
             await read(day, "agency-5", "get_change", "mine")
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_read_after_a_confirmed_change_shows_it_at_every_node():
@@ -76,7 +76,7 @@
             for number in range(1, 6):
                 assert weight_of(await read(day, f"agency-{number}")) == weight
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_read_shows_a_batch_that_a_majority_accepted_or_is_refused():
@@ -98,7 +98,7 @@
             await asyncio.sleep(1)
             assert weight_of(await read(day, "agency-5"), "south") == 9
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_concurrent_reads_share_a_heartbeat_round():
@@ -111,7 +111,7 @@
         counters_after = node.program.context.counters.text()
         assert count_state_requests(counters_after) - count_state_requests(counters_before) < 40
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_read_does_not_join_a_round_that_began_before_it():
@@ -131,7 +131,7 @@
         assert day.now() >= asked_at + 0.2
         await first_read
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def count_state_requests(counters):
@@ -160,7 +160,7 @@
         assert all(isinstance(result, UNDECIDED_ERRORS) for result in results), results
         day.cluster.network.heal()
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 async def gather_results(awaitables):
@@ -184,7 +184,7 @@
         await asyncio.sleep(8)
         assert cluster.context(day, "agency-2").configuration.value("site/north") is None
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_order_forwarded_to_a_frozen_voter_is_not_decided_after_a_later_opposite_order():
@@ -200,7 +200,7 @@
         await asyncio.sleep(6)
         assert not cluster.context(day, "agency-3").is_evacuated("north")
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 @pytest.mark.parametrize("fault", ["cut", "freeze", "kill"])
@@ -233,7 +233,7 @@
         assert all(isinstance(result, dict) for result in results), results
         assert weight_of(await read(day, "agency-4")) == 50
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 async def retry_until_decided(day, change, row):
--- a/tests/controlplane/test_placement.py
+++ b/tests/controlplane/test_placement.py
@@ -59,7 +59,7 @@
         assert sum(steps) == lost_slots
         assert last == before
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_a_shield_that_restarts_at_once_keeps_its_slots():
@@ -74,7 +74,7 @@
             await asyncio.sleep(0.1)
             assert owners(day) == before
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_quota_shares_never_exceed_the_limit_through_loss_standby_partition_and_change():
@@ -103,7 +103,7 @@
         assert sum(row["content"][0] for row in shares.values()) == 60
         assert sum(row["content"][1] for row in shares.values()) == 30
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_an_evacuated_site_gets_no_new_work_and_comes_back():
@@ -142,7 +142,7 @@
         assert (await day.actors.send_request("edge-1", "GET", "/shortlists/1"))[0] == 200
         await wait_until_true(day, lambda: "shield-machine-1" in owners(day), 20)
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_the_origins_of_a_returned_site_get_load_back_gradually():
@@ -167,4 +167,4 @@
         assert counts[0] < counts[1] < 110, counts
         assert counts[2] > 75, counts
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
--- a/tests/controlplane/test_retention.py
+++ b/tests/controlplane/test_retention.py
@@ -115,7 +115,7 @@
         assert status == 200
         assert json.loads(result.body)["version"] == 1
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_a_control_node_that_was_down_until_tombstones_expired_brings_no_row_back():
@@ -139,7 +139,7 @@
         roots = {cluster.context(day, f"agency-{n}").configuration.root_digest() for n in range(1, 6)}
         assert len(roots) == 1
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_table_time_counts_no_interval_twice_and_no_long_suspension():
@@ -210,4 +210,4 @@
         assert status == 200
         assert day.actors.records.executions["once"] == 1
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
--- a/tests/controlplane/test_voter_sets.py
+++ b/tests/controlplane/test_voter_sets.py
@@ -10,7 +10,7 @@
     confirm_change,
     has_full_voters,
     kill_and_wipe,
-    play,
+    run_scenario,
     voters,
 )
 
@@ -27,7 +27,7 @@
             return
         await simulation.wait_until(lambda: has_full_voters(simulation, size), BUILD_SECONDS)
 
-    play(scenario, zones)
+    run_scenario(scenario, zones)
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
@@ -45,7 +45,7 @@
         await asyncio.sleep(6)
         assert {voter.disk_id for voter in voters(simulation)} == disk_ids_before
 
-    play(scenario, "abcabcab", seed)
+    run_scenario(scenario, "abcabcab", seed)
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
@@ -63,7 +63,7 @@
         await asyncio.sleep(CATCH_UP_SECONDS)
         await check_confirmed_changes(simulation, [number])
 
-    play(scenario, "abcdabcdabcd", seed)
+    run_scenario(scenario, "abcdabcdabcd", seed)
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
@@ -82,7 +82,7 @@
             simulation.nodes[name].kill(reset=False)
         await check_confirmed_changes(simulation, numbers)
 
-    play(scenario, "abcab", seed)
+    run_scenario(scenario, "abcab", seed)
 
 
 @pytest.mark.parametrize(("seed", "disk_delay_seconds"), [(1, 0.0), (2, 0.0), (3, 0.1), (4, 0.1)])
@@ -110,7 +110,7 @@
         await simulation.wait_until(lambda: all(map(simulation.is_ready, simulation.with_role("agency"))), 15)
         await check_confirmed_changes(simulation, [number])
 
-    play(scenario, "abcabc", seed)
+    run_scenario(scenario, "abcabc", seed)
 
 
 def test_rolling_restart_without_a_spare_leaves_the_voters_unchanged():
@@ -126,7 +126,7 @@
         await simulation.wait_until(lambda: has_full_voters(simulation), CATCH_UP_SECONDS)
         assert {voter.disk_id for voter in voters(simulation)} == disk_ids_before
 
-    play(scenario, "abcab")
+    run_scenario(scenario, "abcab")
 
 
 @pytest.mark.parametrize("delay", [0.0, 0.1, 0.3, 0.6, 1.0, 1.5])
@@ -146,7 +146,7 @@
         await simulation.wait_until(lambda: has_full_voters(simulation), 2 * CATCH_UP_SECONDS)
         await check_confirmed_changes(simulation, numbers)
 
-    play(scenario, "abcabc")
+    run_scenario(scenario, "abcabc")
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
@@ -165,7 +165,7 @@
         await asyncio.sleep(2)
         await check_confirmed_changes(simulation, numbers)
 
-    play(scenario, "abcabcabc", seed)
+    run_scenario(scenario, "abcabcabc", seed)
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
@@ -189,7 +189,7 @@
         simulation.nodes["agency-4"].kill(reset=False)
         await check_confirmed_changes(simulation, numbers)
 
-    play(scenario, "abcab", seed)
+    run_scenario(scenario, "abcab", seed)
 
 
 def test_majority_paused_together_replaces_nobody_when_it_resumes():
@@ -206,7 +206,7 @@
         await asyncio.sleep(CATCH_UP_SECONDS)
         assert {voter.disk_id for voter in voters(simulation)} == disk_ids_before
 
-    play(scenario, "abcabcab")
+    run_scenario(scenario, "abcabcab")
 
 
 def test_broken_link_between_two_voters_replaces_neither():
@@ -219,4 +219,4 @@
         await asyncio.sleep(6)
         assert {voter.disk_id for voter in voters(simulation)} == disk_ids_before
 
-    play(scenario, "abcabcab")
+    run_scenario(scenario, "abcabcab")
--- a/tests/controlplane/test_voter_target.py
+++ b/tests/controlplane/test_voter_target.py
@@ -8,7 +8,7 @@
     CATCH_UP_SECONDS,
     has_full_voters,
     kill_and_wipe,
-    play,
+    run_scenario,
     voters,
 )
 
@@ -32,7 +32,7 @@
         await simulation.wait_until(lambda: has_full_voters(simulation), CATCH_UP_SECONDS)
         assert len(voters(simulation)) == 5
 
-    play(scenario, "abcab")
+    run_scenario(scenario, "abcab")
 
 
 def test_tables_with_different_voters_are_given_the_same():
@@ -49,7 +49,7 @@
         assert len(voters(simulation, items.IDEMPOTENCY_KEYS)) == 3
         await simulation.wait_until(lambda: has_full_voters(simulation), CATCH_UP_SECONDS)
 
-    play(scenario, "abcabc")
+    run_scenario(scenario, "abcabc")
 
 
 def test_voter_change_from_an_older_set_or_to_a_weaker_one_is_refused():
@@ -69,7 +69,7 @@
                 await node.run(node.program.submitter.submit(orders.Order("voters-ledger", "", payload)), 3)
         assert [tuple(voter) for voter in voters(simulation)] == in_force
 
-    play(scenario, "abcab")
+    run_scenario(scenario, "abcab")
 
 
 def voters_in_zones(zones, first_number=0):
--- a/tests/dataplane/test_decisions_after_waits.py
+++ b/tests/dataplane/test_decisions_after_waits.py
@@ -158,4 +158,4 @@
         status = (await day.actors.send_request("edge-1", "GET", "/shortlists/1"))[0]
         return status, len(opened) > 1, opened[0].started
 
-    assert cluster.play(scenario) == (200, True, [])
+    assert cluster.run_scenario(scenario) == (200, True, [])
--- a/tests/dataplane/test_exchange.py
+++ b/tests/dataplane/test_exchange.py
@@ -14,8 +14,8 @@
     return head.encode() + body
 
 
-def run_with_origin(script, scene):
-    """Run `scene(connection)` with an origin that runs `script(number, reader, writer)` for each request."""
+def run_with_origin(script, scenario):
+    """Run `scenario(connection)`; the origin runs `script(number, reader, writer)` for each request."""
 
     async def serve_and_run():
         async def serve(reader, writer):
@@ -33,7 +33,7 @@
         connection = await exchange.connector(ID)(*server.sockets[0].getsockname())
         try:
             async with asyncio.timeout(5):
-                return await scene(connection)
+                return await scenario(connection)
         finally:
             connection.close()
             server.close()
@@ -49,12 +49,12 @@
     async def origin(number, reader, writer):
         writer.write(answer("ab"[number - 1], b"n%d" % number))
 
-    async def scene(connection):
+    async def scenario(connection):
         first = await send_get(connection, "a")
         assert connection.is_usable()
         return first, await send_get(connection, "b")
 
-    first, second = run_with_origin(origin, scene)
+    first, second = run_with_origin(origin, scenario)
     assert (first.status, first.body, second.body) == (200, b"n1", b"n2")
 
 
@@ -69,11 +69,11 @@
     async def origin(number, reader, writer):
         writer.write(answer("a", b"yours") + answer("a", b"surplus"))
 
-    async def scene(connection):
+    async def scenario(connection):
         found = await send_get(connection)
         return found.body, connection.is_usable()
 
-    assert run_with_origin(origin, scene) == (b"yours", False)
+    assert run_with_origin(origin, scenario) == (b"yours", False)
 
 
 def test_bytes_on_an_idle_connection_close_it():
@@ -83,14 +83,14 @@
         await asyncio.sleep(0.02)
         writer.write(answer("a", b"surplus"))
 
-    async def scene(connection):
+    async def scenario(connection):
         await send_get(connection)
         async with asyncio.timeout(2):
             while connection.is_usable():
                 await asyncio.sleep(0.005)
         return connection.is_open
 
-    assert run_with_origin(origin, scene) is False
+    assert run_with_origin(origin, scenario) is False
 
 
 @pytest.mark.parametrize(
@@ -108,23 +108,23 @@
         writer.write(sent)
         writer.close()
 
-    async def scene(connection):
+    async def scenario(connection):
         with pytest.raises(exchange.ConnectionBrokenError):
             await send_get(connection)
         return connection.may_have_sent, connection.is_usable()
 
-    assert run_with_origin(origin, scene) == (True, False)
+    assert run_with_origin(origin, scenario) == (True, False)
 
 
 def test_connection_is_given_up_before_its_origin_closes_it():
     async def origin(number, reader, writer):
         writer.write(answer("a", extra_headers="keep-alive: timeout=1\r\n"))
 
-    async def scene(connection):
+    async def scenario(connection):
         await send_get(connection)
         return connection.is_usable()
 
-    assert run_with_origin(origin, scene) is False
+    assert run_with_origin(origin, scenario) is False
 
 
 def test_cancelled_request_leaves_no_connection_for_the_next():
@@ -132,10 +132,10 @@
         await asyncio.sleep(0.05)
         writer.write(answer("a"))
 
-    async def scene(connection):
+    async def scenario(connection):
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.01):
                 await send_get(connection)
         return connection.is_usable()
 
-    assert run_with_origin(origin, scene) is False
+    assert run_with_origin(origin, scenario) is False
--- a/tests/dataplane/test_final_answers.py
+++ b/tests/dataplane/test_final_answers.py
@@ -82,7 +82,7 @@
         assert codes & {"over-ceiling", "no-share"}
         assert max(duration for _, duration in outcomes) < 0.9, outcomes
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_order_to_a_node_that_has_lost_the_voters_is_rejected_at_once():
@@ -94,7 +94,7 @@
             await day.actors.order("agency-2", "change", [cluster.site_row()])
         assert day.watcher.now() - started_at < 0.1
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_read_leaves_a_shield_without_power_on_suspicion_and_before_its_deadline():
@@ -110,4 +110,4 @@
         assert code == ""
         assert duration < 2.9
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
--- a/tests/dataplane/test_hostile_origin_scripts.py
+++ b/tests/dataplane/test_hostile_origin_scripts.py
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_hostile_origins_on_real_sockets_give_each_request_its_own_answer_or_none(seed):
-    async def scene():
+    async def scenario():
         randomness, record = random.Random(seed), hostile_origin.RequestLog()
         loop = asyncio.get_running_loop()
         server = await loop.create_server(
@@ -50,4 +50,4 @@
         server.close()
         return answered
 
-    assert asyncio.run(scene()) > 5
+    assert asyncio.run(scenario()) > 5
--- a/tests/dataplane/test_kept_connections.py
+++ b/tests/dataplane/test_kept_connections.py
@@ -17,7 +17,7 @@
         asked.append(request)
         return await test_listener.echo_body(request)
 
-    async def scene(edge):
+    async def scenario(edge):
         reader, writer = await edge.connect()
         writer.write(HEAD)
         await reader.readuntil(b"whole")
@@ -29,7 +29,7 @@
         writer.close()
         return received, len(asked)
 
-    return test_listener.run_with_listener(scene, answer)
+    return test_listener.run_with_listener(scenario, answer)
 
 
 def request_comes(connection):
--- a/tests/dataplane/test_keyed_departures.py
+++ b/tests/dataplane/test_keyed_departures.py
@@ -23,7 +23,7 @@
         await asyncio.sleep(2)
         return await write(day, "edge-2", "left"), day.actors.records.executions["left"]
 
-    (status, code, _), runs = cluster.play(scenario)
+    (status, code, _), runs = cluster.run_scenario(scenario)
     assert (status, code, runs) == (200, "", 1)
 
 
@@ -44,7 +44,7 @@
         runs = [runs for number, runs in day.actors.records.executions.items() if "application" in number]
         return carried_on, counted, left, runs
 
-    assert cluster.play(scenario) == (1, 1, 0, [1])
+    assert cluster.run_scenario(scenario) == (1, 1, 0, [1])
 
 
 def test_read_at_an_origin_is_withdrawn_when_the_edge_that_asked_is_gone():
@@ -61,4 +61,4 @@
         left = sum(len(program.role_node.origin_client.attempts) for program in shields)
         return withdrawn, left
 
-    assert cluster.play(scenario) == (1, 0)
+    assert cluster.run_scenario(scenario) == (1, 0)
--- a/tests/dataplane/test_origin_limits.py
+++ b/tests/dataplane/test_origin_limits.py
@@ -57,7 +57,7 @@
 
 
 def test_shield_restarted_at_once_never_uses_its_quota_share_twice():
-    async def scene(day):
+    async def scenario(day):
         await set_service_limits(day, "application", 30, 10)
         for origin in origins_of(day, "application"):
             origin.delay = 2.5
@@ -69,11 +69,11 @@
         checked = check_limits(day, "application", (30, 10))
         assert checked["no service has more requests in flight than its concurrency limit"] > 30
 
-    cluster.play(scene)
+    cluster.run_scenario(scenario)
 
 
 def test_abandoned_requests_still_count_as_in_flight():
-    async def scene(day):
+    async def scenario(day):
         await set_service_limits(day, "application", 50, 10, deadline=1.0)
         # The origin processes each request for three times as long as any client waits.
         for origin in origins_of(day, "application"):
@@ -82,11 +82,11 @@
         check_limits(day, "application", (50, 10))
         assert {code for status, code in results if status == 503} <= {"over-ceiling", "no-share"}
 
-    cluster.play(scene)
+    cluster.run_scenario(scenario)
 
 
 def test_request_whose_connection_took_long_is_counted_when_it_is_sent():
-    async def scene(day):
+    async def scenario(day):
         await set_service_limits(day, "application", 15, 60)
         connects = []
         for node in day.cluster.with_role("shield"):
@@ -108,11 +108,11 @@
         assert len(connects) > 20
         check_limits(day, "application", (15, 60))
 
-    cluster.play(scene)
+    cluster.run_scenario(scenario)
 
 
 def test_shield_just_started_uses_no_share_that_its_former_process_may_have_used():
-    async def scene(day):
+    async def scenario(day):
         await asyncio.sleep(20)
         shields = day.cluster.with_role("shield")
         node = next(n for n in shields if n.program.role_node.view.quota_share("application", (200, 100))[0])
@@ -130,7 +130,7 @@
         decision = write_policy.ShieldWritePolicy(part.context.clock, granted, 3.0)
         await node.run(part.origin_client.acquire_slot(granted, decision), 1)
 
-    cluster.play(scene)
+    cluster.run_scenario(scenario)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -160,7 +160,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_limits_hold_at_the_origin_through_partitions_pauses_and_evacuations(seed):
-    async def scene(day):
+    async def scenario(day):
         randomness = random.Random(seed)
         await set_service_limits(day, "application", 25, 8)
         for origin in origins_of(day, "application"):
@@ -190,11 +190,11 @@
         checked = check_limits(day, "application", (25, 8))
         assert checked["no service gets more requests in any one second than its rate limit"] > 300
 
-    cluster.play(scene, seed + 1)
+    cluster.run_scenario(scenario, seed + 1)
 
 
 def test_address_handed_to_another_service_gets_no_request_meant_for_the_old_one():
-    async def scene(day):
+    async def scenario(day):
         asking = ask_steadily(day, 60, 8, "/vacancies/")
         await asyncio.sleep(1)
         await origin_faults.reuse_address(day.fault_injector)
@@ -206,4 +206,4 @@
             assert not new_origin.started
         assert not any(day.checker.broken.values())
 
-    cluster.play(scene)
+    cluster.run_scenario(scenario)
--- a/tests/dataplane/test_popularity.py
+++ b/tests/dataplane/test_popularity.py
@@ -38,4 +38,4 @@
         assert len(hot) == 2, hot
         assert max(hot) < 0.62 * sum(hot), hot
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
--- a/tests/dataplane/test_reads.py
+++ b/tests/dataplane/test_reads.py
@@ -31,7 +31,7 @@
         responses = [await read(day, f"/vacancies/x{number}") for number in range(20)]
         assert {status for status, _, _ in responses} <= {502, 503, 504}
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_retries_stay_within_budget_when_every_origin_fails():
@@ -56,7 +56,7 @@
             len(set(attempt_ids)),
         )
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_purge_during_a_fetch_is_not_lost():
@@ -76,7 +76,7 @@
         for edge in ("edge-1", "edge-2"):
             assert (await read(day, path, edge))[2]["version"] == 1
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_purge_by_tag_reaches_every_cache():
@@ -92,7 +92,7 @@
             for edge in ("edge-1", "edge-2"):
                 assert (await read(day, f"/vacancies/{number}", edge))[2]["version"] == 1
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_time_to_live_is_counted_once_over_all_hops():
@@ -110,7 +110,7 @@
         for edge in ("edge-1", "edge-2"):
             assert (await read(day, path, edge))[2]["version"] == 1
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_identical_reads_in_flight_share_one_fetch():
@@ -120,7 +120,7 @@
         assert {status for status, _, _ in await asyncio.gather(*reads)} == {200}
         assert sum(len(o.started) for o in origins(day, "content")) - before[1] == 1
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_address_that_now_belongs_to_another_service_gets_no_request_of_the_old_one():
@@ -138,7 +138,7 @@
         assert other_service_origin.connections > 0
         assert len(other.started) > 20
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_reads_leave_a_failed_shield_at_once():
@@ -150,7 +150,7 @@
         responses = [await read(day, f"/vacancies/a{number}") for number in range(40)]
         assert {status for status, _, _ in responses} == {200}
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_answer_to_a_request_with_credentials_is_not_shared():
@@ -163,7 +163,7 @@
             assert status == 200
         assert sum(len(o.started) for o in origins(day, "content")) - before == 3
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_request_without_a_grant_entry_is_rejected():
@@ -180,4 +180,4 @@
         )
         assert sum(day.actors.records.requests.values()) == before
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
--- a/tests/dataplane/test_request_smuggling.py
+++ b/tests/dataplane/test_request_smuggling.py
@@ -121,7 +121,7 @@
     place = smuggling_places.ALL_PLACES[name]
     write = smuggling_places.WRITE + b"Content-Length: 5\r\n" + smuggling_places.END + b"after"
 
-    async def scene(edge):
+    async def scenario(edge):
         results = await ask_for_every_byte(edge, place, lambda byte: bytes([byte]))
         faults = [
             f"{byte:#04x}: {fault}" for byte in range(256) for fault in faults_of(place, byte, results[byte])
@@ -129,7 +129,7 @@
         after = await ask(edge, write, b"", ANSWER_SECONDS)
         return faults, [run.body for run in after.runs]
 
-    assert strict_edge.play(scene) == ([], [b"after"])
+    assert strict_edge.run_scenario(scenario) == ([], [b"after"])
 
 
 @pytest.mark.parametrize("name", smuggling_places.ALL_PLACES)
@@ -137,23 +137,23 @@
     """Guards against UNASKED: a write inside a header value that an origin takes for a separate request."""
     place = smuggling_places.ALL_PLACES[name]
 
-    async def scene(edge):
+    async def scenario(edge):
         results = await ask_for_every_byte(edge, place, smuggling_places.smuggled_request)
         answers = [result.answer.replace(b"\r", b"\n") for result in results]
         split = [answer for answer in answers if count_status_lines(answer) > 1 or b"\nHost: h\n" in answer]
         return split, [run for run in edge.origin.runs if is_smuggled(run)]
 
-    assert strict_edge.play(scene) == ([], [])
+    assert strict_edge.run_scenario(scenario) == ([], [])
 
 
 @pytest.mark.parametrize("target", [b"reads/1", b"?", b"http://[/reads/1", b"/reads/1#a", b"/reads/\x01"])
 def test_malformed_targets_are_answered(target):
     """Guards against LOST: a connection closed without a response when Sanic can't parse the target."""
 
-    async def scene(edge):
+    async def scenario(edge):
         return await edge.send(b"GET " + target + b" HTTP/1.1\r\nHost: h\r\n\r\n"), edge.origin.runs
 
-    answer, runs = strict_edge.play(scene)
+    answer, runs = strict_edge.run_scenario(scenario)
     assert answer.startswith(b"HTTP/1.1 400 ")
     assert runs == []
 
@@ -166,14 +166,14 @@
     client's own X-Expected-Instance header must not be forwarded.
     """
 
-    async def scene(edge):
+    async def scenario(edge):
         method = b"POST " if b"writes" in path else b"GET "
         lines = b" HTTP/1.1\r\nHost: h\r\nX-Expected-Instance: another\r\n" + smuggling_places.END
         answer = await edge.send(method + path + lines)
         named = [value for run in edge.origin.runs for name, value in run.headers if "instance" in name]
         return answer[:12], named
 
-    answer, instances = strict_edge.play(scene)
+    answer, instances = strict_edge.run_scenario(scenario)
     assert answer == b"HTTP/1.1 200"
     assert instances in (["a"], ["b"])
 
@@ -196,7 +196,7 @@
     places = smuggling_places.ALL_PLACES.values()
     templates = [place.request.replace(b"@", b"").replace(b"close", b"keep-alive") for place in places]
 
-    async def scene(edge):
+    async def scenario(edge):
         method_by_name, limit = {}, asyncio.Semaphore(CONCURRENT_REQUESTS)
 
         async def one_connection():
@@ -212,7 +212,7 @@
         await asyncio.gather(*(one_connection() for _ in range(FUZZ_CONNECTIONS)))
         return method_by_name, edge.origin.runs
 
-    method_by_name, runs = strict_edge.play(scene)
+    method_by_name, runs = strict_edge.run_scenario(scenario)
     assert [run for run in runs if is_smuggled(run)] == []
     named = [(name, run) for run in runs for name in method_by_name if name in run.target]
     assert [run for name, run in named if run.method != method_by_name[name]] == []
--- a/tests/dataplane/test_served_objects.py
+++ b/tests/dataplane/test_served_objects.py
@@ -27,7 +27,7 @@
         assert status == 200
         assert json.loads(result.body)["version"] == 1
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 @pytest.mark.parametrize("headers", [{}, {"authorization": "Bearer me"}])
@@ -43,7 +43,7 @@
         assert asking.result()[0] == 504
         assert asyncio.get_running_loop().time() - started_at < 3.3
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_answer_that_expires_in_flight_is_not_served():
@@ -59,7 +59,7 @@
         await set_origin_delay(day, 0.003)
         assert (await day.actors.send_request("edge-1", "GET", "/vacancies/1"))[0] == 200
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_request_that_joins_a_fetch_that_times_out_keeps_its_own_deadline():
@@ -73,4 +73,4 @@
         assert (await first)[0] == 504
         assert (await second)[0] == 200
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
--- a/tests/dataplane/test_slow_start.py
+++ b/tests/dataplane/test_slow_start.py
@@ -26,7 +26,7 @@
 
 
 def test_origins_replaced_all_at_once_get_what_slow_start_allows_and_all_in_the_end():
-    async def scene(day):
+    async def scenario(day):
         await set_service_limits(day, "content", 60, 60)
         new_origins = make_cold(day, "content")
         results = await ask_steadily(day, 100, 16, "/vacancies/")
@@ -38,11 +38,11 @@
         end = day.watcher.now()
         assert sum(moment > end - 4 for origin in new_origins for moment, _ in origin.started) > 150
 
-    cluster.play(scene)
+    cluster.run_scenario(scenario)
 
 
 def test_cold_origin_is_not_flooded_by_shields_restarted_or_resumed_meanwhile():
-    async def scene(day):
+    async def scenario(day):
         await set_service_limits(day, "content", 60, 60)
         make_cold(day, "content")
         asking = ask_steadily(day, 100, 12, "/vacancies/")
@@ -57,11 +57,11 @@
             > 30
         )
 
-    cluster.play(scene)
+    cluster.run_scenario(scenario)
 
 
 def test_crashed_origin_returns_cold_whatever_the_platform_says():
-    async def scene(day):
+    async def scenario(day):
         await set_service_limits(day, "content", 60, 60)
         first, second = origins_of(day, "content")
         for origin in (first, second):
@@ -80,4 +80,4 @@
             > 30
         )
 
-    cluster.play(scene)
+    cluster.run_scenario(scenario)
--- a/tests/dataplane/test_spellings.py
+++ b/tests/dataplane/test_spellings.py
@@ -30,18 +30,18 @@
     )
 
 
-def play(scene):
-    async def with_route(stage):
-        stage.route("objects", kind="cacheable", host=HOST)
-        return await scene(stage)
+def play(scenario):
+    async def with_route(harness):
+        harness.route("objects", kind="cacheable", host=HOST)
+        return await scenario(harness)
 
     return direct_edge.run_scenario(with_route)
 
 
-def purge(stage, host, path):
+def purge(harness, host, path):
     """Purge an object in the way in which an operator's order does."""
     kind, name = operator_calls.single_purge({"host": host, "path": path})
-    stage.put(items.LEDGER, f"purge/{kind}/{name}", {"purge": kind})
+    harness.put(items.LEDGER, f"purge/{kind}/{name}", {"purge": kind})
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -49,36 +49,36 @@
     """Guards against STALE: a purge that missed objects cached for a host in another case or with a port."""
     rng = random.Random(seed)
 
-    async def scene(stage):
+    async def scenario(harness):
         spellings = [(random_host_spelling(rng), random_path_spelling(rng)) for _ in range(4)]
         for host, path in spellings:
-            await stage.ask(path, host=host)
-        purge(stage, random_host_spelling(rng), random_path_spelling(rng) + rng.choice(("", "?a=b")))
-        stage.sent.clear()
-        answers = [await stage.ask(path, host=host) for host, path in spellings]
-        return [answer.status for answer in answers], len({path for _, path in spellings}), len(stage.sent)
+            await harness.ask(path, host=host)
+        purge(harness, random_host_spelling(rng), random_path_spelling(rng) + rng.choice(("", "?a=b")))
+        harness.sent.clear()
+        answers = [await harness.ask(path, host=host) for host, path in spellings]
+        return [answer.status for answer in answers], len({path for _, path in spellings}), len(harness.sent)
 
-    statuses, paths, fetches = play(scene)
+    statuses, paths, fetches = play(scenario)
     assert statuses == [200] * 4
     # Each spelling of the path is cached separately, and each is fetched again after the purge.
     assert fetches == paths
 
 
 def test_one_copy_serves_all_spellings_of_a_host():
-    async def scene(stage):
+    async def scenario(harness):
         for host in (HOST, HOST.upper(), f"{HOST}:8080", f"{HOST}."):
-            await stage.ask(PATH, host=host)
-        return len(stage.sent), stage.sent[0][3]["host"]
+            await harness.ask(PATH, host=host)
+        return len(harness.sent), harness.sent[0][3]["host"]
 
-    assert play(scene) == (1, HOST)
+    assert play(scenario) == (1, HOST)
 
 
 def test_an_origin_gets_the_spelling_of_the_client():
-    async def scene(stage):
-        await stage.ask("/objects/%61?b", host="SHOP.example:8080")
-        return stage.sent[0][2], stage.sent[0][3]["host"]
+    async def scenario(harness):
+        await harness.ask("/objects/%61?b", host="SHOP.example:8080")
+        return harness.sent[0][2], harness.sent[0][3]["host"]
 
-    assert play(scene) == ("/objects/%61?b", "SHOP.example:8080")
+    assert play(scenario) == ("/objects/%61?b", "SHOP.example:8080")
 
 
 @pytest.mark.parametrize(
@@ -104,8 +104,8 @@
 
 
 def test_a_host_without_a_route_is_still_refused():
-    async def scene(stage):
+    async def scenario(harness):
         with pytest.raises(errors.UnknownPathError):
-            await stage.ask(PATH, host="other.example")
+            await harness.ask(PATH, host="other.example")
 
-    play(scene)
+    play(scenario)
--- a/tests/dataplane/test_upstream_connections.py
+++ b/tests/dataplane/test_upstream_connections.py
@@ -14,7 +14,7 @@
 def test_connection_is_never_reopened_and_says_whether_a_byte_may_have_left():
     """Guards against aiohttp's own retry, which reopens a dead connection and sends the request again."""
 
-    async def scene():
+    async def scenario():
         served = []
 
         async def answer(request):
@@ -68,11 +68,11 @@
         await connection.close()
         await runner.cleanup()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_endless_body_is_cut_off():
-    async def scene():
+    async def scenario():
         async def answer(request):
             response = aiohttp.web.StreamResponse()
             await response.prepare(request)
@@ -93,7 +93,7 @@
         await connection.close()
         await runner.cleanup()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_seal_covers_length_digest_and_request_id():
--- a/tests/dataplane/test_upstream_request.py
+++ b/tests/dataplane/test_upstream_request.py
@@ -74,14 +74,14 @@
         connections.append(connection)
         return connection
 
-    async def scene(stage):
-        pool = stage.direct_node.endpoints
+    async def scenario(harness):
+        pool = harness.direct_node.endpoints
         pool.follow_origin_list()
         for endpoint in pool.endpoints.values():
             endpoint.connect = connect
         with pytest.raises(errors.IrisError) as caught:
-            await stage.ask(path, method, x_note="a\n\nPOST /writes/smuggled HTTP/1.1\n")
+            await harness.ask(path, method, x_note="a\n\nPOST /writes/smuggled HTTP/1.1\n")
         return caught.value.status
 
-    assert direct_edge.run_scenario(scene) == 400
+    assert direct_edge.run_scenario(scenario) == 400
     assert [connection.transport.written for connection in connections if connection.transport.written] == []
--- a/tests/dataplane/test_weighted_splits.py
+++ b/tests/dataplane/test_weighted_splits.py
@@ -20,17 +20,17 @@
 def test_services_of_a_split_get_their_parts_of_the_requests(name, weights):
     first, second = weights
 
-    async def scene(stage):
-        stage.put(items.CONFIGURATION, "upstream/t", {"version": 1, "item": {**UPSTREAM, "name": "t"}})
-        stage.origin("t", service="t")
+    async def scenario(harness):
+        harness.put(items.CONFIGURATION, "upstream/t", {"version": 1, "item": {**UPSTREAM, "name": "t"}})
+        harness.origin("t", service="t")
         split = [{"service": "s", "weight": first}, {"service": "t", "weight": second}]
-        stage.route(name, kind=direct_edge.KINDS[name], service=None, split=split)
+        harness.route(name, kind=direct_edge.KINDS[name], service=None, split=split)
         method = "POST" if name == "writes" else "GET"
         for number in range(REQUESTS):
-            await stage.ask(f"/{name}/{number}", method, request_id=f"r{number}")
-        served = collections.Counter("t" if key == "t" else "s" for key in stage.instances_asked())
+            await harness.ask(f"/{name}/{number}", method, request_id=f"r{number}")
+        served = collections.Counter("t" if key == "t" else "s" for key in harness.instances_asked())
         return served["t"] / REQUESTS
 
-    share, expected = run_scenario(scene), second / (first + second)
+    share, expected = run_scenario(scenario), second / (first + second)
     assert abs(share - expected) < SHARE_TOLERANCE
     assert bool(share) == bool(expected)
--- a/tests/dataplane/test_writes.py
+++ b/tests/dataplane/test_writes.py
@@ -25,7 +25,7 @@
             assert (status, code) in ((504, "outcome-unknown"), (503, "no-origin"), (503, "no-share"))
             assert execution_count(day, number) == (1 if code == "outcome-unknown" else 0)
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_write_is_forwarded_only_while_no_byte_has_gone_towards_an_origin():
@@ -39,7 +39,7 @@
             assert execution_count(day, number) == 1
         assert len(second.started) >= 10
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_write_over_the_limit_is_rejected_at_once_with_retry_after_and_never_runs():
@@ -60,7 +60,7 @@
         max_starts = max(sum(start <= other < start + 0.99 for other in start_times) for start in start_times)
         assert 0 < max_starts <= 10
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -83,7 +83,7 @@
         assert day.checker.checked["no write runs twice"] == 150
         assert day.checker.checked["a write that succeeded did run"] > 30
 
-    cluster.play(scenario, seed + 1)
+    cluster.run_scenario(scenario, seed + 1)
 
 
 def test_request_whose_client_left_is_dropped_before_it_is_sent():
@@ -107,7 +107,7 @@
         await asyncio.sleep(4)
         assert sum(len(origin.started) for origin in applications(day)) <= started_count + 1
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def send_keyed_write(day, edge, key, number, path="/applications"):
@@ -134,7 +134,7 @@
         assert other[:2] == (422, "key-reused")
         assert execution_count(day, "another-body") == 0
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_key_with_lost_answer_never_runs_again_and_a_rejected_one_may():
@@ -164,7 +164,7 @@
         assert code in ("no-claim", "stale-blueprint")
         assert execution_count(day, "late") == 0
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -198,4 +198,4 @@
         await asyncio.sleep(1.5)
         await node.start()
 
-    cluster.play(scenario, seed + 5)
+    cluster.run_scenario(scenario, seed + 5)
--- a/tests/http1/test_whole_numbers.py
+++ b/tests/http1/test_whole_numbers.py
@@ -20,10 +20,10 @@
 def test_a_remaining_time_that_is_no_number_leaves_the_request_its_route_s_timeout(given):
     """Guards against a request that crashes: `int` rejects some texts that `str.isdigit` accepts."""
 
-    async def scene(stage):
-        answer = await stage.ask("/writes/1", "POST", x_remaining_ms=given)
-        return answer.status, stage.sent[0][3]["x-remaining-ms"]
+    async def scenario(harness):
+        answer = await harness.ask("/writes/1", "POST", x_remaining_ms=given)
+        return answer.status, harness.sent[0][3]["x-remaining-ms"]
 
-    status, remaining_ms = direct_edge.run_scenario(scene)
+    status, remaining_ms = direct_edge.run_scenario(scenario)
     assert status == 200
     assert 1900 < int(remaining_ms) <= 2000
--- a/tests/membership/test_membership_faults.py
+++ b/tests/membership/test_membership_faults.py
@@ -38,7 +38,7 @@
         assert own.incarnation_number >= 1
         assert own.identity.incarnation_id == incarnation_id
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_killed_node_is_confirmed_within_the_papers_bounds_and_returns_as_a_new_incarnation():
@@ -57,7 +57,7 @@
         )
         assert node.program.context.detector.identity.incarnation_id != incarnation_id
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_node_falsely_confirmed_returns_as_a_new_incarnation():
@@ -79,7 +79,7 @@
             if name != "edge-2":
                 assert cluster.context(day, name).counters.get("swim_lives") == 0
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_member_lists_converge_after_a_long_partition():
@@ -96,7 +96,7 @@
 
         await day.cluster.wait_until(have_converged, 60)
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_loss_of_ten_percent_of_datagrams_confirms_no_living_member():
@@ -122,7 +122,7 @@
         assert suspected > 0
         assert confirmed == 0
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_leaving_node_is_removed_from_member_lists_without_being_suspected():
@@ -132,4 +132,4 @@
         failed_updates = cluster.context(day, "agency-1").detector.member_list.failed.values()
         assert [update.has_left for update in failed_updates if update.identity.name == "edge-1"] == [True]
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
--- a/tests/simulator/test_departing_clients.py
+++ b/tests/simulator/test_departing_clients.py
@@ -133,7 +133,7 @@
         await clients.run()
         return clients.times, clients.in_flight()
 
-    times, in_flight = cluster.play(scenario, seed + 1)
+    times, in_flight = cluster.run_scenario(scenario, seed + 1)
     assert len(times.departed_at) > REQUESTS / 16
     assert times.late_requests(CANCEL_DELAY_SECONDS) == {}
     assert in_flight == (0, 0, 0)
@@ -143,10 +143,10 @@
 class DirectClients:
     """Clients of a direct node whose origins are slow, failing, silent or down, some under a rate limit."""
 
-    def __init__(self, stage, seed):
-        self.stage, self.randomness, self.times = stage, random.Random(seed), RequestTimes()
-        stage.origins.answer, self.answer = self.with_arrivals, stage.origins.answer
-        stage.node.respond = self.with_arrivals
+    def __init__(self, harness, seed):
+        self.harness, self.randomness, self.times = harness, random.Random(seed), RequestTimes()
+        harness.origins.answer, self.answer = self.with_arrivals, harness.origins.answer
+        harness.node.respond = self.with_arrivals
 
     async def with_arrivals(self, key, headers, body):
         self.times.add_arrival(headers.get("x-visit"))
@@ -157,16 +157,16 @@
         path, method = self.randomness.choice(
             (("/reads/", "GET"), ("/objects/", "GET"), ("/writes/", "POST"))
         )
-        client = self.stage.start_request(f"{path}{name}", method, x_visit=name)
+        client = self.harness.start_request(f"{path}{name}", method, x_visit=name)
         done, _ = await asyncio.wait([client], timeout=self.randomness.choice((0.0, 0.01, 0.05, 0.3, 4.0)))
         if not done:
             self.times.add_departure(name)
-            await self.stage.disconnect(client)
+            await self.harness.disconnect(client)
 
     def inject_fault(self):
-        randomness, node = self.randomness, self.stage.node
-        self.stage.origins.seconds = randomness.choice((0.003, 0.1, 0.4, 60.0))
-        self.stage.origins.status = randomness.choice((200, 200, 500))
+        randomness, node = self.randomness, self.harness.node
+        self.harness.origins.seconds = randomness.choice((0.003, 0.1, 0.4, 60.0))
+        self.harness.origins.status = randomness.choice((200, 200, 500))
         node.refused = set(randomness.choice(("", "", "a", "ab")))
         rate = randomness.choice((None, None, 50.0))
         item = {**UPSTREAM, "version": node.version_counter, "rate": rate}
@@ -184,7 +184,7 @@
 
     def in_flight(self):
         """Return numbers: requests in flight, requests without a client, attempts, requests at endpoints."""
-        direct_node, context = self.stage.node.direct_node, self.stage.context
+        direct_node, context = self.harness.node.direct_node, self.harness.context
         in_flight_at_endpoints = sum(
             len(endpoint.in_flight) for endpoint in direct_node.endpoints.endpoints.values()
         )
@@ -198,8 +198,8 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_nothing_goes_on_at_a_direct_node_for_clients_that_left(seed):
-    async def scenario(stage):
-        clients = DirectClients(stage, seed)
+    async def scenario(harness):
+        clients = DirectClients(harness, seed)
         await clients.run()
         return clients.times, clients.in_flight()
 
--- a/tests/state/test_disk_faults.py
+++ b/tests/state/test_disk_faults.py
@@ -34,7 +34,7 @@
             assert configuration.value("site/north") == {"weight": 7}
             assert str(configuration.version("site/north")) == result["serial"]
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 @pytest.mark.parametrize("victim", ["agency-1", "agency-4"])
@@ -63,7 +63,7 @@
             day.cluster.nodes[name].kill()
         await day.actors.order(victim, "change", [cluster.site_row(weight=4)])
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_full_disk_refuses_changes_with_a_remedy_while_other_voters_go_on():
@@ -80,7 +80,7 @@
         day.cluster.nodes["agency-1"].disk.full = False
         await day.actors.order("agency-1", "change", [cluster.site_row(weight=4)])
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_two_stalled_disks_stop_neither_changes_nor_the_freshness_of_their_nodes():
@@ -94,7 +94,7 @@
                 assert day.cluster.is_ready(day.cluster.nodes[name])
                 assert cluster.context(day, name).configuration.value("site/north") == {"weight": weight}
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 @pytest.mark.parametrize("part", [".voter.", ".item.", "vault"])
@@ -135,7 +135,7 @@
             == participant.context.configuration.root_digest()
         )
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_empty_voters_bootstrap_only_together_and_never_beside_a_bootstrapped_one():
@@ -191,7 +191,7 @@
         simulated.nodes["agency-3"].kill()
         await day.actors.order("agency-9", "change", [cluster.site_row(weight=8)])
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_voters_that_one_site_loss_would_leave_without_majority_are_refused():
@@ -204,7 +204,7 @@
         assert "one site" in raised.value.faults[0]["message"]
         assert day.cluster.nodes["agency-3"].program.participant.voters(items.LEDGER) == voters
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_data_folder_with_root_digests_of_the_first_version_starts():
@@ -231,4 +231,4 @@
         assert cluster.context(day, "edge-1").configuration.value("site/north") == {"weight": 7}
         await day.actors.order("agency-3", "change", [cluster.site_row(weight=8)])
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
--- a/tests/state/test_replication.py
+++ b/tests/state/test_replication.py
@@ -34,7 +34,7 @@
         await asyncio.sleep(5)
         assert await bytes_sent_for_changes(day, 20) < 1.2 * small
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_voter_with_a_lost_disk_learns_a_table_larger_than_any_frame():
@@ -56,7 +56,7 @@
         assert len(replicas[1].items) > 2750
         assert replicas[1].counts_by_prefix == replicas[0].counts_by_prefix
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_changes_are_applied_only_if_the_outcome_equals_the_peers_replica():
@@ -87,7 +87,7 @@
         assert local.root_digest() == cluster.context(day, "agency-1").configuration.root_digest()
         assert cluster.context(day, "store-1").counters.total("ranges_mended") <= 4
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_every_change_updates_version_order_counts_and_digests():
@@ -127,4 +127,4 @@
         node.program.context.transport.call = original_call
         await day.cluster.wait_until_ready()
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
--- a/tests/state/test_restart_after_changes.py
+++ b/tests/state/test_restart_after_changes.py
@@ -168,7 +168,7 @@
         await changing
         assert len(confirmed) > 400
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_data_folder_whose_records_know_no_segments_starts_and_is_upgraded():
--- a/tests/state/test_slow_disks.py
+++ b/tests/state/test_slow_disks.py
@@ -54,7 +54,7 @@
         assert node.program.participant.store.replicas[items.CONFIGURATION].root_digest() == root
         assert node.program.context.configuration.value("site/north") is None
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_disks_100_times_slower_leave_a_working_control_plane():
@@ -74,4 +74,4 @@
             lambda: len({task.name for task in tasks if task.holds_lease()}) == 3, 10
         )
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -10,7 +10,7 @@
 )
 
 
-def play(scenario, seed=1, shape=SHAPE):
+def run_scenario(scenario, seed=1, shape=SHAPE):
     """Run `scenario(day)` in virtual time on an opened simulated day, and return its result."""
 
     async def run():
--- a/tests/support/strict_edge.py
+++ b/tests/support/strict_edge.py
@@ -15,8 +15,8 @@
 ANSWER_SECONDS = 5.0
 
 
-class OriginScene(direct_edge.DirectNodeHarness):
-    """A scene in which all connections to origins go to one address."""
+class OriginHarness(direct_edge.DirectNodeHarness):
+    """A harness in which all connections to origins go to one address."""
 
     def __init__(self, origin_address, settings):
         self.origin_address = origin_address
@@ -33,18 +33,18 @@
         self.origin = lenient_origin.LenientOrigin()
         address = await self.origin.start()
         settings = direct_edge.SETTINGS._replace(name=f"strict-{next(NUMBERS)}")
-        scene = OriginScene(address, settings)
-        scene.put("ledger", "rate-parts", {"units": {settings.name: 1000}})
+        harness = OriginHarness(address, settings)
+        harness.put("ledger", "rate-parts", {"units": {settings.name: 1000}})
         # The timeouts are so long that even on a busy machine no request is rejected or retried for lack of
         # time.
         for name, kind in direct_edge.KINDS.items():
-            scene.route(name, kind=kind, timeout=60.0, target=30.0)
-        self.context = scene.context
+            harness.route(name, kind=kind, timeout=60.0, target=30.0)
+        self.context = harness.context
         self.context.crashed = asyncio.get_running_loop().create_future()
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             self.address = probe.getsockname()
-        self.listener = listener.ClientListener(self.context, scene.direct_node, self.address)
+        self.listener = listener.ClientListener(self.context, harness.direct_node, self.address)
         await self.listener.open_when_current()
         return self
 
@@ -69,14 +69,14 @@
         self.origin.server.close()
 
 
-def play(scene):
-    """Run `scene(edge)` with a new edge on real sockets, and return its result."""
+def run_scenario(scenario):
+    """Run `scenario(edge)` with a new edge on real sockets, and return its result."""
 
     async def start_and_run():
         edge = await Edge().start()
         try:
             async with asyncio.timeout(120):
-                return await scene(edge)
+                return await scenario(edge)
         finally:
             await edge.stop()
 
--- a/tests/support/voter_cluster.py
+++ b/tests/support/voter_cluster.py
@@ -12,7 +12,7 @@
 BUILD_SECONDS = 5.0
 
 
-def play(scenario, zones, seed=1):
+def run_scenario(scenario, zones, seed=1):
     """Run a scenario on a new cluster with one control plane node for each entry of `zones`."""
 
     async def run():
--- a/tests/transport/test_incarnations.py
+++ b/tests/transport/test_incarnations.py
@@ -139,4 +139,4 @@
         # The voters still decide later orders.
         assert await day.actors.order("agency-3", "change", [cluster.site_row(weight=4)])
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -47,7 +47,7 @@
             assert context.counters.total("frames_dropped") - before == len(malformed_payloads)
         assert (await day.actors.send_request("edge-1", "GET", "/vacancies/1"))[0] == 200
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_random_bodies_of_every_kind_of_request_crash_no_node_and_change_no_table():
@@ -86,7 +86,7 @@
         await day.cluster.wait_until_ready()
         assert await day.actors.order("agency-3", "change", [cluster.site_row(weight=4)])
 
-    cluster.play(scenario)
+    cluster.run_scenario(scenario)
 
 
 def test_protocols_one_version_apart_are_accepted_and_no_others():
