--- a/src/irisstand/cli/develop.py
+++ b/src/irisstand/cli/develop.py
@@ -151,7 +151,7 @@
 )
 @click.option("--workers", type=click.IntRange(1, 256), default=1, help="How many processes explore.")
 @click.option(
-    "--walks", type=click.IntRange(0), default=0, help="How many random walks instead; 0: explore in order."
+    "--walks", type=click.IntRange(0), default=0, help="Random walks to run instead of exploring; 0: explore."
 )
 @click.option("--first", type=int, default=1, help="Seed of the first random walk.")
 @click.option(
--- a/src/irisstand/dataplane/upstream/attempts.py
+++ b/src/irisstand/dataplane/upstream/attempts.py
@@ -156,7 +156,7 @@
             return events.AttemptFailed(unnamed, instance)
         if answer.status < FIRST_REDIRECT_STATUS and names.digest not in answer.headers:
             missing_digest = errors.ResponseIntegrityError(
-                "the origin's response lacks the seal header that confirms it"
+                "the origin's response lacks the digest header that confirms it"
             )
             return events.AttemptFailed(missing_digest, instance)
         return events.ResponseReceived(answer, instance)
--- a/src/irisstand/dataplane/upstream/origin_client.py
+++ b/src/irisstand/dataplane/upstream/origin_client.py
@@ -150,7 +150,7 @@
             return self.failed(attempt, origin, error)
         except origin_connections.FAILURES as error:
             if not isinstance(error, HEALTH_NEUTRAL_ERRORS):
-                # A response without a valid seal concerns one request only, while a broken connection shows
+                # A response without a valid digest concerns one request only, while a broken connection shows
                 # that the origin is down.
                 is_unsealed = isinstance(error, errors.ResponseIntegrityError)
                 origin.set_health(is_healthy=origin.is_healthy and is_unsealed, why=repr(error))
@@ -165,7 +165,7 @@
         request: OriginRequest,
         retry_policy: forwarding_policy.ToOriginPolicy,
     ) -> Event:
-        """Send the request over a connection to the attempt's origin, and check the seal of the response."""
+        """Send the request over a connection to the attempt's origin, and check the response's digest."""
         allowed = attempt.allowed
         connection = await origin.acquire(max(MINIMUM_TIMEOUT_SECONDS, retry_policy.remaining()))
         attempt.connection = connection
