--- a/src/irisstand/simulator/simulated_day.py
+++ b/src/irisstand/simulator/simulated_day.py
@@ -17,7 +17,7 @@
 )
 
 SEED_FACTOR = 7919
-CACHE_TTL_SECONDS = {"vacancies": 5.0}
+CONTENT_TTL_SECONDS = {"vacancies": 5.0}
 READY_TIMEOUT_SECONDS = 20
 READY_AT_THE_END_TIMEOUT_SECONDS = 40
 ORIGINS_KNOWN_TIMEOUT_SECONDS = 10
@@ -53,7 +53,7 @@
         self.cluster.replace_after = kind.replace_after
         self.actors = self.cluster.actors
         self.checker = self.actors.checker
-        self.checker.ttl_seconds = dict(CACHE_TTL_SECONDS)
+        self.checker.ttl_seconds = dict(CONTENT_TTL_SECONDS)
         self.configuration_invariants = configuration_invariants.ConfigurationInvariants(self.cluster)
         self.watcher = invariant_watcher.InvariantWatcher(self.cluster)
         self.origin_invariants = origin_invariants.OriginInvariants(self.cluster, dict(kind.limits))
