--- a/src/irisstand/soak/clients.py
+++ b/src/irisstand/soak/clients.py
@@ -10,25 +10,25 @@
 from irisstand.soak import fleet, records, shape
 
 HOST = "soak.example"
-SEAL = "content-digest"
-KINDS = ("objects", "objects", "objects", "reads", "writes")
+DIGEST_HEADER = "content-digest"
+REQUEST_KINDS = ("objects", "objects", "objects", "reads", "writes")
 # After two misses of its readiness, a second apart, the platform sends an edge no more connections.
-ENTRY_SECONDS = 2.0
-LONGEST_REST_SECONDS = 3.0
-OBJECTS = 150
+UNLISTED_AFTER_SECONDS = 2.0
+MAX_IDLE_SECONDS = 3.0
+OBJECT_COUNT = 150
 SLOW_UPLOAD_SHARE = 0.15
-LONGEST_UPLOAD_SECONDS = 4.0
+MAX_UPLOAD_SECONDS = 4.0
 # A thin client's socket buffer, and how fast it reads.
-THIN_BUFFER_BYTES = 4096
-THIN_READ_BYTES = 2048
-THIN_READ_SECONDS = 0.01
+SLOW_READER_BUFFER_BYTES = 4096
+SLOW_READ_BYTES = 2048
+SLOW_READ_PAUSE_SECONDS = 0.01
 
 
 class Connection(typing.NamedTuple):
     """A client's open connection to one life of an edge."""
 
     edge: str
-    life: int
+    start_number: int
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
@@ -49,25 +49,25 @@
         self.plan = plan
         self.fleet = processes
         self.records = processes.records
-        self.draws = random.Random(f"{plan.seed} client {number}")
+        self.randomness = random.Random(f"{plan.seed} client {number}")
         self.connection: Connection | None = None
         self.sent = 0
 
     async def run(self, until: float) -> None:
         """Send requests until a moment of the loop's clock."""
         loop = asyncio.get_running_loop()
-        await asyncio.sleep(self.draws.random())
+        await asyncio.sleep(self.randomness.random())
         while loop.time() < until:
             if self.connection is None or self.connection.reader.at_eof():
                 await self.connect()
             else:
-                await self.ask(self.connection)
-            await asyncio.sleep(self.rest_seconds())
+                await self.send_request(self.connection)
+            await asyncio.sleep(self.idle_seconds())
         self.close()
 
-    def rest_seconds(self) -> float:
+    def idle_seconds(self) -> float:
         """Return how long the connection rests now: mostly not at all, at times long."""
-        return self.draws.choice((0.0, 0.05, 0.3, self.draws.uniform(0, LONGEST_REST_SECONDS)))
+        return self.randomness.choice((0.0, 0.05, 0.3, self.randomness.uniform(0, MAX_IDLE_SECONDS)))
 
     def close(self) -> None:
         """Close the connection."""
@@ -75,74 +75,82 @@
             self.connection.writer.close()
         self.connection = None
 
-    def is_listed(self, name: str) -> bool:
+    def receives_new_connections(self, name: str) -> bool:
         """Return whether the platform still sends new connections to an edge."""
-        stop = self.records.stops.get((name, self.fleet.lives[name]))
+        stop = self.records.stops.get((name, self.fleet.start_counts[name]))
         now = asyncio.get_running_loop().time()
-        return stop is None or now - stop.sent_at < ENTRY_SECONDS
+        return stop is None or now - stop.sent_at < UNLISTED_AFTER_SECONDS
 
     async def connect(self) -> None:
         """Open a connection to an edge that is listed."""
         self.close()
-        edges = [place for place in self.fleet.named("direct") if self.is_listed(place.name)]
-        place = self.draws.choice(edges)
+        edges = [
+            address
+            for address in self.fleet.with_role("direct")
+            if self.receives_new_connections(address.name)
+        ]
+        address = self.randomness.choice(edges)
         sock = socket.socket()
         sock.settimeout(0)
         if self.plan.is_thin:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, THIN_BUFFER_BYTES)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SLOW_READER_BUFFER_BYTES)
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(1):
-                await loop.sock_connect(sock, (place.host, fleet.FRONT_PORT))
-                limit = THIN_READ_BYTES if self.plan.is_thin else 2**16
+                await loop.sock_connect(sock, (address.host, fleet.FRONT_PORT))
+                limit = SLOW_READ_BYTES if self.plan.is_thin else 2**16
                 reader, writer = await asyncio.open_connection(sock=sock, limit=limit)
         except (OSError, TimeoutError):
             sock.close()
             await asyncio.sleep(0.1)
             return
-        self.connection = Connection(place.name, self.fleet.lives[place.name], reader, writer)
+        self.connection = Connection(address.name, self.fleet.start_counts[address.name], reader, writer)
 
-    async def ask(self, connection: Connection) -> None:
+    async def send_request(self, connection: Connection) -> None:
         """Send one request and record how it ended."""
         self.sent += 1
         loop = asyncio.get_running_loop()
-        kind = self.draws.choice(KINDS)
-        path = f"/{kind}/{self.draws.randrange(OBJECTS) if kind == 'objects' else self.sent}"
-        remaining = self.draws.choice(self.plan.deadlines)
+        kind = self.randomness.choice(REQUEST_KINDS)
+        path = f"/{kind}/{self.randomness.randrange(OBJECT_COUNT) if kind == 'objects' else self.sent}"
+        remaining = self.randomness.choice(self.plan.deadlines)
         request_id = f"r{self.plan.seed}-{self.number}-{self.sent}"
         deadline_at = loop.time() + remaining
-        ask = records.Ask(request_id, connection.edge, connection.life, kind, path, loop.time(), deadline_at)
+        request = records.ClientRequest(
+            request_id, connection.edge, connection.start_number, kind, path, loop.time(), deadline_at
+        )
         try:
             async with asyncio.timeout_at(deadline_at):
-                await self.send(connection, ask, remaining)
-                ask.sent_at = loop.time()
-                answer = await self.read(connection.reader)
-            self.judge(ask, answer)
+                await self.write_request(connection, request, remaining)
+                request.sent_at = loop.time()
+                answer = await self.read_response(connection.reader)
+            self.record_response(request, answer)
             if "close" in answer.headers.get("connection", "").lower():
                 self.close()
         except TimeoutError:
             self.close()
         except (OSError, asyncio.IncompleteReadError, ValueError, IndexError):
-            ask.end = records.AskEnd.CLOSED
+            request.end = records.RequestEnd.CLOSED
             self.close()
-        ask.ended_at = loop.time()
-        self.records.asks.append(ask)
+        request.ended_at = loop.time()
+        self.records.requests.append(request)
 
-    async def send(self, connection: Connection, ask: records.Ask, remaining: float) -> None:
+    async def write_request(
+        self, connection: Connection, request: records.ClientRequest, remaining: float
+    ) -> None:
         """Write a request; some writes send their body slowly."""
-        body = b"claim" if ask.kind == "writes" else b""
+        body = b"claim" if request.kind == "writes" else b""
         head = (
-            f"{'POST' if body else 'GET'} {ask.path} HTTP/1.1\r\nHost: {HOST}\r\n"
-            f"X-Request-Id: {ask.request_id}\r\nX-Remaining-Ms: {int(remaining * 1000)}\r\n"
+            f"{'POST' if body else 'GET'} {request.path} HTTP/1.1\r\nHost: {HOST}\r\n"
+            f"X-Request-Id: {request.request_id}\r\nX-Remaining-Ms: {int(remaining * 1000)}\r\n"
             f"{f'Content-Length: {len(body)}' if body else 'Accept: */*'}\r\n\r\n"
         )
         connection.writer.write(head.encode())
-        if body and self.draws.random() < SLOW_UPLOAD_SHARE:
-            await asyncio.sleep(self.draws.uniform(0, min(LONGEST_UPLOAD_SECONDS, 0.6 * remaining)))
+        if body and self.randomness.random() < SLOW_UPLOAD_SHARE:
+            await asyncio.sleep(self.randomness.uniform(0, min(MAX_UPLOAD_SECONDS, 0.6 * remaining)))
         connection.writer.write(body)
         await connection.writer.drain()
 
-    async def read(self, reader: asyncio.StreamReader) -> Answer:
+    async def read_response(self, reader: asyncio.StreamReader) -> Answer:
         """Read one whole answer, slowly if the client is thin.
 
         Raises:
@@ -162,18 +170,22 @@
             if not self.plan.is_thin:
                 body += await reader.readexactly(length)
                 continue
-            piece = await reader.read(THIN_READ_BYTES)
+            piece = await reader.read(SLOW_READ_BYTES)
             if not piece:
                 raise asyncio.IncompleteReadError(body, length)
             body += piece
-            await asyncio.sleep(THIN_READ_SECONDS)
+            await asyncio.sleep(SLOW_READ_PAUSE_SECONDS)
         return Answer(int(start.split(" ")[1]), headers, body)
 
     @staticmethod
-    def judge(ask: records.Ask, answer: Answer) -> None:
+    def record_response(request: records.ClientRequest, answer: Answer) -> None:
         """Record whether an origin gave the answer, or the node itself."""
-        ask.status = answer.status
-        ask.end = records.AskEnd.ANSWERED if SEAL in answer.headers else records.AskEnd.OWN_ANSWER
-        if ask.end is records.AskEnd.OWN_ANSWER:
+        request.status = answer.status
+        request.end = (
+            records.RequestEnd.ANSWERED
+            if DIGEST_HEADER in answer.headers
+            else records.RequestEnd.NODE_RESPONSE
+        )
+        if request.end is records.RequestEnd.NODE_RESPONSE:
             with contextlib.suppress(ValueError):
-                ask.code = json.loads(answer.body).get("code", "")
+                request.code = json.loads(answer.body).get("code", "")
--- a/src/irisstand/soak/records.py
+++ b/src/irisstand/soak/records.py
@@ -7,9 +7,9 @@
 class RunEnd(enum.StrEnum):
     """How a run at an origin ended."""
 
-    AT_WORK = "at work"
+    RUNNING = "at work"
     ANSWERED = "answered"
-    CUT = "cut off by the caller"
+    CANCELLED = "cut off by the caller"
     TIMED_OUT = "at its deadline"
 
 
@@ -22,31 +22,31 @@
     path: str
     began_at: float
     ended_at: float = 0.0
-    end: RunEnd = RunEnd.AT_WORK
+    end: RunEnd = RunEnd.RUNNING
 
 
-class AskEnd(enum.StrEnum):
+class RequestEnd(enum.StrEnum):
     """How a client's request ended."""
 
     ANSWERED = "whole answer"
-    OWN_ANSWER = "answer of the node's own"
+    NODE_RESPONSE = "answer of the node's own"
     CLOSED = "connection ended"
     DEADLINE = "client's deadline"
 
 
 @dataclasses.dataclass(slots=True)
-class Ask:
+class ClientRequest:
     """One request of a client: `sent_at` is when its last byte was written."""
 
     request_id: str
     edge: str
-    life: int
+    start_number: int
     kind: str
     path: str
     sent_at: float
     deadline_at: float
     ended_at: float = 0.0
-    end: AskEnd = AskEnd.DEADLINE
+    end: RequestEnd = RequestEnd.DEADLINE
     status: int = 0
     code: str = ""
 
@@ -56,7 +56,7 @@
     """A SIGTERM to one life of a process of some age, and its end; `code` is None while it still runs."""
 
     name: str
-    life: int
+    start_number: int
     sent_at: float
     age_seconds: float
     ended_at: float = 0.0
@@ -68,14 +68,14 @@
     """All that one run saw; `longest_lag_seconds` is how late the run's own event loop was at the most."""
 
     runs: dict[str, list[OriginRun]] = dataclasses.field(default_factory=dict)
-    asks: list[Ask] = dataclasses.field(default_factory=list)
+    requests: list[ClientRequest] = dataclasses.field(default_factory=list)
     stops: dict[tuple[str, int], Stop] = dataclasses.field(default_factory=dict)
     unexpected_ends: list[str] = dataclasses.field(default_factory=list)
-    hangups: int = 0
+    sighups: int = 0
     changes: int = 0
     peak_memory_mb: dict[str, float] = dataclasses.field(default_factory=dict)
     longest_lag_seconds: float = 0.0
 
-    def begin_run(self, run: OriginRun) -> None:
+    def add_run(self, run: OriginRun) -> None:
         """Keep a run under the id of its request."""
         self.runs.setdefault(run.request_id, []).append(run)
--- a/src/irisstand/soak/schedule.py
+++ b/src/irisstand/soak/schedule.py
@@ -12,14 +12,14 @@
 from irisstand.soak import clients, fleet, shape
 
 HTTP_OK = 200
-ORDER_SECONDS = 5.0
-FOUNDING_SECONDS = 40.0
-READY_SECONDS = 40.0
+LATER_ORDER_SECONDS = 5.0
+FIRST_ORDER_SECONDS = 40.0
+READY_TIMEOUT_SECONDS = 40.0
 POLL_SECONDS = 0.1
-SERIES_LIMIT = 4
+MAX_SERIES_STOPS = 4
 # Gaps between the steps of a series.
-GAPS_SECONDS = (0.05, 0.3, 1.0)
-SETTLED_SECONDS = 2.0
+SERIES_GAPS_SECONDS = (0.05, 0.3, 1.0)
+SETTLE_SECONDS = 2.0
 APPLICATION_CONNECTIONS = 400
 
 
@@ -29,34 +29,36 @@
     STOP_EDGE = "SIGTERM to an edge"
     STOP_HOLDER = "SIGTERM to a holder"
     STOP_CONTROL = "SIGTERM to a control plane node"
-    HANG_UP = "SIGHUP"
-    STOP_AGAIN = "a second signal to a process that stops"
-    CHANGE = "a change of the configuration"
+    SEND_SIGHUP = "SIGHUP"
+    SIGNAL_STOPPING_PROCESS = "a second signal to a process that stops"
+    CHANGE_CONFIGURATION = "a change of the configuration"
 
 
 class Step(typing.NamedTuple):
     """One action at a moment, in seconds from the start of the clients."""
 
-    at: float
+    at_seconds: float
     action: Action
 
 
 def plan_steps(plan: shape.SoakShape) -> list[Step]:
     """Draw the steps of a run: the stops of its shape in series, and the other actions between them."""
-    draws = random.Random(f"{plan.seed} schedule")
+    randomness = random.Random(f"{plan.seed} schedule")
     steps: list[Step] = []
-    left = plan.stops
-    while left > 0:
-        at = draws.uniform(1.0, max(2.0, plan.seconds - 4.0))
-        for _ in range(min(left, draws.randint(1, SERIES_LIMIT))):
-            steps.append(Step(at, Action.STOP_EDGE))
-            at += draws.choice(GAPS_SECONDS)
-            left -= 1
-    others = [Action.HANG_UP] * 4 + [Action.CHANGE] * 4 + [Action.STOP_AGAIN] * 2
+    stops_left = plan.stops
+    while stops_left > 0:
+        at_seconds = randomness.uniform(1.0, max(2.0, plan.seconds - 4.0))
+        for _ in range(min(stops_left, randomness.randint(1, MAX_SERIES_STOPS))):
+            steps.append(Step(at_seconds, Action.STOP_EDGE))
+            at_seconds += randomness.choice(SERIES_GAPS_SECONDS)
+            stops_left -= 1
+    others = (
+        [Action.SEND_SIGHUP] * 4 + [Action.CHANGE_CONFIGURATION] * 4 + [Action.SIGNAL_STOPPING_PROCESS] * 2
+    )
     others += [Action.STOP_HOLDER, Action.STOP_CONTROL] if plan.holders else [Action.STOP_CONTROL]
     for action in others:
         for _ in range(max(1, round(plan.seconds / 30))):
-            steps.append(Step(draws.uniform(1.0, plan.seconds), action))
+            steps.append(Step(randomness.uniform(1.0, plan.seconds), action))
     return sorted(steps)
 
 
@@ -69,12 +71,12 @@
         self.session = session
         self.version = 0
 
-    async def amend(self, rate_factor: float = 1.0, *, patient: bool = False) -> bool:
+    async def submit_configuration(self, rate_factor: float = 1.0, *, is_first: bool = False) -> bool:
         """Send the whole configuration under a new version to one node after the other until one takes it."""
         self.version += 1
         body = self.configuration(rate_factor)
-        end = asyncio.get_running_loop().time() + (FOUNDING_SECONDS if patient else ORDER_SECONDS)
-        for node in itertools.cycle(self.fleet.named("agency")):
+        end = asyncio.get_running_loop().time() + (FIRST_ORDER_SECONDS if is_first else LATER_ORDER_SECONDS)
+        for node in itertools.cycle(self.fleet.with_role("agency")):
             url = f"http://{node.host}:{fleet.HTTP_PORT}/amendments"
             try:
                 async with self.session.post(url, json=body) as response:
@@ -123,16 +125,16 @@
         Raises:
             TimeoutError: They are not within `READY_SECONDS`.
         """
-        async with asyncio.timeout(READY_SECONDS):
-            for place in self.fleet.named("direct"):
+        async with asyncio.timeout(READY_TIMEOUT_SECONDS):
+            for address in self.fleet.with_role("direct"):
                 # Readiness is asked over HTTP, so there is no event to wait for.
-                while not await self.is_ready(place):  # noqa: ASYNC110 - see above
+                while not await self.is_ready(address):  # noqa: ASYNC110 - see above
                     await asyncio.sleep(POLL_SECONDS)
-        await asyncio.sleep(SETTLED_SECONDS)
+        await asyncio.sleep(SETTLE_SECONDS)
 
-    async def is_ready(self, place: fleet.Place) -> bool:
+    async def is_ready(self, address: fleet.ProcessAddress) -> bool:
         """Ask an edge whether it is ready."""
-        url = f"http://{place.host}:{fleet.HTTP_PORT}/_irisstand/ready"
+        url = f"http://{address.host}:{fleet.HTTP_PORT}/_irisstand/ready"
         try:
             async with self.session.get(url) as response:
                 return response.status == HTTP_OK
@@ -147,53 +149,53 @@
         self.plan = plan
         self.fleet = processes
         self.operator = operator
-        self.draws = random.Random(f"{plan.seed} targets")
-        self.orders: list[asyncio.Task[bool]] = []
+        self.randomness = random.Random(f"{plan.seed} targets")
+        self.order_tasks: list[asyncio.Task[bool]] = []
 
     async def run(self) -> None:
         """Carry out all steps at their moments."""
         loop = asyncio.get_running_loop()
         started = loop.time()
         for step in plan_steps(self.plan):
-            await asyncio.sleep(max(0.0, started + step.at - loop.time()))
+            await asyncio.sleep(max(0.0, started + step.at_seconds - loop.time()))
             self.carry_out(step.action)
-        await asyncio.gather(*self.orders)
+        await asyncio.gather(*self.order_tasks)
 
     def carry_out(self, action: Action) -> None:
         """Carry out one step."""
         match action:
             case Action.STOP_EDGE:
                 # Half of the edges go on, as in a restart by series.
-                self.stop_one("direct", at_most=max(1, self.plan.edges // 2))
+                self.stop_process("direct", max_stopping=max(1, self.plan.edges // 2))
             case Action.STOP_HOLDER:
-                self.stop_one("holder", at_most=max(1, self.plan.holders // 2))
+                self.stop_process("holder", max_stopping=max(1, self.plan.holders // 2))
             case Action.STOP_CONTROL:
-                self.stop_one("agency", at_most=1)
-            case Action.HANG_UP:
-                self.fleet.signal(self.draws.choice(list(self.fleet.places)), signal.SIGHUP)
-            case Action.STOP_AGAIN:
-                self.signal_a_stopping_one()
-            case Action.CHANGE:
-                order = self.operator.amend(self.draws.choice((0.8, 1.0, 1.2)))
-                self.orders.append(asyncio.create_task(order))
-
-    def stopping(self, role: str) -> list[str]:
+                self.stop_process("agency", max_stopping=1)
+            case Action.SEND_SIGHUP:
+                self.fleet.send_signal(self.randomness.choice(list(self.fleet.addresses)), signal.SIGHUP)
+            case Action.SIGNAL_STOPPING_PROCESS:
+                self.signal_stopping_process()
+            case Action.CHANGE_CONFIGURATION:
+                order = self.operator.submit_configuration(self.randomness.choice((0.8, 1.0, 1.2)))
+                self.order_tasks.append(asyncio.create_task(order))
+
+    def stopping_processes(self, role: str) -> list[str]:
         """Return the processes of a role that were told to stop and have not ended, or not yet come back."""
-        names = [place.name for place in self.fleet.named(role)]
-        return [name for name in names if (name, self.fleet.lives[name]) in self.fleet.records.stops]
+        names = [address.name for address in self.fleet.with_role(role)]
+        return [name for name in names if (name, self.fleet.start_counts[name]) in self.fleet.records.stops]
 
-    def stop_one(self, role: str, at_most: int) -> None:
+    def stop_process(self, role: str, max_stopping: int) -> None:
         """Send SIGTERM to a process that has run for a while, if few enough others are stopping."""
-        stopping = self.stopping(role)
-        if len(stopping) >= at_most:
+        stopping = self.stopping_processes(role)
+        if len(stopping) >= max_stopping:
             return
-        names = [place.name for place in self.fleet.named(role) if place.name not in stopping]
+        names = [address.name for address in self.fleet.with_role(role) if address.name not in stopping]
         if names:
-            self.fleet.signal(self.draws.choice(names), signal.SIGTERM)
+            self.fleet.send_signal(self.randomness.choice(names), signal.SIGTERM)
 
-    def signal_a_stopping_one(self) -> None:
+    def signal_stopping_process(self) -> None:
         """Send a process that is stopping one more signal."""
-        names = self.stopping("direct") or self.stopping("holder")
+        names = self.stopping_processes("direct") or self.stopping_processes("holder")
         if names:
-            number = self.draws.choice((signal.SIGTERM, signal.SIGHUP))
-            self.fleet.signal(self.draws.choice(names), number)
+            signal_number = self.randomness.choice((signal.SIGTERM, signal.SIGHUP))
+            self.fleet.send_signal(self.randomness.choice(names), signal_number)
--- a/src/irisstand/soak/shape.py
+++ b/src/irisstand/soak/shape.py
@@ -5,12 +5,12 @@
 
 # What the platform of the users sets for a stop: SIGKILL follows SIGTERM after the grace.
 GRACE_SECONDS = 6.0
-EDGE_FAREWELL_SECONDS = 2.3
-OTHER_FAREWELL_SECONDS = 0.3
+EDGE_LAME_DUCK_SECONDS = 2.3
+OTHER_LAME_DUCK_SECONDS = 0.3
 # Farewell and drain together.
 SHUTDOWN_SECONDS = 5.5
 # The part of the runs in which clients read slowly.
-THIN_SHARE = 0.3
+SLOW_READER_SHARE = 0.3
 LARGE_FLEET_EDGES = 40
 LARGE_FLEET_HOLDERS = 10
 
@@ -60,23 +60,23 @@
 
 def draw(seed: int, edges: int | None, seconds: float) -> SoakShape:
     """Draw a shape; `edges` sets the number of edges, which is drawn too if it is None."""
-    draws = random.Random(seed)
-    count = edges or draws.choice((5, 8, 12, 16))
-    zones = draws.choice((1, 2, 3))
-    is_thin = draws.random() < THIN_SHARE
+    randomness = random.Random(seed)
+    count = edges or randomness.choice((5, 8, 12, 16))
+    zones = randomness.choice((1, 2, 3))
+    is_thin = randomness.random() < SLOW_READER_SHARE
     return SoakShape(
         seed=seed,
         seconds=seconds,
         edges=count,
-        holders=draws.choice((0, 2, 2, 4)) if count < LARGE_FLEET_EDGES else LARGE_FLEET_HOLDERS,
+        holders=randomness.choice((0, 2, 2, 4)) if count < LARGE_FLEET_EDGES else LARGE_FLEET_HOLDERS,
         control_nodes=3,
         zones=zones,
         clients=3 * count,
-        rate=draws.choice((12.0, 25.0, 60.0)),
-        connections=draws.choice((14, 30, 58)),
-        work=WorkTimes(0.1, draws.choice((1.0, 3.0, 4.5))),
-        object_bytes=draws.choice((600, 20_000, 200_000)) if is_thin else 600,
-        deadlines=draws.choice(((5.4, 9.9), (3.3, 5.4), (2.5, 9.3))),
+        rate=randomness.choice((12.0, 25.0, 60.0)),
+        connections=randomness.choice((14, 30, 58)),
+        work=WorkTimes(0.1, randomness.choice((1.0, 3.0, 4.5))),
+        object_bytes=randomness.choice((600, 20_000, 200_000)) if is_thin else 600,
+        deadlines=randomness.choice(((5.4, 9.9), (3.3, 5.4), (2.5, 9.3))),
         is_thin=is_thin,
         stops=max(3, int(seconds * count / 40)),
     )
--- a/src/irisstand/soak/slow_origin.py
+++ b/src/irisstand/soak/slow_origin.py
@@ -31,7 +31,7 @@
     return ReceivedRequest(method, target, {name.lower(): value.strip() for name, _, value in pairs})
 
 
-def encode_answer(status: int, headers: Headers, body: bytes = b"") -> bytes:
+def encode_response(status: int, headers: Headers, body: bytes = b"") -> bytes:
     """Return an answer's bytes."""
     lines = [f"HTTP/1.1 {status} X", *(f"{name}: {value}" for name, value in headers.items())]
     return "\r\n".join([*lines, f"content-length: {len(body)}", "", ""]).encode("latin-1") + body
@@ -71,10 +71,10 @@
         self.state = "ready"
         self.slots = asyncio.Semaphore(slots)
         self.slot_count = slots
-        self.accepted = 0
+        self.accepted_requests = 0
         self.records: records.Records = records.Records()
 
-    def listing(self) -> dict[str, typing.Any]:
+    def platform_entry(self) -> dict[str, typing.Any]:
         """Return the platform's entry for it."""
         return {
             "id": self.instance,
@@ -88,9 +88,9 @@
 
     def work_seconds(self, request: ReceivedRequest) -> float:
         """Return how long a request takes; the same for each reading of one target."""
-        draws = random.Random(f"{self.plan.seed} {request.target}")
+        randomness = random.Random(f"{self.plan.seed} {request.target}")
         work = self.plan.work
-        return work.least + (work.most - work.least) * draws.random() ** 2
+        return work.least + (work.most - work.least) * randomness.random() ** 2
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer the requests of one connection until it ends."""
@@ -110,13 +110,13 @@
 
     async def answer(self, reader: asyncio.StreamReader, request: ReceivedRequest) -> bytes | None:
         """Carry out a request; None if the connection ended meanwhile."""
-        own = {"x-instance": self.instance}
+        instance_header = {"x-instance": self.instance}
         if request.target == "/health":
-            return encode_answer(200, own)
+            return encode_response(200, instance_header)
         request_id = request.headers.get("x-request-id", "")
-        back = {**own, "x-request-id": request_id} if request_id else own
-        if self.accepted >= self.slot_count + QUEUE_LIMIT:
-            return encode_answer(503, {**back, "x-not-run": "1"})
+        response_headers = {**instance_header, "x-request-id": request_id} if request_id else instance_header
+        if self.accepted_requests >= self.slot_count + QUEUE_LIMIT:
+            return encode_response(503, {**response_headers, "x-not-run": "1"})
         # Nothing may come before the answer: what is read here is the end of the connection.
         closed = asyncio.ensure_future(reader.read(1))
         work = asyncio.ensure_future(self.work(request, request_id))
@@ -124,7 +124,7 @@
             await asyncio.wait([closed, work], return_when=asyncio.FIRST_COMPLETED)
             if not work.done():
                 return None
-            return self.encode(work.result(), back)
+            return self.encode_result(work.result(), response_headers)
         finally:
             for task in (closed, work):
                 task.cancel()
@@ -135,35 +135,39 @@
         loop = asyncio.get_running_loop()
         remaining = int(request.headers.get("x-remaining-ms", "60000")) / 1000
         deadline = loop.time() + remaining
-        self.accepted += 1
+        self.accepted_requests += 1
         try:
             async with self.slots:
                 return await self.run(request, request_id, deadline)
         finally:
-            self.accepted -= 1
+            self.accepted_requests -= 1
 
     async def run(self, request: ReceivedRequest, request_id: str, deadline: float) -> int:
         """Run a request until it is done, cut off, or at its deadline; return the status of its answer."""
         loop = asyncio.get_running_loop()
         run = records.OriginRun(request_id, self.instance, request.target, loop.time())
-        self.records.begin_run(run)
-        wanted = self.work_seconds(request)
-        left = max(0.0, deadline - loop.time())
+        self.records.add_run(run)
+        work_seconds_needed = self.work_seconds(request)
+        remaining_seconds = max(0.0, deadline - loop.time())
         try:
-            await asyncio.sleep(min(wanted, left))
+            await asyncio.sleep(min(work_seconds_needed, remaining_seconds))
         except asyncio.CancelledError:
-            run.end = records.RunEnd.CUT
+            run.end = records.RunEnd.CANCELLED
             raise
         finally:
             run.ended_at = loop.time()
-        run.end = records.RunEnd.ANSWERED if wanted <= left else records.RunEnd.TIMED_OUT
-        return 200 if wanted <= left else 504
+        run.end = (
+            records.RunEnd.ANSWERED if work_seconds_needed <= remaining_seconds else records.RunEnd.TIMED_OUT
+        )
+        return 200 if work_seconds_needed <= remaining_seconds else 504
 
-    def encode(self, status: int, back: Headers) -> bytes:
+    def encode_result(self, status: int, response_headers: Headers) -> bytes:
         """Return the answer to a request that ran."""
         seed = hashlib.sha256(self.instance.encode()).hexdigest().encode()
         body = (seed * (self.plan.object_bytes // len(seed) + 1))[: self.plan.object_bytes]
-        return encode_answer(status, {**back, "content-digest": objects.digest_header(body)}, body)
+        return encode_response(
+            status, {**response_headers, "content-digest": objects.digest_header(body)}, body
+        )
 
 
 class Platform(LoopbackServer):
@@ -177,9 +181,9 @@
         """Answer one call."""
         try:
             await reader.readuntil(HEAD_END)
-            body = json.dumps({"origins": [origin.listing() for origin in self.origins]}).encode()
+            body = json.dumps({"origins": [origin.platform_entry() for origin in self.origins]}).encode()
             writer.write(
-                encode_answer(200, {"content-type": "application/json", "connection": "close"}, body)
+                encode_response(200, {"content-type": "application/json", "connection": "close"}, body)
             )
             await writer.drain()
         except (OSError, asyncio.IncompleteReadError):
--- a/src/irisstand/soak/verdict.py
+++ b/src/irisstand/soak/verdict.py
@@ -10,107 +10,115 @@
 from irisstand.soak import records, shape
 
 # A request that crosses the close of its connection ends within this time, unread.
-CROSSING_SECONDS = 0.2
+CROSSING_CLOSE_SECONDS = 0.2
 # The end of the grace, in which work at an origin may be broken off if its request came early enough.
 EXCUSED_FROM_SECONDS = shape.GRACE_SECONDS * 5 / 6
 EXCUSED_SENT_SECONDS = 3.0
 # Before a deadline, by which a node may answer that it passed.
 DEADLINE_MARGIN_SECONDS = 0.1
 # Between the end of an origin's work and the answer of the node that broke it off.
-EVENT_MARGIN_SECONDS = 0.02
+RESPONSE_MARGIN_SECONDS = 0.02
 
 # Statuses that promise that a request has not run and never will.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
-class Finding(typing.NamedTuple):
+class Violation(typing.NamedTuple):
     """One thing that must not have happened."""
 
-    rule: str
+    kind: str
     detail: str
 
 
 class Verdict:
     """The findings of a run."""
 
-    def __init__(self, seen: records.Records) -> None:
-        self.records = seen
-        self.findings: list[Finding] = []
-        self.lives_asked = {(ask.edge, ask.life) for ask in seen.asks}
-        for ask in seen.asks:
-            self.judge_write(ask)
-            self.judge_ask(ask)
-        for stop in seen.stops.values():
-            self.judge_stop(stop)
-        self.findings += [Finding("a process ended by itself", text) for text in seen.unexpected_ends]
-
-    def judge_write(self, ask: records.Ask) -> None:
+    def __init__(self, run_records: records.Records) -> None:
+        self.records = run_records
+        self.violations: list[Violation] = []
+        self.starts_with_requests = {(request.edge, request.start_number) for request in run_records.requests}
+        for request in run_records.requests:
+            self.check_write(request)
+            self.check_request(request)
+        for stop in run_records.stops.values():
+            self.check_stop(stop)
+        self.violations += [
+            Violation("a process ended by itself", text) for text in run_records.unexpected_ends
+        ]
+
+    def check_write(self, request: records.ClientRequest) -> None:
         """Judge that a write ran once at the most, and never if its answer promised that it had not run."""
-        runs = self.records.runs.get(ask.request_id, [])
-        if ask.kind != "writes" or not runs:
+        runs = self.records.runs.get(request.request_id, [])
+        if request.kind != "writes" or not runs:
             return
         if len(runs) > 1:
-            self.report("a write ran twice", ask, runs)
-        if ask.end is records.AskEnd.OWN_ANSWER and ask.status in NOT_RUN_STATUSES:
-            self.report("a write ran that was promised not to", ask, runs)
+            self.add_violation("a write ran twice", request, runs)
+        if request.end is records.RequestEnd.NODE_RESPONSE and request.status in NOT_RUN_STATUSES:
+            self.add_violation("a write ran that was promised not to", request, runs)
 
-    def judge_ask(self, ask: records.Ask) -> None:
+    def check_request(self, request: records.ClientRequest) -> None:
         """Judge how one request ended."""
-        if ask.end in (records.AskEnd.ANSWERED, records.AskEnd.DEADLINE):
+        if request.end in (records.RequestEnd.ANSWERED, records.RequestEnd.DEADLINE):
             return
-        if ask.ended_at >= ask.deadline_at - DEADLINE_MARGIN_SECONDS:
+        if request.ended_at >= request.deadline_at - DEADLINE_MARGIN_SECONDS:
             return
-        runs = self.records.runs.get(ask.request_id, [])
-        if self.is_excused(ask):
+        runs = self.records.runs.get(request.request_id, [])
+        if self.is_excused(request):
             return
-        if ask.end is records.AskEnd.CLOSED:
-            if runs or ask.ended_at - ask.sent_at > CROSSING_SECONDS:
-                self.report("no answer", ask, runs)
-        elif any(self.is_broken_off(run, ask) for run in runs):
-            self.report("own answer while an origin was at work", ask, runs)
+        if request.end is records.RequestEnd.CLOSED:
+            if runs or request.ended_at - request.sent_at > CROSSING_CLOSE_SECONDS:
+                self.add_violation("no answer", request, runs)
+        elif any(self.is_abandoned(run, request) for run in runs):
+            self.add_violation("own answer while an origin was at work", request, runs)
 
     @staticmethod
-    def is_broken_off(run: records.OriginRun, ask: records.Ask) -> bool:
+    def is_abandoned(run: records.OriginRun, request: records.ClientRequest) -> bool:
         """Return whether a run had brought no answer when the client got one of the node's own."""
-        if run.end is records.RunEnd.CUT:
+        if run.end is records.RunEnd.CANCELLED:
             return True
-        return run.end is records.RunEnd.AT_WORK or run.ended_at > ask.ended_at + EVENT_MARGIN_SECONDS
+        return run.end is records.RunEnd.RUNNING or run.ended_at > request.ended_at + RESPONSE_MARGIN_SECONDS
 
-    def is_excused(self, ask: records.Ask) -> bool:
+    def is_excused(self, request: records.ClientRequest) -> bool:
         """Return whether a request that came early enough ended in the last part of a stop's grace."""
-        stop = self.records.stops.get((ask.edge, ask.life))
-        if stop is None or ask.sent_at - stop.sent_at > EXCUSED_SENT_SECONDS:
+        stop = self.records.stops.get((request.edge, request.start_number))
+        if stop is None or request.sent_at - stop.sent_at > EXCUSED_SENT_SECONDS:
             return False
-        runs = self.records.runs.get(ask.request_id, [])
+        runs = self.records.runs.get(request.request_id, [])
         excused_from = stop.sent_at + EXCUSED_FROM_SECONDS
-        return ask.ended_at >= excused_from and any(run.ended_at >= excused_from for run in runs)
+        return request.ended_at >= excused_from and any(run.ended_at >= excused_from for run in runs)
 
-    def judge_stop(self, stop: records.Stop) -> None:
+    def check_stop(self, stop: records.Stop) -> None:
         """Judge how long a stop took, and how the process ended."""
         if stop.code is None:
             return
-        took = stop.ended_at - stop.sent_at
-        detail = f"{stop.name}: {took:.2f} s, exit code {stop.code}, at an age of {stop.age_seconds:.2f} s"
-        if took > shape.GRACE_SECONDS:
-            self.findings.append(Finding("a stop took longer than the grace", detail))
+        stop_seconds = stop.ended_at - stop.sent_at
+        detail = (
+            f"{stop.name}: {stop_seconds:.2f} s, exit code {stop.code}, at an age of {stop.age_seconds:.2f} s"
+        )
+        if stop_seconds > shape.GRACE_SECONDS:
+            self.violations.append(Violation("a stop took longer than the grace", detail))
         # Before its handlers are there, a process has read nothing, and the signal itself ends it.
-        if stop.code == -signal.SIGTERM and (stop.name, stop.life) not in self.lives_asked:
+        if stop.code == -signal.SIGTERM and (stop.name, stop.start_number) not in self.starts_with_requests:
             return
         if stop.code:
-            self.findings.append(Finding("a stop ended badly", detail))
+            self.violations.append(Violation("a stop ended badly", detail))
 
-    def report(self, rule: str, ask: records.Ask, runs: list[records.OriginRun]) -> None:
+    def add_violation(self, kind: str, request: records.ClientRequest, runs: list[records.OriginRun]) -> None:
         """Add a finding about a request."""
-        stop = self.records.stops.get((ask.edge, ask.life))
+        stop = self.records.stops.get((request.edge, request.start_number))
         phase = "calm edge"
-        if stop is not None and ask.ended_at >= stop.sent_at:
-            phase = f"stopping edge, sent {ask.sent_at - stop.sent_at:+.2f} s from SIGTERM"
-        spans = [(run, run.began_at - ask.sent_at, run.ended_at - ask.sent_at) for run in runs]
-        at_origins = "; ".join(
-            f"{run.instance} {began:+.2f} to {ended:+.2f} s {run.end}" for run, began, ended in spans
+        if stop is not None and request.ended_at >= stop.sent_at:
+            phase = f"stopping edge, sent {request.sent_at - stop.sent_at:+.2f} s from SIGTERM"
+        runs_with_times = [
+            (run, run.began_at - request.sent_at, run.ended_at - request.sent_at) for run in runs
+        ]
+        runs_text = "; ".join(
+            f"{run.instance} {began:+.2f} to {ended:+.2f} s {run.end}"
+            for run, began, ended in runs_with_times
         )
         detail = (
-            f"{ask.request_id} {ask.path} at {ask.edge} ({phase}): {ask.status or 'no'} {ask.code} after "
-            f"{ask.ended_at - ask.sent_at:.2f} of {ask.deadline_at - ask.sent_at:.2f} s [{at_origins}]"
+            f"{request.request_id} {request.path} at {request.edge} ({phase}): "
+            f"{request.status or 'no'} {request.code} after {request.ended_at - request.sent_at:.2f} "
+            f"of {request.deadline_at - request.sent_at:.2f} s [{runs_text}]"
         )
-        self.findings.append(Finding(f"{rule}, {phase.split(',')[0]}", detail))
+        self.violations.append(Violation(f"{kind}, {phase.split(',')[0]}", detail))
--- a/tools/behaviour_digest.py
+++ b/tools/behaviour_digest.py
@@ -18,11 +18,11 @@
 
 from irisstand.simulator import day_kinds, memory_disk, memory_network, simulated_day
 
-SAMPLES_OF_A_KIND = 4
+SAMPLES_PER_LABEL = 4
 SAMPLE_BYTES_LIMIT = 4096
 SUM_MODULUS = 2**64
 # How many withdrawals go out depends on the order in which a set of tasks is cancelled.
-UNORDERED = "withdraw"
+UNSTABLE_LABEL = "withdraw"
 
 
 class Recorder:
@@ -32,7 +32,7 @@
         self.sums: collections.Counter[str] = collections.Counter()
         self.counts: collections.Counter[str] = collections.Counter()
         self.samples: dict[str, list[str]] = collections.defaultdict(list)
-        self.kinds_asked: dict[tuple[int, int], str] = {}
+        self.request_kinds: dict[tuple[int, int], str] = {}
 
     def add(self, channel: str, name: str, payload: bytes) -> None:
         """Count a payload under its channel, and take it into the channel's sum."""
@@ -47,23 +47,27 @@
         label = kind
         if kind == "ask":
             label = f"ask {body[0]}"
-            self.kinds_asked[(id(stream), number)] = body[0]
+            self.request_kinds[(id(stream), number)] = body[0]
         elif kind in ("result", "fault"):
-            label = f"{kind} {self.kinds_asked.get((id(stream.peer), number), '')}"
+            label = f"{kind} {self.request_kinds.get((id(stream.peer), number), '')}"
         self.add(label, stream.host, payload)
-        self.keep(label, payload)
+        self.keep_sample(label, payload)
 
-    def keep(self, label: str, payload: bytes) -> None:
+    def keep_sample(self, label: str, payload: bytes) -> None:
         """Keep a payload as a sample of its label, unless it is large or there are enough."""
-        kept = self.samples[label]
-        if len(kept) < SAMPLES_OF_A_KIND and len(payload) <= SAMPLE_BYTES_LIMIT and payload.hex() not in kept:
-            kept.append(payload.hex())
+        samples_of_label = self.samples[label]
+        if (
+            len(samples_of_label) < SAMPLES_PER_LABEL
+            and len(payload) <= SAMPLE_BYTES_LIMIT
+            and payload.hex() not in samples_of_label
+        ):
+            samples_of_label.append(payload.hex())
 
 
-def record(recorder: Recorder) -> None:
+def install_recorder(recorder: Recorder) -> None:
     """Put the recorder before the simulator's network and disk."""
     write, send = memory_network.MemoryStream.write, memory_network.MemoryPort.send
-    save = memory_disk.MemoryDisk.write
+    write_files = memory_disk.MemoryDisk.write
 
     def recorded_write(self: memory_network.MemoryStream, payload: bytes) -> None:
         recorder.add_frame(self, payload)
@@ -71,19 +75,19 @@
 
     def recorded_send(self: memory_network.MemoryPort, payload: bytes, address: tuple[str, int]) -> None:
         recorder.add("datagram", self.address[0], payload)
-        recorder.keep("datagram", payload)
+        recorder.keep_sample("datagram", payload)
         send(self, payload, address)
 
-    async def recorded_save(
+    async def recorded_write_files(
         self: memory_disk.MemoryDisk, files: collections.abc.Sequence[tuple[str, bytes]]
     ) -> None:
         for name, content in files:
             recorder.add("file", name, content)
-        await save(self, files)
+        await write_files(self, files)
 
     memory_network.MemoryStream.write = recorded_write
     memory_network.MemoryPort.send = recorded_send
-    memory_disk.MemoryDisk.write = recorded_save
+    memory_disk.MemoryDisk.write = recorded_write_files
 
 
 @click.command()
@@ -94,14 +98,14 @@
 def main(kind: str, seed: int, seconds: float, samples: pathlib.Path | None) -> None:
     """Play one simulated day and print its digest."""
     recorder = Recorder()
-    record(recorder)
+    install_recorder(recorder)
     played = simulated_day.simulate(seed, seconds, kind)
-    broken = sum(played.checker.broken.values())
+    violations = sum(played.checker.violations.values())
     for channel, count in sorted(recorder.counts.items()):
-        if channel == UNORDERED:
+        if channel == UNSTABLE_LABEL:
             continue
         click.echo(f"{recorder.sums[channel]:016x} {count:7d} {channel}")
-    click.echo(f"{kind} {seed} {seconds:g}: {broken} rules broken")
+    click.echo(f"{kind} {seed} {seconds:g}: {violations} rules broken")
     if samples is not None:
         samples.write_text(json.dumps(dict(sorted(recorder.samples.items())), indent=1) + "\n")
 
--- a/tools/worst_days.py
+++ b/tools/worst_days.py
@@ -20,10 +20,10 @@
 import fault_themes
 
 # Of a day, in seconds from the start of traffic: when faults may begin, and when the last of them may.
-FIRST, LAST = 3.0, 22.0
+FIRST_FAULT_AT, LAST_FAULT_AT = 3.0, 22.0
 # Seconds before the last moment at which a fault that may come again begins at the latest.
-REPEAT_SECONDS = 6
-CLOSING_SHARE = 0.6
+REPEAT_MARGIN_SECONDS = 6
+CLOSING_PROBABILITY = 0.6
 MIXED = "mixed"
 THEME_NAMES = [*fault_themes.THEMES, MIXED]
 CLOSINGS = [
@@ -38,13 +38,13 @@
 VERDICT = re.compile(
     r"[^\n]*rules? broken[^\n]*|short of the gate[^\n]*|^fleetbench: [^\n]*|^GONE[^\n]*", re.MULTILINE
 )
-WORKED_ON = re.compile(r"([\d.]+) worth worked on after its client had left")
+ABANDONED_WORK = re.compile(r"([\d.]+) worth worked on after its client had left")
 VERDICT_CHARACTERS_LIMIT = 300
 
 Day = dict[str, typing.Any]
 
 
-def faults_of(theme: str) -> list[fault_themes.Fault]:
+def faults_of_theme(theme: str) -> list[fault_themes.Fault]:
     """Return the faults that a theme draws from."""
     if theme != MIXED:
         return fault_themes.THEMES[theme]
@@ -53,43 +53,43 @@
 
 def draw_day(site: Day, theme: str, seed: int) -> Day:
     """Return a day of the bench's own form: two to four kinds, some repeated `catch_up` after one another."""
-    draw = random.Random(f"{site['name']} {theme} {seed}")
-    quiet = next(day for day in site["day"] if day["slot"] == "quiet")
-    pool = faults_of(theme)
-    day = {key: value for key, value in quiet.items() if key not in ("plan", "faults", "small")}
-    day.update(name=f"worst-{theme}-{seed}", slot="trouble", seed=draw.randrange(1, 2**31), light=False)
+    randomness = random.Random(f"{site['name']} {theme} {seed}")
+    quiet_day = next(day for day in site["day"] if day["slot"] == "quiet")
+    candidates = faults_of_theme(theme)
+    day = {key: value for key, value in quiet_day.items() if key not in ("plan", "faults", "small")}
+    day.update(name=f"worst-{theme}-{seed}", slot="trouble", seed=randomness.randrange(1, 2**31), light=False)
     plan: list[Day] = [{"at": 2.0, "kind": "config_change", "how": "idle"}]
     faults: list[Day] = [
-        {"at": FIRST, "kind": fault.kind, **fault.fields(draw)}
-        for fault in fault_themes.ALWAYS.get(theme, [])
+        {"at": FIRST_FAULT_AT, "kind": fault.kind, **fault.fields(randomness)}
+        for fault in fault_themes.FIXED_FAULTS.get(theme, [])
     ]
-    chosen = draw.sample(pool, min(len(pool), draw.choice((2, 3, 3, 4))))
-    chosen += draw.sample(fault_themes.CHANGES, draw.choice((1, 2)))
+    chosen = randomness.sample(candidates, min(len(candidates), randomness.choice((2, 3, 3, 4))))
+    chosen += randomness.sample(fault_themes.CONFIGURATION_CHANGES, randomness.choice((1, 2)))
     for fault in chosen:
-        entries = draw_entries(fault, draw, site["timing"]["catch_up_s"])
+        entries = draw_entries(fault, randomness, site["timing"]["catch_up_s"])
         (plan if fault.is_planned else faults).extend(entries)
-    day["plan"] = sorted(plan, key=moment_of)
-    day["faults"] = sorted(faults, key=moment_of)
-    if draw.random() < CLOSING_SHARE:
-        day["closing"] = draw.choice(CLOSINGS)
+    day["plan"] = sorted(plan, key=start_of)
+    day["faults"] = sorted(faults, key=start_of)
+    if randomness.random() < CLOSING_PROBABILITY:
+        day["closing"] = randomness.choice(CLOSINGS)
     return day
 
 
-def draw_entries(fault: fault_themes.Fault, draw: random.Random, catch_up_seconds: float) -> list[Day]:
+def draw_entries(fault: fault_themes.Fault, randomness: random.Random, catch_up_seconds: float) -> list[Day]:
     """Return one to three entries of a kind of fault, one after the other."""
     entries: list[Day] = []
-    at = draw.uniform(FIRST, LAST - REPEAT_SECONDS)
-    for _ in range(draw.choice((1, 1, 2, 3))):
-        entry = {"at": round(at, 2), "kind": fault.kind, **fault.fields(draw)}
+    at_seconds = randomness.uniform(FIRST_FAULT_AT, LAST_FAULT_AT - REPEAT_MARGIN_SECONDS)
+    for _ in range(randomness.choice((1, 1, 2, 3))):
+        entry = {"at": round(at_seconds, 2), "kind": fault.kind, **fault.fields(randomness)}
         entries.append(entry)
         # The next comes as soon as the tolerance allows it, or a little later.
-        at += entry.get("for_s", 1.0) + catch_up_seconds + draw.choice((0.1, 0.3, 1.0, 2.5))
-        if at > LAST:
+        at_seconds += entry.get("for_s", 1.0) + catch_up_seconds + randomness.choice((0.1, 0.3, 1.0, 2.5))
+        if at_seconds > LAST_FAULT_AT:
             break
     return entries
 
 
-def moment_of(entry: Day) -> float:
+def start_of(entry: Day) -> float:
     """Return when an entry of a day begins, in seconds from the start of traffic."""
     return float(entry["at"])
 
@@ -105,9 +105,9 @@
     if isinstance(value, str):
         return '"' + value.replace("\\", "\\\\").replace('"', '\\"') + '"'
     if isinstance(value, dict):
-        return "{ " + ", ".join(f"{key} = {as_toml(inner)}" for key, inner in value.items()) + " }"
+        return "{ " + ", ".join(f"{key} = {as_toml(item)}" for key, item in value.items()) + " }"
     if isinstance(value, list):
-        return "[" + ", ".join(as_toml(inner) for inner in value) + "]"
+        return "[" + ", ".join(as_toml(item) for item in value) + "]"
     return str(value)
 
 
@@ -116,22 +116,24 @@
     path.write_text("[[day]]\n" + "".join(f"{key} = {as_toml(value)}\n" for key, value in day.items()))
 
 
-class Played(typing.NamedTuple):
+class BenchResult(typing.NamedTuple):
     """What the bench said of a day: exit code, rules it names, and its work for clients that had left."""
 
     exit_code: int
     verdict: str
-    worked_on: str
+    abandoned_work: str
 
 
-def play_day(command: list[str], log: pathlib.Path) -> Played:
+def play_day(command: list[str], log: pathlib.Path) -> BenchResult:
     """Play a day by a command, and keep all that the command prints."""
-    done = subprocess.run(command, capture_output=True, text=True, check=False)
-    printed = done.stdout + done.stderr
-    log.write_text(printed)
-    verdict = "; ".join(sorted(set(VERDICT.findall(printed))))[:VERDICT_CHARACTERS_LIMIT]
-    worked_on = WORKED_ON.search(printed)
-    return Played(done.returncode, verdict or "no rule named", worked_on[1] if worked_on else "-")
+    completed = subprocess.run(command, capture_output=True, text=True, check=False)
+    output = completed.stdout + completed.stderr
+    log.write_text(output)
+    verdict = "; ".join(sorted(set(VERDICT.findall(output))))[:VERDICT_CHARACTERS_LIMIT]
+    abandoned_work = ABANDONED_WORK.search(output)
+    return BenchResult(
+        completed.returncode, verdict or "no rule named", abandoned_work[1] if abandoned_work else "-"
+    )
 
 
 @click.group(help=__doc__)
@@ -162,17 +164,19 @@
     """Play days, and end with exit code 1 if the bench named a fault on any."""
     site, bench, jobs, why = options["site"], options["bench"], options["jobs"], options["why"]
     (folder := pathlib.Path(options["out"])).mkdir(parents=True, exist_ok=True)
-    described = tomllib.loads(pathlib.Path(site).read_text())
+    site_table = tomllib.loads(pathlib.Path(site).read_text())
     themes = [options["theme"]] if options["theme"] else THEME_NAMES
     failed = False
     for number in range(options["days"]):
         seed, theme = options["first_seed"] + number, themes[number % len(themes)]
-        path = folder / f"{described['name']}-{theme}-{seed}.toml"
-        write_day(path, draw_day(described, theme, seed))
+        path = folder / f"{site_table['name']}-{theme}-{seed}.toml"
+        write_day(path, draw_day(site_table, theme, seed))
         command = [bench, "run", site, str(path), "--jobs", str(jobs), "--why", f"{why}: {theme} {seed}"]
         played = play_day(command, path.with_suffix(".log"))
         failed |= played.exit_code != 0
-        click.echo(f"{path.stem}: exit {played.exit_code}; worked on {played.worked_on}; {played.verdict}")
+        click.echo(
+            f"{path.stem}: exit {played.exit_code}; worked on {played.abandoned_work}; {played.verdict}"
+        )
     sys.exit(failed)
 
 
