--- a/src/irisstand/soak/__init__.py
+++ b/src/irisstand/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soak runs: real processes, stopped and changed in series under slow origins and kept connections."""
+"""Soak tests with real processes: shutdowns and changes under slow origins and keep-alive connections."""
--- a/src/irisstand/soak/clients.py
+++ b/src/irisstand/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak run: each keeps its connection to an edge and uses it until the edge has closed it."""
+"""HTTP clients of a soak run: each reuses one keep-alive connection until the edge closes it."""
 
 import asyncio
 import contextlib
@@ -9,23 +9,28 @@
 
 from irisstand.soak import fleet, records, shape
 
+# Host of all requests, and of all routes in the configuration of the run.
 HOST = "soak.example"
+# Origins send this header; responses that a node makes itself do not have it.
 DIGEST_HEADER = "content-digest"
+# A client draws the kind of each request from this list; three in five requests are for objects.
 REQUEST_KINDS = ("objects", "objects", "objects", "reads", "writes")
-# After two misses of its readiness, a second apart, the platform sends an edge no more connections.
+# The deployment platform probes readiness every second, and after two failures sends no new connections.
 UNLISTED_AFTER_SECONDS = 2.0
+# Longest pause between two requests on a connection.
 MAX_IDLE_SECONDS = 3.0
 OBJECT_COUNT = 150
+# Probability that a write pauses between its head and its body, and the longest such pause.
 SLOW_UPLOAD_SHARE = 0.15
 MAX_UPLOAD_SECONDS = 4.0
-# A thin client's socket buffer, and how fast it reads.
+# A thin client has a small socket receive buffer, and pauses after each small read of a response body.
 SLOW_READER_BUFFER_BYTES = 4096
 SLOW_READ_BYTES = 2048
 SLOW_READ_PAUSE_SECONDS = 0.01
 
 
 class Connection(typing.NamedTuple):
-    """A client's open connection to one life of an edge."""
+    """A client's open connection to an edge, with the number of the process start that it belongs to."""
 
     edge: str
     start_number: int
@@ -34,7 +39,7 @@
 
 
 class Answer(typing.NamedTuple):
-    """A whole answer."""
+    """An HTTP response that was read completely."""
 
     status: int
     headers: dict[str, str]
@@ -42,7 +47,17 @@
 
 
 class Client:
-    """One client, which sends a request after the other."""
+    """One client, which sends requests one after another.
+
+    Attributes:
+        number: Number of the client within the run.
+        plan: Parameters of the run.
+        fleet: Processes of the run.
+        records: Where the client records its requests.
+        randomness: Source of all random choices of this client.
+        connection: Open connection; None if there is none.
+        sent: Number of requests sent so far.
+    """
 
     def __init__(self, number: int, plan: shape.SoakShape, processes: fleet.Fleet) -> None:
         self.number = number
@@ -53,11 +68,11 @@
         self.connection: Connection | None = None
         self.sent = 0
 
-    async def run(self, until: float) -> None:
-        """Send requests until a moment of the loop's clock."""
+    async def run(self, end_at: float) -> None:
+        """Send requests until a time of the event loop's clock, reconnecting as needed."""
         loop = asyncio.get_running_loop()
         await asyncio.sleep(self.randomness.random())
-        while loop.time() < until:
+        while loop.time() < end_at:
             if self.connection is None or self.connection.reader.at_eof():
                 await self.connect()
             else:
@@ -66,23 +81,23 @@
         self.close()
 
     def idle_seconds(self) -> float:
-        """Return how long the connection rests now: mostly not at all, at times long."""
+        """Draw how long the client waits before its next request: 0, 0.05, 0.3 or up to 3 seconds."""
         return self.randomness.choice((0.0, 0.05, 0.3, self.randomness.uniform(0, MAX_IDLE_SECONDS)))
 
     def close(self) -> None:
-        """Close the connection."""
+        """Close the connection if there is one."""
         if self.connection is not None:
             self.connection.writer.close()
         self.connection = None
 
     def receives_new_connections(self, name: str) -> bool:
-        """Return whether the platform still sends new connections to an edge."""
+        """Return whether the deployment platform would still send new connections to an edge."""
         stop = self.records.stops.get((name, self.fleet.start_counts[name]))
         now = asyncio.get_running_loop().time()
         return stop is None or now - stop.sent_at < UNLISTED_AFTER_SECONDS
 
     async def connect(self) -> None:
-        """Open a connection to an edge that is listed."""
+        """Connect to a random edge among those that receive new connections."""
         self.close()
         edges = [
             address
@@ -107,7 +122,7 @@
         self.connection = Connection(address.name, self.fleet.start_counts[address.name], reader, writer)
 
     async def send_request(self, connection: Connection) -> None:
-        """Send one request and record how it ended."""
+        """Send one random request, read its response and record how the request ended."""
         self.sent += 1
         loop = asyncio.get_running_loop()
         kind = self.randomness.choice(REQUEST_KINDS)
@@ -137,7 +152,7 @@
     async def write_request(
         self, connection: Connection, request: records.ClientRequest, remaining: float
     ) -> None:
-        """Write a request; some writes send their body slowly."""
+        """Write a request to the connection; some requests with a body pause before the body."""
         body = b"claim" if request.kind == "writes" else b""
         head = (
             f"{'POST' if body else 'GET'} {request.path} HTTP/1.1\r\nHost: {HOST}\r\n"
@@ -151,10 +166,10 @@
         await connection.writer.drain()
 
     async def read_response(self, reader: asyncio.StreamReader) -> Answer:
-        """Read one whole answer, slowly if the client is thin.
+        """Read one whole response, slowly if the client is a thin client.
 
         Raises:
-            asyncio.IncompleteReadError: The connection ended before.
+            asyncio.IncompleteReadError: The connection closed before the end of the response.
         """
         head = b""
         while not head.endswith(b"\r\n\r\n"):
@@ -179,7 +194,7 @@
 
     @staticmethod
     def record_response(request: records.ClientRequest, answer: Answer) -> None:
-        """Record whether an origin gave the answer, or the node itself."""
+        """Record the status of a response, whether an origin or the node made it, and any error code."""
         request.status = answer.status
         request.end = (
             records.RequestEnd.ANSWERED
--- a/src/irisstand/soak/fleet.py
+++ b/src/irisstand/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a soak run: their settings, starts, signals and ends; it ends only what it started."""
+"""Processes of a soak run: writes their settings, starts, signals and stops them, and no other processes."""
 
 import asyncio
 import json
@@ -11,13 +11,18 @@
 
 from irisstand.soak import records, shape
 
+# Ports of every process at its own address: for other nodes, for HTTP of operators and probes, and for the
+# clients of edges.
 PORT = 7002
 HTTP_PORT = 7003
 FRONT_PORT = 7004
+# Pause between the exit of a process and its next start.
 RESTART_DELAY_SECONDS = 0.3
+# Age below which a process may still be starting its Python interpreter and receives no SIGHUP.
 INTERPRETER_START_SECONDS = 0.3
 MEMORY_CHECK_SECONDS = 0.5
 BYTES_PER_MB = 1e6
+# Module that is run for a process of each role.
 PROGRAM_MODULES = {
     "direct": "irisstand.dataplane.program",
     "holder": "irisstand.dataplane.program",
@@ -26,7 +31,7 @@
 
 
 class ProcessAddress(typing.NamedTuple):
-    """Where a process runs: its name, role, site and IP number."""
+    """Name, role, site and IP address of one process of the run."""
 
     name: str
     role: str
@@ -35,10 +40,19 @@
 
 
 class Fleet:
-    """All processes of a run, each at a loopback address of its own and kept running until the end.
+    """Starts all processes of a run, each at its own loopback address, and restarts each one that exits.
 
     Attributes:
-        lives: How often each process was started.
+        plan: Sizes and parameters of the run.
+        folder: Directory of the settings, data and log files of the processes.
+        platform_port: Port on 127.0.0.1 where the emulated platform lists the origins.
+        records: Where stops, unexpected exits and memory use are recorded.
+        addresses: Address of each process by its name.
+        processes: Latest started process by name.
+        start_counts: How many times each process has been started, by name.
+        started_at: Event loop time of the latest start of each process, in seconds.
+        is_stopping: Whether the run is over, so that a process that exits isn't started again.
+        background_tasks: Tasks that restart the processes and measure their memory.
     """
 
     def __init__(
@@ -56,11 +70,11 @@
         self.background_tasks: list[asyncio.Task[None]] = []
 
     def with_role(self, role: str) -> list[ProcessAddress]:
-        """Return the places of a role."""
+        """Return the addresses of all processes that have a role."""
         return [address for address in self.addresses.values() if address.role == role]
 
     def settings_of(self, address: ProcessAddress) -> dict[str, typing.Any]:
-        """Return the settings of a process."""
+        """Return the content of the settings file of a process."""
         control = self.with_role("agency")
         lame_duck_seconds = (
             shape.EDGE_LAME_DUCK_SECONDS if address.role == "direct" else shape.OTHER_LAME_DUCK_SECONDS
@@ -91,20 +105,20 @@
         return settings
 
     async def start_all(self) -> None:
-        """Start all processes, and keep them running."""
+        """Start all processes and the tasks that restart them and measure their memory."""
         for name in self.addresses:
             await self.start(name)
             self.background_tasks.append(asyncio.create_task(self.restart_on_exit(name)))
         self.background_tasks.append(asyncio.create_task(self.watch_memory()))
 
     async def start(self, name: str) -> None:
-        """Write the settings of a process and start it."""
+        """Write the settings file of a process and start the process."""
         address = self.addresses[name]
         path = self.folder / f"{name}.toml"
-        # JSON strings, numbers and lists of strings are TOML as well.
+        # Strings, numbers, booleans and lists of strings are written the same in JSON and in TOML.
         lines = [f"{key} = {json.dumps(value)}\n" for key, value in self.settings_of(address).items()]
         path.write_text("".join(lines))
-        with open(self.folder / f"{name}.log", "ab") as log:  # noqa: ASYNC230 - a local file, once a start
+        with open(self.folder / f"{name}.log", "ab") as log:  # noqa: ASYNC230 - local file
             self.processes[name] = await asyncio.create_subprocess_exec(
                 *(sys.executable, "-m", PROGRAM_MODULES[address.role], "--settings", str(path)),
                 stdin=asyncio.subprocess.DEVNULL,
@@ -116,14 +130,14 @@
         self.started_at[name] = asyncio.get_running_loop().time()
 
     async def restart_on_exit(self, name: str) -> None:
-        """Start a process again whenever it has ended."""
+        """Restart a process whenever it exits, and record each exit, until the run is over."""
         while True:
             code = await self.processes[name].wait()
             if self.is_stopping:
                 return
             stop = self.records.stops.get((name, self.start_counts[name]))
             if stop is None:
-                self.records.unexpected_ends.append(f"{name} ended by itself with {code}")
+                self.records.unexpected_ends.append(f"{name} exited with code {code} without SIGTERM")
             else:
                 stop.ended_at = asyncio.get_running_loop().time()
                 stop.code = code
@@ -131,10 +145,10 @@
             await self.start(name)
 
     def send_signal(self, name: str, signal_number: signal.Signals) -> None:
-        """Send a signal to a process that runs."""
+        """Send SIGTERM or SIGHUP to a process if it is running, and record the signal."""
         process = self.processes[name]
         age = asyncio.get_running_loop().time() - self.started_at[name]
-        # The interpreter itself cannot be made to ignore a hang-up while it starts.
+        # SIGHUP kills a Python interpreter that is still starting: no handler can be installed yet.
         if process.returncode is not None or (
             signal_number is signal.SIGHUP and age < INTERPRETER_START_SECONDS
         ):
@@ -148,7 +162,7 @@
         process.send_signal(signal_number)
 
     async def watch_memory(self) -> None:
-        """Note the most memory that each role had resident, and how late this process itself is."""
+        """Record the peak resident memory of each role and the longest lag of this process's event loop."""
         loop = asyncio.get_running_loop()
         while True:
             for name, process in self.processes.items():
@@ -161,10 +175,10 @@
             self.records.longest_lag_seconds = max(self.records.longest_lag_seconds, lag)
 
     async def stop_all(self) -> None:
-        """End all processes, in order if they do."""
+        """Send SIGTERM to all processes, and SIGKILL to those that exceed the grace period by 4 seconds."""
         self.is_stopping = True
-        for keeper in self.background_tasks:
-            keeper.cancel()
+        for task in self.background_tasks:
+            task.cancel()
         running = [process for process in self.processes.values() if process.returncode is None]
         for process in running:
             process.terminate()
@@ -178,7 +192,7 @@
 
 
 def assign_addresses(plan: shape.SoakShape) -> dict[str, ProcessAddress]:
-    """Return the places of a run: addresses in a part of 127.0.0.0/8 that is drawn anew for each run."""
+    """Assign each process an address in a random /24 network of 127.0.0.0/8, drawn anew for each run."""
     randomness = random.SystemRandom()
     net = f"127.{randomness.randint(20, 250)}.{randomness.randint(1, 250)}"
     addresses = {}
@@ -194,7 +208,7 @@
 
 
 def resident_mb(pid: int) -> float:
-    """Return the resident memory of a process in MB; 0 if it has ended."""
+    """Return the resident memory of a process in MB; 0 if the process has exited."""
     try:
         fields = pathlib.Path(f"/proc/{pid}/statm").read_text().split()
     except OSError:
--- a/src/irisstand/soak/records.py
+++ b/src/irisstand/soak/records.py
@@ -1,11 +1,11 @@
-"""What a soak run saw: runs at origins, requests of clients, and signals to processes; moments in seconds."""
+"""Records of a soak run: work at origins, requests of clients, signals to processes; all times in seconds."""
 
 import dataclasses
 import enum
 
 
 class RunEnd(enum.StrEnum):
-    """How a run at an origin ended."""
+    """How the work of an origin on a request ended."""
 
     RUNNING = "at work"
     ANSWERED = "answered"
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(slots=True)
 class OriginRun:
-    """One run of a request at an origin."""
+    """One execution of a request at an origin instance, with event loop times of its start and end."""
 
     request_id: str
     instance: str
@@ -26,7 +26,7 @@
 
 
 class RequestEnd(enum.StrEnum):
-    """How a client's request ended."""
+    """How a client's request ended: with a response of an origin or of the node, or without a response."""
 
     ANSWERED = "whole answer"
     NODE_RESPONSE = "answer of the node's own"
@@ -36,7 +36,21 @@
 
 @dataclasses.dataclass(slots=True)
 class ClientRequest:
-    """One request of a client: `sent_at` is when its last byte was written."""
+    """One request of a client.
+
+    Attributes:
+        request_id: Value of the request's X-Request-Id header.
+        edge: Name of the edge that the client's connection goes to.
+        start_number: Which start of the edge's process accepted the connection, counted from 1.
+        kind: Kind of the request; one of `clients.REQUEST_KINDS`.
+        path: Path of the request.
+        sent_at: Event loop time when the last byte was written.
+        deadline_at: Event loop time when the client stops waiting.
+        ended_at: Event loop time when the request ended.
+        end: How the request ended.
+        status: HTTP status of the response; 0 if there was none.
+        code: Error code in the body of a node's own response; empty if there was none.
+    """
 
     request_id: str
     edge: str
@@ -53,7 +67,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Stop:
-    """A SIGTERM to one life of a process of some age, and its end; `code` is None while it still runs."""
+    """The first SIGTERM sent to one started process, and the exit of that process.
+
+    Attributes:
+        name: Name of the process.
+        start_number: Which start of the process received the signal, counted from 1.
+        sent_at: Event loop time of the signal.
+        age_seconds: How long the process had been running when it received the signal.
+        ended_at: Event loop time of the exit.
+        code: Exit code of the process; None while it is still running.
+    """
 
     name: str
     start_number: int
@@ -65,7 +88,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Records:
-    """All that one run saw; `longest_lag_seconds` is how late the run's own event loop was at the most."""
+    """Everything that is recorded during one run.
+
+    Attributes:
+        runs: Executions at origins by the id of their request.
+        requests: Finished requests of all clients.
+        stops: First SIGTERM to each started process, by the name and start number of the process.
+        unexpected_ends: One sentence for each exit of a process that had not been sent SIGTERM.
+        sighups: Number of signals other than SIGTERM that were sent; all of them are SIGHUP.
+        changes: Number of configurations that the control plane accepted.
+        peak_memory_mb: Largest resident memory of a process by role, in MB.
+        longest_lag_seconds: Longest delay of the event loop that clients and origins share.
+    """
 
     runs: dict[str, list[OriginRun]] = dataclasses.field(default_factory=dict)
     requests: list[ClientRequest] = dataclasses.field(default_factory=list)
@@ -77,5 +111,5 @@
     longest_lag_seconds: float = 0.0
 
     def add_run(self, run: OriginRun) -> None:
-        """Keep a run under the id of its request."""
+        """Record an execution at an origin under the id of its request."""
         self.runs.setdefault(run.request_id, []).append(run)
--- a/src/irisstand/soak/runner.py
+++ b/src/irisstand/soak/runner.py
@@ -1,4 +1,4 @@
-"""One soak run: origins, platform, processes, clients and schedule, and the report of what was seen."""
+"""Soak runs: starts origins, platform, processes and clients of each run, and reports the violations."""
 
 import asyncio
 import collections
@@ -12,9 +12,12 @@
 
 from irisstand.soak import clients, fleet, records, schedule, shape, slow_origin, verdict
 
+# Number of origin instances of the services "content" and "app".
 CONTENT_ORIGINS = 2
 APPLICATION_ORIGINS = 4
+# Requests that one origin instance works on at the same time.
 SLOTS = 32
+# Timeout of one HTTP request to a node, for changes of the configuration and readiness.
 ORDER_TIMEOUT_SECONDS = 3.0
 MAX_VIOLATIONS_PRINTED = 12
 
@@ -22,14 +25,14 @@
 
 
 class SoakReport(typing.NamedTuple):
-    """The findings of a run, and its figures by name."""
+    """Violations that a run found, and its figures by name."""
 
     violations: list[verdict.Violation]
     figures: dict[str, object]
 
 
 def make_origins(plan: shape.SoakShape, run_records: records.Records) -> list[slow_origin.SlowOrigin]:
-    """Return the origins of a run."""
+    """Return the origin instances of both services, spread over the sites of the run."""
     origins = []
     for service, count in (("content", CONTENT_ORIGINS), ("app", APPLICATION_ORIGINS)):
         for number in range(count):
@@ -41,10 +44,10 @@
 
 
 async def run_seed(plan: shape.SoakShape, folder: pathlib.Path) -> SoakReport:
-    """Play one run.
+    """Play one soak run in a folder and return its report.
 
     Raises:
-        TimeoutError: The processes did not get ready.
+        TimeoutError: The control plane accepted no configuration, or the edges did not become ready in time.
     """
     run_records = records.Records()
     origins = make_origins(plan, run_records)
@@ -59,7 +62,7 @@
             operator = schedule.Operator(plan, processes, session)
             await processes.start_all()
             if not await operator.submit_configuration(is_first=True):
-                raise TimeoutError("no control plane node took the configuration")
+                raise TimeoutError("no control plane node accepted the first configuration")
             await operator.wait_ready()
             await send_load(plan, processes, operator)
     finally:
@@ -71,14 +74,14 @@
 
 
 async def send_load(plan: shape.SoakShape, processes: fleet.Fleet, operator: schedule.Operator) -> None:
-    """Let clients send while the schedule is carried out."""
-    until = asyncio.get_running_loop().time() + plan.seconds
-    client_runs = [clients.Client(number, plan, processes).run(until) for number in range(plan.clients)]
+    """Run all clients and the schedule of signals and changes at the same time."""
+    end_at = asyncio.get_running_loop().time() + plan.seconds
+    client_runs = [clients.Client(number, plan, processes).run(end_at) for number in range(plan.clients)]
     await asyncio.gather(schedule.Schedule(plan, processes, operator).run(), *client_runs)
 
 
 def summarize(run_records: records.Records) -> dict[str, object]:
-    """Return what a run did, in figures."""
+    """Return the figures of a run that its report prints."""
     ends = collections.Counter(str(request.end) for request in run_records.requests)
     codes = collections.Counter(request.code for request in run_records.requests if request.code)
     stop_seconds = [
@@ -87,14 +90,14 @@
     return {
         "requests": len(run_records.requests),
         **ends,
-        "own answers": dict(codes),
+        "error codes of node responses": dict(codes),
         "runs at origins": sum(map(len, run_records.runs.values())),
         "stops": len(run_records.stops),
-        "longest stop": round(max(stop_seconds, default=0.0), 2),
+        "longest shutdown in seconds": round(max(stop_seconds, default=0.0), 2),
         "SIGHUPs": run_records.sighups,
         "changes": run_records.changes,
-        "longest lag of the run itself": round(run_records.longest_lag_seconds, 3),
-        "peak MB": {role: round(used) for role, used in run_records.peak_memory_mb.items()},
+        "longest event loop lag in seconds": round(run_records.longest_lag_seconds, 3),
+        "peak resident MB by role": {role: round(used) for role, used in run_records.peak_memory_mb.items()},
     }
 
 
@@ -105,14 +108,14 @@
     folder: str,
     print_line: PrintLine,
 ) -> int:
-    """Play one run for each seed and return the exit status: 1 if there was a finding.
+    """Play one run for each seed and return the exit status: 1 if any run had a violation.
 
     Args:
-        seeds: The seeds, one run each.
-        edges: How many edges; None to draw them.
-        seconds: How long clients send in each run.
-        folder: Where settings, data and logs are kept; empty for a temporary directory.
-        print_line: Prints one line.
+        seeds: Seeds of the runs.
+        edges: Number of edges; None to draw it from the seed.
+        seconds: How long clients send requests in each run, in seconds.
+        folder: Directory for settings, data and logs; empty for a temporary directory.
+        print_line: Prints one line of the report.
     """
     failed_runs = 0
     for seed in seeds:
@@ -125,7 +128,7 @@
             report = asyncio.run(run_seed(plan, path))
         print_line(f"seed {seed}: {report.figures}")
         kinds = collections.Counter(violation.kind for violation in report.violations)
-        print_line(f"seed {seed}: " + (f"FAILED {dict(kinds)}" if kinds else "nothing found"))
+        print_line(f"seed {seed}: " + (f"FAILED {dict(kinds)}" if kinds else "no violations"))
         for violation in report.violations[:MAX_VIOLATIONS_PRINTED]:
             print_line(f"  {violation.kind}: {violation.detail}")
         failed_runs += bool(report.violations)
--- a/src/irisstand/soak/schedule.py
+++ b/src/irisstand/soak/schedule.py
@@ -1,4 +1,4 @@
-"""What happens to the processes of a soak run: stops, hang-ups and changes in overlapping series."""
+"""Schedule of a soak run: overlapping series of signals to processes and of configuration changes."""
 
 import asyncio
 import enum
@@ -12,19 +12,23 @@
 from irisstand.soak import clients, fleet, shape
 
 HTTP_OK = 200
+# How long a configuration is retried. The first one waits until the control plane has started.
 LATER_ORDER_SECONDS = 5.0
 FIRST_ORDER_SECONDS = 40.0
 READY_TIMEOUT_SECONDS = 40.0
 POLL_SECONDS = 0.1
+# Most edges that are stopped in one series.
 MAX_SERIES_STOPS = 4
-# Gaps between the steps of a series.
+# Times between two stops of a series, one of which is drawn.
 SERIES_GAPS_SECONDS = (0.05, 0.3, 1.0)
+# Wait between the readiness of all edges and the first request.
 SETTLE_SECONDS = 2.0
+# Connections that each origin of the service "app" accepts from all nodes together.
 APPLICATION_CONNECTIONS = 400
 
 
 class Action(enum.StrEnum):
-    """What is done to a process, or by the operator."""
+    """What a step does: a signal to a process, or a change of the configuration."""
 
     STOP_EDGE = "SIGTERM to an edge"
     STOP_HOLDER = "SIGTERM to a holder"
@@ -35,14 +39,14 @@
 
 
 class Step(typing.NamedTuple):
-    """One action at a moment, in seconds from the start of the clients."""
+    """One action and its time, in seconds from the start of the clients."""
 
     at_seconds: float
     action: Action
 
 
 def plan_steps(plan: shape.SoakShape) -> list[Step]:
-    """Draw the steps of a run: the stops of its shape in series, and the other actions between them."""
+    """Draw the steps of a run, ordered by time: series of edge stops, and single other actions."""
     randomness = random.Random(f"{plan.seed} schedule")
     steps: list[Step] = []
     stops_left = plan.stops
@@ -63,7 +67,14 @@
 
 
 class Operator:
-    """Sends configurations to the control plane, and asks processes whether they are ready."""
+    """Sends configurations to the control plane, and asks edges whether they are ready.
+
+    Attributes:
+        plan: Parameters of the run.
+        fleet: Processes of the run.
+        session: HTTP session of all calls.
+        version: Version of the latest configuration that was sent.
+    """
 
     def __init__(self, plan: shape.SoakShape, processes: fleet.Fleet, session: aiohttp.ClientSession) -> None:
         self.plan = plan
@@ -72,10 +83,20 @@
         self.version = 0
 
     async def submit_configuration(self, rate_factor: float = 1.0, *, is_first: bool = False) -> bool:
-        """Send the whole configuration under a new version to one node after the other until one takes it."""
+        """Send a new version of the configuration to each control plane node in turn until one accepts it.
+
+        Args:
+            rate_factor: Factor of the rate limit of the service "content".
+            is_first: Whether this is the first configuration, which is retried for longer.
+
+        Returns:
+            Whether a node accepted the configuration in time.
+        """
         self.version += 1
         body = self.configuration(rate_factor)
-        end = asyncio.get_running_loop().time() + (FIRST_ORDER_SECONDS if is_first else LATER_ORDER_SECONDS)
+        give_up_at = asyncio.get_running_loop().time() + (
+            FIRST_ORDER_SECONDS if is_first else LATER_ORDER_SECONDS
+        )
         for node in itertools.cycle(self.fleet.with_role("agency")):
             url = f"http://{node.host}:{fleet.HTTP_PORT}/amendments"
             try:
@@ -85,13 +106,13 @@
                         return True
             except (aiohttp.ClientError, TimeoutError):
                 pass
-            if asyncio.get_running_loop().time() > end:
+            if asyncio.get_running_loop().time() > give_up_at:
                 return False
             await asyncio.sleep(POLL_SECONDS)
         return False
 
     def configuration(self, rate_factor: float) -> dict[str, typing.Any]:
-        """Return all items; the routes' target changes with each version."""
+        """Return an order with all items; the `target` of the routes differs from version to version."""
         kinds = {"objects": "cacheable", "reads": "idempotent", "writes": "non_idempotent"}
         routes: list[dict[str, typing.Any]] = [
             {
@@ -120,20 +141,20 @@
         return {"put": {"routes": routes, "upstreams": services, "limits": limits}, "drop": {"routes": []}}
 
     async def wait_ready(self) -> None:
-        """Wait until all edges are ready.
+        """Wait until all edges have been ready, and then until the cluster has settled.
 
         Raises:
-            TimeoutError: They are not within `READY_SECONDS`.
+            TimeoutError: An edge was not ready within `READY_TIMEOUT_SECONDS`.
         """
         async with asyncio.timeout(READY_TIMEOUT_SECONDS):
             for address in self.fleet.with_role("direct"):
-                # Readiness is asked over HTTP, so there is no event to wait for.
+                # The edge is another process that is polled over HTTP, so there is no event to wait for.
                 while not await self.is_ready(address):  # noqa: ASYNC110 - see above
                     await asyncio.sleep(POLL_SECONDS)
         await asyncio.sleep(SETTLE_SECONDS)
 
     async def is_ready(self, address: fleet.ProcessAddress) -> bool:
-        """Ask an edge whether it is ready."""
+        """Ask an edge over HTTP whether it is ready; an edge that cannot be reached is not ready."""
         url = f"http://{address.host}:{fleet.HTTP_PORT}/_irisstand/ready"
         try:
             async with self.session.get(url) as response:
@@ -143,7 +164,15 @@
 
 
 class Schedule:
-    """Carries out the steps of a run."""
+    """Draws the steps of a run, and carries them out.
+
+    Attributes:
+        plan: Parameters of the run.
+        fleet: Processes of the run.
+        operator: Sends changes of the configuration.
+        randomness: Source of the random choices of processes, signals and rates.
+        order_tasks: Tasks that send changes of the configuration.
+    """
 
     def __init__(self, plan: shape.SoakShape, processes: fleet.Fleet, operator: Operator) -> None:
         self.plan = plan
@@ -153,7 +182,7 @@
         self.order_tasks: list[asyncio.Task[bool]] = []
 
     async def run(self) -> None:
-        """Carry out all steps at their moments."""
+        """Carry out each step at its time, then wait for the changes of the configuration."""
         loop = asyncio.get_running_loop()
         started = loop.time()
         for step in plan_steps(self.plan):
@@ -162,10 +191,10 @@
         await asyncio.gather(*self.order_tasks)
 
     def carry_out(self, action: Action) -> None:
-        """Carry out one step."""
+        """Carry out one action; a stop is skipped while too many processes of the same role are stopping."""
         match action:
             case Action.STOP_EDGE:
-                # Half of the edges go on, as in a restart by series.
+                # At least half of the edges keep running, as in a rolling restart.
                 self.stop_process("direct", max_stopping=max(1, self.plan.edges // 2))
             case Action.STOP_HOLDER:
                 self.stop_process("holder", max_stopping=max(1, self.plan.holders // 2))
@@ -180,12 +209,12 @@
                 self.order_tasks.append(asyncio.create_task(order))
 
     def stopping_processes(self, role: str) -> list[str]:
-        """Return the processes of a role that were told to stop and have not ended, or not yet come back."""
+        """Return the processes of a role that were sent SIGTERM and have not been started again."""
         names = [address.name for address in self.fleet.with_role(role)]
         return [name for name in names if (name, self.fleet.start_counts[name]) in self.fleet.records.stops]
 
     def stop_process(self, role: str, max_stopping: int) -> None:
-        """Send SIGTERM to a process that has run for a while, if few enough others are stopping."""
+        """Send SIGTERM to a random process of a role unless `max_stopping` others are already stopping."""
         stopping = self.stopping_processes(role)
         if len(stopping) >= max_stopping:
             return
@@ -194,7 +223,7 @@
             self.fleet.send_signal(self.randomness.choice(names), signal.SIGTERM)
 
     def signal_stopping_process(self) -> None:
-        """Send a process that is stopping one more signal."""
+        """Send SIGTERM or SIGHUP to an edge or holder that is already stopping, if there is one."""
         names = self.stopping_processes("direct") or self.stopping_processes("holder")
         if names:
             signal_number = self.randomness.choice((signal.SIGTERM, signal.SIGHUP))
--- a/src/irisstand/soak/shape.py
+++ b/src/irisstand/soak/shape.py
@@ -1,45 +1,53 @@
-"""The shape of one soak run: how many processes, how scarce the origins are, and what the clients do."""
+"""Parameters of one soak run, drawn from a seed: processes, limits of the origins, conduct of clients."""
 
 import random
 import typing
 
-# What the platform of the users sets for a stop: SIGKILL follows SIGTERM after the grace.
+# Grace period of the platform that nodes are deployed on: SIGKILL follows this long after SIGTERM.
 GRACE_SECONDS = 6.0
+# Lame duck time at shutdown: a node reports not ready but still accepts requests.
 EDGE_LAME_DUCK_SECONDS = 2.3
 OTHER_LAME_DUCK_SECONDS = 0.3
-# Farewell and drain together.
+# Lame duck and drain time together; less than the grace period.
 SHUTDOWN_SECONDS = 5.5
-# The part of the runs in which clients read slowly.
+# Fraction of the runs in which clients read responses slowly.
 SLOW_READER_SHARE = 0.3
+# From this number of edges on, a run always has `LARGE_FLEET_HOLDERS` holders.
 LARGE_FLEET_EDGES = 40
 LARGE_FLEET_HOLDERS = 10
 
 
 class WorkTimes(typing.NamedTuple):
-    """How long origins work on a request, in seconds: drawn between the two, short times more often."""
+    """Range from which an origin draws the time that it works on a request; short times are more frequent.
+
+    Attributes:
+        least: Lower bound in seconds.
+        most: Upper bound in seconds.
+    """
 
     least: float
     most: float
 
 
 class SoakShape(typing.NamedTuple):
-    """One run, drawn from a seed.
+    """Parameters of one run, drawn from a seed; the run prints them under these names.
 
     Attributes:
-        seed: The seed of all draws.
-        seconds: How long clients send.
-        edges: Processes of role direct.
-        holders: Processes of role holder.
-        control_nodes: Processes of the control plane.
-        zones: How many sites the processes are spread over.
-        clients: Clients with a connection of their own each.
-        rate: What the service of the objects may get from all nodes, in requests a second.
-        connections: What each of its origins accepts from all nodes; with few, most edges have none.
-        work: How long origins work.
-        object_bytes: The size of an answer's body.
-        deadlines: The seconds that a client waits, drawn for each request.
-        is_thin: Whether clients take in answers slowly.
-        stops: Edges that get SIGTERM.
+        seed: Seed of all random choices of the run except the network of the addresses.
+        seconds: How long clients send requests, in seconds.
+        edges: Number of edge processes (role "direct").
+        holders: Number of processes with the role "holder".
+        control_nodes: Number of control plane processes.
+        zones: Number of sites that the processes are spread over.
+        clients: Number of clients; each has its own connection.
+        rate: Rate limit of the service "content" over all nodes together, in requests per second.
+        connections: Connections that each origin of "content" accepts from all nodes together. If the
+            number is small, most edges have no connection.
+        work: How long an origin works on a request.
+        object_bytes: Size of a response body in bytes.
+        deadlines: Timeouts in seconds, one of which a client draws for each request.
+        is_thin: Whether clients are thin clients, which read responses slowly.
+        stops: Number of times that an edge is to be sent SIGTERM.
     """
 
     seed: int
@@ -59,7 +67,13 @@
 
 
 def draw(seed: int, edges: int | None, seconds: float) -> SoakShape:
-    """Draw a shape; `edges` sets the number of edges, which is drawn too if it is None."""
+    """Draw the parameters of a run from its seed.
+
+    Args:
+        seed: Seed of the run.
+        edges: Number of edges; None to draw it from the seed.
+        seconds: How long clients send requests, in seconds.
+    """
     randomness = random.Random(seed)
     count = edges or randomness.choice((5, 8, 12, 16))
     zones = randomness.choice((1, 2, 3))
--- a/src/irisstand/soak/slow_origin.py
+++ b/src/irisstand/soak/slow_origin.py
@@ -1,4 +1,4 @@
-"""A slow origin over HTTP/1.1, and a platform that lists several; each run at an origin is recorded."""
+"""Slow HTTP/1.1 origins that record each execution of a request, and a platform that lists the origins."""
 
 import asyncio
 import hashlib
@@ -10,13 +10,13 @@
 from irisstand.soak import records, shape
 
 HEAD_END = b"\r\n\r\n"
-# Requests beyond the slots that wait at an origin; more are turned away.
+# Requests that wait at an origin for one of its slots; the origin rejects further ones with status 503.
 QUEUE_LIMIT = 64
 Headers = dict[str, str]
 
 
 class ReceivedRequest(typing.NamedTuple):
-    """A request as an origin read it."""
+    """The request line and header fields of a request that an origin has read."""
 
     method: str
     target: str
@@ -24,7 +24,7 @@
 
 
 def parse_head(head: bytes) -> ReceivedRequest:
-    """Return the request of a head without its end."""
+    """Parse the head of a request; the empty line that ends the head must be cut off."""
     start, *lines = head.decode("latin-1").split("\r\n")
     method, target, _ = start.split(" ")
     pairs = (line.partition(":") for line in lines)
@@ -32,35 +32,52 @@
 
 
 def encode_response(status: int, headers: Headers, body: bytes = b"") -> bytes:
-    """Return an answer's bytes."""
+    """Return an HTTP/1.1 response with a content-length header as bytes."""
     lines = [f"HTTP/1.1 {status} X", *(f"{name}: {value}" for name, value in headers.items())]
     return "\r\n".join([*lines, f"content-length: {len(body)}", "", ""]).encode("latin-1") + body
 
 
 class LoopbackServer:
-    """Listens on a port of 127.0.0.1."""
+    """Base class of TCP servers on 127.0.0.1.
+
+    Attributes:
+        server: Listening server; None before the start.
+        port: Port that the server listens on; 0 before the start.
+    """
 
     def __init__(self) -> None:
         self.server: asyncio.Server | None = None
         self.port = 0
 
     async def start(self) -> None:
-        """Listen on a port that is drawn."""
+        """Start listening on a free port, which the operating system chooses."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
     def stop(self) -> None:
-        """Stop listening."""
+        """Stop listening if the server was started."""
         if self.server is not None:
             self.server.close()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection."""
+        """Serve one connection; subclasses implement this."""
         raise NotImplementedError
 
 
 class SlowOrigin(LoopbackServer):
-    """One origin instance: works for a time that its seed and the path decide, and drops what is cut off."""
+    """One origin instance, which works on a request for some time and stops when the caller disconnects.
+
+    Attributes:
+        service: Name of the service that the instance belongs to.
+        instance: Id of the instance.
+        site: Site of the instance.
+        plan: Parameters of the run.
+        state: State that the platform reports for the instance.
+        slots: Semaphore that limits the requests worked on at the same time.
+        slot_count: Number of requests that the instance works on at the same time.
+        accepted_requests: Number of requests that are waiting for a slot or have one.
+        records: Where each execution of a request is recorded.
+    """
 
     def __init__(self, service: str, instance: str, site: str, plan: shape.SoakShape, slots: int) -> None:
         super().__init__()
@@ -75,7 +92,7 @@
         self.records: records.Records = records.Records()
 
     def platform_entry(self) -> dict[str, typing.Any]:
-        """Return the platform's entry for it."""
+        """Return the entry of this instance in the platform's list of origins."""
         return {
             "id": self.instance,
             "service": self.service,
@@ -87,13 +104,13 @@
         }
 
     def work_seconds(self, request: ReceivedRequest) -> float:
-        """Return how long a request takes; the same for each reading of one target."""
+        """Return how long a request takes; the seed of the run and the request target determine it."""
         randomness = random.Random(f"{self.plan.seed} {request.target}")
         work = self.plan.work
         return work.least + (work.most - work.least) * randomness.random() ** 2
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer the requests of one connection until it ends."""
+        """Respond to the requests of one connection, one after another, until the connection closes."""
         try:
             while True:
                 request = parse_head((await reader.readuntil(HEAD_END))[: -len(HEAD_END)])
@@ -109,7 +126,7 @@
             writer.close()
 
     async def answer(self, reader: asyncio.StreamReader, request: ReceivedRequest) -> bytes | None:
-        """Carry out a request; None if the connection ended meanwhile."""
+        """Execute a request and return its response; None if the caller disconnected in the meantime."""
         instance_header = {"x-instance": self.instance}
         if request.target == "/health":
             return encode_response(200, instance_header)
@@ -117,7 +134,7 @@
         response_headers = {**instance_header, "x-request-id": request_id} if request_id else instance_header
         if self.accepted_requests >= self.slot_count + QUEUE_LIMIT:
             return encode_response(503, {**response_headers, "x-not-run": "1"})
-        # Nothing may come before the answer: what is read here is the end of the connection.
+        # Callers send nothing before the response, so this read ends only when they disconnect.
         closed = asyncio.ensure_future(reader.read(1))
         work = asyncio.ensure_future(self.work(request, request_id))
         try:
@@ -131,7 +148,7 @@
             await asyncio.gather(closed, work, return_exceptions=True)
 
     async def work(self, request: ReceivedRequest, request_id: str) -> int:
-        """Work on a request in one of the slots, and return the status of its answer."""
+        """Wait for a slot, work on a request and return the status of the response."""
         loop = asyncio.get_running_loop()
         remaining = int(request.headers.get("x-remaining-ms", "60000")) / 1000
         deadline = loop.time() + remaining
@@ -143,7 +160,7 @@
             self.accepted_requests -= 1
 
     async def run(self, request: ReceivedRequest, request_id: str, deadline: float) -> int:
-        """Run a request until it is done, cut off, or at its deadline; return the status of its answer."""
+        """Work on a request until it is done, cancelled or at its deadline; return the response status."""
         loop = asyncio.get_running_loop()
         run = records.OriginRun(request_id, self.instance, request.target, loop.time())
         self.records.add_run(run)
@@ -162,7 +179,7 @@
         return 200 if work_seconds_needed <= remaining_seconds else 504
 
     def encode_result(self, status: int, response_headers: Headers) -> bytes:
-        """Return the answer to a request that ran."""
+        """Return the response to a request that was executed, with a body digest that nodes can check."""
         seed = hashlib.sha256(self.instance.encode()).hexdigest().encode()
         body = (seed * (self.plan.object_bytes // len(seed) + 1))[: self.plan.object_bytes]
         return encode_response(
@@ -171,14 +188,14 @@
 
 
 class Platform(LoopbackServer):
-    """Lists origins over HTTP, a connection for each call."""
+    """Emulates the deployment platform: lists the origins over HTTP, with one connection for each call."""
 
     def __init__(self, origins: list[SlowOrigin]) -> None:
         super().__init__()
         self.origins = origins
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer one call."""
+        """Respond to one call with the list of all origins."""
         try:
             await reader.readuntil(HEAD_END)
             body = json.dumps({"origins": [origin.platform_entry() for origin in self.origins]}).encode()
--- a/src/irisstand/soak/verdict.py
+++ b/src/irisstand/soak/verdict.py
@@ -1,7 +1,8 @@
-"""Judges a soak run: requests that were read or sent on and had no whole answer, and stops that took long.
+"""Finds violations in the records of a soak run: lost requests, repeated writes, slow or failed shutdowns.
 
-A request is lost in two ways: its connection ends without a whole answer, or the node answers by itself while
-an origin works on that very request, or after it broke that work off.
+A request that an edge has read or forwarded is lost in one of two ways: its connection closes before the
+whole response has arrived, or the node responds by itself while an origin is still working on the request or
+after the node has cancelled that work.
 """
 
 import signal
@@ -9,29 +10,36 @@
 
 from irisstand.soak import records, shape
 
-# A request that crosses the close of its connection ends within this time, unread.
+# A request that is sent while the edge closes the connection stays unread and ends within this time.
 CROSSING_CLOSE_SECONDS = 0.2
-# The end of the grace, in which work at an origin may be broken off if its request came early enough.
+# Time after SIGTERM from which a stopping edge may cancel requests: the last sixth of the grace period.
 EXCUSED_FROM_SECONDS = shape.GRACE_SECONDS * 5 / 6
+# Only requests that were sent no later than this after SIGTERM may be cancelled.
 EXCUSED_SENT_SECONDS = 3.0
-# Before a deadline, by which a node may answer that it passed.
+# How long before the client's deadline a node may already respond that the deadline has passed.
 DEADLINE_MARGIN_SECONDS = 0.1
-# Between the end of an origin's work and the answer of the node that broke it off.
+# Work of an origin that ends at most this long after a node's own response counts as ended before it.
 RESPONSE_MARGIN_SECONDS = 0.02
 
-# Statuses that promise that a request has not run and never will.
+# HTTP statuses by which a node states that the request was not executed and never will be.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 class Violation(typing.NamedTuple):
-    """One thing that must not have happened."""
+    """A breach of an invariant: its kind, by which breaches are counted, and the details of this one."""
 
     kind: str
     detail: str
 
 
 class Verdict:
-    """The findings of a run."""
+    """Checks the records of a run and collects the violations.
+
+    Attributes:
+        records: Records of the run.
+        violations: Violations found.
+        starts_with_requests: Name and start number of each edge process that clients sent requests to.
+    """
 
     def __init__(self, run_records: records.Records) -> None:
         self.records = run_records
@@ -43,21 +51,21 @@
         for stop in run_records.stops.values():
             self.check_stop(stop)
         self.violations += [
-            Violation("a process ended by itself", text) for text in run_records.unexpected_ends
+            Violation("a process exited without SIGTERM", text) for text in run_records.unexpected_ends
         ]
 
     def check_write(self, request: records.ClientRequest) -> None:
-        """Judge that a write ran once at the most, and never if its answer promised that it had not run."""
+        """Check that a write ran at most once, and never if the response says that it did not run."""
         runs = self.records.runs.get(request.request_id, [])
         if request.kind != "writes" or not runs:
             return
         if len(runs) > 1:
-            self.add_violation("a write ran twice", request, runs)
+            self.add_violation("a write ran more than once", request, runs)
         if request.end is records.RequestEnd.NODE_RESPONSE and request.status in NOT_RUN_STATUSES:
-            self.add_violation("a write ran that was promised not to", request, runs)
+            self.add_violation("a write ran although the response says it did not", request, runs)
 
     def check_request(self, request: records.ClientRequest) -> None:
-        """Judge how one request ended."""
+        """Check that a request without an origin's response was not lost before its deadline."""
         if request.end in (records.RequestEnd.ANSWERED, records.RequestEnd.DEADLINE):
             return
         if request.ended_at >= request.deadline_at - DEADLINE_MARGIN_SECONDS:
@@ -67,19 +75,19 @@
             return
         if request.end is records.RequestEnd.CLOSED:
             if runs or request.ended_at - request.sent_at > CROSSING_CLOSE_SECONDS:
-                self.add_violation("no answer", request, runs)
+                self.add_violation("connection closed without a whole response", request, runs)
         elif any(self.is_abandoned(run, request) for run in runs):
-            self.add_violation("own answer while an origin was at work", request, runs)
+            self.add_violation("node responded by itself while an origin was working", request, runs)
 
     @staticmethod
     def is_abandoned(run: records.OriginRun, request: records.ClientRequest) -> bool:
-        """Return whether a run had brought no answer when the client got one of the node's own."""
+        """Return whether an origin was cancelled or still working when the node responded by itself."""
         if run.end is records.RunEnd.CANCELLED:
             return True
         return run.end is records.RunEnd.RUNNING or run.ended_at > request.ended_at + RESPONSE_MARGIN_SECONDS
 
     def is_excused(self, request: records.ClientRequest) -> bool:
-        """Return whether a request that came early enough ended in the last part of a stop's grace."""
+        """Return whether a stopping edge was allowed to cancel a request late in its grace period."""
         stop = self.records.stops.get((request.edge, request.start_number))
         if stop is None or request.sent_at - stop.sent_at > EXCUSED_SENT_SECONDS:
             return False
@@ -88,7 +96,7 @@
         return request.ended_at >= excused_from and any(run.ended_at >= excused_from for run in runs)
 
     def check_stop(self, stop: records.Stop) -> None:
-        """Judge how long a stop took, and how the process ended."""
+        """Check that a process exited within the grace period after SIGTERM and with exit code 0."""
         if stop.code is None:
             return
         stop_seconds = stop.ended_at - stop.sent_at
@@ -96,19 +104,19 @@
             f"{stop.name}: {stop_seconds:.2f} s, exit code {stop.code}, at an age of {stop.age_seconds:.2f} s"
         )
         if stop_seconds > shape.GRACE_SECONDS:
-            self.violations.append(Violation("a stop took longer than the grace", detail))
-        # Before its handlers are there, a process has read nothing, and the signal itself ends it.
+            self.violations.append(Violation("a shutdown took longer than the grace period", detail))
+        # SIGTERM kills a process that has not installed its signal handlers yet; it has read no request then.
         if stop.code == -signal.SIGTERM and (stop.name, stop.start_number) not in self.starts_with_requests:
             return
         if stop.code:
-            self.violations.append(Violation("a stop ended badly", detail))
+            self.violations.append(Violation("a shutdown ended with a nonzero exit code", detail))
 
     def add_violation(self, kind: str, request: records.ClientRequest, runs: list[records.OriginRun]) -> None:
-        """Add a finding about a request."""
+        """Add a violation that concerns a request, with the state of its edge and its times at origins."""
         stop = self.records.stops.get((request.edge, request.start_number))
-        phase = "calm edge"
+        phase = "running edge"
         if stop is not None and request.ended_at >= stop.sent_at:
-            phase = f"stopping edge, sent {request.sent_at - stop.sent_at:+.2f} s from SIGTERM"
+            phase = f"stopping edge, sent {request.sent_at - stop.sent_at:+.2f} s after SIGTERM"
         runs_with_times = [
             (run, run.began_at - request.sent_at, run.ended_at - request.sent_at) for run in runs
         ]
--- a/tools/behaviour_digest.py
+++ b/tools/behaviour_digest.py
@@ -1,9 +1,10 @@
-"""Digest of all that simulated nodes send and write in one seeded day: equal digests mean equal behaviour.
+"""Prints digests of everything that simulated nodes send and write during one simulated day.
 
     python tools/behaviour_digest.py --kind busy --seed 201 --seconds 8 [--samples FILE]
 
-A change that only renames or moves code leaves the digests as they are; PYTHONHASHSEED=0 is needed for that.
-`--samples` writes a few recorded frames of each kind of message, which the tests of the wire format read.
+Equal digests mean equal behaviour: a change that only renames or moves code leaves the digests as they are.
+This needs PYTHONHASHSEED=0 in the environment. `--samples` writes a few recorded frames of each kind of
+message, which the tests of the wire format read.
 """
 
 import collections
@@ -18,15 +19,23 @@
 
 from irisstand.simulator import day_kinds, memory_disk, memory_network, simulated_day
 
+# Most samples that are kept of each kind of message, and the size of the largest one.
 SAMPLES_PER_LABEL = 4
 SAMPLE_BYTES_LIMIT = 4096
 SUM_MODULUS = 2**64
-# How many withdrawals go out depends on the order in which a set of tasks is cancelled.
+# This kind is not printed: how many of its frames are sent depends on the order in which tasks are cancelled.
 UNSTABLE_LABEL = "withdraw"
 
 
 class Recorder:
-    """Sums up frames, datagrams and files in the order in which they leave a simulated process."""
+    """Counts the frames, datagrams and files of simulated processes, and adds up their hashes.
+
+    Attributes:
+        sums: Sum of the hashes of all payloads by label, modulo `SUM_MODULUS`.
+        counts: Number of payloads by label.
+        samples: Hexadecimal sample payloads by label.
+        request_kinds: Kind of each request by the id of its stream and its number on that stream.
+    """
 
     def __init__(self) -> None:
         self.sums: collections.Counter[str] = collections.Counter()
@@ -34,15 +43,15 @@
         self.samples: dict[str, list[str]] = collections.defaultdict(list)
         self.request_kinds: dict[tuple[int, int], str] = {}
 
-    def add(self, channel: str, name: str, payload: bytes) -> None:
-        """Count a payload under its channel, and take it into the channel's sum."""
-        self.counts[channel] += 1
-        digest = hashlib.sha256(f"{channel} {name}\n".encode() + payload).digest()
-        # Sums, so that the order in which cancelled tasks of one moment come up makes no difference.
-        self.sums[channel] = (self.sums[channel] + int.from_bytes(digest[:8])) % SUM_MODULUS
+    def add(self, label: str, name: str, payload: bytes) -> None:
+        """Count a payload under a label, and add its hash to the sum of that label."""
+        self.counts[label] += 1
+        digest = hashlib.sha256(f"{label} {name}\n".encode() + payload).digest()
+        # A sum does not depend on order: tasks that are cancelled at the same time may send in any order.
+        self.sums[label] = (self.sums[label] + int.from_bytes(digest[:8])) % SUM_MODULUS
 
     def add_frame(self, stream: typing.Any, payload: bytes) -> None:
-        """Count a frame under its kind; a result is filed under the kind that was asked."""
+        """Count a frame under its kind; the label of a reply also has the kind of its request."""
         _, kind, number, body, *_ = ormsgpack.unpackb(payload)
         label = kind
         if kind == "ask":
@@ -54,7 +63,7 @@
         self.keep_sample(label, payload)
 
     def keep_sample(self, label: str, payload: bytes) -> None:
-        """Keep a payload as a sample of its label, unless it is large or there are enough."""
+        """Keep a payload as a sample of its label, unless it is too large or enough samples are kept."""
         samples_of_label = self.samples[label]
         if (
             len(samples_of_label) < SAMPLES_PER_LABEL
@@ -65,7 +74,7 @@
 
 
 def install_recorder(recorder: Recorder) -> None:
-    """Put the recorder before the simulator's network and disk."""
+    """Make the simulator's network and disk record each payload before they send or write it."""
     write, send = memory_network.MemoryStream.write, memory_network.MemoryPort.send
     write_files = memory_disk.MemoryDisk.write
 
@@ -93,18 +102,22 @@
 @click.command()
 @click.option("--kind", type=click.Choice(sorted(day_kinds.KINDS)), default="busy", show_default=True)
 @click.option("--seed", type=int, default=201, show_default=True)
-@click.option("--seconds", type=float, default=8.0, show_default=True, help="Virtual seconds of the day.")
-@click.option("--samples", type=click.Path(path_type=pathlib.Path), help="Where to write recorded frames.")
+@click.option(
+    "--seconds", type=float, default=8.0, show_default=True, help="Length of the day in virtual seconds."
+)
+@click.option(
+    "--samples", type=click.Path(path_type=pathlib.Path), help="File that sample frames are written to."
+)
 def main(kind: str, seed: int, seconds: float, samples: pathlib.Path | None) -> None:
-    """Play one simulated day and print its digest."""
+    """Play one simulated day and print a digest of each kind of message and of the files."""
     recorder = Recorder()
     install_recorder(recorder)
     played = simulated_day.simulate(seed, seconds, kind)
     violations = sum(played.checker.broken.values())
-    for channel, count in sorted(recorder.counts.items()):
-        if channel == UNSTABLE_LABEL:
+    for label, count in sorted(recorder.counts.items()):
+        if label == UNSTABLE_LABEL:
             continue
-        click.echo(f"{recorder.sums[channel]:016x} {count:7d} {channel}")
+        click.echo(f"{recorder.sums[label]:016x} {count:7d} {label}")
     click.echo(f"{kind} {seed} {seconds:g}: {violations} rules broken")
     if samples is not None:
         samples.write_text(json.dumps(dict(sorted(recorder.samples.items())), indent=1) + "\n")
--- a/tools/fault_themes.py
+++ b/tools/fault_themes.py
@@ -1,4 +1,4 @@
-"""Faults and planned work for days of the platform's bench, by theme: which kinds, and how they are drawn."""
+"""Faults and planned work for days of the platform's test bench, by theme, with the range of each field."""
 
 import random
 import typing
@@ -6,12 +6,20 @@
 Fields = dict[str, typing.Any]
 DrawFields = typing.Callable[[random.Random], Fields]
 
+# Variants ("how") of faults that follow an acknowledgement.
 ACK_VARIANTS = ("", "kill", "timed", "taken")
+# Variants ("how") of faults of control plane nodes.
 RETURN_VARIANTS = ("leader meet race hard", "leader meet", "meet race hard", "race", "meet drain", "")
 
 
 class Fault(typing.NamedTuple):
-    """One kind of fault or planned work: which list of the day it stands in, and how its fields are drawn."""
+    """One kind of fault or planned work of the bench.
+
+    Attributes:
+        kind: Name of the kind in the bench.
+        fields: Draws the fields of one entry, other than its kind and time.
+        is_planned: Whether the entry belongs to the day's list "plan" instead of its list "faults".
+    """
 
     kind: str
     fields: DrawFields
@@ -19,12 +27,12 @@
 
 
 def draw_between(low: float, high: float) -> typing.Callable[[random.Random], float]:
-    """Return a function that draws a figure between two others, to a hundredth."""
+    """Return a function that draws a number from a range and rounds it to two decimals."""
     return lambda randomness: round(randomness.uniform(low, high), 2)
 
 
 def control_plane_fault(kind: str, *variants: str, low: float = 1.0, high: float = 5.0) -> Fault:
-    """Return a fault of one machine of the core for some seconds."""
+    """Return a fault of one control plane machine that lasts between `low` and `high` seconds."""
 
     def fields(randomness: random.Random) -> Fields:
         seconds = round(randomness.uniform(low, high), 2)
@@ -39,13 +47,13 @@
 
 
 def drawn_fault(kind: str, *variants: str, is_planned: bool = False, **ranges: tuple[float, float]) -> Fault:
-    """Return a fault whose figures are drawn from ranges and whose variant is drawn from `variants`.
+    """Return a kind of fault whose numeric fields and variant are drawn at random.
 
     Args:
-        kind: The bench's name of it.
-        *variants: The variants.
-        is_planned: Whether it is planned work.
-        ranges: Least and greatest figure of each field.
+        kind: Name of the kind in the bench.
+        *variants: Values of the field "how", one of which is drawn; none to leave the field out.
+        is_planned: Whether the entry is planned work instead of a fault.
+        ranges: Smallest and largest number of each field.
     """
 
     def fields(randomness: random.Random) -> Fields:
@@ -69,8 +77,8 @@
     drawn_fault("purge_storm", "", "tag", is_planned=True, for_s=(1.5, 4), gap_s=(0.04, 0.2)),
     drawn_fault("evacuate", "", "warm", is_planned=True, for_s=(3, 8)),
 ]
-# What is on each day of a theme, from the start of its faults on. A run ends before anyone could see that it
-# went on, unless origins are slow.
+# Faults that every day of a theme has, from `worst_days.FIRST_FAULT_AT` on. The theme of clients that give up
+# has slow origins, too: work at a fast origin ends before it can be seen to go on after its client has left.
 FIXED_FAULTS: dict[str, list[Fault]] = {
     "departures": [
         drawn_fault("give_up", share=(0.2, 0.5), x=(100, 300), for_s=(20, 26)),
--- a/tools/worst_days.py
+++ b/tools/worst_days.py
@@ -1,11 +1,11 @@
-"""Writes days of the worst kinds for a deployment of the platform's bench, by seed, and plays them.
+"""Writes days with many faults for a deployment on the platform's test bench, each by a seed, and plays them.
 
     python tools/worst_days.py write SITE.toml --theme cut-off --seed 7 --out day.toml
     python tools/worst_days.py play SITE.toml --bench PATH --days 10 --first-seed 1 --out DIR
 
-A theme is an entry of `fault_themes.THEMES`: kinds of faults, drawn in pairs and threes, at any moment,
-repeated, with changes of the configuration and purges around them. Traffic and marks are those of the site's
-own quiet day.
+A theme is an entry of `fault_themes.THEMES`, a list of kinds of faults. A day combines two to four of them at
+random times, some of them repeated, with changes of the configuration and purges. Everything else, such as
+traffic and marks, is taken from the quiet day in the site's file.
 """
 
 import pathlib
@@ -19,13 +19,16 @@
 import click
 import fault_themes
 
-# Of a day, in seconds from the start of traffic: when faults may begin, and when the last of them may.
+# Earliest and latest start of a fault, in seconds from the start of the day's traffic.
 FIRST_FAULT_AT, LAST_FAULT_AT = 3.0, 22.0
-# Seconds before the last moment at which a fault that may come again begins at the latest.
+# A first fault of its kind starts at least this long before `LAST_FAULT_AT`, so that it can be repeated.
 REPEAT_MARGIN_SECONDS = 6
+# Probability that a day ends with one of the `CLOSINGS`.
 CLOSING_PROBABILITY = 0.6
+# Theme that draws from the faults of all other themes.
 MIXED = "mixed"
 THEME_NAMES = [*fault_themes.THEMES, MIXED]
+# Faults of the whole cluster that may end a day.
 CLOSINGS = [
     {"kind": "power_off_all", "down_s": 1.2},
     {"kind": "wipe_after_ack", "down_s": 1.4, "how": "aimed"},
@@ -33,11 +36,12 @@
     {"kind": "kill_all", "down_s": 0.7},
     {"kind": "power_off_all", "down_s": 1.0, "how": "timed"},
 ]
-# What a report says of rules, and of work for clients that had left; or why the bench does not take the day:
-# some kinds are closed to some deployments.
+# Lines of the bench's output that name broken rules or work for clients that had left, or that say why the
+# bench rejects the day: it does not allow some kinds of faults for some deployments.
 VERDICT = re.compile(
     r"[^\n]*rules? broken[^\n]*|short of the gate[^\n]*|^fleetbench: [^\n]*|^GONE[^\n]*", re.MULTILINE
 )
+# Amount of work, in the bench's unit, that was done for clients that had already left.
 ABANDONED_WORK = re.compile(r"([\d.]+) worth worked on after its client had left")
 VERDICT_CHARACTERS_LIMIT = 300
 
@@ -45,14 +49,14 @@
 
 
 def faults_of_theme(theme: str) -> list[fault_themes.Fault]:
-    """Return the faults that a theme draws from."""
+    """Return the kinds of faults from which a day of a theme is drawn."""
     if theme != MIXED:
         return fault_themes.THEMES[theme]
     return [fault for faults in fault_themes.THEMES.values() for fault in faults]
 
 
 def draw_day(site: Day, theme: str, seed: int) -> Day:
-    """Return a day of the bench's own form: two to four kinds, some repeated `catch_up` after one another."""
+    """Draw a day in the bench's format, with two to four kinds of faults and one or two of changes."""
     randomness = random.Random(f"{site['name']} {theme} {seed}")
     quiet_day = next(day for day in site["day"] if day["slot"] == "quiet")
     candidates = faults_of_theme(theme)
@@ -76,13 +80,13 @@
 
 
 def draw_entries(fault: fault_themes.Fault, randomness: random.Random, catch_up_seconds: float) -> list[Day]:
-    """Return one to three entries of a kind of fault, one after the other."""
+    """Draw one to three successive entries of a kind of fault."""
     entries: list[Day] = []
     at_seconds = randomness.uniform(FIRST_FAULT_AT, LAST_FAULT_AT - REPEAT_MARGIN_SECONDS)
     for _ in range(randomness.choice((1, 1, 2, 3))):
         entry = {"at": round(at_seconds, 2), "kind": fault.kind, **fault.fields(randomness)}
         entries.append(entry)
-        # The next comes as soon as the tolerance allows it, or a little later.
+        # The next entry starts soon after the time that the bench allows for catching up from this one.
         at_seconds += entry.get("for_s", 1.0) + catch_up_seconds + randomness.choice((0.1, 0.3, 1.0, 2.5))
         if at_seconds > LAST_FAULT_AT:
             break
@@ -90,12 +94,12 @@
 
 
 def start_of(entry: Day) -> float:
-    """Return when an entry of a day begins, in seconds from the start of traffic."""
+    """Return the start of an entry of a day, in seconds from the start of traffic."""
     return float(entry["at"])
 
 
 def as_toml(value: typing.Any) -> str:
-    """Return a value as TOML on one line; tables are written inline.
+    """Return a value as one line of TOML; nested tables become inline tables.
 
     >>> as_toml({"at": 1.5, "how": "race", "share": [1, True]})
     '{ at = 1.5, how = "race", share = [1, true] }'
@@ -112,12 +116,18 @@
 
 
 def write_day(path: pathlib.Path, day: Day) -> None:
-    """Write a day as the bench reads it."""
+    """Write a day as a TOML file for the bench."""
     path.write_text("[[day]]\n" + "".join(f"{key} = {as_toml(value)}\n" for key, value in day.items()))
 
 
 class BenchResult(typing.NamedTuple):
-    """What the bench said of a day: exit code, rules it names, and its work for clients that had left."""
+    """Result of the bench for one day.
+
+    Attributes:
+        exit_code: Exit code of the bench.
+        verdict: Lines of its output about broken rules or the rejection of the day.
+        abandoned_work: Amount of work for clients that had left, as printed by the bench; "-" if not printed.
+    """
 
     exit_code: int
     verdict: str
@@ -125,43 +135,49 @@
 
 
 def play_day(command: list[str], log: pathlib.Path) -> BenchResult:
-    """Play a day by a command, and keep all that the command prints."""
+    """Play a day by running the bench, and save the output of the bench as a log file."""
     completed = subprocess.run(command, capture_output=True, text=True, check=False)
     output = completed.stdout + completed.stderr
     log.write_text(output)
     verdict = "; ".join(sorted(set(VERDICT.findall(output))))[:VERDICT_CHARACTERS_LIMIT]
     abandoned_work = ABANDONED_WORK.search(output)
     return BenchResult(
-        completed.returncode, verdict or "no rule named", abandoned_work[1] if abandoned_work else "-"
+        completed.returncode,
+        verdict or "no broken rule reported",
+        abandoned_work[1] if abandoned_work else "-",
     )
 
 
 @click.group(help=__doc__)
 def main() -> None:
-    """Group the commands."""
+    """Group the commands that write and play days."""
 
 
-@main.command(help="Write one day.")
+@main.command(help="Write one day of a theme to a file.")
 @click.argument("site", type=click.Path(exists=True))
 @click.option("--theme", type=click.Choice(THEME_NAMES), default=MIXED, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--out", type=click.Path(), required=True)
 def write(site: str, theme: str, seed: int, out: str) -> None:
-    """Write one day of a theme."""
+    """Write one day of a theme to a file."""
     write_day(pathlib.Path(out), draw_day(tomllib.loads(pathlib.Path(site).read_text()), theme, seed))
 
 
-@main.command(help="Write days of all themes in turn, play each, and say which broke a rule.")
+@main.command(help="Write days of all themes in turn, play each, and print which of them broke a rule.")
 @click.argument("site", type=click.Path(exists=True))
-@click.option("--bench", type=click.Path(exists=True), required=True, help="the platform's bench")
-@click.option("--theme", type=click.Choice(THEME_NAMES), help="days of this theme only")
+@click.option(
+    "--bench", type=click.Path(exists=True), required=True, help="Executable of the platform's test bench."
+)
+@click.option("--theme", type=click.Choice(THEME_NAMES), help="Play only days of this theme.")
 @click.option("--days", type=int, default=7, show_default=True)
 @click.option("--first-seed", type=int, default=1, show_default=True)
 @click.option("--jobs", type=int, default=4, show_default=True)
-@click.option("--out", type=click.Path(), required=True, help="a folder for days and their reports")
+@click.option(
+    "--out", type=click.Path(), required=True, help="Folder for the days and the logs of the bench."
+)
 @click.option("--why", default="days of the worst kinds", show_default=True)
 def play(**options: typing.Any) -> None:
-    """Play days, and end with exit code 1 if the bench named a fault on any."""
+    """Play days, and exit with code 1 if the bench exited with another code than 0 on any of them."""
     site, bench, jobs, why = options["site"], options["bench"], options["jobs"], options["why"]
     (folder := pathlib.Path(options["out"])).mkdir(parents=True, exist_ok=True)
     site_table = tomllib.loads(pathlib.Path(site).read_text())
@@ -175,7 +191,8 @@
         played = play_day(command, path.with_suffix(".log"))
         failed |= played.exit_code != 0
         click.echo(
-            f"{path.stem}: exit {played.exit_code}; worked on {played.abandoned_work}; {played.verdict}"
+            f"{path.stem}: exit code {played.exit_code}; "
+            f"work for departed clients {played.abandoned_work}; {played.verdict}"
         )
     sys.exit(failed)
 
